--- a/pomelometric/metrics.go
+++ b/pomelometric/metrics.go
@@ -23,13 +23,13 @@
 type Metrics struct {
 	registry *prometheus.Registry
 	answers  *prometheus.CounterVec
-	first    *prometheus.HistogramVec
-	total    *prometheus.HistogramVec
+	firstAnswer    *prometheus.HistogramVec
+	fullAnswer    *prometheus.HistogramVec
 	retries  *prometheus.CounterVec
-	places   *prometheus.CounterVec
+	placements   *prometheus.CounterVec
 	gauges   *prometheus.GaugeVec
-	missed   prometheus.Counter
-	calls    *prometheus.CounterVec
+	missedMessages   prometheus.Counter
+	storeCalls    *prometheus.CounterVec
 }
 
 // New returns Metrics that start at zero, with those of the runtime and the process.
@@ -37,23 +37,23 @@
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		answers:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "requests_total", Help: "Requests by kind of route and by how they ended."}, []string{"kind", "ending"}),
-		first:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "first_answer_seconds", Help: "Time to the beginning of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
-		total:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "answer_seconds", Help: "Time to the end of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
+		firstAnswer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "first_answer_seconds", Help: "Time to the beginning of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
+		fullAnswer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "answer_seconds", Help: "Time to the end of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
 		retries:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "retries_total", Help: "Requests sent again, by the result code of what failed before."}, []string{"code"}),
-		places:   prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "placements_total", Help: "Decisions on requests by reason of refusal; empty for a place."}, []string{"reason"}),
+		placements:   prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "placements_total", Help: "Decisions on requests by reason of refusal; empty for a place."}, []string{"reason"}),
 		gauges:   prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "state", Help: "What the router knows now, by name."}, []string{"name"}),
 	}
-	m.missed = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "messages_missed_total", Help: "Messages to other routers that could not be queued."})
-	m.calls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "store_calls_total", Help: "Calls to the platform's store by kind, cause and result code; 0 for none."}, []string{"kind", "cause", "code"})
-	m.registry.MustRegister(m.missed, m.calls, m.answers, m.first, m.total, m.retries, m.places, m.gauges, collectors.NewGoCollector())
+	m.missedMessages = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "messages_missed_total", Help: "Messages to other routers that could not be queued."})
+	m.storeCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "store_calls_total", Help: "Calls to the platform's store by kind, cause and result code; 0 for none."}, []string{"kind", "cause", "code"})
+	m.registry.MustRegister(m.missedMessages, m.storeCalls, m.answers, m.firstAnswer, m.fullAnswer, m.retries, m.placements, m.gauges, collectors.NewGoCollector())
 	return m
 }
 
 // Answered counts an answer: how the request ended, the time to the answer's beginning and to its end.
 func (m *Metrics) Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration) {
 	m.answers.WithLabelValues(string(kind), ending).Inc()
-	m.first.WithLabelValues(string(kind), ending).Observe(first.Seconds())
-	m.total.WithLabelValues(string(kind), ending).Observe(total.Seconds())
+	m.firstAnswer.WithLabelValues(string(kind), ending).Observe(first.Seconds())
+	m.fullAnswer.WithLabelValues(string(kind), ending).Observe(total.Seconds())
 }
 
 // Retried counts a request that is sent again.
@@ -62,14 +62,14 @@
 }
 
 // Placed counts a decision on a request; the reason is empty for a place.
-func (m *Metrics) Placed(reason string) { m.places.WithLabelValues(reason).Inc() }
+func (m *Metrics) Placed(reason string) { m.placements.WithLabelValues(reason).Inc() }
 
 // Missed counts a message to another router that could not be queued.
-func (m *Metrics) Missed() { m.missed.Inc() }
+func (m *Metrics) Missed() { m.missedMessages.Inc() }
 
 // StoreCalled counts a call to the platform's store: what was called, why, and the result code, zero when it succeeded.
 func (m *Metrics) StoreCalled(kind, cause string, code pomelorelay.ResultCode) {
-	m.calls.WithLabelValues(kind, cause, strconv.Itoa(int(code))).Inc()
+	m.storeCalls.WithLabelValues(kind, cause, strconv.Itoa(int(code))).Inc()
 }
 
 // Set sets a value of what the router knows.
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -33,10 +33,10 @@
 // SetConfig puts a version in force.
 func (p *Policy) SetConfig(now time.Time, config *pomelorelay.FleetConfig) {
 	p.previous, p.previousEnds = p.current, now.Add(p.cfg.Overlap)
-	p.current = rulesOf(config)
+	p.current = newRules(config)
 }
 
-func rulesOf(config *pomelorelay.FleetConfig) rules {
+func newRules(config *pomelorelay.FleetConfig) rules {
 	r := rules{
 		routes:   make(map[pomelorelay.RouteID]pomelorelay.Residency),
 		accounts: make(map[pomelorelay.AccountID]pomelorelay.Residency),
@@ -54,18 +54,18 @@
 	return r
 }
 
-func (r rules) of(route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
+func (r rules) residency(route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
 	return r.routes[route].And(r.accounts[account])
 }
 
 // Of returns where a request of the account on the route may be served; the account is empty where there is none. Shortly after a change both
 // versions bind, or the newer one alone where they have no region in common.
 func (p *Policy) Of(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
-	current := p.current.of(route, account)
+	current := p.current.residency(route, account)
 	if !now.Before(p.previousEnds) {
 		return current
 	}
-	if both := current.And(p.previous.of(route, account)); !both.Empty() {
+	if both := current.And(p.previous.residency(route, account)); !both.Empty() {
 		return both
 	}
 	return current
--- a/pomeloresidency/policy_test.go
+++ b/pomeloresidency/policy_test.go
@@ -24,7 +24,7 @@
 
 func regions(names ...pomelorelay.RegionID) []pomelorelay.RegionID { return names }
 
-func TestRouteAndAccountBothBind(t *testing.T) {
+func TestRegionsOfRouteAndAccountAreIntersected(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		route, account []pomelorelay.RegionID
@@ -50,12 +50,12 @@
 }
 
 // Guards against a request that is served where one of two versions forbids it while routers still differ in which one they apply.
-func TestTheStricterOfTwoVersionsBindsDuringAChange(t *testing.T) {
+func TestStricterVersionAppliesDuringAChange(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		before, after         []pomelorelay.RegionID
-		duringIt, afterwards  []pomelorelay.RegionID
-		limitedWhile, limited bool
+		during, final  []pomelorelay.RegionID
+		limitedDuring, limitedFinal bool
 	}{
 		{"narrowed", regions("a", "b"), regions("b"), regions("b"), regions("b"), true, true},
 		{"widened", regions("a"), regions("a", "b"), regions("a"), regions("a", "b"), true, true},
@@ -68,17 +68,17 @@
 		changed := start.Add(time.Minute)
 		p.SetConfig(changed, config(c.after, nil))
 		during, after := p.Of(changed, "route", "free"), p.Of(changed.Add(overlap), "route", "free")
-		if during.Limited != c.limitedWhile || !slices.Equal(during.Regions, c.duringIt) {
+		if during.Limited != c.limitedDuring || !slices.Equal(during.Regions, c.during) {
 			t.Errorf("%s: %+v during the change", c.name, during)
 		}
-		if after.Limited != c.limited || !slices.Equal(after.Regions, c.afterwards) {
+		if after.Limited != c.limitedFinal || !slices.Equal(after.Regions, c.final) {
 			t.Errorf("%s: %+v after it", c.name, after)
 		}
 	}
 }
 
 // Guards against a region that the version in force does not allow, whatever the versions before it said.
-func TestNothingBeyondTheNewestVersionIsAllowed(t *testing.T) {
+func TestOnlyRegionsOfTheNewestVersionAreAllowed(t *testing.T) {
 	all := regions("a", "b", "c", "")
 	draw := rapid.SliceOfDistinct(rapid.SampledFrom(all[:3]), func(r pomelorelay.RegionID) pomelorelay.RegionID { return r })
 	rapid.Check(t, func(t *rapid.T) {
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -14,22 +14,22 @@
 
 var start = time.Unix(1000, 0)
 
-// fill makes shares in which each account asked for its tokens a moment ago, of 100 tokens a second.
-func fill(asked map[pomelorelay.AccountID]pomelorelay.Cost) *pomeloshare.Shares {
+// newSharesWithDemand makes shares in which each account asked for its tokens a moment ago, of 100 tokens a second.
+func newSharesWithDemand(requested map[pomelorelay.AccountID]pomelorelay.Cost) *pomeloshare.Shares {
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(100)
 	s.Tick(start)
-	for id, cost := range asked {
+	for id, cost := range requested {
 		s.Asked(id, cost)
 	}
 	s.Tick(start.Add(100 * time.Millisecond))
 	return s
 }
 
-func TestLevelIsMaxMin(t *testing.T) {
+func TestLevelIsMaxMinFair(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		asked map[pomelorelay.AccountID]pomelorelay.Cost
+		requested map[pomelorelay.AccountID]pomelorelay.Cost
 		want  pomelorelay.Cost
 	}{
 		{"enough for all", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 100, "b": 200}, 0},
@@ -37,14 +37,14 @@
 		{"two ask for more", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 100, "b": 1000, "c": 2000}, 150},
 		{"even", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 1000, "b": 1000, "c": 1000, "d": 1000}, 100},
 	} {
-		if _, _, level := fill(c.asked).State("a"); level != c.want {
+		if _, _, level := newSharesWithDemand(c.requested).State("a"); level != c.want {
 			t.Errorf("%s: level %v, want %v", c.name, level, c.want)
 		}
 	}
 }
 
-func TestOwedUpToTheLevel(t *testing.T) {
-	s := fill(map[pomelorelay.AccountID]pomelorelay.Cost{"small": 100, "large": 1000})
+func TestRequestsAreWithinShareUpToTheLevel(t *testing.T) {
+	s := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"small": 100, "large": 1000})
 	for range 6 {
 		if !s.Owed("large", 50) {
 			t.Fatal("refused below the level of 300")
@@ -62,8 +62,8 @@
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
-	s := fill(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
+func TestUsageLeavesTheWindow(t *testing.T) {
+	s := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
 	s.Served("large", 400)
 	if s.Owed("large", 50) {
 		t.Fatal("owed beyond the level")
@@ -78,7 +78,7 @@
 
 // One account sends many times its usual through every router and is served much more than another that is short. Without a look at
 // who is short the flood gets whatever becomes free first, and the other account's callers see half of their requests refused.
-func TestAheadOfAnAccountThatIsShort(t *testing.T) {
+func TestFloodLeadsAnAccountWithUnmetDemand(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(tokens)
@@ -104,7 +104,7 @@
 // Reports between routers are lost with a broken link and come twice after it is back; a router that starts anew counts from zero.
 // Counted wrongly, an account would be refused for service that it never had.
 func TestReportsCountOnce(t *testing.T) {
-	s := fill(nil)
+	s := newSharesWithDemand(nil)
 	for at := time.Duration(0); at < 2*window; at += 100 * time.Millisecond {
 		s.Tick(start.Add(at))
 	}
@@ -121,25 +121,25 @@
 	}
 }
 
-func TestReportsOfManyRoutersAddUp(t *testing.T) {
+func TestFullReportRecoversLostReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := fill(nil), fill(nil)
+		sender, receiver := newSharesWithDemand(nil), newSharesWithDemand(nil)
 		for at := time.Duration(0); at < 2*window; at += 100 * time.Millisecond {
-			b.Tick(start.Add(at))
+			receiver.Tick(start.Add(at))
 		}
 		var total pomelorelay.Cost
 		for range rapid.IntRange(1, 20).Draw(t, "requests") {
 			cost := pomelorelay.Cost(rapid.IntRange(1, 1000).Draw(t, "cost"))
-			a.Asked("x", cost)
+			sender.Asked("x", cost)
 			total += cost
 			if rapid.Bool().Draw(t, "lost") {
-				a.Report(false, nil)
+				sender.Report(false, nil)
 				continue
 			}
-			b.TakeReport("a", 1, a.Report(false, nil))
+			receiver.TakeReport("a", 1, sender.Report(false, nil))
 		}
-		b.TakeReport("a", 1, a.Report(true, nil))
-		if asked, _, _ := b.State("x"); asked != total {
+		receiver.TakeReport("a", 1, sender.Report(true, nil))
+		if asked, _, _ := receiver.State("x"); asked != total {
 			t.Fatalf("%v arrived of %v", asked, total)
 		}
 	})
@@ -147,7 +147,7 @@
 
 // Engines produce more than the operators' figure. An account that asks for a little more than its share of the figure would be
 // refused half of that, while a flood takes what is left over.
-func TestTheShortestAccountIsOwedWhatIsLeftOver(t *testing.T) {
+func TestSpareCapacityGoesToTheLeastServedAccount(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(tokens)
@@ -166,7 +166,7 @@
 
 // Two accounts are ahead of a third that is short, one of them by far. Held back alike, the smaller of the two gets less than half of
 // what the larger one gets.
-func TestTheFurthestAheadIsHeldBackMost(t *testing.T) {
+func TestLeadGrowsWithServedTokens(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(tokens)
@@ -183,18 +183,18 @@
 
 // A quarter of the engines crash, and an account's requests find them first: they are placed, never run, and are placed again or
 // refused. Kept as service, what never ran uses up the account's share, and its callers are refused while others get all.
-func TestWhatDidNotRunIsGivenBack(t *testing.T) {
-	here, there := fill(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000}), fill(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
+func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
+	sender, receiver := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000}), newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
 	for at := time.Duration(0); at < window/2; at += 100 * time.Millisecond {
-		here.Tick(start.Add(at))
-		there.Tick(start.Add(at))
+		sender.Tick(start.Add(at))
+		receiver.Tick(start.Add(at))
 	}
-	there.TakeReport("here", 1, here.Report(true, nil))
-	here.Served("large", 400)
-	there.TakeReport("here", 1, here.Report(false, nil))
-	here.Returned("large", 400)
-	there.TakeReport("here", 1, here.Report(false, nil))
-	for name, s := range map[string]*pomeloshare.Shares{"here": here, "there": there} {
+	receiver.TakeReport("here", 1, sender.Report(true, nil))
+	sender.Served("large", 400)
+	receiver.TakeReport("here", 1, sender.Report(false, nil))
+	sender.Returned("large", 400)
+	receiver.TakeReport("here", 1, sender.Report(false, nil))
+	for name, s := range map[string]*pomeloshare.Shares{"here": sender, "there": receiver} {
 		if _, served, _ := s.State("large"); served != 0 {
 			t.Errorf("%s: %v counts as served, want 0", name, served)
 		}
@@ -209,11 +209,11 @@
 
 // Guards against an account that gets more than twice as much as another one that waits all the time, because there is less than the operators'
 // figure says and both are owed what they ask for.
-func TestAnAccountFarAheadYieldsToOneThatIsShort(t *testing.T) {
+func TestAccountFarAheadYieldsToAShortAccount(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		aheadGot, shortGot pomelorelay.Cost
-		shortAsked         pomelorelay.Cost
+		aheadServed, shortServed pomelorelay.Cost
+		shortRequested         pomelorelay.Cost
 		want               bool
 	}{
 		{"more than twice as much", 900_000, 400_000, 1_000_000, true},
@@ -225,9 +225,9 @@
 		s.SetCapacity(1_000_000)
 		s.Tick(start)
 		s.Asked("ahead", 2_000_000)
-		s.Served("ahead", c.aheadGot)
-		s.Asked("short", c.shortAsked)
-		s.Served("short", c.shortGot)
+		s.Served("ahead", c.aheadServed)
+		s.Asked("short", c.shortRequested)
+		s.Served("short", c.shortServed)
 		s.Tick(start.Add(100 * time.Millisecond))
 		if got := s.Ahead("ahead") > 1; got != c.want {
 			t.Errorf("%s: yields %v, want %v", c.name, got, c.want)
@@ -248,8 +248,8 @@
 		at = at.Add(time.Second)
 		s.Tick(at)
 	}
-	sums := func(asked pomelorelay.Cost) []pomelorelay.AccountUse {
-		return []pomelorelay.AccountUse{{Account: "a", Asked: asked, Served: asked}}
+	sums := func(tokens pomelorelay.Cost) []pomelorelay.AccountUse {
+		return []pomelorelay.AccountUse{{Account: "a", Asked: tokens, Served: tokens}}
 	}
 	s.TakeReport("first", 1, sums(0))
 	s.Mark("second", 1, sums(0))
--- a/pomelospeed/rapid_test.go
+++ b/pomelospeed/rapid_test.go
@@ -12,11 +12,11 @@
 
 // Answers come after any time, clocks stand still, and another router tells sums that no answers have. Whatever they were, a request must be given a
 // time that is a number: with none, every upstream would look as good as any other.
-func TestALineAlwaysExpectsATime(t *testing.T) {
+func TestExpectedTimeIsAlwaysFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := pomelospeed.NewLine(pomelospeed.Rate(rapid.Float64Range(-10, 1e6).Draw(t, "guess")))
 		now := start
-		var told pomelorelay.SpeedSums
+		var reported pomelorelay.SpeedSums
 		t.Repeat(map[string]func(*rapid.T){
 			"answer": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed")))
@@ -27,8 +27,8 @@
 				next := pomelorelay.SpeedSums{
 					Answers: sum("answers"), Weight: sum("weight"), Read: sum("read"), Took: sum("took"), ReadRead: sum("read read"), ReadTook: sum("read took"),
 				}
-				l.Merge(now, told, next)
-				told = next
+				l.Merge(now, reported, next)
+				reported = next
 			},
 			"": func(t *rapid.T) {
 				if r := l.Rate(); !(r >= 0.5 && r <= 5001) {
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -10,29 +10,29 @@
 	Amount, Of float64
 }
 
-func (s *Sums) add(o Sums, times float64) {
-	s.Amount += times * o.Amount
-	s.Of += times * o.Of
+func (s *Sums) add(o Sums, factor float64) {
+	s.Amount += factor * o.Amount
+	s.Of += factor * o.Of
 }
 
-func (s *Sums) scale(times float64) { *s = Sums{Amount: times * s.Amount, Of: times * s.Of} }
+func (s *Sums) scale(factor float64) { *s = Sums{Amount: factor * s.Amount, Of: factor * s.Of} }
 
 // RatioConfig holds what a Ratio starts with and how it forgets.
 type RatioConfig struct {
-	// Guess is the first guess, Weight how much it counts as if it had been seen.
-	Guess, Weight float64
-	// Half is the time in which half of what was seen is forgotten, down to Least.
-	Half  time.Duration
-	Least float64
-	// MostNews bounds how much one report of another router may count for: its first one sums up all since its start.
-	MostNews float64
+	// Prior is the first guess, Weight how much it counts as if it had been seen.
+	Prior, PriorWeight float64
+	// HalfLife is the time in which half of what was seen is forgotten, down to Least.
+	HalfLife  time.Duration
+	MinWeight float64
+	// MaxReportWeight bounds how much one report of another router may count for: its first one sums up all since its start.
+	MaxReportWeight float64
 }
 
 // Ratio is an amount a unit that all routers learn together.
 type Ratio struct {
 	cfg       RatioConfig
-	own, seen Sums
-	at        time.Time
+	local, observed Sums
+	decayedAt        time.Time
 }
 
 // NewRatio returns a Ratio that has seen nothing.
@@ -40,45 +40,45 @@
 
 // Note takes what this router saw.
 func (r *Ratio) Note(now time.Time, s Sums) {
-	r.own.add(s, 1)
-	r.see(now, s)
+	r.local.add(s, 1)
+	r.accumulate(now, s)
 }
 
 // Own returns the sums of what this router saw since its start.
-func (r *Ratio) Own() Sums { return r.own }
+func (r *Ratio) Own() Sums { return r.local }
 
 // Merge takes what another router's sums have grown by.
 func (r *Ratio) Merge(now time.Time, before, after Sums) {
-	news := after
-	news.add(before, -1)
-	if news.Of <= 0 {
+	delta := after
+	delta.add(before, -1)
+	if delta.Of <= 0 {
 		return
 	}
-	if news.Of > r.cfg.MostNews {
-		news.scale(r.cfg.MostNews / news.Of)
+	if delta.Of > r.cfg.MaxReportWeight {
+		delta.scale(r.cfg.MaxReportWeight / delta.Of)
 	}
-	r.see(now, news)
+	r.accumulate(now, delta)
 }
 
 // Value returns the ratio.
 func (r *Ratio) Value(now time.Time) float64 {
-	r.fade(now)
-	return (r.seen.Amount + r.cfg.Guess*r.cfg.Weight) / (r.seen.Of + r.cfg.Weight)
+	r.decay(now)
+	return (r.observed.Amount + r.cfg.Prior*r.cfg.PriorWeight) / (r.observed.Of + r.cfg.PriorWeight)
 }
 
-func (r *Ratio) see(now time.Time, s Sums) {
-	r.fade(now)
-	r.seen.add(s, 1)
+func (r *Ratio) accumulate(now time.Time, s Sums) {
+	r.decay(now)
+	r.observed.add(s, 1)
 }
 
-func (r *Ratio) fade(now time.Time) {
-	passed := now.Sub(r.at)
+func (r *Ratio) decay(now time.Time) {
+	passed := now.Sub(r.decayedAt)
 	if passed <= 0 {
 		return
 	}
-	if !r.at.IsZero() && r.seen.Of > r.cfg.Least {
-		keep := math.Exp2(-float64(passed) / float64(r.cfg.Half))
-		r.seen.scale(max(keep, r.cfg.Least/r.seen.Of))
+	if !r.decayedAt.IsZero() && r.observed.Of > r.cfg.MinWeight {
+		retained := math.Exp2(-float64(passed) / float64(r.cfg.HalfLife))
+		r.observed.scale(max(retained, r.cfg.MinWeight/r.observed.Of))
 	}
-	r.at = now
+	r.decayedAt = now
 }
--- a/pomelotable/table.go
+++ b/pomelotable/table.go
@@ -14,9 +14,9 @@
 // Table is one version of the configuration, ready for lookups.
 type Table struct {
 	config *pomelorelay.FleetConfig
-	// hosts holds the routes of each host name, longest prefix first.
-	hosts    map[string][]*pomelorelay.Route
-	accounts map[string]*pomelorelay.AccountSpec
+	// routesByHost holds the routes of each host name, longest prefix first.
+	routesByHost    map[string][]*pomelorelay.Route
+	accountsByKey map[string]*pomelorelay.AccountSpec
 	services map[pomelorelay.ServiceID]*pomelorelay.ServiceSpec
 }
 
@@ -24,21 +24,21 @@
 func New(config *pomelorelay.FleetConfig) *Table {
 	t := &Table{
 		config:   config,
-		hosts:    make(map[string][]*pomelorelay.Route),
-		accounts: make(map[string]*pomelorelay.AccountSpec),
+		routesByHost:    make(map[string][]*pomelorelay.Route),
+		accountsByKey: make(map[string]*pomelorelay.AccountSpec),
 		services: make(map[pomelorelay.ServiceID]*pomelorelay.ServiceSpec, len(config.Services)),
 	}
 	for i := range config.Routes {
 		r := &config.Routes[i]
 		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *pomelorelay.Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for i := range config.Accounts {
 		for _, key := range config.Accounts[i].Keys {
-			t.accounts[key] = &config.Accounts[i]
+			t.accountsByKey[key] = &config.Accounts[i]
 		}
 	}
 	for i := range config.Services {
@@ -58,7 +58,7 @@
 
 // Route returns the route of the host name with the longest prefix that begins the path.
 func (t *Table) Route(host, path string) (*pomelorelay.Route, bool) {
-	for _, r := range t.hosts[hostName(host)] {
+	for _, r := range t.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -75,7 +75,7 @@
 
 // Account returns the client account that holds the key.
 func (t *Table) Account(key string) (*pomelorelay.AccountSpec, bool) {
-	a, ok := t.accounts[key]
+	a, ok := t.accountsByKey[key]
 	return a, ok
 }
 
@@ -86,13 +86,13 @@
 }
 
 // Pick returns the service that a request with the id goes to, by the weights of the route's shares.
-func (t *Table) Pick(r *pomelorelay.Route, id string) (pomelorelay.ServiceID, bool) {
+func (t *Table) Pick(r *pomelorelay.Route, requestID string) (pomelorelay.ServiceID, bool) {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
 	// The upper bits of the hash as a fraction: the same request always gets the same service.
-	point := float64(xxhash.Sum64String(id)>>11) / (1 << 53) * total
+	point := float64(xxhash.Sum64String(requestID)>>11) / (1 << 53) * total
 	for _, s := range r.Shares {
 		if point < s.Weight {
 			return s.Service, true
--- a/pomelotable/table_test.go
+++ b/pomelotable/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-func table() *pomelotable.Table {
+func newTable() *pomelotable.Table {
 	return pomelotable.New(&pomelorelay.FleetConfig{
 		Version: 7,
 		Routes: []pomelorelay.Route{
@@ -33,7 +33,7 @@
 		{"shop.example", "/a", ""},
 		{"unknown.example", "/a/x", ""},
 	} {
-		r, ok := table().Route(c.host, c.path)
+		r, ok := newTable().Route(c.host, c.path)
 		if ok != (c.want != "") {
 			t.Errorf("%s%s: found %v", c.host, c.path, ok)
 			continue
@@ -46,23 +46,23 @@
 
 func TestAccount(t *testing.T) {
 	for key, want := range map[string]pomelorelay.AccountID{"k1": "one", "k2": "one", "k3": "two"} {
-		if a, ok := table().Account(key); !ok || a.Name != want {
+		if a, ok := newTable().Account(key); !ok || a.Name != want {
 			t.Errorf("key %s: account %v", key, a)
 		}
 	}
-	if _, ok := table().Account(""); ok {
+	if _, ok := newTable().Account(""); ok {
 		t.Error("an empty key has an account")
 	}
 }
 
-func TestPickFollowsWeightsAndStays(t *testing.T) {
+func TestServicePickFollowsWeightsAndIsStable(t *testing.T) {
 	r := &pomelorelay.Route{Shares: []pomelorelay.RouteShare{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	const requests = 10000
 	picked := make(map[pomelorelay.ServiceID]int)
 	for i := range requests {
 		id := strconv.Itoa(i)
-		s, ok := table().Pick(r, id)
-		again, _ := table().Pick(r, id)
+		s, ok := newTable().Pick(r, id)
+		again, _ := newTable().Pick(r, id)
 		if !ok || s != again {
 			t.Fatalf("request %s went to %s, then to %s", id, s, again)
 		}
@@ -71,7 +71,7 @@
 	if b := picked["b"]; b < requests/10-150 || b > requests/10+150 {
 		t.Errorf("%d of %d requests went to a share of a tenth", b, requests)
 	}
-	if _, ok := table().Pick(&pomelorelay.Route{}, "x"); ok {
+	if _, ok := newTable().Pick(&pomelorelay.Route{}, "x"); ok {
 		t.Error("a route without services has one")
 	}
 }
--- a/pomelowarmup/config.go
+++ b/pomelowarmup/config.go
@@ -10,14 +10,14 @@
 const DefaultHolders = 2
 
 const (
-	// boundShare is the part of the bound that the holders use together. The rest is for routers that take others for the holders, as when the
+	// boundFraction is the part of the bound that the holders use together. The rest is for routers that take others for the holders, as when the
 	// registrations have just changed.
-	boundShare = 0.5
-	// rateShare is the part of that which comes evenly, the rest in bursts.
-	rateShare = 0.5
-	// suspectFor is how long an upstream that took no connection counts as one that may have started anew, unless something is learnt of it. The
+	boundFraction = 0.5
+	// steadyFraction is the part of that which comes evenly, the rest in bursts.
+	steadyFraction = 0.5
+	// suspectDuration is how long an upstream that took no connection counts as one that may have started anew, unless something is learnt of it. The
 	// holders try it again within that time.
-	suspectFor = 4 * time.Second
+	suspectDuration = 4 * time.Second
 )
 
 // Config holds what a Gate needs.
@@ -31,8 +31,8 @@
 	Holders int
 }
 
-// spec is what the configuration says of a service's cold upstreams.
-type spec struct {
+// coldSpec is what the configuration says of a service's cold upstreams.
+type coldSpec struct {
 	// duration is how long an upstream is cold after a start; zero where upstreams are not, unless one says so itself.
 	duration time.Duration
 	// bound is the most requests that the fleet may send to a cold upstream in any second.
@@ -40,7 +40,7 @@
 }
 
 // bucket returns the rate, in requests a second, and the burst of each of so many holders.
-func (s spec) bucket(holders int) (rate, burst float64) {
-	each := boundShare * s.bound / float64(holders)
-	return rateShare * each, max(1, (1-rateShare)*each)
+func (s coldSpec) bucket(holders int) (rate, burst float64) {
+	perHolder := boundFraction * s.bound / float64(holders)
+	return steadyFraction * perHolder, max(1, (1-steadyFraction)*perHolder)
 }
--- a/pomelowarmup/world_test.go
+++ b/pomelowarmup/fleet_test.go
@@ -22,12 +22,12 @@
 
 var services = []pomelorelay.ServiceSpec{{Name: "s", ColdFor: coldFor, ColdRate: coldRate}, {Name: "never cold"}}
 
-func listed(id pomelorelay.UpstreamID) pomelorelay.FleetUpstream {
+func upstreamEntry(id pomelorelay.UpstreamID) pomelorelay.FleetUpstream {
 	return pomelorelay.FleetUpstream{ID: id, Service: "s", Domain: "a", Born: 1}
 }
 
-// routersOf returns so many routers, spread over all failure domains.
-func routersOf(n int) []pomelorelay.Peer {
+// newPeers returns so many routers, spread over all failure domains.
+func newPeers(n int) []pomelorelay.Peer {
 	var peers []pomelorelay.Peer
 	for i := range n {
 		domain := pomelorelay.DomainID(rune('a' + i%len(regions)))
@@ -56,7 +56,7 @@
 }
 
 func newFleet(seed uint64, routers, holders int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), peers: routersOf(routers), holders: holders}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), peers: newPeers(routers), holders: holders}
 	f.gates, f.states = make([]*pomelowarmup.Gate, routers), make([]*pomelowarmup.Upstream, routers)
 	for i := range f.peers {
 		f.restart(start, i, 0)
@@ -65,11 +65,11 @@
 }
 
 // restart starts a router that is told how much longer the upstream is cold.
-func (f *fleet) restart(now time.Time, i int, left time.Duration) {
+func (f *fleet) restart(now time.Time, i int, remaining time.Duration) {
 	others := append(append([]pomelorelay.Peer(nil), f.peers[:i]...), f.peers[i+1:]...)
 	f.gates[i] = newGate(f.peers[i], others, f.holders)
-	u := listed("u")
-	u.ColdFor = left
+	u := upstreamEntry("u")
+	u.ColdFor = remaining
 	f.states[i] = f.gates[i].Upstream(now, u)
 }
 
@@ -83,14 +83,14 @@
 	}
 }
 
-// busiest returns the most requests that were sent in any second.
-func (f *fleet) busiest() int {
-	most, first := 0, 0
+// peakPerSecond returns the most requests that were sent in any second.
+func (f *fleet) peakPerSecond() int {
+	peak, first := 0, 0
 	for i, at := range f.sent {
 		for at.Sub(f.sent[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
--- a/pomelowarmup/gate.go
+++ b/pomelowarmup/gate.go
@@ -12,10 +12,10 @@
 // Gate is one router's view of which upstreams are cold; it is not safe for concurrent use.
 type Gate struct {
 	cfg   Config
-	specs map[pomelorelay.ServiceID]spec
+	specs map[pomelorelay.ServiceID]coldSpec
 	// routers are the registered ones of each region, this one included; changes counts their changes.
 	routers map[pomelorelay.RegionID][]pomelorelay.NodeID
-	changes uint64
+	routersVersion uint64
 }
 
 // New returns a Gate without services and without other routers.
@@ -23,7 +23,7 @@
 	if cfg.Holders <= 0 {
 		cfg.Holders = DefaultHolders
 	}
-	g := &Gate{cfg: cfg, specs: make(map[pomelorelay.ServiceID]spec)}
+	g := &Gate{cfg: cfg, specs: make(map[pomelorelay.ServiceID]coldSpec)}
 	g.SetRouters(nil)
 	return g
 }
@@ -32,50 +32,50 @@
 func (g *Gate) SetServices(services []pomelorelay.ServiceSpec) {
 	clear(g.specs)
 	for _, s := range services {
-		g.specs[s.Name] = spec{duration: s.ColdFor, bound: g.cfg.Bounds.Most(s.ColdRate)}
+		g.specs[s.Name] = coldSpec{duration: s.ColdFor, bound: g.cfg.Bounds.Most(s.ColdRate)}
 	}
 }
 
 // SetRouters takes the other routers that are registered.
 func (g *Gate) SetRouters(others []pomelorelay.Peer) {
-	g.changes++
+	g.routersVersion++
 	g.routers = make(map[pomelorelay.RegionID][]pomelorelay.NodeID)
 	for _, p := range append(slices.Clone(others), g.cfg.Self) {
 		g.routers[p.Region] = append(g.routers[p.Region], p.Node)
 	}
 }
 
-// holds reports whether this router holds a part of the upstream's bound.
-func (g *Gate) holds(u *Upstream) bool {
-	if u.heldAt != g.changes {
-		u.heldAt, u.held = g.changes, g.choose(u)
+// isHolder reports whether this router holds a part of the upstream's bound.
+func (g *Gate) isHolder(u *Upstream) bool {
+	if u.holderVersion != g.routersVersion {
+		u.holderVersion, u.holder = g.routersVersion, g.ranksAsHolder(u)
 	}
-	return u.held
+	return u.holder
 }
 
-// choose ranks the routers of the upstream's region, or this router's where that has none, by a hash of both names.
-func (g *Gate) choose(u *Upstream) bool {
+// ranksAsHolder ranks the routers of the upstream's region, or this router's where that has none, by a hash of both names.
+func (g *Gate) ranksAsHolder(u *Upstream) bool {
 	region := g.routers[g.cfg.Regions[u.info.Domain]]
 	if len(region) == 0 {
 		region = g.routers[g.cfg.Self.Region]
 	}
-	own, before := weight(g.cfg.Self.Node, u.info.ID), 0
-	self := false
+	ownWeight, higher := rendezvousWeight(g.cfg.Self.Node, u.info.ID), 0
+	listed := false
 	for _, node := range region {
-		self = self || node == g.cfg.Self.Node
-		if w := weight(node, u.info.ID); w > own {
-			before++
+		listed = listed || node == g.cfg.Self.Node
+		if w := rendezvousWeight(node, u.info.ID); w > ownWeight {
+			higher++
 		}
 	}
-	return self && before < g.cfg.Holders
+	return listed && higher < g.cfg.Holders
 }
 
-func weight(node pomelorelay.NodeID, id pomelorelay.UpstreamID) uint64 {
+func rendezvousWeight(node pomelorelay.NodeID, id pomelorelay.UpstreamID) uint64 {
 	return xxhash.Sum64String(string(node) + "/" + string(id))
 }
 
-// near reports whether this router is in the upstream's region.
-func (g *Gate) near(u *Upstream) bool {
+// sameRegion reports whether this router is in the upstream's region.
+func (g *Gate) sameRegion(u *Upstream) bool {
 	return g.cfg.Regions[u.info.Domain] == g.cfg.Self.Region
 }
 
@@ -84,4 +84,4 @@
 	return g.specs[u.info.Service].bucket(g.cfg.Holders)
 }
 
-func (g *Gate) duration(u *Upstream) time.Duration { return g.specs[u.info.Service].duration }
+func (g *Gate) coldDuration(u *Upstream) time.Duration { return g.specs[u.info.Service].duration }
--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -10,10 +10,10 @@
 
 // Guards against a cold upstream that gets more in a second than it stands, from routers that learn of it at different times, that are
 // started meanwhile, or that take others for its holders; and against one that gets nothing at all.
-func TestTheFleetStaysBelowTheBound(t *testing.T) {
+func TestFleetStaysWithinTheBoundOfAColdUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(f *fleet, now time.Time, tick int)
+		disturb func(f *fleet, now time.Time, tick int)
 	}{
 		{"all learn at once", func(*fleet, time.Time, int) {}},
 		{"routers start anew", func(f *fleet, now time.Time, tick int) {
@@ -52,12 +52,12 @@
 				s.ColdFor(now.Add(time.Duration(f.random.IntN(300))*time.Millisecond), coldFor)
 			}
 			for tick := range 250 {
-				c.play(f, now, tick)
+				c.disturb(f, now, tick)
 				f.send(now)
 				now = now.Add(10 * time.Millisecond)
 			}
-			if most := f.busiest(); float64(most) > bound {
-				t.Errorf("%s, seed %d: %d requests in a second, the bound is %.1f", c.name, seed, most, bound)
+			if peak := f.peakPerSecond(); float64(peak) > bound {
+				t.Errorf("%s, seed %d: %d requests in a second, the bound is %.1f", c.name, seed, peak, bound)
 			}
 			if len(f.sent) < 5 {
 				t.Errorf("%s, seed %d: %d requests in all", c.name, seed, len(f.sent))
@@ -67,7 +67,7 @@
 }
 
 // Guards against a number of holders whose bursts together are over the bound, as when every router of a large region is one.
-func TestHoldersAreCompared(t *testing.T) {
+func TestTooManyHoldersExceedTheBound(t *testing.T) {
 	for _, c := range []struct {
 		holders int
 		within  bool
@@ -81,30 +81,30 @@
 			f.send(now)
 			now = now.Add(10 * time.Millisecond)
 		}
-		most := f.busiest()
-		t.Logf("%d holders: %.1f a second, %d in the busiest second", c.holders, float64(len(f.sent))/60, most)
-		if within := float64(most) <= bound; within != c.within {
-			t.Errorf("%d holders: %d requests in a second, the bound is %.1f", c.holders, most, bound)
+		peak := f.peakPerSecond()
+		t.Logf("%d holders: %.1f a second, %d in the busiest second", c.holders, float64(len(f.sent))/60, peak)
+		if within := float64(peak) <= bound; within != c.within {
+			t.Errorf("%d holders: %d requests in a second, the bound is %.1f", c.holders, peak, bound)
 		}
 	}
 }
 
 func TestWhatMakesAnUpstreamCold(t *testing.T) {
 	entry := func(left time.Duration) pomelorelay.FleetUpstream {
-		u := listed("u")
+		u := upstreamEntry("u")
 		u.ColdFor = left
 		return u
 	}
-	free := func(u pomelorelay.FleetUpstream) pomelorelay.FleetUpstream {
+	neverCold := func(u pomelorelay.FleetUpstream) pomelorelay.FleetUpstream {
 		u.Service = "never cold"
 		return u
 	}
 	far := entry(0)
 	far.Domain = "f"
-	near := routersOf(1)[0]
+	near := newPeers(1)[0]
 	for _, c := range []struct {
 		name string
-		make func(g *pomelowarmup.Gate) *pomelowarmup.Upstream
+		newUpstream func(g *pomelowarmup.Gate) *pomelowarmup.Upstream
 		// cold is how long the upstream is then taken as cold.
 		cold time.Duration
 	}{
@@ -114,7 +114,7 @@
 			return g.Upstream(start, entry(pomelorelay.ColdUnknown))
 		}, coldFor},
 		{"without a word, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			return g.Upstream(start, free(entry(pomelorelay.ColdUnknown)))
+			return g.Upstream(start, neverCold(entry(pomelorelay.ColdUnknown)))
 		}, 0},
 		{"started anew", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(0)) }, coldFor},
 		{"started anew and cold for less", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(time.Second)) }, time.Second},
@@ -156,12 +156,12 @@
 			return u
 		}, 0},
 		{"unreached, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, free(entry(0)))
+			u := g.Upstream(start, neverCold(entry(0)))
 			u.Unreached(start)
 			return u
 		}, 0},
 	} {
-		u := c.make(newGate(near, nil, pomelowarmup.DefaultHolders))
+		u := c.newUpstream(newGate(near, nil, pomelowarmup.DefaultHolders))
 		if c.cold > 0 && !u.Cold(start.Add(c.cold-time.Millisecond)) {
 			t.Errorf("%s: warm before %v", c.name, c.cold)
 		}
@@ -172,22 +172,22 @@
 }
 
 // Guards against an upstream that nobody tries while it may be back, and against one that every router tries.
-func TestOnlyHoldersTryAnUpstreamThatMayBeBack(t *testing.T) {
+func TestOnlyHoldersSendToASuspectUpstream(t *testing.T) {
 	f := newFleet(3, 78, pomelowarmup.DefaultHolders)
-	tried := 0
+	senders := 0
 	for _, s := range f.states {
 		s.Suspect(start)
 		if s.Class(start.Add(time.Second)) == pomelowarmup.Open {
-			tried++
+			senders++
 		}
 	}
-	if tried != pomelowarmup.DefaultHolders {
-		t.Errorf("%d routers try it, want %d", tried, pomelowarmup.DefaultHolders)
+	if senders != pomelowarmup.DefaultHolders {
+		t.Errorf("%d routers try it, want %d", senders, pomelowarmup.DefaultHolders)
 	}
 }
 
 // Guards against a time to come back at which the router still sends nothing.
-func TestTheWaitIsTrue(t *testing.T) {
+func TestRouterMaySendAfterTheWait(t *testing.T) {
 	f := newFleet(5, 12, pomelowarmup.DefaultHolders)
 	for i, s := range f.states {
 		s.ColdFor(start, coldFor)
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -27,12 +27,12 @@
 	coldUntil, suspectUntil time.Time
 	// suspectSince is when that became unknown.
 	suspectSince time.Time
-	// level is how much of a request this router may send, at levelAt.
-	level   float64
-	levelAt time.Time
-	// held is whether this router holds a part of the bound, as of the change heldAt of the routers.
-	held   bool
-	heldAt uint64
+	// tokens is how much of a request this router may send, at levelAt.
+	tokens   float64
+	refilledAt time.Time
+	// holder is whether this router holds a part of the bound, as of the change heldAt of the routers.
+	holder   bool
+	holderVersion uint64
 }
 
 // Upstream returns the state of an upstream that is listed for the first time.
@@ -42,7 +42,7 @@
 	case info.ColdFor > 0:
 		u.extendCold(now, info.ColdFor)
 	case info.ColdFor == pomelorelay.ColdUnknown:
-		u.extendCold(now, g.duration(u))
+		u.extendCold(now, g.coldDuration(u))
 	}
 	return u
 }
@@ -52,20 +52,20 @@
 	u := &Upstream{gate: g, info: info}
 	u.extendCold(now, max(info.ColdFor, 0))
 	if info.ColdFor <= 0 {
-		u.extendCold(now, g.duration(u))
+		u.extendCold(now, g.coldDuration(u))
 	}
 	return u
 }
 
 // Listed takes the newest entry of the same start.
 func (u *Upstream) Listed(now time.Time, info pomelorelay.FleetUpstream) {
-	before := u.info.ColdFor
+	previous := u.info.ColdFor
 	u.info = info
 	switch {
 	case info.ColdFor > 0:
-		u.limit(now)
+		u.resetBucketIfWarm(now)
 		u.coldUntil = now.Add(info.ColdFor)
-	case info.ColdFor == 0 && before > 0:
+	case info.ColdFor == 0 && previous > 0:
 		u.coldUntil = time.Time{}
 	}
 }
@@ -73,7 +73,7 @@
 // Unreached notes that the upstream took no connection: whatever ended it, it will be cold when it is back. It returns whether to report that to
 // the other routers. Routers of other regions do not: there, a broken link and an upstream that is down look the same.
 func (u *Upstream) Unreached(now time.Time) bool {
-	if !u.gate.near(u) {
+	if !u.gate.sameRegion(u) {
 		return false
 	}
 	return u.Suspect(now)
@@ -81,14 +81,14 @@
 
 // Suspect notes that a router of the upstream's region could not connect to it; it reports whether that matters for the service.
 func (u *Upstream) Suspect(now time.Time) bool {
-	if u.gate.duration(u) <= 0 {
+	if u.gate.coldDuration(u) <= 0 {
 		return false
 	}
-	u.limit(now)
+	u.resetBucketIfWarm(now)
 	if !now.Before(u.suspectUntil) {
 		u.suspectSince = now
 	}
-	u.suspectUntil = now.Add(suspectFor)
+	u.suspectUntil = now.Add(suspectDuration)
 	return true
 }
 
@@ -98,33 +98,33 @@
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
 		return 0, false
 	}
-	u.ColdFor(now, u.gate.duration(u))
+	u.ColdFor(now, u.gate.coldDuration(u))
 	return u.coldUntil.Sub(now), true
 }
 
 // ColdFor notes that the upstream may be cold for a time from now on, and is reachable.
-func (u *Upstream) ColdFor(now time.Time, left time.Duration) {
+func (u *Upstream) ColdFor(now time.Time, remaining time.Duration) {
 	u.suspectUntil = time.Time{}
-	u.extendCold(now, left)
+	u.extendCold(now, remaining)
 }
 
 // MayBeCold notes that the upstream may have become cold without a start.
-func (u *Upstream) MayBeCold(now time.Time) { u.extendCold(now, u.gate.duration(u)) }
+func (u *Upstream) MayBeCold(now time.Time) { u.extendCold(now, u.gate.coldDuration(u)) }
 
-func (u *Upstream) extendCold(now time.Time, left time.Duration) {
-	if left <= 0 {
+func (u *Upstream) extendCold(now time.Time, remaining time.Duration) {
+	if remaining <= 0 {
 		return
 	}
-	u.limit(now)
-	if until := now.Add(left); until.After(u.coldUntil) {
+	u.resetBucketIfWarm(now)
+	if until := now.Add(remaining); until.After(u.coldUntil) {
 		u.coldUntil = until
 	}
 }
 
-// limit begins with an empty bucket where the upstream was warm: a full one in each router that has just started would be too much together.
-func (u *Upstream) limit(now time.Time) {
+// resetBucketIfWarm begins with an empty bucket where the upstream was warm: a full one in each router that has just started would be too much together.
+func (u *Upstream) resetBucketIfWarm(now time.Time) {
 	if !u.Cold(now) {
-		u.level, u.levelAt = 0, now
+		u.tokens, u.refilledAt = 0, now
 	}
 }
 
@@ -149,7 +149,7 @@
 	if !u.Cold(now) {
 		return Status{}
 	}
-	return Status{Cold: true, Left: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.holds(u)}
+	return Status{Cold: true, Left: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
 }
 
 // Class returns whether a request of this router may go to the upstream.
@@ -157,7 +157,7 @@
 	switch {
 	case !u.Cold(now):
 		return Open
-	case !u.gate.holds(u) || u.refill(now) < 1:
+	case !u.gate.isHolder(u) || u.refill(now) < 1:
 		return Closed
 	case now.Before(u.suspectUntil):
 		return Open
@@ -168,17 +168,17 @@
 // Take notes that a request is sent.
 func (u *Upstream) Take(now time.Time) {
 	if u.Cold(now) {
-		u.level = max(0, u.refill(now)-1)
+		u.tokens = max(0, u.refill(now)-1)
 	}
 }
 
 func (u *Upstream) refill(now time.Time) float64 {
 	rate, burst := u.gate.bucket(u)
-	if passed := now.Sub(u.levelAt); passed > 0 {
-		u.level = min(burst, u.level+rate*passed.Seconds())
-		u.levelAt = now
+	if passed := now.Sub(u.refilledAt); passed > 0 {
+		u.tokens = min(burst, u.tokens+rate*passed.Seconds())
+		u.refilledAt = now
 	}
-	return u.level
+	return u.tokens
 }
 
 // Wait returns when this router may send a request to the upstream.
@@ -188,9 +188,9 @@
 	}
 	wait := max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now))
 	rate, _ := u.gate.bucket(u)
-	if !u.gate.holds(u) || rate <= 0 {
+	if !u.gate.isHolder(u) || rate <= 0 {
 		return wait
 	}
-	lacks := max(0, 1-u.refill(now))
-	return min(wait, time.Duration(lacks/rate*float64(time.Second)))
+	missing := max(0, 1-u.refill(now))
+	return min(wait, time.Duration(missing/rate*float64(time.Second)))
 }
