--- a/pomelobudget/budget.go
+++ b/pomelobudget/budget.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// Config holds what a Budget starts with.
+// Config holds the settings of a Budget.
 type Config struct {
-	// Start is the number of retries that may be made before any request was counted.
+	// Start is the initial number of retries, available before any request is counted.
 	Start float64
-	// Most bounds the retries that a quiet time saves up.
+	// Most is the maximum number of retries that accumulate while few are used.
 	Most float64
 }
 
-// Budget keeps retries to a fraction of a service's requests. Without it, upstreams that fail under load get
-// each request several times and never recover; one would notice load rising while answers fall.
+// Budget limits retries to a fraction of a service's requests; it is safe for concurrent use. Without it, upstreams that fail under load
+// would receive each request several times and never recover: load would rise while the number of answers falls.
 type Budget struct {
 	cfg    Config
 	mu     sync.Mutex
 	tokens float64
 }
 
-// New returns a Budget that may spend what it starts with.
+// New returns a Budget with the initial number of retries.
 func New(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Start} }
 
-// Earn adds the fraction of a retry that one request allows.
+// Earn adds the fraction of a retry that one request allows, up to the maximum.
 func (b *Budget) Earn(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+fraction, b.cfg.Most)
 }
 
-// Spend takes one retry, or reports that none is left.
+// Spend takes one retry from the budget; it reports false if none is left.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pomelobudget/budget_test.go
+++ b/pomelobudget/budget_test.go
@@ -28,6 +28,6 @@
 		b.Earn(1)
 	}
 	if n := spend(); n != 3 {
-		t.Errorf("%d retries saved up, want at most 3", n)
+		t.Errorf("%d retries accumulated, want 3", n)
 	}
 }
--- a/pomelobudget/doc.go
+++ b/pomelobudget/doc.go
@@ -1,2 +1,2 @@
-// Package pomelobudget keeps retries to a fraction of the requests.
+// Package pomelobudget limits retries to a fraction of the requests.
 package pomelobudget
--- a/pomelometric/doc.go
+++ b/pomelometric/doc.go
@@ -1,3 +1,3 @@
-// Package pomelometric counts what a router does and serves the counts in the
-// text form of Prometheus.
+// Package pomelometric collects a router's metrics and serves them in the
+// Prometheus text format.
 package pomelometric
--- a/pomelometric/metrics.go
+++ b/pomelometric/metrics.go
@@ -12,36 +12,36 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// namespace begins the name of each metric.
+// namespace is the prefix of all metric names.
 const namespace = "pomelorelay"
 
-// secondsBuckets are the bounds of the latency histograms, in seconds: they surround the targets of 0.2 to 0.6 s and reach the
-// longest deadlines.
+// secondsBuckets are the bucket bounds of the latency histograms, in seconds: they are dense around the latency targets of 0.2 to 0.6 s and
+// reach the longest deadlines.
 var secondsBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8, 16}
 
-// Metrics holds a router's counters and histograms; it is safe for concurrent use.
+// Metrics holds a router's counters, gauges and histograms; it is safe for concurrent use.
 type Metrics struct {
-	registry *prometheus.Registry
-	answers  *prometheus.CounterVec
+	registry       *prometheus.Registry
+	answers        *prometheus.CounterVec
 	firstAnswer    *prometheus.HistogramVec
-	fullAnswer    *prometheus.HistogramVec
-	retries  *prometheus.CounterVec
-	placements   *prometheus.CounterVec
-	gauges   *prometheus.GaugeVec
-	missedMessages   prometheus.Counter
-	storeCalls    *prometheus.CounterVec
+	fullAnswer     *prometheus.HistogramVec
+	retries        *prometheus.CounterVec
+	placements     *prometheus.CounterVec
+	gauges         *prometheus.GaugeVec
+	missedMessages prometheus.Counter
+	storeCalls     *prometheus.CounterVec
 }
 
-// New returns Metrics that start at zero, with those of the runtime and the process.
+// New returns Metrics at zero, with the collector of the Go runtime registered.
 func New() *Metrics {
 	m := &Metrics{
-		registry: prometheus.NewRegistry(),
-		answers:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "requests_total", Help: "Requests by kind of route and by how they ended."}, []string{"kind", "ending"}),
-		firstAnswer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "first_answer_seconds", Help: "Time to the beginning of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
-		fullAnswer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "answer_seconds", Help: "Time to the end of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
-		retries:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "retries_total", Help: "Requests sent again, by the result code of what failed before."}, []string{"code"}),
-		placements:   prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "placements_total", Help: "Decisions on requests by reason of refusal; empty for a place."}, []string{"reason"}),
-		gauges:   prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "state", Help: "What the router knows now, by name."}, []string{"name"}),
+		registry:    prometheus.NewRegistry(),
+		answers:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "requests_total", Help: "Requests by kind of route and by how they ended."}, []string{"kind", "ending"}),
+		firstAnswer: prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "first_answer_seconds", Help: "Time to the beginning of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
+		fullAnswer:  prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "answer_seconds", Help: "Time to the end of the answer.", Buckets: secondsBuckets}, []string{"kind", "ending"}),
+		retries:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "retries_total", Help: "Requests sent again, by the result code of what failed before."}, []string{"code"}),
+		placements:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "placements_total", Help: "Decisions on requests by reason of refusal; empty for a place."}, []string{"reason"}),
+		gauges:      prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "state", Help: "What the router knows now, by name."}, []string{"name"}),
 	}
 	m.missedMessages = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "messages_missed_total", Help: "Messages to other routers that could not be queued."})
 	m.storeCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "store_calls_total", Help: "Calls to the platform's store by kind, cause and result code; 0 for none."}, []string{"kind", "cause", "code"})
@@ -49,33 +49,33 @@
 	return m
 }
 
-// Answered counts an answer: how the request ended, the time to the answer's beginning and to its end.
+// Answered records an answer by route kind and ending, with the times from the request to the start and to the end of the answer.
 func (m *Metrics) Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration) {
 	m.answers.WithLabelValues(string(kind), ending).Inc()
 	m.firstAnswer.WithLabelValues(string(kind), ending).Observe(first.Seconds())
 	m.fullAnswer.WithLabelValues(string(kind), ending).Observe(total.Seconds())
 }
 
-// Retried counts a request that is sent again.
+// Retried counts a retry by the result code of the failed attempt.
 func (m *Metrics) Retried(code pomelorelay.ResultCode) {
 	m.retries.WithLabelValues(code.Info().Name).Inc()
 }
 
-// Placed counts a decision on a request; the reason is empty for a place.
+// Placed counts a placement decision; reason is empty if the request was placed.
 func (m *Metrics) Placed(reason string) { m.placements.WithLabelValues(reason).Inc() }
 
 // Missed counts a message to another router that could not be queued.
 func (m *Metrics) Missed() { m.missedMessages.Inc() }
 
-// StoreCalled counts a call to the platform's store: what was called, why, and the result code, zero when it succeeded.
+// StoreCalled counts a call to the platform's store by kind, cause and result code, which is zero for success.
 func (m *Metrics) StoreCalled(kind, cause string, code pomelorelay.ResultCode) {
 	m.storeCalls.WithLabelValues(kind, cause, strconv.Itoa(int(code))).Inc()
 }
 
-// Set sets a value of what the router knows.
+// Set sets the gauge of the given name.
 func (m *Metrics) Set(name string, value float64) { m.gauges.WithLabelValues(name).Set(value) }
 
-// Handler serves the metrics as text.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/pomeloproblem/doc.go
+++ b/pomeloproblem/doc.go
@@ -1,3 +1,3 @@
-// Package pomeloproblem describes refusals and failures to callers, as RFC 9457
-// has them, with the project's result code and whether the request ran.
+// Package pomeloproblem describes refusals and failures to callers as RFC 9457
+// problem details, with the result code and whether the request ran.
 package pomeloproblem
--- a/pomeloproblem/problem.go
+++ b/pomeloproblem/problem.go
@@ -6,10 +6,10 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// ContentType is the media type of a problem.
+// ContentType is the media type of an encoded Problem.
 const ContentType = "application/problem+json"
 
-// Problem is the body of a refusal.
+// Problem is the body of a refusal or failure in the RFC 9457 format.
 type Problem struct {
 	Type   string                 `json:"type"`
 	Title  string                 `json:"title"`
@@ -19,7 +19,7 @@
 	Ran    pomelorelay.Ran        `json:"Ran"`
 }
 
-// New describes an error.
+// New returns the Problem of an error, with the meaning of its result code where the error has no detail.
 func New(e *pomelorelay.Error) Problem {
 	info := e.Code.Info()
 	detail := e.Detail
@@ -29,7 +29,7 @@
 	return Problem{Type: "about:blank", Title: info.Name, Status: info.HTTPStatus, Detail: detail, Code: e.Code, Ran: e.Ran}
 }
 
-// Encode returns the problem as JSON; its fields are plain, so it cannot fail.
+// Encode returns the problem as JSON. Encoding cannot fail, since all fields are strings and numbers.
 func (p Problem) Encode() []byte {
 	text, err := json.Marshal(p)
 	if err != nil {
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -6,22 +6,22 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config holds what a Policy needs.
+// Config holds the settings of a Policy.
 type Config struct {
-	// Overlap is how long after a change of the configuration other routers may still apply the version before.
+	// Overlap is how long after a configuration change other routers may still apply the previous version.
 	Overlap time.Duration
 }
 
-// Policy is the residency that the configuration in force demands; it is not safe for concurrent use.
+// Policy applies the residency rules of the current configuration; it is not safe for concurrent use.
 type Policy struct {
 	cfg     Config
 	current rules
-	// previous is the version before, which binds until previousEnds.
+	// previous holds the rules of the previous version, which also apply until previousEnds.
 	previous     rules
 	previousEnds time.Time
 }
 
-// rules are the limited residencies of one version.
+// rules are the residencies of the routes and accounts that one version limits to regions.
 type rules struct {
 	routes   map[pomelorelay.RouteID]pomelorelay.Residency
 	accounts map[pomelorelay.AccountID]pomelorelay.Residency
@@ -30,7 +30,7 @@
 // New returns a Policy that allows every region.
 func New(cfg Config) *Policy { return &Policy{cfg: cfg} }
 
-// SetConfig puts a version in force.
+// SetConfig replaces the current configuration.
 func (p *Policy) SetConfig(now time.Time, config *pomelorelay.FleetConfig) {
 	p.previous, p.previousEnds = p.current, now.Add(p.cfg.Overlap)
 	p.current = newRules(config)
@@ -58,8 +58,8 @@
 	return r.routes[route].And(r.accounts[account])
 }
 
-// Of returns where a request of the account on the route may be served; the account is empty where there is none. Shortly after a change both
-// versions bind, or the newer one alone where they have no region in common.
+// Of returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change both versions
+// apply, or only the newer one if they have no region in common.
 func (p *Policy) Of(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
 	current := p.current.residency(route, account)
 	if !now.Before(p.previousEnds) {
--- a/pomeloresidency/policy_test.go
+++ b/pomeloresidency/policy_test.go
@@ -31,10 +31,10 @@
 		allowed        []pomelorelay.RegionID
 		limited        bool
 	}{
-		{"neither is limited", nil, nil, nil, false},
-		{"the route is", regions("a", "b"), nil, regions("a", "b"), true},
-		{"the account is", nil, regions("b"), regions("b"), true},
-		{"both are", regions("a", "b"), regions("b", "c"), regions("b"), true},
+		{"neither limited", nil, nil, nil, false},
+		{"route limited", regions("a", "b"), nil, regions("a", "b"), true},
+		{"account limited", nil, regions("b"), regions("b"), true},
+		{"both limited", regions("a", "b"), regions("b", "c"), regions("b"), true},
 		{"nothing in common", regions("a"), regions("c"), nil, true},
 	} {
 		p := pomeloresidency.New(pomeloresidency.Config{Overlap: overlap})
@@ -49,19 +49,19 @@
 	}
 }
 
-// Guards against a request that is served where one of two versions forbids it while routers still differ in which one they apply.
+// Guards against a request that is served in a region that one of two versions forbids while some routers still apply the older one.
 func TestStricterVersionAppliesDuringAChange(t *testing.T) {
 	for _, c := range []struct {
-		name                  string
-		before, after         []pomelorelay.RegionID
-		during, final  []pomelorelay.RegionID
+		name                        string
+		before, after               []pomelorelay.RegionID
+		during, final               []pomelorelay.RegionID
 		limitedDuring, limitedFinal bool
 	}{
 		{"narrowed", regions("a", "b"), regions("b"), regions("b"), regions("b"), true, true},
 		{"widened", regions("a"), regions("a", "b"), regions("a"), regions("a", "b"), true, true},
 		{"moved", regions("a"), regions("b"), regions("b"), regions("b"), true, true},
-		{"limited", nil, regions("b"), regions("b"), regions("b"), true, true},
-		{"freed", regions("a"), nil, regions("a"), nil, true, false},
+		{"limit added", nil, regions("b"), regions("b"), regions("b"), true, true},
+		{"limit removed", regions("a"), nil, regions("a"), nil, true, false},
 	} {
 		p := pomeloresidency.New(pomeloresidency.Config{Overlap: overlap})
 		p.SetConfig(start, config(c.before, nil))
@@ -72,12 +72,12 @@
 			t.Errorf("%s: %+v during the change", c.name, during)
 		}
 		if after.Limited != c.limitedFinal || !slices.Equal(after.Regions, c.final) {
-			t.Errorf("%s: %+v after it", c.name, after)
+			t.Errorf("%s: %+v after the change", c.name, after)
 		}
 	}
 }
 
-// Guards against a region that the version in force does not allow, whatever the versions before it said.
+// Guards against a region that the current version does not allow, whatever earlier versions allowed.
 func TestOnlyRegionsOfTheNewestVersionAreAllowed(t *testing.T) {
 	all := regions("a", "b", "c", "")
 	draw := rapid.SliceOfDistinct(rapid.SampledFrom(all[:3]), func(r pomelorelay.RegionID) pomelorelay.RegionID { return r })
--- a/pomeloshare/doc.go
+++ b/pomeloshare/doc.go
@@ -1,5 +1,5 @@
-// Package pomeloshare reckons what each client account is owed of a capacity
-// that all share: the max-min fair share over a sliding window, from what every
-// router of the fleet saw asked and served. It is a decision part: no
-// goroutines, no locks, no I/O, and not safe for concurrent use.
+// Package pomeloshare computes each client account's max-min fair share of a
+// common capacity over a sliding window, from the tokens that all routers of
+// the fleet saw requested and served. It has no goroutines, locks or I/O and is
+// not safe for concurrent use.
 package pomeloshare
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -8,57 +8,57 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// windowSteps is the number of steps in which the window slides; a tenth of it is forgotten at a time.
+// windowSteps is the number of steps in which the window slides; each step drops the oldest tenth.
 const windowSteps = 10
 
-// Config holds what Shares need.
+// Config holds the settings of Shares.
 type Config struct {
-	// Window is the time over which shares are reckoned.
+	// Window is the length of the sliding window over which shares are computed.
 	Window time.Duration
 }
 
-// usage is what was asked for and what was served, in tokens.
+// usage is the requested and the served cost, in tokens.
 type usage struct {
 	requested, served pomelorelay.Cost
 }
 
-// account is one client account: this router's own sums since its start, and the fleet's within the window.
+// account holds the usage of one client account: this router's sums since its start, and the fleet's within the window.
 type account struct {
-	local     usage
+	local   usage
 	changed bool
 	window  usage
 	steps   [windowSteps]usage
 }
 
-// peer is a router's last report, so that its next report counts only by what it added.
+// peer is another router's last report, from which the increments of its next report are computed.
 type peer struct {
 	incarnation pomelorelay.Incarnation
-	reported        map[pomelorelay.AccountID]usage
+	reported    map[pomelorelay.AccountID]usage
 }
 
-// Shares keeps the fleet's use by account.
+// Shares tracks the fleet's usage by account and computes fair shares from it.
 type Shares struct {
-	cfg      Config
-	capacity pomelorelay.Cost // a second
-	accounts map[pomelorelay.AccountID]*account
-	peers    map[pomelorelay.NodeID]*peer
-	currentStep     int
-	stepStart  time.Time
-	startedAt    time.Time
-	level    pomelorelay.Cost
-	// minServedShort is the least that an account was served which asked for more; zero when nobody did.
+	cfg         Config
+	capacity    pomelorelay.Cost // tokens per second
+	accounts    map[pomelorelay.AccountID]*account
+	peers       map[pomelorelay.NodeID]*peer
+	currentStep int
+	stepStart   time.Time
+	startedAt   time.Time
+	level       pomelorelay.Cost
+	// minServedShort is the lowest served cost among short accounts; zero when no account is short.
 	minServedShort pomelorelay.Cost
-	// minServedFarShort is the same of accounts that are short by far.
+	// minServedFarShort is the same among accounts that are far short.
 	minServedFarShort pomelorelay.Cost
-	demands    []pomelorelay.Cost
+	demands           []pomelorelay.Cost
 }
 
-// New returns Shares of an unknown capacity, of which no account is owed less than it asks.
+// New returns Shares of an unknown capacity, which do not limit any account.
 func New(cfg Config) *Shares {
 	return &Shares{cfg: cfg, accounts: make(map[pomelorelay.AccountID]*account), peers: make(map[pomelorelay.NodeID]*peer)}
 }
 
-// SetCapacity sets what all engines together produce in a second; zero when unknown.
+// SetCapacity sets the tokens per second that all engines together produce; zero when unknown.
 func (s *Shares) SetCapacity(perSecond pomelorelay.Cost) { s.capacity = perSecond }
 
 func (s *Shares) account(id pomelorelay.AccountID) *account {
@@ -77,15 +77,17 @@
 	a.steps[step].served += u.served
 }
 
-// Asked notes a request of this router's.
-func (s *Shares) Asked(id pomelorelay.AccountID, cost pomelorelay.Cost) { s.record(id, usage{requested: cost}) }
+// Asked records a request that this router received.
+func (s *Shares) Asked(id pomelorelay.AccountID, cost pomelorelay.Cost) {
+	s.record(id, usage{requested: cost})
+}
 
-// Served notes a request that this router sent to an engine.
+// Served records a request that this router sent to an engine.
 func (s *Shares) Served(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.record(id, usage{served: cost})
 }
 
-// Returned takes back a request that Served noted and that no engine ran.
+// Returned reverts the Served record of a request that no engine ran.
 func (s *Shares) Returned(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.record(id, usage{served: -cost})
 }
@@ -98,8 +100,8 @@
 	a.add(s.currentStep, u)
 }
 
-// TakeReport takes another router's sums since its start, in the order in which they were sent. They may be lost or repeated: only what changed
-// since the last ones counts, up or, by requests that did not run, down.
+// TakeReport merges another router's sums since its start. Reports must be passed in the order in which they were sent, and may be lost or
+// repeated: only the difference from the last one counts, which is negative where requests did not run.
 func (s *Shares) TakeReport(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := s.peers[from]
 	firstReport := p == nil
@@ -114,7 +116,7 @@
 		current := usage{requested: e.Asked, served: e.Served}
 		previous := p.reported[e.Account]
 		p.reported[e.Account] = current
-		// A router that has just started has no earlier sums of its peers: it takes these as a mark to count from.
+		// A router in its first window has no earlier sums of its peers: the first report is the baseline of the next ones.
 		if firstReport && s.inFirstWindow() {
 			continue
 		}
@@ -122,7 +124,7 @@
 	}
 }
 
-// Mark takes another router's sums as a mark from which its next ones count: what they hold has been counted by another router's.
+// Mark sets another router's sums as the baseline of its next reports, for sums that were already counted through a third router.
 func (s *Shares) Mark(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := &peer{incarnation: incarnation, reported: make(map[pomelorelay.AccountID]usage, len(entries))}
 	for _, e := range entries {
@@ -133,7 +135,7 @@
 
 func (s *Shares) inFirstWindow() bool { return s.stepStart.Sub(s.startedAt) < s.cfg.Window }
 
-// Report appends this router's own sums: those that changed since the last call, or all.
+// Report appends this router's sums to out: those that changed since the last call, or all.
 func (s *Shares) Report(all bool, out []pomelorelay.AccountUse) []pomelorelay.AccountUse {
 	for _, id := range slices.Sorted(maps.Keys(s.accounts)) {
 		a := s.accounts[id]
@@ -146,7 +148,7 @@
 	return out
 }
 
-// Tick slides the window and reckons the level anew.
+// Tick advances the window to now and recomputes the level.
 func (s *Shares) Tick(now time.Time) {
 	if s.startedAt.IsZero() {
 		s.startedAt, s.stepStart = now, now
@@ -165,21 +167,21 @@
 }
 
 const (
-	// minUnmetFraction is the part of what an account asked for that must be missing before it counts as short. Callers call it unfair from half on;
-	// counted sooner, an account that misses one large request would hold back the others beside idle engines.
+	// minUnmetFraction is the unserved fraction of its demand from which an account counts as short. Users consider one half unfair; with a
+	// lower threshold, an account that misses one large request would hold back the others while engines are idle.
 	minUnmetFraction = 0.35
-	// minUnmetTokens is the least that must be missing, two large requests.
+	// minUnmetTokens is the unserved cost from which an account counts as short: two large requests.
 	minUnmetTokens = 25000
-	// leadTolerance is how far ahead of the shortest account one may be that gets more than its share. Twice would be unfair by the
-	// users' word; the reports of the other routers are a moment old.
+	// leadTolerance is the ratio to the level, or to the least served short account, up to which an account beyond its share may be served.
+	// Users consider a ratio of 2 unfair; the margin allows for the delay of other routers' reports.
 	leadTolerance = 1.25
-	// farLeadTolerance is how many times as much as the account that is shortest by far one may have had and still go first, within its share too:
-	// twice would be unfair by the users' word. shortLeast is the least that must be missing for an account to be short by far.
-	farLeadTolerance   = 1.7
+	// farLeadTolerance is the ratio to the least served far-short account up to which an account may be served first, even within its share;
+	// users consider a ratio of 2 unfair. A short account is far short when at least minFarUnmetTokens of its demand are unserved.
+	farLeadTolerance  = 1.7
 	minFarUnmetTokens = 3 * minUnmetTokens
 )
 
-// minServed returns the least that an account was served which misses so much of what it asked for; zero when none does.
+// minServed returns the lowest served cost among the short accounts with at least minUnmet of unserved demand; zero when there is none.
 func (s *Shares) minServed(minUnmet pomelorelay.Cost) pomelorelay.Cost {
 	lowest := pomelorelay.Cost(0)
 	for _, a := range s.accounts {
@@ -194,8 +196,8 @@
 	return lowest
 }
 
-// Lead returns how many times as much an account beyond its share has had as it may have beside another that is short; up to one it is
-// not ahead.
+// Lead returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is short.
+// Above 1 the account should yield; the ratio is 0 when no account is short.
 func (s *Shares) Lead(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.minServedShort == 0 {
 		return 0
@@ -209,13 +211,13 @@
 		old := a.steps[s.currentStep]
 		a.steps[s.currentStep] = usage{}
 		a.window.requested -= old.requested
-		// Not bounded: what was given back in a later step than it was noted in would stay in the window for ever.
+		// May fall below zero: a refund can be recorded in a later step than the service, and a bound at zero would keep it in the window for good.
 		a.window.served -= old.served
 	}
 }
 
-// computeLevel returns the level up to which every account is owed what it asks for, so that all of the capacity is given out; zero
-// means that everybody is owed everything.
+// computeLevel returns the max-min fair level: accounts that request less get all of it, and the others get the level. It is zero when the
+// capacity is unknown or covers all requests.
 func (s *Shares) computeLevel() pomelorelay.Cost {
 	remaining := s.capacity * pomelorelay.Cost(s.cfg.Window.Seconds())
 	if remaining <= 0 {
@@ -238,18 +240,18 @@
 	return 0
 }
 
-// Owed reports whether a request of the cost is within the account's share.
+// Owed reports whether a request of the given cost is within the account's share.
 func (s *Shares) Owed(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
 	if s.level == 0 {
 		return true
 	}
 	served := s.account(id).window.served
-	// Half of the request's cost lies beyond: of requests that straddle the level every second one is served.
+	// Counts half of the cost, so that about every second request that straddles the level is served.
 	return served+cost/2 <= s.level || served <= s.minServedShort
 }
 
-// Ahead returns how many times as much as it may an account has had beside another one that is short by far, also of what it is owed itself; up
-// to one it leaves no room for the other.
+// Ahead returns the ratio of the account's served cost to the most that any account may have, even within its share, while another one is far
+// short. Above 1 the account should yield; the ratio is 0 when no account is far short.
 func (s *Shares) Ahead(id pomelorelay.AccountID) float64 {
 	if s.minServedFarShort == 0 {
 		return 0
@@ -257,18 +259,18 @@
 	return float64(s.account(id).window.served / (farLeadTolerance * s.minServedFarShort))
 }
 
-// effectiveLevel is up to where accounts are owed. Engines often produce more than the operators' figure; what is above it goes to whoever is
-// short and has had least. Given to whoever comes first, a flood takes most of it, and an account that is over the figure by little
-// is seen to get less than half of what the flood gets.
+// effectiveLevel returns the level up to which accounts are served. Engines often produce more than the configured capacity; the surplus
+// goes to the least served short account. Served first come, first served, a flood would take most of it, and an account slightly above
+// the configured level would get less than half of what the flood gets.
 func (s *Shares) effectiveLevel() pomelorelay.Cost { return max(s.level, s.minServedShort) }
 
-// State returns what the account asked for and was served in the window, and the level up to which accounts are owed.
+// State returns the account's requested and served cost within the window, and the level up to which accounts are served.
 func (s *Shares) State(id pomelorelay.AccountID) (asked, served, level pomelorelay.Cost) {
 	a := s.account(id)
 	return a.window.requested, a.window.served, s.effectiveLevel()
 }
 
-// Wait returns about how long the account must wait until it is owed a request of the cost again.
+// Wait returns the estimated time until a request of the given cost is within the account's share again, at most the window.
 func (s *Shares) Wait(id pomelorelay.AccountID, cost pomelorelay.Cost) time.Duration {
 	if s.level == 0 {
 		return 0
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-// newSharesWithDemand makes shares in which each account asked for its tokens a moment ago, of 100 tokens a second.
+// newSharesWithDemand returns Shares with a capacity of 100 tokens per second in which each account has just requested its cost.
 func newSharesWithDemand(requested map[pomelorelay.AccountID]pomelorelay.Cost) *pomeloshare.Shares {
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(100)
@@ -28,9 +28,9 @@
 
 func TestLevelIsMaxMinFair(t *testing.T) {
 	for _, c := range []struct {
-		name  string
+		name      string
 		requested map[pomelorelay.AccountID]pomelorelay.Cost
-		want  pomelorelay.Cost
+		want      pomelorelay.Cost
 	}{
 		{"enough for all", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 100, "b": 200}, 0},
 		{"one asks for more", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 100, "b": 1000}, 300},
@@ -47,18 +47,18 @@
 	s := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"small": 100, "large": 1000})
 	for range 6 {
 		if !s.Owed("large", 50) {
-			t.Fatal("refused below the level of 300")
+			t.Fatal("not within the share below the level of 300")
 		}
 		s.Served("large", 50)
 	}
 	if s.Owed("large", 50) {
-		t.Error("owed beyond the level")
+		t.Error("within the share beyond the level")
 	}
 	if !s.Owed("small", 50) {
-		t.Error("the small account is not owed what it asked for")
+		t.Error("the small account's request is not within its share")
 	}
 	if wait := s.Wait("large", 50); wait <= 0 || wait > window {
-		t.Errorf("told to wait %v", wait)
+		t.Errorf("wait of %v is not within the window", wait)
 	}
 }
 
@@ -66,18 +66,18 @@
 	s := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
 	s.Served("large", 400)
 	if s.Owed("large", 50) {
-		t.Fatal("owed beyond the level")
+		t.Fatal("within the share beyond the level")
 	}
 	for at := time.Duration(0); at <= window+window/5; at += 100 * time.Millisecond {
 		s.Tick(start.Add(at))
 	}
 	if asked, served, _ := s.State("large"); asked != 0 || served != 0 {
-		t.Errorf("%v asked and %v served are still in the window", asked, served)
+		t.Errorf("%v requested and %v served are still in the window", asked, served)
 	}
 }
 
-// One account sends many times its usual through every router and is served much more than another that is short. Without a look at
-// who is short the flood gets whatever becomes free first, and the other account's callers see half of their requests refused.
+// Guards against a flood that takes all free capacity: one account sends many times its usual load through every router and is served far
+// more than a short account, whose callers see half of their requests refused.
 func TestFloodLeadsAnAccountWithUnmetDemand(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
@@ -89,20 +89,20 @@
 	s.Served("short", tokens)
 	s.Tick(start.Add(100 * time.Millisecond))
 	if s.Lead("flood") <= 1 {
-		t.Error("the flood is not ahead")
+		t.Error("the flooding account does not lead")
 	}
 	if s.Lead("short") > 1 {
-		t.Error("the short account is ahead of itself")
+		t.Error("the short account leads")
 	}
 	s.Served("short", 3*tokens)
 	s.Tick(start.Add(200 * time.Millisecond))
 	if s.Lead("flood") > 1 {
-		t.Error("the flood waits for an account that got everything")
+		t.Error("the flooding account leads an account without unmet demand")
 	}
 }
 
-// Reports between routers are lost with a broken link and come twice after it is back; a router that starts anew counts from zero.
-// Counted wrongly, an account would be refused for service that it never had.
+// Guards against reports that are counted twice or not at all, which would refuse an account for service it never had. Reports are lost with a
+// broken link and repeated after it recovers, and a restarted router counts from zero.
 func TestReportsCountOnce(t *testing.T) {
 	s := newSharesWithDemand(nil)
 	for at := time.Duration(0); at < 2*window; at += 100 * time.Millisecond {
@@ -117,7 +117,7 @@
 	report(2, 5)
 	report(1, 1000)
 	if asked, _, _ := s.State("a"); asked != 35 {
-		t.Errorf("%v asked, want 35", asked)
+		t.Errorf("%v requested, want 35", asked)
 	}
 }
 
@@ -140,13 +140,13 @@
 		}
 		receiver.TakeReport("a", 1, sender.Report(true, nil))
 		if asked, _, _ := receiver.State("x"); asked != total {
-			t.Fatalf("%v arrived of %v", asked, total)
+			t.Fatalf("%v requested after the full report, want %v", asked, total)
 		}
 	})
 }
 
-// Engines produce more than the operators' figure. An account that asks for a little more than its share of the figure would be
-// refused half of that, while a flood takes what is left over.
+// Guards against a flood that takes the surplus when engines produce more than the configured capacity: an account that requests a little
+// more than its share of the configured capacity would have half of that refused.
 func TestSpareCapacityGoesToTheLeastServedAccount(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
@@ -160,12 +160,12 @@
 	s.Served("shortest", 1.9*tokens)
 	s.Tick(start.Add(100 * time.Millisecond))
 	if s.Owed("flood", tokens/10) || !s.Owed("shortest", tokens/10) || s.Owed("short", tokens/2) {
-		t.Error("what is left over does not go to the shortest account first")
+		t.Error("the surplus does not go to the least served account first")
 	}
 }
 
-// Two accounts are ahead of a third that is short, one of them by far. Held back alike, the smaller of the two gets less than half of
-// what the larger one gets.
+// Guards against two accounts that lead a short one by different amounts and are held back alike: the smaller of the two would get less
+// than half of what the larger one gets.
 func TestLeadGrowsWithServedTokens(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
@@ -177,12 +177,12 @@
 	}
 	s.Tick(start.Add(100 * time.Millisecond))
 	if first, second := s.Lead("first"), s.Lead("second"); first <= second || second <= 1 {
-		t.Errorf("leads of %.2f and %.2f", first, second)
+		t.Errorf("leads of %.2f and %.2f, want the first above the second and both above 1", first, second)
 	}
 }
 
-// A quarter of the engines crash, and an account's requests find them first: they are placed, never run, and are placed again or
-// refused. Kept as service, what never ran uses up the account's share, and its callers are refused while others get all.
+// Guards against requests that never ran but count as served: when a quarter of the engines crash, an account's requests are placed there,
+// fail, and are placed again or refused. They would use up the account's share, and its callers would be refused while others are served.
 func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
 	sender, receiver := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000}), newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
 	for at := time.Duration(0); at < window/2; at += 100 * time.Millisecond {
@@ -194,7 +194,7 @@
 	receiver.TakeReport("here", 1, sender.Report(false, nil))
 	sender.Returned("large", 400)
 	receiver.TakeReport("here", 1, sender.Report(false, nil))
-	for name, s := range map[string]*pomeloshare.Shares{"here": sender, "there": receiver} {
+	for name, s := range map[string]*pomeloshare.Shares{"sender": sender, "receiver": receiver} {
 		if _, served, _ := s.State("large"); served != 0 {
 			t.Errorf("%s: %v counts as served, want 0", name, served)
 		}
@@ -207,19 +207,19 @@
 	}
 }
 
-// Guards against an account that gets more than twice as much as another one that waits all the time, because there is less than the operators'
-// figure says and both are owed what they ask for.
+// Guards against an account that gets more than twice as much as another one that waits constantly: the engines produce less than the
+// configured capacity, so that the requests of both are within their shares.
 func TestAccountFarAheadYieldsToAShortAccount(t *testing.T) {
 	for _, c := range []struct {
-		name               string
+		name                     string
 		aheadServed, shortServed pomelorelay.Cost
-		shortRequested         pomelorelay.Cost
-		want               bool
+		shortRequested           pomelorelay.Cost
+		want                     bool
 	}{
 		{"more than twice as much", 900_000, 400_000, 1_000_000, true},
 		{"a little more", 600_000, 400_000, 1_000_000, false},
-		{"short of little", 900_000, 10_000, 60_000, false},
-		{"short of a small part", 1_900_000, 900_000, 1_000_000, false},
+		{"few tokens unserved", 900_000, 10_000, 60_000, false},
+		{"a small fraction unserved", 1_900_000, 900_000, 1_000_000, false},
 	} {
 		s := pomeloshare.New(pomeloshare.Config{Window: window})
 		s.SetCapacity(1_000_000)
@@ -238,7 +238,8 @@
 	}
 }
 
-// Guards against a relay that falls silent and returns: what another one summed up meanwhile would count twice, and shares would be wrong for a window.
+// Guards against double counting when a relay stops reporting and returns: the sums that another relay reported meanwhile would count
+// twice, and shares would be wrong for a window.
 func TestSumsOfAReturningRelayCountOnce(t *testing.T) {
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(1000)
@@ -257,6 +258,6 @@
 	s.Mark("first", 1, sums(700))
 	s.TakeReport("first", 1, sums(800))
 	if asked, served, _ := s.State("a"); asked != 800 || served != 800 {
-		t.Errorf("%v asked and %v served, want 800", asked, served)
+		t.Errorf("%v requested and %v served, want 800", asked, served)
 	}
 }
--- a/pomelospeed/copies.go
+++ b/pomelospeed/copies.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// copyPrior is the first guess of the time to copy a token, as a part of the time to read it.
+	// copyPrior is the prior of the time to copy a cached token, relative to the time to prefill it.
 	copyPrior = 0.3
-	// copyPriorTokens is the number of tokens that the guess counts for, a few prompts.
+	// copyPriorTokens is the number of copied tokens that the prior counts for, a few prompts.
 	copyPriorTokens = 20_000
-	// copyHalfLife is the time in which half of what copies took is forgotten. Where they take as long as reading nobody copies; never forgotten, a
-	// moment in which engines were full would end copying for good.
+	// copyHalfLife is the half-life of observed copies. Routers stop copying when it takes as long as prefilling; without decay, a short period of
+	// full engines would disable copying for good.
 	copyHalfLife = 10 * time.Second
-	// maxCopyReportTokens bounds the tokens that one report of another router may count for.
+	// maxCopyReportTokens bounds the number of copied tokens that one report of another router counts for.
 	maxCopyReportTokens = 200_000
 )
 
-// NewCopies returns the time that engines take to copy parts of prompts that others keep, as a part of the time to read them. What they had
-// to read after all, since the other one did not keep it any more, counts as time of the copy.
+// NewCopies returns the Ratio of the time that engines take to copy cached prompt parts from other engines to the time to prefill them. The
+// prefill of tokens that the other engine had already evicted counts as copy time.
 func NewCopies() *Ratio {
 	return NewRatio(RatioConfig{Prior: copyPrior, PriorWeight: copyPriorTokens, HalfLife: copyHalfLife, MaxReportWeight: maxCopyReportTokens})
 }
--- a/pomelospeed/doc.go
+++ b/pomelospeed/doc.go
@@ -1,7 +1,7 @@
-// Package pomelospeed learns how fast model engines read prompts, from the
-// times to the first token of their answers. A Line is what the engines of one
-// service have in common, a Factor how one engine differs from it, a Ratio
-// whether reading holds streams up and how long copies take. They are decision
-// parts: no goroutines, no locks, no I/O, and not safe for concurrent
-// use.
+// Package pomelospeed estimates the prefill speed of model engines from the
+// times to first token. A Line is the linear model of all engines of one
+// service, a Factor the ratio of one engine to that model, and a Ratio a
+// decaying estimate of how often prefills stall streams or how long copies of
+// cached prompt parts take. The package has no goroutines, locks or I/O, and
+// its types are not safe for concurrent use.
 package pomelospeed
--- a/pomelospeed/factor.go
+++ b/pomelospeed/factor.go
@@ -6,27 +6,26 @@
 )
 
 const (
-	// factorHalfLife is the time in which half of one engine's answers is forgotten, so that an engine that turns slow is known as such
-	// within a second.
+	// factorHalfLife is the half-life of one engine's answers, short enough to detect an engine that becomes slow within a second.
 	factorHalfLife = 500 * time.Millisecond
-	// factorPrior is the time of answers as expected that an engine starts with; a single odd answer says little.
+	// factorPrior is the answer time with a ratio of 1 that every engine starts with, so that a single outlier has little effect.
 	factorPrior = 300 * time.Millisecond
-	// The dozen answers of a moment differ from what was expected by chance and by what other routers sent meanwhile: a ratio up to
-	// chanceRatio says nothing, one from sureRatio on counts in full. Taken for more, chance would send requests away from the engines
-	// that keep their shared parts.
-	noiseRatio = 2.0
-	significantRatio   = 3.0
-	// maxFactor bounds how much slower or faster than the others an engine is taken for.
+	// The dozen or so answers within a half-life vary by chance and by unreported requests of other routers: a ratio up to noiseRatio is
+	// ignored, one from significantRatio on applies in full. With lower values, noise would divert requests from the engines that cache
+	// their shared prefixes.
+	noiseRatio       = 2.0
+	significantRatio = 3.0
+	// maxFactor bounds the ratio and its inverse.
 	maxFactor = 16.0
 )
 
-// Factor is how many times as long as the service's Line one engine takes to its first tokens.
+// Factor is the ratio of one engine's times to first token to those expected by the Line of its service.
 type Factor struct {
 	took, expected float64 // milliseconds
-	decayedAt             time.Time
+	decayedAt      time.Time
 }
 
-// Note takes answers that took so long in sum and were expected to take so long.
+// Note records answers by the sums of their actual and expected times to first token.
 func (f *Factor) Note(now time.Time, took, expected time.Duration) {
 	f.decay(now)
 	f.took += milliseconds(took)
@@ -42,16 +41,16 @@
 	}
 }
 
-// Ratio returns the factor as the answers of late say.
+// Ratio returns the ratio over recent answers, clamped to the range from 1/maxFactor to maxFactor.
 func (f *Factor) Ratio(now time.Time) float64 {
 	f.decay(now)
 	prior := milliseconds(factorPrior)
 	return min(max((f.took+prior)/(f.expected+prior), 1/maxFactor), maxFactor)
 }
 
-// Beside returns how much slower the engine is than the one in the middle, whose ratio is given; one where the difference may be chance.
-// What is the same for all engines belongs to their Line, which may still be on its way to where it fits. No engine counts as quicker
-// than the middle one: all routers would send to it at once.
+// Beside returns how many times slower the engine is than the median engine, whose ratio is given, or 1 where the difference may be noise.
+// Comparing with the median excludes the error of a Line that has not converged yet. The result is never below 1, or all routers would send
+// to the fastest engine at once.
 func (f *Factor) Beside(now time.Time, median float64) float64 {
 	ratio := f.Ratio(now) / median
 	if ratio >= significantRatio {
--- a/pomelospeed/line.go
+++ b/pomelospeed/line.go
@@ -7,68 +7,69 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Rate is a reading speed in tokens a millisecond.
+// Rate is a prefill rate in prompt tokens per millisecond.
 type Rate float64
 
 const (
-	// minRate and mostRate bound what is learnt, so that a few odd answers cannot make an engine look stopped or endless.
+	// minRate and maxRate bound the fit, so that a few outliers cannot make an engine look stopped or infinitely fast.
 	minRate Rate = 0.5
-	maxRate  Rate = 5000
-	// priorOverhead is the first guess of what an answer needs besides reading: some decoding steps and the network.
+	maxRate Rate = 5000
+	// priorOverhead is the prior of the time to first token without prefill: a few decoding steps and the network.
 	priorOverhead = 30 * time.Millisecond
-	// priorRateAnswers is the number of answers that the first guess of the rate counts for, and startWeight that of the overhead, which
-	// differs less between engines; half a second of a fleet's answers outweighs both.
-	priorRateAnswers = 1
+	// priorRateAnswers and priorOverheadAnswers are the numbers of answers that the priors of the rate and of the overhead count for. The
+	// overhead varies less between engines; the answers of a fleet in half a second outweigh both.
+	priorRateAnswers     = 1
 	priorOverheadAnswers = 6
-	// priorReadTime is the reading time at which the second point stands until answers are seen.
-	priorReadTime = 200 * time.Millisecond
-	// halfLife is the time in which half of what was seen is forgotten: step times change with what runs.
+	// priorPrefillTime is the prefill time of the prior's second point until answers are observed.
+	priorPrefillTime = 200 * time.Millisecond
+	// halfLife is the half-life of observed answers: step times change with the running batch.
 	halfLife = 4 * time.Second
-	// minAnswers is the number of answers below which nothing is forgotten, so that a fleet in a calm hour keeps its estimate.
+	// minAnswers is the number of answers down to which observations decay, so that a fleet under low load keeps its estimate.
 	minAnswers = 50
-	// maxReportAnswers bounds the number of answers that one report of another router may count for: its first one sums up all since its start.
+	// maxReportAnswers bounds the number of answers that one report of another router counts for: its first report covers all since its start.
 	maxReportAnswers = 200
-	// outlierRatio is how many times longer or shorter than expected an answer may be to count in full: an engine that stood still says
-	// nothing of how fast it reads. With fewer answers than sureAnswers the line itself may be as far off.
-	outlierRatio    = 4
+	// outlierRatio is the ratio to the expected time, or its inverse, at which a time to first token is clamped: the answers of a stalled
+	// engine do not show its prefill rate. Below settledAnswers the limit is wider, since the fit itself may be as far off.
+	outlierRatio   = 4
 	settledAnswers = 30
-	// answersPerRateStep is the number of answers that let the rate be once more the first guess above it.
+	// answersPerRateStep is the number of answers that raise the upper bound of the rate by the prior rate.
 	answersPerRateStep = 4
 )
 
-// Line is the time to the first token as a straight line over the prompt tokens to be read, fitted to the answers of all routers.
+// Line models the time to first token as a linear function of the prompt tokens to prefill, fitted to the answers of all routers.
 type Line struct {
-	prior Rate
-	local   pomelorelay.SpeedSums
-	observed  pomelorelay.SpeedSums
-	decayedAt    time.Time
-	// overheadMS and perToken are in milliseconds.
+	prior                  Rate
+	local                  pomelorelay.SpeedSums
+	observed               pomelorelay.SpeedSums
+	decayedAt              time.Time
 	overheadMS, perTokenMS float64
 }
 
-// NewLine returns a Line that expects engines to read at the rate until it has seen answers.
+// NewLine returns a Line with the given prior rate, which applies until answers are observed.
 func NewLine(prior Rate) *Line {
 	l := &Line{}
 	l.SetGuess(prior)
 	return l
 }
 
-// SetGuess replaces the first guess.
+// SetGuess replaces the prior rate.
 func (l *Line) SetGuess(prior Rate) {
 	l.prior = min(max(prior, minRate), maxRate)
 	l.fit()
 }
 
-// Rate returns how fast an engine reads.
+// Rate returns the estimated prefill rate of an engine.
 func (l *Line) Rate() Rate { return Rate(1 / l.perTokenMS) }
 
-// Overhead returns the time to the first token of a prompt of no length at an engine where nothing waits.
+// Overhead returns the time to first token of an empty prompt at an engine without a queue.
 func (l *Line) Overhead() time.Duration { return duration(l.overheadMS) }
 
-// Expect returns the time to the first token of an engine that has to read so many tokens before it, the request's own among them.
-func (l *Line) Expect(tokens float64) time.Duration { return duration(l.overheadMS + l.perTokenMS*tokens) }
+// Expect returns the expected time to first token where the engine must prefill the given tokens first, those of the request included.
+func (l *Line) Expect(tokens float64) time.Duration {
+	return duration(l.overheadMS + l.perTokenMS*tokens)
+}
 
-// Note takes the time to the first token that this router saw.
+// Note records a time to first token that this router observed, with the tokens that the engine had to prefill.
 func (l *Line) Note(now time.Time, tokens float64, took time.Duration) {
 	expected := l.overheadMS + l.perTokenMS*tokens
 	limit := outlierRatio * max(1, settledAnswers/(l.observed.Answers+1))
@@ -79,16 +80,17 @@
 	l.accumulate(now, s)
 }
 
-// weight is what an answer that read so many tokens counts: a wait of twice the length varies twice as much.
+// weight returns the weight of an answer that followed the prefill of the given tokens. The spread of times to first token grows in
+// proportion to their length.
 func (l *Line) weight(tokens float64) float64 {
 	relative := 1 + l.perTokenMS*tokens/milliseconds(priorOverhead)
 	return 1 / (relative * relative)
 }
 
-// Own returns the sums of this router's answers since its start.
+// Own returns the sums over the answers that this router observed since its start.
 func (l *Line) Own() pomelorelay.SpeedSums { return l.local }
 
-// Merge takes what another router's sums have grown by.
+// Merge adds the difference of another router's sums between two reports; a difference that no answers can have is ignored.
 func (l *Line) Merge(now time.Time, before, after pomelorelay.SpeedSums) {
 	delta := addScaled(after, before, -1)
 	if !plausible(delta) {
@@ -100,16 +102,16 @@
 	l.accumulate(now, delta)
 }
 
-// plausible reports whether sums can be those of answers; a router that reports others must not spoil what this one has seen.
+// plausible reports whether the sums can result from answers; the sums of a faulty router must not corrupt the fit.
 func plausible(s pomelorelay.SpeedSums) bool {
 	return s.Answers > 0 && s.Weight > 0 && s.Read >= 0 && s.Took > 0 && s.Took <= s.Weight*milliseconds(maxFirstTokenTime) && s.ReadTook >= 0 && s.ReadTook <= s.Read*milliseconds(maxFirstTokenTime) &&
 		s.Read*s.Read <= s.Weight*s.ReadRead*(1+roundingTolerance)
 }
 
-// maxFirstTokenTime is longer than anybody waits for a first token.
+// maxFirstTokenTime is longer than any caller waits for a first token.
 const maxFirstTokenTime = time.Hour
 
-// roundingTolerance is how far sums may be off by the rounding of numbers.
+// roundingTolerance is the relative floating-point error that sums may have.
 const roundingTolerance = 1e-6
 
 func (l *Line) accumulate(now time.Time, s pomelorelay.SpeedSums) {
@@ -125,13 +127,13 @@
 	l.fit()
 }
 
-// fit draws the line of least squares through what was seen and the first guess.
+// fit computes the weighted least-squares line through the observed answers and the prior.
 func (l *Line) fit() {
 	s := addScaled(l.priorSums(), l.observed, 1)
 	determinant := s.Weight*s.ReadRead - s.Read*s.Read
 	slope := (s.Weight*s.ReadTook - s.Read*s.Took) / determinant
 	overhead := (s.Took - slope*s.Read) / s.Weight
-	// Comparisons are false where sums give no number, as those of a faulty router.
+	// The negated comparisons also catch NaN, which the sums of a faulty router may give.
 	if !(overhead >= 0) {
 		overhead, slope = 0, s.ReadTook/s.ReadRead
 	}
@@ -142,18 +144,19 @@
 	previous := l.weight(l.rmsTokens())
 	l.perTokenMS = min(slope, 1/float64(slowest))
 	l.overheadMS = max(overhead, 1)
-	// What was seen before was weighed by another slope. Left as it is, the first few answers at slow engines would outweigh a hundred later ones.
+	// The observed answers were weighted by the previous slope. Without rescaling, the first few answers of slow engines would outweigh a hundred
+	// later ones.
 	l.observed = reweighed(l.observed, l.weight(l.rmsTokens())/previous)
 }
 
-// rateBounds returns the rates between which the line may be: the first few answers, perhaps behind unreported queues, must not make
-// reading look free.
+// rateBounds returns the bounds of the fitted rate: the first few answers, which may have waited in unreported queues, must not make
+// prefill look instantaneous.
 func (l *Line) rateBounds() (slowest, fastest Rate) {
 	answers := Rate(l.observed.Answers)
 	return max(minRate, l.prior/(1+answers)), min(maxRate, l.prior*(1+answers/answersPerRateStep))
 }
 
-// rmsTokens returns about how many tokens the answers read that were seen.
+// rmsTokens returns the weighted root mean square of the tokens that were prefilled for the observed answers.
 func (l *Line) rmsTokens() float64 {
 	if l.observed.Weight <= 0 {
 		return 0
@@ -168,21 +171,21 @@
 	return s
 }
 
-// priorSums returns the first guess as answers at two points of its line: at no tokens, and at about as many as the answers read that were
-// seen. Further out, it would outweigh many answers.
+// priorSums returns the prior as answers at two points of its line: at zero tokens, and at the root mean square of the observed answers. A
+// second point further out would outweigh many answers.
 func (l *Line) priorSums() pomelorelay.SpeedSums {
-	tokens, meanWeight := milliseconds(priorReadTime)*float64(l.prior), 1.0
+	tokens, meanWeight := milliseconds(priorPrefillTime)*float64(l.prior), 1.0
 	if l.observed.Answers > 0 {
 		tokens = max(l.rmsTokens(), 1)
 		meanWeight = l.observed.Weight / l.observed.Answers
 	}
 	emptyMS := milliseconds(priorOverhead)
-	readMS := emptyMS + tokens/float64(l.prior)
+	prefillMS := emptyMS + tokens/float64(l.prior)
 	w, v := priorOverheadAnswers*meanWeight, priorRateAnswers*meanWeight
-	return pomelorelay.SpeedSums{Weight: w + v, Read: v * tokens, Took: w*emptyMS + v*readMS, ReadRead: v * tokens * tokens, ReadTook: v * tokens * readMS}
+	return pomelorelay.SpeedSums{Weight: w + v, Read: v * tokens, Took: w*emptyMS + v*prefillMS, ReadRead: v * tokens * tokens, ReadTook: v * tokens * prefillMS}
 }
 
-// addScaled returns the sums of a and so many times b.
+// addScaled returns a + factor*b.
 func addScaled(a, b pomelorelay.SpeedSums, factor float64) pomelorelay.SpeedSums {
 	return pomelorelay.SpeedSums{
 		Service: a.Service,
--- a/pomelospeed/line_test.go
+++ b/pomelospeed/line_test.go
@@ -13,12 +13,12 @@
 
 var start = time.Unix(1000, 0)
 
-// engine answers as an engine of the rate and overhead does, with the waits that nobody could know of.
+// engine simulates the times to first token of an engine, with the random delays that routers cannot predict.
 type engine struct {
-	rng   *rand.Rand
+	rng      *rand.Rand
 	rate     float64
 	overhead time.Duration
-	// spread is how much times differ: the standard deviation of their logarithm.
+	// spread is the standard deviation of the logarithm of the times.
 	spread float64
 }
 
@@ -27,42 +27,42 @@
 	return time.Duration(ms * math.Exp(e.spread*e.rng.NormFloat64()-e.spread*e.spread/2) * float64(time.Millisecond))
 }
 
-// promptTokens draws tokens to be read: most prompts are short, some are thirty times as long.
+// promptTokens returns a random prompt length: most prompts are short, some are thirty times as long.
 func (e *engine) promptTokens() float64 { return min(60000, 1500*math.Exp(e.rng.NormFloat64())) }
 
-// Engines of a service that nobody has measured read ten times slower or faster than the first guess. Until the routers know, they send
-// far too much, and answers are late, or refuse what the engines could serve.
+// Guards against slow convergence where engines prefill up to ten times slower or faster than the prior rate: until the fit has converged,
+// routers either overload slow engines, whose answers are then late, or refuse requests that fast engines could serve.
 func TestFitConvergesForEnginesOfAnySpeed(t *testing.T) {
 	const (
-		tolerance   = 0.1
-		fleets  = 10
-		engines = 8
-		length  = 2 * time.Second
-		load    = 0.5
-		meanTokens    = 2500 // tokens of a prompt
+		tolerance  = 0.1
+		fleets     = 10
+		engines    = 8
+		length     = 2 * time.Second
+		load       = 0.5
+		meanTokens = 2500 // tokens of a prompt
 	)
 	for _, rate := range []float64{10, 30, 100, 300} {
-		for _, guess := range []pomelospeed.Rate{20, 50, 200} {
-			t.Run(fmt.Sprintf("%.0f guessed %.0f", rate, guess), func(t *testing.T) {
+		for _, prior := range []pomelospeed.Rate{20, 50, 200} {
+			t.Run(fmt.Sprintf("rate %.0f, prior %.0f", rate, prior), func(t *testing.T) {
 				answers := int(load * engines * rate * float64(length.Milliseconds()) / meanTokens)
 				rateError, expectError := 0.0, 0.0
 				for seed := range uint64(fleets) {
 					e := &engine{rng: rand.New(rand.NewPCG(seed, uint64(rate))), rate: rate, overhead: 40 * time.Millisecond, spread: 0.3}
-					l := newTrained(e, guess, answers, length)
+					l := newTrained(e, prior, answers, length)
 					rateError += math.Abs(float64(l.Rate())/rate-1) / fleets
 					expectError += math.Abs(l.Expect(200*rate).Seconds()/0.24-1) / fleets
 				}
 				if rateError > tolerance || expectError > tolerance {
-					t.Errorf("after %d answers the rate is off by %.2f in the mean, the time to read for 0.2 s by %.2f; want %.1f", answers, rateError, expectError, tolerance)
+					t.Errorf("after %d answers the mean relative error is %.2f for the rate and %.2f for the time of a 0.2 s prefill, want at most %.1f", answers, rateError, expectError, tolerance)
 				}
 			})
 		}
 	}
 }
 
-// newTrained returns a line that has seen so many answers within the time.
-func newTrained(e *engine, guess pomelospeed.Rate, answers int, length time.Duration) *pomelospeed.Line {
-	l := pomelospeed.NewLine(guess)
+// newTrained returns a Line after the given number of answers, spread evenly over the time.
+func newTrained(e *engine, prior pomelospeed.Rate, answers int, length time.Duration) *pomelospeed.Line {
+	l := pomelospeed.NewLine(prior)
 	now := start
 	for range answers {
 		now = now.Add(length / time.Duration(answers))
@@ -72,8 +72,8 @@
 	return l
 }
 
-// A router starts in a fleet that knows its engines. Until it knew them too, it would send too much to slow engines and none of the answers
-// would be in time.
+// Guards against a router that starts in a running fleet and learns the rates only from its own answers: until then it would overload slow
+// engines, and none of the answers would be in time.
 func TestNewRouterLearnsTheRateFromOneReport(t *testing.T) {
 	e := &engine{rng: rand.New(rand.NewPCG(2, 2)), rate: 25, overhead: 60 * time.Millisecond, spread: 0.3}
 	established, started := pomelospeed.NewLine(200), pomelospeed.NewLine(200)
@@ -85,9 +85,9 @@
 	}
 	started.Merge(now, pomelorelay.SpeedSums{}, established.Own())
 	if got := float64(started.Rate()); math.Abs(got/25-1) > 0.1 {
-		t.Errorf("%.1f tokens a millisecond after the first report, want 25", got)
+		t.Errorf("%.1f tokens per millisecond after the first report, want 25", got)
 	}
-	// Reports may be repeated; what they said before does not count again.
+	// A repeated report must not count again.
 	before := started.Rate()
 	started.Merge(now, established.Own(), established.Own())
 	if started.Rate() != before {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Engines stand still for seconds, and a few answers come after a hundred times the time that was expected. Taken as they are, they make
-// all engines look slow, and requests are refused beside free engines.
+// Guards against engines that stall for seconds: a few answers take a hundred times the expected time. Without clamping they would make
+// all engines look slow, and requests would be refused while engines are idle.
 func TestOutliersBarelyMoveTheRate(t *testing.T) {
 	e := &engine{rng: rand.New(rand.NewPCG(3, 3)), rate: 100, overhead: 30 * time.Millisecond, spread: 0.2}
 	l := pomelospeed.NewLine(100)
@@ -111,11 +111,11 @@
 		l.Note(now, tokens, took)
 	}
 	if got := float64(l.Rate()); math.Abs(got/100-1) > 0.25 {
-		t.Errorf("%.1f tokens a millisecond, want about 100", got)
+		t.Errorf("%.1f tokens per millisecond, want about 100", got)
 	}
 }
 
-// One engine turns slow by a factor of four. Requests that go on being sent there are late, and those that run there hold its callers up.
+// Guards against slow detection of an engine that becomes four times slower: requests sent there meanwhile are late.
 func TestSlowEngineIsDetectedWithinASecond(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	const expected = 200 * time.Millisecond
@@ -133,24 +133,24 @@
 	}
 	run(50, 1)
 	if got := slow.Beside(now, healthy.Ratio(now)); got != 1 {
-		t.Errorf("counts %.2f times as slow as the others while it is like them", got)
+		t.Errorf("%.2f times slower than the others at the same speed, want 1", got)
 	}
 	run(10, 4)
 	if got := slow.Beside(now, healthy.Ratio(now)); got < 2.5 {
-		t.Errorf("counts %.2f times as slow after a second at a quarter of the speed", got)
+		t.Errorf("%.2f times slower after a second at a quarter of the speed, want at least 2.5", got)
 	}
 	run(20, 1)
 	if got := slow.Beside(now, healthy.Ratio(now)); got != 1 {
-		t.Errorf("counts %.2f times as slow two seconds after it is sound again", got)
+		t.Errorf("%.2f times slower two seconds after recovery, want 1", got)
 	}
 }
 
 func TestPauseWeightFollowsThePausedStreams(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		paused int // of a hundred streams
-		minWeight  float64
-		maxWeight   float64
+		name      string
+		paused    int // streams out of 100
+		minWeight float64
+		maxWeight float64
 	}{
 		{"never", 0, 0, 0.3},
 		{"seldom", 3, 0.1, 0.6},
@@ -168,7 +168,7 @@
 				local.Note(now, sums)
 			}
 			remote.Merge(now, pomelospeed.Sums{}, local.Own())
-			for name, p := range map[string]*pomelospeed.Ratio{"told": local, "heard": remote} {
+			for name, p := range map[string]*pomelospeed.Ratio{"local": local, "remote": remote} {
 				if got := pomelospeed.PauseWeight(p.Value(now)); got < c.minWeight || got > c.maxWeight {
 					t.Errorf("%s: weight %.2f, want %.2f to %.2f", name, got, c.minWeight, c.maxWeight)
 				}
@@ -176,19 +176,19 @@
 		})
 	}
 	if got := pomelospeed.PauseWeight(pomelospeed.NewPauses().Value(start)); got != 1 {
-		t.Errorf("weight %.2f before anything is known, want 1", got)
+		t.Errorf("weight %.2f without observations, want 1", got)
 	}
 }
 
-// Engines were full when routers copied parts between them, and the copies seemed to take longer than reading. Nobody copies any more then, so
-// that nobody sees it get better: shared parts would be read again for as long as the routers live.
+// Guards against copying that is disabled for good: copies between full engines take longer than prefilling, so routers stop copying and
+// observe no later, faster copies. Shared prompt parts would be prefilled again until the routers restart.
 func TestCopyTimeEstimateRecoversWithoutCopies(t *testing.T) {
 	copies := pomelospeed.NewCopies()
 	copies.Note(start, pomelospeed.Sums{Amount: 400_000, Of: 200_000})
 	if got := copies.Value(start); got < 1 {
-		t.Fatalf("copies take %.2f of the time to read, want 1 or more", got)
+		t.Fatalf("copies take %.2f of the prefill time, want 1 or more", got)
 	}
 	if got := copies.Value(start.Add(time.Minute)); got >= 1 {
-		t.Errorf("copies still take %.2f of the time to read after a minute without any", got)
+		t.Errorf("copies take %.2f of the prefill time after a minute without any, want less than 1", got)
 	}
 }
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -1,25 +1,25 @@
 package pomelospeed
 
 const (
-	// pausePrior is the first guess of the part of streams that pause for too long beside an engine that reads for long, and
-	// pauseGuessWeight the number of streams that it counts for.
-	pausePrior       = 0.1
+	// pausePrior is the prior of the fraction of streams that pause for too long during a long prefill on their engine, and
+	// pausePriorStreams is the number of streams that it counts for.
+	pausePrior        = 0.1
 	pausePriorStreams = 4
-	// minStreams is the number of streams below which nothing is forgotten.
+	// minStreams is the number of streams down to which observations decay.
 	minStreams = 100
-	// pauseBaseline is the part of streams up to which long reading does not count, since faults make as many pause, and pauseSure the part
-	// from which it counts in full.
-	pauseBaseline = 0.02
-	pauseSaturation   = 0.08
+	// pauseBaseline is the fraction of paused streams up to which long prefills have no weight, since faults pause as many, and
+	// pauseSaturation is the fraction from which they have full weight.
+	pauseBaseline   = 0.02
+	pauseSaturation = 0.08
 )
 
-// NewPauses returns the part of the streams that pause for longer than their callers accept, of those that run while their engine reads for
-// that long. Engines that read in short chunks, or whose events hold few tokens, go on generating beside it.
+// NewPauses returns the Ratio of streams that pause for longer than their callers accept to all streams that run while their engine prefills
+// for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep generating meanwhile.
 func NewPauses() *Ratio {
 	return NewRatio(RatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: halfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
 }
 
-// PauseWeight returns how much it counts, from 0 to 1, that long reading makes such a part of the streams pause.
+// PauseWeight returns the weight, from 0 to 1, of long prefills for the given fraction of streams that they pause.
 func PauseWeight(fraction float64) float64 {
 	return min(max((fraction-pauseBaseline)/(pauseSaturation-pauseBaseline), 0), 1)
 }
--- a/pomelospeed/rapid_test.go
+++ b/pomelospeed/rapid_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Answers come after any time, clocks stand still, and another router tells sums that no answers have. Whatever they were, a request must be given a
-// time that is a number: with none, every upstream would look as good as any other.
+// Guards against an expected time that is not a finite positive number, with which all upstreams would compare as equal. Answers take any time, the
+// clock may stand still, and another router reports sums that no answers can have.
 func TestExpectedTimeIsAlwaysFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := pomelospeed.NewLine(pomelospeed.Rate(rapid.Float64Range(-10, 1e6).Draw(t, "guess")))
@@ -32,10 +32,10 @@
 			},
 			"": func(t *rapid.T) {
 				if r := l.Rate(); !(r >= 0.5 && r <= 5001) {
-					t.Fatalf("reads %v tokens a millisecond", r)
+					t.Fatalf("rate of %v tokens per millisecond", r)
 				}
 				if e := l.Expect(1000); e <= 0 || e > time.Hour*24*365 {
-					t.Fatalf("expects %v", e)
+					t.Fatalf("expected time of %v", e)
 				}
 			},
 		})
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sums are what a Ratio is made of: an amount, and of how much.
+// Sums are the numerator (Amount) and the denominator (Of) of a Ratio.
 type Sums struct {
 	Amount, Of float64
 }
@@ -17,37 +17,37 @@
 
 func (s *Sums) scale(factor float64) { *s = Sums{Amount: factor * s.Amount, Of: factor * s.Of} }
 
-// RatioConfig holds what a Ratio starts with and how it forgets.
+// RatioConfig holds the prior and the decay settings of a Ratio.
 type RatioConfig struct {
-	// Prior is the first guess, Weight how much it counts as if it had been seen.
+	// Prior is the value before any observation, PriorWeight the denominator that it counts for.
 	Prior, PriorWeight float64
-	// HalfLife is the time in which half of what was seen is forgotten, down to Least.
+	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
 	HalfLife  time.Duration
 	MinWeight float64
-	// MaxReportWeight bounds how much one report of another router may count for: its first one sums up all since its start.
+	// MaxReportWeight bounds the denominator of one report of another router: its first report covers all since its start.
 	MaxReportWeight float64
 }
 
-// Ratio is an amount a unit that all routers learn together.
+// Ratio is a decaying estimate of a ratio from the observations of all routers.
 type Ratio struct {
-	cfg       RatioConfig
+	cfg             RatioConfig
 	local, observed Sums
-	decayedAt        time.Time
+	decayedAt       time.Time
 }
 
-// NewRatio returns a Ratio that has seen nothing.
+// NewRatio returns a Ratio without observations.
 func NewRatio(cfg RatioConfig) *Ratio { return &Ratio{cfg: cfg} }
 
-// Note takes what this router saw.
+// Note records an observation of this router.
 func (r *Ratio) Note(now time.Time, s Sums) {
 	r.local.add(s, 1)
 	r.accumulate(now, s)
 }
 
-// Own returns the sums of what this router saw since its start.
+// Own returns the sums of this router's observations since its start.
 func (r *Ratio) Own() Sums { return r.local }
 
-// Merge takes what another router's sums have grown by.
+// Merge adds the difference of another router's sums between two reports.
 func (r *Ratio) Merge(now time.Time, before, after Sums) {
 	delta := after
 	delta.add(before, -1)
@@ -60,7 +60,7 @@
 	r.accumulate(now, delta)
 }
 
-// Value returns the ratio.
+// Value returns the estimate at the given time.
 func (r *Ratio) Value(now time.Time) float64 {
 	r.decay(now)
 	return (r.observed.Amount + r.cfg.Prior*r.cfg.PriorWeight) / (r.observed.Of + r.cfg.PriorWeight)
--- a/pomelotable/table.go
+++ b/pomelotable/table.go
@@ -11,22 +11,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table is one version of the configuration, ready for lookups.
+// Table is one version of the configuration, indexed for lookups.
 type Table struct {
 	config *pomelorelay.FleetConfig
-	// routesByHost holds the routes of each host name, longest prefix first.
-	routesByHost    map[string][]*pomelorelay.Route
+	// routesByHost holds the routes of each lower-case host name, longest prefix first.
+	routesByHost  map[string][]*pomelorelay.Route
 	accountsByKey map[string]*pomelorelay.AccountSpec
-	services map[pomelorelay.ServiceID]*pomelorelay.ServiceSpec
+	services      map[pomelorelay.ServiceID]*pomelorelay.ServiceSpec
 }
 
-// New compiles a configuration, which must not change any more.
+// New indexes a configuration, which must not be modified afterwards.
 func New(config *pomelorelay.FleetConfig) *Table {
 	t := &Table{
-		config:   config,
-		routesByHost:    make(map[string][]*pomelorelay.Route),
+		config:        config,
+		routesByHost:  make(map[string][]*pomelorelay.Route),
 		accountsByKey: make(map[string]*pomelorelay.AccountSpec),
-		services: make(map[pomelorelay.ServiceID]*pomelorelay.ServiceSpec, len(config.Services)),
+		services:      make(map[pomelorelay.ServiceID]*pomelorelay.ServiceSpec, len(config.Services)),
 	}
 	for i := range config.Routes {
 		r := &config.Routes[i]
@@ -53,10 +53,10 @@
 // Config returns the configuration.
 func (t *Table) Config() *pomelorelay.FleetConfig { return t.config }
 
-// Limits returns the bounds of what callers may send.
+// Limits returns the limits of callers' requests.
 func (t *Table) Limits() pomelorelay.CallerLimits { return t.config.Limits }
 
-// Route returns the route of the host name with the longest prefix that begins the path.
+// Route returns the route of the host, with or without a port, whose prefix is the longest that matches the path.
 func (t *Table) Route(host, path string) (*pomelorelay.Route, bool) {
 	for _, r := range t.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -73,25 +73,25 @@
 	return strings.ToLower(host)
 }
 
-// Account returns the client account that holds the key.
+// Account returns the client account that the API key belongs to.
 func (t *Table) Account(key string) (*pomelorelay.AccountSpec, bool) {
 	a, ok := t.accountsByKey[key]
 	return a, ok
 }
 
-// Service returns what the configuration says of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(id pomelorelay.ServiceID) (*pomelorelay.ServiceSpec, bool) {
 	s, ok := t.services[id]
 	return s, ok
 }
 
-// Pick returns the service that a request with the id goes to, by the weights of the route's shares.
+// Pick returns the service for a request, chosen by the weights of the route's shares and a hash of the request ID.
 func (t *Table) Pick(r *pomelorelay.Route, requestID string) (pomelorelay.ServiceID, bool) {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	// The upper bits of the hash as a fraction: the same request always gets the same service.
+	// The upper 53 bits of the hash as a fraction: the same request ID always gives the same service.
 	point := float64(xxhash.Sum64String(requestID)>>11) / (1 << 53) * total
 	for _, s := range r.Shares {
 		if point < s.Weight {
--- a/pomelotable/table_test.go
+++ b/pomelotable/table_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if _, ok := newTable().Account(""); ok {
-		t.Error("an empty key has an account")
+		t.Error("found an account for an empty key")
 	}
 }
 
@@ -69,9 +69,9 @@
 		picked[s]++
 	}
 	if b := picked["b"]; b < requests/10-150 || b > requests/10+150 {
-		t.Errorf("%d of %d requests went to a share of a tenth", b, requests)
+		t.Errorf("%d of %d requests went to a service with a share of one tenth", b, requests)
 	}
 	if _, ok := newTable().Pick(&pomelorelay.Route{}, "x"); ok {
-		t.Error("a route without services has one")
+		t.Error("found a service for a route without shares")
 	}
 }
--- a/pomelowarmup/fleet_test.go
+++ b/pomelowarmup/fleet_test.go
@@ -14,7 +14,7 @@
 const (
 	coldFor  = 3 * time.Second
 	coldRate = 15.0
-	// bound is the most requests that the fleet may send to a cold upstream in any second.
+	// bound is the maximum number of requests that the fleet may send to a cold upstream in any second.
 	bound = coldRate*1.5 + 5
 )
 
@@ -26,7 +26,7 @@
 	return pomelorelay.FleetUpstream{ID: id, Service: "s", Domain: "a", Born: 1}
 }
 
-// newPeers returns so many routers, spread over all failure domains.
+// newPeers returns n routers, spread over all failure domains.
 func newPeers(n int) []pomelorelay.Peer {
 	var peers []pomelorelay.Peer
 	for i := range n {
@@ -45,9 +45,9 @@
 	return g
 }
 
-// fleet is routers that each want to send to one cold upstream all the time.
+// fleet is a number of routers that all try to send to one cold upstream continuously.
 type fleet struct {
-	random  *rand.Rand
+	rng     *rand.Rand
 	peers   []pomelorelay.Peer
 	holders int
 	gates   []*pomelowarmup.Gate
@@ -56,7 +56,7 @@
 }
 
 func newFleet(seed uint64, routers, holders int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), peers: newPeers(routers), holders: holders}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), peers: newPeers(routers), holders: holders}
 	f.gates, f.states = make([]*pomelowarmup.Gate, routers), make([]*pomelowarmup.Upstream, routers)
 	for i := range f.peers {
 		f.restart(start, i, 0)
@@ -64,7 +64,7 @@
 	return f
 }
 
-// restart starts a router that is told how much longer the upstream is cold.
+// restart replaces a router by a new one that knows the remaining cold time of the upstream.
 func (f *fleet) restart(now time.Time, i int, remaining time.Duration) {
 	others := append(append([]pomelorelay.Peer(nil), f.peers[:i]...), f.peers[i+1:]...)
 	f.gates[i] = newGate(f.peers[i], others, f.holders)
@@ -73,9 +73,9 @@
 	f.states[i] = f.gates[i].Upstream(now, u)
 }
 
-// send lets every router send a request if it may, in any order.
+// send lets every router send a request if it may, in random order.
 func (f *fleet) send(now time.Time) {
-	for _, i := range f.random.Perm(len(f.states)) {
+	for _, i := range f.rng.Perm(len(f.states)) {
 		if f.states[i].Cold(now) && f.states[i].Class(now) != pomelowarmup.Closed {
 			f.states[i].Take(now)
 			f.sent = append(f.sent, now)
@@ -83,7 +83,7 @@
 	}
 }
 
-// peakPerSecond returns the most requests that were sent in any second.
+// peakPerSecond returns the maximum number of requests that were sent in any second.
 func (f *fleet) peakPerSecond() int {
 	peak, first := 0, 0
 	for i, at := range f.sent {
--- a/pomelowarmup/gate.go
+++ b/pomelowarmup/gate.go
@@ -9,16 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Gate is one router's view of which upstreams are cold; it is not safe for concurrent use.
+// Gate limits one router's requests to cold upstreams; it is not safe for concurrent use.
 type Gate struct {
 	cfg   Config
 	specs map[pomelorelay.ServiceID]coldSpec
-	// routers are the registered ones of each region, this one included; changes counts their changes.
-	routers map[pomelorelay.RegionID][]pomelorelay.NodeID
+	// routers are the registered routers of each region, including this one; routersVersion counts their changes.
+	routers        map[pomelorelay.RegionID][]pomelorelay.NodeID
 	routersVersion uint64
 }
 
-// New returns a Gate without services and without other routers.
+// New returns a Gate that knows no services and no other routers.
 func New(cfg Config) *Gate {
 	if cfg.Holders <= 0 {
 		cfg.Holders = DefaultHolders
@@ -28,7 +28,7 @@
 	return g
 }
 
-// SetServices takes what the configuration says of the services.
+// SetServices replaces the configuration of the services.
 func (g *Gate) SetServices(services []pomelorelay.ServiceSpec) {
 	clear(g.specs)
 	for _, s := range services {
@@ -36,7 +36,7 @@
 	}
 }
 
-// SetRouters takes the other routers that are registered.
+// SetRouters replaces the list of the other registered routers.
 func (g *Gate) SetRouters(others []pomelorelay.Peer) {
 	g.routersVersion++
 	g.routers = make(map[pomelorelay.RegionID][]pomelorelay.NodeID)
@@ -53,7 +53,8 @@
 	return u.holder
 }
 
-// ranksAsHolder ranks the routers of the upstream's region, or this router's where that has none, by a hash of both names.
+// ranksAsHolder reports whether this router is among the first cfg.Holders routers of the upstream's region by rendezvous hash. If no router of
+// that region is registered, the routers of this router's region are ranked.
 func (g *Gate) ranksAsHolder(u *Upstream) bool {
 	region := g.routers[g.cfg.Regions[u.info.Domain]]
 	if len(region) == 0 {
@@ -79,7 +80,7 @@
 	return g.cfg.Regions[u.info.Domain] == g.cfg.Self.Region
 }
 
-// bucket returns the rate and the burst of this router at an upstream of which it holds a part of the bound.
+// bucket returns the rate and the burst of this router's token bucket for an upstream whose bound it holds a part of.
 func (g *Gate) bucket(u *Upstream) (rate, burst float64) {
 	return g.specs[u.info.Service].bucket(g.cfg.Holders)
 }
--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -8,17 +8,17 @@
 	"github.com/pomelorelay/pomelorelay/pomelowarmup"
 )
 
-// Guards against a cold upstream that gets more in a second than it stands, from routers that learn of it at different times, that are
-// started meanwhile, or that take others for its holders; and against one that gets nothing at all.
+// Guards against a cold upstream that receives more requests in a second than the bound, from routers that learn of it at different times, that
+// restart meanwhile, or that compute different holders; and against one that receives too few requests to warm up.
 func TestFleetStaysWithinTheBoundOfAColdUpstream(t *testing.T) {
 	for _, c := range []struct {
-		name string
+		name    string
 		disturb func(f *fleet, now time.Time, tick int)
 	}{
-		{"all learn at once", func(*fleet, time.Time, int) {}},
-		{"routers start anew", func(f *fleet, now time.Time, tick int) {
+		{"no disturbance", func(*fleet, time.Time, int) {}},
+		{"routers restart", func(f *fleet, now time.Time, tick int) {
 			if tick%10 == 0 {
-				f.restart(now, f.random.IntN(len(f.peers)), coldFor)
+				f.restart(now, f.rng.IntN(len(f.peers)), coldFor)
 			}
 		}},
 		{"half of the routers miss a tenth of the registrations", func(f *fleet, _ time.Time, tick int) {
@@ -28,7 +28,7 @@
 				}
 			}
 		}},
-		{"a region sees nobody but itself", func(f *fleet, _ time.Time, tick int) {
+		{"routers of one region see only their own region", func(f *fleet, _ time.Time, tick int) {
 			if tick > 0 {
 				return
 			}
@@ -49,7 +49,7 @@
 			f := newFleet(seed, 78, pomelowarmup.DefaultHolders)
 			now := start
 			for _, s := range f.states {
-				s.ColdFor(now.Add(time.Duration(f.random.IntN(300))*time.Millisecond), coldFor)
+				s.ColdFor(now.Add(time.Duration(f.rng.IntN(300))*time.Millisecond), coldFor)
 			}
 			for tick := range 250 {
 				c.disturb(f, now, tick)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Guards against a number of holders whose bursts together are over the bound, as when every router of a large region is one.
+// Guards against a number of holders whose bursts together exceed the bound, such as all routers of a large region.
 func TestTooManyHoldersExceedTheBound(t *testing.T) {
 	for _, c := range []struct {
 		holders int
@@ -103,22 +103,22 @@
 	far.Domain = "f"
 	near := newPeers(1)[0]
 	for _, c := range []struct {
-		name string
+		name        string
 		newUpstream func(g *pomelowarmup.Gate) *pomelowarmup.Upstream
-		// cold is how long the upstream is then taken as cold.
+		// cold is how long the upstream then counts as cold.
 		cold time.Duration
 	}{
 		{"listed as warm", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Upstream(start, entry(0)) }, 0},
 		{"listed as cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Upstream(start, entry(time.Second)) }, time.Second},
-		{"listed without a word", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"listed without a cold period", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			return g.Upstream(start, entry(pomelorelay.ColdUnknown))
 		}, coldFor},
-		{"without a word, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"listed without a cold period, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			return g.Upstream(start, neverCold(entry(pomelorelay.ColdUnknown)))
 		}, 0},
-		{"started anew", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(0)) }, coldFor},
-		{"started anew and cold for less", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(time.Second)) }, time.Second},
-		{"cold once more", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"restarted", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(0)) }, coldFor},
+		{"restarted with a shorter cold period", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(time.Second)) }, time.Second},
+		{"cold again by its newest entry", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.Upstream(start, entry(0))
 			u.Listed(start, entry(2*time.Second))
 			return u
@@ -133,7 +133,7 @@
 			u.MayBeCold(start)
 			return u
 		}, coldFor},
-		{"cold by another router's word", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"reported cold by another router", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.Upstream(start, entry(0))
 			u.ColdFor(start, 2*time.Second)
 			return u
@@ -171,7 +171,7 @@
 	}
 }
 
-// Guards against an upstream that nobody tries while it may be back, and against one that every router tries.
+// Guards against a suspect upstream that no router tries again, and against one that every router tries.
 func TestOnlyHoldersSendToASuspectUpstream(t *testing.T) {
 	f := newFleet(3, 78, pomelowarmup.DefaultHolders)
 	senders := 0
@@ -182,18 +182,18 @@
 		}
 	}
 	if senders != pomelowarmup.DefaultHolders {
-		t.Errorf("%d routers try it, want %d", senders, pomelowarmup.DefaultHolders)
+		t.Errorf("%d routers may send to the suspect upstream, want %d", senders, pomelowarmup.DefaultHolders)
 	}
 }
 
-// Guards against a time to come back at which the router still sends nothing.
+// Guards against a wait after which the router still sends nothing.
 func TestRouterMaySendAfterTheWait(t *testing.T) {
 	f := newFleet(5, 12, pomelowarmup.DefaultHolders)
 	for i, s := range f.states {
 		s.ColdFor(start, coldFor)
 		wait := s.Wait(start)
 		if wait <= 0 || wait > coldFor {
-			t.Errorf("router %d: wait of %v", i, wait)
+			t.Errorf("router %d: wait of %v, want more than 0 and at most the cold period", i, wait)
 		}
 		if s.Class(start.Add(wait+time.Millisecond)) == pomelowarmup.Closed {
 			t.Errorf("router %d sends nothing after its wait of %v", i, wait)
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -6,16 +6,15 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Class tells whether a request may go to an upstream.
+// Class is the admission class of an upstream for the requests of this router.
 type Class int
 
-// The classes.
 const (
-	// Open upstreams take requests: they are warm, or this router is to find out whether they are back.
+	// Open upstreams accept requests: they are warm, or suspect and tried again by this router.
 	Open Class = iota
-	// Reserve upstreams are cold and take a request of this router's part of their bound, where no open one can.
+	// Reserve upstreams are cold and accept a request within this router's part of their bound if no open upstream can take it.
 	Reserve
-	// Closed upstreams are cold and get nothing from this router now.
+	// Closed upstreams are cold and accept no request of this router at present.
 	Closed
 )
 
@@ -23,15 +22,15 @@
 type Upstream struct {
 	gate *Gate
 	info pomelorelay.FleetUpstream
-	// coldUntil is until when it is cold, suspectUntil until when it may have started anew without that being known.
+	// coldUntil is the end of the cold period, suspectUntil the end of the period in which an unnoticed restart is possible.
 	coldUntil, suspectUntil time.Time
-	// suspectSince is when that became unknown.
+	// suspectSince is the time of the first failed connection of the suspect period.
 	suspectSince time.Time
-	// tokens is how much of a request this router may send, at levelAt.
-	tokens   float64
+	// tokens is the fill of this router's token bucket at refilledAt, in requests.
+	tokens     float64
 	refilledAt time.Time
-	// holder is whether this router holds a part of the bound, as of the change heldAt of the routers.
-	holder   bool
+	// holder reports whether this router holds a part of the bound, computed for the routersVersion in holderVersion.
+	holder        bool
 	holderVersion uint64
 }
 
@@ -47,7 +46,7 @@
 	return u
 }
 
-// Restarted returns the state of an upstream that was listed before and has started anew since.
+// Restarted returns the state of an upstream that was listed before and has restarted since.
 func (g *Gate) Restarted(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
 	u.extendCold(now, max(info.ColdFor, 0))
@@ -57,7 +56,7 @@
 	return u
 }
 
-// Listed takes the newest entry of the same start.
+// Listed updates the upstream from a newer list entry of the same start.
 func (u *Upstream) Listed(now time.Time, info pomelorelay.FleetUpstream) {
 	previous := u.info.ColdFor
 	u.info = info
@@ -70,8 +69,8 @@
 	}
 }
 
-// Unreached notes that the upstream took no connection: whatever ended it, it will be cold when it is back. It returns whether to report that to
-// the other routers. Routers of other regions do not: there, a broken link and an upstream that is down look the same.
+// Unreached records that the upstream accepted no connection; whatever the cause, it will be cold when it returns. It reports whether to notify
+// the other routers. Routers of other regions do not, because they cannot tell a broken link from an upstream that is down.
 func (u *Upstream) Unreached(now time.Time) bool {
 	if !u.gate.sameRegion(u) {
 		return false
@@ -79,7 +78,7 @@
 	return u.Suspect(now)
 }
 
-// Suspect notes that a router of the upstream's region could not connect to it; it reports whether that matters for the service.
+// Suspect records that a router of the upstream's region could not connect to it; it reports whether upstreams of the service can be cold.
 func (u *Upstream) Suspect(now time.Time) bool {
 	if u.gate.coldDuration(u) <= 0 {
 		return false
@@ -92,8 +91,9 @@
 	return true
 }
 
-// Answered notes an answer of the upstream to a request that was sent at a time. It returns how long the upstream may be cold from now on if that
-// was not known, for the other routers. An answer to an earlier request only shows that the upstream lived then.
+// Answered records an answer to a request that was sent at the given time. If it ends a suspect period, the upstream counts as cold, and Answered
+// returns the remaining time and true, for notifying the other routers. An answer to a request sent before the failed connection is ignored,
+// since it does not show that the upstream is running again.
 func (u *Upstream) Answered(now, sent time.Time) (time.Duration, bool) {
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
 		return 0, false
@@ -102,13 +102,13 @@
 	return u.coldUntil.Sub(now), true
 }
 
-// ColdFor notes that the upstream may be cold for a time from now on, and is reachable.
+// ColdFor records that the upstream is reachable and may be cold for the given time from now.
 func (u *Upstream) ColdFor(now time.Time, remaining time.Duration) {
 	u.suspectUntil = time.Time{}
 	u.extendCold(now, remaining)
 }
 
-// MayBeCold notes that the upstream may have become cold without a start.
+// MayBeCold records that the upstream may have become cold without a restart.
 func (u *Upstream) MayBeCold(now time.Time) { u.extendCold(now, u.gate.coldDuration(u)) }
 
 func (u *Upstream) extendCold(now time.Time, remaining time.Duration) {
@@ -121,30 +121,31 @@
 	}
 }
 
-// resetBucketIfWarm begins with an empty bucket where the upstream was warm: a full one in each router that has just started would be too much together.
+// resetBucketIfWarm empties the token bucket if the upstream was warm until now: full buckets in routers that have just started would
+// together exceed the bound.
 func (u *Upstream) resetBucketIfWarm(now time.Time) {
 	if !u.Cold(now) {
 		u.tokens, u.refilledAt = 0, now
 	}
 }
 
-// Cold reports whether the upstream is cold, or may be.
+// Cold reports whether the upstream is cold or may be.
 func (u *Upstream) Cold(now time.Time) bool {
 	return now.Before(u.coldUntil) || now.Before(u.suspectUntil)
 }
 
-// Status describes an upstream for the log.
+// Status is the warm-up state of an upstream for the log.
 type Status struct {
 	Cold bool
-	// Left is how much longer, at most, if nothing else is learnt.
+	// Left is the maximum remaining time of the cold or suspect period.
 	Left time.Duration
-	// Unreached tells that it took no connection and has not answered since.
+	// Unreached reports that the upstream accepted no connection and has not answered since.
 	Unreached bool
-	// Holder tells that this router holds a part of its bound.
+	// Holder reports that this router holds a part of the upstream's bound.
 	Holder bool
 }
 
-// Status returns the upstream's state for the log.
+// Status returns the warm-up state for the log.
 func (u *Upstream) Status(now time.Time) Status {
 	if !u.Cold(now) {
 		return Status{}
@@ -152,7 +153,7 @@
 	return Status{Cold: true, Left: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
 }
 
-// Class returns whether a request of this router may go to the upstream.
+// Class returns the upstream's admission class for a request of this router.
 func (u *Upstream) Class(now time.Time) Class {
 	switch {
 	case !u.Cold(now):
@@ -165,7 +166,7 @@
 	return Reserve
 }
 
-// Take notes that a request is sent.
+// Take records that a request is sent to the upstream.
 func (u *Upstream) Take(now time.Time) {
 	if u.Cold(now) {
 		u.tokens = max(0, u.refill(now)-1)
@@ -181,7 +182,7 @@
 	return u.tokens
 }
 
-// Wait returns when this router may send a request to the upstream.
+// Wait returns the time until this router may send a request to the upstream, at most the rest of the cold period.
 func (u *Upstream) Wait(now time.Time) time.Duration {
 	if !u.Cold(now) {
 		return 0
