--- a/pomelospeed/line.go
+++ b/pomelospeed/line.go
@@ -22,8 +22,8 @@
 	priorOverheadAnswers = 6
 	// priorPrefillTime is the prefill time of the prior's second point until answers are observed.
 	priorPrefillTime = 200 * time.Millisecond
-	// halfLife is the half-life of observed answers: step times change with the running batch.
-	halfLife = 4 * time.Second
+	// observationHalfLife is the half-life of observed answers: step times change with the running batch.
+	observationHalfLife = 4 * time.Second
 	// minAnswers is the number of answers down to which observations decay, so that a fleet under low load keeps its estimate.
 	minAnswers = 50
 	// maxReportAnswers bounds the number of answers that one report of another router counts for: its first report covers all since its start.
@@ -80,8 +80,8 @@
 	l.accumulate(now, s)
 }
 
-// weight returns the weight of an answer that followed the prefill of the given tokens. The spread of times to first token grows in
-// proportion to their length.
+// weight returns the weight of an answer that followed the prefill of the given tokens, the inverse of its relative variance: the standard
+// deviation of times to first token grows in proportion to their length.
 func (l *Line) weight(tokens float64) float64 {
 	relative := 1 + l.perTokenMS*tokens/milliseconds(priorOverhead)
 	return 1 / (relative * relative)
@@ -119,7 +119,7 @@
 		l.decayedAt = now
 	}
 	if passed := now.Sub(l.decayedAt); passed > 0 && l.observed.Answers > minAnswers {
-		retained := max(math.Exp2(-float64(passed)/float64(halfLife)), minAnswers/l.observed.Answers)
+		retained := max(math.Exp2(-float64(passed)/float64(observationHalfLife)), minAnswers/l.observed.Answers)
 		l.observed = addScaled(pomelorelay.SpeedSums{}, l.observed, retained)
 	}
 	l.decayedAt = now
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -16,7 +16,7 @@
 // NewPauses returns the Ratio of streams that pause for longer than their callers accept to all streams that run while their engine prefills
 // for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep generating meanwhile.
 func NewPauses() *Ratio {
-	return NewRatio(RatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: halfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
+	return NewRatio(RatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
 }
 
 // PauseWeight returns the weight, from 0 to 1, of long prefills for the given fraction of streams that they pause.
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -182,7 +182,7 @@
 	return u.tokens
 }
 
-// Wait returns the time until this router may send a request to the upstream, at most the rest of the cold period.
+// Wait returns the time until this router may send a request to the upstream, at most the rest of the cold or suspect period.
 func (u *Upstream) Wait(now time.Time) time.Duration {
 	if !u.Cold(now) {
 		return 0
