--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -87,7 +87,7 @@
 	s.record(id, usage{served: cost})
 }
 
-// Returned reverts the Served record of a request that no engine ran.
+// Returned subtracts a request that was recorded as served although no engine ran it.
 func (s *Shares) Returned(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.record(id, usage{served: -cost})
 }
@@ -260,12 +260,12 @@
 }
 
 // effectiveLevel returns the level up to which accounts are served. Engines often produce more than the configured capacity; the surplus
-// goes to the least served short account. Served first come, first served, a flood would take most of it, and an account slightly above
+// goes to the least served short account. If it went to the first requests, a flood would take most of it, and an account slightly above
 // the configured level would get less than half of what the flood gets.
 func (s *Shares) effectiveLevel() pomelorelay.Cost { return max(s.level, s.minServedShort) }
 
 // State returns the account's requested and served cost within the window, and the level up to which accounts are served.
-func (s *Shares) State(id pomelorelay.AccountID) (asked, served, level pomelorelay.Cost) {
+func (s *Shares) State(id pomelorelay.AccountID) (requested, served, level pomelorelay.Cost) {
 	a := s.account(id)
 	return a.window.requested, a.window.served, s.effectiveLevel()
 }
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -71,8 +71,8 @@
 	for at := time.Duration(0); at <= window+window/5; at += 100 * time.Millisecond {
 		s.Tick(start.Add(at))
 	}
-	if asked, served, _ := s.State("large"); asked != 0 || served != 0 {
-		t.Errorf("%v requested and %v served are still in the window", asked, served)
+	if requested, served, _ := s.State("large"); requested != 0 || served != 0 {
+		t.Errorf("%v requested and %v served are still in the window", requested, served)
 	}
 }
 
@@ -108,16 +108,16 @@
 	for at := time.Duration(0); at < 2*window; at += 100 * time.Millisecond {
 		s.Tick(start.Add(at))
 	}
-	report := func(incarnation pomelorelay.Incarnation, asked pomelorelay.Cost) {
-		s.TakeReport("r1", incarnation, []pomelorelay.AccountUse{{Account: "a", Asked: asked}})
+	report := func(incarnation pomelorelay.Incarnation, requested pomelorelay.Cost) {
+		s.TakeReport("r1", incarnation, []pomelorelay.AccountUse{{Account: "a", Asked: requested}})
 	}
 	report(1, 10)
 	report(1, 10)
 	report(1, 30)
 	report(2, 5)
 	report(1, 1000)
-	if asked, _, _ := s.State("a"); asked != 35 {
-		t.Errorf("%v requested, want 35", asked)
+	if requested, _, _ := s.State("a"); requested != 35 {
+		t.Errorf("%v requested, want 35", requested)
 	}
 }
 
@@ -139,8 +139,8 @@
 			receiver.TakeReport("a", 1, sender.Report(false, nil))
 		}
 		receiver.TakeReport("a", 1, sender.Report(true, nil))
-		if asked, _, _ := receiver.State("x"); asked != total {
-			t.Fatalf("%v requested after the full report, want %v", asked, total)
+		if requested, _, _ := receiver.State("x"); requested != total {
+			t.Fatalf("%v requested after the full report, want %v", requested, total)
 		}
 	})
 }
@@ -257,7 +257,7 @@
 	s.TakeReport("second", 1, sums(700))
 	s.Mark("first", 1, sums(700))
 	s.TakeReport("first", 1, sums(800))
-	if asked, served, _ := s.State("a"); asked != 800 || served != 800 {
-		t.Errorf("%v requested and %v served, want 800", asked, served)
+	if requested, served, _ := s.State("a"); requested != 800 || served != 800 {
+		t.Errorf("%v requested and %v served, want 800", requested, served)
 	}
 }
--- a/pomelospeed/factor.go
+++ b/pomelospeed/factor.go
@@ -19,7 +19,7 @@
 	maxFactor = 16.0
 )
 
-// Factor is the ratio of one engine's times to first token to those expected by the Line of its service.
+// Factor is the ratio of one engine's times to first token to those that the linear model of its service predicts.
 type Factor struct {
 	took, expected float64 // milliseconds
 	decayedAt      time.Time
@@ -49,7 +49,7 @@
 }
 
 // Beside returns how many times slower the engine is than the median engine, whose ratio is given, or 1 where the difference may be noise.
-// Comparing with the median excludes the error of a Line that has not converged yet. The result is never below 1, or all routers would send
+// Comparing with the median excludes the error of a linear model that has not converged yet. The result is never below 1, or all routers would send
 // to the fastest engine at once.
 func (f *Factor) Beside(now time.Time, median float64) float64 {
 	ratio := f.Ratio(now) / median
--- a/pomelospeed/line.go
+++ b/pomelospeed/line.go
@@ -45,7 +45,7 @@
 	overheadMS, perTokenMS float64
 }
 
-// NewLine returns a Line with the given prior rate, which applies until answers are observed.
+// NewLine returns a model with the given prior rate, which applies until answers are observed.
 func NewLine(prior Rate) *Line {
 	l := &Line{}
 	l.SetGuess(prior)
--- a/pomelospeed/line_test.go
+++ b/pomelospeed/line_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// newTrained returns a Line after the given number of answers, spread evenly over the time.
+// newTrained returns a model after the given number of answers, spread evenly over the time.
 func newTrained(e *engine, prior pomelospeed.Rate, answers int, length time.Duration) *pomelospeed.Line {
 	l := pomelospeed.NewLine(prior)
 	now := start
@@ -115,7 +115,8 @@
 	}
 }
 
-// Guards against slow detection of an engine that becomes four times slower: requests sent there meanwhile are late.
+// Guards against slow detection of an engine that becomes four times slower: requests sent there meanwhile are late,
+// and requests already running there delay their callers.
 func TestSlowEngineIsDetectedWithinASecond(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	const expected = 200 * time.Millisecond
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -13,8 +13,8 @@
 	pauseSaturation = 0.08
 )
 
-// NewPauses returns the Ratio of streams that pause for longer than their callers accept to all streams that run while their engine prefills
-// for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep generating meanwhile.
+// NewPauses returns an estimate of the fraction of streams that pause for longer than their callers accept, among those that run while their
+// engine prefills for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep generating meanwhile.
 func NewPauses() *Ratio {
 	return NewRatio(RatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
 }
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sums are the numerator (Amount) and the denominator (Of) of a Ratio.
+// Sums are the numerator and the denominator of a ratio, in this order.
 type Sums struct {
 	Amount, Of float64
 }
@@ -17,7 +17,7 @@
 
 func (s *Sums) scale(factor float64) { *s = Sums{Amount: factor * s.Amount, Of: factor * s.Of} }
 
-// RatioConfig holds the prior and the decay settings of a Ratio.
+// RatioConfig holds the prior and the decay settings of an estimate.
 type RatioConfig struct {
 	// Prior is the value before any observation, PriorWeight the denominator that it counts for.
 	Prior, PriorWeight float64
@@ -35,7 +35,7 @@
 	decayedAt       time.Time
 }
 
-// NewRatio returns a Ratio without observations.
+// NewRatio returns an estimate without observations.
 func NewRatio(cfg RatioConfig) *Ratio { return &Ratio{cfg: cfg} }
 
 // Note records an observation of this router.
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -91,8 +91,8 @@
 	return true
 }
 
-// Answered records an answer to a request that was sent at the given time. If it ends a suspect period, the upstream counts as cold, and Answered
-// returns the remaining time and true, for notifying the other routers. An answer to a request sent before the failed connection is ignored,
+// Answered records an answer to a request that was sent at the given time. If it ends a suspect period, the upstream counts as cold, and the
+// remaining time and true are returned, for notifying the other routers. An answer to a request sent before the failed connection is ignored,
 // since it does not show that the upstream is running again.
 func (u *Upstream) Answered(now, sent time.Time) (time.Duration, bool) {
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
