--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -197,7 +197,7 @@
 }
 
 // Lead returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is short.
-// Above 1 the account should yield; the ratio is 0 when no account is short.
+// Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers all requests.
 func (s *Shares) Lead(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.minServedShort == 0 {
 		return 0
