--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -8,17 +8,17 @@
 	"github.com/pomelorelay/pomelorelay/pomelowarmup"
 )
 
-// Guards against a cold upstream that gets more in a second than it stands, from routers that learn of it at different times, that are
-// started meanwhile, or that take others for its holders; and against one that gets nothing at all.
-func TestTheFleetStaysBelowTheBound(t *testing.T) {
+// Guards against a cold upstream that receives more requests in a second than the bound, from routers that learn of it at different times, that
+// restart meanwhile, or that compute different holders; and against one that receives too few requests to warm up.
+func TestFleetStaysWithinTheBoundOfAColdUpstream(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		play func(f *fleet, now time.Time, tick int)
+		name    string
+		disturb func(f *fleet, now time.Time, tick int)
 	}{
-		{"all learn at once", func(*fleet, time.Time, int) {}},
-		{"routers start anew", func(f *fleet, now time.Time, tick int) {
+		{"no disturbance", func(*fleet, time.Time, int) {}},
+		{"routers restart", func(f *fleet, now time.Time, tick int) {
 			if tick%10 == 0 {
-				f.restart(now, f.random.IntN(len(f.peers)), coldFor)
+				f.restart(now, f.rng.IntN(len(f.peers)), coldFor)
 			}
 		}},
 		{"half of the routers miss a tenth of the registrations", func(f *fleet, _ time.Time, tick int) {
@@ -28,7 +28,7 @@
 				}
 			}
 		}},
-		{"a region sees nobody but itself", func(f *fleet, _ time.Time, tick int) {
+		{"routers of one region see only their own region", func(f *fleet, _ time.Time, tick int) {
 			if tick > 0 {
 				return
 			}
@@ -49,15 +49,15 @@
 			f := newFleet(seed, 78, pomelowarmup.DefaultHolders)
 			now := start
 			for _, s := range f.states {
-				s.ColdFor(now.Add(time.Duration(f.random.IntN(300))*time.Millisecond), coldFor)
+				s.ColdFor(now.Add(time.Duration(f.rng.IntN(300))*time.Millisecond), coldFor)
 			}
 			for tick := range 250 {
-				c.play(f, now, tick)
+				c.disturb(f, now, tick)
 				f.send(now)
 				now = now.Add(10 * time.Millisecond)
 			}
-			if most := f.busiest(); float64(most) > bound {
-				t.Errorf("%s, seed %d: %d requests in a second, the bound is %.1f", c.name, seed, most, bound)
+			if peak := f.peakPerSecond(); float64(peak) > bound {
+				t.Errorf("%s, seed %d: %d requests in a second, the bound is %.1f", c.name, seed, peak, bound)
 			}
 			if len(f.sent) < 5 {
 				t.Errorf("%s, seed %d: %d requests in all", c.name, seed, len(f.sent))
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against a number of holders whose bursts together are over the bound, as when every router of a large region is one.
-func TestHoldersAreCompared(t *testing.T) {
+// Guards against a number of holders whose bursts together exceed the bound, such as all routers of a large region.
+func TestTooManyHoldersExceedTheBound(t *testing.T) {
 	for _, c := range []struct {
 		holders int
 		within  bool
@@ -81,44 +81,44 @@
 			f.send(now)
 			now = now.Add(10 * time.Millisecond)
 		}
-		most := f.busiest()
-		t.Logf("%d holders: %.1f a second, %d in the busiest second", c.holders, float64(len(f.sent))/60, most)
-		if within := float64(most) <= bound; within != c.within {
-			t.Errorf("%d holders: %d requests in a second, the bound is %.1f", c.holders, most, bound)
+		peak := f.peakPerSecond()
+		t.Logf("%d holders: %.1f a second, %d in the busiest second", c.holders, float64(len(f.sent))/60, peak)
+		if within := float64(peak) <= bound; within != c.within {
+			t.Errorf("%d holders: %d requests in a second, the bound is %.1f", c.holders, peak, bound)
 		}
 	}
 }
 
 func TestWhatMakesAnUpstreamCold(t *testing.T) {
 	entry := func(left time.Duration) pomelorelay.FleetUpstream {
-		u := listed("u")
+		u := upstreamEntry("u")
 		u.ColdFor = left
 		return u
 	}
-	free := func(u pomelorelay.FleetUpstream) pomelorelay.FleetUpstream {
+	neverCold := func(u pomelorelay.FleetUpstream) pomelorelay.FleetUpstream {
 		u.Service = "never cold"
 		return u
 	}
 	far := entry(0)
 	far.Domain = "f"
-	near := routersOf(1)[0]
+	near := newPeers(1)[0]
 	for _, c := range []struct {
-		name string
-		make func(g *pomelowarmup.Gate) *pomelowarmup.Upstream
-		// cold is how long the upstream is then taken as cold.
+		name        string
+		newUpstream func(g *pomelowarmup.Gate) *pomelowarmup.Upstream
+		// cold is how long the upstream then counts as cold.
 		cold time.Duration
 	}{
 		{"listed as warm", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Upstream(start, entry(0)) }, 0},
 		{"listed as cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Upstream(start, entry(time.Second)) }, time.Second},
-		{"listed without a word", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"listed without a cold period", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			return g.Upstream(start, entry(pomelorelay.ColdUnknown))
 		}, coldFor},
-		{"without a word, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			return g.Upstream(start, free(entry(pomelorelay.ColdUnknown)))
+		{"listed without a cold period, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+			return g.Upstream(start, neverCold(entry(pomelorelay.ColdUnknown)))
 		}, 0},
-		{"started anew", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(0)) }, coldFor},
-		{"started anew and cold for less", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(time.Second)) }, time.Second},
-		{"cold once more", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"restarted", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(0)) }, coldFor},
+		{"restarted with a shorter cold period", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(time.Second)) }, time.Second},
+		{"cold again by its newest entry", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.Upstream(start, entry(0))
 			u.Listed(start, entry(2*time.Second))
 			return u
@@ -133,7 +133,7 @@
 			u.MayBeCold(start)
 			return u
 		}, coldFor},
-		{"cold by another router's word", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"reported cold by another router", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.Upstream(start, entry(0))
 			u.ColdFor(start, 2*time.Second)
 			return u
@@ -156,12 +156,12 @@
 			return u
 		}, 0},
 		{"unreached, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, free(entry(0)))
+			u := g.Upstream(start, neverCold(entry(0)))
 			u.Unreached(start)
 			return u
 		}, 0},
 	} {
-		u := c.make(newGate(near, nil, pomelowarmup.DefaultHolders))
+		u := c.newUpstream(newGate(near, nil, pomelowarmup.DefaultHolders))
 		if c.cold > 0 && !u.Cold(start.Add(c.cold-time.Millisecond)) {
 			t.Errorf("%s: warm before %v", c.name, c.cold)
 		}
@@ -171,29 +171,29 @@
 	}
 }
 
-// Guards against an upstream that nobody tries while it may be back, and against one that every router tries.
-func TestOnlyHoldersTryAnUpstreamThatMayBeBack(t *testing.T) {
+// Guards against a suspect upstream that no router tries again, and against one that every router tries.
+func TestOnlyHoldersSendToASuspectUpstream(t *testing.T) {
 	f := newFleet(3, 78, pomelowarmup.DefaultHolders)
-	tried := 0
+	senders := 0
 	for _, s := range f.states {
 		s.Suspect(start)
 		if s.Class(start.Add(time.Second)) == pomelowarmup.Open {
-			tried++
+			senders++
 		}
 	}
-	if tried != pomelowarmup.DefaultHolders {
-		t.Errorf("%d routers try it, want %d", tried, pomelowarmup.DefaultHolders)
+	if senders != pomelowarmup.DefaultHolders {
+		t.Errorf("%d routers may send to the suspect upstream, want %d", senders, pomelowarmup.DefaultHolders)
 	}
 }
 
-// Guards against a time to come back at which the router still sends nothing.
-func TestTheWaitIsTrue(t *testing.T) {
+// Guards against a wait after which the router still sends nothing.
+func TestRouterMaySendAfterTheWait(t *testing.T) {
 	f := newFleet(5, 12, pomelowarmup.DefaultHolders)
 	for i, s := range f.states {
 		s.ColdFor(start, coldFor)
 		wait := s.Wait(start)
 		if wait <= 0 || wait > coldFor {
-			t.Errorf("router %d: wait of %v", i, wait)
+			t.Errorf("router %d: wait of %v, want more than 0 and at most the cold period", i, wait)
 		}
 		if s.Class(start.Add(wait+time.Millisecond)) == pomelowarmup.Closed {
 			t.Errorf("router %d sends nothing after its wait of %v", i, wait)
