--- a/pomelobudget/budget.go
+++ b/pomelobudget/budget.go
@@ -4,10 +4,10 @@
 
 // Config holds the settings of a Budget.
 type Config struct {
-	// Start is the initial number of retries, available before any request is counted.
-	Start float64
-	// Most is the maximum number of retries that accumulate while few are used.
-	Most float64
+	// Initial is the initial number of retries, available before any request is counted.
+	Initial float64
+	// Max is the maximum number of retries that accumulate while few are used.
+	Max float64
 }
 
 // Budget limits retries to a fraction of a service's requests; it is safe for concurrent use. Without it, upstreams that fail under load
@@ -19,13 +19,13 @@
 }
 
 // New returns a Budget with the initial number of retries.
-func New(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Start} }
+func New(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Initial} }
 
 // Earn adds the fraction of a retry that one request allows, up to the maximum.
 func (b *Budget) Earn(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+fraction, b.cfg.Most)
+	b.tokens = min(b.tokens+fraction, b.cfg.Max)
 }
 
 // Spend takes one retry from the budget; it reports false if none is left.
--- a/pomelometric/metrics.go
+++ b/pomelometric/metrics.go
@@ -49,31 +49,31 @@
 	return m
 }
 
-// Answered records an answer by route kind and ending, with the times from the request to the start and to the end of the answer.
-func (m *Metrics) Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration) {
+// ObserveAnswer records an answer by route kind and ending, with the times from the request to the start and to the end of the answer.
+func (m *Metrics) ObserveAnswer(kind pomelorelay.RouteKind, ending string, first, total time.Duration) {
 	m.answers.WithLabelValues(string(kind), ending).Inc()
 	m.firstAnswer.WithLabelValues(string(kind), ending).Observe(first.Seconds())
 	m.fullAnswer.WithLabelValues(string(kind), ending).Observe(total.Seconds())
 }
 
-// Retried counts a retry by the result code of the failed attempt.
-func (m *Metrics) Retried(code pomelorelay.ResultCode) {
+// CountRetry counts a retry by the result code of the failed attempt.
+func (m *Metrics) CountRetry(code pomelorelay.ResultCode) {
 	m.retries.WithLabelValues(code.Info().Name).Inc()
 }
 
-// Placed counts a placement decision; reason is empty if the request was placed.
-func (m *Metrics) Placed(reason string) { m.placements.WithLabelValues(reason).Inc() }
+// CountPlacement counts a placement decision; reason is empty if the request was placed.
+func (m *Metrics) CountPlacement(reason string) { m.placements.WithLabelValues(reason).Inc() }
 
-// Missed counts a message to another router that could not be queued.
-func (m *Metrics) Missed() { m.missedMessages.Inc() }
+// CountMissedMessage counts a message to another router that could not be queued.
+func (m *Metrics) CountMissedMessage() { m.missedMessages.Inc() }
 
-// StoreCalled counts a call to the platform's store by kind, cause and result code, which is zero for success.
-func (m *Metrics) StoreCalled(kind, cause string, code pomelorelay.ResultCode) {
+// CountStoreCall counts a call to the platform's store by kind, cause and result code, which is zero for success.
+func (m *Metrics) CountStoreCall(kind, cause string, code pomelorelay.ResultCode) {
 	m.storeCalls.WithLabelValues(kind, cause, strconv.Itoa(int(code))).Inc()
 }
 
-// Set sets the gauge of the given name.
-func (m *Metrics) Set(name string, value float64) { m.gauges.WithLabelValues(name).Set(value) }
+// SetGauge sets the gauge of the given name.
+func (m *Metrics) SetGauge(name string, value float64) { m.gauges.WithLabelValues(name).Set(value) }
 
 // Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler {
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -164,7 +164,7 @@
 
 const (
 	// startRate is the first guess of how fast an engine reads where the operators do not say what all engines produce together.
-	startRate pomelospeed.Rate = 100
+	startRate pomelospeed.PrefillRate = 100
 	// readTimes is how many times as fast as it produces tokens on the whole an engine reads: about half of its time goes to generating.
 	readTimes = 2
 	// startService is the first guess of a plain service's time for a request; it is learnt from then on.
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -88,10 +88,10 @@
 func (p *Placer) guess() {
 	rate := startRate
 	if p.capacity > 0 && p.engineCount > 0 {
-		rate = pomelospeed.Rate(readTimes * float64(p.capacity) / float64(p.engineCount) / 1000)
+		rate = pomelospeed.PrefillRate(readTimes * float64(p.capacity) / float64(p.engineCount) / 1000)
 	}
 	for _, s := range p.services {
-		s.line.SetGuess(rate)
+		s.line.SetPriorRate(rate)
 	}
 }
 
@@ -112,7 +112,7 @@
 	u.region = p.cfg.Regions[info.Domain]
 	u.foreign = u.region != p.cfg.Self.Region
 	u.domain = p.domain(info.Domain)
-	u.start.Listed(now, info)
+	u.start.UpdateEntry(now, info)
 	if p.upstreams[info.ID] == u {
 		return
 	}
@@ -143,9 +143,9 @@
 // startOf returns what is known of the start of an upstream that is listed anew.
 func (p *Placer) startOf(now time.Time, info pomelorelay.FleetUpstream) *pomelowarmup.Upstream {
 	if p.known(info.ID) != nil {
-		return p.warmup.Restarted(now, info)
+		return p.warmup.NewRestartedUpstream(now, info)
 	}
-	return p.warmup.Upstream(now, info)
+	return p.warmup.NewUpstream(now, info)
 }
 
 // SetRouters takes the other routers that are registered.
@@ -234,7 +234,7 @@
 	least, found := mostRetry, false
 	for _, u := range s.list {
 		if p.usable(u, r) && u.start.Cold(now) {
-			least, found = min(least, u.start.Wait(now)), true
+			least, found = min(least, u.start.RetryAfter(now)), true
 		}
 	}
 	return max(least, leastRetry), found
@@ -259,7 +259,7 @@
 	}
 	for _, u := range p.upstreams {
 		if u.info.Domain == domain {
-			u.start.MayBeCold(now)
+			u.start.MarkMaybeCold(now)
 		}
 	}
 }
@@ -293,7 +293,7 @@
 
 // best returns the candidate of the lowest cost among the upstreams of a class. Those that failed this request or take no connections are taken
 // only when there is no other.
-func (p *Placer) best(now time.Time, r *Request, class pomelowarmup.Class) (candidate, bool) {
+func (p *Placer) best(now time.Time, r *Request, class pomelowarmup.Admission) (candidate, bool) {
 	var best candidate
 	s := p.services[r.Service]
 	if s == nil {
@@ -305,7 +305,7 @@
 	s.renew(now)
 	for round := 0; round < 2 && !found; round++ {
 		for _, u := range s.list {
-			if !p.usable(u, r) || u.start.Class(now) != class || (round == 0 && (u.rests(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
+			if !p.usable(u, r) || u.start.Admission(now) != class || (round == 0 && (u.rests(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
 				continue
 			}
 			c := p.weigh(now, u, source, r)
@@ -321,7 +321,7 @@
 
 func (p *Placer) start(now time.Time, c candidate, r *Request) *Run {
 	u := c.up
-	u.start.Take(now)
+	u.start.RecordSend(now)
 	u.domain.sent(now)
 	run := &Run{up: u, sent: now, missing: c.missing, copied: c.copied, held: r.Prompt + r.Output}
 	u.own.running++
@@ -396,7 +396,7 @@
 	if hung {
 		u.domain.hang(now, run.sent, u.info.ID)
 	}
-	if (!hung || p.answeredAt.After(run.sent)) && u.start.Unreached(now) {
+	if (!hung || p.answeredAt.After(run.sent)) && u.start.RecordConnectFailure(now) {
 		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
 	}
 }
@@ -406,7 +406,7 @@
 	p.answeredAt = now
 	run.up.domain.answer(now)
 	u := run.up
-	if left, news := u.start.Answered(now, run.sent); news {
+	if left, news := u.start.RecordAnswer(now, run.sent); news {
 		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: left})
 	}
 }
@@ -418,9 +418,9 @@
 		switch {
 		case u == nil:
 		case s.Unreached:
-			u.start.Suspect(now)
+			u.start.MarkSuspect(now)
 		default:
-			u.start.ColdFor(now, s.ColdFor)
+			u.start.MarkCold(now, s.ColdFor)
 		}
 	}
 }
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -21,13 +21,13 @@
 	p.sentSince = 0
 	m.Seq = p.seq
 	for name, s := range p.services {
-		if sums := s.line.Own(); s.tells(sums.Answers) || (m.Whole && sums.Answers > 0) {
+		if sums := s.line.LocalSums(); s.tells(sums.Answers) || (m.Whole && sums.Answers > 0) {
 			s.told = sums.Answers
 			sums.Service = name
-			pauses := s.pauses.Own()
-			sums.Beside, sums.Paused = pauses.Of, pauses.Amount
-			copies := s.copies.Own()
-			sums.Copied, sums.CopyTook = copies.Of, copies.Amount
+			pauses := s.pauses.LocalSums()
+			sums.Beside, sums.Paused = pauses.Denominator, pauses.Numerator
+			copies := s.copies.LocalSums()
+			sums.Copied, sums.CopyTook = copies.Denominator, copies.Numerator
 			m.Speeds = append(m.Speeds, sums)
 		}
 		for _, u := range s.list {
@@ -134,12 +134,12 @@
 	}
 }
 
-func pauseSums(s pomelorelay.SpeedSums) pomelospeed.Sums {
-	return pomelospeed.Sums{Amount: s.Paused, Of: s.Beside}
+func pauseSums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
+	return pomelospeed.RatioSums{Numerator: s.Paused, Denominator: s.Beside}
 }
 
-func copySums(s pomelorelay.SpeedSums) pomelospeed.Sums {
-	return pomelospeed.Sums{Amount: s.CopyTook, Of: s.Copied}
+func copySums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
+	return pomelospeed.RatioSums{Numerator: s.CopyTook, Denominator: s.Copied}
 }
 
 func (p *Placer) take(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
@@ -154,7 +154,7 @@
 	u.others.unread += next.unread - before.unread
 	u.others.held += next.held - before.held
 	if known && next.expected > before.expected {
-		u.factor.Note(now, next.took-before.took, next.expected-before.expected)
+		u.factor.Observe(now, next.took-before.took, next.expected-before.expected)
 	}
 	switch {
 	case known && next.sent > before.sent:
--- a/pomeloplace/speed.go
+++ b/pomeloplace/speed.go
@@ -11,7 +11,7 @@
 type Speed struct {
 	Service pomelorelay.ServiceID
 	// Rate is how fast they read, Overhead what a first token takes besides.
-	Rate     pomelospeed.Rate
+	Rate     pomelospeed.PrefillRate
 	Overhead time.Duration
 	// Pauses is how much it counts, from 0 to 1, that long reading makes streams pause for too long.
 	Pauses float64
@@ -26,7 +26,7 @@
 		if len(s.list) == 0 || s.list[0].engine == nil {
 			continue
 		}
-		all = append(all, Speed{Service: name, Rate: s.line.Rate(), Overhead: s.line.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyPart})
+		all = append(all, Speed{Service: name, Rate: s.line.PrefillRate(), Overhead: s.line.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyPart})
 	}
 	return all
 }
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -58,9 +58,9 @@
 	return r.routes[route].And(r.accounts[account])
 }
 
-// Of returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change both versions
+// Residency returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change both versions
 // apply, or only the newer one if they have no region in common.
-func (p *Policy) Of(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
+func (p *Policy) Residency(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
 	current := p.current.residency(route, account)
 	if !now.Before(p.previousEnds) {
 		return current
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -77,18 +77,18 @@
 	a.steps[step].served += u.served
 }
 
-// Asked records a request that this router received.
-func (s *Shares) Asked(id pomelorelay.AccountID, cost pomelorelay.Cost) {
+// RecordRequest records a request that this router received.
+func (s *Shares) RecordRequest(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.record(id, usage{requested: cost})
 }
 
-// Served records a request that this router sent to an engine.
-func (s *Shares) Served(id pomelorelay.AccountID, cost pomelorelay.Cost) {
+// RecordServed records a request that this router sent to an engine.
+func (s *Shares) RecordServed(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.record(id, usage{served: cost})
 }
 
-// Returned subtracts a request that was recorded as served although no engine ran it.
-func (s *Shares) Returned(id pomelorelay.AccountID, cost pomelorelay.Cost) {
+// Refund subtracts a request that was recorded as served although no engine ran it.
+func (s *Shares) Refund(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.record(id, usage{served: -cost})
 }
 
@@ -100,9 +100,9 @@
 	a.add(s.currentStep, u)
 }
 
-// TakeReport merges another router's sums since its start. Reports must be passed in the order in which they were sent, and may be lost or
+// MergeReport merges another router's sums since its start. Reports must be passed in the order in which they were sent, and may be lost or
 // repeated: only the difference from the last one counts, which is negative where requests did not run.
-func (s *Shares) TakeReport(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
+func (s *Shares) MergeReport(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := s.peers[from]
 	firstReport := p == nil
 	if firstReport || p.incarnation < incarnation {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Mark sets another router's sums as the baseline of its next reports, for sums that were already counted through a third router.
-func (s *Shares) Mark(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
+// SetBaseline sets another router's sums as the baseline of its next reports, for sums that were already counted through a third router.
+func (s *Shares) SetBaseline(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := &peer{incarnation: incarnation, reported: make(map[pomelorelay.AccountID]usage, len(entries))}
 	for _, e := range entries {
 		p.reported[e.Account] = usage{requested: e.Asked, served: e.Served}
@@ -135,8 +135,8 @@
 
 func (s *Shares) inFirstWindow() bool { return s.stepStart.Sub(s.startedAt) < s.cfg.Window }
 
-// Report appends this router's sums to out: those that changed since the last call, or all.
-func (s *Shares) Report(all bool, out []pomelorelay.AccountUse) []pomelorelay.AccountUse {
+// AppendReport appends this router's sums to out: those that changed since the last call, or all.
+func (s *Shares) AppendReport(all bool, out []pomelorelay.AccountUse) []pomelorelay.AccountUse {
 	for _, id := range slices.Sorted(maps.Keys(s.accounts)) {
 		a := s.accounts[id]
 		if a.local == (usage{}) || (!all && !a.changed) {
@@ -196,9 +196,9 @@
 	return lowest
 }
 
-// Lead returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is short.
+// LeadOverLevel returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is short.
 // Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers all requests.
-func (s *Shares) Lead(id pomelorelay.AccountID) float64 {
+func (s *Shares) LeadOverLevel(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.minServedShort == 0 {
 		return 0
 	}
@@ -240,8 +240,8 @@
 	return 0
 }
 
-// Owed reports whether a request of the given cost is within the account's share.
-func (s *Shares) Owed(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
+// WithinShare reports whether a request of the given cost is within the account's share.
+func (s *Shares) WithinShare(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
 	if s.level == 0 {
 		return true
 	}
@@ -250,9 +250,9 @@
 	return served+cost/2 <= s.level || served <= s.minServedShort
 }
 
-// Ahead returns the ratio of the account's served cost to the most that any account may have, even within its share, while another one is far
+// LeadOverLeastServed returns the ratio of the account's served cost to the most that any account may have, even within its share, while another one is far
 // short. Above 1 the account should yield; the ratio is 0 when no account is far short.
-func (s *Shares) Ahead(id pomelorelay.AccountID) float64 {
+func (s *Shares) LeadOverLeastServed(id pomelorelay.AccountID) float64 {
 	if s.minServedFarShort == 0 {
 		return 0
 	}
@@ -264,14 +264,14 @@
 // the configured level would get less than half of what the flood gets.
 func (s *Shares) effectiveLevel() pomelorelay.Cost { return max(s.level, s.minServedShort) }
 
-// State returns the account's requested and served cost within the window, and the level up to which accounts are served.
-func (s *Shares) State(id pomelorelay.AccountID) (requested, served, level pomelorelay.Cost) {
+// Usage returns the account's requested and served cost within the window, and the level up to which accounts are served.
+func (s *Shares) Usage(id pomelorelay.AccountID) (requested, served, level pomelorelay.Cost) {
 	a := s.account(id)
 	return a.window.requested, a.window.served, s.effectiveLevel()
 }
 
-// Wait returns the estimated time until a request of the given cost is within the account's share again, at most the window.
-func (s *Shares) Wait(id pomelorelay.AccountID, cost pomelorelay.Cost) time.Duration {
+// RetryAfter returns the estimated time until a request of the given cost is within the account's share again, at most the window.
+func (s *Shares) RetryAfter(id pomelorelay.AccountID, cost pomelorelay.Cost) time.Duration {
 	if s.level == 0 {
 		return 0
 	}
--- a/pomelospeed/copies.go
+++ b/pomelospeed/copies.go
@@ -14,8 +14,8 @@
 	maxCopyReportTokens = 200_000
 )
 
-// NewCopies returns an estimate of the time that engines take to copy cached prompt parts from other engines, relative to the time to prefill
+// NewCopyTimeRatio returns an estimate of the time that engines take to copy cached prompt parts from other engines, relative to the time to prefill
 // them. The prefill of tokens that the other engine had already evicted counts as copy time.
-func NewCopies() *Ratio {
-	return NewRatio(RatioConfig{Prior: copyPrior, PriorWeight: copyPriorTokens, HalfLife: copyHalfLife, MaxReportWeight: maxCopyReportTokens})
+func NewCopyTimeRatio() *DecayingRatio {
+	return NewDecayingRatio(DecayingRatioConfig{Prior: copyPrior, PriorWeight: copyPriorTokens, HalfLife: copyHalfLife, MaxReportWeight: maxCopyReportTokens})
 }
--- a/pomelospeed/factor.go
+++ b/pomelospeed/factor.go
@@ -19,20 +19,20 @@
 	maxFactor = 16.0
 )
 
-// Factor is the ratio of one engine's times to first token to those that the linear model of its service predicts.
-type Factor struct {
+// SlowdownFactor is the ratio of one engine's times to first token to those that the linear model of its service predicts.
+type SlowdownFactor struct {
 	took, expected float64 // milliseconds
 	decayedAt      time.Time
 }
 
-// Note records answers by the sums of their actual and expected times to first token.
-func (f *Factor) Note(now time.Time, took, expected time.Duration) {
+// Observe records answers by the sums of their actual and expected times to first token.
+func (f *SlowdownFactor) Observe(now time.Time, took, expected time.Duration) {
 	f.decay(now)
 	f.took += milliseconds(took)
 	f.expected += milliseconds(expected)
 }
 
-func (f *Factor) decay(now time.Time) {
+func (f *SlowdownFactor) decay(now time.Time) {
 	if passed := now.Sub(f.decayedAt); passed > 0 {
 		retained := math.Exp2(-float64(passed) / float64(factorHalfLife))
 		f.took *= retained
@@ -42,16 +42,16 @@
 }
 
 // Ratio returns the ratio over recent answers, clamped to the range from 1/maxFactor to maxFactor.
-func (f *Factor) Ratio(now time.Time) float64 {
+func (f *SlowdownFactor) Ratio(now time.Time) float64 {
 	f.decay(now)
 	prior := milliseconds(factorPrior)
 	return min(max((f.took+prior)/(f.expected+prior), 1/maxFactor), maxFactor)
 }
 
-// Beside returns how many times slower the engine is than the median engine, whose ratio is given, or 1 where the difference may be noise.
+// RelativeTo returns how many times slower the engine is than the median engine, whose ratio is given, or 1 where the difference may be noise.
 // Comparing with the median excludes the error of a linear model that has not converged yet. The result is never below 1, or all routers would send
 // to the fastest engine at once.
-func (f *Factor) Beside(now time.Time, median float64) float64 {
+func (f *SlowdownFactor) RelativeTo(now time.Time, median float64) float64 {
 	ratio := f.Ratio(now) / median
 	if ratio >= significantRatio {
 		return ratio
--- a/pomelospeed/line.go
+++ b/pomelospeed/first_token_model.go
@@ -7,13 +7,13 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Rate is a prefill rate in prompt tokens per millisecond.
-type Rate float64
+// PrefillRate is a prefill rate in prompt tokens per millisecond.
+type PrefillRate float64
 
 const (
 	// minRate and maxRate bound the fit, so that a few outliers cannot make an engine look stopped or infinitely fast.
-	minRate Rate = 0.5
-	maxRate Rate = 5000
+	minRate PrefillRate = 0.5
+	maxRate PrefillRate = 5000
 	// priorOverhead is the prior of the time to first token without prefill: a few decoding steps and the network.
 	priorOverhead = 30 * time.Millisecond
 	// priorRateAnswers and priorOverheadAnswers are the numbers of answers that the priors of the rate and of the overhead count for. The
@@ -36,41 +36,41 @@
 	answersPerRateStep = 4
 )
 
-// Line models the time to first token as a linear function of the prompt tokens to prefill, fitted to the answers of all routers.
-type Line struct {
-	prior                  Rate
+// FirstTokenModel models the time to first token as a linear function of the prompt tokens to prefill, fitted to the answers of all routers.
+type FirstTokenModel struct {
+	prior                  PrefillRate
 	local                  pomelorelay.SpeedSums
 	observed               pomelorelay.SpeedSums
 	decayedAt              time.Time
 	overheadMS, perTokenMS float64
 }
 
-// NewLine returns a model with the given prior rate, which applies until answers are observed.
-func NewLine(prior Rate) *Line {
-	l := &Line{}
-	l.SetGuess(prior)
+// NewFirstTokenModel returns a model with the given prior rate, which applies until answers are observed.
+func NewFirstTokenModel(prior PrefillRate) *FirstTokenModel {
+	l := &FirstTokenModel{}
+	l.SetPriorRate(prior)
 	return l
 }
 
-// SetGuess replaces the prior rate.
-func (l *Line) SetGuess(prior Rate) {
+// SetPriorRate replaces the prior rate.
+func (l *FirstTokenModel) SetPriorRate(prior PrefillRate) {
 	l.prior = min(max(prior, minRate), maxRate)
 	l.fit()
 }
 
-// Rate returns the estimated prefill rate of an engine.
-func (l *Line) Rate() Rate { return Rate(1 / l.perTokenMS) }
+// PrefillRate returns the estimated prefill rate of an engine.
+func (l *FirstTokenModel) PrefillRate() PrefillRate { return PrefillRate(1 / l.perTokenMS) }
 
 // Overhead returns the time to first token of an empty prompt at an engine without a queue.
-func (l *Line) Overhead() time.Duration { return duration(l.overheadMS) }
+func (l *FirstTokenModel) Overhead() time.Duration { return duration(l.overheadMS) }
 
-// Expect returns the expected time to first token where the engine must prefill the given tokens first, those of the request included.
-func (l *Line) Expect(tokens float64) time.Duration {
+// ExpectedTime returns the expected time to first token where the engine must prefill the given tokens first, those of the request included.
+func (l *FirstTokenModel) ExpectedTime(tokens float64) time.Duration {
 	return duration(l.overheadMS + l.perTokenMS*tokens)
 }
 
-// Note records a time to first token that this router observed, with the tokens that the engine had to prefill.
-func (l *Line) Note(now time.Time, tokens float64, took time.Duration) {
+// Observe records a time to first token that this router observed, with the tokens that the engine had to prefill.
+func (l *FirstTokenModel) Observe(now time.Time, tokens float64, took time.Duration) {
 	expected := l.overheadMS + l.perTokenMS*tokens
 	limit := outlierRatio * max(1, settledAnswers/(l.observed.Answers+1))
 	clamped := min(max(milliseconds(took), expected/limit), expected*limit)
@@ -82,16 +82,16 @@
 
 // weight returns the weight of an answer that followed the prefill of the given tokens, the inverse of its relative variance: the standard
 // deviation of times to first token grows in proportion to their length.
-func (l *Line) weight(tokens float64) float64 {
+func (l *FirstTokenModel) weight(tokens float64) float64 {
 	relative := 1 + l.perTokenMS*tokens/milliseconds(priorOverhead)
 	return 1 / (relative * relative)
 }
 
-// Own returns the sums over the answers that this router observed since its start.
-func (l *Line) Own() pomelorelay.SpeedSums { return l.local }
+// LocalSums returns the sums over the answers that this router observed since its start.
+func (l *FirstTokenModel) LocalSums() pomelorelay.SpeedSums { return l.local }
 
 // Merge adds the difference of another router's sums between two reports; a difference that no answers can have is ignored.
-func (l *Line) Merge(now time.Time, before, after pomelorelay.SpeedSums) {
+func (l *FirstTokenModel) Merge(now time.Time, before, after pomelorelay.SpeedSums) {
 	delta := addScaled(after, before, -1)
 	if !plausible(delta) {
 		return
@@ -114,7 +114,7 @@
 // roundingTolerance is the relative floating-point error that sums may have.
 const roundingTolerance = 1e-6
 
-func (l *Line) accumulate(now time.Time, s pomelorelay.SpeedSums) {
+func (l *FirstTokenModel) accumulate(now time.Time, s pomelorelay.SpeedSums) {
 	if l.decayedAt.IsZero() {
 		l.decayedAt = now
 	}
@@ -128,7 +128,7 @@
 }
 
 // fit computes the weighted least-squares line through the observed answers and the prior.
-func (l *Line) fit() {
+func (l *FirstTokenModel) fit() {
 	s := addScaled(l.priorSums(), l.observed, 1)
 	determinant := s.Weight*s.ReadRead - s.Read*s.Read
 	slope := (s.Weight*s.ReadTook - s.Read*s.Took) / determinant
@@ -151,13 +151,13 @@
 
 // rateBounds returns the bounds of the fitted rate: the first few answers, which may have waited in unreported queues, must not make
 // prefill look instantaneous.
-func (l *Line) rateBounds() (slowest, fastest Rate) {
-	answers := Rate(l.observed.Answers)
+func (l *FirstTokenModel) rateBounds() (slowest, fastest PrefillRate) {
+	answers := PrefillRate(l.observed.Answers)
 	return max(minRate, l.prior/(1+answers)), min(maxRate, l.prior*(1+answers/answersPerRateStep))
 }
 
 // rmsTokens returns the weighted root mean square of the tokens that were prefilled for the observed answers.
-func (l *Line) rmsTokens() float64 {
+func (l *FirstTokenModel) rmsTokens() float64 {
 	if l.observed.Weight <= 0 {
 		return 0
 	}
@@ -173,7 +173,7 @@
 
 // priorSums returns the prior as answers at two points of its line: at zero tokens, and at the root mean square of the observed answers. A
 // second point further out would outweigh many answers.
-func (l *Line) priorSums() pomelorelay.SpeedSums {
+func (l *FirstTokenModel) priorSums() pomelorelay.SpeedSums {
 	tokens, meanWeight := milliseconds(priorPrefillTime)*float64(l.prior), 1.0
 	if l.observed.Answers > 0 {
 		tokens = max(l.rmsTokens(), 1)
--- a/pomelospeed/line_test.go
+++ b/pomelospeed/first_token_model_test.go
@@ -42,15 +42,15 @@
 		meanTokens = 2500 // tokens of a prompt
 	)
 	for _, rate := range []float64{10, 30, 100, 300} {
-		for _, prior := range []pomelospeed.Rate{20, 50, 200} {
+		for _, prior := range []pomelospeed.PrefillRate{20, 50, 200} {
 			t.Run(fmt.Sprintf("rate %.0f, prior %.0f", rate, prior), func(t *testing.T) {
 				answers := int(load * engines * rate * float64(length.Milliseconds()) / meanTokens)
 				rateError, expectError := 0.0, 0.0
 				for seed := range uint64(fleets) {
 					e := &engine{rng: rand.New(rand.NewPCG(seed, uint64(rate))), rate: rate, overhead: 40 * time.Millisecond, spread: 0.3}
 					l := newTrained(e, prior, answers, length)
-					rateError += math.Abs(float64(l.Rate())/rate-1) / fleets
-					expectError += math.Abs(l.Expect(200*rate).Seconds()/0.24-1) / fleets
+					rateError += math.Abs(float64(l.PrefillRate())/rate-1) / fleets
+					expectError += math.Abs(l.ExpectedTime(200*rate).Seconds()/0.24-1) / fleets
 				}
 				if rateError > tolerance || expectError > tolerance {
 					t.Errorf("after %d answers the mean relative error is %.2f for the rate and %.2f for the time of a 0.2 s prefill, want at most %.1f", answers, rateError, expectError, tolerance)
@@ -61,13 +61,13 @@
 }
 
 // newTrained returns a model after the given number of answers, spread evenly over the time.
-func newTrained(e *engine, prior pomelospeed.Rate, answers int, length time.Duration) *pomelospeed.Line {
-	l := pomelospeed.NewLine(prior)
+func newTrained(e *engine, prior pomelospeed.PrefillRate, answers int, length time.Duration) *pomelospeed.FirstTokenModel {
+	l := pomelospeed.NewFirstTokenModel(prior)
 	now := start
 	for range answers {
 		now = now.Add(length / time.Duration(answers))
 		tokens := e.promptTokens()
-		l.Note(now, tokens, e.firstTokenTime(tokens))
+		l.Observe(now, tokens, e.firstTokenTime(tokens))
 	}
 	return l
 }
@@ -76,22 +76,22 @@
 // engines, and none of the answers would be in time.
 func TestNewRouterLearnsTheRateFromOneReport(t *testing.T) {
 	e := &engine{rng: rand.New(rand.NewPCG(2, 2)), rate: 25, overhead: 60 * time.Millisecond, spread: 0.3}
-	established, started := pomelospeed.NewLine(200), pomelospeed.NewLine(200)
+	established, started := pomelospeed.NewFirstTokenModel(200), pomelospeed.NewFirstTokenModel(200)
 	now := start
 	for range 500 {
 		now = now.Add(10 * time.Millisecond)
 		tokens := e.promptTokens()
-		established.Note(now, tokens, e.firstTokenTime(tokens))
+		established.Observe(now, tokens, e.firstTokenTime(tokens))
 	}
-	started.Merge(now, pomelorelay.SpeedSums{}, established.Own())
-	if got := float64(started.Rate()); math.Abs(got/25-1) > 0.1 {
+	started.Merge(now, pomelorelay.SpeedSums{}, established.LocalSums())
+	if got := float64(started.PrefillRate()); math.Abs(got/25-1) > 0.1 {
 		t.Errorf("%.1f tokens per millisecond after the first report, want 25", got)
 	}
 	// A repeated report must not count again.
-	before := started.Rate()
-	started.Merge(now, established.Own(), established.Own())
-	if started.Rate() != before {
-		t.Errorf("a repeated report changed %v to %v", before, started.Rate())
+	before := started.PrefillRate()
+	started.Merge(now, established.LocalSums(), established.LocalSums())
+	if started.PrefillRate() != before {
+		t.Errorf("a repeated report changed %v to %v", before, started.PrefillRate())
 	}
 }
 
@@ -99,7 +99,7 @@
 // all engines look slow, and requests would be refused while engines are idle.
 func TestOutliersBarelyMoveTheRate(t *testing.T) {
 	e := &engine{rng: rand.New(rand.NewPCG(3, 3)), rate: 100, overhead: 30 * time.Millisecond, spread: 0.2}
-	l := pomelospeed.NewLine(100)
+	l := pomelospeed.NewFirstTokenModel(100)
 	now := start
 	for i := range 400 {
 		now = now.Add(10 * time.Millisecond)
@@ -108,9 +108,9 @@
 		if i%100 == 99 {
 			took = 20 * time.Second
 		}
-		l.Note(now, tokens, took)
+		l.Observe(now, tokens, took)
 	}
-	if got := float64(l.Rate()); math.Abs(got/100-1) > 0.25 {
+	if got := float64(l.PrefillRate()); math.Abs(got/100-1) > 0.25 {
 		t.Errorf("%.1f tokens per millisecond, want about 100", got)
 	}
 }
@@ -120,9 +120,9 @@
 func TestSlowEngineIsDetectedWithinASecond(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	const expected = 200 * time.Millisecond
-	var slow, healthy pomelospeed.Factor
-	observe := func(f *pomelospeed.Factor, now time.Time, factor float64) {
-		f.Note(now, time.Duration(factor*math.Exp(0.3*random.NormFloat64())*float64(expected)), expected)
+	var slow, healthy pomelospeed.SlowdownFactor
+	observe := func(f *pomelospeed.SlowdownFactor, now time.Time, factor float64) {
+		f.Observe(now, time.Duration(factor*math.Exp(0.3*random.NormFloat64())*float64(expected)), expected)
 	}
 	now := start
 	run := func(n int, factor float64) {
@@ -133,15 +133,15 @@
 		}
 	}
 	run(50, 1)
-	if got := slow.Beside(now, healthy.Ratio(now)); got != 1 {
+	if got := slow.RelativeTo(now, healthy.Ratio(now)); got != 1 {
 		t.Errorf("%.2f times slower than the others at the same speed, want 1", got)
 	}
 	run(10, 4)
-	if got := slow.Beside(now, healthy.Ratio(now)); got < 2.5 {
+	if got := slow.RelativeTo(now, healthy.Ratio(now)); got < 2.5 {
 		t.Errorf("%.2f times slower after a second at a quarter of the speed, want at least 2.5", got)
 	}
 	run(20, 1)
-	if got := slow.Beside(now, healthy.Ratio(now)); got != 1 {
+	if got := slow.RelativeTo(now, healthy.Ratio(now)); got != 1 {
 		t.Errorf("%.2f times slower two seconds after recovery, want 1", got)
 	}
 }
@@ -158,25 +158,25 @@
 		{"often", 30, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			local, remote := pomelospeed.NewPauses(), pomelospeed.NewPauses()
+			local, remote := pomelospeed.NewPauseRatio(), pomelospeed.NewPauseRatio()
 			now := start
 			for i := range 100 {
 				now = now.Add(20 * time.Millisecond)
-				sums := pomelospeed.Sums{Of: 1}
+				sums := pomelospeed.RatioSums{Denominator: 1}
 				if i < c.paused {
-					sums.Amount = 1
+					sums.Numerator = 1
 				}
-				local.Note(now, sums)
+				local.Observe(now, sums)
 			}
-			remote.Merge(now, pomelospeed.Sums{}, local.Own())
-			for name, p := range map[string]*pomelospeed.Ratio{"local": local, "remote": remote} {
+			remote.Merge(now, pomelospeed.RatioSums{}, local.LocalSums())
+			for name, p := range map[string]*pomelospeed.DecayingRatio{"local": local, "remote": remote} {
 				if got := pomelospeed.PauseWeight(p.Value(now)); got < c.minWeight || got > c.maxWeight {
 					t.Errorf("%s: weight %.2f, want %.2f to %.2f", name, got, c.minWeight, c.maxWeight)
 				}
 			}
 		})
 	}
-	if got := pomelospeed.PauseWeight(pomelospeed.NewPauses().Value(start)); got != 1 {
+	if got := pomelospeed.PauseWeight(pomelospeed.NewPauseRatio().Value(start)); got != 1 {
 		t.Errorf("weight %.2f without observations, want 1", got)
 	}
 }
@@ -184,8 +184,8 @@
 // Guards against copying that is disabled for good: copies between full engines take longer than prefilling, so routers stop copying and
 // observe no later, faster copies. Shared prompt parts would be prefilled again until the routers restart.
 func TestCopyTimeEstimateRecoversWithoutCopies(t *testing.T) {
-	copies := pomelospeed.NewCopies()
-	copies.Note(start, pomelospeed.Sums{Amount: 400_000, Of: 200_000})
+	copies := pomelospeed.NewCopyTimeRatio()
+	copies.Observe(start, pomelospeed.RatioSums{Numerator: 400_000, Denominator: 200_000})
 	if got := copies.Value(start); got < 1 {
 		t.Fatalf("copies take %.2f of the prefill time, want 1 or more", got)
 	}
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -13,10 +13,10 @@
 	pauseSaturation = 0.08
 )
 
-// NewPauses returns an estimate of the fraction of streams that pause for longer than their callers accept, among those that run while their
+// NewPauseRatio returns an estimate of the fraction of streams that pause for longer than their callers accept, among those that run while their
 // engine prefills for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep generating meanwhile.
-func NewPauses() *Ratio {
-	return NewRatio(RatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
+func NewPauseRatio() *DecayingRatio {
+	return NewDecayingRatio(DecayingRatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
 }
 
 // PauseWeight returns the weight, from 0 to 1, of long prefills for the given fraction of streams that they pause.
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// Sums are the numerator and the denominator of a ratio, in this order.
-type Sums struct {
-	Amount, Of float64
+// RatioSums are the numerator and the denominator of a ratio, in this order.
+type RatioSums struct {
+	Numerator, Denominator float64
 }
 
-func (s *Sums) add(o Sums, factor float64) {
-	s.Amount += factor * o.Amount
-	s.Of += factor * o.Of
+func (s *RatioSums) add(o RatioSums, factor float64) {
+	s.Numerator += factor * o.Numerator
+	s.Denominator += factor * o.Denominator
 }
 
-func (s *Sums) scale(factor float64) { *s = Sums{Amount: factor * s.Amount, Of: factor * s.Of} }
+func (s *RatioSums) scale(factor float64) {
+	*s = RatioSums{Numerator: factor * s.Numerator, Denominator: factor * s.Denominator}
+}
 
-// RatioConfig holds the prior and the decay settings of an estimate.
-type RatioConfig struct {
+// DecayingRatioConfig holds the prior and the decay settings of an estimate.
+type DecayingRatioConfig struct {
 	// Prior is the value before any observation, PriorWeight the denominator that it counts for.
 	Prior, PriorWeight float64
 	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
@@ -28,57 +30,57 @@
 	MaxReportWeight float64
 }
 
-// Ratio is a decaying estimate of a ratio from the observations of all routers.
-type Ratio struct {
-	cfg             RatioConfig
-	local, observed Sums
+// DecayingRatio is a decaying estimate of a ratio from the observations of all routers.
+type DecayingRatio struct {
+	cfg             DecayingRatioConfig
+	local, observed RatioSums
 	decayedAt       time.Time
 }
 
-// NewRatio returns an estimate without observations.
-func NewRatio(cfg RatioConfig) *Ratio { return &Ratio{cfg: cfg} }
+// NewDecayingRatio returns an estimate without observations.
+func NewDecayingRatio(cfg DecayingRatioConfig) *DecayingRatio { return &DecayingRatio{cfg: cfg} }
 
-// Note records an observation of this router.
-func (r *Ratio) Note(now time.Time, s Sums) {
+// Observe records an observation of this router.
+func (r *DecayingRatio) Observe(now time.Time, s RatioSums) {
 	r.local.add(s, 1)
 	r.accumulate(now, s)
 }
 
-// Own returns the sums of this router's observations since its start.
-func (r *Ratio) Own() Sums { return r.local }
+// LocalSums returns the sums of this router's observations since its start.
+func (r *DecayingRatio) LocalSums() RatioSums { return r.local }
 
 // Merge adds the difference of another router's sums between two reports.
-func (r *Ratio) Merge(now time.Time, before, after Sums) {
+func (r *DecayingRatio) Merge(now time.Time, before, after RatioSums) {
 	delta := after
 	delta.add(before, -1)
-	if delta.Of <= 0 {
+	if delta.Denominator <= 0 {
 		return
 	}
-	if delta.Of > r.cfg.MaxReportWeight {
-		delta.scale(r.cfg.MaxReportWeight / delta.Of)
+	if delta.Denominator > r.cfg.MaxReportWeight {
+		delta.scale(r.cfg.MaxReportWeight / delta.Denominator)
 	}
 	r.accumulate(now, delta)
 }
 
 // Value returns the estimate at the given time.
-func (r *Ratio) Value(now time.Time) float64 {
+func (r *DecayingRatio) Value(now time.Time) float64 {
 	r.decay(now)
-	return (r.observed.Amount + r.cfg.Prior*r.cfg.PriorWeight) / (r.observed.Of + r.cfg.PriorWeight)
+	return (r.observed.Numerator + r.cfg.Prior*r.cfg.PriorWeight) / (r.observed.Denominator + r.cfg.PriorWeight)
 }
 
-func (r *Ratio) accumulate(now time.Time, s Sums) {
+func (r *DecayingRatio) accumulate(now time.Time, s RatioSums) {
 	r.decay(now)
 	r.observed.add(s, 1)
 }
 
-func (r *Ratio) decay(now time.Time) {
+func (r *DecayingRatio) decay(now time.Time) {
 	passed := now.Sub(r.decayedAt)
 	if passed <= 0 {
 		return
 	}
-	if !r.decayedAt.IsZero() && r.observed.Of > r.cfg.MinWeight {
+	if !r.decayedAt.IsZero() && r.observed.Denominator > r.cfg.MinWeight {
 		retained := math.Exp2(-float64(passed) / float64(r.cfg.HalfLife))
-		r.observed.scale(max(retained, r.cfg.MinWeight/r.observed.Of))
+		r.observed.scale(max(retained, r.cfg.MinWeight/r.observed.Denominator))
 	}
 	r.decayedAt = now
 }
--- a/pomelotable/table.go
+++ b/pomelotable/table.go
@@ -85,8 +85,8 @@
 	return s, ok
 }
 
-// Pick returns the service for a request, chosen by the weights of the route's shares and a hash of the request ID.
-func (t *Table) Pick(r *pomelorelay.Route, requestID string) (pomelorelay.ServiceID, bool) {
+// PickService returns the service for a request, chosen by the weights of the route's shares and a hash of the request ID.
+func (t *Table) PickService(r *pomelorelay.Route, requestID string) (pomelorelay.ServiceID, bool) {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/pomelotable/table_test.go
+++ b/pomelotable/table_test.go
@@ -61,8 +61,8 @@
 	picked := make(map[pomelorelay.ServiceID]int)
 	for i := range requests {
 		id := strconv.Itoa(i)
-		s, ok := newTable().Pick(r, id)
-		again, _ := newTable().Pick(r, id)
+		s, ok := newTable().PickService(r, id)
+		again, _ := newTable().PickService(r, id)
 		if !ok || s != again {
 			t.Fatalf("request %s went to %s, then to %s", id, s, again)
 		}
@@ -71,7 +71,7 @@
 	if b := picked["b"]; b < requests/10-150 || b > requests/10+150 {
 		t.Errorf("%d of %d requests went to a service with a share of one tenth", b, requests)
 	}
-	if _, ok := newTable().Pick(&pomelorelay.Route{}, "x"); ok {
+	if _, ok := newTable().PickService(&pomelorelay.Route{}, "x"); ok {
 		t.Error("found a service for a route without shares")
 	}
 }
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -6,12 +6,12 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Class is the admission class of an upstream for the requests of this router.
-type Class int
+// Admission is the admission class of an upstream for the requests of this router.
+type Admission int
 
 const (
 	// Open upstreams accept requests: they are warm, or suspect and tried again by this router.
-	Open Class = iota
+	Open Admission = iota
 	// Reserve upstreams are cold and accept a request within this router's part of their bound if no open upstream can take it.
 	Reserve
 	// Closed upstreams are cold and accept no request of this router at present.
@@ -34,8 +34,8 @@
 	holderVersion uint64
 }
 
-// Upstream returns the state of an upstream that is listed for the first time.
-func (g *Gate) Upstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
+// NewUpstream returns the state of an upstream that is listed for the first time.
+func (g *Gate) NewUpstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
 	switch {
 	case info.ColdFor > 0:
@@ -46,8 +46,8 @@
 	return u
 }
 
-// Restarted returns the state of an upstream that was listed before and has restarted since.
-func (g *Gate) Restarted(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
+// NewRestartedUpstream returns the state of an upstream that was listed before and has restarted since.
+func (g *Gate) NewRestartedUpstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
 	u.extendCold(now, max(info.ColdFor, 0))
 	if info.ColdFor <= 0 {
@@ -56,8 +56,8 @@
 	return u
 }
 
-// Listed updates the upstream from a newer list entry of the same start.
-func (u *Upstream) Listed(now time.Time, info pomelorelay.FleetUpstream) {
+// UpdateEntry updates the upstream from a newer list entry of the same start.
+func (u *Upstream) UpdateEntry(now time.Time, info pomelorelay.FleetUpstream) {
 	previous := u.info.ColdFor
 	u.info = info
 	switch {
@@ -69,17 +69,17 @@
 	}
 }
 
-// Unreached records that the upstream accepted no connection; whatever the cause, it will be cold when it returns. It reports whether to notify
+// RecordConnectFailure records that the upstream accepted no connection; whatever the cause, it will be cold when it returns. It reports whether to notify
 // the other routers. Routers of other regions do not, because they cannot tell a broken link from an upstream that is down.
-func (u *Upstream) Unreached(now time.Time) bool {
+func (u *Upstream) RecordConnectFailure(now time.Time) bool {
 	if !u.gate.sameRegion(u) {
 		return false
 	}
-	return u.Suspect(now)
+	return u.MarkSuspect(now)
 }
 
-// Suspect records that a router of the upstream's region could not connect to it; it reports whether upstreams of the service can be cold.
-func (u *Upstream) Suspect(now time.Time) bool {
+// MarkSuspect records that a router of the upstream's region could not connect to it; it reports whether upstreams of the service can be cold.
+func (u *Upstream) MarkSuspect(now time.Time) bool {
 	if u.gate.coldDuration(u) <= 0 {
 		return false
 	}
@@ -91,25 +91,25 @@
 	return true
 }
 
-// Answered records an answer to a request that was sent at the given time. If it ends a suspect period, the upstream counts as cold, and the
+// RecordAnswer records an answer to a request that was sent at the given time. If it ends a suspect period, the upstream counts as cold, and the
 // remaining time and true are returned, for notifying the other routers. An answer to a request sent before the failed connection is ignored,
 // since it does not show that the upstream is running again.
-func (u *Upstream) Answered(now, sent time.Time) (time.Duration, bool) {
+func (u *Upstream) RecordAnswer(now, sent time.Time) (time.Duration, bool) {
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
 		return 0, false
 	}
-	u.ColdFor(now, u.gate.coldDuration(u))
+	u.MarkCold(now, u.gate.coldDuration(u))
 	return u.coldUntil.Sub(now), true
 }
 
-// ColdFor records that the upstream is reachable and may be cold for the given time from now.
-func (u *Upstream) ColdFor(now time.Time, remaining time.Duration) {
+// MarkCold records that the upstream is reachable and may be cold for the given time from now.
+func (u *Upstream) MarkCold(now time.Time, remaining time.Duration) {
 	u.suspectUntil = time.Time{}
 	u.extendCold(now, remaining)
 }
 
-// MayBeCold records that the upstream may have become cold without a restart.
-func (u *Upstream) MayBeCold(now time.Time) { u.extendCold(now, u.gate.coldDuration(u)) }
+// MarkMaybeCold records that the upstream may have become cold without a restart.
+func (u *Upstream) MarkMaybeCold(now time.Time) { u.extendCold(now, u.gate.coldDuration(u)) }
 
 func (u *Upstream) extendCold(now time.Time, remaining time.Duration) {
 	if remaining <= 0 {
@@ -137,8 +137,8 @@
 // Status is the warm-up state of an upstream for the log.
 type Status struct {
 	Cold bool
-	// Left is the maximum remaining time of the cold or suspect period.
-	Left time.Duration
+	// Remaining is the maximum remaining time of the cold or suspect period.
+	Remaining time.Duration
 	// Unreached reports that the upstream accepted no connection and has not answered since.
 	Unreached bool
 	// Holder reports that this router holds a part of the upstream's bound.
@@ -150,11 +150,11 @@
 	if !u.Cold(now) {
 		return Status{}
 	}
-	return Status{Cold: true, Left: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
+	return Status{Cold: true, Remaining: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
 }
 
-// Class returns the upstream's admission class for a request of this router.
-func (u *Upstream) Class(now time.Time) Class {
+// Admission returns the upstream's admission class for a request of this router.
+func (u *Upstream) Admission(now time.Time) Admission {
 	switch {
 	case !u.Cold(now):
 		return Open
@@ -166,8 +166,8 @@
 	return Reserve
 }
 
-// Take records that a request is sent to the upstream.
-func (u *Upstream) Take(now time.Time) {
+// RecordSend records that a request is sent to the upstream.
+func (u *Upstream) RecordSend(now time.Time) {
 	if u.Cold(now) {
 		u.tokens = max(0, u.refill(now)-1)
 	}
@@ -182,8 +182,8 @@
 	return u.tokens
 }
 
-// Wait returns the time until this router may send a request to the upstream, at most the rest of the cold or suspect period.
-func (u *Upstream) Wait(now time.Time) time.Duration {
+// RetryAfter returns the time until this router may send a request to the upstream, at most the rest of the cold or suspect period.
+func (u *Upstream) RetryAfter(now time.Time) time.Duration {
 	if !u.Cold(now) {
 		return 0
 	}
