--- a/pomeloledger/account.go
+++ b/pomeloledger/account.go
@@ -14,35 +14,35 @@
 	waiting     bool
 }
 
-// cell is one failure domain's part of an account.
-type cell struct {
-	domain   pomelorelay.DomainID
-	sum      pomelorelay.Cost
-	departed pomelorelay.Cost
-	waiting  time.Time // until when the word that it waits there holds
-	near     int       // exchanges within the region that still carry it
-	cross    int       // exchanges with other regions that still carry it
+// foreignComponent is an account's service in another failure domain.
+type foreignComponent struct {
+	domain       pomelorelay.DomainID
+	sum          pomelorelay.Cost
+	departed     pomelorelay.Cost
+	waitingUntil time.Time // when the report that the account is backlogged there expires
+	regionSends  int       // remaining exchanges within the region that include the component
+	crossSends   int       // remaining exchanges with other regions that include the component
 }
 
-// account is what is known of one account in one pool.
+// account holds the service of one account in one pool.
 type account struct {
 	key     pomelorelay.LedgerKey
 	origins []origin
-	// departed is the service of folded incarnations. residue is that of routers which were gone when this host rebuilt
-	// the shard; a router that was only away and reports again takes its part out of it.
+	// departed is the service of folded incarnations. residue is the service of routers that were unreachable when this
+	// host rebuilt the shard; when such a router reports again, its service is subtracted from it.
 	departed pomelorelay.Cost
 	residue  pomelorelay.Cost
-	// knownSum and knownDeparted are what other domains know of this one, until the rebuild is settled.
-	knownSum      pomelorelay.Cost
-	knownDeparted pomelorelay.Cost
-	lift          pomelorelay.Tag
-	sum           pomelorelay.Cost
-	near          int
-	cross         int
-	foreign       []cell
+	// peerSum and peerDeparted are this domain's values as known in other domains; used only during a rebuild.
+	peerSum           pomelorelay.Cost
+	peerDeparted      pomelorelay.Cost
+	lift              pomelorelay.Tag
+	maxTotal          pomelorelay.Cost
+	regionSends       int
+	crossSends        int
+	foreignComponents []foreignComponent
 }
 
-func (a *account) live() pomelorelay.Cost {
+func (a *account) liveServed() pomelorelay.Cost {
 	var sum pomelorelay.Cost
 	for i := range a.origins {
 		sum += a.origins[i].served
@@ -50,19 +50,19 @@
 	return sum
 }
 
-// total returns this domain's service; it never falls.
-func (a *account) total(p phase) pomelorelay.Cost {
-	sum := a.departed + a.residue + a.live()
-	if p != settled {
-		sum = max(a.departed+a.live(), a.knownSum)
+// domainTotal returns the account's service in this domain; it never decreases.
+func (a *account) domainTotal(p rebuildPhase) pomelorelay.Cost {
+	sum := a.departed + a.residue + a.liveServed()
+	if p != rebuilt {
+		sum = max(a.departed+a.liveServed(), a.peerSum)
 	}
-	a.sum = max(a.sum, sum)
-	return a.sum
+	a.maxTotal = max(a.maxTotal, sum)
+	return a.maxTotal
 }
 
-// report merges a router's entry by maximum and reports whether it was news.
-func (a *account) report(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, opened pomelorelay.Incarnation, e *pomelorelay.LedgerEntry) bool {
-	lifted := e.Lift > a.lift
+// mergeReport merges a router's entry by maximum and reports whether anything changed.
+func (a *account) mergeReport(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, rebuiltAt pomelorelay.Incarnation, e *pomelorelay.LedgerEntry) bool {
+	liftRaised := e.Lift > a.lift
 	a.lift = max(a.lift, e.Lift)
 	for i := range a.origins {
 		o := &a.origins[i]
@@ -70,21 +70,21 @@
 			continue
 		}
 		if e.Served < o.served {
-			return lifted
+			return liftRaised
 		}
-		news := e.Served > o.served || o.waiting != e.Waiting
+		changed := e.Served > o.served || o.waiting != e.Waiting
 		o.served = e.Served
 		o.waiting = e.Waiting
-		return news || lifted
+		return changed || liftRaised
 	}
 	a.origins = append(a.origins, origin{node: node, incarnation: incarnation, served: e.Served, waiting: e.Waiting})
-	if incarnation < opened {
+	if incarnation < rebuiltAt {
 		a.residue -= min(a.residue, e.Served)
 	}
 	return true
 }
 
-func (a *account) fold(f fold) {
+func (a *account) fold(f pendingFold) {
 	kept := a.origins[:0]
 	for _, o := range a.origins {
 		if o.node == f.node && o.incarnation <= f.upTo {
@@ -96,7 +96,7 @@
 	a.origins = kept
 }
 
-func (a *account) unwait(node pomelorelay.NodeID, upTo pomelorelay.Incarnation) bool {
+func (a *account) clearWaiting(node pomelorelay.NodeID, upTo pomelorelay.Incarnation) bool {
 	changed := false
 	for i := range a.origins {
 		o := &a.origins[i]
@@ -108,12 +108,12 @@
 	return changed
 }
 
-func (a *account) touch(repeats int) {
-	a.near = repeats
-	a.cross = repeats
+func (a *account) scheduleSends(sends int) {
+	a.regionSends = sends
+	a.crossSends = sends
 }
 
-func (a *account) waiting() bool {
+func (a *account) isWaiting() bool {
 	for i := range a.origins {
 		if a.origins[i].waiting {
 			return true
@@ -122,38 +122,38 @@
 	return false
 }
 
-// cell returns another domain's part, and makes it when there is none.
-func (a *account) cell(domain pomelorelay.DomainID) *cell {
-	for i := range a.foreign {
-		if a.foreign[i].domain == domain {
-			return &a.foreign[i]
+// foreignComponent returns the component of another domain and creates it if it is missing.
+func (a *account) foreignComponent(domain pomelorelay.DomainID) *foreignComponent {
+	for i := range a.foreignComponents {
+		if a.foreignComponents[i].domain == domain {
+			return &a.foreignComponents[i]
 		}
 	}
-	a.foreign = append(a.foreign, cell{domain: domain})
-	return &a.foreign[len(a.foreign)-1]
+	a.foreignComponents = append(a.foreignComponents, foreignComponent{domain: domain})
+	return &a.foreignComponents[len(a.foreignComponents)-1]
 }
 
-// fleet returns the service of all domains, and whether the account waits in any.
-func (a *account) fleet(now time.Time, p phase) pomelorelay.LedgerEntry {
-	e := pomelorelay.LedgerEntry{Pool: a.key.Pool, Account: a.key.Account, Served: a.total(p), Lift: a.lift, Waiting: a.waiting()}
-	for i := range a.foreign {
-		e.Served += a.foreign[i].sum
-		e.Waiting = e.Waiting || now.Before(a.foreign[i].waiting)
+// fleetEntry returns the account's service in all domains and whether it is backlogged in any.
+func (a *account) fleetEntry(now time.Time, p rebuildPhase) pomelorelay.LedgerEntry {
+	e := pomelorelay.LedgerEntry{Pool: a.key.Pool, Account: a.key.Account, Served: a.domainTotal(p), Lift: a.lift, Waiting: a.isWaiting()}
+	for i := range a.foreignComponents {
+		e.Served += a.foreignComponents[i].sum
+		e.Waiting = e.Waiting || now.Before(a.foreignComponents[i].waitingUntil)
 	}
 	return e
 }
 
-// component returns a domain's part as it is told to others.
-func (a *account) component(now time.Time, p phase, c *cell) pomelorelay.LedgerComponentEntry {
+// componentEntry returns the entry to send to other hosts: c's values, or this domain's own when c is nil.
+func (a *account) componentEntry(now time.Time, p rebuildPhase, c *foreignComponent) pomelorelay.LedgerComponentEntry {
 	e := pomelorelay.LedgerComponentEntry{Pool: a.key.Pool, Account: a.key.Account, Lift: a.lift}
 	if c == nil {
-		e.Sum = a.total(p)
+		e.Sum = a.domainTotal(p)
 		e.Departed = a.departed
-		e.Waiting = a.waiting()
+		e.Waiting = a.isWaiting()
 		return e
 	}
 	e.Sum = c.sum
 	e.Departed = c.departed
-	e.Waiting = now.Before(c.waiting)
+	e.Waiting = now.Before(c.waitingUntil)
 	return e
 }
--- a/pomeloledger/config.go
+++ b/pomeloledger/config.go
@@ -6,73 +6,73 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// DomainInfo is a failure domain that has live routers.
+// DomainInfo describes a failure domain that has live routers.
 type DomainInfo struct {
 	ID     pomelorelay.DomainID
 	Region pomelorelay.RegionID
 }
 
-// Fleet tells a Ledger who is alive now; its functions are called from the Ledger's methods.
+// Fleet is a Ledger's view of the current membership; its functions are called from the Ledger's methods.
 type Fleet struct {
-	// Routers returns the live routers of this failure domain, this one included.
+	// Routers returns the live routers of this failure domain, including this router.
 	Routers func() []pomelorelay.NodeID
-	// Domains returns the reachable failure domains, this one included, in the order of their names.
+	// Domains returns the reachable failure domains, including this one, sorted by name.
 	Domains func() []DomainInfo
-	// Host returns the router of a failure domain that hosts a shard.
+	// Host returns the router that hosts a shard in a failure domain, or false when there is none.
 	Host func(shard pomelorelay.ShardID, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool)
 }
 
-// Config holds what a Ledger needs.
+// Config configures a Ledger.
 type Config struct {
 	Self  pomelorelay.Peer
 	Fleet Fleet
-	// Shards is the number of shards of the whole fleet, the same on every router.
+	// Shards is the number of ledger shards; it must be the same on every router of the fleet.
 	Shards  uint32
 	Options Options
 }
 
-// Options holds the intervals and bounds of a Ledger; a zero field takes the default that its comment gives.
+// Options holds the intervals and limits of a Ledger; a zero field takes the default given in its comment.
 type Options struct {
-	// ExchangeEvery is the interval of components to domains of the same region; 1 s.
+	// ExchangeEvery is the interval of exchanges with domains of the same region; 1 s.
 	ExchangeEvery time.Duration
-	// CrossEvery is the interval of components to other regions; 5 s.
-	CrossEvery time.Duration
-	// Repeats is the number of exchanges that carry a change, so that a lost message loses nothing; 2.
-	Repeats int
-	// Refresh is the number of unchanged entries that each exchange carries in turn; 8.
-	Refresh int
-	// MaxEntries bounds the entries of one message; 512.
+	// CrossRegionInterval is the interval of exchanges with other regions; 5 s.
+	CrossRegionInterval time.Duration
+	// SendsPerChange is the number of exchanges that include a change, to tolerate a lost message; 2.
+	SendsPerChange int
+	// RefreshPerExchange is the number of unchanged entries that each exchange includes, in rotation; 8.
+	RefreshPerExchange int
+	// MaxEntries limits the entries of this domain in one message to the same region; 512.
 	MaxEntries int
-	// RebuildLimit is how long a new host waits for silent routers and domains before it is ready; 3 s.
-	RebuildLimit time.Duration
-	// QueryEvery is the interval at which a new host asks again; 500 ms.
-	QueryEvery time.Duration
-	// WaitingFor is how long another domain's word that an account waits holds; 2 min.
-	WaitingFor time.Duration
-	// FoldAfter is how long the entries of a superseded incarnation are kept apart for late reports; 1 min.
-	FoldAfter time.Duration
+	// RebuildTimeout is how long a new host waits for answers before it serves totals without them; 3 s.
+	RebuildTimeout time.Duration
+	// QueryInterval is the interval at which a new host repeats unanswered queries; 500 ms.
+	QueryInterval time.Duration
+	// WaitingTTL is how long another domain's report that an account is backlogged remains valid; 2 min.
+	WaitingTTL time.Duration
+	// FoldDelay is how long entries of a superseded incarnation are kept separately to merge late reports; 1 min.
+	FoldDelay time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	setDuration(&o.ExchangeEvery, time.Second)
-	setDuration(&o.CrossEvery, 5*time.Second)
-	setCount(&o.Repeats, 2)
-	setCount(&o.Refresh, 8)
-	setCount(&o.MaxEntries, 512)
-	setDuration(&o.RebuildLimit, 3*time.Second)
-	setDuration(&o.QueryEvery, 500*time.Millisecond)
-	setDuration(&o.WaitingFor, 2*time.Minute)
-	setDuration(&o.FoldAfter, time.Minute)
+	setDefaultDuration(&o.ExchangeEvery, time.Second)
+	setDefaultDuration(&o.CrossRegionInterval, 5*time.Second)
+	setDefaultCount(&o.SendsPerChange, 2)
+	setDefaultCount(&o.RefreshPerExchange, 8)
+	setDefaultCount(&o.MaxEntries, 512)
+	setDefaultDuration(&o.RebuildTimeout, 3*time.Second)
+	setDefaultDuration(&o.QueryInterval, 500*time.Millisecond)
+	setDefaultDuration(&o.WaitingTTL, 2*time.Minute)
+	setDefaultDuration(&o.FoldDelay, time.Minute)
 	return o
 }
 
-func setDuration(d *time.Duration, value time.Duration) {
+func setDefaultDuration(d *time.Duration, value time.Duration) {
 	if *d == 0 {
 		*d = value
 	}
 }
 
-func setCount(n *int, value int) {
+func setDefaultCount(n *int, value int) {
 	if *n == 0 {
 		*n = value
 	}
--- a/pomeloledger/doc.go
+++ b/pomeloledger/doc.go
@@ -1,8 +1,11 @@
-// Package pomeloledger keeps what each account has been served over the fleet.
+// Package pomeloledger accounts for the service that each client account has
+// received across the fleet.
 //
-// A Ledger is the host's side: it merges cumulative reports of the routers of
-// its failure domain by maximum per origin, exchanges one component per
-// failure domain with the hosts of the same shard elsewhere, and rebuilds
-// itself by asking. A Reporter is the router's side. Both are decision parts:
-// no goroutines, no locks, no I/O, not safe for concurrent use.
+// Accounts are sharded, and each failure domain has one host per shard. A
+// Ledger runs on the hosts: it merges the cumulative reports of the routers of
+// its failure domain by maximum per router incarnation, exchanges one component
+// per failure domain with the hosts of the same shard in other domains, and
+// rebuilds a newly hosted shard by querying those hosts and its own routers. A
+// Reporter runs on every router and sends that router's reports. Neither starts
+// goroutines, takes locks or does I/O, and neither is safe for concurrent use.
 package pomeloledger
--- a/pomeloledger/exchange.go
+++ b/pomeloledger/exchange.go
@@ -8,43 +8,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// exchangeNear tells the hosts in the region's other domains what changed here, and what came from other regions.
-func (l *Ledger) exchangeNear(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// exchangeWithinRegion sends changed components, including those from other regions, to the hosts in the region's other
+// domains.
+func (l *Ledger) exchangeWithinRegion(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, s := range l.order {
-		if s.phase != settled {
+		if s.phase != rebuilt {
 			continue
 		}
-		components := l.nearComponents(now, s)
+		components := l.regionComponents(now, s)
 		for _, domain := range l.cfg.Fleet.Domains() {
 			if domain.ID != l.cfg.Self.Domain && domain.Region == l.cfg.Self.Region {
-				out = l.tell(s, domain.ID, components, out)
+				out = l.sendComponents(s, domain.ID, components, out)
 			}
 		}
 	}
 	return out
 }
 
-func (l *Ledger) nearComponents(now time.Time, s *shard) []*pomelorelay.LedgerComponent {
+func (l *Ledger) regionComponents(now time.Time, s *shard) []*pomelorelay.LedgerComponent {
 	own := &pomelorelay.LedgerComponent{Shard: s.id, Domain: l.cfg.Self.Domain}
 	components := []*pomelorelay.LedgerComponent{own}
-	first, refreshed := s.near, 0
+	start, refreshed := s.regionCursor, 0
 	for i := range s.order {
-		at := (first + i) % len(s.order)
-		a := s.order[at]
-		due := a.near > 0
-		if !due && refreshed < l.cfg.Options.Refresh {
+		index := (start + i) % len(s.order)
+		a := s.order[index]
+		due := a.regionSends > 0
+		if !due && refreshed < l.cfg.Options.RefreshPerExchange {
 			due = true
 			refreshed++
-			s.near = at + 1
+			s.regionCursor = index + 1
 		}
 		if due && len(own.Entries) < l.cfg.Options.MaxEntries {
-			own.Entries = append(own.Entries, a.component(now, s.phase, nil))
-			a.near = max(0, a.near-1)
+			own.Entries = append(own.Entries, a.componentEntry(now, s.phase, nil))
+			a.regionSends = max(0, a.regionSends-1)
 		}
-		for j := range a.foreign {
-			if c := &a.foreign[j]; c.near > 0 {
-				c.near--
-				components = appendEntry(components, s.id, c.domain, a.component(now, s.phase, c))
+		for j := range a.foreignComponents {
+			if c := &a.foreignComponents[j]; c.regionSends > 0 {
+				c.regionSends--
+				components = appendEntry(components, s.id, c.domain, a.componentEntry(now, s.phase, c))
 			}
 		}
 	}
@@ -61,7 +62,7 @@
 	return append(components, &pomelorelay.LedgerComponent{Shard: id, Domain: domain, Entries: []pomelorelay.LedgerComponentEntry{e}})
 }
 
-func (l *Ledger) tell(s *shard, domain pomelorelay.DomainID, components []*pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (l *Ledger) sendComponents(s *shard, domain pomelorelay.DomainID, components []*pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	host, ok := l.cfg.Fleet.Host(s.id, domain)
 	if !ok {
 		return out
@@ -74,17 +75,18 @@
 	return out
 }
 
-// exchangeCross tells one host in each other region what changed in this region's domains. One domain of each region
-// speaks and listens for a shard, so that a change crosses once, whatever the number of domains.
-func (l *Ledger) exchangeCross(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// exchangeAcrossRegions sends the changed components of this region's domains to one host in each other region. One
+// domain per region sends and receives for a shard, so that a change crosses regions once regardless of the number of
+// domains.
+func (l *Ledger) exchangeAcrossRegions(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	domains := l.cfg.Fleet.Domains()
 	for _, s := range l.order {
-		if s.phase != settled || l.speaker(s.id, l.cfg.Self.Region, domains) != l.cfg.Self.Domain {
+		if s.phase != rebuilt || l.regionGateway(s.id, l.cfg.Self.Region, domains) != l.cfg.Self.Domain {
 			continue
 		}
 		components := l.crossComponents(now, s, domains)
 		for _, region := range otherRegions(domains, l.cfg.Self.Region) {
-			out = l.tell(s, l.speaker(s.id, region, domains), components, out)
+			out = l.sendComponents(s, l.regionGateway(s.id, region, domains), components, out)
 		}
 	}
 	return out
@@ -92,32 +94,32 @@
 
 func (l *Ledger) crossComponents(now time.Time, s *shard, domains []DomainInfo) []*pomelorelay.LedgerComponent {
 	var components []*pomelorelay.LedgerComponent
-	first, refreshed := s.cross, 0
+	start, refreshed := s.crossCursor, 0
 	for i := range s.order {
-		at := (first + i) % len(s.order)
-		a := s.order[at]
-		refresh := refreshed < l.cfg.Options.Refresh
+		index := (start + i) % len(s.order)
+		a := s.order[index]
+		refresh := refreshed < l.cfg.Options.RefreshPerExchange
 		if refresh {
 			refreshed++
-			s.cross = at + 1
+			s.crossCursor = index + 1
 		}
-		if a.cross > 0 || refresh {
-			a.cross = max(0, a.cross-1)
-			components = appendEntry(components, s.id, l.cfg.Self.Domain, a.component(now, s.phase, nil))
+		if a.crossSends > 0 || refresh {
+			a.crossSends = max(0, a.crossSends-1)
+			components = appendEntry(components, s.id, l.cfg.Self.Domain, a.componentEntry(now, s.phase, nil))
 		}
-		for j := range a.foreign {
-			c := &a.foreign[j]
-			if regionOf(domains, c.domain) == l.cfg.Self.Region && (c.cross > 0 || refresh) {
-				c.cross = max(0, c.cross-1)
-				components = appendEntry(components, s.id, c.domain, a.component(now, s.phase, c))
+		for j := range a.foreignComponents {
+			c := &a.foreignComponents[j]
+			if regionOf(domains, c.domain) == l.cfg.Self.Region && (c.crossSends > 0 || refresh) {
+				c.crossSends = max(0, c.crossSends-1)
+				components = appendEntry(components, s.id, c.domain, a.componentEntry(now, s.phase, c))
 			}
 		}
 	}
 	return components
 }
 
-// speaker returns the domain of a region that exchanges a shard with other regions.
-func (l *Ledger) speaker(id pomelorelay.ShardID, region pomelorelay.RegionID, domains []DomainInfo) pomelorelay.DomainID {
+// regionGateway returns the domain of a region that exchanges a shard with other regions, chosen by rendezvous hashing.
+func (l *Ledger) regionGateway(id pomelorelay.ShardID, region pomelorelay.RegionID, domains []DomainInfo) pomelorelay.DomainID {
 	var best pomelorelay.DomainID
 	var highest uint64
 	for _, domain := range domains {
@@ -130,8 +132,8 @@
 	return best
 }
 
-// fromAfar reports whether a host in another region sent a component, which is then passed on within this one.
-func (l *Ledger) fromAfar(s *shard, from pomelorelay.NodeID) bool {
+// fromOtherRegion reports whether the sender is a host in another region; its components are forwarded within this one.
+func (l *Ledger) fromOtherRegion(s *shard, from pomelorelay.NodeID) bool {
 	for _, domain := range l.cfg.Fleet.Domains() {
 		if host, ok := l.cfg.Fleet.Host(s.id, domain.ID); ok && host == from {
 			return domain.Region != l.cfg.Self.Region
@@ -152,11 +154,11 @@
 func otherRegions(domains []DomainInfo, own pomelorelay.RegionID) []pomelorelay.RegionID {
 	var regions []pomelorelay.RegionID
 	for _, domain := range domains {
-		known := domain.Region == own
+		listed := domain.Region == own
 		for _, region := range regions {
-			known = known || region == domain.Region
+			listed = listed || region == domain.Region
 		}
-		if !known {
+		if !listed {
 			regions = append(regions, domain.Region)
 		}
 	}
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -8,20 +8,21 @@
 
 // Ledger hosts shards of the ledger for one failure domain.
 type Ledger struct {
-	cfg       Config
-	shards    map[pomelorelay.ShardID]*shard
-	order     []*shard
-	nextNear  time.Time
-	nextCross time.Time
+	cfg                Config
+	shards             map[pomelorelay.ShardID]*shard
+	order              []*shard
+	nextRegionExchange time.Time
+	nextCrossExchange  time.Time
 }
 
-// New returns a Ledger that hosts no shard.
+// New returns a Ledger that hosts no shards.
 func New(cfg Config) *Ledger {
 	cfg.Options = cfg.Options.withDefaults()
 	return &Ledger{cfg: cfg, shards: make(map[pomelorelay.ShardID]*shard)}
 }
 
-// Host starts to host a shard; the next Tick asks other domains and then routers for what they know.
+// Host starts hosting a shard and its rebuild, which queries the hosts in other domains and then the local routers.
+// It has no effect when the shard is already hosted.
 func (l *Ledger) Host(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if _, hosted := l.shards[id]; hosted {
 		return out
@@ -32,7 +33,7 @@
 			continue
 		}
 		if host, ok := l.cfg.Fleet.Host(id, domain.ID); ok {
-			s.domains[host] = true
+			s.pendingHosts[host] = true
 		}
 	}
 	l.shards[id] = s
@@ -51,19 +52,19 @@
 	}
 }
 
-// Hosts reports whether the shard is hosted here, and whether it is rebuilt.
+// Hosts reports whether the shard is hosted here and whether its rebuild is complete.
 func (l *Ledger) Hosts(id pomelorelay.ShardID) (hosted, ready bool) {
 	s, ok := l.shards[id]
-	return ok, ok && s.phase == settled
+	return ok, ok && s.phase == rebuilt
 }
 
-// Short reports whether a shard was opened at its time limit before everybody had answered.
+// Short reports whether the shard's rebuild ended at RebuildTimeout with answers still missing.
 func (l *Ledger) Short(id pomelorelay.ShardID) bool {
 	s, ok := l.shards[id]
-	return ok && s.short
+	return ok && s.timedOut
 }
 
-// Total returns the fleet's total of an account, or false when the shard is not hosted here or the account not known.
+// Total returns an account's total over the fleet, or false when its shard is not hosted here or the account is unknown.
 func (l *Ledger) Total(now time.Time, key pomelorelay.LedgerKey) (pomelorelay.LedgerEntry, bool) {
 	s, ok := l.shards[ShardOf(key.Account, l.cfg.Shards)]
 	if !ok {
@@ -73,81 +74,82 @@
 	if !ok {
 		return pomelorelay.LedgerEntry{}, false
 	}
-	return a.fleet(now, s.phase), true
+	return a.fleetEntry(now, s.phase), true
 }
 
-// Report merges a router's report and answers with fleet totals.
+// Report merges a router's report and replies with the fleet totals of the accounts that it asks for.
 func (l *Ledger) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LedgerReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
 	}
-	if former := s.latest[from]; former != 0 && former < incarnation {
-		l.unwait(s, from, former)
+	if previous := s.latestIncarnation[from]; previous != 0 && previous < incarnation {
+		l.clearWaiting(s, from, previous)
 	}
-	if s.meet(now, from, incarnation, l.cfg.Options.FoldAfter) {
-		l.merge(s, from, incarnation, m.Entries)
+	if s.admitIncarnation(now, from, incarnation, l.cfg.Options.FoldDelay) {
+		l.mergeReport(s, from, incarnation, m.Entries)
 	}
-	if m.Full && m.Round == s.round && s.phase == askingRouters {
-		delete(s.routers, from)
-		l.progress(now, s)
+	if m.Full && m.Round == s.round && s.phase == queryingRouters {
+		delete(s.pendingRouters, from)
+		l.advancePhase(now, s)
 	}
-	totals := &pomelorelay.LedgerTotals{Shard: m.Shard, Ready: s.phase == settled, Seq: m.Seq}
+	totals := &pomelorelay.LedgerTotals{Shard: m.Shard, Ready: s.phase == rebuilt, Seq: m.Seq}
 	for _, key := range m.Interest {
 		if a, known := s.accounts[key]; known {
-			totals.Entries = append(totals.Entries, a.fleet(now, s.phase))
+			totals.Entries = append(totals.Entries, a.fleetEntry(now, s.phase))
 		}
 	}
 	return append(out, pomelorelay.Outgoing{To: from, Message: totals})
 }
 
-func (l *Ledger) merge(s *shard, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.LedgerEntry) {
+func (l *Ledger) mergeReport(s *shard, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.LedgerEntry) {
 	for i := range entries {
 		e := &entries[i]
 		if ShardOf(e.Account, l.cfg.Shards) != s.id {
 			continue
 		}
 		a := s.account(pomelorelay.LedgerKey{Pool: e.Pool, Account: e.Account})
-		if a.report(from, incarnation, s.opened, e) {
-			a.touch(l.cfg.Options.Repeats)
+		if a.mergeReport(from, incarnation, s.rebuiltAt, e) {
+			a.scheduleSends(l.cfg.Options.SendsPerChange)
 		}
 	}
 }
 
-// MemberGone notes that a router died, so that a rebuild no longer waits for it. Its entries stay, as it may only be cut
-// off, but nothing waits there any more.
+// MemberGone marks a router as dead: a rebuild stops waiting for it, and its accounts no longer count as backlogged
+// there. Its served totals stay, because the router may only be partitioned.
 func (l *Ledger) MemberGone(now time.Time, node pomelorelay.NodeID) {
 	for _, s := range l.order {
-		delete(s.routers, node)
-		delete(s.domains, node)
-		l.unwait(s, node, s.latest[node])
-		l.progress(now, s)
+		delete(s.pendingRouters, node)
+		delete(s.pendingHosts, node)
+		l.clearWaiting(s, node, s.latestIncarnation[node])
+		l.advancePhase(now, s)
 	}
 }
 
-// unwait clears the word that accounts wait at a router's ended incarnations. Without it an account whose only queue was
-// there counts as backlogged for ever.
-func (l *Ledger) unwait(s *shard, node pomelorelay.NodeID, upTo pomelorelay.Incarnation) {
+// clearWaiting clears the backlogged state reported by a router's incarnations up to upTo, which have ended. Otherwise
+// an account whose only queue was on that router would count as backlogged for ever.
+func (l *Ledger) clearWaiting(s *shard, node pomelorelay.NodeID, upTo pomelorelay.Incarnation) {
 	for _, a := range s.order {
-		if a.unwait(node, upTo) {
-			a.touch(l.cfg.Options.Repeats)
+		if a.clearWaiting(node, upTo) {
+			a.scheduleSends(l.cfg.Options.SendsPerChange)
 		}
 	}
 }
 
-// Tick exchanges components with the hosts in other domains and asks again while rebuilding; call it every 100 ms or so.
+// Tick exchanges components with the hosts in other domains and repeats unanswered rebuild queries. Call it about
+// every 100 ms.
 func (l *Ledger) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, s := range l.order {
-		s.fold(now)
+		s.foldDue(now)
 		out = l.rebuild(now, s, out)
 	}
-	if !now.Before(l.nextNear) {
-		l.nextNear = now.Add(l.cfg.Options.ExchangeEvery)
-		out = l.exchangeNear(now, out)
+	if !now.Before(l.nextRegionExchange) {
+		l.nextRegionExchange = now.Add(l.cfg.Options.ExchangeEvery)
+		out = l.exchangeWithinRegion(now, out)
 	}
-	if !now.Before(l.nextCross) {
-		l.nextCross = now.Add(l.cfg.Options.CrossEvery)
-		out = l.exchangeCross(now, out)
+	if !now.Before(l.nextCrossExchange) {
+		l.nextCrossExchange = now.Add(l.cfg.Options.CrossRegionInterval)
+		out = l.exchangeAcrossRegions(now, out)
 	}
 	return out
 }
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -8,47 +8,48 @@
 	"github.com/pomelorelay/pomelorelay/pomeloledger"
 )
 
-func entry(served pomelorelay.Cost) []pomelorelay.LedgerEntry {
+func entriesServed(served pomelorelay.Cost) []pomelorelay.LedgerEntry {
 	return []pomelorelay.LedgerEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Served: served}}
 }
 
-func served(t *testing.T, l *pomeloledger.Ledger, now time.Time, want pomelorelay.Cost) {
+func checkServed(t *testing.T, l *pomeloledger.Ledger, now time.Time, want pomelorelay.Cost) {
 	t.Helper()
 	if e, _ := l.Total(now, accounts[0]); e.Served != want {
-		t.Errorf("counts %v, want %v", e.Served, want)
+		t.Errorf("served total is %v, want %v", e.Served, want)
 	}
 }
 
-func TestLateReportLowersNothing(t *testing.T) {
-	// An older report overtakes a newer one on its way. Taken as it is, it would give the account credit for what it had.
-	w := newWorld("north")
-	w.calm(time.Second)
+func TestLateReportDoesNotLowerTotal(t *testing.T) {
+	// Reports arrive out of order. Replacing a value by an older one would credit the account with service it has received.
+	w := newTestFleet("north")
+	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(4)}, nil)
-	l.Report(w.now, "r1", w.routers[1].inc, &pomelorelay.LedgerReport{Entries: entry(5)}, nil)
-	served(t, l, w.now, 15)
+	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
+	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(4)}, nil)
+	l.Report(w.now, "r1", w.routers[1].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(5)}, nil)
+	checkServed(t, l, w.now, 15)
 }
 
-func TestLateReportOfAFormerProcessCountsOnce(t *testing.T) {
-	// A router restarts. Minutes later a report of its former process arrives, whose service has been folded into the departed part.
-	w := newWorld("north")
-	w.calm(time.Second)
+func TestLateReportOfPreviousIncarnationCountsOnce(t *testing.T) {
+	// A router restarts, and a report of its previous incarnation arrives after that incarnation has been folded.
+	w := newTestFleet("north")
+	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
-	former := w.routers[0].inc
-	l.Report(w.now, "r0", former, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
+	previous := w.routers[0].incarnation
+	l.Report(w.now, "r0", previous, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
 	w.restart(w.routers[0])
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(1)}, nil)
-	w.calm(2 * time.Minute)
-	l.Report(w.now, "r0", former, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
-	served(t, l, w.now, 11)
+	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(1)}, nil)
+	w.runWithoutFaults(2 * time.Minute)
+	l.Report(w.now, "r0", previous, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
+	checkServed(t, l, w.now, 11)
 }
 
-func TestLateAnswerOfADomainIsNotCountedAsDeparted(t *testing.T) {
-	// The other domain answers a new host only after a router has, and knows a later report of that router by way of the former host.
-	w := newWorld("north", "north")
-	w.calm(10 * time.Second)
-	w.host(0, 1)
+func TestLateComponentIsNotCountedAsDeparted(t *testing.T) {
+	// The other domain's answer arrives after a router's full report and includes a later report of that router, which the
+	// previous host had passed on.
+	w := newTestFleet("north", "north")
+	w.runWithoutFaults(10 * time.Second)
+	w.replaceHost(0, 1)
 	l := w.ledgers["d0-host1"]
 	w.now = w.now.Add(1600 * time.Millisecond)
 	var round uint64
@@ -57,44 +58,45 @@
 			round = query.Round
 		}
 	}
-	full := func(node int, value pomelorelay.Cost) {
+	sendFullReport := func(node int, value pomelorelay.Cost) {
 		r := w.routers[node]
-		l.Report(w.now, r.node, r.inc, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entry(value)}, nil)
+		l.Report(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entriesServed(value)}, nil)
 	}
-	full(0, 90)
-	late := &pomelorelay.LedgerComponent{Domain: "d0", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Sum: 100}}}
-	l.Component(w.now, w.hosts["d1"], late, nil)
-	full(1, 0)
-	full(2, 0)
+	sendFullReport(0, 90)
+	lateComponent := &pomelorelay.LedgerComponent{Domain: "d0", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Sum: 100}}}
+	l.Component(w.now, w.hosts["d1"], lateComponent, nil)
+	sendFullReport(1, 0)
+	sendFullReport(2, 0)
 	if _, ready := l.Hosts(0); !ready {
-		t.Fatal("not rebuilt")
+		t.Fatal("rebuild is not complete after all routers reported")
 	}
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(100)}, nil)
-	served(t, l, w.now, 100)
+	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(100)}, nil)
+	checkServed(t, l, w.now, 100)
 }
 
-func TestAnswerToAFormerQueryDoesNotEndTheRebuild(t *testing.T) {
-	// A full report that a router sent to an earlier host of the shard arrives late, older than what the domains know by now.
-	w := newWorld("north")
+func TestReportForEarlierQueryDoesNotEndRebuild(t *testing.T) {
+	// Full reports that answer an earlier host's query arrive late and may be older than what other domains know.
+	w := newTestFleet("north")
 	l := w.ledgers[w.hosts["d0"]]
-	w.flying = nil
+	w.held = nil
 	for _, r := range w.routers {
-		l.Report(w.now, r.node, r.inc, &pomelorelay.LedgerReport{Full: true, Round: 1, Entries: entry(1)}, nil)
+		l.Report(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: 1, Entries: entriesServed(1)}, nil)
 	}
 	if _, ready := l.Hosts(0); ready {
-		t.Error("rebuilt from answers to a former query")
+		t.Error("rebuild completed from answers to an earlier query")
 	}
 }
 
-func TestNothingWaitsAtADeadRouter(t *testing.T) {
-	// A router dies or restarts with an account's only requests in its queues. The account must not count as backlogged for ever, here or in the other domain.
+func TestEndedIncarnationClearsWaiting(t *testing.T) {
+	// A router dies or restarts while it holds an account's only queued requests. The account must not stay backlogged,
+	// neither in this domain nor in the other one.
 	for _, restarts := range []bool{false, true} {
-		w := newWorld("north", "north")
-		w.calm(5 * time.Second)
-		w.serve(w.routers[0], accounts[0], 10)
-		w.calm(5 * time.Second)
+		w := newTestFleet("north", "north")
+		w.runWithoutFaults(5 * time.Second)
+		w.recordServed(w.routers[0], accounts[0], 10)
+		w.runWithoutFaults(5 * time.Second)
 		if e, _ := w.ledgers[w.hosts["d1"]].Total(w.now, accounts[0]); !e.Waiting {
-			t.Fatal("not known to wait")
+			t.Fatal("account is not reported as backlogged")
 		}
 		if restarts {
 			w.restart(w.routers[0])
@@ -102,24 +104,24 @@
 			w.routers[0].up = false
 			w.ledgers[w.hosts["d0"]].MemberGone(w.now, "r0")
 		}
-		w.calm(5 * time.Second)
+		w.runWithoutFaults(5 * time.Second)
 		for _, domain := range w.domains {
 			if e, _ := w.ledgers[w.hosts[domain.ID]].Total(w.now, accounts[0]); e.Waiting || e.Served != 10 {
-				t.Errorf("restarts %v: %s has %+v", restarts, domain.ID, e)
+				t.Errorf("restarts %v: domain %s has %+v, want 10 served and not waiting", restarts, domain.ID, e)
 			}
 		}
 	}
 }
 
-func TestLostReportIsSentAgain(t *testing.T) {
-	// The one report that carries an account's last request is lost, and the account is quiet from then on.
-	w := newWorld("north")
-	w.calm(5 * time.Second)
-	w.serve(w.routers[0], accounts[0], 10)
+func TestLostReportIsResent(t *testing.T) {
+	// The only report of an account's last request is lost, and no later request triggers another.
+	w := newTestFleet("north")
+	w.runWithoutFaults(5 * time.Second)
+	w.recordServed(w.routers[0], accounts[0], 10)
 	for range 12 {
 		w.advance()
-		w.flying = nil
+		w.held = nil
 	}
-	w.calm(5 * time.Second)
-	w.exact(t)
+	w.runWithoutFaults(5 * time.Second)
+	w.checkExact(t)
 }
--- a/pomeloledger/reporter.go
+++ b/pomeloledger/reporter.go
@@ -6,87 +6,88 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// ReporterConfig holds what a Reporter needs.
+// ReporterConfig configures a Reporter.
 type ReporterConfig struct {
+	// Shards is the number of ledger shards; it must be the same on every router of the fleet.
 	Shards uint32
-	// Host returns the router of this failure domain that hosts a shard.
+	// Host returns the router that hosts a shard in this failure domain, or false when there is none.
 	Host func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool)
-	// Every is the interval of reports; 1 s when zero.
+	// Every is the interval between reports; 1 s when zero.
 	Every time.Duration
-	// ResendAfter is the wait for an answer before entries are sent again; 2 s when zero.
+	// ResendAfter is the time without an answer after which entries are sent again; 2 s when zero.
 	ResendAfter time.Duration
-	// MaxEntries bounds the entries of one report that is not full; 512 when zero.
+	// MaxEntries limits the entries of an incremental report; 512 when zero. Full reports are not limited.
 	MaxEntries int
 }
 
-// Reporter sends a router's own cumulative service to the shards' hosts until they answer.
+// Reporter sends the cumulative service of one router to the hosts of the shards until they acknowledge it.
 type Reporter struct {
-	cfg     ReporterConfig
-	shards  map[pomelorelay.ShardID]*reported
-	order   []pomelorelay.ShardID
-	entries map[pomelorelay.LedgerKey]*sentEntry
-	seq     uint64
-	next    time.Time
+	cfg        ReporterConfig
+	shards     map[pomelorelay.ShardID]*reporterShard
+	order      []pomelorelay.ShardID
+	entries    map[pomelorelay.LedgerKey]*trackedEntry
+	seq        uint64
+	nextReport time.Time
 }
 
-// reported is what a router has of one shard.
-type reported struct {
+// reporterShard holds a router's entries and interests in one shard.
+type reporterShard struct {
 	host     pomelorelay.NodeID
-	entries  []*sentEntry
+	entries  []*trackedEntry
 	interest []pomelorelay.LedgerKey
 }
 
-// sentEntry is an entry with the report that carried its latest value; zero when none has.
-type sentEntry struct {
-	entry  pomelorelay.LedgerEntry
-	seq    uint64
-	sent   time.Time
-	merged bool
+// trackedEntry is an entry and the sequence number of the report that carried its latest value, zero when none has.
+type trackedEntry struct {
+	entry        pomelorelay.LedgerEntry
+	seq          uint64
+	sentAt       time.Time
+	acknowledged bool
 }
 
-// NewReporter returns a Reporter that knows nothing yet.
+// NewReporter returns a Reporter without entries.
 func NewReporter(cfg ReporterConfig) *Reporter {
-	setDuration(&cfg.Every, time.Second)
-	setDuration(&cfg.ResendAfter, 2*time.Second)
-	setCount(&cfg.MaxEntries, 512)
-	return &Reporter{cfg: cfg, shards: make(map[pomelorelay.ShardID]*reported), entries: make(map[pomelorelay.LedgerKey]*sentEntry)}
+	setDefaultDuration(&cfg.Every, time.Second)
+	setDefaultDuration(&cfg.ResendAfter, 2*time.Second)
+	setDefaultCount(&cfg.MaxEntries, 512)
+	return &Reporter{cfg: cfg, shards: make(map[pomelorelay.ShardID]*reporterShard), entries: make(map[pomelorelay.LedgerKey]*trackedEntry)}
 }
 
-// SetEvery sets the interval of reports from the next one on.
+// SetEvery sets the interval between reports, effective after the next report; zero selects 1 s.
 func (r *Reporter) SetEvery(every time.Duration) {
-	setDuration(&every, time.Second)
+	setDefaultDuration(&every, time.Second)
 	r.cfg.Every = every
 }
 
-func (r *Reporter) shard(account pomelorelay.AccountID) *reported {
+func (r *Reporter) shard(account pomelorelay.AccountID) *reporterShard {
 	id := ShardOf(account, r.cfg.Shards)
 	s, ok := r.shards[id]
 	if !ok {
-		s = &reported{}
+		s = &reporterShard{}
 		r.shards[id] = s
 		r.order = append(r.order, id)
 	}
 	return s
 }
 
-// Changed takes entries whose cumulative totals changed.
+// Changed records entries whose cumulative service changed and marks them to be sent.
 func (r *Reporter) Changed(entries []pomelorelay.LedgerEntry) {
 	for _, entry := range entries {
 		key := pomelorelay.LedgerKey{Pool: entry.Pool, Account: entry.Account}
 		e, ok := r.entries[key]
 		if !ok {
-			e = &sentEntry{}
+			e = &trackedEntry{}
 			r.entries[key] = e
 			s := r.shard(entry.Account)
 			s.entries = append(s.entries, e)
 		}
 		e.entry = entry
 		e.seq = 0
-		e.merged = false
+		e.acknowledged = false
 	}
 }
 
-// SetInterest replaces the accounts whose fleet totals are wanted.
+// SetInterest replaces the set of accounts whose fleet totals are requested with each report.
 func (r *Reporter) SetInterest(keys []pomelorelay.LedgerKey) {
 	for _, s := range r.shards {
 		s.interest = s.interest[:0]
@@ -97,7 +98,8 @@
 	}
 }
 
-// Totals takes a host's answer and reports whether its entries may be used: the host is ready and still the shard's.
+// Totals processes a host's answer and reports whether its entries are usable: the sender is the shard's current host
+// and has finished its rebuild.
 func (r *Reporter) Totals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
 	s, ok := r.shards[m.Shard]
 	if !ok || from != s.host {
@@ -105,13 +107,13 @@
 	}
 	for _, e := range s.entries {
 		if e.seq != 0 && e.seq == m.Seq {
-			e.merged = true
+			e.acknowledged = true
 		}
 	}
 	return m.Ready
 }
 
-// Query answers a new host with a full report.
+// Query answers a host that rebuilds a shard with a full report.
 func (r *Reporter) Query(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	report := &pomelorelay.LedgerReport{Shard: m.Shard, Full: true, Round: m.Round}
 	r.seq++
@@ -125,20 +127,20 @@
 	return append(out, pomelorelay.Outgoing{To: from, Message: report})
 }
 
-// Tick sends the reports that are due.
+// Tick sends due reports.
 func (r *Reporter) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if now.Before(r.next) {
+	if now.Before(r.nextReport) {
 		return out
 	}
-	r.next = now.Add(r.cfg.Every)
+	r.nextReport = now.Add(r.cfg.Every)
 	for _, id := range r.order {
-		out = r.report(now, id, out)
+		out = r.appendReport(now, id, out)
 	}
 	return out
 }
 
-// report sends what the shard's host has not answered for. A new host has answered for nothing.
-func (r *Reporter) report(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// appendReport sends the entries that the shard's host has not acknowledged; a new host has acknowledged none.
+func (r *Reporter) appendReport(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s := r.shards[id]
 	host, ok := r.cfg.Host(id)
 	if !ok {
@@ -148,16 +150,16 @@
 		s.host = host
 		for _, e := range s.entries {
 			e.seq = 0
-			e.merged = false
+			e.acknowledged = false
 		}
 	}
 	report := &pomelorelay.LedgerReport{Shard: id, Seq: r.seq + 1, Interest: append([]pomelorelay.LedgerKey(nil), s.interest...)}
 	for _, e := range s.entries {
-		if e.merged || e.seq != 0 && now.Sub(e.sent) < r.cfg.ResendAfter || len(report.Entries) == r.cfg.MaxEntries {
+		if e.acknowledged || e.seq != 0 && now.Sub(e.sentAt) < r.cfg.ResendAfter || len(report.Entries) == r.cfg.MaxEntries {
 			continue
 		}
 		e.seq = report.Seq
-		e.sent = now
+		e.sentAt = now
 		report.Entries = append(report.Entries, e.entry)
 	}
 	if len(report.Entries) == 0 && len(report.Interest) == 0 {
--- a/pomeloledger/shard.go
+++ b/pomeloledger/shard.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShardOf returns the shard of an account; every pool of an account is in the same one.
+// ShardOf returns the shard of an account; all pools of an account are in the same shard.
 func ShardOf(account pomelorelay.AccountID, shards uint32) pomelorelay.ShardID {
 	if shards == 0 {
 		return 0
@@ -16,49 +16,49 @@
 	return pomelorelay.ShardID(xxhash.Sum64String(string(account)) % uint64(shards))
 }
 
-// phase is how far a host has rebuilt a shard. Other domains are asked before routers: a router's full report is then
-// at least as new as its part in what the domains know, so that the rest of that is from routers now gone.
-type phase int
+// rebuildPhase is the progress of a shard's rebuild. Other domains are queried before routers, so that a router's full
+// report is at least as new as its share of the other domains' sums; the remainder is then from departed routers.
+type rebuildPhase int
 
 const (
-	askingDomains phase = iota
-	askingRouters
-	settled
+	queryingDomains rebuildPhase = iota
+	queryingRouters
+	rebuilt
 )
 
-// shard is one shard as its host in this failure domain knows it.
+// shard is the state of one shard on its host.
 type shard struct {
-	id        pomelorelay.ShardID
-	phase     phase
-	short     bool // opened at the time limit before everybody had answered
-	hosted    time.Time
-	opened    pomelorelay.Incarnation // Unix nanoseconds when it was settled
-	nextQuery time.Time
-	round     uint64
-	domains   map[pomelorelay.NodeID]bool // hosts elsewhere that have not answered
-	routers   map[pomelorelay.NodeID]bool // routers that have not reported in this round
-	accounts  map[pomelorelay.LedgerKey]*account
-	order     []*account
-	near      int // where the next refresh begins
-	cross     int
-	latest    map[pomelorelay.NodeID]pomelorelay.Incarnation
-	folded    map[pomelorelay.NodeID]pomelorelay.Incarnation
-	folds     []fold
+	id                pomelorelay.ShardID
+	phase             rebuildPhase
+	timedOut          bool // the rebuild ended at its timeout with answers missing
+	hostedSince       time.Time
+	rebuiltAt         pomelorelay.Incarnation // Unix nanoseconds at the end of the rebuild
+	nextQuery         time.Time
+	round             uint64
+	pendingHosts      map[pomelorelay.NodeID]bool // hosts in other domains that have not answered
+	pendingRouters    map[pomelorelay.NodeID]bool // routers that have not answered this round's query
+	accounts          map[pomelorelay.LedgerKey]*account
+	order             []*account
+	regionCursor      int // index in order where the next refresh starts
+	crossCursor       int
+	latestIncarnation map[pomelorelay.NodeID]pomelorelay.Incarnation
+	foldedUpTo        map[pomelorelay.NodeID]pomelorelay.Incarnation
+	pendingFolds      []pendingFold
 }
 
-// fold is due when no more reports of a superseded incarnation are expected.
-type fold struct {
+// pendingFold schedules the folding of superseded incarnations for when late reports are no longer expected.
+type pendingFold struct {
 	node pomelorelay.NodeID
 	upTo pomelorelay.Incarnation
-	at   time.Time
+	due  time.Time
 }
 
 func newShard(id pomelorelay.ShardID, now time.Time) *shard {
 	return &shard{
-		id: id, hosted: now, nextQuery: now, round: uint64(now.UnixNano()),
-		domains: make(map[pomelorelay.NodeID]bool), routers: make(map[pomelorelay.NodeID]bool),
-		accounts: make(map[pomelorelay.LedgerKey]*account),
-		latest:   make(map[pomelorelay.NodeID]pomelorelay.Incarnation), folded: make(map[pomelorelay.NodeID]pomelorelay.Incarnation),
+		id: id, hostedSince: now, nextQuery: now, round: uint64(now.UnixNano()),
+		pendingHosts: make(map[pomelorelay.NodeID]bool), pendingRouters: make(map[pomelorelay.NodeID]bool),
+		accounts:          make(map[pomelorelay.LedgerKey]*account),
+		latestIncarnation: make(map[pomelorelay.NodeID]pomelorelay.Incarnation), foldedUpTo: make(map[pomelorelay.NodeID]pomelorelay.Incarnation),
 	}
 }
 
@@ -72,47 +72,48 @@
 	return a
 }
 
-// meet notes a router's incarnation and plans to fold the entries of earlier ones; it reports whether entries of this
-// one still count by themselves. An incarnation that was folded stays out, or its service would count twice.
-func (s *shard) meet(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, after time.Duration) bool {
-	if incarnation <= s.folded[node] {
+// admitIncarnation records a router's incarnation and schedules the folding of earlier ones. It returns false for an
+// incarnation that has been folded already, whose service would otherwise count twice.
+func (s *shard) admitIncarnation(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, foldDelay time.Duration) bool {
+	if incarnation <= s.foldedUpTo[node] {
 		return false
 	}
-	latest, known := s.latest[node]
+	latest, known := s.latestIncarnation[node]
 	if incarnation > latest {
-		s.latest[node] = incarnation
+		s.latestIncarnation[node] = incarnation
 		if known {
-			s.folds = append(s.folds, fold{node: node, upTo: incarnation - 1, at: now.Add(after)})
+			s.pendingFolds = append(s.pendingFolds, pendingFold{node: node, upTo: incarnation - 1, due: now.Add(foldDelay)})
 		}
 	}
 	return true
 }
 
-// fold moves the service of superseded incarnations into the departed part. Only a later incarnation of the same router
-// proves that the earlier has ended; a router that merely seems dead may report again.
-func (s *shard) fold(now time.Time) {
-	kept := s.folds[:0]
-	for _, f := range s.folds {
-		if s.phase != settled || now.Before(f.at) {
+// foldDue adds the service of superseded incarnations to departed. Only a later incarnation of the same router proves
+// that an earlier one has ended; a router that is suspected dead may report again.
+func (s *shard) foldDue(now time.Time) {
+	kept := s.pendingFolds[:0]
+	for _, f := range s.pendingFolds {
+		if s.phase != rebuilt || now.Before(f.due) {
 			kept = append(kept, f)
 			continue
 		}
-		s.folded[f.node] = max(s.folded[f.node], f.upTo)
+		s.foldedUpTo[f.node] = max(s.foldedUpTo[f.node], f.upTo)
 		for _, a := range s.order {
 			a.fold(f)
 		}
 	}
-	s.folds = kept
+	s.pendingFolds = kept
 }
 
-// settle ends the rebuild: what other domains know beyond the reports of live routers is from routers now gone.
-func (s *shard) settle(now time.Time, repeats int) {
-	s.phase = settled
-	s.short = len(s.routers) > 0 || len(s.domains) > 0
-	s.opened = pomelorelay.Incarnation(now.UnixNano())
+// finishRebuild ends the rebuild. Service that other domains know beyond the reports of live routers is attributed to
+// departed routers.
+func (s *shard) finishRebuild(now time.Time, sends int) {
+	s.phase = rebuilt
+	s.timedOut = len(s.pendingRouters) > 0 || len(s.pendingHosts) > 0
+	s.rebuiltAt = pomelorelay.Incarnation(now.UnixNano())
 	for _, a := range s.order {
-		a.departed = max(a.departed, a.knownDeparted)
-		a.residue = max(0, a.knownSum-a.departed-a.live())
-		a.touch(repeats)
+		a.departed = max(a.departed, a.peerDeparted)
+		a.residue = max(0, a.peerSum-a.departed-a.liveServed())
+		a.scheduleSends(sends)
 	}
 }
