--- a/pomeloclaim/asker.go
+++ b/pomeloclaim/asker.go
@@ -8,19 +8,19 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxBackoff bounds how often the pause before a resend doubles.
-const maxBackoff = 3
+// maxBackoffShift limits the exponential backoff of resends to ResendAfter << maxBackoffShift.
+const maxBackoffShift = 3
 
-// Asker asks keepers for claims on behalf of one router's requests. It alone decides whether a claimed request is
-// sent: once it has refused a claim it never takes it up again, whatever answer comes late, and has it released.
+// Asker requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that it has
+// refused stays refused: if a later answer makes it fresh, the claim is released.
 type Asker struct {
-	cfg      AskerConfig
-	process  pomelorelay.ClaimNonce
-	last     uint32
-	attempts map[pomelorelay.ClaimNonce]*attempt
-	// order holds the attempts by age, so that a schedule runs the same way every time.
-	order    []*attempt
-	settling int
+	cfg         AskerConfig
+	process     pomelorelay.ClaimNonce
+	lastCounter uint32
+	attempts    map[pomelorelay.ClaimNonce]*attempt
+	// order holds the attempts in order of creation, so that simulated runs are deterministic.
+	order         []*attempt
+	settlingCount int
 }
 
 type attemptPhase int
@@ -33,60 +33,60 @@
 )
 
 type attempt struct {
-	phase  attemptPhase
-	ask    pomelorelay.ClaimAsk
-	settle pomelorelay.ClaimSettle
-	began  time.Time
-	resend time.Time
-	sends  int
+	phase     attemptPhase
+	ask       pomelorelay.ClaimAsk
+	settle    pomelorelay.ClaimSettle
+	startedAt time.Time
+	resendAt  time.Time
+	sends     int
 }
 
-// NewAsker returns an Asker.
+// NewAsker returns an Asker without open claims.
 func NewAsker(cfg AskerConfig) *Asker {
 	cfg = cfg.withDefaults()
 	return &Asker{
 		cfg:      cfg,
-		process:  processNonce(cfg.Node, cfg.Incarnation),
+		process:  newProcessNonce(cfg.Node, cfg.Incarnation),
 		attempts: make(map[pomelorelay.ClaimNonce]*attempt),
 	}
 }
 
-// ShardOf returns the shard that keeps a key.
+// ShardOf returns the shard of a claim key.
 func ShardOf(key pomelorelay.ClaimKey, shards uint32) pomelorelay.ShardID {
 	return pomelorelay.ShardID(binary.BigEndian.Uint32(key[len(key)-4:]) % shards)
 }
 
-// Claim asks for a claim and returns its nonce; the verdict follows in an Output.
+// Claim requests a claim and returns its nonce. The verdict is added to the Output of a later call.
 func (a *Asker) Claim(now time.Time, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint, out *Output) pomelorelay.ClaimNonce {
-	a.last++
-	nonce := numbered(a.process, a.last)
+	a.lastCounter++
+	nonce := withCounter(a.process, a.lastCounter)
 	shard := ShardOf(key, a.cfg.Shards)
-	t := a.track(now, nonce)
+	t := a.addAttempt(now, nonce)
 	t.phase = phaseAsking
 	t.ask = pomelorelay.ClaimAsk{Shard: shard, Key: key, Nonce: nonce, Content: content}
 	a.send(now, t, out)
 	return nonce
 }
 
-func (a *Asker) track(now time.Time, nonce pomelorelay.ClaimNonce) *attempt {
-	t := &attempt{began: now}
+func (a *Asker) addAttempt(now time.Time, nonce pomelorelay.ClaimNonce) *attempt {
+	t := &attempt{startedAt: now}
 	a.attempts[nonce] = t
 	a.order = append(a.order, t)
 	return t
 }
 
-// Cancel gives up a claim whose verdict has not come; no verdict follows.
+// Cancel abandons a claim without a verdict and releases it. No verdict follows.
 func (a *Asker) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
 	if t, ok := a.attempts[nonce]; ok && t.phase == phaseAsking {
 		a.release(now, t, out)
 	}
 }
 
-// Answer takes a keeper's answer.
+// Answer handles a keeper's answer to a claim request.
 func (a *Asker) Answer(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
 	t, ok := a.attempts[m.Nonce]
 	if !ok {
-		a.releaseStray(now, m, out)
+		a.releaseUntracked(now, m, out)
 		return
 	}
 	if t.phase != phaseAsking {
@@ -97,68 +97,69 @@
 	case pomelorelay.ClaimFresh:
 		t.phase = phaseRunning
 	case pomelorelay.ClaimDone:
-		a.end(m.Nonce, t)
+		a.endAttempt(m.Nonce, t)
 	default:
 		if m.State != pomelorelay.ClaimRefused && t.sends == 1 {
-			// The only keeper that was asked has answered, so that nothing of this attempt is under way.
-			a.end(m.Nonce, t)
+			// Only one request was sent, and its answer has arrived, so no other request of this attempt can become durable.
+			a.endAttempt(m.Nonce, t)
 			return
 		}
-		// A keeper may still make the claim durable; left there it would keep every repeat from running.
+		// A keeper may still make the claim durable, which would block every repeat of the request.
 		a.release(now, t, out)
 	}
 }
 
-// releaseStray has a claim released that became durable after everybody had forgotten it. A keeper does not release
-// one that was settled, so a repeated answer does no harm.
-func (a *Asker) releaseStray(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
+// releaseUntracked releases a claim of this process that became durable after its attempt ended. Keepers ignore the release
+// of a settled claim, so a duplicate answer is harmless.
+func (a *Asker) releaseUntracked(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
 	if m.State != pomelorelay.ClaimFresh || !a.isOwn(m.Nonce) {
 		return
 	}
-	t := a.track(now, m.Nonce)
+	t := a.addAttempt(now, m.Nonce)
 	t.ask = pomelorelay.ClaimAsk{Shard: m.Shard, Key: m.Key, Nonce: m.Nonce}
 	a.release(now, t, out)
 }
 
 func (a *Asker) isOwn(nonce pomelorelay.ClaimNonce) bool {
-	return [counterAt]byte(nonce[:counterAt]) == [counterAt]byte(a.process[:counterAt])
+	return [counterOffset]byte(nonce[:counterOffset]) == [counterOffset]byte(a.process[:counterOffset])
 }
 
-// Settle tells how the request of a fresh claim ended: released, done or unknown.
+// Settle records how the request of a fresh claim ended (released, done or unknown) and sends it to the keeper until it is
+// acknowledged. Outcomes over MaxOutcomeBytes are truncated.
 func (a *Asker) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
 	t, ok := a.attempts[nonce]
 	if !ok || t.phase != phaseRunning {
 		return
 	}
-	if pomelorelay.Bytes(len(outcome.Body)+len(outcome.ContentType)) > a.cfg.MaxOutcome {
+	if pomelorelay.Bytes(len(outcome.Body)+len(outcome.ContentType)) > a.cfg.MaxOutcomeBytes {
 		outcome = pomelorelay.ClaimOutcome{Status: outcome.Status, Truncated: true}
 	}
-	a.beginSettle(now, t, pomelorelay.ClaimSettle{Released: released, State: state, Outcome: outcome}, out)
+	a.startSettlement(now, t, pomelorelay.ClaimSettle{Released: released, State: state, Outcome: outcome}, out)
 }
 
 func (a *Asker) release(now time.Time, t *attempt, out *Output) {
-	a.beginSettle(now, t, pomelorelay.ClaimSettle{Released: true}, out)
+	a.startSettlement(now, t, pomelorelay.ClaimSettle{Released: true}, out)
 }
 
-func (a *Asker) beginSettle(now time.Time, t *attempt, s pomelorelay.ClaimSettle, out *Output) {
+func (a *Asker) startSettlement(now time.Time, t *attempt, s pomelorelay.ClaimSettle, out *Output) {
 	s.Shard, s.Key, s.Nonce = t.ask.Shard, t.ask.Key, t.ask.Nonce
 	t.phase, t.settle, t.sends = phaseSettling, s, 0
-	a.settling++
+	a.settlingCount++
 	a.send(now, t, out)
-	a.bound()
+	a.limitSettlements()
 }
 
-// bound keeps an outage of all keepers from filling memory with settlements.
-func (a *Asker) bound() {
-	if a.settling <= a.cfg.MaxSettling/2 {
+// limitSettlements bounds the memory of unacknowledged settlements while no keeper is reachable.
+func (a *Asker) limitSettlements() {
+	if a.settlingCount <= a.cfg.MaxSettling/2 {
 		return
 	}
 	for _, t := range a.order {
 		if t.phase != phaseSettling {
 			continue
 		}
-		if a.settling > a.cfg.MaxSettling {
-			a.end(t.ask.Nonce, t)
+		if a.settlingCount > a.cfg.MaxSettling {
+			a.endAttempt(t.ask.Nonce, t)
 			continue
 		}
 		if len(t.settle.Outcome.Body) > 0 {
@@ -167,38 +168,38 @@
 	}
 }
 
-// Settled takes a keeper's acknowledgement.
+// Settled handles a keeper's acknowledgement of a settlement.
 func (a *Asker) Settled(m *pomelorelay.ClaimSettled) {
 	if t, ok := a.attempts[m.Nonce]; ok && t.phase == phaseSettling {
-		a.end(m.Nonce, t)
+		a.endAttempt(m.Nonce, t)
 	}
 }
 
-func (a *Asker) end(nonce pomelorelay.ClaimNonce, t *attempt) {
+func (a *Asker) endAttempt(nonce pomelorelay.ClaimNonce, t *attempt) {
 	if t.phase == phaseSettling {
-		a.settling--
+		a.settlingCount--
 	}
 	t.phase = phaseEnded
 	delete(a.attempts, nonce)
 }
 
-// Tick sends again what is due and gives up what waited too long; call it about each 50 ms.
+// Tick resends unanswered messages and refuses claims that have reached ClaimTimeout. Call it about every 50 ms.
 func (a *Asker) Tick(now time.Time, out *Output) {
 	a.order = slices.DeleteFunc(a.order, func(t *attempt) bool { return t.phase == phaseEnded })
 	for _, t := range a.order {
-		if t.phase == phaseAsking && now.Sub(t.began) >= a.cfg.GiveUpAfter {
+		if t.phase == phaseAsking && now.Sub(t.startedAt) >= a.cfg.ClaimTimeout {
 			out.Verdicts = append(out.Verdicts, Verdict{Key: t.ask.Key, Nonce: t.ask.Nonce, State: pomelorelay.ClaimRefused})
 			a.release(now, t, out)
 			continue
 		}
-		if t.phase != phaseRunning && !now.Before(t.resend) {
+		if t.phase != phaseRunning && !now.Before(t.resendAt) {
 			a.send(now, t, out)
 		}
 	}
 }
 
 func (a *Asker) send(now time.Time, t *attempt, out *Output) {
-	t.resend = now.Add(a.cfg.ResendAfter << min(t.sends, maxBackoff))
+	t.resendAt = now.Add(a.cfg.ResendAfter << min(t.sends, maxBackoffShift))
 	t.sends++
 	keeper, ok := a.cfg.Keeper(t.ask.Shard)
 	if !ok {
@@ -213,17 +214,18 @@
 	out.send(keeper, &settle)
 }
 
-// Phases are how many claims wait for a verdict, run, or wait for the acknowledgement of their settlement.
+// Phases counts the open claims by what they wait for: a verdict, the end of their request, or the acknowledgement of
+// their settlement.
 type Phases struct {
 	Asking   int
 	Running  int
 	Settling int
 }
 
-// Open returns the sum.
+// Open returns the number of open claims.
 func (p Phases) Open() int { return p.Asking + p.Running + p.Settling }
 
-// Phases counts the open claims by what they wait for.
+// Phases returns the number of open claims in each phase.
 func (a *Asker) Phases() Phases {
 	var p Phases
 	for _, t := range a.attempts {
@@ -239,5 +241,5 @@
 	return p
 }
 
-// Open returns how many claims wait for a verdict, run, or wait for an acknowledgement; a planned stop waits until it is zero.
+// Open returns the number of open claims; a graceful shutdown waits until it is zero.
 func (a *Asker) Open() int { return len(a.attempts) }
--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -12,8 +12,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloclaim"
 )
 
-// direct drives one keeper by hand: the test is its store and its askers.
-type direct struct {
+// keeperHarness drives a single keeper; the test acts as its store and its requesters.
+type keeperHarness struct {
 	t      *testing.T
 	now    time.Time
 	keeper *pomeloclaim.Keeper
@@ -21,17 +21,17 @@
 	store  *fleet
 }
 
-func newDirect(t *testing.T, cfg pomeloclaim.Config) *direct {
-	d := &direct{t: t, store: newFleet(1, 0, cfg, 1)}
+func newKeeperHarness(t *testing.T, cfg pomeloclaim.Config) *keeperHarness {
+	d := &keeperHarness{t: t, store: newFleet(1, 0, cfg, 1)}
 	d.now = d.store.now
 	d.keeper = pomeloclaim.New(cfg)
 	d.keeper.Own(d.now, 0, &d.out)
-	d.serve()
+	d.runStoreOps()
 	return d
 }
 
-// serve carries out store operations until none is wanted.
-func (d *direct) serve() {
+// runStoreOps applies store operations until none is pending.
+func (d *keeperHarness) runStoreOps() {
 	for len(d.out.Store) > 0 {
 		op := d.out.Store[0]
 		d.out.Store = d.out.Store[1:]
@@ -39,7 +39,7 @@
 	}
 }
 
-func (d *direct) tick(after time.Duration) {
+func (d *keeperHarness) tick(after time.Duration) {
 	d.now = d.now.Add(after)
 	d.keeper.Tick(d.now, &d.out)
 }
@@ -48,17 +48,17 @@
 	return pomelorelay.ClaimNonce{15: byte(n), 14: byte(n >> 8)}
 }
 
-func (d *direct) ask(n int, key string, content pomelorelay.Fingerprint) {
+func (d *keeperHarness) ask(n int, key string, content pomelorelay.Fingerprint) {
 	d.keeper.Ask(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf(key), Nonce: nonceOf(n), Content: content}, &d.out)
 }
 
-func (d *direct) settle(n int, key string, m pomelorelay.ClaimSettle) {
+func (d *keeperHarness) settle(n int, key string, m pomelorelay.ClaimSettle) {
 	m.Key, m.Nonce = keyOf(key), nonceOf(n)
 	d.keeper.Settle(d.now, "router-1", &m, &d.out)
 }
 
-// answers returns and forgets the states that were answered, by nonce; an acknowledgement counts as zero.
-func (d *direct) answers() map[pomelorelay.ClaimNonce]pomelorelay.ClaimAnswer {
+// answers returns and clears the received answers by nonce; an acknowledgement has state zero.
+func (d *keeperHarness) answers() map[pomelorelay.ClaimNonce]pomelorelay.ClaimAnswer {
 	found := make(map[pomelorelay.ClaimNonce]pomelorelay.ClaimAnswer)
 	for _, m := range d.out.Messages {
 		switch x := m.Message.(type) {
@@ -72,7 +72,7 @@
 	return found
 }
 
-func (d *direct) want(n int, state pomelorelay.ClaimState) pomelorelay.ClaimAnswer {
+func (d *keeperHarness) expectState(n int, state pomelorelay.ClaimState) pomelorelay.ClaimAnswer {
 	d.t.Helper()
 	a, ok := d.answers()[nonceOf(n)]
 	if !ok || a.State != state {
@@ -81,67 +81,67 @@
 	return a
 }
 
-func done(body string) pomelorelay.ClaimSettle {
+func doneSettlement(body string) pomelorelay.ClaimSettle {
 	return pomelorelay.ClaimSettle{State: pomelorelay.ClaimDone, Outcome: pomelorelay.ClaimOutcome{Status: 201, ContentType: "text/x", Body: []byte(body)}}
 }
 
-// A booking is made, sent again while it runs, with another body, and again after it ended.
-func TestRepeatsHearWhatBecameOfTheFirst(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{})
+// A request is repeated while it runs, with a different body, and after it has ended.
+func TestRepeatedRequestGetsFirstOutcome(t *testing.T) {
+	d := newKeeperHarness(t, pomeloclaim.Config{})
 	d.ask(1, "k", 7)
 	if got := d.answers(); len(got) != 0 {
 		t.Errorf("answered before the store held the claim: %+v", got)
 	}
-	d.serve()
-	d.want(1, pomelorelay.ClaimFresh)
+	d.runStoreOps()
+	d.expectState(1, pomelorelay.ClaimFresh)
 	d.ask(1, "k", 7)
-	d.want(1, pomelorelay.ClaimFresh)
+	d.expectState(1, pomelorelay.ClaimFresh)
 	d.ask(2, "k", 7)
-	d.want(2, pomelorelay.ClaimRunning)
+	d.expectState(2, pomelorelay.ClaimRunning)
 	d.ask(3, "k", 8)
-	d.want(3, pomelorelay.ClaimConflict)
-	d.settle(1, "k", done("booked"))
+	d.expectState(3, pomelorelay.ClaimConflict)
+	d.settle(1, "k", doneSettlement("booked"))
 	d.tick(time.Second)
-	d.serve()
-	d.want(1, 0)
+	d.runStoreOps()
+	d.expectState(1, 0)
 	d.ask(4, "k", 7)
-	if a := d.want(4, pomelorelay.ClaimDone); string(a.Outcome.Body) != "booked" || a.Outcome.Status != 201 {
+	if a := d.expectState(4, pomelorelay.ClaimDone); string(a.Outcome.Body) != "booked" || a.Outcome.Status != 201 {
 		t.Errorf("the repeat got %+v", a.Outcome)
 	}
 	d.settle(1, "k", pomelorelay.ClaimSettle{Released: true})
 	d.tick(time.Second)
-	d.serve()
+	d.runStoreOps()
 	d.answers()
 	d.ask(5, "k", 7)
-	d.want(5, pomelorelay.ClaimDone)
+	d.expectState(5, pomelorelay.ClaimDone)
 }
 
-// The store is down. A booking is refused as not run; when the store comes back, the repeat must not be blocked.
-func TestOutageRefusesAndLeavesNothingBehind(t *testing.T) {
+// During a store outage a claim is refused as not run. After the outage a repeat must not be blocked by that claim.
+func TestClaimRefusedInOutageDoesNotBlockRepeats(t *testing.T) {
 	f := newFleet(1, 2, pomeloclaim.Config{}, 1)
 	f.run(time.Second)
 	f.outage = true
 	f.send(1, "k")
 	f.run(6 * time.Second)
-	if got := f.told["k"]; len(got) != 1 || got[0].state != pomelorelay.ClaimRefused {
-		t.Fatalf("got %+v", got)
+	if got := f.replies["k"]; len(got) != 1 || got[0].state != pomelorelay.ClaimRefused {
+		t.Fatalf("got replies %+v, want one refusal", got)
 	}
 	f.outage = false
 	f.run(3 * time.Second)
 	if n := f.routers[1].asker.Open(); n != 0 {
-		t.Errorf("%d claims stay open", n)
+		t.Errorf("%d claims are still open", n)
 	}
 	f.send(1, "k")
 	f.run(time.Second)
-	if f.runs["k"] > 1 || len(f.told["k"]) != 2 || f.told["k"][1].state == pomelorelay.ClaimRunning {
-		t.Errorf("%d runs, told %+v", f.runs["k"], f.told["k"])
+	if f.runs["k"] > 1 || len(f.replies["k"]) != 2 || f.replies["k"][1].state == pomelorelay.ClaimRunning {
+		t.Errorf("%d runs, replies %+v", f.runs["k"], f.replies["k"])
 	}
 }
 
-// A keeper stands still in the middle of a write while another takes its shard over and serves the same key. When it
-// goes on it must not tell its asker that the booking may be sent.
+// A keeper is paused during a write while another one takes over its shard and grants the same key. After it resumes, the
+// first keeper must not grant its claim.
 func TestPausedKeeperIsFenced(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{})
+	d := newKeeperHarness(t, pomeloclaim.Config{})
 	d.ask(1, "k", 7)
 	paused := d.out.Store
 	d.out.Store = nil
@@ -155,14 +155,14 @@
 		t.Fatalf("the second keeper answered %+v", out.Messages)
 	}
 	d.out.Store = paused
-	d.serve()
-	d.want(1, pomelorelay.ClaimRunning)
+	d.runStoreOps()
+	d.expectState(1, pomelorelay.ClaimRunning)
 }
 
-// The store's answer to a write is lost, and the write took effect or did not. The keeper reads back.
-func TestLostAnswerIsReadBack(t *testing.T) {
+// The result of a write is lost, whether or not the write took effect. The keeper must read the record back.
+func TestUnknownWriteResultIsReadBack(t *testing.T) {
 	for _, effect := range []bool{true, false} {
-		d := newDirect(t, pomeloclaim.Config{})
+		d := newKeeperHarness(t, pomeloclaim.Config{})
 		d.ask(1, "k", 7)
 		op := d.out.Store[0]
 		d.out.Store = nil
@@ -171,79 +171,80 @@
 		}
 		d.keeper.Stored(d.now, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "", nil)}, &d.out)
 		if len(d.answers()) != 0 {
-			t.Errorf("effect %v: answered without knowing", effect)
+			t.Errorf("effect %v: answered before the result of the write was known", effect)
 		}
-		d.serve()
-		d.want(1, pomelorelay.ClaimFresh)
+		d.runStoreOps()
+		d.expectState(1, pomelorelay.ClaimFresh)
 	}
 }
 
-// A router dies, or starts anew, while its booking runs. Nobody knows the outcome, and the booking must not run again.
-func TestClaimOfADeadRouterIsUnknown(t *testing.T) {
+// A router dies or restarts while its request runs. The outcome is unknown, and the request must not run again.
+func TestClaimOfDeadRouterIsUnknown(t *testing.T) {
 	dead := false
-	d := newDirect(t, pomeloclaim.Config{Alive: func(pomelorelay.NodeID) bool { return !dead }})
+	d := newKeeperHarness(t, pomeloclaim.Config{Alive: func(pomelorelay.NodeID) bool { return !dead }})
 	d.ask(1, "k", 7)
-	d.serve()
+	d.runStoreOps()
 	d.answers()
 	dead = true
 	d.ask(2, "k", 7)
-	d.want(2, pomelorelay.ClaimUnknown)
+	d.expectState(2, pomelorelay.ClaimUnknown)
 	dead = false
 	d.ask(3, "k", 7)
-	d.want(3, pomelorelay.ClaimRunning)
+	d.expectState(3, pomelorelay.ClaimRunning)
 	newer := pomelorelay.ClaimNonce{5: 1}
 	d.keeper.Ask(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf("other"), Nonce: newer, Content: 1}, &d.out)
-	d.serve()
+	d.runStoreOps()
 	d.answers()
 	d.ask(4, "k", 7)
-	d.want(4, pomelorelay.ClaimUnknown)
-	d.settle(1, "k", done("booked"))
+	d.expectState(4, pomelorelay.ClaimUnknown)
+	d.settle(1, "k", doneSettlement("booked"))
 	d.tick(time.Second)
-	d.serve()
+	d.runStoreOps()
 	d.answers()
 	d.ask(5, "k", 7)
-	d.want(5, pomelorelay.ClaimDone)
+	d.expectState(5, pomelorelay.ClaimDone)
 }
 
-// Claims pile up until the head is sealed many times and old segments are dropped. Every claim within its retention
-// is found with its outcome, also by a keeper that takes over; one past it counts as never used; the store's keys stay few.
-func TestSealedClaimsAreFoundAndDroppedAfterRetention(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
+// Claims are added until the head has been sealed many times and old segments have expired. Claims within their retention
+// must be found with their outcome, also after a takeover; an expired claim's key counts as unused, and the number of
+// records in the store stays small.
+func TestSealedClaimsAreKeptUntilRetention(t *testing.T) {
+	d := newKeeperHarness(t, pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
 	const claims = 600
 	for n := range claims {
 		key := fmt.Sprint("k", n)
 		d.ask(n, key, 7)
-		d.serve()
-		d.settle(n, key, done("booked "+key))
+		d.runStoreOps()
+		d.settle(n, key, doneSettlement("booked "+key))
 		d.tick(2 * time.Second)
-		d.serve()
+		d.runStoreOps()
 		d.answers()
 	}
 	if n := len(d.store.records); n < 5 || n > 40 {
-		t.Errorf("%d records in the store", n)
+		t.Errorf("%d records in the store, want 5 to 40", n)
 	}
 	for takeover := range 2 {
 		for _, n := range []int{claims - 1, claims - 100, claims - 290} {
 			d.ask(10000+n, fmt.Sprint("k", n), 7)
-			d.serve()
-			if a := d.want(10000+n, pomelorelay.ClaimDone); string(a.Outcome.Body) != fmt.Sprint("booked k", n) {
+			d.runStoreOps()
+			if a := d.expectState(10000+n, pomelorelay.ClaimDone); string(a.Outcome.Body) != fmt.Sprint("booked k", n) {
 				t.Errorf("takeover %d: k%d has outcome %q", takeover, n, a.Outcome.Body)
 			}
 		}
 		d.keeper = pomeloclaim.New(pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute})
 		d.keeper.Own(d.now, 0, &d.out)
-		d.serve()
+		d.runStoreOps()
 	}
 	d.ask(20000, "k0", 7)
-	d.serve()
-	d.want(20000, pomelorelay.ClaimFresh)
+	d.runStoreOps()
+	d.expectState(20000, pomelorelay.ClaimFresh)
 }
 
-// A record of the store is damaged. To begin with an empty one would forget every booking that ran.
-func TestBrokenRecordRefuses(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{})
+// A stored record is corrupt. Starting from an empty record would allow requests that have run to run again.
+func TestCorruptRecordRefusesClaims(t *testing.T) {
+	d := newKeeperHarness(t, pomeloclaim.Config{})
 	d.ask(1, "k", 7)
-	d.serve()
+	d.runStoreOps()
 	d.answers()
 	record := d.store.records["claims/0"]
 	for cut := 1; cut < len(record.Value); cut += 5 {
@@ -251,35 +252,35 @@
 		d.keeper = pomeloclaim.New(pomeloclaim.Config{})
 		d.out = pomeloclaim.Output{}
 		d.keeper.Own(d.now, 0, &d.out)
-		d.serve()
+		d.runStoreOps()
 		d.ask(2, "k", 7)
 		d.tick(3 * time.Second)
-		d.serve()
-		d.want(2, pomelorelay.ClaimRefused)
+		d.runStoreOps()
+		d.expectState(2, pomelorelay.ClaimRefused)
 	}
 	if !bytes.Equal(d.store.records["claims/0"].Value, record.Value[:len(d.store.records["claims/0"].Value)]) {
-		t.Error("the broken record was overwritten")
+		t.Error("the corrupt record was overwritten")
 	}
 }
 
-// Callers claim and never settle. The head must not outgrow what the store holds; those past the bound are refused.
-func TestFullHeadRefuses(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
+// Claims are never settled. The head must not outgrow the store's size limit; claims above the limit are refused.
+func TestFullHeadRefusesClaims(t *testing.T) {
+	d := newKeeperHarness(t, pomeloclaim.Config{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
 	refused := 0
 	for n := range 200 {
 		d.ask(n, fmt.Sprint("k", n), 7)
-		d.serve()
+		d.runStoreOps()
 		if d.answers()[nonceOf(n)].State == pomelorelay.ClaimRefused {
 			refused++
 		}
 		d.now = d.now.Add(time.Second)
 	}
 	if size := len(d.store.records["claims/0"].Value); refused == 0 || size > 5<<10 {
-		t.Errorf("%d refused, the head has %d bytes", refused, size)
+		t.Errorf("%d claims refused, want some; the head has %d bytes, want at most 5 KiB", refused, size)
 	}
 }
 
-// A keeper that is gone leaves its router with settlements that nobody acknowledges; they must not fill its memory.
+// Without a reachable keeper, settlements stay unacknowledged. Their number must be bounded.
 func TestUnacknowledgedSettlementsAreBounded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	a := pomeloclaim.NewAsker(pomeloclaim.AskerConfig{MaxSettling: 100, Keeper: func(pomelorelay.ShardID) (pomelorelay.NodeID, bool) { return "", false }})
@@ -290,11 +291,12 @@
 		a.Settle(now, nonce, false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Body: []byte("x")}, &out)
 	}
 	if a.Open() != 100 {
-		t.Errorf("%d kept", a.Open())
+		t.Errorf("%d claims are open, want 100", a.Open())
 	}
 }
 
-// Writes must follow shards and commit rate, not requests: the store takes several hundred a second for everybody.
+// The write rate must depend on the shards and their commit rate, not on the request rate: the store accepts several
+// hundred writes per second for the whole fleet.
 func TestWritesDoNotGrowWithClaims(t *testing.T) {
 	const shards, seconds = 16, 20
 	cfg := pomeloclaim.Config{}
@@ -312,16 +314,16 @@
 		at := func(part int) time.Duration { return f.latencies[len(f.latencies)*part/100].Round(time.Millisecond) }
 		lines = append(lines, fmt.Sprintf("%d claims/s: %.1f writes/s, %.1f reads/s, verdict p50 %v p99 %v", rate, writes, float64(f.reads)/seconds, at(50), at(99)))
 		if limit := float64(shards*4) + 1; writes > limit+float64(shards*2)/seconds {
-			t.Errorf("%d claims/s: %.1f writes/s, over %v", rate, writes, limit)
+			t.Errorf("%d claims/s: %.1f writes/s, limit %v", rate, writes, limit)
 		}
-		if found := f.faults(); found != "" {
+		if found := f.violations(); found != "" {
 			t.Error(found)
 		}
 	}
 	t.Log("16 shards, 4 commits/s each:\n" + strings.Join(lines, "\n"))
 }
 
-// BenchmarkCommit measures a keeper's work for one claim and its settlement in a head of 500 claims.
+// BenchmarkCommit measures a keeper's work for one claim and its settlement with a head of 500 claims.
 func BenchmarkCommit(b *testing.B) {
 	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
 	k := pomeloclaim.New(pomeloclaim.Config{CommitsPerSecond: 1e9, SealBytes: 80 << 10})
@@ -345,7 +347,7 @@
 		m := pomelorelay.ClaimAsk{Key: keyOf(fmt.Sprint(n)), Nonce: nonceOf(n), Content: 1}
 		k.Ask(now, "router-1", &m, &out)
 		serve()
-		s := done("booked")
+		s := doneSettlement("booked")
 		s.Key, s.Nonce = m.Key, m.Nonce
 		k.Settle(now, "router-1", &s, &out)
 		now = now.Add(time.Second)
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -8,24 +8,24 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// confirmFor is how long a keeper may answer from memory what another keeper could have changed.
-const confirmFor = time.Second
+// confirmationTTL is how long a keeper may answer from its copy of the head without reading it again.
+const confirmationTTL = time.Second
 
-// commit is one compare-and-swap under way. Puts and removes become part of the shard when the store has it.
+// commit is a compare-and-swap of the head in progress. Its changes are applied to the shard once the store has accepted it.
 type commit struct {
-	put     map[pomelorelay.ClaimKey]*claimRecord
-	removed map[pomelorelay.ClaimKey]bool
-	asks    []*pendingAsk
-	settles []*pendingSettle
-	head    headRecord
-	size    int
-	// sealed holds the index of the segment that the commit lists.
-	sealed *segmentIndex
+	put      map[pomelorelay.ClaimKey]*claimRecord
+	removed  map[pomelorelay.ClaimKey]bool
+	asks     []*pendingAsk
+	settles  []*pendingSettle
+	head     headRecord
+	headSize int
+	// sealedIndex is the index of the segment that this commit adds to the head, nil when there is none.
+	sealedIndex *segmentIndex
 }
 
-// find returns the durable claim of a key; known is false while a segment has to be read to tell.
-func (k *Keeper) find(now time.Time, s *shard, key pomelorelay.ClaimKey, out *Output) (c *claimRecord, known bool) {
-	if c, ok := s.live[key]; ok {
+// findClaim returns the durable claim of a key, nil when there is none; known is false while a segment must be read first.
+func (k *Keeper) findClaim(now time.Time, s *shard, key pomelorelay.ClaimKey, out *Output) (c *claimRecord, known bool) {
+	if c, ok := s.headClaims[key]; ok {
 		if k.expired(now, c) {
 			return nil, true
 		}
@@ -33,13 +33,13 @@
 	}
 	known = true
 	for _, seg := range s.segments {
-		if k.outlived(now, seg) || !s.indexes[seg.Slot].mayHold(key) {
+		if k.segmentExpired(now, seg) || !s.indexes[seg.Slot].mayContain(key) {
 			continue
 		}
 		index := s.indexes[seg.Slot]
 		if index.claims == nil {
 			known = false
-			k.lookUp(now, s, seg, out)
+			k.readSegment(now, s, seg, out)
 			continue
 		}
 		i, found := slices.BinarySearchFunc(index.claims, key, func(c claimRecord, key pomelorelay.ClaimKey) int { return bytes.Compare(c.Key, key[:]) })
@@ -50,64 +50,65 @@
 	return nil, known
 }
 
-func (k *Keeper) lookUp(now time.Time, s *shard, seg segmentRef, out *Output) {
+func (k *Keeper) readSegment(now time.Time, s *shard, seg segmentRef, out *Output) {
 	index := s.indexes[seg.Slot]
-	if index.asked || now.Before(s.retryAt) {
+	if index.reading || now.Before(s.retryAt) {
 		return
 	}
-	index.asked = true
-	k.op(s, opLookup, seg.Slot, StoreOp{Key: slotKey(s.id, seg.Slot)}, out)
+	index.reading = true
+	k.startOp(s, opReadSegment, seg.Slot, StoreOp{Key: slotKey(s.id, seg.Slot)}, out)
 }
 
-// outlived reports whether every claim of a segment is past its retention.
-func (k *Keeper) outlived(now time.Time, seg segmentRef) bool {
+// segmentExpired reports whether all claims of a segment are past their retention.
+func (k *Keeper) segmentExpired(now time.Time, seg segmentRef) bool {
 	return now.Sub(time.UnixMilli(seg.To)) > k.cfg.Retention
 }
 
-// answerDurable answers what the store's state decides already. A claim that a commit under way changes waits for it.
-func (k *Keeper) answerDurable(now time.Time, s *shard, out *Output) {
-	waiting := false
+// answerFromStoredState answers what the stored claims already decide. Messages about keys in the current commit wait for
+// its result.
+func (k *Keeper) answerFromStoredState(now time.Time, s *shard, out *Output) {
+	lookupPending := false
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
 		if s.inCommit(a.ask.Key) {
 			return false
 		}
-		c, known := k.find(now, s, a.ask.Key, out)
-		waiting = waiting || !known
-		if c == nil || (!isFinal(c, a) && !k.verified(now, s, out)) {
+		c, known := k.findClaim(now, s, a.ask.Key, out)
+		lookupPending = lookupPending || !known
+		if c == nil || (!isFinal(c, a) && !k.headConfirmed(now, s, out)) {
 			return false
 		}
-		k.answerFrom(now, s, a, c, out)
+		k.answerWithClaim(now, s, a, c, out)
 		return true
 	})
 	s.settles = slices.DeleteFunc(s.settles, func(p *pendingSettle) bool {
-		if s.inCommit(p.settle.Key) || !s.reflects(p) {
+		if s.inCommit(p.settle.Key) || !s.alreadySettled(p) {
 			return false
 		}
-		acknowledge(p, out)
+		sendSettled(p, out)
 		return true
 	})
-	if !waiting {
-		s.forgetSegments()
+	if !lookupPending {
+		s.releaseSegments()
 	}
 }
 
-// isFinal reports whether a claim decides an ask for good, even if the store holds something newer.
+// isFinal reports whether a claim decides a request even if the store holds a newer version of it.
 func isFinal(c *claimRecord, a *pendingAsk) bool {
 	if c.Content != uint64(a.ask.Content) {
 		return false
 	}
-	return c.State == int(pomelorelay.ClaimDone) || (c.holds(a.ask.Nonce) && !c.Settled)
+	return c.State == int(pomelorelay.ClaimDone) || (c.heldBy(a.ask.Nonce) && !c.Settled)
 }
 
-// verified reports whether the store has confirmed the head lately. A keeper that was paused or cut off may be behind
-// another keeper; without asking, it would go on answering "running" of a claim that was settled long ago.
-func (k *Keeper) verified(now time.Time, s *shard, out *Output) bool {
-	if now.Sub(s.confirmed) <= confirmFor {
+// headConfirmed reports whether the head was read or written within confirmationTTL. A keeper that was paused or partitioned
+// may have been superseded, and would otherwise keep answering that a settled claim is running.
+func (k *Keeper) headConfirmed(now time.Time, s *shard, out *Output) bool {
+	if now.Sub(s.confirmedAt) <= confirmationTTL {
 		return true
 	}
-	if !s.reading && !now.Before(s.retryAt) {
-		s.reading = true
-		k.op(s, opVerify, 0, StoreOp{Key: headKey(s.id)}, out)
+	if !s.readingHead && !now.Before(s.retryAt) {
+		s.readingHead = true
+		k.startOp(s, opConfirmHead, 0, StoreOp{Key: headKey(s.id)}, out)
 	}
 	return false
 }
@@ -119,84 +120,83 @@
 	return s.commit.put[key] != nil || s.commit.removed[key]
 }
 
-// forgetSegments gives up the segments that were read for questions; only their indexes stay.
-func (s *shard) forgetSegments() {
+// releaseSegments frees the claims of segments that were read for lookups and keeps the indexes.
+func (s *shard) releaseSegments() {
 	for _, index := range s.indexes {
 		index.claims = nil
 	}
 }
 
-// answerFrom answers an ask by a durable claim. The attempt that holds it hears "fresh" again as long as it has not
-// settled: it asks again only while it has not sent its request.
-func (k *Keeper) answerFrom(now time.Time, s *shard, a *pendingAsk, c *claimRecord, out *Output) {
-	state, outcome := k.state(now, c), pomelorelay.ClaimOutcome{}
+// answerWithClaim answers a request according to a durable claim. The attempt that holds the claim is answered fresh again
+// until it settles: it repeats its request only while it has not sent the claimed one.
+func (k *Keeper) answerWithClaim(now time.Time, s *shard, a *pendingAsk, c *claimRecord, out *Output) {
+	state, outcome := k.effectiveState(now, c), pomelorelay.ClaimOutcome{}
 	switch {
 	case c.Content != uint64(a.ask.Content):
 		state = pomelorelay.ClaimConflict
-	case c.holds(a.ask.Nonce) && !c.Settled:
+	case c.heldBy(a.ask.Nonce) && !c.Settled:
 		state = pomelorelay.ClaimFresh
 	case state == pomelorelay.ClaimDone:
 		outcome = c.outcome()
 	case state == pomelorelay.ClaimRunning:
-		if done := s.settledAsDone(c); done != nil {
+		if done := s.pendingDoneSettlement(c); done != nil {
 			state, outcome = pomelorelay.ClaimDone, done.Outcome
 			break
 		}
-		remind(a, c, out)
+		notifyHolder(a, c, out)
 	}
-	answer(a.from, &a.ask, state, outcome, out)
+	sendAnswer(a.from, &a.ask, state, outcome, out)
 }
 
-// settledAsDone returns the settlement that waits to be written and says that the claim's request ran, nil when there is none.
-// Its outcome is true before it is durable; without it a caller that repeats at once hears "still running" of a request whose
-// answer is known.
-func (s *shard) settledAsDone(c *claimRecord) *pomelorelay.ClaimSettle {
+// pendingDoneSettlement returns the pending settlement that reports the claim's request as done, nil when there is none. Its
+// outcome is valid before it is durable; without it, an immediate repeat would be told that the request is still running.
+func (s *shard) pendingDoneSettlement(c *claimRecord) *pomelorelay.ClaimSettle {
 	for _, p := range s.settles {
-		if c.holds(p.settle.Nonce) && !p.settle.Released && p.settle.State == pomelorelay.ClaimDone {
+		if c.heldBy(p.settle.Nonce) && !p.settle.Released && p.settle.State == pomelorelay.ClaimDone {
 			return &p.settle
 		}
 	}
 	return nil
 }
 
-// remind tells the holder of a claim that keeps another from running that it holds it. A resent ask may make a claim
-// durable after its asker gave it up, and the answer may be lost; nobody would ever release it. The holder ignores
-// the reminder of a claim that it knows and releases one that it does not.
-func remind(a *pendingAsk, c *claimRecord, out *Output) {
+// notifyHolder sends a claim's holder that the claim is fresh. A resent request may make a claim durable after its requester
+// cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim that it
+// does not know and ignores the notice otherwise.
+func notifyHolder(a *pendingAsk, c *claimRecord, out *Output) {
 	m := &pomelorelay.ClaimAnswer{Shard: a.ask.Shard, Key: a.ask.Key, State: pomelorelay.ClaimFresh}
 	copy(m.Nonce[:], c.Nonce)
 	out.send(pomelorelay.NodeID(c.Asker), m)
 }
 
-// reflects reports whether a settlement needs no write because it is known to have been made. One whose claim is not
-// found, or is another's, needs a write nevertheless: this keeper may be behind, or an earlier keeper's write may be
-// under way, and only a write that succeeds shows that neither is so. Without it a settlement would be acknowledged and
-// lost; one would notice a claim that stays running for ever.
-func (s *shard) reflects(p *pendingSettle) bool {
-	c, ok := s.live[p.settle.Key]
-	return ok && c.Settled && c.holds(p.settle.Nonce)
+// alreadySettled reports whether the stored claim already has this settlement. A settlement whose claim is missing or held
+// by another attempt still needs a write: this keeper may be out of date, or an earlier keeper's write may be in progress,
+// and only a successful write rules out both. Acknowledged without it, the settlement could be lost and the claim stay
+// running.
+func (s *shard) alreadySettled(p *pendingSettle) bool {
+	c, ok := s.headClaims[p.settle.Key]
+	return ok && c.Settled && c.heldBy(p.settle.Nonce)
 }
 
-// commitIfDue writes the head when something waits for it and the shard's rate allows a write. Claims go at once, and
-// settlements wait a while to share their writes.
-func (k *Keeper) commitIfDue(now time.Time, s *shard, out *Output) {
-	if s.commit != nil || !s.ready || now.Before(s.retryAt) || !k.isDue(now, s, out) {
+// startDueCommit writes the head when a commit is due and the shard's rate limit allows it. Claims are committed at once;
+// settlements are delayed to share commits.
+func (k *Keeper) startDueCommit(now time.Time, s *shard, out *Output) {
+	if s.commit != nil || !s.ready || now.Before(s.retryAt) || !k.commitDue(now, s, out) {
 		return
 	}
-	s.tokens = min(k.cfg.CommitBurst, s.tokens+now.Sub(s.earned).Seconds()*k.cfg.CommitsPerSecond)
-	s.earned = now
-	if s.tokens < 1 {
+	s.commitTokens = min(k.cfg.CommitBurst, s.commitTokens+now.Sub(s.tokensUpdatedAt).Seconds()*k.cfg.CommitsPerSecond)
+	s.tokensUpdatedAt = now
+	if s.commitTokens < 1 {
 		return
 	}
-	s.tokens--
+	s.commitTokens--
 	c := k.newCommit(now, s, out)
 	s.commit = c
-	text := encode(&c.head)
-	c.size = len(text)
-	k.op(s, opCommit, 0, StoreOp{Key: headKey(s.id), Value: text, Old: s.revision}, out)
+	data := encode(&c.head)
+	c.headSize = len(data)
+	k.startOp(s, opWriteHead, 0, StoreOp{Key: headKey(s.id), Value: data, Old: s.revision}, out)
 }
 
-func (k *Keeper) isDue(now time.Time, s *shard, out *Output) bool {
+func (k *Keeper) commitDue(now time.Time, s *shard, out *Output) bool {
 	if s.seal != nil && s.seal.needsCommit() {
 		return true
 	}
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, a := range s.asks {
-		if c, known := k.find(now, s, a.ask.Key, out); c == nil && known {
+		if c, known := k.findClaim(now, s, a.ask.Key, out); c == nil && known {
 			return true
 		}
 	}
@@ -216,16 +216,16 @@
 func (k *Keeper) newCommit(now time.Time, s *shard, out *Output) *commit {
 	c := &commit{put: make(map[pomelorelay.ClaimKey]*claimRecord), removed: make(map[pomelorelay.ClaimKey]bool)}
 	for _, p := range s.settles {
-		k.addSettle(now, s, c, p)
+		k.addSettlement(now, s, c, p)
 	}
-	full := s.size > int(k.cfg.MaxHeadBytes)
+	full := s.headSize > int(k.cfg.MaxHeadBytes)
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
-		durable, known := k.find(now, s, a.ask.Key, out)
+		durable, known := k.findClaim(now, s, a.ask.Key, out)
 		if c.put[a.ask.Key] != nil || c.removed[a.ask.Key] || durable != nil || !known {
 			return false
 		}
 		if full {
-			answer(a.from, &a.ask, pomelorelay.ClaimRefused, pomelorelay.ClaimOutcome{}, out)
+			sendAnswer(a.from, &a.ask, pomelorelay.ClaimRefused, pomelorelay.ClaimOutcome{}, out)
 			return true
 		}
 		c.put[a.ask.Key] = newClaim(now, a)
@@ -249,12 +249,12 @@
 	}
 }
 
-// addSettle puts a settlement into the commit. Only the attempt that holds a claim may change it, and only once.
-func (k *Keeper) addSettle(now time.Time, s *shard, c *commit, p *pendingSettle) {
+// addSettlement adds a settlement to the commit. Only the attempt that holds a claim may settle it, and only once.
+func (k *Keeper) addSettlement(now time.Time, s *shard, c *commit, p *pendingSettle) {
 	c.settles = append(c.settles, p)
 	key := p.settle.Key
-	held, ok := s.live[key]
-	if !ok || c.removed[key] || c.put[key] != nil || held.Settled || !held.holds(p.settle.Nonce) {
+	held, ok := s.headClaims[key]
+	if !ok || c.removed[key] || c.put[key] != nil || held.Settled || !held.heldBy(p.settle.Nonce) {
 		return
 	}
 	if p.settle.Released {
@@ -267,15 +267,15 @@
 	settled.State = int(pomelorelay.ClaimUnknown)
 	if p.settle.State == pomelorelay.ClaimDone {
 		settled.State = int(pomelorelay.ClaimDone)
-		settled.setOutcome(p.settle.Outcome, k.cfg.MaxOutcome)
+		settled.setOutcome(p.settle.Outcome, k.cfg.MaxOutcomeBytes)
 	}
 	c.put[key] = &settled
 }
 
-// addClaims lists the head's claims as they will be, without those past their retention and those sealed.
+// addClaims adds the shard's claims to the new head, except those that are expired, sealed or removed.
 func (k *Keeper) addClaims(now time.Time, s *shard, c *commit) {
-	for key, held := range s.live {
-		if c.put[key] == nil && !c.removed[key] && (k.expired(now, held) || s.seal.holds(key)) {
+	for key, held := range s.headClaims {
+		if c.put[key] == nil && !c.removed[key] && (k.expired(now, held) || s.seal.contains(key)) {
 			c.removed[key] = true
 		}
 		if c.put[key] == nil && !c.removed[key] {
@@ -288,9 +288,9 @@
 	sortClaims(c.head.Claims)
 }
 
-// committed takes the end of a commit. When the store did not take it, or nobody knows, the head is read again: what
-// then stands there decides, whoever wrote it, and what is still missing goes into the next commit.
-func (k *Keeper) committed(now time.Time, s *shard, r StoreResult, out *Output) {
+// handleCommitResult handles the result of a commit. After a conflict or an unknown result the head is read again: the
+// stored record is authoritative, and pending messages that it does not reflect go into the next commit.
+func (k *Keeper) handleCommitResult(now time.Time, s *shard, r StoreResult, out *Output) {
 	c := s.commit
 	if c == nil {
 		return
@@ -298,36 +298,36 @@
 	s.commit = nil
 	switch {
 	case r.Err == nil:
-		k.apply(now, s, c, r.Revision, out)
+		k.applyCommit(now, s, c, r.Revision, out)
 	case pomelorelay.IsErrCode(r.Err, pomelorelay.CodeStoreUnavailable):
 		s.retryAt = now.Add(k.cfg.RetryDelay)
 	default:
 		if pomelorelay.IsErrCode(r.Err, pomelorelay.CodeStoreConflict) {
 			k.cfg.Logger.Log(pomelorelay.EventClaimShardFenced, pomelorelay.Field{Key: "Shard", Value: s.id})
 		}
-		s.reload()
+		s.invalidate()
 	}
 }
 
-// apply makes a commit that the store holds the shard's state and answers those who waited for it.
-func (k *Keeper) apply(now time.Time, s *shard, c *commit, revision pomelorelay.Revision, out *Output) {
-	s.revision, s.size = revision, c.size
-	s.confirmed = now
+// applyCommit applies a stored commit to the shard and answers the messages that waited for it.
+func (k *Keeper) applyCommit(now time.Time, s *shard, c *commit, revision pomelorelay.Revision, out *Output) {
+	s.revision, s.headSize = revision, c.headSize
+	s.confirmedAt = now
 	for key := range c.removed {
-		delete(s.live, key)
+		delete(s.headClaims, key)
 	}
 	for key, changed := range c.put {
-		s.live[key] = changed
+		s.headClaims[key] = changed
 	}
 	s.nextSlot, s.free, s.segments = c.head.NextSlot, c.head.Free, c.head.Segments
 	s.applySeal(c)
-	if c.sealed != nil {
-		k.cfg.Logger.Log(pomelorelay.EventClaimSealed, pomelorelay.Field{Key: "Shard", Value: s.id}, pomelorelay.Field{Key: "Claims", Value: len(c.sealed.prefixes)})
+	if c.sealedIndex != nil {
+		k.cfg.Logger.Log(pomelorelay.EventClaimSealed, pomelorelay.Field{Key: "Shard", Value: s.id}, pomelorelay.Field{Key: "Claims", Value: len(c.sealedIndex.prefixes)})
 	}
 	s.answerCommitted(c, out)
 }
 
-// answerCommitted answers those who waited for a commit; an ask that was given up meanwhile is not among the shard's any more.
+// answerCommitted answers the messages that a commit stored, except requests that were dropped meanwhile.
 func (s *shard) answerCommitted(c *commit, out *Output) {
 	asks := make(map[*pendingAsk]bool, len(c.asks))
 	for _, a := range c.asks {
@@ -335,14 +335,14 @@
 	}
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
 		if asks[a] {
-			answer(a.from, &a.ask, pomelorelay.ClaimFresh, pomelorelay.ClaimOutcome{}, out)
+			sendAnswer(a.from, &a.ask, pomelorelay.ClaimFresh, pomelorelay.ClaimOutcome{}, out)
 		}
 		return asks[a]
 	})
 	settles := make(map[*pendingSettle]bool, len(c.settles))
 	for _, p := range c.settles {
 		settles[p] = true
-		acknowledge(p, out)
+		sendSettled(p, out)
 	}
 	s.settles = slices.DeleteFunc(s.settles, func(p *pendingSettle) bool { return settles[p] })
 }
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -6,53 +6,53 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config holds what a Keeper needs; zero durations and sizes take the defaults.
+// Config configures a Keeper; zero durations and sizes select the defaults.
 type Config struct {
 	Logger pomelorelay.Logger
-	// Alive tells whether a router counts as alive; claims that a dead one holds are unknown. Nil means that all are.
+	// Alive reports whether a router is alive; unsettled claims of a dead router are unknown. Nil treats all routers as alive.
 	Alive func(pomelorelay.NodeID) bool
-	// CommitsPerSecond bounds the store writes of one busy shard, 4 by default.
+	// CommitsPerSecond limits the head writes of one shard, 4 by default.
 	CommitsPerSecond float64
-	// CommitBurst is how many commits of a shard may follow each other at once, 2 by default.
+	// CommitBurst is the number of commits of a shard that may exceed the rate at once, 2 by default.
 	CommitBurst float64
-	// SettleDelay is how long a settlement may wait to share a commit, 500 ms by default.
+	// SettleDelay is how long a settlement may be delayed to share a commit, 500 ms by default.
 	SettleDelay time.Duration
 	// RefuseAfter is how long a claim may wait for the store before it is refused, 2 s by default.
 	RefuseAfter time.Duration
-	// RetryDelay is the pause after a failed store operation, 200 ms by default.
+	// RetryDelay is the delay before a failed store operation is repeated, 200 ms by default.
 	RetryDelay time.Duration
-	// SealBytes is the size of the head record past which settled claims are sealed, 128 KiB by default.
+	// SealBytes is the size of the head's claims above which settled claims are moved to a segment, 128 KiB by default.
 	SealBytes pomelorelay.Bytes
-	// MaxHeadBytes bounds the head record, 512 KiB by default; claims past it are refused.
+	// MaxHeadBytes is the size of the head record above which new claims are refused, 512 KiB by default.
 	MaxHeadBytes pomelorelay.Bytes
-	// MaxPending bounds the claims of a shard that wait for the store, 4,096 by default; those past it are refused.
+	// MaxPending limits the claims of a shard that wait for the store, 4,096 by default; further claims are refused.
 	MaxPending int
 	// Retention is how long a settled claim is kept, 24 h by default.
 	Retention time.Duration
-	// RunningLimit is the age past which a claim without settlement counts as unknown, 1 h by default.
-	RunningLimit time.Duration
-	// MaxOutcome bounds the outcome kept of one claim, 4 KiB by default.
-	MaxOutcome pomelorelay.Bytes
+	// RunningTimeout is the age at which an unsettled claim becomes unknown, 1 h by default.
+	RunningTimeout time.Duration
+	// MaxOutcomeBytes limits the stored outcome of a claim, 4 KiB by default.
+	MaxOutcomeBytes pomelorelay.Bytes
 }
 
-// AskerConfig holds what an Asker needs; zero durations and sizes take the defaults.
+// AskerConfig configures an Asker; zero durations and sizes select the defaults.
 type AskerConfig struct {
-	// Node and Incarnation, that of the process's start, mark its nonces; no two processes may share both.
+	// Node and Incarnation, the process start in Unix nanoseconds, identify the process in its nonces and must be unique.
 	Node        pomelorelay.NodeID
 	Incarnation pomelorelay.Incarnation
-	// Shards is the number of claim shards, the same on every router, 64 by default.
+	// Shards is the number of claim shards, 64 by default; it must be the same on every router.
 	Shards uint32
-	// Keeper returns the router that keeps a shard now.
+	// Keeper returns the current keeper of a shard, or false when there is none.
 	Keeper func(pomelorelay.ShardID) (pomelorelay.NodeID, bool)
-	// ResendAfter is the pause before a message without answer is sent again, 300 ms by default; it doubles up to 8 times that.
+	// ResendAfter is the initial delay before an unanswered message is resent, 300 ms by default; it doubles up to 8 times that.
 	ResendAfter time.Duration
-	// GiveUpAfter is how long a claim may stay without answer before it is refused, 4 s by default.
-	GiveUpAfter time.Duration
-	// MaxSettling bounds the settlements kept until a keeper acknowledges them, 10,000 by default; past half of it
-	// outcomes are dropped, past all of it the oldest settlement, whose claim then ends as unknown.
+	// ClaimTimeout is how long a claim may stay unanswered before it is refused, 4 s by default.
+	ClaimTimeout time.Duration
+	// MaxSettling limits the unacknowledged settlements, 10,000 by default. Above half of it, outcomes are dropped; above all
+	// of it, the oldest settlements are dropped, and their claims end as unknown.
 	MaxSettling int
-	// MaxOutcome bounds the outcome sent of one claim, 4 KiB by default.
-	MaxOutcome pomelorelay.Bytes
+	// MaxOutcomeBytes limits the outcome sent with a settlement, 4 KiB by default.
+	MaxOutcomeBytes pomelorelay.Bytes
 }
 
 // Defaults of Config and AskerConfig.
@@ -66,11 +66,11 @@
 	defaultMaxHeadBytes     = 512 << 10
 	defaultMaxPending       = 4096
 	defaultRetention        = 24 * time.Hour
-	defaultRunningLimit     = time.Hour
-	defaultMaxOutcome       = 4 << 10
+	defaultRunningTimeout   = time.Hour
+	defaultMaxOutcomeBytes  = 4 << 10
 	defaultShards           = 64
 	defaultResendAfter      = 300 * time.Millisecond
-	defaultGiveUpAfter      = 4 * time.Second
+	defaultClaimTimeout     = 4 * time.Second
 	defaultMaxSettling      = 10000
 )
 
@@ -90,14 +90,14 @@
 	if c.MaxPending <= 0 {
 		c.MaxPending = defaultMaxPending
 	}
-	setDuration(&c.SettleDelay, defaultSettleDelay)
-	setDuration(&c.RefuseAfter, defaultRefuseAfter)
-	setDuration(&c.RetryDelay, defaultRetryDelay)
-	setDuration(&c.Retention, defaultRetention)
-	setDuration(&c.RunningLimit, defaultRunningLimit)
-	setBytes(&c.SealBytes, defaultSealBytes)
-	setBytes(&c.MaxHeadBytes, defaultMaxHeadBytes)
-	setBytes(&c.MaxOutcome, defaultMaxOutcome)
+	setDefaultDuration(&c.SettleDelay, defaultSettleDelay)
+	setDefaultDuration(&c.RefuseAfter, defaultRefuseAfter)
+	setDefaultDuration(&c.RetryDelay, defaultRetryDelay)
+	setDefaultDuration(&c.Retention, defaultRetention)
+	setDefaultDuration(&c.RunningTimeout, defaultRunningTimeout)
+	setDefaultBytes(&c.SealBytes, defaultSealBytes)
+	setDefaultBytes(&c.MaxHeadBytes, defaultMaxHeadBytes)
+	setDefaultBytes(&c.MaxOutcomeBytes, defaultMaxOutcomeBytes)
 	return c
 }
 
@@ -108,19 +108,19 @@
 	if c.MaxSettling <= 0 {
 		c.MaxSettling = defaultMaxSettling
 	}
-	setDuration(&c.ResendAfter, defaultResendAfter)
-	setDuration(&c.GiveUpAfter, defaultGiveUpAfter)
-	setBytes(&c.MaxOutcome, defaultMaxOutcome)
+	setDefaultDuration(&c.ResendAfter, defaultResendAfter)
+	setDefaultDuration(&c.ClaimTimeout, defaultClaimTimeout)
+	setDefaultBytes(&c.MaxOutcomeBytes, defaultMaxOutcomeBytes)
 	return c
 }
 
-func setDuration(field *time.Duration, value time.Duration) {
+func setDefaultDuration(field *time.Duration, value time.Duration) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
-func setBytes(field *pomelorelay.Bytes, value pomelorelay.Bytes) {
+func setDefaultBytes(field *pomelorelay.Bytes, value pomelorelay.Bytes) {
 	if *field <= 0 {
 		*field = value
 	}
--- a/pomeloclaim/doc.go
+++ b/pomeloclaim/doc.go
@@ -1,8 +1,13 @@
-// Package pomeloclaim lets a non-idempotent request run at most once: a Keeper
-// makes claims durable in the platform's store, many by one compare-and-swap,
-// and an Asker at each router asks for them, resends to a new keeper and
-// settles them. Both are decision parts: they take the time and messages and
-// return messages and store operations, run no goroutines, and are not safe
-// for concurrent use. The methods take an *Output in place of a slice of
-// messages because a Keeper also asks for store operations.
+// Package pomeloclaim ensures that a non-idempotent request runs at most once.
+//
+// Before such a request is sent, its router obtains a durable claim for the
+// request's idempotency key, and settles the claim when the request has ended.
+// Claims are sharded by key. A Keeper stores the claims of its shards in the
+// platform's store and writes many of them with one compare-and-swap. An Asker
+// on each router requests and settles claims, and resends its messages when a
+// shard's keeper changes.
+//
+// Both are driven by messages and the current time, start no goroutines and are
+// not safe for concurrent use. Their methods add the resulting messages, store
+// operations and verdicts to an *Output.
 package pomeloclaim
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -26,39 +26,39 @@
 	shards  uint32
 
 	// Faults.
-	outage    bool
-	loss      float64 // of messages
-	lostReply float64 // of store answers, after the operation took effect or before
-	cut       map[[2]int]bool
-	keeperOf  func(shard pomelorelay.ShardID, asker int) int
+	outage         bool
+	messageLoss    float64 // probability that a message is lost
+	storeReplyLoss float64 // probability that a store result is lost, whether or not the operation took effect in time
+	partitioned    map[[2]int]bool
+	keeperOf       func(shard pomelorelay.ShardID, asker int) int
 
-	runs        map[string]int
-	told        map[string][]told
-	twoVerdicts int
-	latencies   []time.Duration
+	runs              map[string]int
+	replies           map[string][]reply
+	duplicateVerdicts int
+	latencies         []time.Duration
 }
 
-// told is what a caller heard of one send of its request.
-type told struct {
+// reply is what a caller heard of one send of its request.
+type reply struct {
 	state pomelorelay.ClaimState
 	ran   bool
 }
 
 type router struct {
-	n      int
-	name   pomelorelay.NodeID
-	alive  bool
-	paused bool
-	held   []func()
-	keeper *pomeloclaim.Keeper
-	asker  *pomeloclaim.Asker
-	life   int
-	calls  map[pomelorelay.ClaimNonce]*call
+	index       int
+	name        pomelorelay.NodeID
+	alive       bool
+	paused      bool
+	deferred    []func()
+	keeper      *pomeloclaim.Keeper
+	asker       *pomeloclaim.Asker
+	incarnation int
+	calls       map[pomelorelay.ClaimNonce]*call
 }
 
 type call struct {
-	key   string
-	began time.Time
+	key       string
+	startedAt time.Time
 }
 
 type event struct {
@@ -87,18 +87,18 @@
 
 func newFleet(seed uint64, routers int, cfg pomeloclaim.Config, shards uint32) *fleet {
 	f := &fleet{
-		now:     time.Unix(1_700_000_000, 0),
-		rng:     rand.New(rand.NewPCG(seed, 1)),
-		records: make(map[pomelorelay.StoreKey]pomelorelay.Record),
-		cfg:     cfg,
-		shards:  shards,
-		cut:     make(map[[2]int]bool),
-		runs:    make(map[string]int),
-		told:    make(map[string][]told),
+		now:         time.Unix(1_700_000_000, 0),
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		records:     make(map[pomelorelay.StoreKey]pomelorelay.Record),
+		cfg:         cfg,
+		shards:      shards,
+		partitioned: make(map[[2]int]bool),
+		runs:        make(map[string]int),
+		replies:     make(map[string][]reply),
 	}
 	f.keeperOf = func(shard pomelorelay.ShardID, _ int) int { return int(shard) % routers }
 	for n := range routers {
-		f.routers = append(f.routers, &router{n: n, name: pomelorelay.NodeID(fmt.Sprint("router-", n))})
+		f.routers = append(f.routers, &router{index: n, name: pomelorelay.NodeID(fmt.Sprint("router-", n))})
 		f.start(n)
 	}
 	return f
@@ -107,8 +107,8 @@
 // start begins a router's process with empty state.
 func (f *fleet) start(n int) {
 	r := f.routers[n]
-	r.life++
-	r.alive, r.paused, r.held = true, false, nil
+	r.incarnation++
+	r.alive, r.paused, r.deferred = true, false, nil
 	r.calls = make(map[pomelorelay.ClaimNonce]*call)
 	cfg := f.cfg
 	cfg.Alive = func(node pomelorelay.NodeID) bool { return f.byName(node).alive }
@@ -119,8 +119,8 @@
 			return f.routers[f.keeperOf(shard, n)].name, true
 		},
 	})
-	f.own(r)
-	f.tick(r, r.life)
+	f.assignShards(r)
+	f.tick(r, r.incarnation)
 }
 
 func (f *fleet) byName(node pomelorelay.NodeID) *router {
@@ -132,17 +132,17 @@
 	return nil
 }
 
-// own gives a router the shards that it keeps by its own view.
-func (f *fleet) own(r *router) {
+// assignShards gives a router the shards that it keeps by its own view.
+func (f *fleet) assignShards(r *router) {
 	var out pomeloclaim.Output
 	for shard := range pomelorelay.ShardID(f.shards) {
-		if f.keeperOf(shard, r.n) == r.n {
+		if f.keeperOf(shard, r.index) == r.index {
 			r.keeper.Own(f.now, shard, &out)
 		} else {
 			r.keeper.Disown(shard)
 		}
 	}
-	f.carry(r, out)
+	f.perform(r, out)
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
@@ -150,30 +150,30 @@
 	heap.Push(&f.events, event{f.now.Add(d), f.seq, do})
 }
 
-// on runs do at the router unless its process has ended; a paused process runs it when it goes on.
-func (f *fleet) on(r *router, life int, do func()) {
-	if !r.alive || r.life != life {
+// runOn runs do at the router unless its process has ended; a paused process runs it when it goes on.
+func (f *fleet) runOn(r *router, incarnation int, do func()) {
+	if !r.alive || r.incarnation != incarnation {
 		return
 	}
 	if r.paused {
-		r.held = append(r.held, func() { f.on(r, life, do) })
+		r.deferred = append(r.deferred, func() { f.runOn(r, incarnation, do) })
 		return
 	}
 	do()
 }
 
-func (f *fleet) tick(r *router, life int) {
+func (f *fleet) tick(r *router, incarnation int) {
 	f.after(50*time.Millisecond, func() {
-		if r.life != life || !r.alive {
+		if r.incarnation != incarnation || !r.alive {
 			return
 		}
-		f.on(r, life, func() {
+		f.runOn(r, incarnation, func() {
 			var out pomeloclaim.Output
 			r.keeper.Tick(f.now, &out)
 			r.asker.Tick(f.now, &out)
-			f.carry(r, out)
+			f.perform(r, out)
 		})
-		f.tick(r, life)
+		f.tick(r, incarnation)
 	})
 }
 
@@ -187,26 +187,26 @@
 	f.now = end
 }
 
-func (f *fleet) carry(r *router, out pomeloclaim.Output) {
+func (f *fleet) perform(r *router, out pomeloclaim.Output) {
 	for _, m := range out.Messages {
-		f.message(r, m)
+		f.sendMessage(r, m)
 	}
 	for _, op := range out.Store {
-		f.store(r, op)
+		f.startStoreOp(r, op)
 	}
 	for _, v := range out.Verdicts {
-		f.verdict(r, v)
+		f.handleVerdict(r, v)
 	}
 }
 
-func (f *fleet) message(from *router, m pomelorelay.Outgoing) {
+func (f *fleet) sendMessage(from *router, m pomelorelay.Outgoing) {
 	to := f.byName(m.To)
-	if f.cut[[2]int{from.n, to.n}] || (from != to && f.rng.Float64() < f.loss) {
+	if f.partitioned[[2]int{from.index, to.index}] || (from != to && f.rng.Float64() < f.messageLoss) {
 		return
 	}
-	life := to.life
+	life := to.incarnation
 	f.after(time.Duration(500+f.rng.IntN(1000))*time.Microsecond, func() {
-		f.on(to, life, func() {
+		f.runOn(to, life, func() {
 			var out pomeloclaim.Output
 			switch x := m.Message.(type) {
 			case *pomelorelay.ClaimAsk:
@@ -218,20 +218,20 @@
 			case *pomelorelay.ClaimSettled:
 				to.asker.Settled(x)
 			}
-			f.carry(to, out)
+			f.perform(to, out)
 		})
 	})
 }
 
-// store carries out an operation a little later; in an outage it does nothing, and an answer may be lost on either way.
-func (f *fleet) store(r *router, op pomeloclaim.StoreOp) {
-	life := r.life
+// startStoreOp carries out an operation a little later; in an outage it does nothing, and an answer may be lost on either way.
+func (f *fleet) startStoreOp(r *router, op pomeloclaim.StoreOp) {
+	life := r.incarnation
 	reply := func(d time.Duration, res pomeloclaim.StoreResult) {
 		f.after(d, func() {
-			f.on(r, life, func() {
+			f.runOn(r, life, func() {
 				var out pomeloclaim.Output
 				r.keeper.Stored(f.now, res, &out)
-				f.carry(r, out)
+				f.perform(r, out)
 			})
 		})
 	}
@@ -239,7 +239,7 @@
 		reply(time.Millisecond, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "", nil)})
 		return
 	}
-	lost := f.rng.Float64() < f.lostReply
+	lost := f.rng.Float64() < f.storeReplyLoss
 	delay := time.Duration(1+f.rng.IntN(3)) * time.Millisecond
 	if lost && f.rng.IntN(2) == 0 {
 		// The write takes effect long after its writer gave it up.
@@ -277,71 +277,71 @@
 // send is a caller's send of a request through a router.
 func (f *fleet) send(n int, key string) {
 	r := f.routers[n]
-	f.on(r, r.life, func() {
+	f.runOn(r, r.incarnation, func() {
 		var out pomeloclaim.Output
 		nonce := r.asker.Claim(f.now, keyOf(key), 1, &out)
-		r.calls[nonce] = &call{key: key, began: f.now}
-		f.carry(r, out)
+		r.calls[nonce] = &call{key: key, startedAt: f.now}
+		f.perform(r, out)
 	})
 }
 
-// verdict plays the traffic path: a fresh claim's request runs at the plain service, unless it finds no connection or
+// handleVerdict plays the traffic path: a fresh claim's request runs at the plain service, unless it finds no connection or
 // its router dies first, and its outcome is settled.
-func (f *fleet) verdict(r *router, v pomeloclaim.Verdict) {
+func (f *fleet) handleVerdict(r *router, v pomeloclaim.Verdict) {
 	c, ok := r.calls[v.Nonce]
 	if !ok {
-		f.twoVerdicts++
+		f.duplicateVerdicts++
 		return
 	}
 	delete(r.calls, v.Nonce)
-	f.latencies = append(f.latencies, f.now.Sub(c.began))
+	f.latencies = append(f.latencies, f.now.Sub(c.startedAt))
 	if v.State != pomelorelay.ClaimFresh {
-		f.told[c.key] = append(f.told[c.key], told{state: v.State})
+		f.replies[c.key] = append(f.replies[c.key], reply{state: v.State})
 		return
 	}
 	settle := func(released bool, state pomelorelay.ClaimState, o pomelorelay.ClaimOutcome) {
 		var out pomeloclaim.Output
 		r.asker.Settle(f.now, v.Nonce, released, state, o, &out)
-		f.carry(r, out)
+		f.perform(r, out)
 	}
-	life := r.life
+	life := r.incarnation
 	switch f.rng.IntN(8) {
 	case 0:
 		// No byte left: the caller hears "not run".
 		settle(true, 0, pomelorelay.ClaimOutcome{})
-		f.told[c.key] = append(f.told[c.key], told{state: pomelorelay.ClaimRefused})
+		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimRefused})
 	case 1:
 		f.runs[c.key]++
-		f.told[c.key] = append(f.told[c.key], told{state: pomelorelay.ClaimUnknown, ran: true})
+		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimUnknown, ran: true})
 		f.after(20*time.Millisecond, func() {
-			f.on(r, life, func() { settle(false, pomelorelay.ClaimUnknown, pomelorelay.ClaimOutcome{}) })
+			f.runOn(r, life, func() { settle(false, pomelorelay.ClaimUnknown, pomelorelay.ClaimOutcome{}) })
 		})
 	default:
 		f.runs[c.key]++
-		f.told[c.key] = append(f.told[c.key], told{state: pomelorelay.ClaimFresh, ran: true})
+		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimFresh, ran: true})
 		f.after(time.Duration(5+f.rng.IntN(200))*time.Millisecond, func() {
-			f.on(r, life, func() {
+			f.runOn(r, life, func() {
 				settle(false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Status: 201, Body: []byte("booked " + c.key)})
 			})
 		})
 	}
 }
 
-// faults lists what the promises were broken by: runs beyond one, and outcomes of a run that was none.
-func (f *fleet) faults() string {
+// violations lists what the promises were broken by: runs beyond one, and outcomes of a run that was none.
+func (f *fleet) violations() string {
 	var found []string
-	if f.twoVerdicts > 0 {
-		found = append(found, fmt.Sprint(f.twoVerdicts, " sends got two verdicts"))
+	if f.duplicateVerdicts > 0 {
+		found = append(found, fmt.Sprint(f.duplicateVerdicts, " requests got two verdicts"))
 	}
 	for key, n := range f.runs {
 		if n > 1 {
 			found = append(found, fmt.Sprintf("%s ran %d times", key, n))
 		}
 	}
-	for key, list := range f.told {
+	for key, list := range f.replies {
 		for _, t := range list {
 			if t.state == pomelorelay.ClaimDone && f.runs[key] == 0 {
-				found = append(found, key+" got an outcome and never ran")
+				found = append(found, key+" was answered with an outcome but never ran")
 			}
 		}
 	}
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -7,38 +7,38 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Keeper keeps claim shards: it answers askers once the store holds their claims. Two keepers of one shard fence each
-// other by compare-and-swap on the shard's head record; a keeper never takes a claim away by its own decision.
+// Keeper stores the claims of its shards and answers requesters once their claims are durable. Two keepers of one shard
+// fence each other by compare-and-swap on the shard's head record. A keeper never revokes a claim on its own.
 type Keeper struct {
-	cfg    Config
-	lastOp OpID
-	ops    map[OpID]storeOp
-	shards map[pomelorelay.ShardID]*shard
-	// owned lists the shards in order, so that a schedule runs the same way every time.
+	cfg        Config
+	lastOp     OpID
+	pendingOps map[OpID]pendingOp
+	shards     map[pomelorelay.ShardID]*shard
+	// owned lists the shard IDs in ascending order, so that simulated runs are deterministic.
 	owned []pomelorelay.ShardID
-	// starts holds the newest start seen of each router, to tell the claims of a process that is no more.
-	starts map[pomelorelay.NodeID]uint64
-	outage bool
+	// processStarts holds the latest process start seen of each router, to recognise claims of processes that have ended.
+	processStarts map[pomelorelay.NodeID]uint64
+	outage        bool
 }
 
-// outagePatience divides the wait for a store that is known to be down.
-const outagePatience = 8
+// outageWaitDivisor divides RefuseAfter while the store is known to be unavailable.
+const outageWaitDivisor = 8
 
 type opKind int
 
 const (
-	opHead opKind = iota + 1
-	opVerify
-	opIndex
-	opLookup
-	opCommit
-	opSegment
-	opSlot
+	opReadHead opKind = iota + 1
+	opConfirmHead
+	opReadIndex
+	opReadSegment
+	opWriteHead
+	opWriteSegment
+	opReadSlot
 )
 
-// storeOp remembers what an operation was for; one whose commit or seal was given up meanwhile is not taken for
-// that of the next.
-type storeOp struct {
+// pendingOp records the purpose of a store operation. The result of an operation for an abandoned commit or seal is not
+// attributed to the next one.
+type pendingOp struct {
 	kind   opKind
 	shard  *shard
 	slot   uint32
@@ -46,23 +46,23 @@
 	seal   *seal
 }
 
-// New returns a Keeper that keeps no shard yet.
+// New returns a Keeper without shards.
 func New(cfg Config) *Keeper {
 	return &Keeper{
-		cfg:    cfg.withDefaults(),
-		ops:    make(map[OpID]storeOp),
-		shards: make(map[pomelorelay.ShardID]*shard),
-		starts: make(map[pomelorelay.NodeID]uint64),
+		cfg:           cfg.withDefaults(),
+		pendingOps:    make(map[OpID]pendingOp),
+		shards:        make(map[pomelorelay.ShardID]*shard),
+		processStarts: make(map[pomelorelay.NodeID]uint64),
 	}
 }
 
-// SetRetention sets how long settled claims are kept from now on.
+// SetRetention sets how long settled claims are kept; zero or less selects the default.
 func (k *Keeper) SetRetention(d time.Duration) {
-	setDuration(&d, defaultRetention)
+	setDefaultDuration(&d, defaultRetention)
 	k.cfg.Retention = d
 }
 
-// Own begins to keep a shard; its record is read first.
+// Own takes over a shard; claims are answered once its records have been read.
 func (k *Keeper) Own(now time.Time, id pomelorelay.ShardID, out *Output) {
 	if _, ok := k.shards[id]; ok {
 		return
@@ -74,54 +74,54 @@
 	k.advance(now, s, out)
 }
 
-// Disown stops keeping a shard; what waits is left to the askers' resends. A write that is under way may still take
-// effect, and the next keeper's compare-and-swap then fails and it reads again.
+// Disown gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A write in
+// progress may still take effect; the new keeper's compare-and-swap then fails and it reads the record again.
 func (k *Keeper) Disown(id pomelorelay.ShardID) {
 	delete(k.shards, id)
 	k.owned = slices.DeleteFunc(k.owned, func(o pomelorelay.ShardID) bool { return o == id })
-	for op, o := range k.ops {
+	for op, o := range k.pendingOps {
 		if o.shard.id == id {
-			delete(k.ops, op)
+			delete(k.pendingOps, op)
 		}
 	}
 }
 
-// Ask takes a claim from a router; the answer follows once it is durable. One for a shard that is not kept here is
-// dropped, because the asker sends it again to the keeper that it then knows.
+// Ask handles a router's request for a claim and answers once the claim is durable. A request for a shard that is not kept
+// here is dropped, because the requester sends it again to the shard's current keeper.
 func (k *Keeper) Ask(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimAsk, out *Output) {
-	k.heard(from, m.Nonce)
+	k.recordProcessStart(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
 	if !ok || s.hasAsk(from, m.Nonce) {
 		return
 	}
 	if len(s.asks) >= k.cfg.MaxPending {
-		answer(from, m, pomelorelay.ClaimRefused, pomelorelay.ClaimOutcome{}, out)
+		sendAnswer(from, m, pomelorelay.ClaimRefused, pomelorelay.ClaimOutcome{}, out)
 		return
 	}
-	s.asks = append(s.asks, &pendingAsk{from: from, ask: *m, since: now})
+	s.asks = append(s.asks, &pendingAsk{from: from, ask: *m, receivedAt: now})
 	k.advance(now, s, out)
 }
 
-// Settle takes a settlement from a router; it is acknowledged once it is durable.
+// Settle handles a router's settlement and acknowledges it once it is durable.
 func (k *Keeper) Settle(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimSettle, out *Output) {
-	k.heard(from, m.Nonce)
+	k.recordProcessStart(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
 	if !ok || s.hasSettle(m.Nonce) || len(s.settles) >= k.cfg.MaxPending {
 		return
 	}
 	if m.Released {
-		s.dropAsk(m.Nonce)
+		s.removeAsk(m.Nonce)
 	}
 	s.settles = append(s.settles, &pendingSettle{from: from, settle: *m, since: now})
 	k.advance(now, s, out)
 }
 
-// heard notes when a router's process started; what an earlier one claimed and did not settle is unknown.
-func (k *Keeper) heard(from pomelorelay.NodeID, nonce pomelorelay.ClaimNonce) {
-	k.starts[from] = max(k.starts[from], startOf(nonce[:]))
+// recordProcessStart records when a router's process started. Unsettled claims of its earlier processes become unknown.
+func (k *Keeper) recordProcessStart(from pomelorelay.NodeID, nonce pomelorelay.ClaimNonce) {
+	k.processStarts[from] = max(k.processStarts[from], processStart(nonce[:]))
 }
 
-// Tick does what is due; call it about each 50 ms.
+// Tick refuses overdue claims, retries failed operations and starts due commits. Call it about every 50 ms.
 func (k *Keeper) Tick(now time.Time, out *Output) {
 	for _, id := range k.owned {
 		s := k.shards[id]
@@ -130,31 +130,30 @@
 	}
 }
 
-// patience is how long a claim may wait for the store. While the store is known to be down there is little to wait for, and a
-// caller that is told at once can come back when it is up.
-func (k *Keeper) patience() time.Duration {
+// maxStoreWait returns how long a claim may wait for the store. The wait is shorter while the store is known to be
+// unavailable, so that callers are refused early and can retry later.
+func (k *Keeper) maxStoreWait() time.Duration {
 	if k.outage {
-		return k.cfg.RefuseAfter / outagePatience
+		return k.cfg.RefuseAfter / outageWaitDivisor
 	}
 	return k.cfg.RefuseAfter
 }
 
-// refuseOverdue ends the wait for a store that does not answer. The claim may become durable all the same: the asker,
-// which holds it, then has it released, and nobody else may, because the asker may meanwhile have been told "fresh"
-// by another keeper.
+// refuseOverdue refuses claims that have waited too long for the store. Such a claim may still become durable; then only
+// its requester may release it, because another keeper may have answered the requester that the claim is fresh.
 func (k *Keeper) refuseOverdue(now time.Time, s *shard, out *Output) {
 	refused := false
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
-		if now.Sub(a.since) < k.patience() {
+		if now.Sub(a.receivedAt) < k.maxStoreWait() {
 			return false
 		}
 		refused = true
-		if c := s.live[a.ask.Key]; c != nil {
-			// What is remembered of the key is nearer the truth than a refusal that says nothing of it.
-			k.answerFrom(now, s, a, c, out)
+		if c := s.headClaims[a.ask.Key]; c != nil {
+			// The known claim of the key is more accurate than a refusal.
+			k.answerWithClaim(now, s, a, c, out)
 			return true
 		}
-		answer(a.from, &a.ask, pomelorelay.ClaimRefused, pomelorelay.ClaimOutcome{}, out)
+		sendAnswer(a.from, &a.ask, pomelorelay.ClaimRefused, pomelorelay.ClaimOutcome{}, out)
 		return true
 	})
 	if refused && !k.outage {
@@ -163,74 +162,75 @@
 	}
 }
 
-func answer(to pomelorelay.NodeID, a *pomelorelay.ClaimAsk, state pomelorelay.ClaimState, o pomelorelay.ClaimOutcome, out *Output) {
+func sendAnswer(to pomelorelay.NodeID, a *pomelorelay.ClaimAsk, state pomelorelay.ClaimState, o pomelorelay.ClaimOutcome, out *Output) {
 	out.send(to, &pomelorelay.ClaimAnswer{Shard: a.Shard, Key: a.Key, Nonce: a.Nonce, State: state, Outcome: o})
 }
 
-func acknowledge(p *pendingSettle, out *Output) {
+func sendSettled(p *pendingSettle, out *Output) {
 	out.send(p.from, &pomelorelay.ClaimSettled{Shard: p.settle.Shard, Key: p.settle.Key, Nonce: p.settle.Nonce})
 }
 
-func (k *Keeper) op(s *shard, kind opKind, slot uint32, op StoreOp, out *Output) {
+func (k *Keeper) startOp(s *shard, kind opKind, slot uint32, startOp StoreOp, out *Output) {
 	k.lastOp++
-	op.ID = k.lastOp
-	k.ops[op.ID] = storeOp{kind: kind, shard: s, slot: slot, commit: s.commit, seal: s.seal}
-	out.Store = append(out.Store, op)
+	startOp.ID = k.lastOp
+	k.pendingOps[startOp.ID] = pendingOp{kind: kind, shard: s, slot: slot, commit: s.commit, seal: s.seal}
+	out.Store = append(out.Store, startOp)
 }
 
-// Stored takes the result of a store operation.
+// Stored handles the result of a store operation.
 func (k *Keeper) Stored(now time.Time, r StoreResult, out *Output) {
-	o, ok := k.ops[r.ID]
+	o, ok := k.pendingOps[r.ID]
 	if !ok {
 		return
 	}
-	delete(k.ops, r.ID)
+	delete(k.pendingOps, r.ID)
 	if r.Err == nil {
 		k.outage = false
 	}
 	s := o.shard
 	switch o.kind {
-	case opHead:
-		k.headRead(now, s, r)
-	case opVerify:
-		k.headVerified(now, s, r)
-	case opIndex, opLookup:
-		k.segmentRead(now, s, o, r)
-	case opCommit:
+	case opReadHead:
+		k.handleHeadRead(now, s, r)
+	case opConfirmHead:
+		k.handleHeadConfirm(now, s, r)
+	case opReadIndex, opReadSegment:
+		k.handleSegmentRead(now, s, o, r)
+	case opWriteHead:
 		if o.commit == s.commit {
-			k.committed(now, s, r, out)
+			k.handleCommitResult(now, s, r, out)
 		}
-	case opSegment:
+	case opWriteSegment:
 		if o.seal == s.seal {
-			k.segmentWritten(now, s, r)
+			k.handleSegmentWrite(now, s, r)
 		}
-	case opSlot:
+	case opReadSlot:
 		if o.seal == s.seal {
-			k.slotRead(now, s, r)
+			k.handleSlotRead(now, s, r)
 		}
 	}
 	k.advance(now, s, out)
 }
 
-// state returns what a claim counts as now: one whose holder is dead, started anew or silent for too long is unknown.
-func (k *Keeper) state(now time.Time, c *claimRecord) pomelorelay.ClaimState {
+// effectiveState returns a claim's state, where a running claim is unknown once its holder is dead or has restarted, or
+// once RunningTimeout has passed.
+func (k *Keeper) effectiveState(now time.Time, c *claimRecord) pomelorelay.ClaimState {
 	state := pomelorelay.ClaimState(c.State)
 	if state != pomelorelay.ClaimRunning {
 		return state
 	}
 	holder := pomelorelay.NodeID(c.Asker)
-	if !k.cfg.Alive(holder) || k.starts[holder] > startOf(c.Nonce) || now.Sub(c.at()) > k.cfg.RunningLimit {
+	if !k.cfg.Alive(holder) || k.processStarts[holder] > processStart(c.Nonce) || now.Sub(c.changedAt()) > k.cfg.RunningTimeout {
 		return pomelorelay.ClaimUnknown
 	}
 	return state
 }
 
-// expired reports whether a claim is past its retention; its key then counts as never used.
+// expired reports whether a claim is past its retention; its key then counts as unused.
 func (k *Keeper) expired(now time.Time, c *claimRecord) bool {
-	return k.sealable(now, c) && now.Sub(c.at()) > k.cfg.Retention
+	return k.sealable(now, c) && now.Sub(c.changedAt()) > k.cfg.Retention
 }
 
-// sealable reports whether a claim will not change any more.
+// sealable reports whether a claim can no longer change.
 func (k *Keeper) sealable(now time.Time, c *claimRecord) bool {
-	return c.Settled || now.Sub(c.at()) > k.cfg.RunningLimit
+	return c.Settled || now.Sub(c.changedAt()) > k.cfg.RunningTimeout
 }
--- a/pomeloclaim/nonce.go
+++ b/pomeloclaim/nonce.go
@@ -8,36 +8,36 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// A nonce is 6 bytes of the process's start in Unix milliseconds, 6 bytes of a hash of its router's name and exact
-// start, and a counter of 4 bytes. So no two attempts share one, and a keeper sees when a router has started anew.
+// A nonce consists of the process start in Unix milliseconds (6 bytes), a hash of the router name and the exact start
+// (6 bytes) and a counter (4 bytes). It is unique per attempt, and keepers can detect a restart of its router.
 const (
-	startBytes   = 6
-	processBytes = 6
-	counterAt    = startBytes + processBytes
+	startBytes    = 6
+	processBytes  = 6
+	counterOffset = startBytes + processBytes
 )
 
-func processNonce(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelorelay.ClaimNonce {
+func newProcessNonce(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelorelay.ClaimNonce {
 	var n pomelorelay.ClaimNonce
 	var word [8]byte
 	binary.BigEndian.PutUint64(word[:], uint64(incarnation)/uint64(time.Millisecond))
 	copy(n[:startBytes], word[2:])
 	h := fnv.New64a()
 	binary.BigEndian.PutUint64(word[:], uint64(incarnation))
-	// A hash never fails.
+	// Hash writes never fail.
 	_, _ = h.Write(word[:])
 	_, _ = h.Write([]byte(node))
 	binary.BigEndian.PutUint64(word[:], h.Sum64())
-	copy(n[startBytes:counterAt], word[:])
+	copy(n[startBytes:counterOffset], word[:])
 	return n
 }
 
-func numbered(process pomelorelay.ClaimNonce, n uint32) pomelorelay.ClaimNonce {
-	binary.BigEndian.PutUint32(process[counterAt:], n)
+func withCounter(process pomelorelay.ClaimNonce, n uint32) pomelorelay.ClaimNonce {
+	binary.BigEndian.PutUint32(process[counterOffset:], n)
 	return process
 }
 
-// startOf returns the start of the process that made the nonce, in Unix milliseconds.
-func startOf(nonce []byte) uint64 {
+// processStart returns the start of the process that created the nonce, in Unix milliseconds.
+func processStart(nonce []byte) uint64 {
 	if len(nonce) < startBytes {
 		return 0
 	}
--- a/pomeloclaim/output.go
+++ b/pomeloclaim/output.go
@@ -2,10 +2,10 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// OpID numbers a store operation of one Keeper.
+// OpID identifies a store operation of one Keeper.
 type OpID uint64
 
-// StoreOp is a store operation that a Keeper wants carried out; a nil Value means a Get, otherwise a CompareAndSwap.
+// StoreOp is a store operation requested by a Keeper: a Get when Value is nil, otherwise a CompareAndSwap.
 type StoreOp struct {
 	ID    OpID
 	Key   pomelorelay.StoreKey
@@ -13,9 +13,9 @@
 	Old   pomelorelay.Revision
 }
 
-// StoreResult is what a store operation returned: the record of a Get, the revision of a CompareAndSwap, or an error
-// with CodeStoreConflict, CodeStoreUnavailable or CodeStoreUnknown. Another error of a CompareAndSwap counts as
-// unknown. Every operation must get a result, by a timeout of the node's if need be.
+// StoreResult is the result of a StoreOp: the record of a Get, the revision of a CompareAndSwap, or an error with
+// CodeStoreConflict, CodeStoreUnavailable or CodeStoreUnknown. Other errors of a CompareAndSwap count as unknown. Every
+// operation needs a result, so the caller must apply a timeout.
 type StoreResult struct {
 	ID       OpID
 	Record   pomelorelay.Record
@@ -23,7 +23,7 @@
 	Err      error
 }
 
-// Verdict is an Asker's answer to a claim that was asked for.
+// Verdict is an Asker's decision on a requested claim.
 type Verdict struct {
 	Key     pomelorelay.ClaimKey
 	Nonce   pomelorelay.ClaimNonce
@@ -31,7 +31,7 @@
 	Outcome pomelorelay.ClaimOutcome
 }
 
-// Output collects what a decision part wants done; the caller empties it.
+// Output collects the messages, store operations and verdicts of a call; the caller handles and clears them.
 type Output struct {
 	Messages []pomelorelay.Outgoing
 	Store    []StoreOp
--- a/pomeloclaim/record.go
+++ b/pomeloclaim/record.go
@@ -13,24 +13,24 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// headRecord is the one record through which every write of a shard goes. gob passes over fields that it does not
-// know and leaves out those that are missing, so that routers of two versions may keep a shard in turn.
+// headRecord is the record of a shard that every change writes. gob ignores unknown fields and accepts missing ones, so
+// that routers of two versions can keep a shard in turn.
 type headRecord struct {
 	NextSlot uint32
 	Free     []slotRef
-	// Reserve names the slot that its writer may write a segment to; a slot is never written without having been reserved.
+	// Reserve is the slot to which the current keeper may write a segment. Slots are written only after being reserved.
 	Reserve  *slotRef
 	Segments []segmentRef
 	Claims   []claimRecord
 }
 
-// slotRef is a place for a segment and the revision from which it may be written.
+// slotRef names a segment slot and the revision at which it may be written.
 type slotRef struct {
 	Slot     uint32
 	Revision uint64
 }
 
-// segmentRef is a sealed segment; its settled claims date from From to To, in Unix milliseconds.
+// segmentRef refers to a sealed segment whose claims last changed between From and To, in Unix milliseconds.
 type segmentRef struct {
 	Slot     uint32
 	Revision uint64
@@ -42,7 +42,7 @@
 	Claims []claimRecord
 }
 
-// claimRecord is one claim. At is when it was made or last changed, in Unix milliseconds.
+// claimRecord is a stored claim. At is when it was created or last changed, in Unix milliseconds.
 type claimRecord struct {
 	Key         []byte
 	Nonce       []byte
@@ -66,28 +66,28 @@
 }
 
 func encode(record any) []byte {
-	var text bytes.Buffer
-	if err := gob.NewEncoder(&text).Encode(record); err != nil {
-		// The records hold nothing that gob cannot encode.
+	var buf bytes.Buffer
+	if err := gob.NewEncoder(&buf).Encode(record); err != nil {
+		// All record types can be encoded by gob.
 		panic(err)
 	}
-	return text.Bytes()
+	return buf.Bytes()
 }
 
-func decode(text []byte, record any) error {
-	if len(text) == 0 {
+func decode(data []byte, record any) error {
+	if len(data) == 0 {
 		return nil
 	}
-	return gob.NewDecoder(bytes.NewReader(text)).Decode(record)
+	return gob.NewDecoder(bytes.NewReader(data)).Decode(record)
 }
 
-func sumOf(text []byte) []byte {
-	sum := sha256.Sum256(text)
+func checksum(data []byte) []byte {
+	sum := sha256.Sum256(data)
 	return sum[:]
 }
 
-// prefixOf shortens a key for the index of a sealed segment; a full compare follows each hit.
-func prefixOf(key []byte) uint64 {
+// keyPrefix returns the first 8 bytes of a key for the segment index; a match is verified against the full key.
+func keyPrefix(key []byte) uint64 {
 	if len(key) < 8 {
 		return 0
 	}
@@ -100,7 +100,9 @@
 	return key
 }
 
-func (c *claimRecord) holds(nonce pomelorelay.ClaimNonce) bool { return bytes.Equal(c.Nonce, nonce[:]) }
+func (c *claimRecord) heldBy(nonce pomelorelay.ClaimNonce) bool {
+	return bytes.Equal(c.Nonce, nonce[:])
+}
 
 func (c *claimRecord) outcome() pomelorelay.ClaimOutcome {
 	return pomelorelay.ClaimOutcome{Status: c.Status, ContentType: c.ContentType, Body: c.Body, Truncated: c.Truncated}
@@ -113,8 +115,8 @@
 	}
 }
 
-func (c *claimRecord) at() time.Time { return time.UnixMilli(c.At) }
+func (c *claimRecord) changedAt() time.Time { return time.UnixMilli(c.At) }
 
-func byKey(a, b claimRecord) int { return cmp.Compare(string(a.Key), string(b.Key)) }
+func compareKeys(a, b claimRecord) int { return cmp.Compare(string(a.Key), string(b.Key)) }
 
-func sortClaims(claims []claimRecord) { slices.SortFunc(claims, byKey) }
+func sortClaims(claims []claimRecord) { slices.SortFunc(claims, compareKeys) }
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -14,7 +14,7 @@
 const (
 	fleetRouters = 4
 	fleetShards  = 2
-	healTime     = 30 * time.Second
+	recoveryTime = 30 * time.Second
 )
 
 // smallRecords makes sealing, dropping and reuse of slots happen within a short schedule.
@@ -26,22 +26,22 @@
 func TestNeverTwiceUnderRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(rt, "seed"), fleetRouters, smallRecords, fleetShards)
-		killed := make(map[string]bool)
+		crashed := make(map[string]bool)
 		steps := rapid.IntRange(10, 60).Draw(rt, "steps")
 		for range steps {
-			step(rt, f, killed)
+			applyRandomStep(rt, f, crashed)
 			f.run(time.Duration(rapid.IntRange(1, 800).Draw(rt, "pause")) * time.Millisecond)
 		}
-		heal(f)
-		f.run(healTime)
-		if found := f.faults(); found != "" {
+		clearFaults(f)
+		f.run(recoveryTime)
+		if found := f.violations(); found != "" {
 			rt.Fatal(found)
 		}
-		checkNotBlocked(rt, f, killed)
+		checkNotBlocked(rt, f, crashed)
 	})
 }
 
-func step(rt *rapid.T, f *fleet, killed map[string]bool) {
+func applyRandomStep(rt *rapid.T, f *fleet, crashed map[string]bool) {
 	n := rapid.IntRange(0, fleetRouters-1).Draw(rt, "router")
 	r := f.routers[n]
 	switch rapid.IntRange(0, 14).Draw(rt, "step") {
@@ -49,11 +49,11 @@
 		f.send(n, fmt.Sprint("booking-", rapid.IntRange(0, 30).Draw(rt, "key")))
 	case 0:
 		for _, c := range r.calls {
-			killed[c.key] = true
+			crashed[c.key] = true
 		}
-		for key, list := range f.told {
+		for key, list := range f.replies {
 			if len(list) > 0 {
-				killed[key] = true
+				crashed[key] = true
 			}
 		}
 		r.alive = false
@@ -68,42 +68,42 @@
 	case 4:
 		f.outage = rapid.Bool().Draw(rt, "outage")
 	case 5:
-		f.lostReply = rapid.SampledFrom([]float64{0, 0.3, 0.8}).Draw(rt, "lost replies")
+		f.storeReplyLoss = rapid.SampledFrom([]float64{0, 0.3, 0.8}).Draw(rt, "lost replies")
 	case 6:
-		f.loss = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(rt, "loss")
+		f.messageLoss = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(rt, "loss")
 	case 7:
-		f.cut[[2]int{n, rapid.IntRange(0, fleetRouters-1).Draw(rt, "peer")}] = true
+		f.partitioned[[2]int{n, rapid.IntRange(0, fleetRouters-1).Draw(rt, "peer")}] = true
 	case 8:
-		clear(f.cut)
+		clear(f.partitioned)
 	case 9:
 		views := make([]int, fleetRouters)
 		for i := range views {
 			views[i] = rapid.IntRange(0, fleetRouters-1).Draw(rt, "keeper")
 		}
 		f.keeperOf = func(shard pomelorelay.ShardID, asker int) int { return (views[asker] + int(shard)) % fleetRouters }
-		own(f)
+		reassignShards(f)
 	}
 }
 
 func resume(f *fleet, r *router) {
 	r.paused = false
-	held := r.held
-	r.held = nil
-	for _, do := range held {
+	deferred := r.deferred
+	r.deferred = nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
-func own(f *fleet) {
+func reassignShards(f *fleet) {
 	for _, r := range f.routers {
-		life := r.life
-		f.on(r, life, func() { f.own(r) })
+		incarnation := r.incarnation
+		f.runOn(r, incarnation, func() { f.assignShards(r) })
 	}
 }
 
-func heal(f *fleet) {
-	f.outage, f.lostReply, f.loss = false, 0, 0
-	clear(f.cut)
+func clearFaults(f *fleet) {
+	f.outage, f.storeReplyLoss, f.messageLoss = false, 0, 0
+	clear(f.partitioned)
 	f.keeperOf = func(shard pomelorelay.ShardID, _ int) int { return int(shard) % fleetRouters }
 	for n, r := range f.routers {
 		if !r.alive {
@@ -111,44 +111,44 @@
 		}
 		resume(f, r)
 	}
-	own(f)
+	reassignShards(f)
 }
 
 // checkNotBlocked sends every booking once more: one that no crash touched must run now, or return its outcome or what
 // its own router said of it.
-func checkNotBlocked(rt *rapid.T, f *fleet, killed map[string]bool) {
+func checkNotBlocked(rt *rapid.T, f *fleet, crashed map[string]bool) {
 	for n := range 31 {
 		key := fmt.Sprint("booking-", n)
-		before, ran := len(f.told[key]), f.runs[key]
+		before, ran := len(f.replies[key]), f.runs[key]
 		unknown := false
-		for _, t := range f.told[key] {
+		for _, t := range f.replies[key] {
 			unknown = unknown || (t.ran && t.state == pomelorelay.ClaimUnknown)
 		}
 		f.send(n%fleetRouters, key)
 		f.run(5 * time.Second)
-		if len(f.told[key]) <= before {
+		if len(f.replies[key]) <= before {
 			rt.Fatalf("%s: no verdict", key)
 		}
-		state := f.told[key][before].state
+		state := f.replies[key][before].state
 		if state == pomelorelay.ClaimRunning {
 			// A claim that nobody holds is released when it first keeps another from running.
 			f.send(n%fleetRouters, key)
 			f.run(5 * time.Second)
-			state = f.told[key][before+1].state
+			state = f.replies[key][before+1].state
 		}
-		if killed[key] {
+		if crashed[key] {
 			continue
 		}
-		right := state == pomelorelay.ClaimFresh || state == pomelorelay.ClaimRefused || (state == pomelorelay.ClaimUnknown && f.runs[key] == 1)
+		valid := state == pomelorelay.ClaimFresh || state == pomelorelay.ClaimRefused || (state == pomelorelay.ClaimUnknown && f.runs[key] == 1)
 		if ran > 0 {
-			right = state == pomelorelay.ClaimDone || (unknown && state == pomelorelay.ClaimUnknown)
+			valid = state == pomelorelay.ClaimDone || (unknown && state == pomelorelay.ClaimUnknown)
 		}
-		if !right {
+		if !valid {
 			rt.Fatalf("%s ran %d times and its repeat got state %d", key, ran, state)
 		}
 	}
 	f.run(5 * time.Second)
-	if found := f.faults(); found != "" {
+	if found := f.violations(); found != "" {
 		rt.Fatal(found)
 	}
 }
--- a/pomeloclaim/seal.go
+++ b/pomeloclaim/seal.go
@@ -12,46 +12,46 @@
 type sealStep int
 
 const (
-	sealReserve sealStep = iota + 1 // the head must name the slot first
-	sealWrite                       // the slot may be written
-	sealWriting                     // the write is under way
-	sealCheck                       // the slot must be read to see whether the write took effect
-	sealChecking
-	sealList // the head must list the segment
+	sealReserveSlot  sealStep = iota + 1 // the head must reserve the slot
+	sealWriteSlot                        // the slot may be written
+	sealWritePending                     // the write is in progress
+	sealReadSlot                         // the slot must be read because the write's result is unknown
+	sealReadPending
+	sealListSegment // the head must list the segment
 )
 
-// seal moves settled claims from the head to a segment that never changes, so that the head stays small. A slot is
-// written only from the revision that the head named for it: a keeper that was paused in the middle and writes late
-// then meets a slot that has moved on, and cannot overwrite another keeper's segment.
+// seal moves settled claims from the head to an immutable segment, so that the head stays small. A slot is written only at
+// the revision that the head reserved: a delayed write of a paused keeper then fails instead of overwriting another
+// keeper's segment.
 type seal struct {
-	step sealStep
-	slot slotRef
-	keys map[pomelorelay.ClaimKey]bool
-	text []byte
-	sum  []byte
-	ref  segmentRef
-	// index becomes the segment's once it is listed.
+	step     sealStep
+	slot     slotRef
+	keys     map[pomelorelay.ClaimKey]bool
+	data     []byte
+	checksum []byte
+	ref      segmentRef
+	// index becomes the segment's index once the head lists the segment.
 	index *segmentIndex
 }
 
-func (x *seal) needsCommit() bool { return x.step == sealReserve || x.step == sealList }
+func (x *seal) needsCommit() bool { return x.step == sealReserveSlot || x.step == sealListSegment }
 
-// holds reports whether the segment that is being listed holds the key, so that the head need not.
-func (x *seal) holds(key pomelorelay.ClaimKey) bool {
-	return x != nil && x.step == sealList && x.keys[key]
+// contains reports whether the segment that is being added to the head holds the key.
+func (x *seal) contains(key pomelorelay.ClaimKey) bool {
+	return x != nil && x.step == sealListSegment && x.keys[key]
 }
 
-// segmentRefBytes is what a listed segment takes in the head at most.
-const segmentRefBytes = 32
+// maxSegmentRefBytes is the maximum encoded size of a segment reference in the head.
+const maxSegmentRefBytes = 32
 
-// sealDue reports whether the head's claims are enough for a segment. The list of segments does not count: it only grows until the
-// retention ends, and once it alone was as large as SealBytes, each commit would be seen to seal its few claims by themselves and
-// lengthen the list until the head is full and the shard refuses every claim.
+// sealDue reports whether the head's claims exceed SealBytes. The list of segments is not counted: it shrinks only as
+// segments expire, and once it reached SealBytes by itself, every commit would seal a few claims into a segment of their
+// own until the list filled the head and the shard refused every claim.
 func (k *Keeper) sealDue(s *shard) bool {
-	return s.size-segmentRefBytes*len(s.segments) > int(k.cfg.SealBytes)
+	return s.headSize-maxSegmentRefBytes*len(s.segments) > int(k.cfg.SealBytes)
 }
 
-// advanceSeal begins a seal when the head has many claims, and takes the steps that need no commit.
+// advanceSeal starts a seal when one is due and carries out the steps that need no commit.
 func (k *Keeper) advanceSeal(now time.Time, s *shard, out *Output) {
 	if s.seal == nil && s.commit == nil && k.sealDue(s) {
 		s.seal = k.newSeal(now, s)
@@ -60,53 +60,53 @@
 		return
 	}
 	switch s.seal.step {
-	case sealWrite:
-		s.seal.step = sealWriting
-		k.op(s, opSegment, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot), Value: s.seal.text, Old: pomelorelay.Revision(s.seal.slot.Revision)}, out)
-	case sealCheck:
-		s.seal.step = sealChecking
-		k.op(s, opSlot, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot)}, out)
+	case sealWriteSlot:
+		s.seal.step = sealWritePending
+		k.startOp(s, opWriteSegment, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot), Value: s.seal.data, Old: pomelorelay.Revision(s.seal.slot.Revision)}, out)
+	case sealReadSlot:
+		s.seal.step = sealReadPending
+		k.startOp(s, opReadSlot, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot)}, out)
 	}
 }
 
 func (k *Keeper) newSeal(now time.Time, s *shard) *seal {
-	x := &seal{step: sealReserve, keys: make(map[pomelorelay.ClaimKey]bool), ref: segmentRef{From: math.MaxInt64}}
+	x := &seal{step: sealReserveSlot, keys: make(map[pomelorelay.ClaimKey]bool), ref: segmentRef{From: math.MaxInt64}}
 	var segment segmentRecord
-	for key, c := range s.live {
+	for key, c := range s.headClaims {
 		if !k.sealable(now, c) || k.expired(now, c) {
 			continue
 		}
 		x.keys[key] = true
-		segment.Claims = append(segment.Claims, sealed(now, k, c))
+		segment.Claims = append(segment.Claims, sealedClaim(now, k, c))
 		x.ref.From, x.ref.To = min(x.ref.From, c.At), max(x.ref.To, c.At)
 	}
 	if len(segment.Claims) == 0 {
 		return nil
 	}
 	sortClaims(segment.Claims)
-	x.text = encode(&segment)
-	x.sum = sumOf(x.text)
+	x.data = encode(&segment)
+	x.checksum = checksum(x.data)
 	x.slot = slotRef{Slot: s.nextSlot}
 	if len(s.free) > 0 {
 		x.slot = s.free[0]
 	}
 	x.index = &segmentIndex{}
-	x.index.fill(segment.Claims)
+	x.index.build(segment.Claims)
 	return x
 }
 
-// sealed returns a claim as it stays: one that was never settled is unknown for good.
-func sealed(now time.Time, k *Keeper, c *claimRecord) claimRecord {
+// sealedClaim returns a claim in its final state; one that was never settled is unknown.
+func sealedClaim(now time.Time, k *Keeper, c *claimRecord) claimRecord {
 	copied := *c
-	copied.State = int(k.state(now, c))
+	copied.State = int(k.effectiveState(now, c))
 	return copied
 }
 
-// addSegments lists the head's segments as they will be: without those past their retention, whose slots become free,
-// and with the one that was written. A slot about to be written is reserved.
+// addSegments adds the segment references to the new head, including a newly written segment. The slots of expired segments
+// become free, and the slot of a seal that is not written yet is reserved.
 func (k *Keeper) addSegments(now time.Time, s *shard, c *commit) {
 	for _, seg := range s.segments {
-		if k.outlived(now, seg) {
+		if k.segmentExpired(now, seg) {
 			c.head.Free = append(c.head.Free, slotRef{Slot: seg.Slot, Revision: seg.Revision})
 			continue
 		}
@@ -118,58 +118,58 @@
 	}
 	c.head.Free = slices.DeleteFunc(c.head.Free, func(f slotRef) bool { return f.Slot == x.slot.Slot })
 	c.head.NextSlot = max(c.head.NextSlot, x.slot.Slot+1)
-	if x.step != sealList {
+	if x.step != sealListSegment {
 		reserved := x.slot
 		c.head.Reserve = &reserved
 		return
 	}
 	c.head.Segments = append(c.head.Segments, x.ref)
-	c.sealed = x.index
+	c.sealedIndex = x.index
 }
 
-func (k *Keeper) segmentWritten(now time.Time, s *shard, r StoreResult) {
+func (k *Keeper) handleSegmentWrite(now time.Time, s *shard, r StoreResult) {
 	x := s.seal
-	if x == nil || x.step != sealWriting {
+	if x == nil || x.step != sealWritePending {
 		return
 	}
 	switch {
 	case r.Err == nil:
-		x.written(r.Revision)
+		x.markWritten(r.Revision)
 	case pomelorelay.IsErrCode(r.Err, pomelorelay.CodeStoreUnavailable):
-		x.step = sealWrite
+		x.step = sealWriteSlot
 		s.retryAt = now.Add(k.cfg.RetryDelay)
 	default:
-		x.step = sealCheck
+		x.step = sealReadSlot
 	}
 }
 
-func (x *seal) written(revision pomelorelay.Revision) {
+func (x *seal) markWritten(revision pomelorelay.Revision) {
 	x.ref.Slot, x.ref.Revision = x.slot.Slot, uint64(revision)
 	x.index.revision = uint64(revision)
-	x.step = sealList
+	x.step = sealListSegment
 }
 
-// slotRead tells whether the write took effect. If something else stands there, the slot is reserved anew from the
-// revision that it has now.
-func (k *Keeper) slotRead(now time.Time, s *shard, r StoreResult) {
+// handleSlotRead checks whether a segment write took effect. If the slot holds something else, it is reserved again at its
+// current revision.
+func (k *Keeper) handleSlotRead(now time.Time, s *shard, r StoreResult) {
 	x := s.seal
-	if x == nil || x.step != sealChecking {
+	if x == nil || x.step != sealReadPending {
 		return
 	}
 	if r.Err != nil {
-		x.step = sealCheck
+		x.step = sealReadSlot
 		s.retryAt = now.Add(k.cfg.RetryDelay)
 		return
 	}
-	if bytes.Equal(sumOf(r.Record.Value), x.sum) {
-		x.written(r.Record.Revision)
+	if bytes.Equal(checksum(r.Record.Value), x.checksum) {
+		x.markWritten(r.Record.Revision)
 		return
 	}
 	x.slot.Revision = uint64(r.Record.Revision)
-	x.step = sealReserve
+	x.step = sealReserveSlot
 }
 
-// applySeal takes the step that a commit has made durable.
+// applySeal advances the seal after a commit and drops the indexes of segments that are no longer listed.
 func (s *shard) applySeal(c *commit) {
 	for slot := range s.indexes {
 		if !slices.ContainsFunc(s.segments, func(seg segmentRef) bool { return seg.Slot == slot }) {
@@ -179,11 +179,11 @@
 	x := s.seal
 	switch {
 	case x == nil:
-	case c.sealed != nil:
+	case c.sealedIndex != nil:
 		x.index.loaded = true
 		s.indexes[x.ref.Slot] = x.index
 		s.seal = nil
-	case x.step == sealReserve && c.head.Reserve != nil && *c.head.Reserve == x.slot:
-		x.step = sealWrite
+	case x.step == sealReserveSlot && c.head.Reserve != nil && *c.head.Reserve == x.slot:
+		x.step = sealWriteSlot
 	}
 }
--- a/pomeloclaim/seal_list_test.go
+++ b/pomeloclaim/seal_list_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloclaim"
 )
 
-func TestManyKeptClaimsDoNotFillTheHead(t *testing.T) {
+func TestSegmentListDoesNotFillHead(t *testing.T) {
 	// A shard takes many claims within the retention. The list of its sealed segments grows until it alone is as large as the size at
 	// which the head is sealed; then segments of a few claims each fill the head, and callers see every booking refused until the next day.
 	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
@@ -38,7 +38,7 @@
 		m := pomelorelay.ClaimAsk{Key: keyOf(fmt.Sprint(n)), Nonce: nonceOf(n + 1), Content: 1}
 		k.Ask(now, "router-1", &m, &out)
 		serve()
-		s := done("booked")
+		s := doneSettlement("booked")
 		s.Key, s.Nonce = m.Key, m.Nonce
 		k.Settle(now, "router-1", &s, &out)
 		now = now.Add(time.Second)
@@ -49,6 +49,6 @@
 		t.Errorf("%d of %d claims were refused", refused, claims)
 	}
 	if records := len(f.records); records > claims/8 {
-		t.Errorf("%d records for %d claims: segments hold a few claims each", records, claims)
+		t.Errorf("%d records for %d claims: segments hold too few claims", records, claims)
 	}
 }
--- a/pomeloclaim/shard.go
+++ b/pomeloclaim/shard.go
@@ -7,46 +7,46 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxLoads bounds the segments that are read at once when a shard is taken over.
-const maxLoads = 8
+// maxIndexReads limits concurrent reads of segments when a shard is taken over.
+const maxIndexReads = 8
 
-// shard is one shard as its keeper knows it. live, segments and the rest of the head are what the store holds at
-// revision; what waits is in asks and settles until a commit has carried it.
+// shard is a keeper's state of one shard. headClaims, segments and the other head fields reflect the store's record at
+// revision; asks and settles are pending until a commit has stored them.
 type shard struct {
-	id       pomelorelay.ShardID
-	ready    bool
-	reading  bool
-	retryAt  time.Time
-	revision pomelorelay.Revision
-	// confirmed is when the store last showed that the head is at revision.
-	confirmed time.Time
-	size      int
-	live      map[pomelorelay.ClaimKey]*claimRecord
-	nextSlot  uint32
-	free      []slotRef
-	segments  []segmentRef
-	indexes   map[uint32]*segmentIndex
-	asks      []*pendingAsk
-	settles   []*pendingSettle
-	commit    *commit
-	seal      *seal
-	tokens    float64
-	earned    time.Time
-}
-
-// segmentIndex holds the shortened keys of a sealed segment, sorted, and its claims while a question waits for them.
+	id          pomelorelay.ShardID
+	ready       bool
+	readingHead bool
+	retryAt     time.Time
+	revision    pomelorelay.Revision
+	// confirmedAt is when the store last returned the head at revision.
+	confirmedAt     time.Time
+	headSize        int
+	headClaims      map[pomelorelay.ClaimKey]*claimRecord
+	nextSlot        uint32
+	free            []slotRef
+	segments        []segmentRef
+	indexes         map[uint32]*segmentIndex
+	asks            []*pendingAsk
+	settles         []*pendingSettle
+	commit          *commit
+	seal            *seal
+	commitTokens    float64
+	tokensUpdatedAt time.Time
+}
+
+// segmentIndex holds the sorted key prefixes of a sealed segment, and its claims while requests need them.
 type segmentIndex struct {
 	revision uint64
 	prefixes []uint64
 	loaded   bool
-	asked    bool
+	reading  bool
 	claims   []claimRecord
 }
 
 type pendingAsk struct {
-	from  pomelorelay.NodeID
-	ask   pomelorelay.ClaimAsk
-	since time.Time
+	from       pomelorelay.NodeID
+	ask        pomelorelay.ClaimAsk
+	receivedAt time.Time
 }
 
 type pendingSettle struct {
@@ -57,12 +57,12 @@
 
 func newShard(id pomelorelay.ShardID, now time.Time, burst float64) *shard {
 	return &shard{
-		id:      id,
-		size:    unknownSize,
-		live:    make(map[pomelorelay.ClaimKey]*claimRecord),
-		indexes: make(map[uint32]*segmentIndex),
-		tokens:  burst,
-		earned:  now,
+		id:              id,
+		headSize:        unknownSize,
+		headClaims:      make(map[pomelorelay.ClaimKey]*claimRecord),
+		indexes:         make(map[uint32]*segmentIndex),
+		commitTokens:    burst,
+		tokensUpdatedAt: now,
 	}
 }
 
@@ -74,50 +74,50 @@
 	return slices.ContainsFunc(s.settles, func(p *pendingSettle) bool { return p.settle.Nonce == nonce })
 }
 
-// dropAsk forgets an ask whose asker has given it up.
-func (s *shard) dropAsk(nonce pomelorelay.ClaimNonce) {
+// removeAsk drops a request that its requester has cancelled.
+func (s *shard) removeAsk(nonce pomelorelay.ClaimNonce) {
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool { return a.ask.Nonce == nonce })
 }
 
-// advance does all that can be done for a shard now.
+// advance loads the shard if needed, answers what it can, and starts due store operations.
 func (k *Keeper) advance(now time.Time, s *shard, out *Output) {
 	if !s.ready && !k.load(now, s, out) {
 		return
 	}
-	k.answerDurable(now, s, out)
+	k.answerFromStoredState(now, s, out)
 	k.advanceSeal(now, s, out)
-	k.commitIfDue(now, s, out)
+	k.startDueCommit(now, s, out)
 }
 
-// load reads the head and then the keys of its segments; it reports whether the shard is ready.
+// load reads the head and then the segment indexes; it reports whether the shard is ready.
 func (k *Keeper) load(now time.Time, s *shard, out *Output) bool {
-	if s.reading || now.Before(s.retryAt) {
+	if s.readingHead || now.Before(s.retryAt) {
 		return false
 	}
-	if s.size == unknownSize {
-		s.reading = true
-		k.op(s, opHead, 0, StoreOp{Key: headKey(s.id)}, out)
+	if s.headSize == unknownSize {
+		s.readingHead = true
+		k.startOp(s, opReadHead, 0, StoreOp{Key: headKey(s.id)}, out)
 		return false
 	}
 	return k.loadIndexes(s, out)
 }
 
 func (k *Keeper) loadIndexes(s *shard, out *Output) bool {
-	asked, missing := 0, 0
+	reading, missing := 0, 0
 	for _, seg := range s.segments {
 		index := s.indexes[seg.Slot]
 		if index.loaded {
 			continue
 		}
 		missing++
-		if index.asked {
-			asked++
+		if index.reading {
+			reading++
 			continue
 		}
-		if asked < maxLoads {
-			asked++
-			index.asked = true
-			k.op(s, opIndex, seg.Slot, StoreOp{Key: slotKey(s.id, seg.Slot)}, out)
+		if reading < maxIndexReads {
+			reading++
+			index.reading = true
+			k.startOp(s, opReadIndex, seg.Slot, StoreOp{Key: slotKey(s.id, seg.Slot)}, out)
 		}
 	}
 	if missing > 0 {
@@ -128,58 +128,59 @@
 	return true
 }
 
-// reload reads the head anew, because another keeper wrote it or because nobody knows whether the last write took effect.
-func (s *shard) reload() {
+// invalidate causes the head to be read again after another keeper wrote it or a write's result is unknown.
+func (s *shard) invalidate() {
 	s.ready = false
-	s.size = unknownSize
+	s.headSize = unknownSize
 	s.commit = nil
 	s.seal = nil
 }
 
-// unknownSize marks a head that has to be read.
+// unknownSize is the headSize of a shard whose head must be read.
 const unknownSize = -1
 
-func (k *Keeper) headRead(now time.Time, s *shard, r StoreResult) {
-	s.reading = false
+func (k *Keeper) handleHeadRead(now time.Time, s *shard, r StoreResult) {
+	s.readingHead = false
 	if r.Err != nil {
 		s.retryAt = now.Add(k.cfg.RetryDelay)
 		return
 	}
 	var head headRecord
 	if err := decode(r.Record.Value, &head); err != nil {
-		k.broken(now, s, headKey(s.id))
+		k.handleCorruptRecord(now, s, headKey(s.id))
 		return
 	}
 	s.revision = r.Record.Revision
-	s.size = len(r.Record.Value)
-	s.confirmed = now
-	s.live = make(map[pomelorelay.ClaimKey]*claimRecord, len(head.Claims))
+	s.headSize = len(r.Record.Value)
+	s.confirmedAt = now
+	s.headClaims = make(map[pomelorelay.ClaimKey]*claimRecord, len(head.Claims))
 	for i := range head.Claims {
-		s.live[head.Claims[i].key()] = &head.Claims[i]
+		s.headClaims[head.Claims[i].key()] = &head.Claims[i]
 	}
 	s.nextSlot, s.free, s.segments = head.NextSlot, head.Free, head.Segments
 	if head.Reserve != nil {
-		// Its writer may still write there; the slot's next use then fails its compare-and-swap and learns the revision.
+		// The previous keeper may still write to this slot. The slot's next use then fails its compare-and-swap and reads the
+		// new revision.
 		s.free = append(s.free, *head.Reserve)
 	}
-	s.keepIndexes()
+	s.updateIndexes()
 }
 
-// headVerified takes a look at the head that was to show whether another keeper has written it.
-func (k *Keeper) headVerified(now time.Time, s *shard, r StoreResult) {
-	s.reading = false
+// handleHeadConfirm handles a read of the head that checks whether another keeper has written it.
+func (k *Keeper) handleHeadConfirm(now time.Time, s *shard, r StoreResult) {
+	s.readingHead = false
 	switch {
 	case r.Err != nil:
 		s.retryAt = now.Add(k.cfg.RetryDelay)
 	case r.Record.Revision == s.revision:
-		s.confirmed = now
+		s.confirmedAt = now
 	case s.commit == nil && r.Record.Revision > s.revision:
-		s.reload()
+		s.invalidate()
 	}
 }
 
-// keepIndexes drops the indexes of segments that the head no longer lists and marks those to be read.
-func (s *shard) keepIndexes() {
+// updateIndexes drops the indexes of segments that the head no longer lists and adds unloaded ones for new segments.
+func (s *shard) updateIndexes() {
 	old := s.indexes
 	s.indexes = make(map[uint32]*segmentIndex, len(s.segments))
 	for _, seg := range s.segments {
@@ -191,49 +192,50 @@
 	}
 }
 
-// broken keeps a shard whose record cannot be read from taking claims: to begin anew would forget what ran.
-func (k *Keeper) broken(now time.Time, s *shard, key pomelorelay.StoreKey) {
+// handleCorruptRecord delays the next read of a shard whose record cannot be decoded. The shard refuses claims meanwhile:
+// starting from an empty record would allow requests that have run to run again.
+func (k *Keeper) handleCorruptRecord(now time.Time, s *shard, key pomelorelay.StoreKey) {
 	s.retryAt = now.Add(k.cfg.RefuseAfter)
 	k.cfg.Logger.Log(pomelorelay.EventClaimRecordBroken, pomelorelay.Field{Key: "Key", Value: string(key)})
 }
 
-func (k *Keeper) segmentRead(now time.Time, s *shard, o storeOp, r StoreResult) {
+func (k *Keeper) handleSegmentRead(now time.Time, s *shard, o pendingOp, r StoreResult) {
 	index, ok := s.indexes[o.slot]
 	if !ok {
 		return
 	}
-	index.asked = false
+	index.reading = false
 	if r.Err != nil {
 		s.retryAt = now.Add(k.cfg.RetryDelay)
 		return
 	}
 	if uint64(r.Record.Revision) != index.revision {
-		// The slot was used again; the head that was read is old.
-		s.reload()
+		// The slot was reused, so the head is out of date.
+		s.invalidate()
 		return
 	}
 	var segment segmentRecord
 	if err := decode(r.Record.Value, &segment); err != nil {
-		k.broken(now, s, slotKey(s.id, o.slot))
+		k.handleCorruptRecord(now, s, slotKey(s.id, o.slot))
 		return
 	}
-	if o.kind == opLookup {
+	if o.kind == opReadSegment {
 		index.claims = segment.Claims
 		return
 	}
-	index.fill(segment.Claims)
+	index.build(segment.Claims)
 }
 
-func (x *segmentIndex) fill(claims []claimRecord) {
+func (x *segmentIndex) build(claims []claimRecord) {
 	x.prefixes = make([]uint64, len(claims))
 	for i := range claims {
-		x.prefixes[i] = prefixOf(claims[i].Key)
+		x.prefixes[i] = keyPrefix(claims[i].Key)
 	}
 	slices.Sort(x.prefixes)
 	x.loaded = true
 }
 
-func (x *segmentIndex) mayHold(key pomelorelay.ClaimKey) bool {
-	_, found := slices.BinarySearch(x.prefixes, prefixOf(key[:]))
+func (x *segmentIndex) mayContain(key pomelorelay.ClaimKey) bool {
+	_, found := slices.BinarySearch(x.prefixes, keyPrefix(key[:]))
 	return found
 }
