--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloclaim"
 )
 
-// fleet runs routers, their store and a plain service on virtual time. Faults are drawn from one seed.
+// fleet simulates routers, their store and a plain service on virtual time. Faults are drawn from one seed.
 type fleet struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -25,7 +25,7 @@
 	cfg     pomeloclaim.Config
 	shards  uint32
 
-	// Faults.
+	// Injected faults.
 	outage         bool
 	messageLoss    float64 // probability that a message is lost
 	storeReplyLoss float64 // probability that a store result is lost, whether or not the operation took effect in time
@@ -38,7 +38,7 @@
 	latencies         []time.Duration
 }
 
-// reply is what a caller heard of one send of its request.
+// reply is what a caller received for one send of its request.
 type reply struct {
 	state pomelorelay.ClaimState
 	ran   bool
@@ -104,7 +104,7 @@
 	return f
 }
 
-// start begins a router's process with empty state.
+// start starts a router's process with empty state.
 func (f *fleet) start(n int) {
 	r := f.routers[n]
 	r.incarnation++
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// assignShards gives a router the shards that it keeps by its own view.
+// assignShards assigns a router the shards that it keeps according to its own membership view.
 func (f *fleet) assignShards(r *router) {
 	var out pomeloclaim.Output
 	for shard := range pomelorelay.ShardID(f.shards) {
@@ -150,7 +150,7 @@
 	heap.Push(&f.events, event{f.now.Add(d), f.seq, do})
 }
 
-// runOn runs do at the router unless its process has ended; a paused process runs it when it goes on.
+// runOn runs do on the router unless that process has ended; a paused process runs it after it resumes.
 func (f *fleet) runOn(r *router, incarnation int, do func()) {
 	if !r.alive || r.incarnation != incarnation {
 		return
@@ -223,7 +223,8 @@
 	})
 }
 
-// startStoreOp carries out an operation a little later; in an outage it does nothing, and an answer may be lost on either way.
+// startStoreOp schedules a store operation. During an outage it fails; with storeReplyLoss its result may be lost and its
+// effect delayed.
 func (f *fleet) startStoreOp(r *router, op pomeloclaim.StoreOp) {
 	life := r.incarnation
 	reply := func(d time.Duration, res pomeloclaim.StoreResult) {
@@ -242,7 +243,7 @@
 	lost := f.rng.Float64() < f.storeReplyLoss
 	delay := time.Duration(1+f.rng.IntN(3)) * time.Millisecond
 	if lost && f.rng.IntN(2) == 0 {
-		// The write takes effect long after its writer gave it up.
+		// The write takes effect after its writer has given up waiting.
 		delay = time.Duration(f.rng.IntN(4000)) * time.Millisecond
 	}
 	f.after(delay, func() {
@@ -274,7 +275,7 @@
 
 func keyOf(name string) pomelorelay.ClaimKey { return sha256.Sum256([]byte(name)) }
 
-// send is a caller's send of a request through a router.
+// send sends a request through a router.
 func (f *fleet) send(n int, key string) {
 	r := f.routers[n]
 	f.runOn(r, r.incarnation, func() {
@@ -285,8 +286,8 @@
 	})
 }
 
-// handleVerdict plays the traffic path: a fresh claim's request runs at the plain service, unless it finds no connection or
-// its router dies first, and its outcome is settled.
+// handleVerdict acts as the traffic path: the request of a fresh claim runs on the plain service and is settled, unless it
+// is not sent or the router dies first.
 func (f *fleet) handleVerdict(r *router, v pomeloclaim.Verdict) {
 	c, ok := r.calls[v.Nonce]
 	if !ok {
@@ -307,7 +308,7 @@
 	life := r.incarnation
 	switch f.rng.IntN(8) {
 	case 0:
-		// No byte left: the caller hears "not run".
+		// No byte was sent: the caller is told that the request did not run.
 		settle(true, 0, pomelorelay.ClaimOutcome{})
 		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimRefused})
 	case 1:
@@ -327,7 +328,7 @@
 	}
 }
 
-// violations lists what the promises were broken by: runs beyond one, and outcomes of a run that was none.
+// violations describes broken guarantees: requests that ran more than once, and outcomes of requests that never ran.
 func (f *fleet) violations() string {
 	var found []string
 	if f.duplicateVerdicts > 0 {
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -17,12 +17,11 @@
 	recoveryTime = 30 * time.Second
 )
 
-// smallRecords makes sealing, dropping and reuse of slots happen within a short schedule.
+// smallRecords makes sealing, expiry and reuse of slots occur within a short schedule.
 var smallRecords = pomeloclaim.Config{SealBytes: 1500, CommitsPerSecond: 20, CommitBurst: 4, SettleDelay: 100 * time.Millisecond, Retention: time.Hour}
 
-// Routers crash, pause and lose the store's answers, networks part, keepers change and two keep one shard, and the
-// caller sends its booking again through other routers. The customer must never pay twice, and when all is well again
-// a booking that never ran must not stay blocked.
+// Routers crash and pause, store results and messages are lost, and keepers change or overlap, while callers repeat their
+// requests through other routers. No request may run twice, and after recovery a request that never ran must not be blocked.
 func TestNeverTwiceUnderRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(rt, "seed"), fleetRouters, smallRecords, fleetShards)
@@ -114,8 +113,8 @@
 	reassignShards(f)
 }
 
-// checkNotBlocked sends every booking once more: one that no crash touched must run now, or return its outcome or what
-// its own router said of it.
+// checkNotBlocked sends every request once more. A request that no crash affected must run now, or be answered with its
+// outcome or with the unknown state that its own router reported.
 func checkNotBlocked(rt *rapid.T, f *fleet, crashed map[string]bool) {
 	for n := range 31 {
 		key := fmt.Sprint("booking-", n)
@@ -131,7 +130,7 @@
 		}
 		state := f.replies[key][before].state
 		if state == pomelorelay.ClaimRunning {
-			// A claim that nobody holds is released when it first keeps another from running.
+			// The claim is held by no attempt and is released when it first blocks a repeat.
 			f.send(n%fleetRouters, key)
 			f.run(5 * time.Second)
 			state = f.replies[key][before+1].state
--- a/pomeloclaim/seal_list_test.go
+++ b/pomeloclaim/seal_list_test.go
@@ -10,8 +10,9 @@
 )
 
 func TestSegmentListDoesNotFillHead(t *testing.T) {
-	// A shard takes many claims within the retention. The list of its sealed segments grows until it alone is as large as the size at
-	// which the head is sealed; then segments of a few claims each fill the head, and callers see every booking refused until the next day.
+	// A shard receives many claims within the retention, until its list of sealed segments alone reaches SealBytes. If the list
+	// counted towards sealing, segments of a few claims each would fill the head, and the shard would refuse all claims until
+	// segments expire.
 	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
 	k := pomeloclaim.New(pomeloclaim.Config{CommitsPerSecond: 1e9, SealBytes: 4 << 10, MaxHeadBytes: 16 << 10})
 	var out pomeloclaim.Output
