--- a/pomeloquarantine/arbiter.go
+++ b/pomeloquarantine/arbiter.go
@@ -6,111 +6,113 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Arbiter lets one suspect at a time run on an upstream, and a fingerprint on one upstream at a time. A router asks the
-// arbiter of the fingerprint and then that of the upstream; each decides on both, so that neither has to know which it is.
+// Arbiter grants the locks under which a suspect may run: at most one suspect per upstream, and at most one upstream per
+// fingerprint. A router asks the arbiter of the fingerprint first and then that of the upstream. Every arbiter checks both
+// locks, so that it need not know in which role it was asked.
 type Arbiter struct {
 	cfg           Config
-	byFingerprint map[pomelorelay.Fingerprint]*place
-	byUpstream    map[pomelorelay.UpstreamID]*place
+	byFingerprint map[pomelorelay.Fingerprint]*lock
+	byUpstream    map[pomelorelay.UpstreamID]*lock
 }
 
-// place is where a suspect may run; it lapses unless its router renews it, because a router may die with it.
-type place struct {
+// lock allows a router to run a suspect on an upstream. It expires unless it is renewed, in case the router dies.
+type lock struct {
 	node        pomelorelay.NodeID
 	fingerprint pomelorelay.Fingerprint
 	upstream    pomelorelay.UpstreamID
 	until       time.Time
 }
 
-// New returns an Arbiter.
+// New returns an Arbiter without locks.
 func New(cfg Config) *Arbiter {
 	return &Arbiter{
 		cfg:           cfg.withDefaults(),
-		byFingerprint: make(map[pomelorelay.Fingerprint]*place),
-		byUpstream:    make(map[pomelorelay.UpstreamID]*place),
+		byFingerprint: make(map[pomelorelay.Fingerprint]*lock),
+		byUpstream:    make(map[pomelorelay.UpstreamID]*lock),
 	}
 }
 
-// Ask takes a router's question whether a suspect may run now, or its renewal.
+// Ask handles a router's request to run a suspect, or the renewal of its locks, and answers it.
 func (a *Arbiter) Ask(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk, out *Output) {
-	answer := &pomelorelay.SuspectAnswer{Request: m.Request, Fingerprint: m.Fingerprint, Upstream: m.Upstream, Allowed: a.grant(now, from, m)}
+	answer := &pomelorelay.SuspectAnswer{Request: m.Request, Fingerprint: m.Fingerprint, Upstream: m.Upstream, Allowed: a.tryLock(now, from, m)}
 	if !answer.Allowed {
-		answer.Wait = a.cfg.AskAgain
+		answer.Wait = a.cfg.AskInterval
 	}
 	out.send(from, answer)
 }
 
-func (a *Arbiter) grant(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) bool {
+func (a *Arbiter) tryLock(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) bool {
 	a.expire(now)
 	if m.Running {
-		a.note(now, from, m)
+		a.lockRunning(now, from, m)
 		return false
 	}
-	mine, theirs := a.byFingerprint[m.Fingerprint], a.byUpstream[m.Upstream]
-	if mine != nil && mine.node != from {
+	fingerprintLock, upstreamLock := a.byFingerprint[m.Fingerprint], a.byUpstream[m.Upstream]
+	if fingerprintLock != nil && fingerprintLock.node != from {
 		return false
 	}
-	if theirs != nil && (theirs.node != from || theirs.fingerprint != m.Fingerprint) {
+	if upstreamLock != nil && (upstreamLock.node != from || upstreamLock.fingerprint != m.Fingerprint) {
 		return false
 	}
-	if mine == nil && len(a.byFingerprint) >= a.cfg.MaxSuspects {
+	if fingerprintLock == nil && len(a.byFingerprint) >= a.cfg.MaxSuspects {
 		return false
 	}
-	if mine != nil {
-		// A router runs a fingerprint once at a time, so that its earlier place is free.
-		a.free(mine)
+	if fingerprintLock != nil {
+		// A router runs a fingerprint once at a time, so its earlier run has ended.
+		a.release(fingerprintLock)
 	}
-	p := a.newPlace(now, from, m)
+	p := a.newLock(now, from, m)
 	a.byFingerprint[p.fingerprint] = p
 	a.byUpstream[p.upstream] = p
 	return true
 }
 
-func (a *Arbiter) newPlace(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) *place {
-	return &place{node: from, fingerprint: m.Fingerprint, upstream: m.Upstream, until: now.Add(a.cfg.LockFor)}
+func (a *Arbiter) newLock(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) *lock {
+	return &lock{node: from, fingerprint: m.Fingerprint, upstream: m.Upstream, until: now.Add(a.cfg.LockTTL)}
 }
 
-// note takes the places of a run that is under way. Sends that overlapped run on several upstreams at once: each of
-// them is taken, whoever has the fingerprint's place, so that no other suspect is sent there and blamed for the crash.
-func (a *Arbiter) note(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) {
-	p := a.newPlace(now, from, m)
-	if old := a.byFingerprint[m.Fingerprint]; (old == nil && len(a.byFingerprint) < a.cfg.MaxSuspects) || (old != nil && old.same(p)) {
+// lockRunning takes the free locks for a run that is already in progress. Overlapping sends of a fingerprint may run on
+// several upstreams; each upstream is locked, whoever holds the fingerprint's lock, so that no other suspect is sent there
+// and blamed for a crash.
+func (a *Arbiter) lockRunning(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) {
+	p := a.newLock(now, from, m)
+	if old := a.byFingerprint[m.Fingerprint]; (old == nil && len(a.byFingerprint) < a.cfg.MaxSuspects) || (old != nil && old.sameHolder(p)) {
 		a.byFingerprint[m.Fingerprint] = p
 	}
-	if old := a.byUpstream[m.Upstream]; (old == nil && len(a.byUpstream) < a.cfg.MaxSuspects) || (old != nil && old.same(p)) {
+	if old := a.byUpstream[m.Upstream]; (old == nil && len(a.byUpstream) < a.cfg.MaxSuspects) || (old != nil && old.sameHolder(p)) {
 		a.byUpstream[m.Upstream] = p
 	}
 }
 
-func (p *place) same(o *place) bool {
+func (p *lock) sameHolder(o *lock) bool {
 	return p.node == o.node && p.fingerprint == o.fingerprint && p.upstream == o.upstream
 }
 
 func (a *Arbiter) expire(now time.Time) {
-	a.freeAll(func(p *place) bool { return !now.Before(p.until) })
+	a.releaseMatching(func(p *lock) bool { return !now.Before(p.until) })
 }
 
-func (a *Arbiter) freeAll(over func(p *place) bool) {
+func (a *Arbiter) releaseMatching(match func(p *lock) bool) {
 	for f, p := range a.byFingerprint {
-		if over(p) {
+		if match(p) {
 			delete(a.byFingerprint, f)
 		}
 	}
 	for u, p := range a.byUpstream {
-		if over(p) {
+		if match(p) {
 			delete(a.byUpstream, u)
 		}
 	}
 }
 
-func (a *Arbiter) free(gone *place) { a.freeAll(gone.same) }
+func (a *Arbiter) release(held *lock) { a.releaseMatching(held.sameHolder) }
 
-// Cleared takes the end of a suspect's run.
+// Cleared releases the locks of a run that has ended.
 func (a *Arbiter) Cleared(from pomelorelay.NodeID, m *pomelorelay.SuspectCleared) {
-	a.free(&place{node: from, fingerprint: m.Fingerprint, upstream: m.Upstream})
+	a.release(&lock{node: from, fingerprint: m.Fingerprint, upstream: m.Upstream})
 }
 
-// MemberGone frees the places that a dead router held.
+// MemberGone releases the locks of a dead router.
 func (a *Arbiter) MemberGone(node pomelorelay.NodeID) {
-	a.freeAll(func(p *place) bool { return p.node == node })
+	a.releaseMatching(func(p *lock) bool { return p.node == node })
 }
--- a/pomeloquarantine/config.go
+++ b/pomeloquarantine/config.go
@@ -6,64 +6,65 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config holds what a Table and an Arbiter need; zero durations and sizes take the defaults.
+// Config configures a Table or an Arbiter; zero durations and sizes select the defaults.
 type Config struct {
 	Self   pomelorelay.NodeID
 	Logger pomelorelay.Logger
-	// FingerprintArbiter and UpstreamArbiter return the routers that arbitrate now.
+	// FingerprintArbiter and UpstreamArbiter return the current arbiter, or false when there is none.
 	FingerprintArbiter func(pomelorelay.Fingerprint) (pomelorelay.NodeID, bool)
 	UpstreamArbiter    func(pomelorelay.UpstreamID) (pomelorelay.NodeID, bool)
-	// Members returns every live router; notices go to all but Self.
+	// Members returns all live routers; notices are sent to all of them except Self.
 	Members func() []pomelorelay.NodeID
 	// SuspectFor is how long a fingerprint stays a suspect after a crash, 10 min by default.
 	SuspectFor time.Duration
-	// QuarantineFor is used where a run gives no time of its own, 10 min by default.
+	// QuarantineFor is the duration of a quarantine when the run specifies none, 10 min by default.
 	QuarantineFor time.Duration
-	// CrashWindow is how far apart reports of one crash may arrive, 3 s by default.
+	// CrashWindow is the maximum time between reports of the same crash, 3 s by default.
 	CrashWindow time.Duration
-	// SettleFor is how long after a crash its suspects wait before they ask, so that every router has heard of them and
-	// told where they still run, 50 ms by default.
-	SettleFor time.Duration
-	// LockFor is how long an arbiter keeps a run's place without renewal, 6 s by default.
-	LockFor time.Duration
-	// AskAgain is the pause before a suspect that must wait asks again, 200 ms by default.
-	AskAgain time.Duration
-	// MaxWait is how long a suspect may wait for its turn, 10 s by default.
+	// NoticeDelay is how long suspects wait after a crash before they request locks, so that every router has received the
+	// notice and has locked the upstreams where suspects still run; 50 ms by default.
+	NoticeDelay time.Duration
+	// LockTTL is how long an arbiter keeps a lock that is not renewed, 6 s by default.
+	LockTTL time.Duration
+	// AskInterval is the interval at which a waiting suspect repeats its request, 200 ms by default.
+	AskInterval time.Duration
+	// MaxWait is how long a suspect may wait to be admitted before it is refused, 10 s by default.
 	MaxWait time.Duration
-	// MaxSuspects and MaxQuarantined bound the state, 4,096 and 1,024 by default; the oldest go first.
+	// MaxSuspects and MaxQuarantined limit the number of entries, 4,096 and 1,024 by default; the entries that expire first
+	// are evicted.
 	MaxSuspects    int
 	MaxQuarantined int
 }
 
-// Run names one attempt of a request at an upstream.
+// Run identifies one attempt to run a request on an upstream.
 type Run struct {
 	Request     pomelorelay.RequestID
 	Fingerprint pomelorelay.Fingerprint
 	Upstream    pomelorelay.UpstreamID
-	// QuarantineFor is how long the fingerprint is refused once it is named, zero for the default.
+	// QuarantineFor is how long the fingerprint is quarantined if it is found to crash upstreams; zero selects the default.
 	QuarantineFor time.Duration
 }
 
-// Decision tells whether a run may begin.
+// Decision is the outcome of checking whether a run may begin.
 type Decision int
 
-// The decisions.
+// The possible decisions.
 const (
-	DecisionRun         Decision = iota + 1 // it may run now
-	DecisionWait                            // the decision follows in an Output
-	DecisionHeld                            // no turn came in time; refuse it, it did not run
-	DecisionQuarantined                     // it is quarantined; refuse it, it did not run
+	DecisionRun         Decision = iota + 1 // the run may begin now
+	DecisionWait                            // the verdict is added to a later Output
+	DecisionTimedOut                        // the run was not admitted within MaxWait; refuse it as not run
+	DecisionQuarantined                     // the fingerprint is quarantined; refuse the run as not run
 )
 
-// Verdict is a decision that followed.
+// Verdict is the decision on a run, returned by Check or added to an Output later.
 type Verdict struct {
 	Run      Run
 	Decision Decision
-	// RetryAfter is how long the refusal lasts at most.
+	// RetryAfter is the maximum remaining duration of a refusal, zero when the run is not refused.
 	RetryAfter time.Duration
 }
 
-// Output collects what a decision part wants done; the caller empties it.
+// Output collects the messages and verdicts of a call; the caller handles and clears them.
 type Output struct {
 	Messages []pomelorelay.Outgoing
 	Verdicts []Verdict
--- a/pomeloquarantine/defaults.go
+++ b/pomeloquarantine/defaults.go
@@ -11,9 +11,9 @@
 	defaultSuspectFor     = 10 * time.Minute
 	defaultQuarantineFor  = 10 * time.Minute
 	defaultCrashWindow    = 3 * time.Second
-	defaultSettleFor      = 50 * time.Millisecond
-	defaultLockFor        = 6 * time.Second
-	defaultAskAgain       = 200 * time.Millisecond
+	defaultNoticeDelay    = 50 * time.Millisecond
+	defaultLockTTL        = 6 * time.Second
+	defaultAskInterval    = 200 * time.Millisecond
 	defaultMaxWait        = 10 * time.Second
 	defaultMaxSuspects    = 4096
 	defaultMaxQuarantined = 1024
@@ -29,17 +29,17 @@
 	if c.MaxQuarantined <= 0 {
 		c.MaxQuarantined = defaultMaxQuarantined
 	}
-	setDuration(&c.SuspectFor, defaultSuspectFor)
-	setDuration(&c.QuarantineFor, defaultQuarantineFor)
-	setDuration(&c.CrashWindow, defaultCrashWindow)
-	setDuration(&c.SettleFor, defaultSettleFor)
-	setDuration(&c.LockFor, defaultLockFor)
-	setDuration(&c.AskAgain, defaultAskAgain)
-	setDuration(&c.MaxWait, defaultMaxWait)
+	setDefaultDuration(&c.SuspectFor, defaultSuspectFor)
+	setDefaultDuration(&c.QuarantineFor, defaultQuarantineFor)
+	setDefaultDuration(&c.CrashWindow, defaultCrashWindow)
+	setDefaultDuration(&c.NoticeDelay, defaultNoticeDelay)
+	setDefaultDuration(&c.LockTTL, defaultLockTTL)
+	setDefaultDuration(&c.AskInterval, defaultAskInterval)
+	setDefaultDuration(&c.MaxWait, defaultMaxWait)
 	return c
 }
 
-func setDuration(field *time.Duration, value time.Duration) {
+func setDefaultDuration(field *time.Duration, value time.Duration) {
 	if *field <= 0 {
 		*field = value
 	}
--- a/pomeloquarantine/fleet_test.go
+++ b/pomeloquarantine/fleet_test.go
@@ -17,26 +17,26 @@
 	callerPause    = 3 * time.Millisecond
 )
 
-// fleet runs routers and upstreams on virtual time. A deadly request crashes every upstream that runs it.
+// fleet simulates routers and upstreams on virtual time. A crashing request crashes every upstream that runs it.
 type fleet struct {
-	now       time.Time
-	rng       *rand.Rand
-	events    eventQueue
-	seq       int
-	routers   []*router
-	upstreams []*upstream
-	lastID    pomelorelay.RequestID
-	loss      float64
-	// guarded is false to show what happens without the suspects' part.
-	guarded bool
-	// maxAttempts bounds how often a request is sent; one that was running at each crash needs one more than there are crashes.
+	now         time.Time
+	rng         *rand.Rand
+	events      eventQueue
+	seq         int
+	routers     []*router
+	upstreams   []*upstream
+	lastID      pomelorelay.RequestID
+	messageLoss float64
+	// protected is false to run requests without any check by the routers' tables.
+	protected bool
+	// maxAttempts limits the attempts of a request. One that is running at every crash needs one attempt more than crashes.
 	maxAttempts int
 
-	arrived  map[[2]pomelorelay.NodeID]time.Time
-	crashes  int
-	answered map[pomelorelay.Fingerprint]int
-	refused  map[pomelorelay.Fingerprint]int
-	held     int
+	lastArrival map[[2]pomelorelay.NodeID]time.Time
+	crashes     int
+	answered    map[pomelorelay.Fingerprint]int
+	refused     map[pomelorelay.Fingerprint]int
+	timedOut    int
 }
 
 type router struct {
@@ -47,18 +47,18 @@
 }
 
 type upstream struct {
-	name  pomelorelay.UpstreamID
-	up    bool
-	epoch int
-	runs  []*request
+	name        pomelorelay.UpstreamID
+	up          bool
+	incarnation int
+	runs        []*request
 }
 
 type request struct {
 	router   *router
 	run      pomeloquarantine.Run
-	deadly   bool
+	crashes  bool
 	attempts int
-	// done is called with whether the request was answered, after a crash or a refusal with false.
+	// done receives whether the request was answered; false after a refusal or when no attempt is left.
 	done func(ok bool)
 }
 
@@ -83,14 +83,14 @@
 	return last
 }
 
-func newFleet(seed uint64, guarded bool) *fleet {
+func newFleet(seed uint64, protected bool) *fleet {
 	f := &fleet{
-		now:      time.Unix(1_700_000_000, 0),
-		rng:      rand.New(rand.NewPCG(seed, 2)),
-		guarded:  guarded,
-		answered: make(map[pomelorelay.Fingerprint]int),
-		refused:  make(map[pomelorelay.Fingerprint]int),
-		arrived:  make(map[[2]pomelorelay.NodeID]time.Time),
+		now:         time.Unix(1_700_000_000, 0),
+		rng:         rand.New(rand.NewPCG(seed, 2)),
+		protected:   protected,
+		answered:    make(map[pomelorelay.Fingerprint]int),
+		refused:     make(map[pomelorelay.Fingerprint]int),
+		lastArrival: make(map[[2]pomelorelay.NodeID]time.Time),
 	}
 	for n := range fleetUpstreams {
 		f.upstreams = append(f.upstreams, &upstream{name: pomelorelay.UpstreamID(fmt.Sprint("upstream-", n)), up: true})
@@ -134,29 +134,29 @@
 
 func (f *fleet) tick(r *router) {
 	f.after(100*time.Millisecond, func() {
-		f.act(r, func(out *pomeloquarantine.Output) { r.table.Tick(f.now, out) })
+		f.perform(r, func(out *pomeloquarantine.Output) { r.table.Tick(f.now, out) })
 		f.tick(r)
 	})
 }
 
-func (f *fleet) act(r *router, do func(out *pomeloquarantine.Output)) {
+func (f *fleet) perform(r *router, do func(out *pomeloquarantine.Output)) {
 	var out pomeloquarantine.Output
 	do(&out)
 	for _, m := range out.Messages {
-		if m.To != r.name && f.rng.Float64() < f.loss {
+		if m.To != r.name && f.rng.Float64() < f.messageLoss {
 			continue
 		}
 		link := [2]pomelorelay.NodeID{r.name, m.To}
 		at := f.now.Add(time.Duration(500+f.rng.IntN(1000)) * time.Microsecond)
-		if at.Before(f.arrived[link]) {
-			// The mesh keeps the order of messages to one peer.
-			at = f.arrived[link]
+		if at.Before(f.lastArrival[link]) {
+			// The mesh preserves the order of messages to one peer.
+			at = f.lastArrival[link]
 		}
-		f.arrived[link] = at
+		f.lastArrival[link] = at
 		f.after(at.Sub(f.now), func() { f.deliver(r.name, m) })
 	}
 	for _, v := range out.Verdicts {
-		f.decide(v)
+		f.handleVerdict(v)
 	}
 }
 
@@ -165,7 +165,7 @@
 		if r.name != m.To {
 			continue
 		}
-		f.act(r, func(out *pomeloquarantine.Output) {
+		f.perform(r, func(out *pomeloquarantine.Output) {
 			switch x := m.Message.(type) {
 			case *pomelorelay.SuspectNotice:
 				r.table.Notice(f.now, x, out)
@@ -183,35 +183,35 @@
 	}
 }
 
-// send brings a request to a router; done hears its end.
-func (f *fleet) send(n int, p pomelorelay.Fingerprint, deadly bool, done func(ok bool)) {
+// send sends a request through a router and calls done at its end.
+func (f *fleet) send(n int, p pomelorelay.Fingerprint, crashes bool, done func(ok bool)) {
 	f.lastID++
-	q := &request{router: f.routers[n], deadly: deadly, done: done}
+	q := &request{router: f.routers[n], crashes: crashes, done: done}
 	q.run.Request, q.run.Fingerprint = f.lastID, p
 	f.attempt(q)
 }
 
 func (f *fleet) attempt(q *request) {
-	up := f.pick()
+	up := f.pickUpstream()
 	if up == nil || q.attempts >= f.maxAttempts {
 		q.done(false)
 		return
 	}
 	q.run.Upstream = up.name
-	if !f.guarded {
+	if !f.protected {
 		f.begin(q)
 		return
 	}
 	q.router.waiting[q.run.Request] = q
-	f.act(q.router, func(out *pomeloquarantine.Output) {
+	f.perform(q.router, func(out *pomeloquarantine.Output) {
 		if v := q.router.table.Check(f.now, q.run, out); v.Decision != pomeloquarantine.DecisionWait {
 			out.Verdicts = append(out.Verdicts, v)
 		}
 	})
 }
 
-// pick returns an upstream that runs, at random.
-func (f *fleet) pick() *upstream {
+// pickUpstream returns a random running upstream, nil when there is none.
+func (f *fleet) pickUpstream() *upstream {
 	var up []*upstream
 	for _, u := range f.upstreams {
 		if u.up {
@@ -224,7 +224,7 @@
 	return up[f.rng.IntN(len(up))]
 }
 
-func (f *fleet) decide(v pomeloquarantine.Verdict) {
+func (f *fleet) handleVerdict(v pomeloquarantine.Verdict) {
 	for _, r := range f.routers {
 		q, ok := r.waiting[v.Run.Request]
 		if !ok || q.run != v.Run {
@@ -238,7 +238,7 @@
 			f.refused[q.run.Fingerprint]++
 			q.done(false)
 		default:
-			f.held++
+			f.timedOut++
 			q.done(false)
 		}
 	}
@@ -252,20 +252,20 @@
 		}
 	}
 	if !up.up {
-		// It died while the request waited for its turn; no byte left.
-		f.act(q.router, func(out *pomeloquarantine.Output) { q.router.table.Cancel(q.run, out) })
+		// The upstream crashed while the request waited to be admitted; nothing was sent.
+		f.perform(q.router, func(out *pomeloquarantine.Output) { q.router.table.Cancel(q.run, out) })
 		f.attempt(q)
 		return
 	}
 	q.attempts++
 	q.router.table.Began(q.run)
 	up.runs = append(up.runs, q)
-	epoch := up.epoch
+	incarnation := up.incarnation
 	f.after(time.Duration(5+f.rng.IntN(60))*time.Millisecond, func() {
-		if up.epoch != epoch {
+		if up.incarnation != incarnation {
 			return
 		}
-		if q.deadly {
+		if q.crashes {
 			f.crash(up)
 			return
 		}
@@ -276,7 +276,7 @@
 			}
 		}
 		f.answered[q.run.Fingerprint]++
-		f.act(q.router, func(out *pomeloquarantine.Output) { q.router.table.Ended(q.run, true, out) })
+		f.perform(q.router, func(out *pomeloquarantine.Output) { q.router.table.Ended(q.run, true, out) })
 		q.done(true)
 	})
 }
@@ -285,11 +285,11 @@
 	f.crashes++
 	runs := up.runs
 	up.runs, up.up = nil, false
-	up.epoch++
+	up.incarnation++
 	f.after(restartTime, func() { up.up = true })
 	for _, q := range runs {
 		f.after(time.Duration(f.rng.IntN(300))*time.Microsecond, func() {
-			f.act(q.router, func(out *pomeloquarantine.Output) { q.router.table.Crashed(f.now, q.run, out) })
+			f.perform(q.router, func(out *pomeloquarantine.Output) { q.router.table.Crashed(f.now, q.run, out) })
 			f.attempt(q)
 		})
 	}
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -11,27 +11,27 @@
 	"pgregory.net/rapid"
 )
 
-const deadly = pomelorelay.Fingerprint(666)
+const crashingFingerprint = pomelorelay.Fingerprint(666)
 
-// storm lets a caller send one deadly request again and again through every router, in the given number of sends at
-// once, while others work, and returns the fleet afterwards and how many of the others' requests got no answer.
-func storm(seed uint64, guarded bool, atOnce, sends int, loss float64, others bool) (f *fleet, lost int) {
-	f = newFleet(seed, guarded)
-	f.loss = loss
-	f.maxAttempts = atOnce + 2
+// runCrashingRequest sends one crashing request repeatedly through all routers, with up to concurrent sends at a time, and
+// optionally other requests. It returns the fleet and the number of other requests that were not answered.
+func runCrashingRequest(seed uint64, protected bool, concurrent, sends int, messageLoss float64, otherRequests bool) (f *fleet, lost int) {
+	f = newFleet(seed, protected)
+	f.messageLoss = messageLoss
+	f.maxAttempts = concurrent + 2
 	var resend func(n int)
 	resend = func(n int) {
 		if n >= sends {
 			return
 		}
-		f.send(n%fleetRouters, deadly, true, func(bool) {
-			f.after(callerPause, func() { resend(n + atOnce) })
+		f.send(n%fleetRouters, crashingFingerprint, true, func(bool) {
+			f.after(callerPause, func() { resend(n + concurrent) })
 		})
 	}
-	for n := range atOnce {
+	for n := range concurrent {
 		f.after(50*time.Millisecond, func() { resend(n) })
 	}
-	if others {
+	if otherRequests {
 		for n := range 400 {
 			f.after(time.Duration(n)*5*time.Millisecond, func() {
 				f.send(n%fleetRouters, pomelorelay.Fingerprint(1000+n), false, func(ok bool) {
@@ -46,51 +46,52 @@
 	return f, lost
 }
 
-// One request crashes each upstream that runs it, and its caller sends it again through every router. Without a guard
-// it takes down the whole service. Those who worked beside it may lose nothing, as their requests may be repeated.
-func TestDeadlyRequestTakesDownTwoUpstreams(t *testing.T) {
-	without, _ := storm(1, false, 1, 40, 0, false)
-	if without.crashes < fleetUpstreams {
-		t.Errorf("without the guard %d upstreams crashed; the test does not show the fault", without.crashes)
+// A request crashes every upstream that runs it, and its caller repeats it through all routers. Without protection it takes
+// down every upstream. Other requests are repeatable, so none of them may be lost.
+func TestCrashingRequestCrashesAtMostTwoUpstreams(t *testing.T) {
+	unprotected, _ := runCrashingRequest(1, false, 1, 40, 0, false)
+	if unprotected.crashes < fleetUpstreams {
+		t.Errorf("%d crashes without protection, want at least one per upstream to show the fault", unprotected.crashes)
 	}
-	t.Logf("without the guard %d crashes", without.crashes)
+	t.Logf("%d crashes without protection", unprotected.crashes)
 	rapid.Check(t, func(rt *rapid.T) {
-		f, lost := storm(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0, rapid.Bool().Draw(rt, "others"))
+		f, lost := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0, rapid.Bool().Draw(rt, "others"))
 		if f.crashes > 2 || lost != 0 {
-			rt.Errorf("%d upstreams crashed, %d innocent requests were lost", f.crashes, lost)
+			rt.Errorf("%d crashes, want at most 2; %d other requests lost, want none", f.crashes, lost)
 		}
 		for p := range f.refused {
-			if p != deadly {
-				rt.Errorf("the innocent %d was quarantined", p)
+			if p != crashingFingerprint {
+				rt.Errorf("fingerprint %d was quarantined but crashes no upstream", p)
 			}
 		}
-		if f.refused[deadly] == 0 {
-			rt.Error("the deadly request was never refused")
+		if f.refused[crashingFingerprint] == 0 {
+			rt.Error("the crashing request was never refused")
 		}
 	})
 }
 
-// Sends that overlap reach upstreams before anybody knows; each of them may take one down, and one more names it.
+// Overlapping sends reach upstreams before any router knows the suspect. Each may crash one upstream, and one more crash
+// identifies the request.
 func TestOverlappingSendsCostOneMoreThanTheirNumber(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		atOnce := rapid.IntRange(2, 4).Draw(rt, "at once")
-		f, lost := storm(rapid.Uint64().Draw(rt, "seed"), true, atOnce, 40, 0, true)
-		if f.crashes > atOnce+1 || lost != 0 {
-			rt.Errorf("%d sends at once took down %d upstreams, %d innocent requests were lost", atOnce, f.crashes, lost)
+		concurrent := rapid.IntRange(2, 4).Draw(rt, "at once")
+		f, lost := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, concurrent, 40, 0, true)
+		if f.crashes > concurrent+1 || lost != 0 {
+			rt.Errorf("%d concurrent sends caused %d crashes; %d other requests lost, want none", concurrent, f.crashes, lost)
 		}
-		if len(f.refused) != 1 || f.refused[deadly] == 0 {
-			rt.Errorf("refused: %v; only the deadly request may be", f.refused)
+		if len(f.refused) != 1 || f.refused[crashingFingerprint] == 0 {
+			rt.Errorf("refused %v, want only the crashing request", f.refused)
 		}
 	})
 }
 
-// Messages between routers are lost. A router that missed the notices costs an upstream before it knows the suspect
-// and, when it missed the quarantine too, another for its own naming: two for each router, and the quarantine comes.
+// Messages between routers are lost. A router that missed the notices may lose one upstream before it knows the suspect, and
+// another until it attributes the crash if it also missed the quarantine: at most two per router before the quarantine.
 func TestLostNoticesOnlySlowTheQuarantine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f, _ := storm(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0.2, true)
-		if f.crashes > 2*fleetRouters || f.refused[deadly] == 0 {
-			rt.Errorf("%d upstreams crashed, %d refused", f.crashes, f.refused[deadly])
+		f, _ := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0.2, true)
+		if f.crashes > 2*fleetRouters || f.refused[crashingFingerprint] == 0 {
+			rt.Errorf("%d crashes, crashing request refused %d times", f.crashes, f.refused[crashingFingerprint])
 		}
 	})
 }
@@ -110,8 +111,8 @@
 	return &harness{table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.New(cfg), now: time.Unix(1_700_000_000, 0)}
 }
 
-// self carries the messages that the router sends itself and returns the verdicts.
-func (h *harness) self() []pomeloquarantine.Verdict {
+// deliverMessages delivers the messages that the router sends to itself and returns the verdicts.
+func (h *harness) deliverMessages() []pomeloquarantine.Verdict {
 	for len(h.out.Messages) > 0 {
 		m := h.out.Messages[0]
 		h.out.Messages = h.out.Messages[1:]
@@ -129,39 +130,39 @@
 	return verdicts
 }
 
-// turn lets a suspect's wait for the notices pass and carries its questions.
-func (h *harness) turn() []pomeloquarantine.Verdict {
+// waitForAdmission advances past NoticeDelay and delivers the router's messages to itself.
+func (h *harness) waitForAdmission() []pomeloquarantine.Verdict {
 	h.now = h.now.Add(50 * time.Millisecond)
 	h.table.Tick(h.now, &h.out)
-	return h.self()
+	return h.deliverMessages()
 }
 
 func (h *harness) crash(id pomelorelay.RequestID, p pomelorelay.Fingerprint, u pomelorelay.UpstreamID) {
 	run := pomeloquarantine.Run{Request: id, Fingerprint: p, Upstream: u}
 	if h.table.Check(h.now, run, &h.out).Decision == pomeloquarantine.DecisionWait {
-		h.turn()
+		h.waitForAdmission()
 	}
 	h.table.Began(run)
 	h.table.Crashed(h.now, run, &h.out)
-	h.self()
+	h.deliverMessages()
 }
 
-// A quarantine ends by itself, or when an operator lifts it; a late notice of it does not bring it back.
-func TestQuarantineEndsByItselfAndByOrder(t *testing.T) {
+// A quarantine ends when it expires or when an operator lifts it. A late notice must not restore a lifted quarantine.
+func TestQuarantineExpiresAndCanBeLifted(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{QuarantineFor: time.Minute})
 	refused := func() bool { return h.table.Snapshot().Quarantined(h.now, 1) > 0 }
 	h.crash(1, 1, "u1")
 	if !h.table.Snapshot().Suspect(1) || refused() {
-		t.Fatal("one crash makes a suspect and no quarantine")
+		t.Fatal("after one crash the request is not a suspect or is quarantined already")
 	}
 	h.crash(2, 1, "u2")
 	if !refused() || len(h.table.Snapshot().List()) != 1 {
-		t.Fatal("the second crash did not name it")
+		t.Fatal("the request is not quarantined after its second crash")
 	}
 	h.now = h.now.Add(time.Minute)
 	h.table.Tick(h.now, &h.out)
 	if refused() {
-		t.Error("the quarantine did not end")
+		t.Error("the quarantine did not expire")
 	}
 	h.crash(3, 1, "u3")
 	h.crash(4, 1, "u4")
@@ -170,12 +171,12 @@
 	h.table.Lift(h.now, 1, &h.out)
 	h.table.Quarantine(h.now, late, &h.out)
 	if refused() {
-		t.Error("the lifted quarantine came back")
+		t.Error("a late notice restored the lifted quarantine")
 	}
 }
 
-// Two suspects must not share an upstream, or the next crash names nobody; one must not run twice at once, or it takes
-// down two. A router that dies with a suspect leaves its place locked until the lock lapses.
+// If two suspects shared an upstream, its next crash could not be attributed; if one ran twice at once, it could crash two
+// upstreams. The locks of a router that died expire.
 func TestSuspectsRunAlone(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{})
 	ask := func(from pomelorelay.NodeID, p pomelorelay.Fingerprint, u pomelorelay.UpstreamID) bool {
@@ -193,58 +194,58 @@
 	}
 	for n, s := range steps {
 		if got := ask(s.from, s.p, s.u); got != s.want {
-			t.Errorf("step %d: %s may run %d on %s: %v", n, s.from, s.p, s.u, got)
+			t.Errorf("step %d: router %s may run %d on %s: got %v", n, s.from, s.p, s.u, got)
 		}
 	}
 	h.now = h.now.Add(7 * time.Second)
 	if !ask("b", 1, "u1") {
-		t.Error("the lock did not lapse")
+		t.Error("the lock did not expire")
 	}
 	h.arbiter.MemberGone("b")
 	if !ask("a", 1, "u1") {
-		t.Error("the dead router's place was not freed")
+		t.Error("the dead router's lock was not released")
 	}
 }
 
-// No arbiter answers, as when the fleet is cut apart. The suspect is refused as not run when its wait is over.
-func TestSuspectWithoutArbiterIsHeld(t *testing.T) {
+// No arbiter answers, as during a partition. The suspect is refused as not run when its wait ends.
+func TestSuspectWithoutArbiterIsRefused(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{})
 	h.crash(1, 1, "u1")
 	run := pomeloquarantine.Run{Request: 2, Fingerprint: 1, Upstream: "u2"}
 	if v := h.table.Check(h.now, run, &h.out); v.Decision != pomeloquarantine.DecisionWait {
-		t.Fatalf("got %+v", v)
+		t.Fatalf("got %+v, want DecisionWait", v)
 	}
 	h.out = pomeloquarantine.Output{}
 	h.now = h.now.Add(11 * time.Second)
 	h.table.Tick(h.now, &h.out)
-	if v := h.self(); len(v) != 1 || v[0].Decision != pomeloquarantine.DecisionHeld {
-		t.Errorf("got %+v", v)
+	if v := h.deliverMessages(); len(v) != 1 || v[0].Decision != pomeloquarantine.DecisionTimedOut {
+		t.Errorf("got %+v, want one DecisionTimedOut", v)
 	}
 }
 
-// A suspect that was innocent runs through once and is none any more, here and elsewhere.
-func TestCleanRunClears(t *testing.T) {
+// A suspect that runs without a crash is cleared on all routers.
+func TestCleanRunClearsSuspect(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{})
 	h.crash(1, 1, "u1")
 	run := pomeloquarantine.Run{Request: 2, Fingerprint: 1, Upstream: "u2"}
 	h.table.Check(h.now, run, &h.out)
-	if v := h.turn(); len(v) != 1 || v[0].Decision != pomeloquarantine.DecisionRun {
-		t.Fatalf("got %+v", v)
+	if v := h.waitForAdmission(); len(v) != 1 || v[0].Decision != pomeloquarantine.DecisionRun {
+		t.Fatalf("got %+v, want one DecisionRun", v)
 	}
 	h.table.Began(run)
 	h.table.Ended(run, true, &h.out)
-	told := false
+	notified := false
 	for _, m := range h.out.Messages {
 		c, ok := m.Message.(*pomelorelay.SuspectCleared)
-		told = told || (ok && m.To == "b" && c.Clean)
+		notified = notified || (ok && m.To == "b" && c.Clean)
 	}
-	if !told || h.table.Snapshot().Suspect(1) {
-		t.Errorf("told %v, suspect %v", told, h.table.Snapshot().Suspect(1))
+	if !notified || h.table.Snapshot().Suspect(1) {
+		t.Errorf("notified %v, suspect %v", notified, h.table.Snapshot().Suspect(1))
 	}
 }
 
-// A router that comes back from a partition has missed what was named meanwhile.
-func TestJoinedRouterLearnsQuarantines(t *testing.T) {
+// A router that returns from a partition has missed the quarantines and suspects announced meanwhile.
+func TestJoinedRouterReceivesQuarantines(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{})
 	h.crash(1, 1, "u1")
 	h.crash(2, 1, "u2")
@@ -260,11 +261,11 @@
 		}
 	}
 	if s := other.table.Snapshot(); s.Quarantined(h.now, 1) == 0 || !s.Suspect(2) {
-		t.Errorf("the router learnt %+v", s.List())
+		t.Errorf("the joined router has quarantines %+v, want fingerprint 1, and suspect 2", s.List())
 	}
 }
 
-// A flood of crashes and names must not fill memory.
+// Suspects and quarantines must not grow without bound.
 func TestStateIsBounded(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{MaxSuspects: 50, MaxQuarantined: 20})
 	for n := range 500 {
@@ -279,6 +280,6 @@
 		}
 	}
 	if n := len(h.table.Snapshot().List()); n != 20 || suspects != 50 {
-		t.Errorf("%d quarantined, %d suspects", n, suspects)
+		t.Errorf("%d quarantined, want 20; %d suspects, want 50", n, suspects)
 	}
 }
--- a/pomeloquarantine/snapshot.go
+++ b/pomeloquarantine/snapshot.go
@@ -14,7 +14,7 @@
 	quarantined map[pomelorelay.Fingerprint]time.Time
 }
 
-// Snapshot returns an immutable view for the traffic path, the same one as long as nothing changed.
+// Snapshot returns an immutable view of the Table; the same one is returned until the Table changes.
 func (t *Table) Snapshot() *Snapshot {
 	if t.snapshot != nil {
 		return t.snapshot
@@ -35,10 +35,10 @@
 	return s
 }
 
-// Suspect reports whether a run of the fingerprint must be checked with the Table.
+// Suspect reports whether the fingerprint is a suspect, whose runs need Table.Check.
 func (s *Snapshot) Suspect(f pomelorelay.Fingerprint) bool { return s.suspects[f] }
 
-// Quarantined returns how long a fingerprint is still refused, zero when it is not.
+// Quarantined returns the remaining duration of a fingerprint's quarantine, zero when there is none.
 func (s *Snapshot) Quarantined(now time.Time, f pomelorelay.Fingerprint) time.Duration {
 	until, ok := s.quarantined[f]
 	if !ok {
@@ -47,13 +47,13 @@
 	return max(0, until.Sub(now))
 }
 
-// Quarantine is one refused fingerprint for operators.
+// Quarantine is a quarantined fingerprint as listed for operators.
 type Quarantine struct {
 	Fingerprint pomelorelay.Fingerprint
 	Until       time.Time
 }
 
-// List returns the quarantined fingerprints in order.
+// List returns the quarantined fingerprints in ascending order.
 func (s *Snapshot) List() []Quarantine {
 	list := make([]Quarantine, 0, len(s.quarantined))
 	for f, until := range s.quarantined {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// Joined sends a router that came, or came back from a partition, what this router arbitrates.
+// Joined sends the suspects and quarantines that this router arbitrates to a router that has joined or rejoined the fleet.
 func (t *Table) Joined(now time.Time, node pomelorelay.NodeID, out *Output) {
 	for f, q := range t.quarantined {
 		if !t.arbitrates(f) {
@@ -87,8 +87,8 @@
 	return ok && node == t.cfg.Self
 }
 
-// firstSuspect returns the suspect that lapses first.
-func (t *Table) firstSuspect() pomelorelay.Fingerprint {
+// soonestExpiringSuspect returns the suspect that expires first.
+func (t *Table) soonestExpiringSuspect() pomelorelay.Fingerprint {
 	var first pomelorelay.Fingerprint
 	var until time.Time
 	for f, s := range t.suspects {
@@ -99,8 +99,8 @@
 	return first
 }
 
-// firstQuarantined returns the quarantine that ends first.
-func (t *Table) firstQuarantined() pomelorelay.Fingerprint {
+// soonestExpiringQuarantine returns the quarantined fingerprint whose entry expires first.
+func (t *Table) soonestExpiringQuarantine() pomelorelay.Fingerprint {
 	var first pomelorelay.Fingerprint
 	var until time.Time
 	for f, q := range t.quarantined {
@@ -111,8 +111,8 @@
 	return first
 }
 
-// unique sorts fingerprints and drops repeats.
-func unique(list []pomelorelay.Fingerprint) []pomelorelay.Fingerprint {
+// sortUnique sorts fingerprints and removes duplicates.
+func sortUnique(list []pomelorelay.Fingerprint) []pomelorelay.Fingerprint {
 	slices.Sort(list)
 	return slices.Compact(list)
 }
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -7,64 +7,64 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Table is a router's view of suspects and quarantined fingerprints, and of what the router itself runs.
+// Table holds a router's suspects, quarantined fingerprints and running attempts.
 type Table struct {
 	cfg         Config
-	suspects    map[pomelorelay.Fingerprint]suspect
-	quarantined map[pomelorelay.Fingerprint]quarantine
-	// named holds when a crash of an upstream was laid to one request; what else ran there is innocent.
-	named    map[pomelorelay.UpstreamID]time.Time
-	running  map[pomelorelay.RequestID]*started
-	turns    map[pomelorelay.RequestID]*turn
-	order    []*turn
-	crashes  uint64
-	snapshot *Snapshot
-}
-
-type suspect struct {
+	suspects    map[pomelorelay.Fingerprint]suspectEntry
+	quarantined map[pomelorelay.Fingerprint]quarantineEntry
+	// attributed holds when an upstream's crash was attributed to one request; other requests that ran there are no suspects.
+	attributed map[pomelorelay.UpstreamID]time.Time
+	attempts   map[pomelorelay.RequestID]*runningAttempt
+	admissions map[pomelorelay.RequestID]*admission
+	order      []*admission
+	crashCount uint64
+	snapshot   *Snapshot
+}
+
+type suspectEntry struct {
 	upstream pomelorelay.UpstreamID
 	since    time.Time
 	until    time.Time
 }
 
-// quarantine is a refused fingerprint; one that was lifted is remembered until then, so that a late notice does not
-// bring it back.
-type quarantine struct {
+// quarantineEntry is a quarantined fingerprint. A lifted quarantine is kept until it expires, so that a late notice does
+// not restore it.
+type quarantineEntry struct {
 	seq    uint64
 	until  time.Time
 	lifted bool
 }
 
-type started struct {
-	run   Run
-	alone bool
+type runningAttempt struct {
+	run      Run
+	isolated bool
 }
 
 // NewTable returns an empty Table.
 func NewTable(cfg Config) *Table {
 	return &Table{
 		cfg:         cfg.withDefaults(),
-		suspects:    make(map[pomelorelay.Fingerprint]suspect),
-		quarantined: make(map[pomelorelay.Fingerprint]quarantine),
-		named:       make(map[pomelorelay.UpstreamID]time.Time),
-		running:     make(map[pomelorelay.RequestID]*started),
-		turns:       make(map[pomelorelay.RequestID]*turn),
+		suspects:    make(map[pomelorelay.Fingerprint]suspectEntry),
+		quarantined: make(map[pomelorelay.Fingerprint]quarantineEntry),
+		attributed:  make(map[pomelorelay.UpstreamID]time.Time),
+		attempts:    make(map[pomelorelay.RequestID]*runningAttempt),
+		admissions:  make(map[pomelorelay.RequestID]*admission),
 	}
 }
 
-// Check decides whether a run may begin; for DecisionWait a Verdict follows.
+// Check decides whether a run may begin. After DecisionWait, the verdict is added to the Output of a later call.
 func (t *Table) Check(now time.Time, run Run, out *Output) Verdict {
-	if left := t.refusedFor(now, run.Fingerprint); left > 0 {
+	if left := t.quarantineRemaining(now, run.Fingerprint); left > 0 {
 		return Verdict{Run: run, Decision: DecisionQuarantined, RetryAfter: left}
 	}
 	if s, ok := t.suspects[run.Fingerprint]; !ok || !now.Before(s.until) {
 		return Verdict{Run: run, Decision: DecisionRun}
 	}
-	t.await(now, run, out)
+	t.startAdmission(now, run, out)
 	return Verdict{Run: run, Decision: DecisionWait}
 }
 
-func (t *Table) refusedFor(now time.Time, f pomelorelay.Fingerprint) time.Duration {
+func (t *Table) quarantineRemaining(now time.Time, f pomelorelay.Fingerprint) time.Duration {
 	q, ok := t.quarantined[f]
 	if !ok || q.lifted {
 		return 0
@@ -72,145 +72,145 @@
 	return max(0, q.until.Sub(now))
 }
 
-// Began tells that a run is about to be sent.
+// Began records that a run is about to be sent.
 func (t *Table) Began(run Run) {
-	g := t.turns[run.Request]
-	t.running[run.Request] = &started{run: run, alone: g != nil && g.stage == stageGranted}
+	g := t.admissions[run.Request]
+	t.attempts[run.Request] = &runningAttempt{run: run, isolated: g != nil && g.stage == stageAdmitted}
 }
 
-// Ended tells that a run ended without a crash of its upstream; clean tells that its answer was whole, which clears a
-// suspect. One that was cancelled has shown nothing.
+// Ended records that a run ended without a crash of its upstream. With clean, its answer was complete and its fingerprint
+// is no longer a suspect; a cancelled run proves nothing.
 func (t *Table) Ended(run Run, clean bool, out *Output) {
-	_, ok := t.running[run.Request]
-	delete(t.running, run.Request)
-	if !ok || t.turns[run.Request] == nil {
+	_, ok := t.attempts[run.Request]
+	delete(t.attempts, run.Request)
+	if !ok || t.admissions[run.Request] == nil {
 		return
 	}
-	t.leave(run.Request, clean, out)
+	t.endAdmission(run.Request, clean, out)
 	if clean {
-		t.clear(run.Fingerprint)
-		t.spread(&pomelorelay.SuspectCleared{Fingerprint: run.Fingerprint, Upstream: run.Upstream, Clean: true}, out)
+		t.removeSuspect(run.Fingerprint)
+		t.broadcast(&pomelorelay.SuspectCleared{Fingerprint: run.Fingerprint, Upstream: run.Upstream, Clean: true}, out)
 	}
 }
 
-// Crashed tells that the run's upstream crashed while it ran. If a suspect ran there alone, it is named and
-// quarantined; otherwise every run there is a suspect. The other runs of the same crash are then known.
+// Crashed records that a run's upstream crashed. If a suspect ran there in isolation, it is quarantined; otherwise all runs
+// on the upstream become suspects. All of them are ended at once, so that later calls for the same crash have no effect.
 func (t *Table) Crashed(now time.Time, run Run, out *Output) {
-	if _, ok := t.running[run.Request]; !ok {
+	if _, ok := t.attempts[run.Request]; !ok {
 		return
 	}
 	var fingerprints []pomelorelay.Fingerprint
-	var culprit *started
-	for _, id := range t.runningIDs() {
-		r := t.running[id]
+	var culprit *runningAttempt
+	for _, id := range t.sortedAttemptIDs() {
+		r := t.attempts[id]
 		if r.run.Upstream != run.Upstream {
 			continue
 		}
-		delete(t.running, id)
-		t.leave(id, false, out)
+		delete(t.attempts, id)
+		t.endAdmission(id, false, out)
 		fingerprints = append(fingerprints, r.run.Fingerprint)
-		if r.alone {
+		if r.isolated {
 			culprit = r
 		}
 	}
 	if culprit != nil {
-		t.name(now, culprit.run, out)
+		t.quarantineRun(now, culprit.run, out)
 		return
 	}
-	if t.isNamed(now, run.Upstream) {
+	if t.crashAttributed(now, run.Upstream) {
 		return
 	}
-	t.crashes++
-	fingerprints = unique(fingerprints)
-	t.suspect(now, run.Upstream, fingerprints, out)
-	t.spread(&pomelorelay.SuspectNotice{Upstream: run.Upstream, Crash: t.crashes, Fingerprints: fingerprints}, out)
+	t.crashCount++
+	fingerprints = sortUnique(fingerprints)
+	t.addSuspects(now, run.Upstream, fingerprints, out)
+	t.broadcast(&pomelorelay.SuspectNotice{Upstream: run.Upstream, Crash: t.crashCount, Fingerprints: fingerprints}, out)
 	t.cfg.Logger.Log(pomelorelay.EventSuspects, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "Suspects", Value: len(fingerprints)})
 }
 
-// runningIDs returns the running requests in order, so that a schedule runs the same way every time.
-func (t *Table) runningIDs() []pomelorelay.RequestID {
-	ids := make([]pomelorelay.RequestID, 0, len(t.running))
-	for id := range t.running {
+// sortedAttemptIDs returns the running requests in ascending order, so that simulated runs are deterministic.
+func (t *Table) sortedAttemptIDs() []pomelorelay.RequestID {
+	ids := make([]pomelorelay.RequestID, 0, len(t.attempts))
+	for id := range t.attempts {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// name quarantines the one suspect that ran on an upstream when it crashed, on every router.
-func (t *Table) name(now time.Time, run Run, out *Output) {
+// quarantineRun quarantines the fingerprint of a run that crashed its upstream in isolation, on all routers.
+func (t *Table) quarantineRun(now time.Time, run Run, out *Output) {
 	d := run.QuarantineFor
-	setDuration(&d, t.cfg.QuarantineFor)
+	setDefaultDuration(&d, t.cfg.QuarantineFor)
 	m := &pomelorelay.QuarantineNotice{Fingerprint: run.Fingerprint, Seq: uint64(now.UnixNano()), For: d, Upstream: run.Upstream}
 	t.Quarantine(now, m, out)
-	t.spread(m, out)
+	t.broadcast(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventQuarantined, pomelorelay.Field{Key: "Fingerprint", Value: run.Fingerprint}, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "For", Value: d})
 }
 
-func (t *Table) isNamed(now time.Time, u pomelorelay.UpstreamID) bool {
-	at, ok := t.named[u]
+func (t *Table) crashAttributed(now time.Time, u pomelorelay.UpstreamID) bool {
+	at, ok := t.attributed[u]
 	return ok && now.Sub(at) <= t.cfg.CrashWindow
 }
 
-// suspect marks fingerprints as suspects; past the bound the one that lapses first is given up.
-func (t *Table) suspect(now time.Time, u pomelorelay.UpstreamID, fingerprints []pomelorelay.Fingerprint, out *Output) {
+// addSuspects marks fingerprints as suspects. At MaxSuspects, the entry that expires first is evicted.
+func (t *Table) addSuspects(now time.Time, u pomelorelay.UpstreamID, fingerprints []pomelorelay.Fingerprint, out *Output) {
 	for _, f := range fingerprints {
-		if t.refusedFor(now, f) > 0 {
+		if t.quarantineRemaining(now, f) > 0 {
 			continue
 		}
 		if _, known := t.suspects[f]; !known && len(t.suspects) >= t.cfg.MaxSuspects {
-			delete(t.suspects, t.firstSuspect())
+			delete(t.suspects, t.soonestExpiringSuspect())
 		}
-		t.suspects[f] = suspect{upstream: u, since: now, until: now.Add(t.cfg.SuspectFor)}
+		t.suspects[f] = suspectEntry{upstream: u, since: now, until: now.Add(t.cfg.SuspectFor)}
 		t.snapshot = nil
-		t.adopt(now, f, out)
+		t.lockRunningAttempts(now, f, out)
 	}
 }
 
-func (t *Table) clear(f pomelorelay.Fingerprint) {
+func (t *Table) removeSuspect(f pomelorelay.Fingerprint) {
 	delete(t.suspects, f)
 	t.snapshot = nil
 }
 
-// Notice takes another router's suspects.
+// Notice handles another router's notice of suspects.
 func (t *Table) Notice(now time.Time, m *pomelorelay.SuspectNotice, out *Output) {
-	if !t.isNamed(now, m.Upstream) {
-		t.suspect(now, m.Upstream, m.Fingerprints, out)
+	if !t.crashAttributed(now, m.Upstream) {
+		t.addSuspects(now, m.Upstream, m.Fingerprints, out)
 	}
 }
 
-// Cleared takes the news that a suspect ran without a crash.
+// Cleared handles a notice that a suspect ran without a crash.
 func (t *Table) Cleared(m *pomelorelay.SuspectCleared) {
 	if m.Clean {
-		t.clear(m.Fingerprint)
+		t.removeSuspect(m.Fingerprint)
 	}
 }
 
-// Quarantine takes a quarantine or its lifting; the newer one of a fingerprint holds.
+// Quarantine handles a notice of a quarantine or of its lifting; the latest notice of a fingerprint applies.
 func (t *Table) Quarantine(now time.Time, m *pomelorelay.QuarantineNotice, out *Output) {
 	if known, ok := t.quarantined[m.Fingerprint]; ok && known.seq >= m.Seq {
 		return
 	}
 	if _, known := t.quarantined[m.Fingerprint]; !known && len(t.quarantined) >= t.cfg.MaxQuarantined {
-		delete(t.quarantined, t.firstQuarantined())
+		delete(t.quarantined, t.soonestExpiringQuarantine())
 	}
 	t.snapshot = nil
 	if m.For <= 0 {
-		t.quarantined[m.Fingerprint] = quarantine{seq: m.Seq, until: now.Add(t.cfg.QuarantineFor), lifted: true}
+		t.quarantined[m.Fingerprint] = quarantineEntry{seq: m.Seq, until: now.Add(t.cfg.QuarantineFor), lifted: true}
 		return
 	}
-	t.quarantined[m.Fingerprint] = quarantine{seq: m.Seq, until: now.Add(m.For)}
+	t.quarantined[m.Fingerprint] = quarantineEntry{seq: m.Seq, until: now.Add(m.For)}
 	delete(t.suspects, m.Fingerprint)
-	t.acquit(now, m.Upstream)
+	t.clearCrashSuspects(now, m.Upstream)
 	t.refuseWaiting(m.Fingerprint, m.For, out)
 }
 
-// acquit clears those that are suspects only because of a crash that was now laid to another request.
-func (t *Table) acquit(now time.Time, u pomelorelay.UpstreamID) {
+// clearCrashSuspects removes the suspects of a crash that has been attributed to another request.
+func (t *Table) clearCrashSuspects(now time.Time, u pomelorelay.UpstreamID) {
 	if u == "" {
 		return
 	}
-	t.named[u] = now
+	t.attributed[u] = now
 	for f, s := range t.suspects {
 		if s.upstream == u && now.Sub(s.since) <= t.cfg.CrashWindow {
 			delete(t.suspects, f)
@@ -218,15 +218,15 @@
 	}
 }
 
-// Lift ends a quarantine by an operator's order, on every router.
+// Lift ends a quarantine on all routers, at an operator's request.
 func (t *Table) Lift(now time.Time, f pomelorelay.Fingerprint, out *Output) {
 	m := &pomelorelay.QuarantineNotice{Fingerprint: f, Seq: uint64(now.UnixNano())}
 	t.Quarantine(now, m, out)
-	t.spread(m, out)
+	t.broadcast(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventLifted, pomelorelay.Field{Key: "Fingerprint", Value: f})
 }
 
-func (t *Table) spread(m pomelorelay.Message, out *Output) {
+func (t *Table) broadcast(m pomelorelay.Message, out *Output) {
 	for _, node := range t.cfg.Members() {
 		if node != t.cfg.Self {
 			out.send(node, m)
