--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -201,7 +201,7 @@
 		return true
 	}
 	for _, p := range s.settles {
-		if now.Sub(p.since) >= k.cfg.SettleDelay {
+		if now.Sub(p.receivedAt) >= k.cfg.SettleDelay {
 			return true
 		}
 	}
--- a/pomeloclaim/doc.go
+++ b/pomeloclaim/doc.go
@@ -8,6 +8,6 @@
 // shard's keeper changes.
 //
 // Both are driven by messages and the current time, start no goroutines and are
-// not safe for concurrent use. Their methods add the resulting messages, store
-// operations and verdicts to an *Output.
+// not safe for concurrent use. Their methods add to an *Output instead of
+// returning messages, because a Keeper also requests store operations.
 package pomeloclaim
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -30,7 +30,7 @@
 	messageLoss    float64 // probability that a message is lost
 	storeReplyLoss float64 // probability that a store result is lost, whether or not the operation took effect in time
 	partitioned    map[[2]int]bool
-	keeperOf       func(shard pomelorelay.ShardID, asker int) int
+	keeperOf       func(shard pomelorelay.ShardID, requester int) int
 
 	runs              map[string]int
 	replies           map[string][]reply
@@ -204,9 +204,9 @@
 	if f.partitioned[[2]int{from.index, to.index}] || (from != to && f.rng.Float64() < f.messageLoss) {
 		return
 	}
-	life := to.incarnation
+	incarnation := to.incarnation
 	f.after(time.Duration(500+f.rng.IntN(1000))*time.Microsecond, func() {
-		f.runOn(to, life, func() {
+		f.runOn(to, incarnation, func() {
 			var out pomeloclaim.Output
 			switch x := m.Message.(type) {
 			case *pomelorelay.ClaimAsk:
@@ -226,10 +226,10 @@
 // startStoreOp schedules a store operation. During an outage it fails; with storeReplyLoss its result may be lost and its
 // effect delayed.
 func (f *fleet) startStoreOp(r *router, op pomeloclaim.StoreOp) {
-	life := r.incarnation
+	incarnation := r.incarnation
 	reply := func(d time.Duration, res pomeloclaim.StoreResult) {
 		f.after(d, func() {
-			f.runOn(r, life, func() {
+			f.runOn(r, incarnation, func() {
 				var out pomeloclaim.Output
 				r.keeper.Stored(f.now, res, &out)
 				f.perform(r, out)
@@ -305,7 +305,7 @@
 		r.asker.Settle(f.now, v.Nonce, released, state, o, &out)
 		f.perform(r, out)
 	}
-	life := r.incarnation
+	incarnation := r.incarnation
 	switch f.rng.IntN(8) {
 	case 0:
 		// No byte was sent: the caller is told that the request did not run.
@@ -315,13 +315,13 @@
 		f.runs[c.key]++
 		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimUnknown, ran: true})
 		f.after(20*time.Millisecond, func() {
-			f.runOn(r, life, func() { settle(false, pomelorelay.ClaimUnknown, pomelorelay.ClaimOutcome{}) })
+			f.runOn(r, incarnation, func() { settle(false, pomelorelay.ClaimUnknown, pomelorelay.ClaimOutcome{}) })
 		})
 	default:
 		f.runs[c.key]++
 		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimFresh, ran: true})
 		f.after(time.Duration(5+f.rng.IntN(200))*time.Millisecond, func() {
-			f.runOn(r, life, func() {
+			f.runOn(r, incarnation, func() {
 				settle(false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Status: 201, Body: []byte("booked " + c.key)})
 			})
 		})
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -112,7 +112,7 @@
 	if m.Released {
 		s.removeAsk(m.Nonce)
 	}
-	s.settles = append(s.settles, &pendingSettle{from: from, settle: *m, since: now})
+	s.settles = append(s.settles, &pendingSettle{from: from, settle: *m, receivedAt: now})
 	k.advance(now, s, out)
 }
 
@@ -170,11 +170,11 @@
 	out.send(p.from, &pomelorelay.ClaimSettled{Shard: p.settle.Shard, Key: p.settle.Key, Nonce: p.settle.Nonce})
 }
 
-func (k *Keeper) startOp(s *shard, kind opKind, slot uint32, startOp StoreOp, out *Output) {
+func (k *Keeper) startOp(s *shard, kind opKind, slot uint32, op StoreOp, out *Output) {
 	k.lastOp++
-	startOp.ID = k.lastOp
-	k.pendingOps[startOp.ID] = pendingOp{kind: kind, shard: s, slot: slot, commit: s.commit, seal: s.seal}
-	out.Store = append(out.Store, startOp)
+	op.ID = k.lastOp
+	k.pendingOps[op.ID] = pendingOp{kind: kind, shard: s, slot: slot, commit: s.commit, seal: s.seal}
+	out.Store = append(out.Store, op)
 }
 
 // Stored handles the result of a store operation.
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -79,7 +79,9 @@
 		for i := range views {
 			views[i] = rapid.IntRange(0, fleetRouters-1).Draw(rt, "keeper")
 		}
-		f.keeperOf = func(shard pomelorelay.ShardID, asker int) int { return (views[asker] + int(shard)) % fleetRouters }
+		f.keeperOf = func(shard pomelorelay.ShardID, requester int) int {
+			return (views[requester] + int(shard)) % fleetRouters
+		}
 		reassignShards(f)
 	}
 }
@@ -130,7 +132,7 @@
 		}
 		state := f.replies[key][before].state
 		if state == pomelorelay.ClaimRunning {
-			// The claim is held by no attempt and is released when it first blocks a repeat.
+			// The attempt that holds the claim has ended; the claim is released when it first blocks a repeat.
 			f.send(n%fleetRouters, key)
 			f.run(5 * time.Second)
 			state = f.replies[key][before+1].state
--- a/pomeloclaim/shard.go
+++ b/pomeloclaim/shard.go
@@ -18,7 +18,7 @@
 	readingHead bool
 	retryAt     time.Time
 	revision    pomelorelay.Revision
-	// confirmedAt is when the store last returned the head at revision.
+	// confirmedAt is when a read or write last showed that the head is at revision.
 	confirmedAt     time.Time
 	headSize        int
 	headClaims      map[pomelorelay.ClaimKey]*claimRecord
@@ -50,9 +50,9 @@
 }
 
 type pendingSettle struct {
-	from   pomelorelay.NodeID
-	settle pomelorelay.ClaimSettle
-	since  time.Time
+	from       pomelorelay.NodeID
+	settle     pomelorelay.ClaimSettle
+	receivedAt time.Time
 }
 
 func newShard(id pomelorelay.ShardID, now time.Time, burst float64) *shard {
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -61,13 +61,13 @@
 	if !ok {
 		return out
 	}
-	asker, found := l.domainOfHost(s.id, from)
+	requester, found := l.domainOfHost(s.id, from)
 	if !found {
 		return out
 	}
-	out = append(out, l.componentMessage(now, s, asker, from, true))
+	out = append(out, l.componentMessage(now, s, requester, from, true))
 	for _, domain := range l.cfg.Fleet.Domains() {
-		if domain.ID != asker {
+		if domain.ID != requester {
 			out = append(out, l.componentMessage(now, s, domain.ID, from, false))
 		}
 	}
--- a/pomeloquarantine/admission.go
+++ b/pomeloquarantine/admission.go
@@ -22,13 +22,13 @@
 
 // admission is a suspect's run that waits for its locks or holds them.
 type admission struct {
-	run      Run
-	stage    admissionStage
-	awaited  pomelorelay.NodeID
-	since    time.Time
-	askAfter time.Time
-	nextAsk  time.Time
-	ended    bool
+	run            Run
+	stage          admissionStage
+	awaitedArbiter pomelorelay.NodeID
+	startedAt      time.Time
+	askAfter       time.Time
+	nextAsk        time.Time
+	ended          bool
 }
 
 func (t *Table) startAdmission(now time.Time, run Run, out *Output) {
@@ -36,7 +36,7 @@
 		// The request's earlier attempt has ended.
 		t.endAdmission(old.run.Request, false, out)
 	}
-	w := &admission{run: run, stage: stageQueued, since: now, askAfter: t.suspects[run.Fingerprint].since.Add(t.cfg.NoticeDelay)}
+	w := &admission{run: run, stage: stageQueued, startedAt: now, askAfter: t.suspects[run.Fingerprint].since.Add(t.cfg.NoticeDelay)}
 	t.admissions[run.Request] = w
 	t.order = append(t.order, w)
 	t.advance(now, w, out)
@@ -77,7 +77,7 @@
 		if r.run.Fingerprint != f || t.admissions[r.run.Request] != nil {
 			continue
 		}
-		w := &admission{run: r.run, stage: stageAlreadyRunning, since: now}
+		w := &admission{run: r.run, stage: stageAlreadyRunning, startedAt: now}
 		t.admissions[r.run.Request] = w
 		t.order = append(t.order, w)
 		t.advance(now, w, out)
@@ -111,7 +111,7 @@
 		return
 	}
 	if awaitAnswer {
-		w.awaited = node
+		w.awaitedArbiter = node
 	}
 	out.send(node, &pomelorelay.SuspectAsk{Request: w.run.Request, Fingerprint: w.run.Fingerprint, Upstream: w.run.Upstream, Running: w.stage == stageAlreadyRunning})
 }
@@ -120,7 +120,7 @@
 // accepting one could let two suspects run on the same upstream.
 func (t *Table) Answer(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAnswer, out *Output) {
 	w, ok := t.admissions[m.Request]
-	if !ok || w.run.Fingerprint != m.Fingerprint || w.run.Upstream != m.Upstream || w.awaited != from || !m.Allowed {
+	if !ok || w.run.Fingerprint != m.Fingerprint || w.run.Upstream != m.Upstream || w.awaitedArbiter != from || !m.Allowed {
 		return
 	}
 	switch w.stage {
@@ -189,7 +189,7 @@
 		if w.ended {
 			continue
 		}
-		if w.isWaiting() && now.Sub(w.since) >= t.cfg.MaxWait {
+		if w.isWaiting() && now.Sub(w.startedAt) >= t.cfg.MaxWait {
 			t.endAdmission(w.run.Request, false, out)
 			out.Verdicts = append(out.Verdicts, Verdict{Run: w.run, Decision: DecisionTimedOut, RetryAfter: t.cfg.MaxWait})
 			continue
--- a/pomeloquarantine/fleet_test.go
+++ b/pomeloquarantine/fleet_test.go
@@ -58,7 +58,7 @@
 	run      pomeloquarantine.Run
 	crashes  bool
 	attempts int
-	// done receives whether the request was answered; false after a refusal or when no attempt is left.
+	// done receives whether the request was answered; false after a refusal or when it cannot be sent again.
 	done func(ok bool)
 }
 
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -12,7 +12,7 @@
 	cfg         Config
 	suspects    map[pomelorelay.Fingerprint]suspectEntry
 	quarantined map[pomelorelay.Fingerprint]quarantineEntry
-	// attributed holds when an upstream's crash was attributed to one request; other requests that ran there are no suspects.
+	// attributed holds when an upstream's crash was attributed to one request; other requests that ran there are not suspects.
 	attributed map[pomelorelay.UpstreamID]time.Time
 	attempts   map[pomelorelay.RequestID]*runningAttempt
 	admissions map[pomelorelay.RequestID]*admission
