--- a/pomeloclaim/asker.go
+++ b/pomeloclaim/asker.go
@@ -41,7 +41,7 @@
 	sends     int
 }
 
-// NewAsker returns an Asker without open claims.
+// NewAsker returns a requester without open claims.
 func NewAsker(cfg AskerConfig) *Asker {
 	cfg = cfg.withDefaults()
 	return &Asker{
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -35,7 +35,7 @@
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
-// AskerConfig configures an Asker; zero durations and sizes select the defaults.
+// AskerConfig configures a requester; zero durations and sizes select the defaults.
 type AskerConfig struct {
 	// Node and Incarnation, the process start in Unix nanoseconds, identify the process in its nonces and must be unique.
 	Node        pomelorelay.NodeID
@@ -55,7 +55,7 @@
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
-// Defaults of Config and AskerConfig.
+// Defaults of the keeper and requester configuration.
 const (
 	defaultCommitsPerSecond = 4
 	defaultCommitBurst      = 2
--- a/pomeloclaim/output.go
+++ b/pomeloclaim/output.go
@@ -23,7 +23,7 @@
 	Err      error
 }
 
-// Verdict is an Asker's decision on a requested claim.
+// Verdict is the decision on a requested claim.
 type Verdict struct {
 	Key     pomelorelay.ClaimKey
 	Nonce   pomelorelay.ClaimNonce
