--- a/pomeloclaim/seal_list_test.go
+++ b/pomeloclaim/seal_list_test.go
@@ -9,9 +9,10 @@
 	"github.com/pomelorelay/pomelorelay/pomeloclaim"
 )
 
-func TestManyKeptClaimsDoNotFillTheHead(t *testing.T) {
-	// A shard takes many claims within the retention. The list of its sealed segments grows until it alone is as large as the size at
-	// which the head is sealed; then segments of a few claims each fill the head, and callers see every booking refused until the next day.
+func TestSegmentListDoesNotFillHead(t *testing.T) {
+	// A shard receives many claims within the retention, until its list of sealed segments alone reaches SealBytes. If the list
+	// counted towards sealing, segments of a few claims each would fill the head, and the shard would refuse all claims until
+	// segments expire.
 	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
 	k := pomeloclaim.New(pomeloclaim.Config{CommitsPerSecond: 1e9, SealBytes: 4 << 10, MaxHeadBytes: 16 << 10})
 	var out pomeloclaim.Output
@@ -38,7 +39,7 @@
 		m := pomelorelay.ClaimAsk{Key: keyOf(fmt.Sprint(n)), Nonce: nonceOf(n + 1), Content: 1}
 		k.Ask(now, "router-1", &m, &out)
 		serve()
-		s := done("booked")
+		s := doneSettlement("booked")
 		s.Key, s.Nonce = m.Key, m.Nonce
 		k.Settle(now, "router-1", &s, &out)
 		now = now.Add(time.Second)
@@ -49,6 +50,6 @@
 		t.Errorf("%d of %d claims were refused", refused, claims)
 	}
 	if records := len(f.records); records > claims/8 {
-		t.Errorf("%d records for %d claims: segments hold a few claims each", records, claims)
+		t.Errorf("%d records for %d claims: segments hold too few claims", records, claims)
 	}
 }
