--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -21,21 +21,21 @@
 	store  *fleet
 }
 
-func newKeeperHarness(t *testing.T, cfg pomeloclaim.Config) *keeperHarness {
+func newKeeperHarness(t *testing.T, cfg pomeloclaim.KeeperConfig) *keeperHarness {
 	d := &keeperHarness{t: t, store: newFleet(1, 0, cfg, 1)}
 	d.now = d.store.now
-	d.keeper = pomeloclaim.New(cfg)
-	d.keeper.Own(d.now, 0, &d.out)
+	d.keeper = pomeloclaim.NewKeeper(cfg)
+	d.keeper.AddShard(d.now, 0, &d.out)
 	d.runStoreOps()
 	return d
 }
 
 // runStoreOps applies store operations until none is pending.
 func (d *keeperHarness) runStoreOps() {
-	for len(d.out.Store) > 0 {
-		op := d.out.Store[0]
-		d.out.Store = d.out.Store[1:]
-		d.keeper.Stored(d.now, d.store.apply(op), &d.out)
+	for len(d.out.StoreOps) > 0 {
+		op := d.out.StoreOps[0]
+		d.out.StoreOps = d.out.StoreOps[1:]
+		d.keeper.HandleStoreResult(d.now, d.store.apply(op), &d.out)
 	}
 }
 
@@ -49,12 +49,12 @@
 }
 
 func (d *keeperHarness) ask(n int, key string, content pomelorelay.Fingerprint) {
-	d.keeper.Ask(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf(key), Nonce: nonceOf(n), Content: content}, &d.out)
+	d.keeper.HandleAsk(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf(key), Nonce: nonceOf(n), Content: content}, &d.out)
 }
 
 func (d *keeperHarness) settle(n int, key string, m pomelorelay.ClaimSettle) {
 	m.Key, m.Nonce = keyOf(key), nonceOf(n)
-	d.keeper.Settle(d.now, "router-1", &m, &d.out)
+	d.keeper.HandleSettle(d.now, "router-1", &m, &d.out)
 }
 
 // answers returns and clears the received answers by nonce; an acknowledgement has state zero.
@@ -87,7 +87,7 @@
 
 // A request is repeated while it runs, with a different body, and after it has ended.
 func TestRepeatedRequestGetsFirstOutcome(t *testing.T) {
-	d := newKeeperHarness(t, pomeloclaim.Config{})
+	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
 	if got := d.answers(); len(got) != 0 {
 		t.Errorf("answered before the store held the claim: %+v", got)
@@ -118,7 +118,7 @@
 
 // During a store outage a claim is refused as not run. After the outage a repeat must not be blocked by that claim.
 func TestClaimRefusedInOutageDoesNotBlockRepeats(t *testing.T) {
-	f := newFleet(1, 2, pomeloclaim.Config{}, 1)
+	f := newFleet(1, 2, pomeloclaim.KeeperConfig{}, 1)
 	f.run(time.Second)
 	f.outage = true
 	f.send(1, "k")
@@ -128,7 +128,7 @@
 	}
 	f.outage = false
 	f.run(3 * time.Second)
-	if n := f.routers[1].asker.Open(); n != 0 {
+	if n := f.routers[1].asker.OpenClaims(); n != 0 {
 		t.Errorf("%d claims are still open", n)
 	}
 	f.send(1, "k")
@@ -141,20 +141,20 @@
 // A keeper is paused during a write while another one takes over its shard and grants the same key. After it resumes, the
 // first keeper must not grant its claim.
 func TestPausedKeeperIsFenced(t *testing.T) {
-	d := newKeeperHarness(t, pomeloclaim.Config{})
+	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
-	paused := d.out.Store
-	d.out.Store = nil
-	other := pomeloclaim.New(pomeloclaim.Config{})
+	paused := d.out.StoreOps
+	d.out.StoreOps = nil
+	other := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{})
 	var out pomeloclaim.Output
-	other.Own(d.now, 0, &out)
-	other.Stored(d.now, d.store.apply(out.Store[0]), &out)
-	other.Ask(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
-	other.Stored(d.now, d.store.apply(out.Store[1]), &out)
+	other.AddShard(d.now, 0, &out)
+	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[0]), &out)
+	other.HandleAsk(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
+	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[1]), &out)
 	if len(out.Messages) != 1 || out.Messages[0].Message.(*pomelorelay.ClaimAnswer).State != pomelorelay.ClaimFresh {
 		t.Fatalf("the second keeper answered %+v", out.Messages)
 	}
-	d.out.Store = paused
+	d.out.StoreOps = paused
 	d.runStoreOps()
 	d.expectState(1, pomelorelay.ClaimRunning)
 }
@@ -162,14 +162,14 @@
 // The result of a write is lost, whether or not the write took effect. The keeper must read the record back.
 func TestUnknownWriteResultIsReadBack(t *testing.T) {
 	for _, effect := range []bool{true, false} {
-		d := newKeeperHarness(t, pomeloclaim.Config{})
+		d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 		d.ask(1, "k", 7)
-		op := d.out.Store[0]
-		d.out.Store = nil
+		op := d.out.StoreOps[0]
+		d.out.StoreOps = nil
 		if effect {
 			d.store.apply(op)
 		}
-		d.keeper.Stored(d.now, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "", nil)}, &d.out)
+		d.keeper.HandleStoreResult(d.now, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "", nil)}, &d.out)
 		if len(d.answers()) != 0 {
 			t.Errorf("effect %v: answered before the result of the write was known", effect)
 		}
@@ -181,7 +181,7 @@
 // A router dies or restarts while its request runs. The outcome is unknown, and the request must not run again.
 func TestClaimOfDeadRouterIsUnknown(t *testing.T) {
 	dead := false
-	d := newKeeperHarness(t, pomeloclaim.Config{Alive: func(pomelorelay.NodeID) bool { return !dead }})
+	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{Alive: func(pomelorelay.NodeID) bool { return !dead }})
 	d.ask(1, "k", 7)
 	d.runStoreOps()
 	d.answers()
@@ -192,7 +192,7 @@
 	d.ask(3, "k", 7)
 	d.expectState(3, pomelorelay.ClaimRunning)
 	newer := pomelorelay.ClaimNonce{5: 1}
-	d.keeper.Ask(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf("other"), Nonce: newer, Content: 1}, &d.out)
+	d.keeper.HandleAsk(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf("other"), Nonce: newer, Content: 1}, &d.out)
 	d.runStoreOps()
 	d.answers()
 	d.ask(4, "k", 7)
@@ -209,7 +209,7 @@
 // must be found with their outcome, also after a takeover; an expired claim's key counts as unused, and the number of
 // records in the store stays small.
 func TestSealedClaimsAreKeptUntilRetention(t *testing.T) {
-	d := newKeeperHarness(t, pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
+	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
 	const claims = 600
 	for n := range claims {
 		key := fmt.Sprint("k", n)
@@ -231,8 +231,8 @@
 				t.Errorf("takeover %d: k%d has outcome %q", takeover, n, a.Outcome.Body)
 			}
 		}
-		d.keeper = pomeloclaim.New(pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute})
-		d.keeper.Own(d.now, 0, &d.out)
+		d.keeper = pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{SealBytes: 3000, Retention: 10 * time.Minute})
+		d.keeper.AddShard(d.now, 0, &d.out)
 		d.runStoreOps()
 	}
 	d.ask(20000, "k0", 7)
@@ -242,16 +242,16 @@
 
 // A stored record is corrupt. Starting from an empty record would allow requests that have run to run again.
 func TestCorruptRecordRefusesClaims(t *testing.T) {
-	d := newKeeperHarness(t, pomeloclaim.Config{})
+	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
 	d.runStoreOps()
 	d.answers()
 	record := d.store.records["claims/0"]
 	for cut := 1; cut < len(record.Value); cut += 5 {
 		d.store.records["claims/0"] = pomelorelay.Record{Key: record.Key, Value: record.Value[:cut], Revision: record.Revision}
-		d.keeper = pomeloclaim.New(pomeloclaim.Config{})
+		d.keeper = pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{})
 		d.out = pomeloclaim.Output{}
-		d.keeper.Own(d.now, 0, &d.out)
+		d.keeper.AddShard(d.now, 0, &d.out)
 		d.runStoreOps()
 		d.ask(2, "k", 7)
 		d.tick(3 * time.Second)
@@ -265,7 +265,7 @@
 
 // Claims are never settled. The head must not outgrow the store's size limit; claims above the limit are refused.
 func TestFullHeadRefusesClaims(t *testing.T) {
-	d := newKeeperHarness(t, pomeloclaim.Config{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
+	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
 	refused := 0
 	for n := range 200 {
 		d.ask(n, fmt.Sprint("k", n), 7)
@@ -283,15 +283,15 @@
 // Without a reachable keeper, settlements stay unacknowledged. Their number must be bounded.
 func TestUnacknowledgedSettlementsAreBounded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	a := pomeloclaim.NewAsker(pomeloclaim.AskerConfig{MaxSettling: 100, Keeper: func(pomelorelay.ShardID) (pomelorelay.NodeID, bool) { return "", false }})
+	a := pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{MaxSettling: 100, Keeper: func(pomelorelay.ShardID) (pomelorelay.NodeID, bool) { return "", false }})
 	for n := range 300 {
 		var out pomeloclaim.Output
 		nonce := a.Claim(now, keyOf(fmt.Sprint(n)), 1, &out)
-		a.Answer(now, &pomelorelay.ClaimAnswer{Key: keyOf(fmt.Sprint(n)), Nonce: nonce, State: pomelorelay.ClaimFresh}, &out)
+		a.HandleAnswer(now, &pomelorelay.ClaimAnswer{Key: keyOf(fmt.Sprint(n)), Nonce: nonce, State: pomelorelay.ClaimFresh}, &out)
 		a.Settle(now, nonce, false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Body: []byte("x")}, &out)
 	}
-	if a.Open() != 100 {
-		t.Errorf("%d claims are open, want 100", a.Open())
+	if a.OpenClaims() != 100 {
+		t.Errorf("%d claims are open, want 100", a.OpenClaims())
 	}
 }
 
@@ -299,7 +299,7 @@
 // hundred writes per second for the whole fleet.
 func TestWritesDoNotGrowWithClaims(t *testing.T) {
 	const shards, seconds = 16, 20
-	cfg := pomeloclaim.Config{}
+	cfg := pomeloclaim.KeeperConfig{}
 	var lines []string
 	for _, rate := range []int{10, 100, 1000} {
 		f := newFleet(1, 8, cfg, shards)
@@ -325,19 +325,19 @@
 
 // BenchmarkCommit measures a keeper's work for one claim and its settlement with a head of 500 claims.
 func BenchmarkCommit(b *testing.B) {
-	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
-	k := pomeloclaim.New(pomeloclaim.Config{CommitsPerSecond: 1e9, SealBytes: 80 << 10})
+	f := newFleet(1, 0, pomeloclaim.KeeperConfig{}, 1)
+	k := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{CommitsPerSecond: 1e9, SealBytes: 80 << 10})
 	var out pomeloclaim.Output
 	now := f.now
 	serve := func() {
-		for len(out.Store) > 0 {
-			op := out.Store[0]
-			out.Store = out.Store[1:]
-			k.Stored(now, f.apply(op), &out)
+		for len(out.StoreOps) > 0 {
+			op := out.StoreOps[0]
+			out.StoreOps = out.StoreOps[1:]
+			k.HandleStoreResult(now, f.apply(op), &out)
 		}
 		out.Messages = nil
 	}
-	k.Own(now, 0, &out)
+	k.AddShard(now, 0, &out)
 	serve()
 	n := 0
 	b.ReportAllocs()
@@ -345,11 +345,11 @@
 		n++
 		now = now.Add(time.Second)
 		m := pomelorelay.ClaimAsk{Key: keyOf(fmt.Sprint(n)), Nonce: nonceOf(n), Content: 1}
-		k.Ask(now, "router-1", &m, &out)
+		k.HandleAsk(now, "router-1", &m, &out)
 		serve()
 		s := doneSettlement("booked")
 		s.Key, s.Nonce = m.Key, m.Nonce
-		k.Settle(now, "router-1", &s, &out)
+		k.HandleSettle(now, "router-1", &s, &out)
 		now = now.Add(time.Second)
 		k.Tick(now, &out)
 		serve()
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -193,7 +193,7 @@
 	s.commit = c
 	data := encode(&c.head)
 	c.headSize = len(data)
-	k.startOp(s, opWriteHead, 0, StoreOp{Key: headKey(s.id), Value: data, Old: s.revision}, out)
+	k.startOp(s, opWriteHead, 0, StoreOp{Key: headKey(s.id), Value: data, ExpectedRevision: s.revision}, out)
 }
 
 func (k *Keeper) commitDue(now time.Time, s *shard, out *Output) bool {
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config configures a Keeper; zero durations and sizes select the defaults.
-type Config struct {
+// KeeperConfig configures a Keeper; zero durations and sizes select the defaults.
+type KeeperConfig struct {
 	Logger pomelorelay.Logger
 	// Alive reports whether a router is alive; unsettled claims of a dead router are unknown. Nil treats all routers as alive.
 	Alive func(pomelorelay.NodeID) bool
@@ -35,8 +35,8 @@
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
-// AskerConfig configures a requester; zero durations and sizes select the defaults.
-type AskerConfig struct {
+// RequesterConfig configures a requester; zero durations and sizes select the defaults.
+type RequesterConfig struct {
 	// Node and Incarnation, the process start in Unix nanoseconds, identify the process in its nonces and must be unique.
 	Node        pomelorelay.NodeID
 	Incarnation pomelorelay.Incarnation
@@ -74,7 +74,7 @@
 	defaultMaxSettling      = 10000
 )
 
-func (c Config) withDefaults() Config {
+func (c KeeperConfig) withDefaults() KeeperConfig {
 	if c.Logger == nil {
 		c.Logger = pomelorelay.NopLogger{}
 	}
@@ -101,7 +101,7 @@
 	return c
 }
 
-func (c AskerConfig) withDefaults() AskerConfig {
+func (c RequesterConfig) withDefaults() RequesterConfig {
 	if c.Shards == 0 {
 		c.Shards = defaultShards
 	}
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -10,7 +10,7 @@
 // Keeper stores the claims of its shards and answers requesters once their claims are durable. Two keepers of one shard
 // fence each other by compare-and-swap on the shard's head record. A keeper never revokes a claim on its own.
 type Keeper struct {
-	cfg        Config
+	cfg        KeeperConfig
 	lastOp     OpID
 	pendingOps map[OpID]pendingOp
 	shards     map[pomelorelay.ShardID]*shard
@@ -46,8 +46,8 @@
 	seal   *seal
 }
 
-// New returns a Keeper without shards.
-func New(cfg Config) *Keeper {
+// NewKeeper returns a Keeper without shards.
+func NewKeeper(cfg KeeperConfig) *Keeper {
 	return &Keeper{
 		cfg:           cfg.withDefaults(),
 		pendingOps:    make(map[OpID]pendingOp),
@@ -62,8 +62,8 @@
 	k.cfg.Retention = d
 }
 
-// Own takes over a shard; claims are answered once its records have been read.
-func (k *Keeper) Own(now time.Time, id pomelorelay.ShardID, out *Output) {
+// AddShard takes over a shard; claims are answered once its records have been read.
+func (k *Keeper) AddShard(now time.Time, id pomelorelay.ShardID, out *Output) {
 	if _, ok := k.shards[id]; ok {
 		return
 	}
@@ -74,9 +74,9 @@
 	k.advance(now, s, out)
 }
 
-// Disown gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A write in
+// RemoveShard gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A write in
 // progress may still take effect; the new keeper's compare-and-swap then fails and it reads the record again.
-func (k *Keeper) Disown(id pomelorelay.ShardID) {
+func (k *Keeper) RemoveShard(id pomelorelay.ShardID) {
 	delete(k.shards, id)
 	k.owned = slices.DeleteFunc(k.owned, func(o pomelorelay.ShardID) bool { return o == id })
 	for op, o := range k.pendingOps {
@@ -86,9 +86,9 @@
 	}
 }
 
-// Ask handles a router's request for a claim and answers once the claim is durable. A request for a shard that is not kept
+// HandleAsk handles a router's request for a claim and answers once the claim is durable. A request for a shard that is not kept
 // here is dropped, because the requester sends it again to the shard's current keeper.
-func (k *Keeper) Ask(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimAsk, out *Output) {
+func (k *Keeper) HandleAsk(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimAsk, out *Output) {
 	k.recordProcessStart(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
 	if !ok || s.hasAsk(from, m.Nonce) {
@@ -102,8 +102,8 @@
 	k.advance(now, s, out)
 }
 
-// Settle handles a router's settlement and acknowledges it once it is durable.
-func (k *Keeper) Settle(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimSettle, out *Output) {
+// HandleSettle handles a router's settlement and acknowledges it once it is durable.
+func (k *Keeper) HandleSettle(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimSettle, out *Output) {
 	k.recordProcessStart(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
 	if !ok || s.hasSettle(m.Nonce) || len(s.settles) >= k.cfg.MaxPending {
@@ -174,11 +174,11 @@
 	k.lastOp++
 	op.ID = k.lastOp
 	k.pendingOps[op.ID] = pendingOp{kind: kind, shard: s, slot: slot, commit: s.commit, seal: s.seal}
-	out.Store = append(out.Store, op)
+	out.StoreOps = append(out.StoreOps, op)
 }
 
-// Stored handles the result of a store operation.
-func (k *Keeper) Stored(now time.Time, r StoreResult, out *Output) {
+// HandleStoreResult handles the result of a store operation.
+func (k *Keeper) HandleStoreResult(now time.Time, r StoreResult, out *Output) {
 	o, ok := k.pendingOps[r.ID]
 	if !ok {
 		return
--- a/pomeloclaim/output.go
+++ b/pomeloclaim/output.go
@@ -7,10 +7,10 @@
 
 // StoreOp is a store operation requested by a Keeper: a Get when Value is nil, otherwise a CompareAndSwap.
 type StoreOp struct {
-	ID    OpID
-	Key   pomelorelay.StoreKey
-	Value []byte
-	Old   pomelorelay.Revision
+	ID               OpID
+	Key              pomelorelay.StoreKey
+	Value            []byte
+	ExpectedRevision pomelorelay.Revision
 }
 
 // StoreResult is the result of a StoreOp: the record of a Get, the revision of a CompareAndSwap, or an error with
@@ -34,7 +34,7 @@
 // Output collects the messages, store operations and verdicts of a call; the caller handles and clears them.
 type Output struct {
 	Messages []pomelorelay.Outgoing
-	Store    []StoreOp
+	StoreOps []StoreOp
 	Verdicts []Verdict
 }
 
--- a/pomeloclaim/asker.go
+++ b/pomeloclaim/requester.go
@@ -11,10 +11,10 @@
 // maxBackoffShift limits the exponential backoff of resends to ResendAfter << maxBackoffShift.
 const maxBackoffShift = 3
 
-// Asker requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that it has
+// Requester requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that it has
 // refused stays refused: if a later answer makes it fresh, the claim is released.
-type Asker struct {
-	cfg         AskerConfig
+type Requester struct {
+	cfg         RequesterConfig
 	process     pomelorelay.ClaimNonce
 	lastCounter uint32
 	attempts    map[pomelorelay.ClaimNonce]*attempt
@@ -41,10 +41,10 @@
 	sends     int
 }
 
-// NewAsker returns a requester without open claims.
-func NewAsker(cfg AskerConfig) *Asker {
+// NewRequester returns a requester without open claims.
+func NewRequester(cfg RequesterConfig) *Requester {
 	cfg = cfg.withDefaults()
-	return &Asker{
+	return &Requester{
 		cfg:      cfg,
 		process:  newProcessNonce(cfg.Node, cfg.Incarnation),
 		attempts: make(map[pomelorelay.ClaimNonce]*attempt),
@@ -57,7 +57,7 @@
 }
 
 // Claim requests a claim and returns its nonce. The verdict is added to the Output of a later call.
-func (a *Asker) Claim(now time.Time, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint, out *Output) pomelorelay.ClaimNonce {
+func (a *Requester) Claim(now time.Time, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint, out *Output) pomelorelay.ClaimNonce {
 	a.lastCounter++
 	nonce := withCounter(a.process, a.lastCounter)
 	shard := ShardOf(key, a.cfg.Shards)
@@ -68,7 +68,7 @@
 	return nonce
 }
 
-func (a *Asker) addAttempt(now time.Time, nonce pomelorelay.ClaimNonce) *attempt {
+func (a *Requester) addAttempt(now time.Time, nonce pomelorelay.ClaimNonce) *attempt {
 	t := &attempt{startedAt: now}
 	a.attempts[nonce] = t
 	a.order = append(a.order, t)
@@ -76,14 +76,14 @@
 }
 
 // Cancel abandons a claim without a verdict and releases it. No verdict follows.
-func (a *Asker) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
+func (a *Requester) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
 	if t, ok := a.attempts[nonce]; ok && t.phase == phaseAsking {
 		a.release(now, t, out)
 	}
 }
 
-// Answer handles a keeper's answer to a claim request.
-func (a *Asker) Answer(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
+// HandleAnswer handles a keeper's answer to a claim request.
+func (a *Requester) HandleAnswer(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
 	t, ok := a.attempts[m.Nonce]
 	if !ok {
 		a.releaseUntracked(now, m, out)
@@ -111,7 +111,7 @@
 
 // releaseUntracked releases a claim of this process that became durable after its attempt ended. Keepers ignore the release
 // of a settled claim, so a duplicate answer is harmless.
-func (a *Asker) releaseUntracked(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
+func (a *Requester) releaseUntracked(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
 	if m.State != pomelorelay.ClaimFresh || !a.isOwn(m.Nonce) {
 		return
 	}
@@ -120,13 +120,13 @@
 	a.release(now, t, out)
 }
 
-func (a *Asker) isOwn(nonce pomelorelay.ClaimNonce) bool {
+func (a *Requester) isOwn(nonce pomelorelay.ClaimNonce) bool {
 	return [counterOffset]byte(nonce[:counterOffset]) == [counterOffset]byte(a.process[:counterOffset])
 }
 
 // Settle records how the request of a fresh claim ended (released, done or unknown) and sends it to the keeper until it is
 // acknowledged. Outcomes over MaxOutcomeBytes are truncated.
-func (a *Asker) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
+func (a *Requester) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
 	t, ok := a.attempts[nonce]
 	if !ok || t.phase != phaseRunning {
 		return
@@ -137,11 +137,11 @@
 	a.startSettlement(now, t, pomelorelay.ClaimSettle{Released: released, State: state, Outcome: outcome}, out)
 }
 
-func (a *Asker) release(now time.Time, t *attempt, out *Output) {
+func (a *Requester) release(now time.Time, t *attempt, out *Output) {
 	a.startSettlement(now, t, pomelorelay.ClaimSettle{Released: true}, out)
 }
 
-func (a *Asker) startSettlement(now time.Time, t *attempt, s pomelorelay.ClaimSettle, out *Output) {
+func (a *Requester) startSettlement(now time.Time, t *attempt, s pomelorelay.ClaimSettle, out *Output) {
 	s.Shard, s.Key, s.Nonce = t.ask.Shard, t.ask.Key, t.ask.Nonce
 	t.phase, t.settle, t.sends = phaseSettling, s, 0
 	a.settlingCount++
@@ -150,7 +150,7 @@
 }
 
 // limitSettlements bounds the memory of unacknowledged settlements while no keeper is reachable.
-func (a *Asker) limitSettlements() {
+func (a *Requester) limitSettlements() {
 	if a.settlingCount <= a.cfg.MaxSettling/2 {
 		return
 	}
@@ -168,14 +168,14 @@
 	}
 }
 
-// Settled handles a keeper's acknowledgement of a settlement.
-func (a *Asker) Settled(m *pomelorelay.ClaimSettled) {
+// HandleSettled handles a keeper's acknowledgement of a settlement.
+func (a *Requester) HandleSettled(m *pomelorelay.ClaimSettled) {
 	if t, ok := a.attempts[m.Nonce]; ok && t.phase == phaseSettling {
 		a.endAttempt(m.Nonce, t)
 	}
 }
 
-func (a *Asker) endAttempt(nonce pomelorelay.ClaimNonce, t *attempt) {
+func (a *Requester) endAttempt(nonce pomelorelay.ClaimNonce, t *attempt) {
 	if t.phase == phaseSettling {
 		a.settlingCount--
 	}
@@ -184,7 +184,7 @@
 }
 
 // Tick resends unanswered messages and refuses claims that have reached ClaimTimeout. Call it about every 50 ms.
-func (a *Asker) Tick(now time.Time, out *Output) {
+func (a *Requester) Tick(now time.Time, out *Output) {
 	a.order = slices.DeleteFunc(a.order, func(t *attempt) bool { return t.phase == phaseEnded })
 	for _, t := range a.order {
 		if t.phase == phaseAsking && now.Sub(t.startedAt) >= a.cfg.ClaimTimeout {
@@ -198,7 +198,7 @@
 	}
 }
 
-func (a *Asker) send(now time.Time, t *attempt, out *Output) {
+func (a *Requester) send(now time.Time, t *attempt, out *Output) {
 	t.resendAt = now.Add(a.cfg.ResendAfter << min(t.sends, maxBackoffShift))
 	t.sends++
 	keeper, ok := a.cfg.Keeper(t.ask.Shard)
@@ -222,11 +222,11 @@
 	Settling int
 }
 
-// Open returns the number of open claims.
-func (p Phases) Open() int { return p.Asking + p.Running + p.Settling }
+// Total returns the number of open claims.
+func (p Phases) Total() int { return p.Asking + p.Running + p.Settling }
 
 // Phases returns the number of open claims in each phase.
-func (a *Asker) Phases() Phases {
+func (a *Requester) Phases() Phases {
 	var p Phases
 	for _, t := range a.attempts {
 		switch t.phase {
@@ -241,5 +241,5 @@
 	return p
 }
 
-// Open returns the number of open claims; a graceful shutdown waits until it is zero.
-func (a *Asker) Open() int { return len(a.attempts) }
+// OpenClaims returns the number of open claims; a graceful shutdown waits until it is zero.
+func (a *Requester) OpenClaims() int { return len(a.attempts) }
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -18,7 +18,7 @@
 )
 
 // smallRecords makes sealing, expiry and reuse of slots occur within a short schedule.
-var smallRecords = pomeloclaim.Config{SealBytes: 1500, CommitsPerSecond: 20, CommitBurst: 4, SettleDelay: 100 * time.Millisecond, Retention: time.Hour}
+var smallRecords = pomeloclaim.KeeperConfig{SealBytes: 1500, CommitsPerSecond: 20, CommitBurst: 4, SettleDelay: 100 * time.Millisecond, Retention: time.Hour}
 
 // Routers crash and pause, store results and messages are lost, and keepers change or overlap, while callers repeat their
 // requests through other routers. No request may run twice, and after recovery a request that never ran must not be blocked.
--- a/pomeloclaim/seal.go
+++ b/pomeloclaim/seal.go
@@ -62,7 +62,7 @@
 	switch s.seal.step {
 	case sealWriteSlot:
 		s.seal.step = sealWritePending
-		k.startOp(s, opWriteSegment, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot), Value: s.seal.data, Old: pomelorelay.Revision(s.seal.slot.Revision)}, out)
+		k.startOp(s, opWriteSegment, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot), Value: s.seal.data, ExpectedRevision: pomelorelay.Revision(s.seal.slot.Revision)}, out)
 	case sealReadSlot:
 		s.seal.step = sealReadPending
 		k.startOp(s, opReadSlot, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot)}, out)
--- a/pomeloledger/config.go
+++ b/pomeloledger/config.go
@@ -33,8 +33,8 @@
 
 // Options holds the intervals and limits of a Ledger; a zero field takes the default given in its comment.
 type Options struct {
-	// ExchangeEvery is the interval of exchanges with domains of the same region; 1 s.
-	ExchangeEvery time.Duration
+	// ExchangeInterval is the interval of exchanges with domains of the same region; 1 s.
+	ExchangeInterval time.Duration
 	// CrossRegionInterval is the interval of exchanges with other regions; 5 s.
 	CrossRegionInterval time.Duration
 	// SendsPerChange is the number of exchanges that include a change, to tolerate a lost message; 2.
@@ -54,7 +54,7 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDefaultDuration(&o.ExchangeEvery, time.Second)
+	setDefaultDuration(&o.ExchangeInterval, time.Second)
 	setDefaultDuration(&o.CrossRegionInterval, 5*time.Second)
 	setDefaultCount(&o.SendsPerChange, 2)
 	setDefaultCount(&o.RefreshPerExchange, 8)
--- a/pomeloledger/fleet_test.go
+++ b/pomeloledger/fleet_test.go
@@ -82,7 +82,7 @@
 	l := pomeloledger.New(pomeloledger.Config{Self: pomelorelay.Peer{Node: node, Domain: info.ID, Region: info.Region}, Fleet: fleet, Shards: 1})
 	w.hosts[info.ID] = node
 	w.ledgers[node] = l
-	w.hold(node, 1, l.Host(w.now, 0, nil))
+	w.hold(node, 1, l.AddShard(w.now, 0, nil))
 }
 
 func (w *testFleet) liveRouters(domain pomelorelay.DomainID) []pomelorelay.NodeID {
@@ -128,11 +128,11 @@
 	if ledger, ok := w.ledgers[l.to]; ok {
 		switch m := l.message.(type) {
 		case *pomelorelay.LedgerReport:
-			w.hold(l.to, 1, ledger.Report(w.now, l.from, l.incarnation, m, nil))
+			w.hold(l.to, 1, ledger.HandleReport(w.now, l.from, l.incarnation, m, nil))
 		case *pomelorelay.LedgerComponent:
-			w.hold(l.to, 1, ledger.Component(w.now, l.from, m, nil))
+			w.hold(l.to, 1, ledger.HandleComponent(w.now, l.from, m, nil))
 		case *pomelorelay.LedgerComponentQuery:
-			w.hold(l.to, 1, ledger.ComponentQuery(w.now, l.from, m, nil))
+			w.hold(l.to, 1, ledger.HandleComponentQuery(w.now, l.from, m, nil))
 		}
 		return
 	}
@@ -142,9 +142,9 @@
 		}
 		switch m := l.message.(type) {
 		case *pomelorelay.LedgerTotals:
-			r.reporter.Totals(w.now, l.from, m)
+			r.reporter.HandleTotals(w.now, l.from, m)
 		case *pomelorelay.LedgerQuery:
-			w.hold(r.node, r.incarnation, r.reporter.Query(w.now, l.from, m, nil))
+			w.hold(r.node, r.incarnation, r.reporter.HandleQuery(w.now, l.from, m, nil))
 		}
 	}
 }
@@ -152,7 +152,7 @@
 func (w *testFleet) recordServed(r *router, key pomelorelay.LedgerKey, cost pomelorelay.Cost) {
 	r.served[key] += cost
 	w.expected[key] += cost
-	r.reporter.Changed([]pomelorelay.LedgerEntry{{Pool: key.Pool, Account: key.Account, Served: r.served[key], Waiting: true}})
+	r.reporter.UpdateEntries([]pomelorelay.LedgerEntry{{Pool: key.Pool, Account: key.Account, Served: r.served[key], Waiting: true}})
 }
 
 func (w *testFleet) advance() {
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -21,9 +21,9 @@
 	return &Ledger{cfg: cfg, shards: make(map[pomelorelay.ShardID]*shard)}
 }
 
-// Host starts hosting a shard and its rebuild, which queries the hosts in other domains and then the local routers.
+// AddShard starts hosting a shard and its rebuild, which queries the hosts in other domains and then the local routers.
 // It has no effect when the shard is already hosted.
-func (l *Ledger) Host(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (l *Ledger) AddShard(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if _, hosted := l.shards[id]; hosted {
 		return out
 	}
@@ -41,8 +41,8 @@
 	return l.rebuild(now, s, out)
 }
 
-// Drop stops hosting a shard.
-func (l *Ledger) Drop(id pomelorelay.ShardID) {
+// RemoveShard stops hosting a shard.
+func (l *Ledger) RemoveShard(id pomelorelay.ShardID) {
 	delete(l.shards, id)
 	for i, s := range l.order {
 		if s.id == id {
@@ -52,14 +52,14 @@
 	}
 }
 
-// Hosts reports whether the shard is hosted here and whether its rebuild is complete.
-func (l *Ledger) Hosts(id pomelorelay.ShardID) (hosted, ready bool) {
+// ShardStatus reports whether the shard is hosted here and whether its rebuild is complete.
+func (l *Ledger) ShardStatus(id pomelorelay.ShardID) (hosted, ready bool) {
 	s, ok := l.shards[id]
 	return ok, ok && s.phase == rebuilt
 }
 
-// Short reports whether the shard's rebuild ended at RebuildTimeout with answers still missing.
-func (l *Ledger) Short(id pomelorelay.ShardID) bool {
+// RebuildTimedOut reports whether the shard's rebuild ended at RebuildTimeout with answers still missing.
+func (l *Ledger) RebuildTimedOut(id pomelorelay.ShardID) bool {
 	s, ok := l.shards[id]
 	return ok && s.timedOut
 }
@@ -77,8 +77,8 @@
 	return a.fleetEntry(now, s.phase), true
 }
 
-// Report merges a router's report and replies with the fleet totals of the accounts that it asks for.
-func (l *Ledger) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LedgerReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleReport merges a router's report and replies with the fleet totals of the accounts that it asks for.
+func (l *Ledger) HandleReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LedgerReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
@@ -144,7 +144,7 @@
 		out = l.rebuild(now, s, out)
 	}
 	if !now.Before(l.nextRegionExchange) {
-		l.nextRegionExchange = now.Add(l.cfg.Options.ExchangeEvery)
+		l.nextRegionExchange = now.Add(l.cfg.Options.ExchangeInterval)
 		out = l.exchangeWithinRegion(now, out)
 	}
 	if !now.Before(l.nextCrossExchange) {
--- a/pomeloledger/ledger_test.go
+++ b/pomeloledger/ledger_test.go
@@ -119,12 +119,12 @@
 	delete(w.ledgers, w.hosts["d0"])
 	w.replaceHost(0, 1)
 	l := w.ledgers[w.hosts["d0"]]
-	out := l.Report(w.now, "r1", w.routers[1].incarnation, &pomelorelay.LedgerReport{Interest: accounts}, nil)
+	out := l.HandleReport(w.now, "r1", w.routers[1].incarnation, &pomelorelay.LedgerReport{Interest: accounts}, nil)
 	if len(out) != 1 || out[0].Message.(*pomelorelay.LedgerTotals).Ready {
 		t.Fatalf("got %+v, want one answer that is not ready", out)
 	}
 	w.runWithoutFaults(time.Second)
-	if _, ready := l.Hosts(0); !ready || l.Short(0) {
+	if _, ready := l.ShardStatus(0); !ready || l.RebuildTimedOut(0) {
 		t.Error("rebuild without faults is not complete after 1 s")
 	}
 	w.checkExact(t)
@@ -134,7 +134,7 @@
 		w.advance()
 		w.held = nil
 	}
-	if _, ready := w.ledgers[w.hosts["d0"]].Hosts(0); !ready || !w.ledgers[w.hosts["d0"]].Short(0) {
+	if _, ready := w.ledgers[w.hosts["d0"]].ShardStatus(0); !ready || !w.ledgers[w.hosts["d0"]].RebuildTimedOut(0) {
 		t.Error("rebuild did not end at its timeout")
 	}
 }
@@ -164,7 +164,7 @@
 	out := make([]pomelorelay.Outgoing, 0, 4)
 	allocs := testing.AllocsPerRun(100, func() {
 		report.Entries[5].Served++
-		l.Report(w.now, "r0", w.routers[0].incarnation, report, out)
+		l.HandleReport(w.now, "r0", w.routers[0].incarnation, report, out)
 	})
 	if allocs > 1 {
 		t.Errorf("%v allocations for 100 entries, want at most 1 for the answer", allocs)
@@ -186,7 +186,7 @@
 	out := make([]pomelorelay.Outgoing, 0, 4)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Report(w.now, "r0", w.routers[0].incarnation, report, out)
+		l.HandleReport(w.now, "r0", w.routers[0].incarnation, report, out)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/512, "ns/entry")
 	b.ReportMetric(float64(len(data))/512, "B/entry")
@@ -203,10 +203,10 @@
 		for i := range n {
 			key := pomelorelay.AccountID(fmt.Sprintf("workshop-%05d", i))
 			report := &pomelorelay.LedgerReport{Entries: []pomelorelay.LedgerEntry{{Pool: "assistant/small", Account: key, Served: 1}}}
-			l.Report(w.now, "r0", w.routers[0].incarnation, report, nil)
-			l.Report(w.now, "r1", w.routers[1].incarnation, report, nil)
+			l.HandleReport(w.now, "r0", w.routers[0].incarnation, report, nil)
+			l.HandleReport(w.now, "r1", w.routers[1].incarnation, report, nil)
 			for d := range 5 {
-				l.Component(w.now, "x", &pomelorelay.LedgerComponent{Domain: pomelorelay.DomainID(fmt.Sprintf("x%d", d)), Entries: []pomelorelay.LedgerComponentEntry{{Pool: "assistant/small", Account: key, Sum: 1}}}, nil)
+				l.HandleComponent(w.now, "x", &pomelorelay.LedgerComponent{Domain: pomelorelay.DomainID(fmt.Sprintf("x%d", d)), Entries: []pomelorelay.LedgerComponentEntry{{Pool: "assistant/small", Account: key, Sum: 1}}}, nil)
 			}
 		}
 		b.ReportMetric(float64(heap()-before)/n, "B/account")
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -24,9 +24,9 @@
 	w := newTestFleet("north")
 	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
-	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
-	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(4)}, nil)
-	l.Report(w.now, "r1", w.routers[1].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(5)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(4)}, nil)
+	l.HandleReport(w.now, "r1", w.routers[1].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(5)}, nil)
 	checkServed(t, l, w.now, 15)
 }
 
@@ -36,11 +36,11 @@
 	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
 	previous := w.routers[0].incarnation
-	l.Report(w.now, "r0", previous, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
+	l.HandleReport(w.now, "r0", previous, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
 	w.restart(w.routers[0])
-	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(1)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(1)}, nil)
 	w.runWithoutFaults(2 * time.Minute)
-	l.Report(w.now, "r0", previous, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
+	l.HandleReport(w.now, "r0", previous, &pomelorelay.LedgerReport{Entries: entriesServed(10)}, nil)
 	checkServed(t, l, w.now, 11)
 }
 
@@ -60,17 +60,17 @@
 	}
 	sendFullReport := func(node int, value pomelorelay.Cost) {
 		r := w.routers[node]
-		l.Report(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entriesServed(value)}, nil)
+		l.HandleReport(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entriesServed(value)}, nil)
 	}
 	sendFullReport(0, 90)
 	lateComponent := &pomelorelay.LedgerComponent{Domain: "d0", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Sum: 100}}}
-	l.Component(w.now, w.hosts["d1"], lateComponent, nil)
+	l.HandleComponent(w.now, w.hosts["d1"], lateComponent, nil)
 	sendFullReport(1, 0)
 	sendFullReport(2, 0)
-	if _, ready := l.Hosts(0); !ready {
+	if _, ready := l.ShardStatus(0); !ready {
 		t.Fatal("rebuild is not complete after all routers reported")
 	}
-	l.Report(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(100)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].incarnation, &pomelorelay.LedgerReport{Entries: entriesServed(100)}, nil)
 	checkServed(t, l, w.now, 100)
 }
 
@@ -80,9 +80,9 @@
 	l := w.ledgers[w.hosts["d0"]]
 	w.held = nil
 	for _, r := range w.routers {
-		l.Report(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: 1, Entries: entriesServed(1)}, nil)
+		l.HandleReport(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: 1, Entries: entriesServed(1)}, nil)
 	}
-	if _, ready := l.Hosts(0); ready {
+	if _, ready := l.ShardStatus(0); ready {
 		t.Error("rebuild completed from answers to an earlier query")
 	}
 }
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// ComponentQuery answers another domain's host with all known components. The component of the querying domain is sent
+// HandleComponentQuery answers another domain's host with all known components. The component of the querying domain is sent
 // first and marked full, which completes this domain's answer.
-func (l *Ledger) ComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (l *Ledger) HandleComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
@@ -100,8 +100,8 @@
 	return pomelorelay.Outgoing{To: to, Message: m}
 }
 
-// Component merges a component received from another domain's host.
-func (l *Ledger) Component(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleComponent merges a component received from another domain's host.
+func (l *Ledger) HandleComponent(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
--- a/pomeloledger/reporter.go
+++ b/pomeloledger/reporter.go
@@ -12,8 +12,8 @@
 	Shards uint32
 	// Host returns the router that hosts a shard in this failure domain, or false when there is none.
 	Host func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool)
-	// Every is the interval between reports; 1 s when zero.
-	Every time.Duration
+	// Interval is the interval between reports; 1 s when zero.
+	Interval time.Duration
 	// ResendAfter is the time without an answer after which entries are sent again; 2 s when zero.
 	ResendAfter time.Duration
 	// MaxEntries limits the entries of an incremental report; 512 when zero. Full reports are not limited.
@@ -47,16 +47,16 @@
 
 // NewReporter returns a Reporter without entries.
 func NewReporter(cfg ReporterConfig) *Reporter {
-	setDefaultDuration(&cfg.Every, time.Second)
+	setDefaultDuration(&cfg.Interval, time.Second)
 	setDefaultDuration(&cfg.ResendAfter, 2*time.Second)
 	setDefaultCount(&cfg.MaxEntries, 512)
 	return &Reporter{cfg: cfg, shards: make(map[pomelorelay.ShardID]*reporterShard), entries: make(map[pomelorelay.LedgerKey]*trackedEntry)}
 }
 
-// SetEvery sets the interval between reports, effective after the next report; zero selects 1 s.
-func (r *Reporter) SetEvery(every time.Duration) {
+// SetInterval sets the interval between reports, effective after the next report; zero selects 1 s.
+func (r *Reporter) SetInterval(every time.Duration) {
 	setDefaultDuration(&every, time.Second)
-	r.cfg.Every = every
+	r.cfg.Interval = every
 }
 
 func (r *Reporter) shard(account pomelorelay.AccountID) *reporterShard {
@@ -70,8 +70,8 @@
 	return s
 }
 
-// Changed records entries whose cumulative service changed and marks them to be sent.
-func (r *Reporter) Changed(entries []pomelorelay.LedgerEntry) {
+// UpdateEntries records entries whose cumulative service changed and marks them to be sent.
+func (r *Reporter) UpdateEntries(entries []pomelorelay.LedgerEntry) {
 	for _, entry := range entries {
 		key := pomelorelay.LedgerKey{Pool: entry.Pool, Account: entry.Account}
 		e, ok := r.entries[key]
@@ -98,9 +98,9 @@
 	}
 }
 
-// Totals processes a host's answer and reports whether its entries are usable: the sender is the shard's current host
+// HandleTotals processes a host's answer and reports whether its entries are usable: the sender is the shard's current host
 // and has finished its rebuild.
-func (r *Reporter) Totals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
+func (r *Reporter) HandleTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
 	s, ok := r.shards[m.Shard]
 	if !ok || from != s.host {
 		return false
@@ -113,8 +113,8 @@
 	return m.Ready
 }
 
-// Query answers a host that rebuilds a shard with a full report.
-func (r *Reporter) Query(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleQuery answers a host that rebuilds a shard with a full report.
+func (r *Reporter) HandleQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	report := &pomelorelay.LedgerReport{Shard: m.Shard, Full: true, Round: m.Round}
 	r.seq++
 	report.Seq = r.seq
@@ -132,7 +132,7 @@
 	if now.Before(r.nextReport) {
 		return out
 	}
-	r.nextReport = now.Add(r.cfg.Every)
+	r.nextReport = now.Add(r.cfg.Interval)
 	for _, id := range r.order {
 		out = r.appendReport(now, id, out)
 	}
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -38,7 +38,7 @@
 	ledger     *pomeloledger.Ledger
 	reporter   *pomeloledger.Reporter
 	keeper     *pomeloclaim.Keeper
-	claimAsker *pomeloclaim.Asker
+	claimAsker *pomeloclaim.Requester
 	table      *pomeloquarantine.Table
 	arbiter    *pomeloquarantine.Arbiter
 	spreader   *pomeloconfig.Spreader
@@ -190,9 +190,9 @@
 	every := pomeloconfig.Pace(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
 	if now.Sub(c.ledgerAt) >= every {
 		c.ledgerAt = now
-		c.reporter.SetEvery(every)
+		c.reporter.SetInterval(every)
 		c.entries = c.queues.Changed(c.entries[:0])
-		c.reporter.Changed(c.entries)
+		c.reporter.UpdateEntries(c.entries)
 		c.keys = c.queues.Interest(c.keys[:0])
 		c.reporter.SetInterest(c.keys)
 	}
--- a/pomeloquarantine/admission.go
+++ b/pomeloquarantine/admission.go
@@ -116,9 +116,9 @@
 	out.send(node, &pomelorelay.SuspectAsk{Request: w.run.Request, Fingerprint: w.run.Fingerprint, Upstream: w.run.Upstream, Running: w.stage == stageAlreadyRunning})
 }
 
-// Answer handles an arbiter's answer. Answers about another upstream belong to an earlier attempt and are ignored:
+// HandleAnswer handles an arbiter's answer. Answers about another upstream belong to an earlier attempt and are ignored:
 // accepting one could let two suspects run on the same upstream.
-func (t *Table) Answer(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAnswer, out *Output) {
+func (t *Table) HandleAnswer(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAnswer, out *Output) {
 	w, ok := t.admissions[m.Request]
 	if !ok || w.run.Fingerprint != m.Fingerprint || w.run.Upstream != m.Upstream || w.awaitedArbiter != from || !m.Allowed {
 		return
--- a/pomeloquarantine/arbiter.go
+++ b/pomeloquarantine/arbiter.go
@@ -23,8 +23,8 @@
 	until       time.Time
 }
 
-// New returns an Arbiter without locks.
-func New(cfg Config) *Arbiter {
+// NewArbiter returns an Arbiter without locks.
+func NewArbiter(cfg Config) *Arbiter {
 	return &Arbiter{
 		cfg:           cfg.withDefaults(),
 		byFingerprint: make(map[pomelorelay.Fingerprint]*lock),
@@ -32,8 +32,8 @@
 	}
 }
 
-// Ask handles a router's request to run a suspect, or the renewal of its locks, and answers it.
-func (a *Arbiter) Ask(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk, out *Output) {
+// HandleAsk handles a router's request to run a suspect, or the renewal of its locks, and answers it.
+func (a *Arbiter) HandleAsk(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk, out *Output) {
 	answer := &pomelorelay.SuspectAnswer{Request: m.Request, Fingerprint: m.Fingerprint, Upstream: m.Upstream, Allowed: a.tryLock(now, from, m)}
 	if !answer.Allowed {
 		answer.Wait = a.cfg.AskInterval
@@ -107,8 +107,8 @@
 
 func (a *Arbiter) release(held *lock) { a.releaseMatching(held.sameHolder) }
 
-// Cleared releases the locks of a run that has ended.
-func (a *Arbiter) Cleared(from pomelorelay.NodeID, m *pomelorelay.SuspectCleared) {
+// HandleCleared releases the locks of a run that has ended.
+func (a *Arbiter) HandleCleared(from pomelorelay.NodeID, m *pomelorelay.SuspectCleared) {
 	a.release(&lock{node: from, fingerprint: m.Fingerprint, upstream: m.Upstream})
 }
 
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -108,7 +108,7 @@
 	cfg.FingerprintArbiter = func(pomelorelay.Fingerprint) (pomelorelay.NodeID, bool) { return "a", true }
 	cfg.UpstreamArbiter = func(pomelorelay.UpstreamID) (pomelorelay.NodeID, bool) { return "a", true }
 	cfg.Members = func() []pomelorelay.NodeID { return []pomelorelay.NodeID{"a", "b"} }
-	return &harness{table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.New(cfg), now: time.Unix(1_700_000_000, 0)}
+	return &harness{table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.NewArbiter(cfg), now: time.Unix(1_700_000_000, 0)}
 }
 
 // deliverMessages delivers the messages that the router sends to itself and returns the verdicts.
@@ -118,11 +118,11 @@
 		h.out.Messages = h.out.Messages[1:]
 		switch x := m.Message.(type) {
 		case *pomelorelay.SuspectAsk:
-			h.arbiter.Ask(h.now, "a", x, &h.out)
+			h.arbiter.HandleAsk(h.now, "a", x, &h.out)
 		case *pomelorelay.SuspectAnswer:
-			h.table.Answer(h.now, "a", x, &h.out)
+			h.table.HandleAnswer(h.now, "a", x, &h.out)
 		case *pomelorelay.SuspectCleared:
-			h.arbiter.Cleared("a", x)
+			h.arbiter.HandleCleared("a", x)
 		}
 	}
 	verdicts := h.out.Verdicts
@@ -150,9 +150,9 @@
 // A quarantine ends when it expires or when an operator lifts it. A late notice must not restore a lifted quarantine.
 func TestQuarantineExpiresAndCanBeLifted(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{QuarantineFor: time.Minute})
-	refused := func() bool { return h.table.Snapshot().Quarantined(h.now, 1) > 0 }
+	refused := func() bool { return h.table.Snapshot().QuarantineRemaining(h.now, 1) > 0 }
 	h.crash(1, 1, "u1")
-	if !h.table.Snapshot().Suspect(1) || refused() {
+	if !h.table.Snapshot().IsSuspect(1) || refused() {
 		t.Fatal("after one crash the request is not a suspect or is quarantined already")
 	}
 	h.crash(2, 1, "u2")
@@ -169,7 +169,7 @@
 	late := &pomelorelay.QuarantineNotice{Fingerprint: 1, Seq: uint64(h.now.UnixNano()), For: time.Minute}
 	h.now = h.now.Add(time.Second)
 	h.table.Lift(h.now, 1, &h.out)
-	h.table.Quarantine(h.now, late, &h.out)
+	h.table.HandleQuarantineNotice(h.now, late, &h.out)
 	if refused() {
 		t.Error("a late notice restored the lifted quarantine")
 	}
@@ -181,7 +181,7 @@
 	h := newHarness(pomeloquarantine.Config{})
 	ask := func(from pomelorelay.NodeID, p pomelorelay.Fingerprint, u pomelorelay.UpstreamID) bool {
 		var out pomeloquarantine.Output
-		h.arbiter.Ask(h.now, from, &pomelorelay.SuspectAsk{Fingerprint: p, Upstream: u}, &out)
+		h.arbiter.HandleAsk(h.now, from, &pomelorelay.SuspectAsk{Fingerprint: p, Upstream: u}, &out)
 		return out.Messages[0].Message.(*pomelorelay.SuspectAnswer).Allowed
 	}
 	steps := []struct {
@@ -239,8 +239,8 @@
 		c, ok := m.Message.(*pomelorelay.SuspectCleared)
 		notified = notified || (ok && m.To == "b" && c.Clean)
 	}
-	if !notified || h.table.Snapshot().Suspect(1) {
-		t.Errorf("notified %v, suspect %v", notified, h.table.Snapshot().Suspect(1))
+	if !notified || h.table.Snapshot().IsSuspect(1) {
+		t.Errorf("notified %v, suspect %v", notified, h.table.Snapshot().IsSuspect(1))
 	}
 }
 
@@ -251,16 +251,16 @@
 	h.crash(2, 1, "u2")
 	h.crash(3, 2, "u9")
 	other := newHarness(pomeloquarantine.Config{})
-	h.table.Joined(h.now, "b", &h.out)
+	h.table.MemberJoined(h.now, "b", &h.out)
 	for _, m := range h.out.Messages {
 		switch x := m.Message.(type) {
 		case *pomelorelay.QuarantineNotice:
-			other.table.Quarantine(h.now, x, &other.out)
+			other.table.HandleQuarantineNotice(h.now, x, &other.out)
 		case *pomelorelay.SuspectNotice:
-			other.table.Notice(h.now, x, &other.out)
+			other.table.HandleSuspectNotice(h.now, x, &other.out)
 		}
 	}
-	if s := other.table.Snapshot(); s.Quarantined(h.now, 1) == 0 || !s.Suspect(2) {
+	if s := other.table.Snapshot(); s.QuarantineRemaining(h.now, 1) == 0 || !s.IsSuspect(2) {
 		t.Errorf("the joined router has quarantines %+v, want fingerprint 1, and suspect 2", s.List())
 	}
 }
@@ -270,12 +270,12 @@
 	h := newHarness(pomeloquarantine.Config{MaxSuspects: 50, MaxQuarantined: 20})
 	for n := range 500 {
 		p := pomelorelay.Fingerprint(n)
-		h.table.Notice(h.now, &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(fmt.Sprint(n)), Fingerprints: []pomelorelay.Fingerprint{p}}, &h.out)
-		h.table.Quarantine(h.now, &pomelorelay.QuarantineNotice{Fingerprint: p + 1000, Seq: uint64(n + 1), For: time.Minute}, &h.out)
+		h.table.HandleSuspectNotice(h.now, &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(fmt.Sprint(n)), Fingerprints: []pomelorelay.Fingerprint{p}}, &h.out)
+		h.table.HandleQuarantineNotice(h.now, &pomelorelay.QuarantineNotice{Fingerprint: p + 1000, Seq: uint64(n + 1), For: time.Minute}, &h.out)
 	}
 	suspects := 0
 	for n := range 500 {
-		if h.table.Snapshot().Suspect(pomelorelay.Fingerprint(n)) {
+		if h.table.Snapshot().IsSuspect(pomelorelay.Fingerprint(n)) {
 			suspects++
 		}
 	}
--- a/pomeloquarantine/snapshot.go
+++ b/pomeloquarantine/snapshot.go
@@ -35,11 +35,11 @@
 	return s
 }
 
-// Suspect reports whether the fingerprint is a suspect, whose runs need Table.Check.
-func (s *Snapshot) Suspect(f pomelorelay.Fingerprint) bool { return s.suspects[f] }
+// IsSuspect reports whether the fingerprint is a suspect, whose runs need Table.Check.
+func (s *Snapshot) IsSuspect(f pomelorelay.Fingerprint) bool { return s.suspects[f] }
 
-// Quarantined returns the remaining duration of a fingerprint's quarantine, zero when there is none.
-func (s *Snapshot) Quarantined(now time.Time, f pomelorelay.Fingerprint) time.Duration {
+// QuarantineRemaining returns the remaining duration of a fingerprint's quarantine, zero when there is none.
+func (s *Snapshot) QuarantineRemaining(now time.Time, f pomelorelay.Fingerprint) time.Duration {
 	until, ok := s.quarantined[f]
 	if !ok {
 		return 0
@@ -63,8 +63,8 @@
 	return list
 }
 
-// Joined sends the suspects and quarantines that this router arbitrates to a router that has joined or rejoined the fleet.
-func (t *Table) Joined(now time.Time, node pomelorelay.NodeID, out *Output) {
+// MemberJoined sends the suspects and quarantines that this router arbitrates to a router that has joined or rejoined the fleet.
+func (t *Table) MemberJoined(now time.Time, node pomelorelay.NodeID, out *Output) {
 	for f, q := range t.quarantined {
 		if !t.arbitrates(f) {
 			continue
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -142,7 +142,7 @@
 	d := run.QuarantineFor
 	setDefaultDuration(&d, t.cfg.QuarantineFor)
 	m := &pomelorelay.QuarantineNotice{Fingerprint: run.Fingerprint, Seq: uint64(now.UnixNano()), For: d, Upstream: run.Upstream}
-	t.Quarantine(now, m, out)
+	t.HandleQuarantineNotice(now, m, out)
 	t.broadcast(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventQuarantined, pomelorelay.Field{Key: "Fingerprint", Value: run.Fingerprint}, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "For", Value: d})
 }
@@ -172,22 +172,22 @@
 	t.snapshot = nil
 }
 
-// Notice handles another router's notice of suspects.
-func (t *Table) Notice(now time.Time, m *pomelorelay.SuspectNotice, out *Output) {
+// HandleSuspectNotice handles another router's notice of suspects.
+func (t *Table) HandleSuspectNotice(now time.Time, m *pomelorelay.SuspectNotice, out *Output) {
 	if !t.crashAttributed(now, m.Upstream) {
 		t.addSuspects(now, m.Upstream, m.Fingerprints, out)
 	}
 }
 
-// Cleared handles a notice that a suspect ran without a crash.
-func (t *Table) Cleared(m *pomelorelay.SuspectCleared) {
+// HandleCleared handles a notice that a suspect ran without a crash.
+func (t *Table) HandleCleared(m *pomelorelay.SuspectCleared) {
 	if m.Clean {
 		t.removeSuspect(m.Fingerprint)
 	}
 }
 
-// Quarantine handles a notice of a quarantine or of its lifting; the latest notice of a fingerprint applies.
-func (t *Table) Quarantine(now time.Time, m *pomelorelay.QuarantineNotice, out *Output) {
+// HandleQuarantineNotice handles a notice of a quarantine or of its lifting; the latest notice of a fingerprint applies.
+func (t *Table) HandleQuarantineNotice(now time.Time, m *pomelorelay.QuarantineNotice, out *Output) {
 	if known, ok := t.quarantined[m.Fingerprint]; ok && known.seq >= m.Seq {
 		return
 	}
@@ -221,7 +221,7 @@
 // Lift ends a quarantine on all routers, at an operator's request.
 func (t *Table) Lift(now time.Time, f pomelorelay.Fingerprint, out *Output) {
 	m := &pomelorelay.QuarantineNotice{Fingerprint: f, Seq: uint64(now.UnixNano())}
-	t.Quarantine(now, m, out)
+	t.HandleQuarantineNotice(now, m, out)
 	t.broadcast(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventLifted, pomelorelay.Field{Key: "Fingerprint", Value: f})
 }
