--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -11,40 +11,40 @@
 	id     pomelorelay.AccountID
 	pool   *pool
 	weight pomelorelay.Weight
-	// own is what this router served, others what the rest of the fleet did.
-	own    pomelorelay.Tag
-	others pomelorelay.Tag
-	// ownStep and othersStep are how far own and others lately rose from one totals to the next.
-	ownStep    pomelorelay.Tag
-	othersStep pomelorelay.Tag
-	told       pomelorelay.Tag
-	// toldAt is when totals last came.
-	toldAt time.Time
+	// ownServed is what this router served, others what the rest of the fleet did.
+	ownServed    pomelorelay.Tag
+	othersServed pomelorelay.Tag
+	// ownIncrease and othersStep are how far own and others lately rose from one totals to the next.
+	ownIncrease    pomelorelay.Tag
+	othersIncrease pomelorelay.Tag
+	ownAtTotals    pomelorelay.Tag
+	// totalsAt is when totals last came.
+	totalsAt time.Time
 	// reported is the highest sum of own and pending that was reported.
 	reported pomelorelay.Tag
-	// base is own and pending at the last report.
-	base pomelorelay.Tag
-	lift pomelorelay.Tag
+	// chargedAtReport is own and pending at the last report.
+	chargedAtReport pomelorelay.Tag
+	lift            pomelorelay.Tag
 	// pending is the part of the admission charges that has not accrued yet.
 	pending pomelorelay.Tag
 	// floor plus own is the least place of an account whose fleet totals are being asked for.
-	floor    pomelorelay.Tag
-	asking   bool
-	dirty    bool
-	place    int
-	key      pomelorelay.Tag
-	mean     pomelorelay.Cost
-	first    *request
-	last     *request
-	waiting  int
-	running  int
-	bytes    pomelorelay.Bytes
-	lastPop  time.Time
-	interval time.Duration
+	floor          pomelorelay.Tag
+	awaitingTotals bool
+	dirty          bool
+	heapIndex      int
+	heapKey        pomelorelay.Tag
+	meanCost       pomelorelay.Cost
+	first          *request
+	last           *request
+	waiting        int
+	running        int
+	bytes          pomelorelay.Bytes
+	lastPop        time.Time
+	popInterval    time.Duration
 }
 
-// maxForecast bounds how many times its own charges a router takes the rest of the fleet's to be.
-const maxForecast = 16
+// maxForecastRatio bounds how many times its own charges a router takes the rest of the fleet's to be.
+const maxForecastRatio = 16
 
 // request is one caller's request, waiting or running.
 type request struct {
@@ -62,34 +62,34 @@
 }
 
 // served is the account's normalised service as this router knows it.
-func (a *account) served() pomelorelay.Tag { return a.own + a.others + a.lift }
+func (a *account) served() pomelorelay.Tag { return a.ownServed + a.othersServed + a.lift }
 
-// forecast is what the rest of the fleet has probably been charged since totals last came: as many times this router's
+// forecastOthers is what the rest of the fleet has probably been charged since totals last came: as many times this router's
 // own charges as it was lately. Every router sees the same account lowest until the next totals; if each made up for the
 // whole of its deficit, it would be seen to get as many times that as it has routers.
-func (a *account) forecast() pomelorelay.Tag {
-	since := a.own + a.pending - a.base
-	if since <= 0 || a.othersStep <= 0 {
+func (a *account) forecastOthers() pomelorelay.Tag {
+	since := a.ownServed + a.pending - a.chargedAtReport
+	if since <= 0 || a.othersIncrease <= 0 {
 		return 0
 	}
-	ratio := pomelorelay.Tag(maxForecast)
-	if a.othersStep < maxForecast*a.ownStep {
-		ratio = a.othersStep / a.ownStep
+	ratio := pomelorelay.Tag(maxForecastRatio)
+	if a.othersIncrease < maxForecastRatio*a.ownIncrease {
+		ratio = a.othersIncrease / a.ownIncrease
 	}
 	return ratio * since
 }
 
 // tag is the account's place.
 func (a *account) tag() pomelorelay.Tag {
-	served := a.served() + a.forecast()
-	if a.asking {
-		served = max(served, a.floor+a.own)
+	served := a.served() + a.forecastOthers()
+	if a.awaitingTotals {
+		served = max(served, a.floor+a.ownServed)
 	}
 	return served + a.pending
 }
 
-// release takes the rest of a running request's admission charge back.
-func (a *account) release(r *request) {
+// releaseCharge takes the rest of a running request's admission charge back.
+func (a *account) releaseCharge(r *request) {
 	a.pending -= r.pending
 	r.pending = 0
 	a.running--
@@ -108,7 +108,7 @@
 		a.last.next = r
 	}
 	a.last = r
-	a.count(r)
+	a.countWaiting(r)
 }
 
 func (a *account) prepend(r *request) {
@@ -119,10 +119,10 @@
 		a.first.prev = r
 	}
 	a.first = r
-	a.count(r)
+	a.countWaiting(r)
 }
 
-func (a *account) count(r *request) {
+func (a *account) countWaiting(r *request) {
 	a.waiting++
 	a.bytes += r.bytes
 	a.pool.waiting++
@@ -144,12 +144,12 @@
 	a.bytes -= r.bytes
 }
 
-// intervalShare is the weight of the newest interval between pops in its running mean.
-const intervalShare = 8
+// popIntervalDivisor is the weight of the newest interval between pops in its running mean.
+const popIntervalDivisor = 8
 
-func (a *account) notePop(now time.Time) {
+func (a *account) recordPop(now time.Time) {
 	if !a.lastPop.IsZero() {
-		a.interval += (now.Sub(a.lastPop) - a.interval) / intervalShare
+		a.popInterval += (now.Sub(a.lastPop) - a.popInterval) / popIntervalDivisor
 	}
 	a.lastPop = now
 }
--- a/pomelofair/ages.go
+++ b/pomelofair/agelist.go
@@ -1,20 +1,20 @@
 package pomelofair
 
-// appendAge links a request that was just pushed as the newest waiting one.
-func (q *Queues) appendAge(r *request) { q.linkAge(r, q.newest) }
+// appendByAge links a request that was just pushed as the newest waiting one.
+func (q *Queues) appendByAge(r *request) { q.linkByAge(r, q.newest) }
 
-// insertAge links a requeued request by the time at which it was pushed.
-func (q *Queues) insertAge(r *request) {
+// insertByAge links a requeued request by the time at which it was pushed.
+func (q *Queues) insertByAge(r *request) {
 	at := q.oldest
 	var before *request
 	for at != nil && at.pushed.Before(r.pushed) {
 		before, at = at, at.newer
 	}
-	q.linkAge(r, before)
+	q.linkByAge(r, before)
 }
 
-// linkAge links a request behind older, or as the oldest when older is nil.
-func (q *Queues) linkAge(r, older *request) {
+// linkByAge links a request behind older, or as the oldest when older is nil.
+func (q *Queues) linkByAge(r, older *request) {
 	r.older = older
 	if older == nil {
 		r.newer = q.oldest
@@ -30,7 +30,7 @@
 	}
 }
 
-func (q *Queues) removeAge(r *request) {
+func (q *Queues) unlinkByAge(r *request) {
 	if r.older == nil {
 		q.oldest = r.newer
 	} else {
--- a/pomelofair/bench_test.go
+++ b/pomelofair/bench_test.go
@@ -11,8 +11,8 @@
 
 const knownAccounts = 37_000
 
-// loaded returns queues that know 37,000 accounts, of which a tenth waits with two requests each.
-func loaded(b *testing.B) (*pomelofair.Queues, []pomelorelay.AccountID) {
+// newLoadedQueues returns queues that know 37,000 accounts, of which a tenth waits with two requests each.
+func newLoadedQueues(b *testing.B) (*pomelofair.Queues, []pomelorelay.AccountID) {
 	b.Helper()
 	q := pomelofair.New(pomelofair.Config{})
 	names := make([]pomelorelay.AccountID, knownAccounts)
@@ -23,7 +23,7 @@
 		if err := q.Push(start, pomelofair.Request{ID: id, Pool: pool, Account: names[i]}); err != nil {
 			b.Fatal(err)
 		}
-		fleet(q, names[i], pomelorelay.Cost(i%977), true)
+		setTotals(q, names[i], pomelorelay.Cost(i%977), true)
 	}
 	for range knownAccounts {
 		popped, _, _ := q.Pop(start, pool)
@@ -40,7 +40,7 @@
 }
 
 func BenchmarkPushPopFinish(b *testing.B) {
-	q, names := loaded(b)
+	q, names := newLoadedQueues(b)
 	entries := make([]pomelorelay.LedgerEntry, 0, knownAccounts)
 	id := pomelorelay.RequestID(1 << 30)
 	b.ReportAllocs()
@@ -57,7 +57,7 @@
 }
 
 func BenchmarkProgress(b *testing.B) {
-	q, _ := loaded(b)
+	q, _ := newLoadedQueues(b)
 	id, _, _ := q.Pop(start, pool)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -66,15 +66,15 @@
 }
 
 func BenchmarkSetFleet(b *testing.B) {
-	q, names := loaded(b)
+	q, names := newLoadedQueues(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		fleet(q, names[i*10%knownAccounts], pomelorelay.Cost(i), true)
+		setTotals(q, names[i*10%knownAccounts], pomelorelay.Cost(i), true)
 	}
 }
 
 func BenchmarkChanged(b *testing.B) {
-	q, names := loaded(b)
+	q, names := newLoadedQueues(b)
 	entries := make([]pomelorelay.LedgerEntry, 0, knownAccounts)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -87,7 +87,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	q, names := loaded(b)
+	q, names := newLoadedQueues(b)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
--- a/pomelofair/charge.go
+++ b/pomelofair/charge.go
@@ -6,21 +6,21 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// admit charges the admission fraction of the expected cost.
-func (q *Queues) admit(r *request) {
+// chargeAdmission charges the admission fraction of the expected cost.
+func (q *Queues) chargeAdmission(r *request) {
 	a := r.account
 	r.running = true
-	r.pending = (q.expected(r) * pomelorelay.Cost(q.cfg.Charge.AdmissionFraction)).Normalise(a.weight)
+	r.pending = (q.expectedCost(r) * pomelorelay.Cost(q.cfg.Charge.AdmissionFraction)).Normalise(a.weight)
 	a.pending += r.pending
 	a.running++
 }
 
-// expected is the account's mean cost, moved by the hint within bounds. An unbounded hint would let a caller choose its
+// expectedCost is the account's mean cost, moved by the hint within bounds. An unbounded hint would let a caller choose its
 // own place: one that says one for a thousand would be seen to hold every slot until its requests end.
-func (q *Queues) expected(r *request) pomelorelay.Cost {
-	mean := r.account.mean
+func (q *Queues) expectedCost(r *request) pomelorelay.Cost {
+	mean := r.account.meanCost
 	if mean == 0 {
-		mean = r.account.pool.mean
+		mean = r.account.pool.meanCost
 	}
 	if r.hint <= 0 {
 		return mean
@@ -36,7 +36,7 @@
 		return
 	}
 	q.accrue(r, accrued)
-	r.account.pool.lower(r.account)
+	r.account.pool.decreaseKey(r.account)
 }
 
 // accrue moves cost from pending to served; what goes beyond pending raises the tag.
@@ -47,11 +47,11 @@
 	a := r.account
 	step := (accrued - r.accrued).Normalise(a.weight)
 	r.accrued = accrued
-	a.own += step
+	a.ownServed += step
 	covered := min(step, r.pending)
 	r.pending -= covered
 	a.pending -= covered
-	q.mark(a)
+	q.markChanged(a)
 }
 
 // Finish settles a running request at its final cost and forgets it; a final cost under what has accrued counts as accrued.
@@ -62,14 +62,14 @@
 	}
 	a := r.account
 	q.accrue(r, final)
-	a.release(r)
+	a.releaseCharge(r)
 	if r.accrued > 0 { // one that never ran says nothing of what its like cost
-		q.learn(a, r.accrued)
+		q.updateMeans(a, r.accrued)
 	}
-	q.forget(r)
-	a.pool.lower(a)
+	q.recycle(r)
+	a.pool.decreaseKey(a)
 	if a.idle() {
-		q.mark(a)
+		q.markChanged(a)
 	}
 }
 
@@ -79,22 +79,22 @@
 		return
 	}
 	a := q.account(id, name)
-	a.own += cost.Normalise(a.weight)
-	q.mark(a)
+	a.ownServed += cost.Normalise(a.weight)
+	q.markChanged(a)
 }
 
-// learn moves the running means by the cost of a finished request.
-func (q *Queues) learn(a *account, cost pomelorelay.Cost) {
-	share := pomelorelay.Cost(q.cfg.Charge.MeanShare)
-	if a.mean == 0 {
-		a.mean = cost
+// updateMeans moves the running means by the cost of a finished request.
+func (q *Queues) updateMeans(a *account, cost pomelorelay.Cost) {
+	smoothing := pomelorelay.Cost(q.cfg.Charge.MeanSmoothing)
+	if a.meanCost == 0 {
+		a.meanCost = cost
 	} else {
-		a.mean += (cost - a.mean) * share
+		a.meanCost += (cost - a.meanCost) * smoothing
 	}
 	p := a.pool
-	if !p.meanSeen {
-		p.mean, p.meanSeen = cost, true
+	if !p.hasMeanCost {
+		p.meanCost, p.hasMeanCost = cost, true
 		return
 	}
-	p.mean += (cost - p.mean) * share
+	p.meanCost += (cost - p.meanCost) * smoothing
 }
--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -20,20 +20,20 @@
 	AdmissionFraction float64
 	// CatchUp is how far behind the virtual time a backlogged account may stay, in normalised cost; default 60.
 	CatchUp pomelorelay.Tag
-	// FirstCost is the expected cost before any request of the pool ended; default 1.
-	FirstCost pomelorelay.Cost
-	// MeanShare is the weight of the newest request in the running mean; default 0.125.
-	MeanShare float64
+	// InitialCost is the expected cost before any request of the pool ended; default 1.
+	InitialCost pomelorelay.Cost
+	// MeanSmoothing is the weight of the newest request in the running mean; default 0.125.
+	MeanSmoothing float64
 	// HintFactor bounds a caller's hint to between mean/HintFactor and mean*HintFactor; default 2.
 	HintFactor float64
 }
 
 // LimitOptions bounds what one account may have waiting in one pool at one router.
 type LimitOptions struct {
-	// Count is the number of waiting requests; default 256.
-	Count int
-	// Bytes is the sum of the bodies of waiting requests; default 16 MiB.
-	Bytes pomelorelay.Bytes
+	// MaxWaiting is the number of waiting requests; default 256.
+	MaxWaiting int
+	// MaxWaitingBytes is the sum of the bodies of waiting requests; default 16 MiB.
+	MaxWaitingBytes pomelorelay.Bytes
 	// Wait is the longest that a request waits; default 60 s.
 	Wait time.Duration
 }
@@ -50,12 +50,12 @@
 const (
 	defaultAdmissionFraction = 0.35
 	defaultCatchUp           = 60
-	defaultFirstCost         = 1
-	defaultMeanShare         = 0.125
+	defaultInitialCost       = 1
+	defaultMeanSmoothing     = 0.125
 	defaultHintFactor        = 2
-	defaultCount             = 256
-	defaultBytes             = 16 << 20
-	defaultWait              = 60 * time.Second
+	defaultMaxWaiting        = 256
+	defaultMaxWaitingBytes   = 16 << 20
+	defaultMaxWait           = 60 * time.Second
 )
 
 func (o ChargeOptions) withDefaults() ChargeOptions {
@@ -65,11 +65,11 @@
 	if o.CatchUp == 0 {
 		o.CatchUp = defaultCatchUp
 	}
-	if o.FirstCost == 0 {
-		o.FirstCost = defaultFirstCost
+	if o.InitialCost == 0 {
+		o.InitialCost = defaultInitialCost
 	}
-	if o.MeanShare == 0 {
-		o.MeanShare = defaultMeanShare
+	if o.MeanSmoothing == 0 {
+		o.MeanSmoothing = defaultMeanSmoothing
 	}
 	if o.HintFactor == 0 {
 		o.HintFactor = defaultHintFactor
@@ -78,14 +78,14 @@
 }
 
 func (o LimitOptions) withDefaults() LimitOptions {
-	if o.Count == 0 {
-		o.Count = defaultCount
+	if o.MaxWaiting == 0 {
+		o.MaxWaiting = defaultMaxWaiting
 	}
-	if o.Bytes == 0 {
-		o.Bytes = defaultBytes
+	if o.MaxWaitingBytes == 0 {
+		o.MaxWaitingBytes = defaultMaxWaitingBytes
 	}
 	if o.Wait == 0 {
-		o.Wait = defaultWait
+		o.Wait = defaultMaxWait
 	}
 	return o
 }
--- a/pomelofair/limits.go
+++ b/pomelofair/limits.go
@@ -30,7 +30,7 @@
 
 // retryAfter estimates when half of the account's queue will have been served.
 func (a *account) retryAfter() time.Duration {
-	estimate := a.interval * time.Duration(a.waiting) / 2
+	estimate := a.popInterval * time.Duration(a.waiting) / 2
 	return min(max(estimate, minRetryAfter), maxRetryAfter)
 }
 
--- a/pomelofair/pool.go
+++ b/pomelofair/pool.go
@@ -2,68 +2,68 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// noPlace is the place of an account that is not in the heap.
-const noPlace = -1
+// notInHeap is the place of an account that is not in the heap.
+const notInHeap = -1
 
 // pool keeps the waiting accounts in a heap by key. A key may be lower than its account's tag, never higher: tags
 // mostly rise, so a risen one is put right only when it reaches the top.
 type pool struct {
-	id       pomelorelay.PoolID
-	options  PoolOptions
-	accounts map[pomelorelay.AccountID]*account
-	order    []*account
-	heap     []*account
-	waiting  int
-	virtual  pomelorelay.Tag
-	told     bool
-	// crest is the highest virtual time so far, the own one or another domain's.
-	crest    pomelorelay.Tag
-	mean     pomelorelay.Cost
-	meanSeen bool
+	id              pomelorelay.PoolID
+	options         PoolOptions
+	accounts        map[pomelorelay.AccountID]*account
+	orderedAccounts []*account
+	heap            []*account
+	waiting         int
+	virtualTime     pomelorelay.Tag
+	virtualTimeSet  bool
+	// maxVirtualTime is the highest virtual time so far, the own one or another domain's.
+	maxVirtualTime pomelorelay.Tag
+	meanCost       pomelorelay.Cost
+	hasMeanCost    bool
 }
 
-// observe raises the virtual time while nobody tells it.
-func (p *pool) observe(tag pomelorelay.Tag) {
-	if !p.told && tag > p.virtual {
-		p.virtual = tag
+// raiseVirtualTime raises the virtual time while nobody tells it.
+func (p *pool) raiseVirtualTime(tag pomelorelay.Tag) {
+	if !p.virtualTimeSet && tag > p.virtualTime {
+		p.virtualTime = tag
 	}
 }
 
-// enter puts a waiting account into the heap, or right when it is there already.
-func (p *pool) enter(a *account) {
-	if a.place != noPlace {
-		p.lower(a)
+// insert puts a waiting account into the heap, or right when it is there already.
+func (p *pool) insert(a *account) {
+	if a.heapIndex != notInHeap {
+		p.decreaseKey(a)
 		return
 	}
-	a.key = a.tag()
-	a.place = len(p.heap)
+	a.heapKey = a.tag()
+	a.heapIndex = len(p.heap)
 	p.heap = append(p.heap, a)
-	p.up(a.place)
+	p.up(a.heapIndex)
 }
 
-// lower moves an account whose tag fell; a risen tag waits for lowest.
-func (p *pool) lower(a *account) {
-	if a.place == noPlace {
+// decreaseKey moves an account whose tag fell; a risen tag waits for lowest.
+func (p *pool) decreaseKey(a *account) {
+	if a.heapIndex == notInHeap {
 		return
 	}
-	if tag := a.tag(); tag < a.key {
-		a.key = tag
-		p.up(a.place)
+	if tag := a.tag(); tag < a.heapKey {
+		a.heapKey = tag
+		p.up(a.heapIndex)
 	}
 }
 
-// settle takes an account out of the heap when nothing of it waits.
-func (p *pool) settle(a *account) {
-	if a.waiting > 0 || a.place == noPlace {
-		p.lower(a)
+// removeIfEmpty takes an account out of the heap when nothing of it waits.
+func (p *pool) removeIfEmpty(a *account) {
+	if a.waiting > 0 || a.heapIndex == notInHeap {
+		p.decreaseKey(a)
 		return
 	}
-	i := a.place
+	i := a.heapIndex
 	last := len(p.heap) - 1
 	p.swap(i, last)
 	p.heap[last] = nil
 	p.heap = p.heap[:last]
-	a.place = noPlace
+	a.heapIndex = notInHeap
 	if i < last {
 		p.down(i)
 		p.up(i)
@@ -75,25 +75,25 @@
 	for {
 		a := p.heap[0]
 		tag := a.tag()
-		if tag <= a.key {
+		if tag <= a.heapKey {
 			return a
 		}
-		a.key = tag
+		a.heapKey = tag
 		p.down(0)
 	}
 }
 
 func (p *pool) less(i, j int) bool {
-	if p.heap[i].key != p.heap[j].key {
-		return p.heap[i].key < p.heap[j].key
+	if p.heap[i].heapKey != p.heap[j].heapKey {
+		return p.heap[i].heapKey < p.heap[j].heapKey
 	}
 	return p.heap[i].id < p.heap[j].id
 }
 
 func (p *pool) swap(i, j int) {
 	p.heap[i], p.heap[j] = p.heap[j], p.heap[i]
-	p.heap[i].place = i
-	p.heap[j].place = j
+	p.heap[i].heapIndex = i
+	p.heap[j].heapIndex = j
 }
 
 func (p *pool) up(i int) {
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -10,13 +10,13 @@
 type Queues struct {
 	cfg   Config
 	pools map[pomelorelay.PoolID]*pool
-	// order is by first use, so that the same calls always give the same answers.
-	order    []*pool
-	requests map[pomelorelay.RequestID]*request
-	changed  []*account
-	oldest   *request
-	newest   *request
-	free     *request
+	// orderedPools is by first use, so that the same calls always give the same answers.
+	orderedPools    []*pool
+	requests        map[pomelorelay.RequestID]*request
+	changedAccounts []*account
+	oldest          *request
+	newest          *request
+	freeRequests    *request
 }
 
 // New returns empty queues.
@@ -39,13 +39,13 @@
 	if err := q.checkLimits(a, r); err != nil {
 		return err
 	}
-	q.wake(now, a)
+	q.startBacklog(now, a)
 	req := q.newRequest()
 	req.id, req.account, req.bytes, req.hint, req.pushed = r.ID, a, r.Bytes, r.Hint, now
 	q.requests[r.ID] = req
 	a.append(req)
-	q.appendAge(req)
-	a.pool.enter(a)
+	q.appendByAge(req)
+	a.pool.insert(a)
 	return nil
 }
 
@@ -67,13 +67,13 @@
 	}
 	a := p.lowest()
 	tag := a.tag()
-	p.observe(tag)
-	a.notePop(now)
+	p.raiseVirtualTime(tag)
+	a.recordPop(now)
 	r := a.first
-	q.unqueue(r)
-	q.admit(r)
-	q.mark(a)
-	p.settle(a)
+	q.dequeue(r)
+	q.chargeAdmission(r)
+	q.markChanged(a)
+	p.removeIfEmpty(a)
 	return r.id, tag, true
 }
 
@@ -84,11 +84,11 @@
 		return
 	}
 	a := r.account
-	a.release(r)
+	a.releaseCharge(r)
 	r.accrued, r.running = 0, false
 	a.prepend(r)
-	q.insertAge(r)
-	a.pool.enter(a)
+	q.insertByAge(r)
+	a.pool.insert(a)
 }
 
 // Cancel forgets a waiting request; one that runs is left to Finish.
@@ -97,7 +97,7 @@
 	if r == nil || r.running {
 		return
 	}
-	q.drop(r)
+	q.dropWaiting(r)
 }
 
 // Expire appends the requests that waited past the bound and forgets them; each is to be refused with WaitError.
@@ -105,42 +105,42 @@
 	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.Wait {
 		r := q.oldest
 		out = append(out, r.id)
-		q.drop(r)
+		q.dropWaiting(r)
 	}
 	return out
 }
 
-// drop forgets a waiting request.
-func (q *Queues) drop(r *request) {
+// dropWaiting forgets a waiting request.
+func (q *Queues) dropWaiting(r *request) {
 	a := r.account
-	q.unqueue(r)
-	a.pool.settle(a)
-	q.forget(r)
+	q.dequeue(r)
+	a.pool.removeIfEmpty(a)
+	q.recycle(r)
 	if a.idle() {
-		q.mark(a)
+		q.markChanged(a)
 	}
 }
 
-// unqueue takes a waiting request out of its account's queue and the list by age.
-func (q *Queues) unqueue(r *request) {
+// dequeue takes a waiting request out of its account's queue and the list by age.
+func (q *Queues) dequeue(r *request) {
 	r.account.remove(r)
-	q.removeAge(r)
+	q.unlinkByAge(r)
 	r.account.pool.waiting--
 }
 
-// forget gives the request's memory back for the next one.
-func (q *Queues) forget(r *request) {
+// recycle gives the request's memory back for the next one.
+func (q *Queues) recycle(r *request) {
 	delete(q.requests, r.id)
-	*r = request{next: q.free}
-	q.free = r
+	*r = request{next: q.freeRequests}
+	q.freeRequests = r
 }
 
 func (q *Queues) newRequest() *request {
-	r := q.free
+	r := q.freeRequests
 	if r == nil {
 		return &request{}
 	}
-	q.free = r.next
+	q.freeRequests = r.next
 	*r = request{}
 	return r
 }
@@ -148,9 +148,9 @@
 func (q *Queues) pool(id pomelorelay.PoolID) *pool {
 	p := q.pools[id]
 	if p == nil {
-		p = &pool{id: id, accounts: make(map[pomelorelay.AccountID]*account), mean: q.cfg.Charge.FirstCost, options: q.poolOptions(PoolOptions{})}
+		p = &pool{id: id, accounts: make(map[pomelorelay.AccountID]*account), meanCost: q.cfg.Charge.InitialCost, options: q.poolOptions(PoolOptions{})}
 		q.pools[id] = p
-		q.order = append(q.order, p)
+		q.orderedPools = append(q.orderedPools, p)
 	}
 	return p
 }
@@ -159,9 +159,9 @@
 	p := q.pool(id)
 	a := p.accounts[name]
 	if a == nil {
-		a = &account{id: name, pool: p, place: noPlace, weight: q.weight(id, name)}
+		a = &account{id: name, pool: p, heapIndex: notInHeap, weight: q.weight(id, name)}
 		p.accounts[name] = a
-		p.order = append(p.order, a)
+		p.orderedAccounts = append(p.orderedAccounts, a)
 	}
 	return a
 }
@@ -176,8 +176,8 @@
 // SetWeights takes new shares; what was charged before stays as it was charged.
 func (q *Queues) SetWeights(w pomelorelay.Weights) {
 	q.cfg.Weights = w
-	for _, p := range q.order {
-		for _, a := range p.order {
+	for _, p := range q.orderedPools {
+		for _, a := range p.orderedAccounts {
 			a.weight = q.weight(p.id, a.id)
 		}
 	}
@@ -193,10 +193,10 @@
 		o.CatchUp = q.cfg.Charge.CatchUp
 	}
 	if o.Count == 0 {
-		o.Count = q.cfg.Limit.Count
+		o.Count = q.cfg.Limit.MaxWaiting
 	}
 	if o.Bytes == 0 {
-		o.Bytes = q.cfg.Limit.Bytes
+		o.Bytes = q.cfg.Limit.MaxWaitingBytes
 	}
 	return o
 }
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -12,11 +12,11 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// shares gives weights by account; others have one.
-type shares map[pomelorelay.AccountID]pomelorelay.Weight
+// accountWeights gives weights by account; others have one.
+type accountWeights map[pomelorelay.AccountID]pomelorelay.Weight
 
 // Weight implements pomelorelay.Weights.
-func (s shares) Weight(_ pomelorelay.PoolID, account pomelorelay.AccountID) pomelorelay.Weight {
+func (s accountWeights) Weight(_ pomelorelay.PoolID, account pomelorelay.AccountID) pomelorelay.Weight {
 	if w, found := s[account]; found {
 		return w
 	}
@@ -40,12 +40,12 @@
 	return tag
 }
 
-func fleet(q *pomelofair.Queues, account pomelorelay.AccountID, served pomelorelay.Cost, waiting bool) {
+func setTotals(q *pomelofair.Queues, account pomelorelay.AccountID, served pomelorelay.Cost, waiting bool) {
 	q.SetFleet(start, pomelorelay.LedgerEntry{Pool: pool, Account: account, Served: served, Waiting: waiting})
 }
 
-func lift(q *pomelofair.Queues, account pomelorelay.AccountID) pomelorelay.Tag {
-	for _, e := range q.All(nil) {
+func liftOf(q *pomelofair.Queues, account pomelorelay.AccountID) pomelorelay.Tag {
+	for _, e := range q.AllEntries(nil) {
 		if e.Account == account {
 			return e.Lift
 		}
@@ -53,8 +53,8 @@
 	return -1
 }
 
-func TestLowestAccountFirstAndInOrder(t *testing.T) {
-	q := pomelofair.New(pomelofair.Config{Weights: shares{"b": 2}})
+func TestLowestTagFirstAndFIFOWithinAccount(t *testing.T) {
+	q := pomelofair.New(pomelofair.Config{Weights: accountWeights{"b": 2}})
 	for i := 1; i <= 4; i++ {
 		push(t, q, i, "a")
 		push(t, q, 10+i, "b")
@@ -66,10 +66,10 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestQueueLimits(t *testing.T) {
 	// One account floods its router with more than it may have waiting. Without bounds of its own the flood would
 	// take the router's memory and everybody else's requests would be refused too.
-	q := pomelofair.New(pomelofair.Config{Limit: pomelofair.LimitOptions{Count: 2, Bytes: 100, Wait: time.Second}})
+	q := pomelofair.New(pomelofair.Config{Limit: pomelofair.LimitOptions{MaxWaiting: 2, MaxWaitingBytes: 100, Wait: time.Second}})
 	push(t, q, 1, "flood")
 	push(t, q, 2, "flood")
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestRequeueTakesTheChargeBack(t *testing.T) {
+func TestRequeueReversesCharge(t *testing.T) {
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "a")
 	push(t, q, 2, "a")
@@ -118,17 +118,17 @@
 	}
 }
 
-func TestIdleAccountBanksNoCredit(t *testing.T) {
+func TestIdleAccountGainsNoCredit(t *testing.T) {
 	// An account stays away while others are served, then comes back with many requests. If its unclaimed service
 	// counted, it alone would be served until it had caught up, and everybody else would see the fleet stand still.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "busy")
 	q.SetVirtual(pool, 500)
-	fleet(q, "busy", 500, true)
+	setTotals(q, "busy", 500, true)
 	push(t, q, 2, "back")
 	push(t, q, 3, "back")
-	fleet(q, "back", 20, false)
-	if got := lift(q, "back"); got != 480 {
+	setTotals(q, "back", 20, false)
+	if got := liftOf(q, "back"); got != 480 {
 		t.Errorf("lift %v, want 480", got)
 	}
 	tag, _, _ := q.Head(start, pool)
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestBacklogElsewhereKeepsItsPlaceWithinCatchUp(t *testing.T) {
+func TestBackloggedAccountKeepsItsTagWithinCatchUp(t *testing.T) {
 	// A backlogged account's callers come to a further router, or its router was cut off for long. It may catch up,
 	// but only by the bound: else the rejoin of a partition would be seen as one account taking every slot.
 	for _, c := range []struct {
@@ -148,14 +148,14 @@
 		push(t, q, 1, "first")
 		q.SetVirtual(pool, 500)
 		push(t, q, 2, "a")
-		fleet(q, "a", c.served, true)
-		if got := lift(q, "a"); got != c.lift {
+		setTotals(q, "a", c.served, true)
+		if got := liftOf(q, "a"); got != c.lift {
 			t.Errorf("served %v: lift %v, want %v", c.served, got, c.lift)
 		}
 	}
 }
 
-func TestColdRouterServesAtTheVirtualTime(t *testing.T) {
+func TestNewRouterStartsAtVirtualTime(t *testing.T) {
 	// A router starts with empty state. If it took every account as never served, it would serve in any order, and
 	// lifts computed from zero would later put accounts far ahead of what they had.
 	q := pomelofair.New(pomelofair.Config{})
@@ -172,38 +172,38 @@
 	if tag := pop(t, q, 3); tag != 305 {
 		t.Errorf("second tag %v, want 305: own service counts before totals come", tag)
 	}
-	if got := lift(q, "a"); got != 0 {
+	if got := liftOf(q, "a"); got != 0 {
 		t.Errorf("lift %v before totals came", got)
 	}
-	fleet(q, "a", 1000, false)
+	setTotals(q, "a", 1000, false)
 	if tag, _, _ := q.Head(start, pool); tag < 1000 {
 		t.Errorf("head %v after totals of 1000", tag)
 	}
 }
 
-func TestLateAndRepeatedTotalsLowerNothing(t *testing.T) {
+func TestStaleTotalsNeverLowerTag(t *testing.T) {
 	// Totals come late, twice, or from a ledger host that was replaced and has not heard everybody. A place that
 	// falls would be seen as an account served alone for a while.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "a")
 	for _, served := range []pomelorelay.Cost{100, 100, 40, 0} {
-		fleet(q, "a", served, true)
+		setTotals(q, "a", served, true)
 		if tag, _, _ := q.Head(start, pool); tag != 100 {
 			t.Errorf("head %v after totals of %v, want 100", tag, served)
 		}
 	}
 }
 
-func TestChangeOfWeightMovesNobody(t *testing.T) {
+func TestWeightChangeKeepsTag(t *testing.T) {
 	// An operator halves an account's share. If its whole past were divided by the new weight, its place would double
 	// and the account would wait until everybody else had doubled theirs.
-	weights := shares{"a": 2}
+	weights := accountWeights{"a": 2}
 	q := pomelofair.New(pomelofair.Config{Weights: weights})
 	push(t, q, 1, "a")
 	push(t, q, 2, "a")
 	pop(t, q, 1)
 	q.Finish(start, 1, 1000)
-	q.SetWeights(shares{"a": 1})
+	q.SetWeights(accountWeights{"a": 1})
 	if tag := pop(t, q, 2); tag != 500 {
 		t.Errorf("tag %v after the change, want 500", tag)
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestHintsMoveTheChargeWithinBounds(t *testing.T) {
+func TestHintEffectIsBounded(t *testing.T) {
 	// A caller hints at one thousandth, or a thousandfold, of what its requests cost.
 	for _, c := range []struct {
 		hint pomelorelay.Cost
--- a/pomelofair/random_test.go
+++ b/pomelofair/random_test.go
@@ -60,11 +60,11 @@
 	m.running[id] = 0
 }
 
-// one picks the lowest of the ids past a random one, so that a draw always means the same request.
-func one(t *rapid.T, most pomelorelay.RequestID, has func(pomelorelay.RequestID) bool) (pomelorelay.RequestID, bool) {
-	from := pomelorelay.RequestID(rapid.Uint64Range(0, uint64(most)).Draw(t, "from"))
-	for id := from; id <= most; id++ {
-		if has(id) {
+// pickRequest picks the lowest of the ids past a random one, so that a draw always means the same request.
+func pickRequest(t *rapid.T, maxID pomelorelay.RequestID, matches func(pomelorelay.RequestID) bool) (pomelorelay.RequestID, bool) {
+	from := pomelorelay.RequestID(rapid.Uint64Range(0, uint64(maxID)).Draw(t, "from"))
+	for id := from; id <= maxID; id++ {
+		if matches(id) {
 			return id, true
 		}
 	}
@@ -75,7 +75,7 @@
 func (m *queuesModel) isWaiting(id pomelorelay.RequestID) bool { _, ok := m.waiting[id]; return ok }
 
 func (m *queuesModel) progress(t *rapid.T) {
-	if id, ok := one(t, m.next, m.isRunning); ok {
+	if id, ok := pickRequest(t, m.next, m.isRunning); ok {
 		cost := pomelorelay.Cost(rapid.IntRange(0, 50).Draw(t, "accrued"))
 		m.q.Progress(m.now, id, cost)
 		m.running[id] = max(m.running[id], cost)
@@ -83,7 +83,7 @@
 }
 
 func (m *queuesModel) finish(t *rapid.T) {
-	if id, ok := one(t, m.next, m.isRunning); ok {
+	if id, ok := pickRequest(t, m.next, m.isRunning); ok {
 		cost := pomelorelay.Cost(rapid.IntRange(0, 50).Draw(t, "final"))
 		m.q.Finish(m.now, id, cost)
 		m.served += max(m.running[id], cost)
@@ -92,7 +92,7 @@
 }
 
 func (m *queuesModel) requeue(t *rapid.T) {
-	id, ok := one(t, m.next, m.isRunning)
+	id, ok := pickRequest(t, m.next, m.isRunning)
 	if ok && m.running[id] == 0 {
 		m.q.Requeue(m.now, id)
 		delete(m.running, id)
@@ -101,13 +101,13 @@
 }
 
 func (m *queuesModel) cancel(t *rapid.T) {
-	if id, ok := one(t, m.next, m.isWaiting); ok {
+	if id, ok := pickRequest(t, m.next, m.isWaiting); ok {
 		m.q.Cancel(m.now, id)
 		delete(m.waiting, id)
 	}
 }
 
-func (m *queuesModel) totals(t *rapid.T) {
+func (m *queuesModel) setTotals(t *rapid.T) {
 	_ = m.q.Changed(nil)
 	e := pomelorelay.LedgerEntry{
 		Pool:    pool,
@@ -119,7 +119,7 @@
 	m.q.SetFleet(m.now, e)
 }
 
-func TestNothingIsLostOrServedOutOfOrder(t *testing.T) {
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queuesModel{
 			q: pomelofair.New(pomelofair.Config{}), now: start,
@@ -128,7 +128,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": m.push, "pop": m.pop, "progress": m.progress, "finish": m.finish,
-			"requeue": m.requeue, "cancel": m.cancel, "totals": m.totals,
+			"requeue": m.requeue, "cancel": m.cancel, "totals": m.setTotals,
 			"": func(t *rapid.T) { m.check(t) },
 		})
 	})
@@ -144,7 +144,7 @@
 		accrued += cost
 	}
 	reported := pomelorelay.Cost(0)
-	for _, e := range m.q.All(nil) {
+	for _, e := range m.q.AllEntries(nil) {
 		reported += e.Served
 	}
 	if reported < accrued-1e-6 {
--- a/pomeloslot/bench_test.go
+++ b/pomeloslot/bench_test.go
@@ -11,12 +11,12 @@
 
 // BenchmarkGrant is a request's whole way through an owner with 60 routers waiting: the grant, its use and its end.
 func BenchmarkGrant(b *testing.B) {
-	o := owning(8)
+	o := newOwnerOfUpstream(8)
 	var out []pomelorelay.Outgoing
 	for i := range 60 {
 		out = o.Demand(start, pomelorelay.NodeID(fmt.Sprintf("r%02d", i)), demand(1, pomelorelay.Tag(i), 1<<30), out)
 	}
-	first, to := granted(out)
+	first, to := grantsIn(out)
 	out = make([]pomelorelay.Outgoing, 0, 16)
 	m := pomelorelay.GrantReply{Upstream: "u", Head: 1, Waiting: 1 << 30}
 	id, node, seq := first[0], to[0], uint64(10)
@@ -37,7 +37,7 @@
 
 // BenchmarkDemand is a registration's refresh at an owner.
 func BenchmarkDemand(b *testing.B) {
-	o := owning(8)
+	o := newOwnerOfUpstream(8)
 	o.Demand(start, "a", demand(1, 1, 100), nil)
 	m := demand(2, 5, 100)
 	out := make([]pomelorelay.Outgoing, 0, 16)
@@ -50,7 +50,7 @@
 
 // BenchmarkRegister is an asker's choice among 100 owners.
 func BenchmarkRegister(b *testing.B) {
-	a := newAsker()
+	a := newRequester()
 	var digests []pomelorelay.SlotDigest
 	for i := range 100 {
 		digests = append(digests, digest(pomelorelay.UpstreamID(fmt.Sprintf("u%03d", i)), "a", pomelorelay.Tag(i*7%31), 0))
@@ -67,20 +67,20 @@
 
 // BenchmarkTable runs the design's table on virtual time and reports the gap, the utilisation and the control bytes of each seed.
 func BenchmarkTable(b *testing.B) {
-	for seed := range uint64(tableSeeds) {
+	for seed := range uint64(referenceSeeds) {
 		b.Run(fmt.Sprintf("Seed%d", seed+1), func(b *testing.B) {
 			for b.Loop() {
-				f := newFleet(tableConfig(seed + 1))
-				reportFleet(b, f, f.measure(warm, tableSpan, nil))
+				f := newFleet(referenceConfig(seed + 1))
+				reportFleet(b, f, f.measure(warmUp, referenceSpan, nil))
 			}
 		})
 	}
 	b.Run("FixedShares", func(b *testing.B) {
 		for b.Loop() {
-			cfg := tableConfig(1)
-			cfg.local = true
+			cfg := referenceConfig(1)
+			cfg.fixedShares = true
 			f := newFleet(cfg)
-			reportFleet(b, f, f.measure(warm, tableSpan, nil))
+			reportFleet(b, f, f.measure(warmUp, referenceSpan, nil))
 		}
 	})
 }
--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -8,23 +8,23 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// suspicion is how long the fleet takes to find that a router is dead.
-const suspicion = 1500 * time.Millisecond
+// detectionTime is how long the fleet takes to find that a router is dead.
+const detectionTime = 1500 * time.Millisecond
 
-// kill ends a router; its requests end with it, and the others take its upstreams over when they find it dead.
-func (f *fleet) kill(i int) {
-	f.account()
+// killRouter ends a router; its requests end with it, and the others take its upstreams over when they find it dead.
+func (f *fleet) killRouter(i int) {
+	f.updateBusy()
 	f.routers[i].dead = true
 	for _, u := range f.upstreams {
 		for x := range u.runs {
 			if f.routers[i].runs[x.id] == x {
 				delete(u.runs, x)
 				f.running--
-				f.perAccount[x.account]--
+				f.runningByAccount[x.account]--
 			}
 		}
 	}
-	f.after(suspicion, func() { f.takeOver(i) })
+	f.after(detectionTime, func() { f.takeOver(i) })
 }
 
 func (f *fleet) takeOver(dead int) {
@@ -35,13 +35,13 @@
 	}
 	for i, u := range f.upstreams {
 		if u.owner == dead {
-			f.own(i, (dead+1+i)%f.cfg.routers)
+			f.assignOwner(i, (dead+1+i)%f.cfg.routers)
 		}
 	}
 }
 
-// busyAfter returns how long after now each of the upstreams that a router owned had all its slots taken at some moment.
-func (f *fleet) busyAfter(owner int, span time.Duration) time.Duration {
+// timeUntilBusy returns how long after now each of the upstreams that a router owned had all its slots taken at some moment.
+func (f *fleet) timeUntilBusy(owner int, span time.Duration) time.Duration {
 	var owned []*testUpstream
 	for _, u := range f.upstreams {
 		if u.owner == owner {
@@ -51,7 +51,7 @@
 	begin := f.now
 	full := make(map[*testUpstream]bool)
 	for f.now.Sub(begin) < span {
-		f.until(f.now.Add(10 * time.Millisecond).Sub(f.start))
+		f.runUntil(f.now.Add(10 * time.Millisecond).Sub(f.start))
 		for _, u := range owned {
 			free := f.cfg.slots - len(u.runs)
 			full[u] = full[u] || free <= 0 && u.owner != owner
@@ -67,93 +67,93 @@
 	return span
 }
 
-func TestOwnerKilled(t *testing.T) {
+func TestSlotsAreGrantedAfterOwnerDies(t *testing.T) {
 	// A router dies that owned upstreams and ran requests. Its upstreams' slots come free and nobody grants them: callers
 	// wait while slots idle, until another owner has taken over and knows what runs there.
-	for seed := range uint64(tableSeeds) {
-		cfg := tableConfig(seed + 1)
+	for seed := range uint64(referenceSeeds) {
+		cfg := referenceConfig(seed + 1)
 		for i := range cfg.accounts {
 			cfg.accounts[i].routers = []int{0, 1, 2, 3, 4, 5, 6, 7}
 		}
 		f := newFleet(cfg)
-		f.until(30 * time.Second)
-		f.kill(1)
-		took := f.busyAfter(1, 20*time.Second)
-		t.Logf("seed %d: busy again %v after the kill, detection %v", seed+1, took, suspicion)
+		f.runUntil(30 * time.Second)
+		f.killRouter(1)
+		took := f.timeUntilBusy(1, 20*time.Second)
+		t.Logf("seed %d: busy again %v after the kill, detection %v", seed+1, took, detectionTime)
 		if took > 3*time.Second {
 			t.Errorf("seed %d: busy again %v after the kill", seed+1, took)
 		}
 		for _, u := range f.upstreams {
-			if u.most > cfg.slots {
-				t.Errorf("%s ran %d requests on %d slots", u.id, u.most, cfg.slots)
+			if u.maxRunning > cfg.slots {
+				t.Errorf("%s ran %d requests on %d slots", u.id, u.maxRunning, cfg.slots)
 			}
 		}
 	}
 }
 
-func TestMessagesAreLost(t *testing.T) {
+func TestUtilisationUnderMessageLoss(t *testing.T) {
 	// One control message in a hundred is lost. A slot whose grant or reply is lost would stay taken for ever, and after
 	// some minutes callers would wait at upstreams that run nothing.
-	cfg := tableConfig(1)
-	cfg.drop = 0.01
+	cfg := referenceConfig(1)
+	cfg.dropFraction = 0.01
 	f := newFleet(cfg)
-	m := f.measure(warm, time.Minute, nil)
+	m := f.measure(warmUp, time.Minute, nil)
 	t.Logf("utilisation %.4f, gap %.1f / %.1f", m.utilisation, m.median, m.highest)
 	if m.utilisation < 0.98 {
 		t.Errorf("utilisation %.4f", m.utilisation)
 	}
 	for _, u := range f.upstreams {
-		if u.most > cfg.slots+1 {
-			t.Errorf("%s ran %d requests on %d slots", u.id, u.most, cfg.slots)
+		if u.maxRunning > cfg.slots+1 {
+			t.Errorf("%s ran %d requests on %d slots", u.id, u.maxRunning, cfg.slots)
 		}
 	}
 }
 
-func TestIdleSlotMeetsWaitingRequest(t *testing.T) {
+func TestRequestAtIdleFleetIsGrantedPromptly(t *testing.T) {
 	// A request arrives at a quiet fleet. It must not wait for a timer while slots idle.
-	cfg := tableConfig(1)
+	cfg := referenceConfig(1)
 	for i := range cfg.accounts {
-		cfg.accounts[i].depth = 0
+		cfg.accounts[i].queueDepth = 0
 	}
 	f := newFleet(cfg)
-	f.until(5 * time.Second)
+	f.runUntil(5 * time.Second)
 	slowest := time.Duration(0)
 	for i := range 100 {
-		f.until(5*time.Second + time.Duration(i)*1037*time.Millisecond)
+		f.runUntil(5*time.Second + time.Duration(i)*1037*time.Millisecond)
 		r := f.routers[i%len(f.routers)]
 		began := f.now
 		f.push(r, i%16)
 		id := r.nextID
-		f.heads(r)
+		f.updateDemand(r)
 		for f.now.Sub(began) < time.Second && (r.runs[id] == nil || f.now.Before(r.runs[id].started)) {
-			f.until(f.now.Add(100 * time.Microsecond).Sub(f.start))
+			f.runUntil(f.now.Add(100 * time.Microsecond).Sub(f.start))
 		}
 		slowest = max(slowest, f.now.Sub(began))
 	}
-	t.Logf("slowest %v; 3 one-way latencies are %v, a digest %v", slowest, 3*linkTime, cfg.digest)
-	if slowest > 3*linkTime+cfg.digest {
+	t.Logf("slowest %v; 3 one-way latencies are %v, a digest %v", slowest, 3*linkLatency, cfg.digestInterval)
+	if slowest > 3*linkLatency+cfg.digestInterval {
 		t.Errorf("slowest %v", slowest)
 	}
 }
 
-func TestWholeFleetStartsAtOnce(t *testing.T) {
+func TestFleetStartSpreadsRegistrations(t *testing.T) {
 	// Every router starts at the same moment with requests waiting. If all registered at once, owners would be seen to
 	// get all registrations within a millisecond.
-	cfg := tableConfig(1)
+	cfg := referenceConfig(1)
 	f := newFleet(cfg)
-	most := 0
+	maxPerMillisecond := 0
 	for ms := range 1000 {
-		before := f.messages["Demand"]
-		f.until(time.Duration(ms) * time.Millisecond)
-		most = max(most, f.messages["Demand"]-before)
+		before := f.messageCounts["Demand"]
+		f.runUntil(time.Duration(ms) * time.Millisecond)
+		maxPerMillisecond = max(maxPerMillisecond, f.messageCounts["Demand"]-before)
 	}
-	t.Logf("at most %d registrations within a millisecond", most)
-	if most > 12 {
-		t.Errorf("%d registrations within a millisecond", most)
+	t.Logf("at most %d registrations within a millisecond", maxPerMillisecond)
+	if maxPerMillisecond > 12 {
+		t.Errorf("%d registrations within a millisecond", maxPerMillisecond)
 	}
 }
 
-func TestTwoOwnersAtOnce(t *testing.T) {
+func TestTwoOwnersStayWithinLimit(t *testing.T) {
 	// Two routers believe that they own an upstream, as they may for seconds after a partition heals. Without the
 	// upstream's own report, each would grant the whole limit, and first tokens would come late for everybody there.
 	owners := []*pomeloslot.Owner{newOwner("r1"), newOwner("r2")}
--- a/pomeloslot/fleet_test.go
+++ b/pomeloslot/fleet_test.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	testPool = pomelorelay.PoolID("assistant")
-	linkTime = 500 * time.Microsecond
+	testPool    = pomelorelay.PoolID("assistant")
+	linkLatency = 500 * time.Microsecond
 )
 
 // testAccount is an account that keeps some requests waiting at each of its routers.
 type testAccount struct {
-	id      pomelorelay.AccountID
-	weight  float64
-	mean    float64
-	hint    float64
-	depth   int
-	routers []int
+	id         pomelorelay.AccountID
+	weight     float64
+	meanCost   float64
+	costHint   float64
+	queueDepth int
+	routers    []int
 }
 
 // fleetConfig sets up a fleet on virtual time.
 type fleetConfig struct {
-	seed      uint64
-	routers   int
-	upstreams int
-	slots     int
-	accounts  []testAccount
-	ledger    time.Duration
-	digest    time.Duration
-	progress  time.Duration
-	sigma     float64
-	maxCost   float64
-	charge    pomelofair.ChargeOptions
-	asker     pomeloslot.RegistrationOptions
-	grant     pomeloslot.GrantOptions
-	// local makes each router serve its own fixed share of the slots, the baseline without any coordination.
-	local bool
-	// drop is the part of the control messages that is lost.
-	drop float64
+	seed             uint64
+	routers          int
+	upstreams        int
+	slots            int
+	accounts         []testAccount
+	ledgerInterval   time.Duration
+	digestInterval   time.Duration
+	progressInterval time.Duration
+	sigma            float64
+	maxCost          float64
+	charge           pomelofair.ChargeOptions
+	registration     pomeloslot.RegistrationOptions
+	grant            pomeloslot.GrantOptions
+	// fixedShares makes each router serve its own fixed share of the slots, the baseline without any coordination.
+	fixedShares bool
+	// dropFraction is the part of the control messages that is lost.
+	dropFraction float64
 }
 
 type event struct {
-	at  time.Time
-	seq int
-	do  func()
+	at     time.Time
+	seq    int
+	action func()
 }
 
 type eventHeap []event
@@ -85,23 +85,23 @@
 }
 
 type testUpstream struct {
-	id    pomelorelay.UpstreamID
-	runs  map[*run]bool
-	owner int
-	most  int
+	id         pomelorelay.UpstreamID
+	runs       map[*run]bool
+	owner      int
+	maxRunning int
 }
 
 type testRouter struct {
-	index  int
-	node   pomelorelay.NodeID
-	queues *pomelofair.Queues
-	owner  *pomeloslot.Owner
-	asker  *pomeloslot.Asker
-	runs   map[pomelorelay.RequestID]*run
-	starts map[pomelorelay.RequestID]int
-	nextID pomelorelay.RequestID
-	dead   bool
-	mine   int
+	index        int
+	node         pomelorelay.NodeID
+	queues       *pomelofair.Queues
+	owner        *pomeloslot.Owner
+	requester    *pomeloslot.Asker
+	runs         map[pomelorelay.RequestID]*run
+	accountOf    map[pomelorelay.RequestID]int
+	nextID       pomelorelay.RequestID
+	dead         bool
+	localRunning int
 }
 
 // testLedger holds what each router reported last of each account.
@@ -109,32 +109,32 @@
 
 // fleet is the event loop with the routers, the upstreams and a ledger modelled as a period.
 type fleet struct {
-	cfg       fleetConfig
-	random    *rand.Rand
-	now       time.Time
-	start     time.Time
-	events    eventHeap
-	seq       int
-	routers   []*testRouter
-	byNode    map[pomelorelay.NodeID]*testRouter
-	upstreams []*testUpstream
-	served    []float64 // delivered by requests that ended
-	ledger    testLedger
-	// cut parts the routers below it from the rest, which then have a ledger of their own.
-	cut       int
-	cutLedger testLedger
-	busy      float64
-	busyAt    time.Time
-	running   int
-	messages  map[string]int
-	// pushed and waits are kept of requests that arrive at random.
-	pushed     map[testRequest]time.Time
-	waits      []time.Duration
-	bytes      int
-	largest    float64
-	perAccount []int
-	inFlight   int
-	weights    map[pomelorelay.AccountID]pomelorelay.Weight
+	cfg           fleetConfig
+	rng           *rand.Rand
+	now           time.Time
+	start         time.Time
+	events        eventHeap
+	seq           int
+	routers       []*testRouter
+	routersByNode map[pomelorelay.NodeID]*testRouter
+	upstreams     []*testUpstream
+	served        []float64 // delivered by requests that ended
+	ledger        testLedger
+	// partitionAt parts the routers below it from the rest, which then have a ledger of their own.
+	partitionAt     int
+	partitionLedger testLedger
+	busySlotSeconds float64
+	busyUpdatedAt   time.Time
+	running         int
+	messageCounts   map[string]int
+	// pushedAt and waits are kept of requests that arrive at random.
+	pushedAt         map[testRequest]time.Time
+	waits            []time.Duration
+	bytes            int
+	largestCost      float64
+	runningByAccount []int
+	maxInFlight      int
+	weights          map[pomelorelay.AccountID]pomelorelay.Weight
 }
 
 // Weight implements pomelorelay.Weights.
@@ -144,18 +144,18 @@
 
 func newFleet(cfg fleetConfig) *fleet {
 	f := &fleet{
-		cfg:        cfg,
-		random:     rand.New(rand.NewPCG(cfg.seed, 1)),
-		start:      time.Unix(1_000_000, 0),
-		served:     make([]float64, len(cfg.accounts)),
-		perAccount: make([]int, len(cfg.accounts)),
-		ledger:     make(testLedger),
-		messages:   make(map[string]int),
-		byNode:     make(map[pomelorelay.NodeID]*testRouter),
-		pushed:     make(map[testRequest]time.Time),
-		weights:    make(map[pomelorelay.AccountID]pomelorelay.Weight),
+		cfg:              cfg,
+		rng:              rand.New(rand.NewPCG(cfg.seed, 1)),
+		start:            time.Unix(1_000_000, 0),
+		served:           make([]float64, len(cfg.accounts)),
+		runningByAccount: make([]int, len(cfg.accounts)),
+		ledger:           make(testLedger),
+		messageCounts:    make(map[string]int),
+		routersByNode:    make(map[pomelorelay.NodeID]*testRouter),
+		pushedAt:         make(map[testRequest]time.Time),
+		weights:          make(map[pomelorelay.AccountID]pomelorelay.Weight),
 	}
-	f.now, f.busyAt = f.start, f.start
+	f.now, f.busyUpdatedAt = f.start, f.start
 	for _, a := range cfg.accounts {
 		f.weights[a.id] = pomelorelay.Weight(a.weight)
 		f.ledger[a.id] = make(map[int]pomelorelay.LedgerEntry)
@@ -163,17 +163,17 @@
 	for i := range cfg.routers {
 		r := f.newRouter(i)
 		f.routers = append(f.routers, r)
-		f.byNode[r.node] = r
+		f.routersByNode[r.node] = r
 	}
 	for i := range cfg.upstreams {
 		u := &testUpstream{id: pomelorelay.UpstreamID(fmt.Sprintf("u%03d", i)), runs: make(map[*run]bool), owner: i % cfg.routers}
 		f.upstreams = append(f.upstreams, u)
-		if !cfg.local {
-			f.own(i, u.owner)
+		if !cfg.fixedShares {
+			f.assignOwner(i, u.owner)
 		}
 	}
 	for i := range f.routers {
-		f.begin(f.routers[i])
+		f.startRouter(f.routers[i])
 	}
 	return f
 }
@@ -186,30 +186,30 @@
 		node:   node,
 		queues: pomelofair.New(pomelofair.Config{Weights: f, Charge: f.cfg.charge}),
 		owner:  pomeloslot.NewOwner(pomeloslot.OwnerConfig{Node: node, Domain: "a", Incarnation: incarnation, Grant: f.cfg.grant}),
-		asker: pomeloslot.NewAsker(pomeloslot.AskerConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
-			Registration: f.cfg.asker}),
-		runs:   make(map[pomelorelay.RequestID]*run),
-		starts: make(map[pomelorelay.RequestID]int),
+		requester: pomeloslot.NewAsker(pomeloslot.AskerConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
+			Registration: f.cfg.registration}),
+		runs:      make(map[pomelorelay.RequestID]*run),
+		accountOf: make(map[pomelorelay.RequestID]int),
 	}
 }
 
-// begin fills a router's queues and starts its timers, a little apart from the other routers'.
-func (f *fleet) begin(r *testRouter) {
+// startRouter fills a router's queues and starts its timers, a little apart from the other routers'.
+func (f *fleet) startRouter(r *testRouter) {
 	for a := range f.cfg.accounts {
 		f.refill(r, a)
 	}
 	offset := time.Duration(r.index) * 7 * time.Millisecond
-	f.every(r, offset, f.cfg.progress, func() { f.progress(r) })
-	f.every(r, f.cfg.ledger*time.Duration(r.index)/time.Duration(f.cfg.routers), f.cfg.ledger, func() { f.exchange(r) })
-	if f.cfg.local {
+	f.every(r, offset, f.cfg.progressInterval, func() { f.reportProgress(r) })
+	f.every(r, f.cfg.ledgerInterval*time.Duration(r.index)/time.Duration(f.cfg.routers), f.cfg.ledgerInterval, func() { f.exchangeLedger(r) })
+	if f.cfg.fixedShares {
 		f.serveLocally(r)
 		return
 	}
-	f.every(r, offset, f.cfg.digest, func() { f.publish(r) })
+	f.every(r, offset, f.cfg.digestInterval, func() { f.publishDigests(r) })
 	f.every(r, offset, 50*time.Millisecond, func() { f.tick(r) })
 }
 
-func (f *fleet) own(upstream, router int) {
+func (f *fleet) assignOwner(upstream, router int) {
 	f.upstreams[upstream].owner = router
 	var peers []pomelorelay.NodeID
 	for _, r := range f.routers {
@@ -222,46 +222,46 @@
 	f.send(r, r.owner.Own(f.now, up, peers, nil))
 }
 
-func (f *fleet) at(t time.Time, do func()) {
+func (f *fleet) schedule(t time.Time, action func()) {
 	f.seq++
-	heap.Push(&f.events, event{t, f.seq, do})
+	heap.Push(&f.events, event{t, f.seq, action})
 }
 
-func (f *fleet) after(d time.Duration, do func()) { f.at(f.now.Add(d), do) }
+func (f *fleet) after(d time.Duration, action func()) { f.schedule(f.now.Add(d), action) }
 
-func (f *fleet) every(r *testRouter, offset, period time.Duration, do func()) {
+func (f *fleet) every(r *testRouter, offset, period time.Duration, action func()) {
 	var step func()
 	step = func() {
 		if r.dead {
 			return
 		}
-		do()
+		action()
 		f.after(period, step)
 	}
 	f.after(offset%period, step)
 }
 
-// until runs the events up to a time since the start.
-func (f *fleet) until(d time.Duration) {
+// runUntil runs the events up to a time since the start.
+func (f *fleet) runUntil(d time.Duration) {
 	end := f.start.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
-		e.do()
+		e.action()
 	}
 	f.now = end
 }
 
 func (f *fleet) tick(r *testRouter) {
-	r.queues.SetVirtual(testPool, r.asker.Virtual(testPool))
+	r.queues.SetVirtual(testPool, r.requester.Virtual(testPool))
 	f.send(r, r.owner.Tick(f.now, nil))
-	f.heads(r)
-	f.send(r, r.asker.Tick(f.now, nil))
+	f.updateDemand(r)
+	f.send(r, r.requester.Tick(f.now, nil))
 }
 
-func (f *fleet) heads(r *testRouter) {
+func (f *fleet) updateDemand(r *testRouter) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.asker.Heads(f.now, []pomeloslot.PoolHead{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
+	f.send(r, r.requester.Heads(f.now, []pomeloslot.PoolHead{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
 }
 
 // refill keeps an account's depth of requests waiting at a router.
@@ -271,26 +271,26 @@
 	for _, i := range account.routers {
 		here = here || i == r.index
 	}
-	for here && r.starts[pomelorelay.RequestID(1<<40+a)] < account.depth {
-		r.starts[pomelorelay.RequestID(1<<40+a)]++
+	for here && r.accountOf[pomelorelay.RequestID(1<<40+a)] < account.queueDepth {
+		r.accountOf[pomelorelay.RequestID(1<<40+a)]++
 		f.push(r, a)
 	}
 }
 
 func (f *fleet) push(r *testRouter, a int) {
 	r.nextID++
-	r.starts[r.nextID] = a
+	r.accountOf[r.nextID] = a
 	account := &f.cfg.accounts[a]
-	err := r.queues.Push(f.now, pomelofair.Request{ID: r.nextID, Pool: testPool, Account: account.id, Hint: pomelorelay.Cost(account.hint)})
+	err := r.queues.Push(f.now, pomelofair.Request{ID: r.nextID, Pool: testPool, Account: account.id, Hint: pomelorelay.Cost(account.costHint)})
 	if err != nil {
 		panic(err)
 	}
 }
 
-// cost draws a log-normal cost of the account's mean.
-func (f *fleet) cost(a int) float64 {
+// drawCost draws a log-normal cost of the account's mean.
+func (f *fleet) drawCost(a int) float64 {
 	sigma := f.cfg.sigma
-	mean := f.cfg.accounts[a].mean
-	cost := mean * math.Exp(f.random.NormFloat64()*sigma-sigma*sigma/2)
+	mean := f.cfg.accounts[a].meanCost
+	cost := mean * math.Exp(f.rng.NormFloat64()*sigma-sigma*sigma/2)
 	return min(cost, f.cfg.maxCost)
 }
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -11,8 +11,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// count notes a message and an estimate of its encoded length with its envelope, field by field.
-func (f *fleet) count(m pomelorelay.Message) {
+// countMessage notes a message and an estimate of its encoded length with its envelope, field by field.
+func (f *fleet) countMessage(m pomelorelay.Message) {
 	const envelope = 24
 	kind, size := "RunningQuery", envelope+8
 	switch m := m.(type) {
@@ -25,20 +25,20 @@
 	case *pomelorelay.RunningReport:
 		kind, size = "RunningReport", envelope+len(m.Upstream)+4+9*len(m.Grants)
 	}
-	f.messages[kind]++
+	f.messageCounts[kind]++
 	f.bytes += size
 }
 
 func (f *fleet) send(from *testRouter, out []pomelorelay.Outgoing) {
 	for _, o := range out {
 		to := f.router(o.To)
-		delay := linkTime
+		delay := linkLatency
 		if to == from {
 			delay = 0
 		} else {
-			f.count(o.Message)
+			f.countMessage(o.Message)
 		}
-		if from.dead || f.parted(from, to) || to != from && f.random.Float64() < f.cfg.drop {
+		if from.dead || f.partitioned(from, to) || to != from && f.rng.Float64() < f.cfg.dropFraction {
 			continue
 		}
 		f.after(delay, func() {
@@ -49,25 +49,25 @@
 	}
 }
 
-func (f *fleet) router(node pomelorelay.NodeID) *testRouter { return f.byNode[node] }
+func (f *fleet) router(node pomelorelay.NodeID) *testRouter { return f.routersByNode[node] }
 
 func (f *fleet) receive(r *testRouter, from pomelorelay.NodeID, m pomelorelay.Message) {
 	switch m := m.(type) {
 	case *pomelorelay.Demand:
 		f.send(r, r.owner.Demand(f.now, from, m, nil))
 	case *pomelorelay.Grant:
-		f.granted(r, from, m)
+		f.handleGrant(r, from, m)
 	case *pomelorelay.GrantReply:
 		f.send(r, r.owner.Reply(f.now, from, m, nil))
 	case *pomelorelay.RunningQuery:
-		f.send(r, []pomelorelay.Outgoing{{To: from, Message: r.asker.Running(m.Upstream)}})
+		f.send(r, []pomelorelay.Outgoing{{To: from, Message: r.requester.Running(m.Upstream)}})
 	case *pomelorelay.RunningReport:
 		f.send(r, r.owner.Running(f.now, from, m, nil))
 	}
 }
 
-func (f *fleet) granted(r *testRouter, from pomelorelay.NodeID, g *pomelorelay.Grant) {
-	if !r.asker.Granted(f.now, from, g) {
+func (f *fleet) handleGrant(r *testRouter, from pomelorelay.NodeID, g *pomelorelay.Grant) {
+	if !r.requester.Granted(f.now, from, g) {
 		f.settle(r, g.ID, pomelorelay.GrantReturned)
 		return
 	}
@@ -77,27 +77,27 @@
 		return
 	}
 	u := slices.IndexFunc(f.upstreams, func(u *testUpstream) bool { return u.id == g.Upstream })
-	f.launch(r, id, u, g.ID)
+	f.dispatch(r, id, u, g.ID)
 	f.settle(r, g.ID, pomelorelay.GrantUsed)
 }
 
 func (f *fleet) settle(r *testRouter, id pomelorelay.GrantID, state pomelorelay.GrantState) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.asker.Settled(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
+	f.send(r, r.requester.Settled(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
 }
 
-// launch sends a request that was popped to an upstream and fills its account's queue up again.
-func (f *fleet) launch(r *testRouter, id pomelorelay.RequestID, upstream int, grant pomelorelay.GrantID) {
-	a := r.starts[id]
-	delete(r.starts, id)
-	if f.cfg.accounts[a].depth > 0 {
-		r.starts[pomelorelay.RequestID(1<<40+a)]--
+// dispatch sends a request that was popped to an upstream and fills its account's queue up again.
+func (f *fleet) dispatch(r *testRouter, id pomelorelay.RequestID, upstream int, grant pomelorelay.GrantID) {
+	a := r.accountOf[id]
+	delete(r.accountOf, id)
+	if f.cfg.accounts[a].queueDepth > 0 {
+		r.accountOf[pomelorelay.RequestID(1<<40+a)]--
 		f.refill(r, a)
 	}
-	x := &run{id: id, grant: grant, account: a, upstream: upstream, cost: f.cost(a), started: f.now.Add(linkTime)}
-	f.largest = max(f.largest, x.cost)
+	x := &run{id: id, grant: grant, account: a, upstream: upstream, cost: f.drawCost(a), started: f.now.Add(linkLatency)}
+	f.largestCost = max(f.largestCost, x.cost)
 	r.runs[id] = x
-	f.after(linkTime, func() { f.startRun(r, x) })
+	f.after(linkLatency, func() { f.startRun(r, x) })
 }
 
 func (f *fleet) startRun(r *testRouter, x *run) {
@@ -105,14 +105,14 @@
 	if r.dead {
 		return
 	}
-	if at, found := f.pushed[testRequest{r.index, x.id}]; found {
+	if at, found := f.pushedAt[testRequest{r.index, x.id}]; found {
 		f.waits = append(f.waits, f.now.Sub(at))
 	}
-	f.account()
+	f.updateBusy()
 	u.runs[x] = true
-	f.perAccount[x.account]++
-	f.inFlight = max(f.inFlight, f.perAccount[x.account])
-	u.most = max(u.most, len(u.runs))
+	f.runningByAccount[x.account]++
+	f.maxInFlight = max(f.maxInFlight, f.runningByAccount[x.account])
+	u.maxRunning = max(u.maxRunning, len(u.runs))
 	f.running++
 	f.after(time.Duration(x.cost*float64(time.Second)), func() { f.endRun(r, x) })
 }
@@ -122,19 +122,19 @@
 	if !u.runs[x] {
 		return // its router or upstream died
 	}
-	f.account()
+	f.updateBusy()
 	delete(u.runs, x)
 	f.running--
-	f.perAccount[x.account]--
+	f.runningByAccount[x.account]--
 	f.served[x.account] += x.cost
-	f.after(linkTime, func() {
+	f.after(linkLatency, func() {
 		if r.dead {
 			return
 		}
 		delete(r.runs, x.id)
 		r.queues.Finish(f.now, x.id, pomelorelay.Cost(x.cost))
-		if f.cfg.local {
-			r.mine--
+		if f.cfg.fixedShares {
+			r.localRunning--
 			f.serveLocally(r)
 			return
 		}
@@ -145,17 +145,17 @@
 // serveLocally is the baseline: a router's own share of slots and nothing known of the others.
 func (f *fleet) serveLocally(r *testRouter) {
 	share := f.cfg.slots * f.cfg.upstreams / f.cfg.routers
-	for r.mine < share {
+	for r.localRunning < share {
 		id, _, ok := r.queues.Pop(f.now, testPool)
 		if !ok {
 			return
 		}
-		r.mine++
-		f.launch(r, id, r.index%len(f.upstreams), 0)
+		r.localRunning++
+		f.dispatch(r, id, r.index%len(f.upstreams), 0)
 	}
 }
 
-func (f *fleet) progress(r *testRouter) {
+func (f *fleet) reportProgress(r *testRouter) {
 	for _, id := range slices.Sorted(maps.Keys(r.runs)) {
 		x := r.runs[id]
 		if f.now.After(x.started) {
@@ -164,33 +164,33 @@
 	}
 }
 
-// publish sends the digest of a router's upstreams to all.
-func (f *fleet) publish(r *testRouter) {
+// publishDigests sends the digest of a router's upstreams to all.
+func (f *fleet) publishDigests(r *testRouter) {
 	digests := r.owner.Digests(f.now, nil)
 	for _, to := range f.routers {
-		f.after(linkTime, func() {
-			if to.dead || f.parted(r, to) {
+		f.after(linkLatency, func() {
+			if to.dead || f.partitioned(r, to) {
 				return
 			}
-			to.asker.Slots(f.now, digests)
-			f.send(to, to.asker.Tick(f.now, nil))
+			to.requester.Slots(f.now, digests)
+			f.send(to, to.requester.Tick(f.now, nil))
 		})
 	}
 }
 
-// exchange reports a router's totals and brings the fleet's back.
-func (f *fleet) exchange(r *testRouter) {
-	if f.cfg.local {
+// exchangeLedger reports a router's totals and brings the fleet's back.
+func (f *fleet) exchangeLedger(r *testRouter) {
+	if f.cfg.fixedShares {
 		return
 	}
 	entries := r.queues.Changed(nil)
 	interest := r.queues.Interest(nil)
-	f.after(linkTime, func() {
+	f.after(linkLatency, func() {
 		for _, e := range entries {
 			f.ledgerOf(r)[e.Account][r.index] = e
 		}
-		totals := f.totals(f.ledgerOf(r), interest)
-		f.after(linkTime, func() {
+		totals := f.ledgerTotals(f.ledgerOf(r), interest)
+		f.after(linkLatency, func() {
 			for _, e := range totals {
 				r.queues.SetFleet(f.now, e)
 			}
@@ -198,7 +198,7 @@
 	})
 }
 
-func (f *fleet) totals(ledger testLedger, keys []pomelorelay.LedgerKey) []pomelorelay.LedgerEntry {
+func (f *fleet) ledgerTotals(ledger testLedger, keys []pomelorelay.LedgerKey) []pomelorelay.LedgerEntry {
 	var all []pomelorelay.LedgerEntry
 	for _, k := range keys {
 		sum := pomelorelay.LedgerEntry{Pool: k.Pool, Account: k.Account}
@@ -213,10 +213,10 @@
 	return all
 }
 
-// account brings the integral of busy slots up to now.
-func (f *fleet) account() {
-	f.busy += float64(f.running) * f.now.Sub(f.busyAt).Seconds()
-	f.busyAt = f.now
+// updateBusy brings the integral of busy slots up to now.
+func (f *fleet) updateBusy() {
+	f.busySlotSeconds += float64(f.running) * f.now.Sub(f.busyUpdatedAt).Seconds()
+	f.busyUpdatedAt = f.now
 }
 
 // delivered is an account's normalised service so far, running requests included.
@@ -233,18 +233,18 @@
 	return all
 }
 
-// bound is the fixed bound of the gap, from the settings and from what was measured of costs and requests in flight.
-func (f *fleet) bound() pomelorelay.Tag {
-	in := pomelofair.BoundInput{
-		MaxCost: pomelorelay.Cost(f.largest), InFlight: f.inFlight, SlotRate: 1, MinWeight: math.MaxFloat64,
-		AdmissionFraction: 0.35, Ledger: f.cfg.ledger, Refresh: 250 * time.Millisecond, Digest: f.cfg.digest,
-		Progress: f.cfg.progress, Link: linkTime, PrefixMargin: 1,
+// gapBound is the fixed bound of the gap, from the settings and from what was measured of costs and requests in flight.
+func (f *fleet) gapBound() pomelorelay.Tag {
+	in := pomelofair.GapBoundInput{
+		MaxCost: pomelorelay.Cost(f.largestCost), MaxInFlight: f.maxInFlight, CostPerSecond: 1, MinWeight: math.MaxFloat64,
+		AdmissionFraction: 0.35, LedgerInterval: f.cfg.ledgerInterval, DemandInterval: 250 * time.Millisecond, DigestInterval: f.cfg.digestInterval,
+		ProgressInterval: f.cfg.progressInterval, LinkLatency: linkLatency, PrefixMargin: 1,
 	}
 	for _, a := range f.cfg.accounts {
 		in.MinWeight = min(in.MinWeight, pomelorelay.Weight(a.weight))
-		in.Expected = max(in.Expected, 2*pomelorelay.Cost(a.mean))
+		in.MaxExpectedCost = max(in.MaxExpectedCost, 2*pomelorelay.Cost(a.meanCost))
 	}
-	return pomelofair.Bound(in)
+	return pomelofair.GapBound(in)
 }
 
 func (f *fleet) gap() float64 {
@@ -252,32 +252,32 @@
 	return slices.Max(all) - slices.Min(all)
 }
 
-// measured is what a run of a fleet shows.
-type measured struct {
+// measurement is what a run of a fleet shows.
+type measurement struct {
 	median, highest, utilisation float64
 	bytesPerNode                 float64
 }
 
-func (f *fleet) measure(warm, span time.Duration, each func()) measured {
-	f.until(warm)
-	f.account()
-	busy, bytes := f.busy, f.bytes
+func (f *fleet) measure(warm, span time.Duration, each func()) measurement {
+	f.runUntil(warm)
+	f.updateBusy()
+	busy, bytes := f.busySlotSeconds, f.bytes
 	var gaps []float64
 	for d := warm; d < warm+span; d += 100 * time.Millisecond {
-		f.until(d)
+		f.runUntil(d)
 		gaps = append(gaps, f.gap())
 		if each != nil {
 			each()
 		}
 	}
-	f.until(warm + span)
-	f.account()
+	f.runUntil(warm + span)
+	f.updateBusy()
 	slices.Sort(gaps)
 	capacity := float64(f.cfg.slots*f.cfg.upstreams) * span.Seconds()
-	return measured{
+	return measurement{
 		median:       gaps[len(gaps)/2],
 		highest:      gaps[len(gaps)-1],
-		utilisation:  (f.busy - busy) / capacity,
+		utilisation:  (f.busySlotSeconds - busy) / capacity,
 		bytesPerNode: float64(f.bytes-bytes) / span.Seconds() / float64(f.cfg.routers),
 	}
 }
--- a/pomeloslot/bound_test.go
+++ b/pomeloslot/gapbound_test.go
@@ -23,24 +23,24 @@
 // drawFleet draws a small fleet with accounts of any weight, cost, hint and place.
 func drawFleet(t *rapid.T) fleetConfig {
 	cfg := fleetConfig{
-		seed:      rapid.Uint64().Draw(t, "seed"),
-		routers:   rapid.IntRange(1, 6).Draw(t, "routers"),
-		upstreams: rapid.IntRange(1, 8).Draw(t, "upstreams"),
-		slots:     rapid.IntRange(1, 8).Draw(t, "slots"),
-		ledger:    time.Duration(rapid.SampledFrom([]int{250, 1000, 4000}).Draw(t, "ledger")) * time.Millisecond,
-		digest:    time.Duration(rapid.SampledFrom([]int{100, 250, 1000}).Draw(t, "digest")) * time.Millisecond,
-		progress:  100 * time.Millisecond,
-		sigma:     rapid.Float64Range(0, 1.5).Draw(t, "sigma"),
-		maxCost:   30,
-		drop:      rapid.SampledFrom([]float64{0, 0, 0.01, 0.05}).Draw(t, "drop"),
+		seed:             rapid.Uint64().Draw(t, "seed"),
+		routers:          rapid.IntRange(1, 6).Draw(t, "routers"),
+		upstreams:        rapid.IntRange(1, 8).Draw(t, "upstreams"),
+		slots:            rapid.IntRange(1, 8).Draw(t, "slots"),
+		ledgerInterval:   time.Duration(rapid.SampledFrom([]int{250, 1000, 4000}).Draw(t, "ledger")) * time.Millisecond,
+		digestInterval:   time.Duration(rapid.SampledFrom([]int{100, 250, 1000}).Draw(t, "digest")) * time.Millisecond,
+		progressInterval: 100 * time.Millisecond,
+		sigma:            rapid.Float64Range(0, 1.5).Draw(t, "sigma"),
+		maxCost:          30,
+		dropFraction:     rapid.SampledFrom([]float64{0, 0, 0.01, 0.05}).Draw(t, "drop"),
 	}
 	for i := range rapid.IntRange(2, 10).Draw(t, "accounts") {
 		a := testAccount{
-			id:     pomelorelay.AccountID(fmt.Sprintf("a%02d", i)),
-			weight: float64(rapid.IntRange(1, 8).Draw(t, "weight")),
-			mean:   rapid.SampledFrom([]float64{0.1, 0.5, 2, 10}).Draw(t, "mean"),
-			hint:   rapid.SampledFrom([]float64{0, 0.001, 1, 1000}).Draw(t, "hint"),
-			depth:  rapid.IntRange(10, 40).Draw(t, "depth"),
+			id:         pomelorelay.AccountID(fmt.Sprintf("a%02d", i)),
+			weight:     float64(rapid.IntRange(1, 8).Draw(t, "weight")),
+			meanCost:   rapid.SampledFrom([]float64{0.1, 0.5, 2, 10}).Draw(t, "mean"),
+			costHint:   rapid.SampledFrom([]float64{0, 0.001, 1, 1000}).Draw(t, "hint"),
+			queueDepth: rapid.IntRange(10, 40).Draw(t, "depth"),
 		}
 		for r := range cfg.routers {
 			if rapid.Bool().Draw(t, "here") {
@@ -55,13 +55,13 @@
 	return cfg
 }
 
-func TestGapStaysUnderItsBound(t *testing.T) {
+func TestGapStaysWithinBound(t *testing.T) {
 	closest := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(drawFleet(t))
 		for d := time.Duration(0); d < 10*time.Second; d += 100 * time.Millisecond {
-			f.until(d)
-			gap, bound := f.gap(), float64(f.bound())
+			f.runUntil(d)
+			gap, bound := f.gap(), float64(f.gapBound())
 			closest = max(closest, gap/max(bound, 1))
 			if gap > bound {
 				t.Fatalf("%v: gap %.2f over its bound %.2f", d, gap, bound)
@@ -71,14 +71,14 @@
 	t.Logf("the gap came to %.3f of its bound at most", closest)
 }
 
-func TestBoundCanFail(t *testing.T) {
+func TestGapExceedsBoundWithoutCoordination(t *testing.T) {
 	// The same check on fixed shares without coordination: an account that is alone on its router gets far ahead of
 	// those that share one, and the gap leaves every bound.
-	cfg := tableConfig(1)
-	cfg.local = true
+	cfg := referenceConfig(1)
+	cfg.fixedShares = true
 	f := newFleet(cfg)
-	f.until(3 * time.Minute)
-	if f.gap() <= float64(f.bound()) {
-		t.Errorf("gap %.0f within its bound %.0f", f.gap(), float64(f.bound()))
+	f.runUntil(3 * time.Minute)
+	if f.gap() <= float64(f.gapBound()) {
+		t.Errorf("gap %.0f within its bound %.0f", f.gap(), float64(f.gapBound()))
 	}
 }
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -8,78 +8,78 @@
 
 // grant is one slot given to a router.
 type grant struct {
-	id     pomelorelay.GrantID
-	router *router
-	issued time.Time
-	// heard is when the router last said that it uses the grant.
-	heard time.Time
-	used  bool
-	next  *grant
+	id       pomelorelay.GrantID
+	router   *router
+	issuedAt time.Time
+	// confirmedAt is when the router last said that it uses the grant.
+	confirmedAt time.Time
+	used        bool
+	next        *grant
 }
 
-// use notes that the router sent a request.
-func (g *grant) use(now time.Time) {
-	g.heard = now
+// markUsed notes that the router sent a request.
+func (g *grant) markUsed(now time.Time) {
+	g.confirmedAt = now
 	if g.used {
 		return
 	}
 	g.used = true
-	g.router.unanswered--
+	g.router.unansweredGrants--
 }
 
 func (o *Owner) newGrant() *grant {
-	g := o.free
+	g := o.freeGrants
 	if g == nil {
 		return &grant{}
 	}
-	o.free = g.next
+	o.freeGrants = g.next
 	*g = grant{}
 	return g
 }
 
-// drop frees the slot of a grant.
-func (o *Owner) drop(u *upstream, g *grant) {
+// releaseGrant frees the slot of a grant.
+func (o *Owner) releaseGrant(u *upstream, g *grant) {
 	delete(u.grants, g.id)
 	if !g.used {
-		g.router.unanswered--
+		g.router.unansweredGrants--
 	}
-	*g = grant{next: o.free}
-	o.free = g
+	*g = grant{next: o.freeGrants}
+	o.freeGrants = g
 }
 
-// fill grants free slots to the routers that want them, lowest tag first.
-func (o *Owner) fill(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	for free := u.free(now); free > 0; free-- {
-		r := u.choose(now, o.cfg.Grant)
+// grantFreeSlots grants free slots to the routers that want them, lowest tag first.
+func (o *Owner) grantFreeSlots(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	for free := u.freeSlots(now); free > 0; free-- {
+		r := u.nextRouter(now, o.cfg.Grant)
 		if r == nil {
 			return out
 		}
 		out = append(out, o.issue(now, u, r))
 	}
-	u.limit.full = true
+	u.limit.saturated = true
 	return out
 }
 
 func (o *Owner) issue(now time.Time, u *upstream, r *router) pomelorelay.Outgoing {
 	g := o.newGrant()
-	g.id, g.router, g.issued, g.heard = o.nextID, r, now, now
+	g.id, g.router, g.issuedAt, g.confirmedAt = o.nextID, r, now, now
 	o.nextID++
 	u.grants[g.id] = g
-	r.unanswered++
+	r.unansweredGrants++
 	u.lastTag = r.head
-	u.notePeak(now, u.taken(), o.cfg.Limit.Lag)
-	u.cached.addAll(now, r.prefixes, o.cfg.Grant.Prefixes)
+	u.recordPeak(now, u.takenSlots(), o.cfg.Limit.MaxLoadLag)
+	u.cached.addAll(now, r.prefixes, o.cfg.Grant.MaxPrefixes)
 	m := &pomelorelay.Grant{ID: g.id, Upstream: u.id, Pool: u.pool, TTL: o.cfg.Grant.TTL, LastTag: u.lastTag}
 	return pomelorelay.Outgoing{To: r.node, Message: m}
 }
 
-// choose returns the router to grant to, nil when none wants a slot. One whose tag is from before a grant that it has
+// nextRouter returns the router to grant to, nil when none wants a slot. One whose tag is from before a grant that it has
 // not answered comes after those with a fresh tag: its lowest account has been served since, and granting by the old
 // tag would be seen as one account taking every slot that came free within a round trip.
-func (u *upstream) choose(now time.Time, opt GrantOptions) *router {
+func (u *upstream) nextRouter(now time.Time, opt GrantOptions) *router {
 	var best *router
-	for _, r := range u.order {
-		if r.wants(now, opt.DemandTTL) && (best == nil || r.before(best)) {
+	for _, r := range u.sortedRouters {
+		if r.wantsGrant(now, opt.DemandTTL) && (best == nil || r.precedes(best)) {
 			best = r
 		}
 	}
@@ -89,9 +89,9 @@
 	return u.preferCached(now, best, opt)
 }
 
-func (r *router) before(other *router) bool {
-	if r.unanswered != other.unanswered {
-		return r.unanswered < other.unanswered
+func (r *router) precedes(other *router) bool {
+	if r.unansweredGrants != other.unansweredGrants {
+		return r.unansweredGrants < other.unansweredGrants
 	}
 	return r.head < other.head
 }
@@ -100,11 +100,11 @@
 func (u *upstream) preferCached(now time.Time, best *router, opt GrantOptions) *router {
 	chosen := best
 	found := u.cached.holdsAny(now, best.prefixes, opt.PrefixTTL)
-	for _, r := range u.order {
-		if found && !r.before(chosen) {
+	for _, r := range u.sortedRouters {
+		if found && !r.precedes(chosen) {
 			continue
 		}
-		if r.unanswered != best.unanswered || r.head > best.head+opt.PrefixMargin || !r.wants(now, opt.DemandTTL) {
+		if r.unansweredGrants != best.unansweredGrants || r.head > best.head+opt.PrefixMargin || !r.wantsGrant(now, opt.DemandTTL) {
 			continue
 		}
 		if u.cached.holdsAny(now, r.prefixes, opt.PrefixTTL) {
@@ -114,30 +114,30 @@
 	return chosen
 }
 
-// check asks routers after grants of which nothing was heard for too long. A reply can be lost, or its router can have
+// queryOverdue asks routers after grants of which nothing was heard for too long. A reply can be lost, or its router can have
 // forgotten the grant: without asking, the slot would be seen idle and never granted again.
-func (o *Owner) check(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (o *Owner) queryOverdue(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, g := range u.grants {
-		wait := o.cfg.Grant.Check
+		wait := o.cfg.Grant.CheckInterval
 		if !g.used {
-			wait = o.cfg.Grant.Answer
+			wait = o.cfg.Grant.ReplyTimeout
 		}
-		if now.Sub(g.heard) >= wait {
-			g.router.overdue = true
+		if now.Sub(g.confirmedAt) >= wait {
+			g.router.queryDue = true
 		}
 	}
-	for _, r := range u.order {
-		if r.foreign > 0 && now.Sub(r.reported) >= o.cfg.Grant.Check {
-			r.overdue = true
+	for _, r := range u.sortedRouters {
+		if r.unknownRequests > 0 && now.Sub(r.reportedAt) >= o.cfg.Grant.CheckInterval {
+			r.queryDue = true
 		}
-		if !r.overdue {
+		if !r.queryDue {
 			continue
 		}
-		r.overdue = false
-		if now.Sub(r.asked) < o.cfg.Grant.Answer {
+		r.queryDue = false
+		if now.Sub(r.queriedAt) < o.cfg.Grant.ReplyTimeout {
 			continue
 		}
-		r.asked = now
+		r.queriedAt = now
 		out = append(out, pomelorelay.Outgoing{To: r.node, Message: &pomelorelay.RunningQuery{Upstream: u.id}})
 	}
 	return out
@@ -150,21 +150,21 @@
 	if u == nil {
 		return out
 	}
-	delete(u.unheard, from)
+	delete(u.unreported, from)
 	r := u.router(from)
-	r.reported = now
+	r.reportedAt = now
 	for _, id := range m.Grants {
 		o.confirm(now, u, r, id)
 	}
-	r.foreign = max(0, int(m.Running)-len(m.Grants))
+	r.unknownRequests = max(0, int(m.Running)-len(m.Grants))
 	for _, g := range u.grants {
-		if g.router == r && g.issued.Before(r.asked) && g.heard != now {
-			o.drop(u, g)
+		if g.router == r && g.issuedAt.Before(r.queriedAt) && g.confirmedAt != now {
+			o.releaseGrant(u, g)
 		}
 	}
-	u.notePeak(now, u.taken(), o.cfg.Limit.Lag)
-	u.explain(now, o.cfg.Limit.Lag)
-	return o.fill(now, u, out)
+	u.recordPeak(now, u.takenSlots(), o.cfg.Limit.MaxLoadLag)
+	u.updateExcess(now, o.cfg.Limit.MaxLoadLag)
+	return o.grantFreeSlots(now, u, out)
 }
 
 // confirm notes that a router holds a grant, which an earlier owner may have issued.
@@ -176,6 +176,6 @@
 		u.grants[id] = g
 	}
 	if g.router == r {
-		g.heard = now
+		g.confirmedAt = now
 	}
 }
--- a/pomeloslot/unanswered_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-func TestDemandGoesPastAnOwnerThatDoesNotAnswer(t *testing.T) {
+func TestDemandSpillsWhenOwnerDoesNotAnswer(t *testing.T) {
 	// The owner next door is paused just after it told of idle slots. A request would wait there until the owner is taken for
 	// dead, almost two seconds, beside idle slots of the region's other domain.
 	for _, c := range []struct {
@@ -24,16 +24,16 @@
 			a.Granted(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
 		}, false},
 	} {
-		a := newAsker()
+		a := newRequester()
 		a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
-		if got := registered(a.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
+		if got := registeredAt(a.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
 			t.Fatalf("%s: registered at %v first", c.name, got)
 		}
-		if got := registered(a.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
+		if got := registeredAt(a.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
 			t.Errorf("%s: registered at %v before the wait was over", c.name, got)
 		}
 		c.sign(a, start.Add(290*time.Millisecond))
-		if got := registered(a.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
+		if got := registeredAt(a.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
 			t.Errorf("%s: registered at %v after the wait", c.name, got)
 		}
 	}
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -13,15 +13,15 @@
 type Owner struct {
 	cfg       OwnerConfig
 	upstreams map[pomelorelay.UpstreamID]*upstream
-	// order is by id, so that the same messages always give the same answers.
-	order  []*upstream
-	nextID pomelorelay.GrantID
-	free   *grant
+	// sortedUpstreams is by id, so that the same messages always give the same answers.
+	sortedUpstreams []*upstream
+	nextID          pomelorelay.GrantID
+	freeGrants      *grant
 }
 
 // The bits of a grant id: the owner's mark above, a count below.
 const (
-	grantMarkBits  = 24
+	grantOwnerBits = 24
 	grantCountBits = 32
 )
 
@@ -32,43 +32,43 @@
 	return &Owner{
 		cfg:       cfg,
 		upstreams: make(map[pomelorelay.UpstreamID]*upstream),
-		nextID:    firstGrant(cfg.Node, cfg.Incarnation),
+		nextID:    firstGrantID(cfg.Node, cfg.Incarnation),
 	}
 }
 
-// firstGrant marks the ids of an owner's incarnation. With ids that start at one, a reply to an earlier owner's grant
+// firstGrantID marks the ids of an owner's incarnation. With ids that start at one, a reply to an earlier owner's grant
 // would end a request's slot that still runs, and the upstream would be seen over its limit.
-func firstGrant(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelorelay.GrantID {
+func firstGrantID(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelorelay.GrantID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(node))
-	var number [8]byte
-	for i := range number {
-		number[i] = byte(incarnation >> (8 * i))
+	var encoded [8]byte
+	for i := range encoded {
+		encoded[i] = byte(incarnation >> (8 * i))
 	}
-	_, _ = h.Write(number[:])
-	mark := h.Sum64() >> (64 - grantMarkBits)
-	return pomelorelay.GrantID(mark<<grantCountBits + 1)
+	_, _ = h.Write(encoded[:])
+	owner := h.Sum64() >> (64 - grantOwnerBits)
+	return pomelorelay.GrantID(owner<<grantCountBits + 1)
 }
 
 // Own takes an upstream on and asks the peers what runs there; this router is to be among them.
 func (o *Owner) Own(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u := o.upstreams[up.ID]; u != nil {
 		u.pool, u.min, u.max = up.Pool, up.Min, up.Max
-		u.limit.bound(up.Min, up.Max)
+		u.limit.setBounds(up.Min, up.Max)
 		return out
 	}
 	u := newUpstream(up)
-	u.carefulUntil = now.Add(o.cfg.Grant.Careful)
+	u.recoveryUntil = now.Add(o.cfg.Grant.RecoveryTimeout)
 	for _, node := range peers {
-		u.unheard[node] = true
-		u.router(node).asked = now
+		u.unreported[node] = true
+		u.router(node).queriedAt = now
 		out = append(out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.RunningQuery{Upstream: up.ID}})
 	}
 	o.upstreams[up.ID] = u
-	i, _ := slices.BinarySearchFunc(o.order, up.ID, func(u *upstream, id pomelorelay.UpstreamID) int {
+	i, _ := slices.BinarySearchFunc(o.sortedUpstreams, up.ID, func(u *upstream, id pomelorelay.UpstreamID) int {
 		return strings.Compare(string(u.id), string(id))
 	})
-	o.order = slices.Insert(o.order, i, u)
+	o.sortedUpstreams = slices.Insert(o.sortedUpstreams, i, u)
 	return out
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	delete(o.upstreams, id)
-	o.order = slices.DeleteFunc(o.order, func(other *upstream) bool { return other == u })
+	o.sortedUpstreams = slices.DeleteFunc(o.sortedUpstreams, func(other *upstream) bool { return other == u })
 }
 
 // Demand takes a router's registration.
@@ -89,10 +89,10 @@
 		return out
 	}
 	r := u.router(from)
-	if r.refresh(now, m.Seq, m.Head, m.Waiting) {
+	if r.updateDemand(now, m.Seq, m.Head, m.Waiting) {
 		r.prefixes = m.Prefixes
 	}
-	return o.fill(now, u, out)
+	return o.grantFreeSlots(now, u, out)
 }
 
 // Reply takes what became of a grant and the router's fresh demand.
@@ -102,21 +102,21 @@
 		return out
 	}
 	if g := u.grants[m.ID]; g != nil && g.router.node == from {
-		o.settle(now, u, g, m)
+		o.settleGrant(now, u, g, m)
 	}
-	u.router(from).refresh(now, m.Seq, m.Head, m.Waiting)
-	return o.fill(now, u, out)
+	u.router(from).updateDemand(now, m.Seq, m.Head, m.Waiting)
+	return o.grantFreeSlots(now, u, out)
 }
 
-func (o *Owner) settle(now time.Time, u *upstream, g *grant, m *pomelorelay.GrantReply) {
+func (o *Owner) settleGrant(now time.Time, u *upstream, g *grant, m *pomelorelay.GrantReply) {
 	if m.State == pomelorelay.GrantUsed {
-		g.use(now)
+		g.markUsed(now)
 		return
 	}
 	if m.State == pomelorelay.GrantReturned && m.Waiting > 0 {
 		// A router whose waiting requests may not run there returns each grant; without a rest, the two would be
 		// seen to exchange grants without end, while others wait.
-		g.router.restUntil = now.Add(o.cfg.Grant.Rest)
+		g.router.backoffUntil = now.Add(o.cfg.Grant.ReturnBackoff)
 	}
 	if m.State == pomelorelay.GrantUnreached {
 		// The upstream refuses connections. Granted on, its slots would be handed out and come back unused within
@@ -124,9 +124,9 @@
 		u.crashed = true
 	}
 	if m.State == pomelorelay.GrantFinished {
-		u.limit.sample(g.issued, m.FirstToken, m.TokenGap, o.cfg.Limit)
+		u.limit.addSample(g.issuedAt, m.FirstToken, m.TokenGap, o.cfg.Limit)
 	}
-	o.drop(u, g)
+	o.releaseGrant(u, g)
 }
 
 // Load takes what an upstream reports of itself, which lags.
@@ -136,8 +136,8 @@
 		return out
 	}
 	u.crashed = false
-	u.noteLoad(now, load, o.cfg.Limit.Lag)
-	return o.fill(now, u, out)
+	u.updateLoad(now, load, o.cfg.Limit.MaxLoadLag)
+	return o.grantFreeSlots(now, u, out)
 }
 
 // Leaving stops every further grant of an upstream; what runs there goes on.
@@ -154,7 +154,7 @@
 		return out
 	}
 	u.leaving = false
-	return o.fill(now, u, out)
+	return o.grantFreeSlots(now, u, out)
 }
 
 // Crashed forgets what ran on an upstream and stops its grants until it reports load again.
@@ -164,69 +164,69 @@
 		return
 	}
 	u.crashed = true
-	u.clearLoad()
-	clear(u.cached.seen)
+	u.resetLoad()
+	clear(u.cached.lastSeen)
 	for _, g := range u.grants {
-		o.drop(u, g)
+		o.releaseGrant(u, g)
 	}
 	for _, r := range u.routers {
-		r.foreign = 0
+		r.unknownRequests = 0
 	}
 }
 
 // MemberGone reclaims the grants of a dead router and forgets its demand.
 func (o *Owner) MemberGone(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	for _, u := range o.order {
+	for _, u := range o.sortedUpstreams {
 		r := u.routers[node]
 		if r == nil {
 			continue
 		}
 		for _, g := range u.grants {
 			if g.router == r {
-				o.drop(u, g)
+				o.releaseGrant(u, g)
 			}
 		}
-		delete(u.unheard, node)
-		u.forget(node)
-		out = o.fill(now, u, out)
+		delete(u.unreported, node)
+		u.removeRouter(node)
+		out = o.grantFreeSlots(now, u, out)
 	}
 	return out
 }
 
-// Cached takes cache events of an upstream: prefixes that it holds now, and ones that it dropped. They may be late or missing.
-func (o *Owner) Cached(now time.Time, id pomelorelay.UpstreamID, held, dropped []uint64) {
+// UpdateCachedPrefixes takes cache events of an upstream: prefixes that it holds now, and ones that it dropped. They may be late or missing.
+func (o *Owner) UpdateCachedPrefixes(now time.Time, id pomelorelay.UpstreamID, held, dropped []uint64) {
 	u := o.upstreams[id]
 	if u == nil {
 		return
 	}
 	for _, p := range held {
-		u.cached.add(now, p, o.cfg.Grant.Prefixes)
+		u.cached.add(now, p, o.cfg.Grant.MaxPrefixes)
 	}
 	for _, p := range dropped {
-		delete(u.cached.seen, p)
+		delete(u.cached.lastSeen, p)
 	}
 }
 
 // Tick moves the limits, asks after grants whose reply is missing, and grants what became free.
 func (o *Owner) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	for _, u := range o.order {
-		u.limit.move(now, o.cfg.Limit)
-		out = o.check(now, u, out)
-		out = o.fill(now, u, out)
+	for _, u := range o.sortedUpstreams {
+		u.limit.adjust(now, o.cfg.Limit)
+		out = o.queryOverdue(now, u, out)
+		out = o.grantFreeSlots(now, u, out)
 	}
 	return out
 }
 
 // Digests appends what the routers are to know of each upstream.
 func (o *Owner) Digests(now time.Time, out []pomelorelay.SlotDigest) []pomelorelay.SlotDigest {
-	for _, u := range o.order {
+	for _, u := range o.sortedUpstreams {
 		out = append(out, pomelorelay.SlotDigest{
 			Upstream: u.id,
 			Pool:     u.pool,
 			Owner:    o.cfg.Node,
 			Domain:   o.cfg.Domain,
 			LastTag:  u.lastTag,
-			Idle:     pomelorelay.Slots(max(0, u.free(now))),
+			Idle:     pomelorelay.Slots(max(0, u.freeSlots(now))),
 			Limit:    u.limit.slots(),
 			Leaving:  u.leaving,
 		})
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -26,8 +26,8 @@
 	return &pomelorelay.GrantReply{ID: id, Upstream: "u", State: state, Seq: seq, Waiting: waiting}
 }
 
-// granted returns the ids and receivers of the grants among the messages.
-func granted(out []pomelorelay.Outgoing) (ids []pomelorelay.GrantID, to []pomelorelay.NodeID) {
+// grantsIn returns the ids and receivers of the grants among the messages.
+func grantsIn(out []pomelorelay.Outgoing) (ids []pomelorelay.GrantID, to []pomelorelay.NodeID) {
 	for _, o := range out {
 		if g, ok := o.Message.(*pomelorelay.Grant); ok {
 			ids, to = append(ids, g.ID), append(to, o.To)
@@ -36,39 +36,39 @@
 	return ids, to
 }
 
-// owning returns an owner of one upstream that runs nothing.
-func owning(slots pomelorelay.Slots) *pomeloslot.Owner {
+// newOwnerOfUpstream returns an owner of one upstream that runs nothing.
+func newOwnerOfUpstream(slots pomelorelay.Slots) *pomeloslot.Owner {
 	o := newOwner("r1")
 	o.Own(start, upstream(slots), nil, nil)
 	return o
 }
 
 func TestLowestTagIsGrantedFirst(t *testing.T) {
-	o := owning(1)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 30, 5), nil))
+	o := newOwnerOfUpstream(1)
+	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 30, 5), nil))
 	o.Demand(start, "b", demand(1, 10, 5), nil)
 	o.Demand(start, "c", demand(1, 20, 5), nil)
 	o.Demand(start, "c", demand(0, 1, 5), nil) // late, older than the one before
-	_, to := granted(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
+	_, to := grantsIn(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
 	if len(to) != 1 || to[0] != "a" {
 		t.Errorf("granted to %v, want a, whose fresh tag is zero", to)
 	}
 }
 
-func TestBurstOfFreeSlotsGoesRound(t *testing.T) {
+func TestFreeSlotsAlternateBetweenRouters(t *testing.T) {
 	// Several slots are free at once. The lowest router's tag is out of date after its first grant; by it alone, that
 	// router's account would be seen to get them all.
 	o := newOwner("r1")
 	o.Own(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
 	o.Demand(start, "a", demand(1, 10, 5), nil)
 	o.Demand(start, "b", demand(1, 11, 5), nil)
-	_, to := granted(o.Running(start, "x", &pomelorelay.RunningReport{Upstream: "u"}, nil))
+	_, to := grantsIn(o.Running(start, "x", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(to) != 3 || to[0] != "a" || to[1] != "b" || to[2] != "a" {
 		t.Errorf("granted to %v, want a b a", to)
 	}
 }
 
-func TestNewOwnerAsksFirst(t *testing.T) {
+func TestNewOwnerQueriesRunningRequestsFirst(t *testing.T) {
 	// The owner of a busy upstream is replaced. If the new one granted the whole limit at once, the upstream would run
 	// twice its limit.
 	o := newOwner("r2")
@@ -76,61 +76,61 @@
 	if len(out) != 2 {
 		t.Fatalf("%d queries, want 2", len(out))
 	}
-	if ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
+	if ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
 		t.Errorf("granted %d before anything is known", len(ids))
 	}
 	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902}, Running: 3}, nil)
-	ids, _ := granted(o.Running(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
+	ids, _ := grantsIn(o.Running(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(ids) != 5 {
 		t.Errorf("granted %d beside 3 that run, want 5", len(ids))
 	}
-	ids, _ = granted(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
+	ids, _ = grantsIn(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
 	if len(ids) != 1 {
 		t.Errorf("granted %d after an earlier owner's grant ended, want 1", len(ids))
 	}
 }
 
-func TestReportsExplainWhatAnUpstreamRuns(t *testing.T) {
+func TestRunningReportsReduceExcessLoad(t *testing.T) {
 	// The upstream's load report reaches a new owner before the routers' reports do. What they then explain must not
 	// count twice, or the slots would idle until the next load report.
 	o := newOwner("r2")
 	o.Own(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
 	o.Demand(start, "b", demand(1, 1, 9), nil)
-	if ids, _ := granted(o.Load(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
+	if ids, _ := grantsIn(o.Load(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
 		t.Errorf("granted %d beside 5 that run, want 3", len(ids))
 	}
 	m := &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902, 903, 904, 905}, Running: 5}
 	o.Running(start, "a", m, nil)
-	ids, _ := granted(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
+	ids, _ := grantsIn(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
 	if len(ids) != 1 {
 		t.Errorf("granted %d when one of them ended, want 1", len(ids))
 	}
 }
 
-func TestRouterThatNeverReportsDelaysANewOwnerOnlyForAWhile(t *testing.T) {
+func TestUnresponsiveRouterDelaysNewOwnerForBoundedTime(t *testing.T) {
 	// One router is frozen when an upstream changes hands. Its slots would idle for as long as the freeze lasts.
 	o := newOwner("r2")
 	o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "frozen"}, nil)
 	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
 	o.Demand(start, "a", demand(1, 1, 9), nil)
-	if ids, _ := granted(o.Tick(start.Add(499*time.Millisecond), nil)); len(ids) != 0 {
+	if ids, _ := grantsIn(o.Tick(start.Add(499*time.Millisecond), nil)); len(ids) != 0 {
 		t.Errorf("granted %d while careful", len(ids))
 	}
-	if ids, _ := granted(o.Tick(start.Add(500*time.Millisecond), nil)); len(ids) != 8 {
+	if ids, _ := grantsIn(o.Tick(start.Add(500*time.Millisecond), nil)); len(ids) != 8 {
 		t.Errorf("granted %d afterwards, want 8", len(ids))
 	}
 }
 
-func TestLostRepliesAreReclaimed(t *testing.T) {
+func TestSlotsOfLostRepliesAreReclaimed(t *testing.T) {
 	// The reply to a grant, or the one at a request's end, is lost. The slot would count as taken for ever.
-	o := owning(2)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil))
+	o := newOwnerOfUpstream(2)
+	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
 	o.Reply(start, "a", reply(ids[0], pomelorelay.GrantUsed, 2, 9), nil)
 	now := start.Add(time.Second)
 	if out := o.Tick(now, nil); len(out) != 1 {
 		t.Fatalf("%d queries after the unanswered grant, want 1", len(out))
 	}
-	again, _ := granted(o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: ids[:1], Running: 1}, nil))
+	again, _ := grantsIn(o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: ids[:1], Running: 1}, nil))
 	if len(again) != 1 {
 		t.Fatalf("granted %d after the reclaim, want 1", len(again))
 	}
@@ -145,39 +145,39 @@
 	}
 }
 
-func TestDeadRouterGetsNothingAndGivesItsSlotsBack(t *testing.T) {
+func TestDeadRouterReleasesItsSlots(t *testing.T) {
 	// A router dies with requests running and waiting. An owner that believes in its demand grants slots to nobody.
-	o := owning(2)
+	o := newOwnerOfUpstream(2)
 	o.Demand(start, "dead", demand(1, 1, 9), nil)
 	o.Demand(start, "b", demand(1, 50, 9), nil)
-	_, to := granted(o.MemberGone(start, "dead", nil))
+	_, to := grantsIn(o.MemberGone(start, "dead", nil))
 	if len(to) != 2 || to[0] != "b" || to[1] != "b" {
 		t.Errorf("granted to %v, want b twice", to)
 	}
 }
 
-func TestDemandThatIsNotRefreshedEnds(t *testing.T) {
+func TestUnrefreshedDemandExpires(t *testing.T) {
 	// A router is cut off in one direction: its demand arrived, nothing later does.
-	o := owning(1)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 1), nil))
+	o := newOwnerOfUpstream(1)
+	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 1), nil))
 	o.Demand(start, "cut", demand(1, 0, 9), nil)
 	now := start.Add(4 * time.Second)
 	o.Demand(now, "b", demand(1, 50, 1), nil)
-	_, to := granted(o.Reply(now, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
+	_, to := grantsIn(o.Reply(now, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
 	if len(to) != 1 || to[0] != "b" {
 		t.Errorf("granted to %v, want b", to)
 	}
 }
 
-func TestLeavingUpstreamIsGrantedNoMore(t *testing.T) {
+func TestLeavingUpstreamReceivesNoGrants(t *testing.T) {
 	// The host list says that an upstream leaves while requests wait and run there.
-	o := owning(2)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil))
+	o := newOwnerOfUpstream(2)
+	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
 	o.Leaving(start, "u")
 	out := o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 9), nil)
 	out = o.Demand(start, "b", demand(1, 1, 9), out)
 	out = o.Load(start, "u", pomeloslot.LoadReport{}, out)
-	if got, _ := granted(o.Tick(start, out)); len(got) != 0 {
+	if got, _ := grantsIn(o.Tick(start, out)); len(got) != 0 {
 		t.Errorf("granted %d on a leaving upstream", len(got))
 	}
 	if d := o.Digests(start, nil); !d[0].Leaving || d[0].Idle != 0 {
@@ -185,27 +185,27 @@
 	}
 }
 
-func TestCrashedUpstreamIsGrantedAgainWhenItReports(t *testing.T) {
+func TestCrashedUpstreamResumesAfterLoadReport(t *testing.T) {
 	// An upstream crashes with all that runs on it. Grants before it is back would be refused connections; slots that
 	// stay counted after it is back would idle.
-	o := owning(2)
+	o := newOwnerOfUpstream(2)
 	o.Demand(start, "a", demand(1, 1, 9), nil)
 	o.Crashed(start, "u")
-	if got, _ := granted(o.Tick(start, nil)); len(got) != 0 {
+	if got, _ := grantsIn(o.Tick(start, nil)); len(got) != 0 {
 		t.Errorf("granted %d on a crashed upstream", len(got))
 	}
-	if got, _ := granted(o.Load(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
+	if got, _ := grantsIn(o.Load(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
 		t.Errorf("granted %d after it is back, want 2", len(got))
 	}
 }
 
-func TestReturnedGrantRests(t *testing.T) {
+func TestRouterBacksOffAfterReturnedGrant(t *testing.T) {
 	// A router whose waiting request may not run at an upstream returns each grant of it. Without a rest the two
 	// exchange grants without end while another router waits.
-	o := owning(1)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil))
+	o := newOwnerOfUpstream(1)
+	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
 	o.Demand(start, "b", demand(1, 50, 9), nil)
-	_, to := granted(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantReturned, 2, 9), nil))
+	_, to := grantsIn(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantReturned, 2, 9), nil))
 	if len(to) != 1 || to[0] != "b" {
 		t.Errorf("granted to %v, want b", to)
 	}
@@ -214,9 +214,9 @@
 func TestLimitFollowsLatencies(t *testing.T) {
 	// An upstream's answers get slow at its full limit, and its load report lags. The limit falls until 95 in 100
 	// first tokens come in time, and rises again when they do.
-	o := owning(100)
+	o := newOwnerOfUpstream(100)
 	now, seq := start, uint64(1)
-	ids, _ := granted(o.Demand(now, "a", demand(seq, 1, 1_000_000), nil))
+	ids, _ := grantsIn(o.Demand(now, "a", demand(seq, 1, 1_000_000), nil))
 	limit := func() pomelorelay.Slots { return o.Digests(now, nil)[0].Limit }
 	lowest, highest := limit(), pomelorelay.Slots(0)
 	for round := range 600 {
@@ -229,7 +229,7 @@
 			m.FirstToken, m.TokenGap = first, 20*time.Millisecond
 			out = o.Reply(now, "a", m, out)
 		}
-		ids, _ = granted(o.Tick(now, out))
+		ids, _ = grantsIn(o.Tick(now, out))
 		lowest = min(lowest, limit())
 		if round > 300 {
 			highest = max(highest, limit())
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestPrefixBreaksOnlyNearTies(t *testing.T) {
+func TestCachedPrefixDecidesOnlyWithinMargin(t *testing.T) {
 	// An upstream holds a prompt prefix in its cache, as far as late and missing cache events tell.
 	for _, c := range []struct {
 		name string
@@ -257,27 +257,27 @@
 		{"no event for long", 10.5, []uint64{7}, nil, time.Hour, "a"},
 		{"events missing", 10.5, nil, nil, 0, "a"},
 	} {
-		o := owning(1)
-		ids, _ := granted(o.Demand(start, "x", demand(1, 0, 1), nil))
-		o.Cached(start, "u", c.held, nil)
-		o.Cached(start, "u", nil, c.drop)
+		o := newOwnerOfUpstream(1)
+		ids, _ := grantsIn(o.Demand(start, "x", demand(1, 0, 1), nil))
+		o.UpdateCachedPrefixes(start, "u", c.held, nil)
+		o.UpdateCachedPrefixes(start, "u", nil, c.drop)
 		now := start.Add(c.age)
 		o.Demand(now, "a", demand(1, 10, 1), nil)
 		b := demand(1, c.head, 1)
 		b.Prefixes = []uint64{7}
 		o.Demand(now, "b", b, nil)
-		_, to := granted(o.Reply(now, "x", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
+		_, to := grantsIn(o.Reply(now, "x", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
 		if len(to) != 1 || to[0] != c.want {
 			t.Errorf("%s: granted to %v, want %v", c.name, to, c.want)
 		}
 	}
 }
 
-func TestUnreachedUpstreamGetsNothingUntilItReportsLoad(t *testing.T) {
+func TestUnreachableUpstreamResumesAfterLoadReport(t *testing.T) {
 	// An upstream has crashed and refuses connections for a moment. Granted on, a request would spend all its attempts there
 	// within milliseconds and its caller would get an error although other upstreams, and soon this one, could serve it.
 	now := start
-	o := owning(1)
+	o := newOwnerOfUpstream(1)
 	out := o.Demand(now, "a", demand(1, 5, 2), nil)
 	if len(out) != 1 {
 		t.Fatalf("the demand was answered by %d messages", len(out))
--- a/pomeloslot/random_test.go
+++ b/pomeloslot/randomfaults_test.go
@@ -7,28 +7,28 @@
 	"pgregory.net/rapid"
 )
 
-func TestNoSlotIsLostOrGivenTwice(t *testing.T) {
+func TestSlotsAreNeitherLostNorOvercommitted(t *testing.T) {
 	// Control messages are lost at random, or a router that owns upstreams dies. An upstream that runs more than its
 	// slots answers late; a slot that nobody counts as free idles for ever.
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := drawFleet(t)
-		cfg.drop = rapid.SampledFrom([]float64{0, 0.01, 0.1, 0.3}).Draw(t, "drop")
+		cfg.dropFraction = rapid.SampledFrom([]float64{0, 0.01, 0.1, 0.3}).Draw(t, "drop")
 		cfg.maxCost = 5
 		f := newFleet(cfg)
-		f.until(time.Duration(rapid.IntRange(0, 4000).Draw(t, "before")) * time.Millisecond)
+		f.runUntil(time.Duration(rapid.IntRange(0, 4000).Draw(t, "before")) * time.Millisecond)
 		if cfg.routers > 1 && rapid.Bool().Draw(t, "kill") {
-			f.cfg.drop = 0
-			f.kill(rapid.IntRange(0, cfg.routers-1).Draw(t, "dead"))
+			f.cfg.dropFraction = 0
+			f.killRouter(rapid.IntRange(0, cfg.routers-1).Draw(t, "dead"))
 		}
-		f.until(8 * time.Second)
+		f.runUntil(8 * time.Second)
 		for _, u := range f.upstreams {
-			if u.most > cfg.slots {
-				t.Fatalf("%s ran %d requests on %d slots", u.id, u.most, cfg.slots)
+			if u.maxRunning > cfg.slots {
+				t.Fatalf("%s ran %d requests on %d slots", u.id, u.maxRunning, cfg.slots)
 			}
 		}
 		f.drain()
-		f.cfg.drop = 0
-		f.until(30 * time.Second)
+		f.cfg.dropFraction = 0
+		f.runUntil(30 * time.Second)
 		f.checkIdle(t)
 	})
 }
@@ -36,13 +36,13 @@
 // drain ends the arrival of requests and cancels those that wait.
 func (f *fleet) drain() {
 	for i := range f.cfg.accounts {
-		f.cfg.accounts[i].depth = 0
+		f.cfg.accounts[i].queueDepth = 0
 	}
 	for _, r := range f.routers {
-		for id := range r.starts {
+		for id := range r.accountOf {
 			r.queues.Cancel(f.now, id)
 		}
-		f.heads(r)
+		f.updateDemand(r)
 	}
 }
 
--- a/pomeloslot/asker.go
+++ b/pomeloslot/requester.go
@@ -11,41 +11,41 @@
 
 // Asker registers one router's demand at slot owners and keeps the grants that it got.
 type Asker struct {
-	cfg    AskerConfig
-	random *rand.Rand
-	pools  map[pomelorelay.PoolID]*askerPool
-	// order is by id, so that the same calls always give the same messages.
-	order  []*askerPool
-	owners map[pomelorelay.UpstreamID]*owned
-	held   map[pomelorelay.GrantID]*held
-	seq    uint64
+	cfg   AskerConfig
+	rng   *rand.Rand
+	pools map[pomelorelay.PoolID]*poolState
+	// sortedPools is by id, so that the same calls always give the same messages.
+	sortedPools []*poolState
+	upstreams   map[pomelorelay.UpstreamID]*remoteUpstream
+	grants      map[pomelorelay.GrantID]*heldGrant
+	seq         uint64
 	// startAt is when the first registrations may leave; zero until the first call.
 	startAt time.Time
 }
 
-// askerPool is what a router knows of one pool.
-type askerPool struct {
-	id      pomelorelay.PoolID
-	spill   SpillOptions
-	demand  PoolHead
-	owners  []*owned
-	ranking []*owned
-	tags    []pomelorelay.Tag
+// poolState is what a router knows of one pool.
+type poolState struct {
+	id        pomelorelay.PoolID
+	spill     SpillOptions
+	demand    PoolHead
+	upstreams []*remoteUpstream
+	ranked    []*remoteUpstream
+	tags      []pomelorelay.Tag
 }
 
-// owned is what a router knows of one upstream and its owner.
-type owned struct {
-	digest pomelorelay.SlotDigest
-	at     time.Time
-	rank   uint64
+// remoteUpstream is what a router knows of one upstream and its owner.
+type remoteUpstream struct {
+	digest   pomelorelay.SlotDigest
+	digestAt time.Time
+	tieBreak uint64
 	// distance is how far the upstream is: in the own domain, the own region, or beyond.
-	distance pomelorelay.LinkClass
-	left     bool
-	held     int
-	chosen   bool
-	sent     sentDemand
-	// asked is when an owner that is said to have idle slots was asked and has shown no sign since; zero when it need not answer.
-	asked time.Time
+	distance   pomelorelay.LinkClass
+	leaving    bool
+	heldGrants int
+	selected   bool
+	lastSent   sentDemand
+	// unansweredSince is when an owner that is said to have idle slots was asked and has shown no sign since; zero when it need not answer.
+	unansweredSince time.Time
 	// idle are the slots that count as idle, computed at each choice.
 	idle pomelorelay.Slots
 }
@@ -58,8 +58,8 @@
 	at      time.Time
 }
 
-// held is a grant that the router has not settled.
-type held struct {
+// heldGrant is a grant that the router has not settled.
+type heldGrant struct {
 	upstream pomelorelay.UpstreamID
 	owner    pomelorelay.NodeID
 	expires  time.Time
@@ -70,33 +70,33 @@
 	cfg.Registration = cfg.Registration.withDefaults()
 	cfg.Spill = cfg.Spill.withDefaults()
 	return &Asker{
-		cfg:    cfg,
-		random: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		pools:  make(map[pomelorelay.PoolID]*askerPool),
-		owners: make(map[pomelorelay.UpstreamID]*owned),
-		held:   make(map[pomelorelay.GrantID]*held),
+		cfg:       cfg,
+		rng:       rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		pools:     make(map[pomelorelay.PoolID]*poolState),
+		upstreams: make(map[pomelorelay.UpstreamID]*remoteUpstream),
+		grants:    make(map[pomelorelay.GrantID]*heldGrant),
 	}
 }
 
 // Slots takes owners' digests, from this router's own Owner too; Tick is to be called after it.
 func (a *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
 	for _, d := range digests {
-		w := a.owners[d.Upstream]
+		w := a.upstreams[d.Upstream]
 		if w == nil {
-			w = a.addOwned(d)
+			w = a.addUpstream(d)
 		}
-		w.digest, w.at, w.asked = d, now, time.Time{}
+		w.digest, w.digestAt, w.unansweredSince = d, now, time.Time{}
 	}
 }
 
-func (a *Asker) addOwned(d pomelorelay.SlotDigest) *owned {
-	w := &owned{digest: d, rank: a.random.Uint64(), distance: a.distance(d.Domain)}
-	a.owners[d.Upstream] = w
+func (a *Asker) addUpstream(d pomelorelay.SlotDigest) *remoteUpstream {
+	w := &remoteUpstream{digest: d, tieBreak: a.rng.Uint64(), distance: a.distance(d.Domain)}
+	a.upstreams[d.Upstream] = w
 	p := a.pool(d.Pool)
-	i, _ := slices.BinarySearchFunc(p.owners, d.Upstream, func(w *owned, id pomelorelay.UpstreamID) int {
+	i, _ := slices.BinarySearchFunc(p.upstreams, d.Upstream, func(w *remoteUpstream, id pomelorelay.UpstreamID) int {
 		return strings.Compare(string(w.digest.Upstream), string(id))
 	})
-	p.owners = slices.Insert(p.owners, i, w)
+	p.upstreams = slices.Insert(p.upstreams, i, w)
 	return w
 }
 
@@ -110,17 +110,17 @@
 	return pomelorelay.LinkCross
 }
 
-func (a *Asker) pool(id pomelorelay.PoolID) *askerPool {
+func (a *Asker) pool(id pomelorelay.PoolID) *poolState {
 	if p := a.pools[id]; p != nil {
 		return p
 	}
-	p := &askerPool{id: id, spill: a.cfg.Spill}
+	p := &poolState{id: id, spill: a.cfg.Spill}
 	p.demand.Pool = id
 	a.pools[id] = p
-	i, _ := slices.BinarySearchFunc(a.order, id, func(p *askerPool, id pomelorelay.PoolID) int {
+	i, _ := slices.BinarySearchFunc(a.sortedPools, id, func(p *poolState, id pomelorelay.PoolID) int {
 		return strings.Compare(string(p.id), string(id))
 	})
-	a.order = slices.Insert(a.order, i, p)
+	a.sortedPools = slices.Insert(a.sortedPools, i, p)
 	return p
 }
 
@@ -129,15 +129,15 @@
 	for _, h := range heads {
 		p := a.pool(h.Pool)
 		p.demand = h
-		out = a.register(now, p, out)
+		out = a.updateRegistrations(now, p, out)
 	}
 	return out
 }
 
 // Tick refreshes the registrations.
 func (a *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	for _, p := range a.order {
-		out = a.register(now, p, out)
+	for _, p := range a.sortedPools {
+		out = a.updateRegistrations(now, p, out)
 	}
 	return out
 }
@@ -149,7 +149,7 @@
 	if p == nil {
 		return 0
 	}
-	return p.level(a.cfg.Domain)
+	return p.virtualTime(a.cfg.Domain)
 }
 
 // Crest returns the mark that accounts catch up with: the highest of the own domain's virtual time and those of the
@@ -161,17 +161,17 @@
 	if p == nil {
 		return 0
 	}
-	highest := p.level(a.cfg.Domain)
+	highest := p.virtualTime(a.cfg.Domain)
 	for domain := range a.cfg.Regions {
-		if domain == a.cfg.Domain || !p.busy(now, domain, a.cfg.Registration.DigestTTL) {
+		if domain == a.cfg.Domain || !p.saturated(now, domain, a.cfg.Registration.DigestTTL) {
 			continue
 		}
-		highest = max(highest, p.level(domain)-a.margin(p, domain))
+		highest = max(highest, p.virtualTime(domain)-a.margin(p, domain))
 	}
 	return highest
 }
 
-func (a *Asker) margin(p *askerPool, domain pomelorelay.DomainID) pomelorelay.Tag {
+func (a *Asker) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
 	if a.distance(domain) == pomelorelay.LinkRegion {
 		return p.spill.DomainMargin
 	}
@@ -186,32 +186,32 @@
 	if o.RegionMargin == 0 {
 		o.RegionMargin = a.cfg.Spill.RegionMargin
 	}
-	if o.RegionIdleWaiting == 0 {
-		o.RegionIdleWaiting = a.cfg.Spill.RegionIdleWaiting
+	if o.RegionMinWaiting == 0 {
+		o.RegionMinWaiting = a.cfg.Spill.RegionMinWaiting
 	}
 	a.pool(id).spill = o
 }
 
-// busy reports whether an owner of the domain is heard and none that is has a slot idle.
-func (p *askerPool) busy(now time.Time, domain pomelorelay.DomainID, ttl time.Duration) bool {
-	heard := false
-	for _, w := range p.owners {
-		if w.digest.Domain != domain || now.Sub(w.at) > ttl {
+// saturated reports whether an owner of the domain is heard and none that is has a slot idle.
+func (p *poolState) saturated(now time.Time, domain pomelorelay.DomainID, ttl time.Duration) bool {
+	found := false
+	for _, w := range p.upstreams {
+		if w.digest.Domain != domain || now.Sub(w.digestAt) > ttl {
 			continue
 		}
 		if w.digest.Idle > 0 {
 			return false
 		}
-		heard = true
+		found = true
 	}
-	return heard
+	return found
 }
 
-// level is the virtual time of one failure domain.
-func (p *askerPool) level(domain pomelorelay.DomainID) pomelorelay.Tag {
+// virtualTime is the virtual time of one failure domain.
+func (p *poolState) virtualTime(domain pomelorelay.DomainID) pomelorelay.Tag {
 	p.tags = p.tags[:0]
 	highest := pomelorelay.Tag(0)
-	for _, w := range p.owners {
+	for _, w := range p.upstreams {
 		if w.digest.Domain != domain {
 			continue
 		}
@@ -229,16 +229,16 @@
 
 // Leaving makes the router refuse every further grant of an upstream, also one that is under way.
 func (a *Asker) Leaving(id pomelorelay.UpstreamID) {
-	if w := a.owners[id]; w != nil {
-		w.left = true
+	if w := a.upstreams[id]; w != nil {
+		w.leaving = true
 		return
 	}
-	a.addOwned(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).left = true
+	a.addUpstream(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).leaving = true
 }
 
 // Back takes a leaving mark back when the host list says that the upstream stays.
 func (a *Asker) Back(id pomelorelay.UpstreamID) {
-	if w := a.owners[id]; w != nil {
-		w.left = false
+	if w := a.upstreams[id]; w != nil {
+		w.leaving = false
 	}
 }
--- a/pomeloslot/asker_test.go
+++ b/pomeloslot/requester_test.go
@@ -8,14 +8,14 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// newAsker returns an asker in domain a of region north; b is another domain there, z one of another region.
-func newAsker() *pomeloslot.Asker {
+// newRequester returns an asker in domain a of region north; b is another domain there, z one of another region.
+func newRequester() *pomeloslot.Asker {
 	a := pomeloslot.NewAsker(pomeloslot.AskerConfig{
 		Node:         "me",
 		Domain:       "a",
 		Regions:      map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "north", "b": "north", "z": "south"},
-		Registration: pomeloslot.RegistrationOptions{Base: 2, Spare: 1, StartSpread: 1},
-		Spill:        pomeloslot.SpillOptions{DomainMargin: 10, RegionMargin: 100, RegionIdleWaiting: 5},
+		Registration: pomeloslot.RegistrationOptions{BaseOwners: 2, SpareOwners: 1, StartJitter: 1},
+		Spill:        pomeloslot.SpillOptions{DomainMargin: 10, RegionMargin: 100, RegionMinWaiting: 5},
 	})
 	a.Tick(start, nil)
 	return a
@@ -29,8 +29,8 @@
 	return []pomeloslot.PoolHead{{Pool: testPool, Head: 50, Waiting: waiting}}
 }
 
-// registered returns the upstreams at which the messages register, without those from which they withdraw.
-func registered(out []pomelorelay.Outgoing) map[pomelorelay.UpstreamID]bool {
+// registeredAt returns the upstreams at which the messages register, without those from which they withdraw.
+func registeredAt(out []pomelorelay.Outgoing) map[pomelorelay.UpstreamID]bool {
 	at := make(map[pomelorelay.UpstreamID]bool)
 	for _, o := range out {
 		if m, ok := o.Message.(*pomelorelay.Demand); ok && m.Waiting > 0 {
@@ -40,7 +40,7 @@
 	return at
 }
 
-func TestWhereDemandGoes(t *testing.T) {
+func TestOwnerSelection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		digests []pomelorelay.SlotDigest
@@ -62,9 +62,9 @@
 		{"own region lost", []pomelorelay.SlotDigest{digest("w", "z", 10, 0)}, 1, []pomelorelay.UpstreamID{"w"}},
 		{"nothing waits", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)}, 0, nil},
 	} {
-		a := newAsker()
+		a := newRequester()
 		a.Slots(start, c.digests)
-		got := registered(a.Heads(start.Add(time.Millisecond), heads(c.waiting), nil))
+		got := registeredAt(a.Heads(start.Add(time.Millisecond), heads(c.waiting), nil))
 		same := len(got) == len(c.want)
 		for _, id := range c.want {
 			same = same && got[id]
@@ -75,10 +75,10 @@
 	}
 }
 
-func TestGrantUnderWayWhenUpstreamLeaves(t *testing.T) {
+func TestGrantInFlightWhenUpstreamLeaves(t *testing.T) {
 	// An owner that has not heard of it grants on a leaving upstream, or the router's claim takes so long that the
 	// upstream left, or the grant lapsed, in the meantime. Callers would see work start there after the notice.
-	a := newAsker()
+	a := newRequester()
 	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
 	a.Heads(now, heads(3), nil)
@@ -103,20 +103,20 @@
 	if m, ok := out[0].Message.(*pomelorelay.GrantReply); !ok || m.Waiting != 0 {
 		t.Errorf("reply %+v asks for more on a leaving upstream", out[0].Message)
 	}
-	if got := registered(a.Tick(now.Add(time.Second), nil)); len(got) != 0 {
+	if got := registeredAt(a.Tick(now.Add(time.Second), nil)); len(got) != 0 {
 		t.Errorf("registered at %v", got)
 	}
 	a.Back("u1")
 	a.Slots(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
-	if got := registered(a.Tick(now.Add(time.Second), nil)); !got["u1"] {
+	if got := registeredAt(a.Tick(now.Add(time.Second), nil)); !got["u1"] {
 		t.Error("not registered after the upstream came back")
 	}
 }
 
-func TestReplyAfterUpstreamChangedHands(t *testing.T) {
+func TestReplyAfterOwnerChange(t *testing.T) {
 	// A request runs while its upstream's owner is replaced. If only the first owner heard of its end, the new one would
 	// count its slot as taken until it asks.
-	a := newAsker()
+	a := newRequester()
 	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	a.Granted(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
 	if m := a.Running("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
@@ -134,28 +134,28 @@
 	}
 }
 
-func TestSilentOwnerIsLeftAlone(t *testing.T) {
+func TestDemandMovesFromOwnerWithoutDigests(t *testing.T) {
 	// An owner is cut off. Demand that stays with it alone would wait there for ever while other owners have slots.
-	a := newAsker()
+	a := newRequester()
 	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
 	a.Heads(start.Add(time.Millisecond), heads(1), nil)
 	now := start.Add(4 * time.Second)
 	a.Slots(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
-	got := registered(a.Tick(now, nil))
+	got := registeredAt(a.Tick(now, nil))
 	if got["u1"] || !got["u2"] || !got["u3"] {
 		t.Errorf("registered at %v, want u2 and u3", got)
 	}
 }
 
-func TestVirtualTimeIsTheMiddleOfBusyOwners(t *testing.T) {
-	a := newAsker()
+func TestVirtualTimeIsMedianOfBusyOwners(t *testing.T) {
+	a := newRequester()
 	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
 	if got := a.Virtual(testPool); got != 30 {
 		t.Errorf("virtual time %v, want 30", got)
 	}
 }
 
-func TestCrestStaysWithinTheMargins(t *testing.T) {
+func TestMaxVirtualTimeSubtractsMargins(t *testing.T) {
 	// Another domain's accounts have had more, as they may up to the margin. Were its level the mark, all accounts here
 	// would be lifted to one place and served in no fair order.
 	for _, c := range []struct {
@@ -171,7 +171,7 @@
 		{"a region far ahead", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("w", "z", 900, 0)}, 0, 800},
 		{"a domain not heard of", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, time.Minute, 500},
 	} {
-		a := newAsker()
+		a := newRequester()
 		a.Slots(start, c.digests)
 		if got := a.Crest(start.Add(c.age), testPool); got != c.want {
 			t.Errorf("%s: crest %v, want %v", c.name, got, c.want)
--- a/pomeloslot/scale_test.go
+++ b/pomeloslot/scale_test.go
@@ -11,26 +11,26 @@
 )
 
 // domainConfig is one failure domain at the target size; depth is how much each account keeps waiting at each router.
-func domainConfig(accounts, depth int, mean float64) fleetConfig {
+func domainConfig(accounts, queueDepth int, meanCost float64) fleetConfig {
 	random := rand.New(rand.NewPCG(1, 2))
 	cfg := fleetConfig{
 		seed: 1, routers: 60, upstreams: 100, slots: 8,
-		ledger: time.Second, digest: time.Second, progress: 250 * time.Millisecond,
+		ledgerInterval: time.Second, digestInterval: time.Second, progressInterval: 250 * time.Millisecond,
 		sigma: 1, maxCost: 60,
 	}
 	for i := range accounts {
 		cfg.accounts = append(cfg.accounts, testAccount{
-			id:      pomelorelay.AccountID(fmt.Sprintf("a%03d", i)),
-			weight:  1,
-			mean:    mean * (0.5 + float64(i%10)/9),
-			depth:   depth,
-			routers: random.Perm(cfg.routers)[:1+i%7],
+			id:         pomelorelay.AccountID(fmt.Sprintf("a%03d", i)),
+			weight:     1,
+			meanCost:   meanCost * (0.5 + float64(i%10)/9),
+			queueDepth: queueDepth,
+			routers:    random.Perm(cfg.routers)[:1+i%7],
 		})
 	}
 	return cfg
 }
 
-func reportFleet(b *testing.B, f *fleet, m measured) {
+func reportFleet(b *testing.B, f *fleet, m measurement) {
 	b.ReportMetric(m.median, "gap-median")
 	b.ReportMetric(m.highest, "gap-highest")
 	b.ReportMetric(m.utilisation, "utilisation")
@@ -56,7 +56,7 @@
 		{"ThreeAccounts", func(c *fleetConfig) {
 			c.accounts = c.accounts[:3]
 			for i := range c.accounts {
-				c.accounts[i].depth = 200
+				c.accounts[i].queueDepth = 200
 				c.accounts[i].routers = []int{i}
 			}
 		}},
@@ -78,24 +78,24 @@
 		f := newFleet(domainConfig(600, 0, 1))
 		random := rand.New(rand.NewPCG(3, 4))
 		for _, r := range f.routers {
-			f.arrive(r, random)
+			f.scheduleArrival(r, random)
 		}
 		m := f.measure(10*time.Second, 20*time.Second, nil)
 		slices.Sort(f.waits)
 		reportFleet(b, f, m)
 		b.ReportMetric(f.waits[len(f.waits)/2].Seconds()*1000, "wait-p50-ms")
 		b.ReportMetric(f.waits[len(f.waits)*99/100].Seconds()*1000, "wait-p99-ms")
-		b.ReportMetric(float64(f.messages["Grant"])/float64(len(f.waits)), "grants/request")
-		b.ReportMetric(float64(f.messages["Demand"])/float64(len(f.waits)), "demands/request")
+		b.ReportMetric(float64(f.messageCounts["Grant"])/float64(len(f.waits)), "grants/request")
+		b.ReportMetric(float64(f.messageCounts["Demand"])/float64(len(f.waits)), "demands/request")
 	}
 }
 
-func (f *fleet) arrive(r *testRouter, random *rand.Rand) {
+func (f *fleet) scheduleArrival(r *testRouter, random *rand.Rand) {
 	const rate = 9
 	f.after(time.Duration(random.ExpFloat64()/rate*float64(time.Second)), func() {
 		f.push(r, random.IntN(len(f.cfg.accounts)))
-		f.pushed[testRequest{r.index, r.nextID}] = f.now
-		f.heads(r)
-		f.arrive(r, random)
+		f.pushedAt[testRequest{r.index, r.nextID}] = f.now
+		f.updateDemand(r)
+		f.scheduleArrival(r, random)
 	})
 }
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -6,23 +6,23 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// reach says how far demand is carried: every owner up to the distance, and beyond it those whose last granted tag is
+// spillRange says how far demand is carried: every owner up to the distance, and beyond it those whose last granted tag is
 // above the margins.
-type reach struct {
-	distance pomelorelay.LinkClass
-	domain   pomelorelay.Tag
-	region   pomelorelay.Tag
-	// domainIdle and regionIdle tell whether idle slots further away may be used.
-	domainIdle, regionIdle bool
+type spillRange struct {
+	maxDistance     pomelorelay.LinkClass
+	domainThreshold pomelorelay.Tag
+	regionThreshold pomelorelay.Tag
+	// useDomainIdle and regionIdle tell whether idle slots further away may be used.
+	useDomainIdle, useRegionIdle bool
 }
 
-// reach finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
+// spillRange finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
 // enough waits, those beyond; without a usable owner nearby the next distance counts as near.
-func (a *Asker) reach(now time.Time, p *askerPool) reach {
+func (a *Asker) spillRange(now time.Time, p *poolState) spillRange {
 	var known, idle [pomelorelay.LinkClasses]bool
 	highest := pomelorelay.Tag(0)
-	for _, w := range p.owners {
-		if !a.usable(now, w) {
+	for _, w := range p.upstreams {
+		if !a.available(now, w) {
 			continue
 		}
 		known[w.distance] = true
@@ -31,20 +31,20 @@
 			highest = max(highest, w.digest.LastTag)
 		}
 	}
-	r := reach{domain: highest + p.spill.DomainMargin, region: highest + p.spill.RegionMargin}
-	r.domainIdle = !idle[pomelorelay.LinkDomain]
-	enough := p.demand.Waiting >= p.spill.RegionIdleWaiting
-	r.regionIdle = r.domainIdle && !idle[pomelorelay.LinkRegion] && enough
-	for r.distance < pomelorelay.LinkCross && !known[r.distance] {
-		r.distance++
+	r := spillRange{domainThreshold: highest + p.spill.DomainMargin, regionThreshold: highest + p.spill.RegionMargin}
+	r.useDomainIdle = !idle[pomelorelay.LinkDomain]
+	enoughWaiting := p.demand.Waiting >= p.spill.RegionMinWaiting
+	r.useRegionIdle = r.useDomainIdle && !idle[pomelorelay.LinkRegion] && enoughWaiting
+	for r.maxDistance < pomelorelay.LinkCross && !known[r.maxDistance] {
+		r.maxDistance++
 	}
 	return r
 }
 
 // allows reports whether an owner beyond the distance is worth its longer way.
-func (r reach) allows(w *owned) bool {
+func (r spillRange) allows(w *remoteUpstream) bool {
 	if w.distance == pomelorelay.LinkRegion {
-		return r.domainIdle && w.idle > 0 || w.digest.LastTag > r.domain
+		return r.useDomainIdle && w.idle > 0 || w.digest.LastTag > r.domainThreshold
 	}
-	return r.regionIdle && w.idle > 0 || w.digest.LastTag > r.region
+	return r.useRegionIdle && w.idle > 0 || w.digest.LastTag > r.regionThreshold
 }
--- a/pomeloslot/table_test.go
+++ b/pomeloslot/table_test.go
@@ -10,123 +10,123 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// tableConfig is the setting of the design's table.
-func tableConfig(seed uint64) fleetConfig {
+// referenceConfig is the setting of the design's table.
+func referenceConfig(seed uint64) fleetConfig {
 	random := rand.New(rand.NewPCG(seed, 2))
 	cfg := fleetConfig{
-		seed:      seed,
-		routers:   8,
-		upstreams: 10,
-		slots:     8,
-		ledger:    250 * time.Millisecond,
-		digest:    250 * time.Millisecond,
-		progress:  100 * time.Millisecond,
-		sigma:     1,
-		maxCost:   60,
+		seed:             seed,
+		routers:          8,
+		upstreams:        10,
+		slots:            8,
+		ledgerInterval:   250 * time.Millisecond,
+		digestInterval:   250 * time.Millisecond,
+		progressInterval: 100 * time.Millisecond,
+		sigma:            1,
+		maxCost:          60,
 	}
 	for i := range 16 {
 		cfg.accounts = append(cfg.accounts, testAccount{
-			id:      pomelorelay.AccountID(fmt.Sprintf("a%02d", i)),
-			weight:  1,
-			mean:    0.7 * math.Pow(10, float64(i)/15),
-			depth:   20,
-			routers: random.Perm(8)[:1+i%7],
+			id:         pomelorelay.AccountID(fmt.Sprintf("a%02d", i)),
+			weight:     1,
+			meanCost:   0.7 * math.Pow(10, float64(i)/15),
+			queueDepth: 20,
+			routers:    random.Perm(8)[:1+i%7],
 		})
 	}
 	return cfg
 }
 
-// aim is what a run must show: gaps in slot seconds at most, utilisation at least.
-type aim struct {
-	name            string
-	change          func(*fleetConfig)
-	median, highest float64
-	utilisation     float64
-	seeds           uint64
-	span            time.Duration
+// expectation is what a run must show: gaps in slot seconds at most, utilisation at least.
+type expectation struct {
+	name                  string
+	change                func(*fleetConfig)
+	maxMedian, maxHighest float64
+	minUtilisation        float64
+	seeds                 uint64
+	span                  time.Duration
 }
 
-const tableSeeds = 3
+const referenceSeeds = 3
 
-// warm is how long a fleet that started with empty state runs before it is measured.
-const warm = time.Minute
+// warmUp is how long a fleet that started with empty state runs before it is measured.
+const warmUp = time.Minute
 
-// tableSpan is how long the design's table measures.
-const tableSpan = 210 * time.Second
+// referenceSpan is how long the design's table measures.
+const referenceSpan = 210 * time.Second
 
-// otherHighest bounds the highest gap of loads other than the table's: one account with nine of its longest requests at once made 56.2.
-const otherHighest = 60
+// variedLoadMaxGap bounds the highest gap of loads other than the table's: one account with nine of its longest requests at once made 56.2.
+const variedLoadMaxGap = 60
 
-func (a aim) check(t *testing.T) {
+func (a expectation) check(t *testing.T) {
 	for seed := range a.seeds {
-		cfg := tableConfig(seed + 1)
+		cfg := referenceConfig(seed + 1)
 		a.change(&cfg)
 		f := newFleet(cfg)
-		m := f.measure(warm, a.span, nil)
+		m := f.measure(warmUp, a.span, nil)
 		t.Logf("%s, seed %d: gap %.1f / %.1f, bound %.0f, utilisation %.4f, %.0f B/s a node, in flight %d", a.name, seed+1,
-			m.median, m.highest, float64(f.bound()), m.utilisation, m.bytesPerNode, f.inFlight)
-		if m.median > a.median || m.highest > a.highest {
-			t.Errorf("%s, seed %d: gap %.1f / %.1f, aim %.0f / %.0f", a.name, seed+1, m.median, m.highest, a.median, a.highest)
+			m.median, m.highest, float64(f.gapBound()), m.utilisation, m.bytesPerNode, f.maxInFlight)
+		if m.median > a.maxMedian || m.highest > a.maxHighest {
+			t.Errorf("%s, seed %d: gap %.1f / %.1f, aim %.0f / %.0f", a.name, seed+1, m.median, m.highest, a.maxMedian, a.maxHighest)
 		}
-		if m.utilisation < a.utilisation {
-			t.Errorf("%s, seed %d: utilisation %.4f, aim %.3f", a.name, seed+1, m.utilisation, a.utilisation)
+		if m.utilisation < a.minUtilisation {
+			t.Errorf("%s, seed %d: utilisation %.4f, aim %.3f", a.name, seed+1, m.utilisation, a.minUtilisation)
 		}
 	}
 }
 
-func TestTable(t *testing.T) {
-	for _, a := range []aim{
-		{"totals each 0.25 s", func(*fleetConfig) {}, 12, 25, 0.995, tableSeeds, tableSpan},
-		{"totals each 1 s", func(c *fleetConfig) { c.ledger = time.Second }, 15, 33, 0.995, tableSeeds, tableSpan},
+func TestGapAndUtilisation(t *testing.T) {
+	for _, a := range []expectation{
+		{"totals each 0.25 s", func(*fleetConfig) {}, 12, 25, 0.995, referenceSeeds, referenceSpan},
+		{"totals each 1 s", func(c *fleetConfig) { c.ledgerInterval = time.Second }, 15, 33, 0.995, referenceSeeds, referenceSpan},
 	} {
 		t.Run(a.name, a.check)
 	}
 }
 
-func TestBaselineOfFixedShares(t *testing.T) {
+func TestFixedSharesBaseline(t *testing.T) {
 	// Each router serves its own accounts with its own share of the slots, as fleets without coordination do: an account
 	// on one router gets far less than one on seven.
-	cfg := tableConfig(1)
-	cfg.local = true
-	m := newFleet(cfg).measure(warm, 210*time.Second, nil)
+	cfg := referenceConfig(1)
+	cfg.fixedShares = true
+	m := newFleet(cfg).measure(warmUp, 210*time.Second, nil)
 	t.Logf("gap %.1f / %.1f, utilisation %.4f", m.median, m.highest, m.utilisation)
 	if m.median < 300 {
 		t.Errorf("gap %.1f: the baseline no longer shows the fault that the rest is meant for", m.median)
 	}
 }
 
-func TestGapUnderLoadsOfManyKinds(t *testing.T) {
-	for _, a := range []aim{
+func TestGapUnderVariedLoads(t *testing.T) {
+	for _, a := range []expectation{
 		{"weights 1 to 4", func(c *fleetConfig) {
 			for i := range c.accounts {
 				c.accounts[i].weight = float64(1 + i%4)
 			}
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"costs that differ 100-fold", func(c *fleetConfig) {
 			for i := range c.accounts {
-				c.accounts[i].mean = 0.1 * math.Pow(100, float64(i)/15)
+				c.accounts[i].meanCost = 0.1 * math.Pow(100, float64(i)/15)
 			}
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"one account hints a tenth", func(c *fleetConfig) {
-			c.accounts[13].hint = c.accounts[13].mean / 10
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+			c.accounts[13].costHint = c.accounts[13].meanCost / 10
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"one account hints tenfold", func(c *fleetConfig) {
-			c.accounts[13].hint = c.accounts[13].mean * 10
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+			c.accounts[13].costHint = c.accounts[13].meanCost * 10
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"one account floods every router", func(c *fleetConfig) {
 			c.accounts[15].routers = []int{0, 1, 2, 3, 4, 5, 6, 7}
-			c.accounts[15].depth = 200
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+			c.accounts[15].queueDepth = 200
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"small accounts all on one router", func(c *fleetConfig) {
 			for i := range 8 {
 				c.accounts[i].routers = []int{3}
 			}
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"work at one router only", func(c *fleetConfig) {
 			for i := range c.accounts {
 				c.accounts[i].routers = []int{3}
 			}
-		}, 12, otherHighest, 0.995, 1, time.Minute},
+		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 	} {
 		t.Run(a.name, a.check)
 	}
