--- a/pomelofair/gapbound.go
+++ b/pomelofair/gapbound.go
@@ -38,10 +38,10 @@
 
 // GapBound returns the most by which the normalised service of two accounts can differ that wait without a break since it was equal, in normalised cost.
 func GapBound(in GapBoundInput) pomelorelay.Tag {
-	flight := pomelorelay.Cost(in.MaxInFlight)
+	inFlight := pomelorelay.Cost(in.MaxInFlight)
 	staleness := ledgerIntervals*in.LedgerInterval + in.DemandInterval + in.DigestInterval + in.ProgressInterval + linkTraversals*in.LinkLatency
-	running := flight * in.MaxCost
-	charges := admissionCharges * flight * in.MaxExpectedCost * pomelorelay.Cost(in.AdmissionFraction)
-	accrued := flight * in.CostPerSecond * pomelorelay.Cost(staleness.Seconds())
+	running := inFlight * in.MaxCost
+	charges := admissionCharges * inFlight * in.MaxExpectedCost * pomelorelay.Cost(in.AdmissionFraction)
+	accrued := inFlight * in.CostPerSecond * pomelorelay.Cost(staleness.Seconds())
 	return (running + charges + accrued).Normalise(in.MinWeight) + in.PrefixMargin
 }
--- a/pomeloslot/bench_test.go
+++ b/pomeloslot/bench_test.go
@@ -50,18 +50,18 @@
 
 // BenchmarkRegister is an asker's choice among 100 owners.
 func BenchmarkRegister(b *testing.B) {
-	a := newRequester()
+	r := newRequester()
 	var digests []pomelorelay.SlotDigest
 	for i := range 100 {
 		digests = append(digests, digest(pomelorelay.UpstreamID(fmt.Sprintf("u%03d", i)), "a", pomelorelay.Tag(i*7%31), 0))
 	}
-	a.Slots(start, digests)
+	r.Slots(start, digests)
 	h := []pomeloslot.PoolHead{{Pool: testPool, Head: 5, Waiting: 40}}
 	out := make([]pomelorelay.Outgoing, 0, 128)
 	now := start.Add(time.Millisecond)
 	b.ReportAllocs()
 	for b.Loop() {
-		out = a.Heads(now, h, out[:0])
+		out = r.Heads(now, h, out[:0])
 	}
 }
 
--- a/pomeloslot/idleanswer_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -13,27 +13,27 @@
 	// dead, almost two seconds, beside idle slots of the region's other domain.
 	for _, c := range []struct {
 		name string
-		sign func(a *pomeloslot.Asker, at time.Time)
+		sign func(r *pomeloslot.Asker, at time.Time)
 		want bool
 	}{
 		{"no sign", func(*pomeloslot.Asker, time.Time) {}, true},
-		{"a fresh digest", func(a *pomeloslot.Asker, at time.Time) {
-			a.Slots(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
+		{"a fresh digest", func(r *pomeloslot.Asker, at time.Time) {
+			r.Slots(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
 		}, false},
-		{"a grant", func(a *pomeloslot.Asker, at time.Time) {
-			a.Granted(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
+		{"a grant", func(r *pomeloslot.Asker, at time.Time) {
+			r.Granted(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
 		}, false},
 	} {
-		a := newRequester()
-		a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
-		if got := registeredAt(a.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
+		r := newRequester()
+		r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
+		if got := registeredAt(r.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
 			t.Fatalf("%s: registered at %v first", c.name, got)
 		}
-		if got := registeredAt(a.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
+		if got := registeredAt(r.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
 			t.Errorf("%s: registered at %v before the wait was over", c.name, got)
 		}
-		c.sign(a, start.Add(290*time.Millisecond))
-		if got := registeredAt(a.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
+		c.sign(r, start.Add(290*time.Millisecond))
+		if got := registeredAt(r.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
 			t.Errorf("%s: registered at %v after the wait", c.name, got)
 		}
 	}
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -22,24 +22,24 @@
 
 // recordPeak remembers how many slots were taken.
 func (l *loadTracker) recordPeak(now time.Time, taken int, lag time.Duration) {
-	span := now.UnixNano() / int64(lag/peakIntervals)
-	p := &l.peaks[span%int64(len(l.peaks))]
-	if p.interval != span {
-		*p = peak{interval: span}
+	interval := now.UnixNano() / int64(lag/peakIntervals)
+	p := &l.peaks[interval%int64(len(l.peaks))]
+	if p.interval != interval {
+		*p = peak{interval: interval}
 	}
 	p.taken = max(p.taken, taken)
 }
 
 // maxTaken is the most slots taken at any time that a report of now may describe.
 func (l *loadTracker) maxTaken(now time.Time, lag time.Duration) int {
-	span := now.UnixNano() / int64(lag/peakIntervals)
-	maxTaken := 0
+	interval := now.UnixNano() / int64(lag/peakIntervals)
+	highest := 0
 	for _, p := range l.peaks {
-		if span-p.interval <= peakIntervals {
-			maxTaken = max(maxTaken, p.taken)
+		if interval-p.interval <= peakIntervals {
+			highest = max(highest, p.taken)
 		}
 	}
-	return maxTaken
+	return highest
 }
 
 // resetLoad forgets the reports from before a crash.
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -79,127 +79,127 @@
 }
 
 // Slots takes owners' digests, from this router's own Owner too; Tick is to be called after it.
-func (a *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
+func (r *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
 	for _, d := range digests {
-		w := a.upstreams[d.Upstream]
-		if w == nil {
-			w = a.addUpstream(d)
+		u := r.upstreams[d.Upstream]
+		if u == nil {
+			u = r.addUpstream(d)
 		}
-		w.digest, w.digestAt, w.unansweredSince = d, now, time.Time{}
+		u.digest, u.digestAt, u.unansweredSince = d, now, time.Time{}
 	}
 }
 
-func (a *Asker) addUpstream(d pomelorelay.SlotDigest) *remoteUpstream {
-	w := &remoteUpstream{digest: d, tieBreak: a.rng.Uint64(), distance: a.distance(d.Domain)}
-	a.upstreams[d.Upstream] = w
-	p := a.pool(d.Pool)
-	i, _ := slices.BinarySearchFunc(p.upstreams, d.Upstream, func(w *remoteUpstream, id pomelorelay.UpstreamID) int {
-		return strings.Compare(string(w.digest.Upstream), string(id))
+func (r *Asker) addUpstream(d pomelorelay.SlotDigest) *remoteUpstream {
+	u := &remoteUpstream{digest: d, tieBreak: r.rng.Uint64(), distance: r.distance(d.Domain)}
+	r.upstreams[d.Upstream] = u
+	p := r.pool(d.Pool)
+	i, _ := slices.BinarySearchFunc(p.upstreams, d.Upstream, func(u *remoteUpstream, id pomelorelay.UpstreamID) int {
+		return strings.Compare(string(u.digest.Upstream), string(id))
 	})
-	p.upstreams = slices.Insert(p.upstreams, i, w)
-	return w
+	p.upstreams = slices.Insert(p.upstreams, i, u)
+	return u
 }
 
-func (a *Asker) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
+func (r *Asker) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
 	switch {
-	case domain == a.cfg.Domain:
+	case domain == r.cfg.Domain:
 		return pomelorelay.LinkDomain
-	case a.cfg.Regions[domain] == a.cfg.Regions[a.cfg.Domain]:
+	case r.cfg.Regions[domain] == r.cfg.Regions[r.cfg.Domain]:
 		return pomelorelay.LinkRegion
 	}
 	return pomelorelay.LinkCross
 }
 
-func (a *Asker) pool(id pomelorelay.PoolID) *poolState {
-	if p := a.pools[id]; p != nil {
+func (r *Asker) pool(id pomelorelay.PoolID) *poolState {
+	if p := r.pools[id]; p != nil {
 		return p
 	}
-	p := &poolState{id: id, spill: a.cfg.Spill}
+	p := &poolState{id: id, spill: r.cfg.Spill}
 	p.demand.Pool = id
-	a.pools[id] = p
-	i, _ := slices.BinarySearchFunc(a.sortedPools, id, func(p *poolState, id pomelorelay.PoolID) int {
+	r.pools[id] = p
+	i, _ := slices.BinarySearchFunc(r.sortedPools, id, func(p *poolState, id pomelorelay.PoolID) int {
 		return strings.Compare(string(p.id), string(id))
 	})
-	a.sortedPools = slices.Insert(a.sortedPools, i, p)
+	r.sortedPools = slices.Insert(r.sortedPools, i, p)
 	return p
 }
 
 // Heads takes what waits in the pools that changed and registers where it is worth it.
-func (a *Asker) Heads(now time.Time, heads []PoolHead, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Asker) Heads(now time.Time, heads []PoolHead, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, h := range heads {
-		p := a.pool(h.Pool)
+		p := r.pool(h.Pool)
 		p.demand = h
-		out = a.updateRegistrations(now, p, out)
+		out = r.updateRegistrations(now, p, out)
 	}
 	return out
 }
 
 // Tick refreshes the registrations.
-func (a *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	for _, p := range a.sortedPools {
-		out = a.updateRegistrations(now, p, out)
+func (r *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	for _, p := range r.sortedPools {
+		out = r.updateRegistrations(now, p, out)
 	}
 	return out
 }
 
 // Virtual returns the pool's virtual time: the middle one of the last granted tags of the own domain's owners that have
 // no slot idle, or the highest of all when every one has.
-func (a *Asker) Virtual(id pomelorelay.PoolID) pomelorelay.Tag {
-	p := a.pools[id]
+func (r *Asker) Virtual(id pomelorelay.PoolID) pomelorelay.Tag {
+	p := r.pools[id]
 	if p == nil {
 		return 0
 	}
-	return p.virtualTime(a.cfg.Domain)
+	return p.virtualTime(r.cfg.Domain)
 }
 
 // Crest returns the mark that accounts catch up with: the highest of the own domain's virtual time and those of the
 // other domains whose owners are heard and busy, less the margin up to which demand stays at home. Without the margin,
 // every account of a domain that is a little behind would be lifted to the same place again and again, and be served in
 // no fair order.
-func (a *Asker) Crest(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
-	p := a.pools[id]
+func (r *Asker) Crest(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
+	p := r.pools[id]
 	if p == nil {
 		return 0
 	}
-	highest := p.virtualTime(a.cfg.Domain)
-	for domain := range a.cfg.Regions {
-		if domain == a.cfg.Domain || !p.saturated(now, domain, a.cfg.Registration.DigestTTL) {
+	highest := p.virtualTime(r.cfg.Domain)
+	for domain := range r.cfg.Regions {
+		if domain == r.cfg.Domain || !p.saturated(now, domain, r.cfg.Registration.DigestTTL) {
 			continue
 		}
-		highest = max(highest, p.virtualTime(domain)-a.margin(p, domain))
+		highest = max(highest, p.virtualTime(domain)-r.margin(p, domain))
 	}
 	return highest
 }
 
-func (a *Asker) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
-	if a.distance(domain) == pomelorelay.LinkRegion {
+func (r *Asker) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
+	if r.distance(domain) == pomelorelay.LinkRegion {
 		return p.spill.DomainMargin
 	}
 	return p.spill.RegionMargin
 }
 
 // SetSpill sets a pool's margins, whose unit is the pool's cost divided by weight; zero fields take the Asker's.
-func (a *Asker) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
+func (r *Asker) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
 	if o.DomainMargin == 0 {
-		o.DomainMargin = a.cfg.Spill.DomainMargin
+		o.DomainMargin = r.cfg.Spill.DomainMargin
 	}
 	if o.RegionMargin == 0 {
-		o.RegionMargin = a.cfg.Spill.RegionMargin
+		o.RegionMargin = r.cfg.Spill.RegionMargin
 	}
 	if o.RegionMinWaiting == 0 {
-		o.RegionMinWaiting = a.cfg.Spill.RegionMinWaiting
+		o.RegionMinWaiting = r.cfg.Spill.RegionMinWaiting
 	}
-	a.pool(id).spill = o
+	r.pool(id).spill = o
 }
 
 // saturated reports whether an owner of the domain is heard and none that is has a slot idle.
 func (p *poolState) saturated(now time.Time, domain pomelorelay.DomainID, ttl time.Duration) bool {
 	found := false
-	for _, w := range p.upstreams {
-		if w.digest.Domain != domain || now.Sub(w.digestAt) > ttl {
+	for _, u := range p.upstreams {
+		if u.digest.Domain != domain || now.Sub(u.digestAt) > ttl {
 			continue
 		}
-		if w.digest.Idle > 0 {
+		if u.digest.Idle > 0 {
 			return false
 		}
 		found = true
@@ -211,13 +211,13 @@
 func (p *poolState) virtualTime(domain pomelorelay.DomainID) pomelorelay.Tag {
 	p.tags = p.tags[:0]
 	highest := pomelorelay.Tag(0)
-	for _, w := range p.upstreams {
-		if w.digest.Domain != domain {
+	for _, u := range p.upstreams {
+		if u.digest.Domain != domain {
 			continue
 		}
-		highest = max(highest, w.digest.LastTag)
-		if w.digest.Idle == 0 && !w.digest.Leaving {
-			p.tags = append(p.tags, w.digest.LastTag)
+		highest = max(highest, u.digest.LastTag)
+		if u.digest.Idle == 0 && !u.digest.Leaving {
+			p.tags = append(p.tags, u.digest.LastTag)
 		}
 	}
 	if len(p.tags) == 0 {
@@ -228,17 +228,17 @@
 }
 
 // Leaving makes the router refuse every further grant of an upstream, also one that is under way.
-func (a *Asker) Leaving(id pomelorelay.UpstreamID) {
-	if w := a.upstreams[id]; w != nil {
-		w.leaving = true
+func (r *Asker) Leaving(id pomelorelay.UpstreamID) {
+	if u := r.upstreams[id]; u != nil {
+		u.leaving = true
 		return
 	}
-	a.addUpstream(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).leaving = true
+	r.addUpstream(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).leaving = true
 }
 
 // Back takes a leaving mark back when the host list says that the upstream stays.
-func (a *Asker) Back(id pomelorelay.UpstreamID) {
-	if w := a.upstreams[id]; w != nil {
-		w.leaving = false
+func (r *Asker) Back(id pomelorelay.UpstreamID) {
+	if u := r.upstreams[id]; u != nil {
+		u.leaving = false
 	}
 }
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -10,15 +10,15 @@
 
 // newRequester returns an asker in domain a of region north; b is another domain there, z one of another region.
 func newRequester() *pomeloslot.Asker {
-	a := pomeloslot.NewAsker(pomeloslot.AskerConfig{
+	r := pomeloslot.NewAsker(pomeloslot.AskerConfig{
 		Node:         "me",
 		Domain:       "a",
 		Regions:      map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "north", "b": "north", "z": "south"},
 		Registration: pomeloslot.RegistrationOptions{BaseOwners: 2, SpareOwners: 1, StartJitter: 1},
 		Spill:        pomeloslot.SpillOptions{DomainMargin: 10, RegionMargin: 100, RegionMinWaiting: 5},
 	})
-	a.Tick(start, nil)
-	return a
+	r.Tick(start, nil)
+	return r
 }
 
 func digest(id pomelorelay.UpstreamID, domain pomelorelay.DomainID, last pomelorelay.Tag, idle pomelorelay.Slots) pomelorelay.SlotDigest {
@@ -62,9 +62,9 @@
 		{"own region lost", []pomelorelay.SlotDigest{digest("w", "z", 10, 0)}, 1, []pomelorelay.UpstreamID{"w"}},
 		{"nothing waits", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)}, 0, nil},
 	} {
-		a := newRequester()
-		a.Slots(start, c.digests)
-		got := registeredAt(a.Heads(start.Add(time.Millisecond), heads(c.waiting), nil))
+		r := newRequester()
+		r.Slots(start, c.digests)
+		got := registeredAt(r.Heads(start.Add(time.Millisecond), heads(c.waiting), nil))
 		same := len(got) == len(c.want)
 		for _, id := range c.want {
 			same = same && got[id]
@@ -78,37 +78,37 @@
 func TestGrantInFlightWhenUpstreamLeaves(t *testing.T) {
 	// An owner that has not heard of it grants on a leaving upstream, or the router's claim takes so long that the
 	// upstream left, or the grant lapsed, in the meantime. Callers would see work start there after the notice.
-	a := newRequester()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	r := newRequester()
+	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
-	a.Heads(now, heads(3), nil)
+	r.Heads(now, heads(3), nil)
 	first := &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: 500 * time.Millisecond}
-	if !a.Granted(now, "owner-u1", first) || !a.Usable(now, 1) {
+	if !r.Granted(now, "owner-u1", first) || !r.GrantUsable(now, 1) {
 		t.Fatal("a good grant was refused")
 	}
-	if a.Granted(now, "owner-u1", first) {
+	if r.Granted(now, "owner-u1", first) {
 		t.Error("the same grant was taken twice")
 	}
-	if a.Usable(now.Add(time.Second), 1) {
+	if r.GrantUsable(now.Add(time.Second), 1) {
 		t.Error("a lapsed grant is usable")
 	}
-	a.Leaving("u1")
-	if a.Usable(now, 1) {
+	r.Leaving("u1")
+	if r.GrantUsable(now, 1) {
 		t.Error("a grant is usable after its upstream left")
 	}
-	if a.Granted(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
+	if r.Granted(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
 		t.Error("a grant on a leaving upstream was taken")
 	}
-	out := a.Settled(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
+	out := r.Settled(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
 	if m, ok := out[0].Message.(*pomelorelay.GrantReply); !ok || m.Waiting != 0 {
 		t.Errorf("reply %+v asks for more on a leaving upstream", out[0].Message)
 	}
-	if got := registeredAt(a.Tick(now.Add(time.Second), nil)); len(got) != 0 {
+	if got := registeredAt(r.Tick(now.Add(time.Second), nil)); len(got) != 0 {
 		t.Errorf("registered at %v", got)
 	}
-	a.Back("u1")
-	a.Slots(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
-	if got := registeredAt(a.Tick(now.Add(time.Second), nil)); !got["u1"] {
+	r.Back("u1")
+	r.Slots(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	if got := registeredAt(r.Tick(now.Add(time.Second), nil)); !got["u1"] {
 		t.Error("not registered after the upstream came back")
 	}
 }
@@ -116,41 +116,41 @@
 func TestReplyAfterOwnerChange(t *testing.T) {
 	// A request runs while its upstream's owner is replaced. If only the first owner heard of its end, the new one would
 	// count its slot as taken until it asks.
-	a := newRequester()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
-	a.Granted(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
-	if m := a.Running("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
+	r := newRequester()
+	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	r.Granted(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
+	if m := r.Running("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
 		t.Errorf("report %+v", m)
 	}
 	d := digest("u1", "a", 10, 4)
 	d.Owner = "successor"
-	a.Slots(start, []pomelorelay.SlotDigest{d})
-	out := a.Settled(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
+	r.Slots(start, []pomelorelay.SlotDigest{d})
+	out := r.Settled(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
 	if len(out) != 2 || out[0].To != "owner-u1" || out[1].To != "successor" {
 		t.Errorf("replies %+v", out)
 	}
-	if m := a.Running("u1"); len(m.Grants) != 0 {
+	if m := r.Running("u1"); len(m.Grants) != 0 {
 		t.Errorf("report %+v after the end", m)
 	}
 }
 
 func TestDemandMovesFromOwnerWithoutDigests(t *testing.T) {
 	// An owner is cut off. Demand that stays with it alone would wait there for ever while other owners have slots.
-	a := newRequester()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
-	a.Heads(start.Add(time.Millisecond), heads(1), nil)
+	r := newRequester()
+	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
+	r.Heads(start.Add(time.Millisecond), heads(1), nil)
 	now := start.Add(4 * time.Second)
-	a.Slots(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
-	got := registeredAt(a.Tick(now, nil))
+	r.Slots(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
+	got := registeredAt(r.Tick(now, nil))
 	if got["u1"] || !got["u2"] || !got["u3"] {
 		t.Errorf("registered at %v, want u2 and u3", got)
 	}
 }
 
 func TestVirtualTimeIsMedianOfBusyOwners(t *testing.T) {
-	a := newRequester()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
-	if got := a.Virtual(testPool); got != 30 {
+	r := newRequester()
+	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
+	if got := r.Virtual(testPool); got != 30 {
 		t.Errorf("virtual time %v, want 30", got)
 	}
 }
@@ -171,9 +171,9 @@
 		{"a region far ahead", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("w", "z", 900, 0)}, 0, 800},
 		{"a domain not heard of", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, time.Minute, 500},
 	} {
-		a := newRequester()
-		a.Slots(start, c.digests)
-		if got := a.Crest(start.Add(c.age), testPool); got != c.want {
+		r := newRequester()
+		r.Slots(start, c.digests)
+		if got := r.Crest(start.Add(c.age), testPool); got != c.want {
 			t.Errorf("%s: crest %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -18,33 +18,33 @@
 
 // spillRange finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
 // enough waits, those beyond; without a usable owner nearby the next distance counts as near.
-func (a *Asker) spillRange(now time.Time, p *poolState) spillRange {
+func (r *Asker) spillRange(now time.Time, p *poolState) spillRange {
 	var known, idle [pomelorelay.LinkClasses]bool
 	highest := pomelorelay.Tag(0)
-	for _, w := range p.upstreams {
-		if !a.available(now, w) {
+	for _, u := range p.upstreams {
+		if !r.available(now, u) {
 			continue
 		}
-		known[w.distance] = true
-		idle[w.distance] = idle[w.distance] || w.idle > 0
-		if w.distance == pomelorelay.LinkDomain {
-			highest = max(highest, w.digest.LastTag)
+		known[u.distance] = true
+		idle[u.distance] = idle[u.distance] || u.idle > 0
+		if u.distance == pomelorelay.LinkDomain {
+			highest = max(highest, u.digest.LastTag)
 		}
 	}
-	r := spillRange{domainThreshold: highest + p.spill.DomainMargin, regionThreshold: highest + p.spill.RegionMargin}
-	r.useDomainIdle = !idle[pomelorelay.LinkDomain]
+	result := spillRange{domainThreshold: highest + p.spill.DomainMargin, regionThreshold: highest + p.spill.RegionMargin}
+	result.useDomainIdle = !idle[pomelorelay.LinkDomain]
 	enoughWaiting := p.demand.Waiting >= p.spill.RegionMinWaiting
-	r.useRegionIdle = r.useDomainIdle && !idle[pomelorelay.LinkRegion] && enoughWaiting
-	for r.maxDistance < pomelorelay.LinkCross && !known[r.maxDistance] {
-		r.maxDistance++
+	result.useRegionIdle = result.useDomainIdle && !idle[pomelorelay.LinkRegion] && enoughWaiting
+	for result.maxDistance < pomelorelay.LinkCross && !known[result.maxDistance] {
+		result.maxDistance++
 	}
-	return r
+	return result
 }
 
 // allows reports whether an owner beyond the distance is worth its longer way.
-func (r spillRange) allows(w *remoteUpstream) bool {
-	if w.distance == pomelorelay.LinkRegion {
-		return r.useDomainIdle && w.idle > 0 || w.digest.LastTag > r.domainThreshold
+func (r spillRange) allows(u *remoteUpstream) bool {
+	if u.distance == pomelorelay.LinkRegion {
+		return r.useDomainIdle && u.idle > 0 || u.digest.LastTag > r.domainThreshold
 	}
-	return r.useRegionIdle && w.idle > 0 || w.digest.LastTag > r.regionThreshold
+	return r.useRegionIdle && u.idle > 0 || u.digest.LastTag > r.regionThreshold
 }
