--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -6,47 +6,52 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// account is one client account in one pool; all of its service is normalised when it is charged.
+// account is the state of a client account in one pool; all service is normalised when it is charged.
 type account struct {
 	id     pomelorelay.AccountID
 	pool   *pool
 	weight pomelorelay.Weight
-	// ownServed is what this router served, others what the rest of the fleet did.
+	// ownServed is the service charged by this router, othersServed that charged by the other routers.
 	ownServed    pomelorelay.Tag
 	othersServed pomelorelay.Tag
-	// ownIncrease and othersStep are how far own and others lately rose from one totals to the next.
+	// ownIncrease and othersIncrease are moving averages of the increase of reported and othersServed between updates of
+	// the fleet totals.
 	ownIncrease    pomelorelay.Tag
 	othersIncrease pomelorelay.Tag
-	ownAtTotals    pomelorelay.Tag
-	// totalsAt is when totals last came.
+	// ownAtTotals is the value of reported at the last update of the fleet totals.
+	ownAtTotals pomelorelay.Tag
+	// totalsAt is when fleet totals were last received.
 	totalsAt time.Time
-	// reported is the highest sum of own and pending that was reported.
+	// reported is the highest sum of ownServed and pending that was reported to the ledger.
 	reported pomelorelay.Tag
-	// chargedAtReport is own and pending at the last report.
+	// chargedAtReport is the sum of ownServed and pending at the last report.
 	chargedAtReport pomelorelay.Tag
-	lift            pomelorelay.Tag
+	// lift is the service credited to the account when it was moved up to the virtual time or the catch-up limit.
+	lift pomelorelay.Tag
 	// pending is the part of the admission charges that has not accrued yet.
 	pending pomelorelay.Tag
-	// floor plus own is the least place of an account whose fleet totals are being asked for.
-	floor          pomelorelay.Tag
+	// floor plus ownServed is the minimum of the account's service while awaitingTotals.
+	floor pomelorelay.Tag
+	// awaitingTotals is set from the start of a backlogged period until fleet totals are received.
 	awaitingTotals bool
-	dirty          bool
-	heapIndex      int
-	heapKey        pomelorelay.Tag
-	meanCost       pomelorelay.Cost
-	first          *request
-	last           *request
-	waiting        int
-	running        int
-	bytes          pomelorelay.Bytes
-	lastPop        time.Time
-	popInterval    time.Duration
+	// dirty is set while the account is in changedAccounts.
+	dirty       bool
+	heapIndex   int
+	heapKey     pomelorelay.Tag
+	meanCost    pomelorelay.Cost
+	first       *request
+	last        *request
+	waiting     int
+	running     int
+	bytes       pomelorelay.Bytes
+	lastPop     time.Time
+	popInterval time.Duration
 }
 
-// maxForecastRatio bounds how many times its own charges a router takes the rest of the fleet's to be.
+// maxForecastRatio limits the forecast of the other routers' charges to a multiple of this router's own.
 const maxForecastRatio = 16
 
-// request is one caller's request, waiting or running.
+// request is a waiting or running request.
 type request struct {
 	id         pomelorelay.RequestID
 	account    *account
@@ -57,16 +62,16 @@
 	pending    pomelorelay.Tag
 	running    bool
 	prev, next *request
-	// older and newer link the waiting requests of all accounts by age.
+	// older and newer link the waiting requests of all accounts in order of age.
 	older, newer *request
 }
 
-// served is the account's normalised service as this router knows it.
+// served returns the account's normalised service across the fleet as known to this router, including lift.
 func (a *account) served() pomelorelay.Tag { return a.ownServed + a.othersServed + a.lift }
 
-// forecastOthers is what the rest of the fleet has probably been charged since totals last came: as many times this router's
-// own charges as it was lately. Every router sees the same account lowest until the next totals; if each made up for the
-// whole of its deficit, it would be seen to get as many times that as it has routers.
+// forecastOthers estimates what the other routers have charged since the last report: this router's own charges times the
+// recent ratio of their charges to its own. Until the next totals, all routers see the same account with the lowest tag;
+// if each of them served its full deficit, the account would receive it once per router.
 func (a *account) forecastOthers() pomelorelay.Tag {
 	since := a.ownServed + a.pending - a.chargedAtReport
 	if since <= 0 || a.othersIncrease <= 0 {
@@ -79,7 +84,7 @@
 	return ratio * since
 }
 
-// tag is the account's place.
+// tag returns the account's place in the order of service; the lowest tag is served first.
 func (a *account) tag() pomelorelay.Tag {
 	served := a.served() + a.forecastOthers()
 	if a.awaitingTotals {
@@ -88,13 +93,13 @@
 	return served + a.pending
 }
 
-// releaseCharge takes the rest of a running request's admission charge back.
+// releaseCharge reverses the part of a running request's admission charge that has not accrued.
 func (a *account) releaseCharge(r *request) {
 	a.pending -= r.pending
 	r.pending = 0
 	a.running--
 	if a.running == 0 {
-		a.pending = 0 // rounding must not pile up over millions of requests
+		a.pending = 0 // prevents rounding errors from accumulating over millions of requests
 	}
 }
 
@@ -144,7 +149,7 @@
 	a.bytes -= r.bytes
 }
 
-// popIntervalDivisor is the weight of the newest interval between pops in its running mean.
+// popIntervalDivisor is the inverse of the weight of the newest interval in the moving average of popInterval.
 const popIntervalDivisor = 8
 
 func (a *account) recordPop(now time.Time) {
--- a/pomelofair/agelist.go
+++ b/pomelofair/agelist.go
@@ -1,9 +1,9 @@
 package pomelofair
 
-// appendByAge links a request that was just pushed as the newest waiting one.
+// appendByAge links a newly pushed request as the newest in the age list.
 func (q *Queues) appendByAge(r *request) { q.linkByAge(r, q.newest) }
 
-// insertByAge links a requeued request by the time at which it was pushed.
+// insertByAge links a requeued request at the position of its push time.
 func (q *Queues) insertByAge(r *request) {
 	at := q.oldest
 	var before *request
@@ -13,7 +13,7 @@
 	q.linkByAge(r, before)
 }
 
-// linkByAge links a request behind older, or as the oldest when older is nil.
+// linkByAge links a request after older, or as the oldest if older is nil.
 func (q *Queues) linkByAge(r, older *request) {
 	r.older = older
 	if older == nil {
--- a/pomelofair/bench_test.go
+++ b/pomelofair/bench_test.go
@@ -11,7 +11,7 @@
 
 const knownAccounts = 37_000
 
-// newLoadedQueues returns queues that know 37,000 accounts, of which a tenth waits with two requests each.
+// newLoadedQueues returns queues with knownAccounts accounts, of which one in ten has two waiting requests.
 func newLoadedQueues(b *testing.B) (*pomelofair.Queues, []pomelorelay.AccountID) {
 	b.Helper()
 	q := pomelofair.New(pomelofair.Config{})
--- a/pomelofair/catchup_test.go
+++ b/pomelofair/catchup_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestCatchUpIsBoundedAfterPartition(t *testing.T) {
-	// Two sides of a partition each served an account; another was served by one side only. At the heal the first one's
-	// total jumps. Without a cap it would be seen to stand still until the other has had as much.
+	// Both sides of a partition serve one account, and only one side serves another. When the partition heals, the first
+	// account's total jumps; without a limit it would receive nothing until the other had caught up completely.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "both")
 	push(t, q, 2, "one")
@@ -21,12 +21,13 @@
 	setTotals(q, "both", 700, true)
 	setTotals(q, "one", 115, true)
 	if got := liftOf(q, "one"); got != 525 {
-		t.Errorf("lift %v, want 525: 60 under 700", got)
+		t.Errorf("lift %v, want 525, which is 60 below 700", got)
 	}
 }
 
 func TestMaxVirtualTimeOfAnotherDomain(t *testing.T) {
-	// A failure domain that was cut off was served less than another. The other's accounts must not wait until it is level.
+	// A partitioned failure domain received less service than another one. The other domain's accounts must not wait until it
+	// has caught up completely.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
 	q.SetVirtual(pool, 100)
@@ -39,8 +40,8 @@
 }
 
 func TestRunningAccountIgnoresStaleTotals(t *testing.T) {
-	// An account has one long request running here and nothing waiting, so no totals of it come, while other routers
-	// serve it a lot. Its next request must not be placed by totals from a minute ago.
+	// An account has one long request running and none waiting, so the router receives no totals for it while other routers
+	// serve it. Its next request must not be ordered by totals that are a minute old.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
 	setTotals(q, "a", 10, true)
--- a/pomelofair/charge.go
+++ b/pomelofair/charge.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// chargeAdmission charges the admission fraction of the expected cost.
+// chargeAdmission marks a request as running and charges the admission fraction of its expected cost.
 func (q *Queues) chargeAdmission(r *request) {
 	a := r.account
 	r.running = true
@@ -15,8 +15,8 @@
 	a.running++
 }
 
-// expectedCost is the account's mean cost, moved by the hint within bounds. An unbounded hint would let a caller choose its
-// own place: one that says one for a thousand would be seen to hold every slot until its requests end.
+// expectedCost returns the caller's hint, limited to a range around the account's mean cost, or the mean without a hint.
+// With an unlimited hint, a caller that declared a cost of 1 instead of 1,000 could occupy all slots until its requests end.
 func (q *Queues) expectedCost(r *request) pomelorelay.Cost {
 	mean := r.account.meanCost
 	if mean == 0 {
@@ -29,7 +29,7 @@
 	return min(max(r.hint, mean/factor), mean*factor)
 }
 
-// Progress charges what a running request has accrued since its start beyond what it was charged; a lower figure than before is ignored.
+// Progress updates the total cost that a running request has accrued since its start and charges what exceeds its admission charge; a decrease is ignored.
 func (q *Queues) Progress(_ time.Time, id pomelorelay.RequestID, accrued pomelorelay.Cost) {
 	r := q.requests[id]
 	if r == nil || !r.running {
@@ -39,7 +39,7 @@
 	r.account.pool.decreaseKey(r.account)
 }
 
-// accrue moves cost from pending to served; what goes beyond pending raises the tag.
+// accrue moves cost from pending to ownServed; cost in excess of pending raises the tag.
 func (q *Queues) accrue(r *request, accrued pomelorelay.Cost) {
 	if accrued <= r.accrued {
 		return
@@ -54,7 +54,7 @@
 	q.markChanged(a)
 }
 
-// Finish settles a running request at its final cost and forgets it; a final cost under what has accrued counts as accrued.
+// Finish charges a running request at its final cost, or the accrued cost if that is higher, and removes it.
 func (q *Queues) Finish(_ time.Time, id pomelorelay.RequestID, final pomelorelay.Cost) {
 	r := q.requests[id]
 	if r == nil || !r.running {
@@ -63,7 +63,7 @@
 	a := r.account
 	q.accrue(r, final)
 	a.releaseCharge(r)
-	if r.accrued > 0 { // one that never ran says nothing of what its like cost
+	if r.accrued > 0 { // a request that never ran is no sample of the cost
 		q.updateMeans(a, r.accrued)
 	}
 	q.recycle(r)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Charge charges an account for service that it got without being queued here.
+// Charge charges an account for service that was not queued at this router.
 func (q *Queues) Charge(_ time.Time, id pomelorelay.PoolID, name pomelorelay.AccountID, cost pomelorelay.Cost) {
 	if cost <= 0 {
 		return
@@ -83,7 +83,7 @@
 	q.markChanged(a)
 }
 
-// updateMeans moves the running means by the cost of a finished request.
+// updateMeans adds the cost of a finished request to the moving averages of its account and pool.
 func (q *Queues) updateMeans(a *account, cost pomelorelay.Cost) {
 	smoothing := pomelorelay.Cost(q.cfg.Charge.MeanSmoothing)
 	if a.meanCost == 0 {
--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -6,43 +6,43 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config sets up a Queues.
+// Config configures a Queues.
 type Config struct {
-	// Weights gives the accounts' shares; nil counts every account as one.
+	// Weights provides the weights of the accounts; with nil, every account has weight 1.
 	Weights pomelorelay.Weights
 	Charge  ChargeOptions
 	Limit   LimitOptions
 }
 
-// ChargeOptions says how a request is charged whose cost is known only at its end.
+// ChargeOptions configures how requests are charged before their final cost is known; zero fields take the defaults.
 type ChargeOptions struct {
-	// AdmissionFraction is the part of the expected cost that is charged when a request is popped; default 0.35.
+	// AdmissionFraction is the fraction of the expected cost that is charged when a request is popped; default 0.35.
 	AdmissionFraction float64
-	// CatchUp is how far behind the virtual time a backlogged account may stay, in normalised cost; default 60.
+	// CatchUp is the maximum normalised cost by which a backlogged account may stay behind the virtual time; default 60.
 	CatchUp pomelorelay.Tag
-	// InitialCost is the expected cost before any request of the pool ended; default 1.
+	// InitialCost is the expected cost before any request of the pool has finished; default 1.
 	InitialCost pomelorelay.Cost
-	// MeanSmoothing is the weight of the newest request in the running mean; default 0.125.
+	// MeanSmoothing is the weight of the newest request in the moving average of the cost; default 0.125.
 	MeanSmoothing float64
-	// HintFactor bounds a caller's hint to between mean/HintFactor and mean*HintFactor; default 2.
+	// HintFactor limits a caller's cost hint to the range mean/HintFactor to mean*HintFactor; default 2.
 	HintFactor float64
 }
 
-// LimitOptions bounds what one account may have waiting in one pool at one router.
+// LimitOptions limits the waiting requests of one account in one pool at one router; zero fields take the defaults.
 type LimitOptions struct {
-	// MaxWaiting is the number of waiting requests; default 256.
+	// MaxWaiting is the maximum number of waiting requests; default 256.
 	MaxWaiting int
-	// MaxWaitingBytes is the sum of the bodies of waiting requests; default 16 MiB.
+	// MaxWaitingBytes is the maximum total body size of the waiting requests; default 16 MiB.
 	MaxWaitingBytes pomelorelay.Bytes
-	// Wait is the longest that a request waits; default 60 s.
+	// Wait is the maximum time that a request waits; default 60 s.
 	Wait time.Duration
 }
 
-// PoolOptions are what differs from pool to pool: the unit of cost is a token in one and a slot second in another.
+// PoolOptions overrides options for one pool, since the unit of cost differs between pools: tokens in one, slot seconds in another.
 type PoolOptions struct {
-	// CatchUp stands for ChargeOptions.CatchUp.
+	// CatchUp overrides ChargeOptions.CatchUp.
 	CatchUp pomelorelay.Tag
-	// Count and Bytes stand for those of LimitOptions.
+	// Count and Bytes override MaxWaiting and MaxWaitingBytes of LimitOptions.
 	Count int
 	Bytes pomelorelay.Bytes
 }
@@ -90,13 +90,13 @@
 	return o
 }
 
-// Request is a caller's request as it is queued.
+// Request describes a caller's request to be queued.
 type Request struct {
 	ID      pomelorelay.RequestID
 	Pool    pomelorelay.PoolID
 	Account pomelorelay.AccountID
-	// Bytes is the size of the body.
+	// Bytes is the body size.
 	Bytes pomelorelay.Bytes
-	// Hint is the caller's guess of the cost; zero means none.
+	// Hint is the caller's estimate of the cost; zero means none.
 	Hint pomelorelay.Cost
 }
--- a/pomelofair/doc.go
+++ b/pomelofair/doc.go
@@ -1,8 +1,9 @@
-// Package pomelofair keeps the waiting and running requests of one router in
-// fair queues: per pool, the account that has had the least service for its
-// weight across the fleet is served first.
+// Package pomelofair implements weighted fair queueing of the waiting and running
+// requests of one router. In each pool, the account that has received the least
+// normalised service (cost divided by weight) across the fleet is served first.
 //
-// A Queues is a decision part: no goroutines, no locks, no I/O, and not safe for
-// concurrent use. LedgerEntry.Served holds cost that was divided by the account's
-// weight when it was charged, so that a change of weight moves nobody's place.
+// A Queues is a pure state machine: it starts no goroutines, takes no locks, does
+// no I/O and is not safe for concurrent use. LedgerEntry.Served is normalised by
+// the weight that the account had when it was charged, so that a change of weight
+// does not change any account's tag.
 package pomelofair
--- a/pomelofair/gapbound.go
+++ b/pomelofair/gapbound.go
@@ -6,37 +6,39 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// GapBoundInput holds what the fixed bound of the gap depends on; docs/design/fairness.md derives it.
+// GapBoundInput holds the parameters of GapBound; docs/design/fairness.md derives the bound.
 type GapBoundInput struct {
-	// MaxCost is the most that one request may cost.
+	// MaxCost is the maximum cost of one request.
 	MaxCost pomelorelay.Cost
-	// MaxExpectedCost is the largest expected cost that is charged from, hints included.
+	// MaxExpectedCost is the maximum expected cost on which an admission charge is based, including hints.
 	MaxExpectedCost pomelorelay.Cost
-	// MaxInFlight is the most requests of one account that run at once across the fleet.
+	// MaxInFlight is the maximum number of concurrently running requests of one account across the fleet.
 	MaxInFlight int
-	// CostPerSecond is the most that one running request accrues in a second.
+	// CostPerSecond is the maximum cost that one running request accrues per second.
 	CostPerSecond pomelorelay.Cost
-	// MinWeight is the smallest weight of the accounts compared.
+	// MinWeight is the smallest weight of the compared accounts.
 	MinWeight pomelorelay.Weight
-	// AdmissionFraction is as in ChargeOptions.
+	// AdmissionFraction is that of ChargeOptions.
 	AdmissionFraction float64
-	// LedgerInterval, Refresh, Digest and Progress are the periods of totals, registered tags, digests and Progress.
+	// LedgerInterval, DemandInterval, DigestInterval and ProgressInterval are the periods of fleet totals, demand updates, digests and progress updates.
 	LedgerInterval, DemandInterval, DigestInterval, ProgressInterval time.Duration
 	// LinkLatency is the one-way latency between routers.
 	LinkLatency time.Duration
-	// PrefixMargin is as in pomeloslot's GrantOptions.
+	// PrefixMargin is that of GrantOptions in package pomeloslot.
 	PrefixMargin pomelorelay.Tag
 }
 
-// The parts of the bound: how many times each period can hide charges, how many messages lie between a charge and the
-// decision that ought to know of it, and how many times the admission charges of all running requests can be missed.
 const (
-	ledgerIntervals  = 4
-	linkTraversals   = 6
+	// ledgerIntervals is the number of ledger intervals during which charges can be unknown to a grant decision.
+	ledgerIntervals = 4
+	// linkTraversals is the number of messages between a charge and a decision that takes it into account.
+	linkTraversals = 6
+	// admissionCharges is how many times the admission charges of all running requests can be missed.
 	admissionCharges = 3
 )
 
-// GapBound returns the most by which the normalised service of two accounts can differ that wait without a break since it was equal, in normalised cost.
+// GapBound returns the maximum difference of normalised service between two accounts that have been backlogged without
+// interruption since their service was equal.
 func GapBound(in GapBoundInput) pomelorelay.Tag {
 	inFlight := pomelorelay.Cost(in.MaxInFlight)
 	staleness := ledgerIntervals*in.LedgerInterval + in.DemandInterval + in.DigestInterval + in.ProgressInterval + linkTraversals*in.LinkLatency
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// markChanged notes that the account's entry changed.
+// markChanged schedules the account's entry for the next report.
 func (q *Queues) markChanged(a *account) {
 	if a.dirty {
 		return
@@ -15,7 +15,7 @@
 	q.changedAccounts = append(q.changedAccounts, a)
 }
 
-// SetVirtual takes the pool's virtual time, the level at which the fleet serves it now.
+// SetVirtual sets the pool's virtual time, the tag at which the fleet currently serves it.
 func (q *Queues) SetVirtual(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	p := q.pools[id]
 	if p == nil {
@@ -25,16 +25,16 @@
 	p.maxVirtualTime = max(p.maxVirtualTime, tag)
 }
 
-// SetCrest takes the highest virtual time of the failure domains within reach. Backlogged accounts catch up with it to
-// within the catch-up bound. The virtual time itself can't be that mark: after a partition only those that are behind
-// are granted, it falls to their level, and whoever got more would be seen to stand still until they are level.
+// SetCrest raises the pool's maximum virtual time across failure domains. Backlogged accounts are lifted to within the
+// catch-up limit of it. The current virtual time is no substitute: after a partition it falls to the tags of the accounts
+// that are behind, and the others would receive no service until these had fully caught up.
 func (q *Queues) SetCrest(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	if p := q.pools[id]; p != nil {
 		p.maxVirtualTime = max(p.maxVirtualTime, tag)
 	}
 }
 
-// SetFleet takes an account's fleet totals, this router's own part included.
+// SetFleet updates an account from its fleet totals, which include this router's own service.
 func (q *Queues) SetFleet(now time.Time, e pomelorelay.LedgerEntry) {
 	p := q.pools[e.Pool]
 	if p == nil {
@@ -45,15 +45,15 @@
 		return
 	}
 	before := a.lift
-	// Totals may be older than the last ones, or come from a host that forgot: taken as they are, an account's place would
-	// fall and it would be served alone for a while. Sums only rise, so the larger one is the newer.
+	// Totals may be older than the last ones, or come from a ledger host that lacks entries. Applied as they are, they would
+	// lower an account's tag, and it alone would be served for a while. Sums only increase, so the larger one is newer.
 	others := max(a.othersServed, pomelorelay.Tag(e.Served)-a.reported)
 	increase := pomelorelay.Cost(others-a.othersServed) * pomelorelay.Cost(a.weight)
 	a.updateOthers(others)
 	a.totalsAt = now
 	a.lift = max(a.lift, e.Lift)
 	if !a.awaitingTotals && increase > pomelorelay.Cost(a.pool.options.CatchUp) {
-		// A partition healed: the account was served on the other side too.
+		// After a partition, the totals include the service from the other side.
 		p.maxVirtualTime = max(p.maxVirtualTime, a.served())
 	}
 	q.liftToTarget(a, e.Waiting)
@@ -63,22 +63,22 @@
 	p.decreaseKey(a)
 }
 
-// increaseDivisor is the weight of the newest step in the running means of steps.
+// increaseDivisor is the inverse of the weight of the newest increase in the moving averages.
 const increaseDivisor = 16
 
-// updateOthers takes what the rest of the fleet has been charged and how it compares with this router's charges.
+// updateOthers sets the service charged by the other routers and updates the moving averages of the increases.
 func (a *account) updateOthers(others pomelorelay.Tag) {
 	a.othersIncrease += (others - a.othersServed - a.othersIncrease) / increaseDivisor
 	a.ownIncrease += (a.reported - a.ownAtTotals - a.ownIncrease) / increaseDivisor
 	a.othersServed, a.ownAtTotals = others, a.reported
 }
 
-// totalsMaxAge is the age from which an account's totals are not taken for its place when it begins to wait.
+// totalsMaxAge is the age above which totals are considered stale at the start of a backlogged period.
 const totalsMaxAge = 2 * time.Second
 
-// startBacklog begins a backlogged period. What the ledger said earlier may be out of date: taking it as it is would let an
-// account use service that it left unclaimed while idle, or had elsewhere, seen as one account served alone for a while.
-// So the account starts at the virtual time, or at the catch-up bound when requests of it run here, until totals arrive.
+// startBacklog starts a backlogged period. Stale totals may miss the account's idle time or service at other routers, and
+// with them it alone would be served for a while. Until new totals arrive, the account therefore starts at the virtual
+// time, or at the catch-up limit below it if it has running requests and its totals are stale.
 func (q *Queues) startBacklog(now time.Time, a *account) {
 	switch {
 	case a.waiting > 0 || a.awaitingTotals:
@@ -95,9 +95,9 @@
 	q.markChanged(a)
 }
 
-// liftToTarget lifts a backlogged account that came back from idleness to the virtual time, and one that was behind elsewhere
-// to the catch-up bound. Without it, service left unclaimed (while idle, or on the far side of a partition) would be
-// claimed at once and every other account would be seen to stand still.
+// liftToTarget lifts a backlogged account that was idle to the virtual time, and one that is backlogged elsewhere to the
+// catch-up limit. Without it, service not used while idle or on the other side of a partition would be claimed at once,
+// and no other account would be served meanwhile.
 func (q *Queues) liftToTarget(a *account, elsewhere bool) {
 	if a.idle() {
 		return
@@ -115,14 +115,14 @@
 	}
 }
 
-// recordReport takes note of what is reported now.
+// recordReport records the charges that are included in the current report.
 func (a *account) recordReport() {
 	a.chargedAtReport = a.ownServed + a.pending
 	a.reported = max(a.reported, a.chargedAtReport)
 }
 
-// ledgerEntry is this router's own part. Waiting is not reported before totals have come: the answer would then say that the
-// account waits somewhere, here, and it could not be told from one that waits elsewhere.
+// ledgerEntry returns this router's own entry of the account. Waiting stays false while awaitingTotals: the totals would
+// otherwise show the account as waiting and not distinguish this router from the others.
 func (a *account) ledgerEntry() pomelorelay.LedgerEntry {
 	return pomelorelay.LedgerEntry{
 		Pool:    a.pool.id,
@@ -133,7 +133,7 @@
 	}
 }
 
-// Changed appends this router's own cumulative totals that changed since the last call.
+// Changed appends to out this router's own cumulative entries that changed since the last call.
 func (q *Queues) Changed(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
 	for i, a := range q.changedAccounts {
 		a.dirty = false
@@ -145,7 +145,7 @@
 	return out
 }
 
-// AllEntries appends this router's own cumulative totals of every account; a new ledger host asks for them.
+// AllEntries appends to out this router's own cumulative entries of all accounts, as requested by a new ledger host.
 func (q *Queues) AllEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
 	for _, p := range q.orderedPools {
 		for _, a := range p.orderedAccounts {
@@ -156,7 +156,7 @@
 	return out
 }
 
-// Interest appends the accounts that wait here, whose fleet totals decide.
+// Interest appends to out the accounts with waiting requests, whose fleet totals the router needs.
 func (q *Queues) Interest(out []pomelorelay.LedgerKey) []pomelorelay.LedgerKey {
 	for _, p := range q.orderedPools {
 		for _, a := range p.heap {
--- a/pomelofair/limits.go
+++ b/pomelofair/limits.go
@@ -6,13 +6,13 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// The bounds of an estimated Retry-After.
+// Range of the estimated Retry-After.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// checkLimits refuses what would not fit, so that a flood fills only its own account's queue.
+// checkLimits rejects a request that exceeds the limits of its account, so that a flood fills only that account's queue.
 func (q *Queues) checkLimits(a *account, r Request) error {
 	code := pomelorelay.ResultCode(0)
 	switch {
@@ -28,13 +28,13 @@
 	return err
 }
 
-// retryAfter estimates when half of the account's queue will have been served.
+// retryAfter estimates the time until half of the account's queue has been served.
 func (a *account) retryAfter() time.Duration {
 	estimate := a.popInterval * time.Duration(a.waiting) / 2
 	return min(max(estimate, minRetryAfter), maxRetryAfter)
 }
 
-// WaitError returns the refusal of a request that Expire returned.
+// WaitError returns the error, with RetryAfter, for a request that Expire removed.
 func (q *Queues) WaitError(id pomelorelay.PoolID, name pomelorelay.AccountID) *pomelorelay.Error {
 	err := pomelorelay.NewError(pomelorelay.CodeQueueWait, "", nil)
 	err.RetryAfter = q.account(id, name).retryAfter()
--- a/pomelofair/pool.go
+++ b/pomelofair/pool.go
@@ -2,34 +2,34 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// notInHeap is the place of an account that is not in the heap.
+// notInHeap is the heapIndex of an account that is not in the heap.
 const notInHeap = -1
 
-// pool keeps the waiting accounts in a heap by key. A key may be lower than its account's tag, never higher: tags
-// mostly rise, so a risen one is put right only when it reaches the top.
+// pool keeps the accounts with waiting requests in a min-heap by heapKey. A key may be lower than its account's tag, but
+// never higher: tags mostly increase, so an increased tag is only updated when its account reaches the top.
 type pool struct {
 	id              pomelorelay.PoolID
 	options         PoolOptions
 	accounts        map[pomelorelay.AccountID]*account
-	orderedAccounts []*account
+	orderedAccounts []*account // in order of first use, to be deterministic
 	heap            []*account
 	waiting         int
 	virtualTime     pomelorelay.Tag
 	virtualTimeSet  bool
-	// maxVirtualTime is the highest virtual time so far, the own one or another domain's.
+	// maxVirtualTime is the highest virtual time so far, of the local or another failure domain.
 	maxVirtualTime pomelorelay.Tag
 	meanCost       pomelorelay.Cost
 	hasMeanCost    bool
 }
 
-// raiseVirtualTime raises the virtual time while nobody tells it.
+// raiseVirtualTime raises the virtual time to the tag, unless the virtual time has been set from outside.
 func (p *pool) raiseVirtualTime(tag pomelorelay.Tag) {
 	if !p.virtualTimeSet && tag > p.virtualTime {
 		p.virtualTime = tag
 	}
 }
 
-// insert puts a waiting account into the heap, or right when it is there already.
+// insert adds an account to the heap, or updates its key if it is in the heap already.
 func (p *pool) insert(a *account) {
 	if a.heapIndex != notInHeap {
 		p.decreaseKey(a)
@@ -41,7 +41,7 @@
 	p.up(a.heapIndex)
 }
 
-// decreaseKey moves an account whose tag fell; a risen tag waits for lowest.
+// decreaseKey updates the key of an account whose tag has decreased; lowest updates increased ones.
 func (p *pool) decreaseKey(a *account) {
 	if a.heapIndex == notInHeap {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// removeIfEmpty takes an account out of the heap when nothing of it waits.
+// removeIfEmpty removes an account without waiting requests from the heap, and updates the key of any other.
 func (p *pool) removeIfEmpty(a *account) {
 	if a.waiting > 0 || a.heapIndex == notInHeap {
 		p.decreaseKey(a)
@@ -70,7 +70,7 @@
 	}
 }
 
-// lowest returns the waiting account of the lowest tag; there must be one.
+// lowest returns the account with the lowest tag; the heap must not be empty.
 func (p *pool) lowest() *account {
 	for {
 		a := p.heap[0]
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -6,17 +6,19 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Queues holds the waiting and running requests of one router.
+// Queues holds the waiting and running requests of one router in fair queues.
 type Queues struct {
 	cfg   Config
 	pools map[pomelorelay.PoolID]*pool
-	// orderedPools is by first use, so that the same calls always give the same answers.
+	// orderedPools is in order of first use to make the results deterministic.
 	orderedPools    []*pool
 	requests        map[pomelorelay.RequestID]*request
 	changedAccounts []*account
-	oldest          *request
-	newest          *request
-	freeRequests    *request
+	// oldest and newest are the ends of the age list of waiting requests.
+	oldest *request
+	newest *request
+	// freeRequests is a free list of requests.
+	freeRequests *request
 }
 
 // New returns empty queues.
@@ -30,7 +32,7 @@
 	}
 }
 
-// Push queues a request; it fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated, none of which ran.
+// Push queues a request; it fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated, and the request did not run then.
 func (q *Queues) Push(now time.Time, r Request) error {
 	if _, found := q.requests[r.ID]; found {
 		return pomelorelay.NewError(pomelorelay.CodeRequestRepeated, "", nil)
@@ -49,7 +51,7 @@
 	return nil
 }
 
-// Head returns the lowest tag of the pool's waiting accounts and how many requests wait; false when none does.
+// Head returns the lowest tag of the pool's waiting accounts and the number of waiting requests, or false if none wait.
 func (q *Queues) Head(_ time.Time, id pomelorelay.PoolID) (pomelorelay.Tag, int, bool) {
 	p := q.pools[id]
 	if p == nil || p.waiting == 0 {
@@ -58,8 +60,8 @@
 	return p.lowest().tag(), p.waiting, true
 }
 
-// Pop takes the first request of the lowest account and charges the admission fraction of its expected cost;
-// the tag is the account's before the charge.
+// Pop dequeues the first request of the account with the lowest tag and charges the admission fraction of its expected
+// cost; it returns the account's tag before the charge, or false if no request waits.
 func (q *Queues) Pop(now time.Time, id pomelorelay.PoolID) (pomelorelay.RequestID, pomelorelay.Tag, bool) {
 	p := q.pools[id]
 	if p == nil || p.waiting == 0 {
@@ -77,7 +79,7 @@
 	return r.id, tag, true
 }
 
-// Requeue puts a popped request that was not sent back at the head of its account and takes its charge back.
+// Requeue returns a popped request that was not sent to the head of its account's queue and reverses its charge.
 func (q *Queues) Requeue(_ time.Time, id pomelorelay.RequestID) {
 	r := q.requests[id]
 	if r == nil || !r.running {
@@ -91,7 +93,7 @@
 	a.pool.insert(a)
 }
 
-// Cancel forgets a waiting request; one that runs is left to Finish.
+// Cancel removes a waiting request; it has no effect on a running one, which ends with Finish.
 func (q *Queues) Cancel(_ time.Time, id pomelorelay.RequestID) {
 	r := q.requests[id]
 	if r == nil || r.running {
@@ -100,7 +102,7 @@
 	q.dropWaiting(r)
 }
 
-// Expire appends the requests that waited past the bound and forgets them; each is to be refused with WaitError.
+// Expire removes the requests that have waited for the maximum time and appends them to out; the caller must reject each with WaitError.
 func (q *Queues) Expire(now time.Time, out []pomelorelay.RequestID) []pomelorelay.RequestID {
 	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.Wait {
 		r := q.oldest
@@ -110,7 +112,7 @@
 	return out
 }
 
-// dropWaiting forgets a waiting request.
+// dropWaiting removes a waiting request.
 func (q *Queues) dropWaiting(r *request) {
 	a := r.account
 	q.dequeue(r)
@@ -121,14 +123,14 @@
 	}
 }
 
-// dequeue takes a waiting request out of its account's queue and the list by age.
+// dequeue removes a waiting request from its account's queue and the age list.
 func (q *Queues) dequeue(r *request) {
 	r.account.remove(r)
 	q.unlinkByAge(r)
 	r.account.pool.waiting--
 }
 
-// recycle gives the request's memory back for the next one.
+// recycle removes a request and puts it on the free list.
 func (q *Queues) recycle(r *request) {
 	delete(q.requests, r.id)
 	*r = request{next: q.freeRequests}
@@ -173,7 +175,7 @@
 	return q.cfg.Weights.Weight(id, name)
 }
 
-// SetWeights takes new shares; what was charged before stays as it was charged.
+// SetWeights replaces the weights for future charges; past charges keep the weight with which they were normalised.
 func (q *Queues) SetWeights(w pomelorelay.Weights) {
 	q.cfg.Weights = w
 	for _, p := range q.orderedPools {
@@ -183,7 +185,7 @@
 	}
 }
 
-// SetPool sets what differs from pool to pool; zero fields take what New was given.
+// SetPool sets the options of a pool; zero fields take those given to New.
 func (q *Queues) SetPool(id pomelorelay.PoolID, o PoolOptions) {
 	q.pool(id).options = q.poolOptions(o)
 }
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// accountWeights gives weights by account; others have one.
+// accountWeights maps accounts to weights; all others have weight 1.
 type accountWeights map[pomelorelay.AccountID]pomelorelay.Weight
 
 // Weight implements pomelorelay.Weights.
@@ -59,7 +59,7 @@
 		push(t, q, i, "a")
 		push(t, q, 10+i, "b")
 	}
-	// Each costs 1: b of weight 2 gets two for a's one.
+	// Each request costs 1, so account b with weight 2 receives two for each one of a.
 	for _, id := range []int{1, 11, 12, 2, 13, 14, 3, 4} {
 		pop(t, q, id)
 		q.Finish(start, pomelorelay.RequestID(id), 1)
@@ -67,8 +67,8 @@
 }
 
 func TestQueueLimits(t *testing.T) {
-	// One account floods its router with more than it may have waiting. Without bounds of its own the flood would
-	// take the router's memory and everybody else's requests would be refused too.
+	// An account floods its router with more requests than it may queue. Without limits per account, the flood would
+	// exhaust the router's memory and other accounts' requests would be rejected too.
 	q := pomelofair.New(pomelofair.Config{Limit: pomelofair.LimitOptions{MaxWaiting: 2, MaxWaitingBytes: 100, Wait: time.Second}})
 	push(t, q, 1, "flood")
 	push(t, q, 2, "flood")
@@ -85,21 +85,21 @@
 			t.Errorf("got %v, want code %d", err, c.code)
 		}
 		if refusal, ok := err.(*pomelorelay.Error); !ok || refusal.Ran != pomelorelay.RanNo {
-			t.Errorf("%v does not say that it did not run", err)
+			t.Errorf("error %v does not state that the request did not run", err)
 		}
 	}
 	push(t, q, 5, "other")
 	if got := q.Expire(start.Add(time.Second-1), nil); len(got) != 0 {
-		t.Errorf("%v expired early", got)
+		t.Errorf("requests %v expired early", got)
 	}
 	if got := q.Expire(start.Add(time.Second), nil); len(got) != 3 {
 		t.Errorf("expired %v, want all three", got)
 	}
 	if err := q.WaitError(pool, "flood"); err.RetryAfter < time.Second || err.Ran != pomelorelay.RanNo {
-		t.Errorf("refusal %+v", err)
+		t.Errorf("unexpected wait error %+v", err)
 	}
 	if _, waiting, ok := q.Head(start, pool); ok || waiting != 0 {
-		t.Errorf("%d still wait", waiting)
+		t.Errorf("%d requests are still waiting", waiting)
 	}
 }
 
@@ -114,13 +114,13 @@
 	}
 	q.Cancel(start, 2)
 	if _, _, ok := q.Head(start, pool); ok {
-		t.Error("a cancelled request waits")
+		t.Error("a cancelled request is still waiting")
 	}
 }
 
 func TestIdleAccountGainsNoCredit(t *testing.T) {
-	// An account stays away while others are served, then comes back with many requests. If its unclaimed service
-	// counted, it alone would be served until it had caught up, and everybody else would see the fleet stand still.
+	// An account is idle while others are served, then sends many requests. If its unused service were credited, it alone
+	// would be served until it had caught up, and no other account would make progress.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "busy")
 	q.SetVirtual(pool, 500)
@@ -138,8 +138,8 @@
 }
 
 func TestBackloggedAccountKeepsItsTagWithinCatchUp(t *testing.T) {
-	// A backlogged account's callers come to a further router, or its router was cut off for long. It may catch up,
-	// but only by the bound: else the rejoin of a partition would be seen as one account taking every slot.
+	// A backlogged account appears at another router, or its router was partitioned for long. It may catch up only within
+	// the limit; otherwise it would take every slot after the partition heals.
 	for _, c := range []struct {
 		served pomelorelay.Cost
 		lift   pomelorelay.Tag
@@ -156,8 +156,8 @@
 }
 
 func TestNewRouterStartsAtVirtualTime(t *testing.T) {
-	// A router starts with empty state. If it took every account as never served, it would serve in any order, and
-	// lifts computed from zero would later put accounts far ahead of what they had.
+	// A router starts with empty state. If it treated all accounts as never served, it would serve them in arbitrary order,
+	// and lifts computed from zero would later place accounts far above their actual service.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "other")
 	q.SetVirtual(pool, 300)
@@ -170,20 +170,20 @@
 	}
 	q.Finish(start, 2, 5)
 	if tag := pop(t, q, 3); tag != 305 {
-		t.Errorf("second tag %v, want 305: own service counts before totals come", tag)
+		t.Errorf("second tag %v, want 305: the router's own service counts before totals arrive", tag)
 	}
 	if got := liftOf(q, "a"); got != 0 {
-		t.Errorf("lift %v before totals came", got)
+		t.Errorf("lift %v before totals arrived, want 0", got)
 	}
 	setTotals(q, "a", 1000, false)
 	if tag, _, _ := q.Head(start, pool); tag < 1000 {
-		t.Errorf("head %v after totals of 1000", tag)
+		t.Errorf("head %v after totals of 1000, want 1000 or more", tag)
 	}
 }
 
 func TestStaleTotalsNeverLowerTag(t *testing.T) {
-	// Totals come late, twice, or from a ledger host that was replaced and has not heard everybody. A place that
-	// falls would be seen as an account served alone for a while.
+	// Totals arrive late, twice, or from a new ledger host that has not received all reports. If they lowered an
+	// account's tag, it alone would be served for a while.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "a")
 	for _, served := range []pomelorelay.Cost{100, 100, 40, 0} {
@@ -195,8 +195,8 @@
 }
 
 func TestWeightChangeKeepsTag(t *testing.T) {
-	// An operator halves an account's share. If its whole past were divided by the new weight, its place would double
-	// and the account would wait until everybody else had doubled theirs.
+	// An operator halves an account's weight. If past service were normalised by the new weight, the account's tag would
+	// double, and it would wait until the tags of all others had doubled too.
 	weights := accountWeights{"a": 2}
 	q := pomelofair.New(pomelofair.Config{Weights: weights})
 	push(t, q, 1, "a")
@@ -210,12 +210,12 @@
 	q.Finish(start, 2, 10)
 	push(t, q, 3, "a")
 	if tag := pop(t, q, 3); tag != 510 {
-		t.Errorf("tag %v, want 510: new cost counts by the new weight", tag)
+		t.Errorf("tag %v, want 510: new cost is normalised by the new weight", tag)
 	}
 }
 
 func TestHintEffectIsBounded(t *testing.T) {
-	// A caller hints at one thousandth, or a thousandfold, of what its requests cost.
+	// A caller's hint is a thousandth or a thousand times the cost of its requests.
 	for _, c := range []struct {
 		hint pomelorelay.Cost
 		want pomelorelay.Tag
--- a/pomelofair/random_test.go
+++ b/pomelofair/random_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofair"
 )
 
-// TestMain fixes the seed, so that the verdict is the same every time.
+// TestMain sets a fixed seed to make the results reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
@@ -21,7 +21,7 @@
 	m.Run()
 }
 
-// queuesModel drives queues at random beside plain lists of what waits and runs.
+// queuesModel applies random operations to queues and tracks the waiting and running requests independently.
 type queuesModel struct {
 	q       *pomelofair.Queues
 	now     time.Time
@@ -45,22 +45,22 @@
 	lowest, _, _ := m.q.Head(m.now, pool)
 	id, tag, ok := m.q.Pop(m.now, pool)
 	if ok != (len(m.waiting) > 0) {
-		t.Fatalf("pop %v with %d waiting", ok, len(m.waiting))
+		t.Fatalf("Pop returned %v with %d requests waiting", ok, len(m.waiting))
 	}
 	if !ok {
 		return
 	}
 	if _, found := m.waiting[id]; !found {
-		t.Fatalf("request %d does not wait", id)
+		t.Fatalf("popped request %d, which is not waiting", id)
 	}
 	if tag != lowest {
-		t.Fatalf("popped at %v, head %v", tag, lowest)
+		t.Fatalf("popped tag %v, want the head tag %v", tag, lowest)
 	}
 	delete(m.waiting, id)
 	m.running[id] = 0
 }
 
-// pickRequest picks the lowest of the ids past a random one, so that a draw always means the same request.
+// pickRequest returns the lowest matching ID that is not below a drawn one, so that equal draws select equal requests.
 func pickRequest(t *rapid.T, maxID pomelorelay.RequestID, matches func(pomelorelay.RequestID) bool) (pomelorelay.RequestID, bool) {
 	from := pomelorelay.RequestID(rapid.Uint64Range(0, uint64(maxID)).Draw(t, "from"))
 	for id := from; id <= maxID; id++ {
@@ -137,7 +137,7 @@
 func (m *queuesModel) check(t *rapid.T) {
 	_, waiting, ok := m.q.Head(m.now, pool)
 	if waiting != len(m.waiting) || ok != (waiting > 0) {
-		t.Fatalf("%d wait, want %d", waiting, len(m.waiting))
+		t.Fatalf("%d requests waiting, want %d", waiting, len(m.waiting))
 	}
 	accrued := m.served
 	for _, cost := range m.running {
@@ -148,6 +148,6 @@
 		reported += e.Served
 	}
 	if reported < accrued-1e-6 {
-		t.Fatalf("reported %v of %v", reported, accrued)
+		t.Fatalf("reported service %v, want at least the accrued %v", reported, accrued)
 	}
 }
--- a/pomeloslot/bench_test.go
+++ b/pomeloslot/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// BenchmarkGrant is a request's whole way through an owner with 60 routers waiting: the grant, its use and its end.
+// BenchmarkGrant measures a grant's life cycle (issued, used, finished) at an owner with 60 waiting routers.
 func BenchmarkGrant(b *testing.B) {
 	o := newOwnerOfUpstream(8)
 	var out []pomelorelay.Outgoing
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkDemand is a registration's refresh at an owner.
+// BenchmarkDemand measures the refresh of a registration at an owner.
 func BenchmarkDemand(b *testing.B) {
 	o := newOwnerOfUpstream(8)
 	o.Demand(start, "a", demand(1, 1, 100), nil)
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkRegister is an asker's choice among 100 owners.
+// BenchmarkRegister measures the selection among 100 upstreams.
 func BenchmarkRegister(b *testing.B) {
 	r := newRequester()
 	var digests []pomelorelay.SlotDigest
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkTable runs the design's table on virtual time and reports the gap, the utilisation and the control bytes of each seed.
+// BenchmarkTable simulates the reference configuration and reports the gap, the utilisation and the control bytes of each seed.
 func BenchmarkTable(b *testing.B) {
 	for seed := range uint64(referenceSeeds) {
 		b.Run(fmt.Sprintf("Seed%d", seed+1), func(b *testing.B) {
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// OwnerConfig sets up an Owner.
+// OwnerConfig configures an Owner.
 type OwnerConfig struct {
 	Node        pomelorelay.NodeID
 	Domain      pomelorelay.DomainID
@@ -15,41 +15,41 @@
 	Limit       LimitOptions
 }
 
-// GrantOptions says how long an owner believes what it was told.
+// GrantOptions holds the timeouts of grants and demand, and the settings for prefix affinity; zero fields take the defaults.
 type GrantOptions struct {
-	// TTL is how long after its arrival a grant may be used; default 500 ms.
+	// TTL is how long a grant may be used after it arrives at the router; default 500 ms.
 	TTL time.Duration
-	// ReplyTimeout is how long an owner waits for the reply to a grant before it asks what became of it; default 1 s.
+	// ReplyTimeout is how long an owner waits for the reply to a grant before it queries the router; default 1 s.
 	ReplyTimeout time.Duration
-	// CheckInterval is how often an owner asks after requests that run; default 2 s.
+	// CheckInterval is how often an owner queries a router for the requests that it runs; default 2 s.
 	CheckInterval time.Duration
-	// RecoveryTimeout is how long a new owner waits for the routers' reports before it grants without them; default 500 ms.
+	// RecoveryTimeout is how long a new owner waits for the routers' running reports before it grants without them; default 500 ms.
 	RecoveryTimeout time.Duration
-	// DemandTTL is how long a registration holds without a refresh; default 3 s.
+	// DemandTTL is how long a registration stays valid without a refresh; default 3 s.
 	DemandTTL time.Duration
-	// ReturnBackoff is how long a router that returned a grant although requests wait there gets no other; default 100 ms.
+	// ReturnBackoff is how long a router receives no grants after it returned one while requests were waiting; default 100 ms.
 	ReturnBackoff time.Duration
-	// PrefixMargin is how far above the lowest tag a router with a cached prefix may be preferred; default 1, negative means never.
+	// PrefixMargin is the maximum distance above the lowest tag at which a router with a cached prefix is preferred; default 1, negative disables it.
 	PrefixMargin pomelorelay.Tag
-	// PrefixTTL is how long a prefix counts as cached after it was last seen; default 60 s.
+	// PrefixTTL is how long a prefix is assumed to be cached after it was last seen; default 60 s.
 	PrefixTTL time.Duration
-	// MaxPrefixes is how many prefixes are remembered of an upstream; default 256.
+	// MaxPrefixes is the maximum number of prefixes tracked per upstream; default 256.
 	MaxPrefixes int
 }
 
-// LimitOptions says how an upstream's concurrency limit follows its latencies.
+// LimitOptions configures how an upstream's concurrency limit adapts to its latencies; zero fields take the defaults.
 type LimitOptions struct {
-	// FirstTokenTarget is the target for 95 in 100 first tokens; default 1.2 s.
+	// FirstTokenTarget is the target for the 95th percentile of the time to first token; default 1.2 s.
 	FirstTokenTarget time.Duration
-	// TokenGapTarget is the target between tokens for 95 in 100 answers; default 51 ms.
+	// TokenGapTarget is the target for the 95th percentile of the time between tokens; default 51 ms.
 	TokenGapTarget time.Duration
-	// Window is how long latencies are gathered before the limit moves; default 2 s.
+	// Window is how long latencies are collected before the limit is adjusted; default 2 s.
 	Window time.Duration
-	// MinSamples is how many answers a window needs before the limit moves; default 20.
+	// MinSamples is the number of responses that a window needs before the limit is adjusted; default 20.
 	MinSamples int
-	// ShrinkFactor is the factor of a lowered limit; default 0.9.
+	// ShrinkFactor is the factor by which the limit is multiplied when it is lowered; default 0.9.
 	ShrinkFactor float64
-	// MaxLoadLag is how far a load report may lie behind; default 2 s.
+	// MaxLoadLag is the maximum age of the state that a load report describes; default 2 s.
 	MaxLoadLag time.Duration
 }
 
@@ -112,57 +112,57 @@
 	return o
 }
 
-// Upstream is an upstream as an owner takes it on.
+// Upstream describes an upstream to its owner.
 type Upstream struct {
 	ID   pomelorelay.UpstreamID
 	Pool pomelorelay.PoolID
-	// Min and Max bound the concurrency limit.
+	// Min and Max are the bounds of the concurrency limit.
 	Min, Max pomelorelay.Slots
 }
 
-// LoadReport is what an upstream says of itself, which lags.
+// LoadReport is the load that an upstream reports, with a delay of up to LimitOptions.MaxLoadLag.
 type LoadReport struct {
 	Running, Waiting int
-	// Slots is how many requests it can run at once; zero means that it does not say.
+	// Slots is the number of requests that the upstream can run concurrently; zero means unknown.
 	Slots pomelorelay.Slots
 }
 
-// AskerConfig sets up an Asker.
+// AskerConfig configures a router's requester.
 type AskerConfig struct {
 	Node   pomelorelay.NodeID
 	Domain pomelorelay.DomainID
-	// Regions gives the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions      map[pomelorelay.DomainID]pomelorelay.RegionID
 	Seed         uint64
 	Registration RegistrationOptions
 	Spill        SpillOptions
 }
 
-// RegistrationOptions says how widely and how often a router registers.
+// RegistrationOptions configures at how many owners and how often a router registers; zero fields take the defaults.
 type RegistrationOptions struct {
-	// BaseOwners is the least number of owners to register at; default 4.
+	// BaseOwners is the number of owners without idle slots to register at, before WaitingPerOwner adds any; default 4.
 	BaseOwners int
-	// WaitingPerOwner is the number of waiting requests for which one more owner is tried; default 64.
+	// WaitingPerOwner is the number of waiting requests that add one owner; default 64.
 	WaitingPerOwner int
-	// SpareOwners is the number of further owners with idle slots, should other routers be first; default 2.
+	// SpareOwners is the number of additional owners with idle slots, in case other routers take the slots first; default 2.
 	SpareOwners int
-	// ChangeInterval is the time between refreshes of registered tags that changed; default 250 ms.
+	// ChangeInterval is the minimum time between updates of a registration that changed; default 250 ms.
 	ChangeInterval time.Duration
-	// KeepAliveInterval is the time between refreshes of those that did not; default 1 s.
+	// KeepAliveInterval is the time between refreshes of an unchanged registration; default 1 s.
 	KeepAliveInterval time.Duration
-	// DigestTTL is how long an owner is believed to own without a digest; default 3 s.
+	// DigestTTL is how long an owner stays eligible after its last digest; default 3 s.
 	DigestTTL time.Duration
-	// StartJitter is the time over which routers that start at once spread their first registrations; default 200 ms.
+	// StartJitter is the maximum random delay of a router's first registrations; default 200 ms.
 	StartJitter time.Duration
 }
 
-// SpillOptions says when demand is carried beyond the own failure domain.
+// SpillOptions configures when demand spills over to other failure domains and regions; zero fields take the defaults.
 type SpillOptions struct {
-	// DomainMargin is how far the last granted tag of another domain must be above the own domain's; default 10.
+	// DomainMargin is how far the last granted tag of another domain must be above that of the local domain; default 10.
 	DomainMargin pomelorelay.Tag
-	// RegionMargin is the same for another region, whose bytes are paid for; default 100.
+	// RegionMargin is the same for another region, where traffic is billed; default 100.
 	RegionMargin pomelorelay.Tag
-	// RegionMinWaiting is how many requests must wait before idle slots of another region are used; default 1.
+	// RegionMinWaiting is the number of waiting requests from which idle slots of another region are used; default 1.
 	RegionMinWaiting int
 }
 
@@ -201,21 +201,23 @@
 	return o
 }
 
-// PoolHead is what a router has waiting in one pool.
+// PoolHead is a router's demand in one pool.
 type PoolHead struct {
-	Pool    pomelorelay.PoolID
-	Head    pomelorelay.Tag
+	Pool pomelorelay.PoolID
+	// Head is the lowest tag of the pool's waiting accounts.
+	Head pomelorelay.Tag
+	// Waiting is the number of waiting requests.
 	Waiting int
-	// Prefixes holds hashes of the prompt prefixes at the head.
+	// Prefixes holds hashes of the prompt prefixes at the head of the queue.
 	Prefixes []uint64
 }
 
-// Settlement says what became of a grant and what the router has waiting now.
+// Settlement is the outcome of a grant, with the router's current demand and the latencies of the request.
 type Settlement struct {
 	State pomelorelay.GrantState
-	// Head and Waiting are the pool's fresh demand; Waiting zero means none.
+	// Head and Waiting are the pool's current demand; zero Waiting means none.
 	Head    pomelorelay.Tag
 	Waiting int
-	// FirstToken and TokenGap are measured latencies, zero when there are none.
+	// FirstToken and TokenGap are the measured latencies; zero when none were measured.
 	FirstToken, TokenGap time.Duration
 }
--- a/pomeloslot/doc.go
+++ b/pomeloslot/doc.go
@@ -1,9 +1,13 @@
-// Package pomeloslot shares the slots of upstreams among routers: an Owner grants
-// an upstream's free slots to the routers whose waiting accounts have had the
-// least, and an Asker decides at which owners its router registers.
+// Package pomeloslot distributes the concurrency slots of upstreams among
+// routers. Each upstream has one owner router that grants its free slots to the
+// routers whose waiting accounts have received the least normalised service. On
+// every router a requester decides at which owners to register the router's
+// waiting requests and keeps track of the grants that it holds.
 //
-// Both are decision parts: no goroutines, no locks, no I/O, and not safe for
-// concurrent use. A new Owner first asks the routers what runs at its
-// upstreams; what an upstream keeps of prompts it learns from cache events,
-// which may be late or missing.
+// Both sides are pure state machines: they start no goroutines, take no locks,
+// do no I/O and are not safe for concurrent use. The caller passes in the current
+// time and sends the messages that the methods append. A new owner first queries
+// the routers for the requests that they run on its upstreams. It learns from
+// cache events, which may be late or missing, which prompt prefixes an upstream
+// holds.
 package pomeloslot
--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -8,10 +8,10 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// detectionTime is how long the fleet takes to find that a router is dead.
+// detectionTime is the time until the other routers detect a dead one.
 const detectionTime = 1500 * time.Millisecond
 
-// killRouter ends a router; its requests end with it, and the others take its upstreams over when they find it dead.
+// killRouter stops a router and its requests; the others take over its upstreams after detectionTime.
 func (f *fleet) killRouter(i int) {
 	f.updateBusy()
 	f.routers[i].dead = true
@@ -40,7 +40,7 @@
 	}
 }
 
-// timeUntilBusy returns how long after now each of the upstreams that a router owned had all its slots taken at some moment.
+// timeUntilBusy returns the time until each upstream of a former owner has had all its slots taken under a new owner, at most span.
 func (f *fleet) timeUntilBusy(owner int, span time.Duration) time.Duration {
 	var owned []*testUpstream
 	for _, u := range f.upstreams {
@@ -68,8 +68,8 @@
 }
 
 func TestSlotsAreGrantedAfterOwnerDies(t *testing.T) {
-	// A router dies that owned upstreams and ran requests. Its upstreams' slots come free and nobody grants them: callers
-	// wait while slots idle, until another owner has taken over and knows what runs there.
+	// A router that owns upstreams and runs requests dies. Requests wait beside idle slots until another owner has taken
+	// over the upstreams and knows their running requests.
 	for seed := range uint64(referenceSeeds) {
 		cfg := referenceConfig(seed + 1)
 		for i := range cfg.accounts {
@@ -81,7 +81,7 @@
 		took := f.timeUntilBusy(1, 20*time.Second)
 		t.Logf("seed %d: busy again %v after the kill, detection %v", seed+1, took, detectionTime)
 		if took > 3*time.Second {
-			t.Errorf("seed %d: busy again %v after the kill", seed+1, took)
+			t.Errorf("seed %d: busy again only %v after the kill", seed+1, took)
 		}
 		for _, u := range f.upstreams {
 			if u.maxRunning > cfg.slots {
@@ -92,8 +92,8 @@
 }
 
 func TestUtilisationUnderMessageLoss(t *testing.T) {
-	// One control message in a hundred is lost. A slot whose grant or reply is lost would stay taken for ever, and after
-	// some minutes callers would wait at upstreams that run nothing.
+	// One control message in a hundred is lost. If slots of lost grants or replies stayed taken, requests would wait at
+	// idle upstreams after a few minutes.
 	cfg := referenceConfig(1)
 	cfg.dropFraction = 0.01
 	f := newFleet(cfg)
@@ -110,7 +110,7 @@
 }
 
 func TestRequestAtIdleFleetIsGrantedPromptly(t *testing.T) {
-	// A request arrives at a quiet fleet. It must not wait for a timer while slots idle.
+	// A request arrives at an idle fleet. It must not wait for a timer while slots are idle.
 	cfg := referenceConfig(1)
 	for i := range cfg.accounts {
 		cfg.accounts[i].queueDepth = 0
@@ -130,15 +130,15 @@
 		}
 		slowest = max(slowest, f.now.Sub(began))
 	}
-	t.Logf("slowest %v; 3 one-way latencies are %v, a digest %v", slowest, 3*linkLatency, cfg.digestInterval)
+	t.Logf("slowest start %v; three one-way latencies %v, digest interval %v", slowest, 3*linkLatency, cfg.digestInterval)
 	if slowest > 3*linkLatency+cfg.digestInterval {
-		t.Errorf("slowest %v", slowest)
+		t.Errorf("slowest start %v exceeds three one-way latencies and a digest interval", slowest)
 	}
 }
 
 func TestFleetStartSpreadsRegistrations(t *testing.T) {
-	// Every router starts at the same moment with requests waiting. If all registered at once, owners would be seen to
-	// get all registrations within a millisecond.
+	// All routers start at the same time with waiting requests. Without a random delay, owners would receive all
+	// registrations within a millisecond.
 	cfg := referenceConfig(1)
 	f := newFleet(cfg)
 	maxPerMillisecond := 0
@@ -149,13 +149,13 @@
 	}
 	t.Logf("at most %d registrations within a millisecond", maxPerMillisecond)
 	if maxPerMillisecond > 12 {
-		t.Errorf("%d registrations within a millisecond", maxPerMillisecond)
+		t.Errorf("%d registrations within a millisecond, want at most 12", maxPerMillisecond)
 	}
 }
 
 func TestTwoOwnersStayWithinLimit(t *testing.T) {
-	// Two routers believe that they own an upstream, as they may for seconds after a partition heals. Without the
-	// upstream's own report, each would grant the whole limit, and first tokens would come late for everybody there.
+	// Two routers own the same upstream, as can happen for seconds after a partition heals. If owners ignored its load
+	// report, each would grant the full limit, and first tokens would be late for all requests there.
 	owners := []*pomeloslot.Owner{newOwner("r1"), newOwner("r2")}
 	for _, o := range owners {
 		o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
@@ -167,6 +167,6 @@
 	owners[1].Load(now, "u", pomeloslot.LoadReport{Running: len(first)}, nil)
 	second := owners[1].Demand(now, "b", demand(1, 10, 20), nil)
 	if len(first) != 5 || len(second) != 3 {
-		t.Errorf("granted %d and %d of 8 slots", len(first), len(second))
+		t.Errorf("granted %d and %d of 8 slots, want 5 and 3", len(first), len(second))
 	}
 }
--- a/pomeloslot/fleet_test.go
+++ b/pomeloslot/fleet_test.go
@@ -17,7 +17,7 @@
 	linkLatency = 500 * time.Microsecond
 )
 
-// testAccount is an account that keeps some requests waiting at each of its routers.
+// testAccount is an account that keeps queueDepth requests waiting at each of its routers; costs are in slot seconds.
 type testAccount struct {
 	id         pomelorelay.AccountID
 	weight     float64
@@ -27,7 +27,7 @@
 	routers    []int
 }
 
-// fleetConfig sets up a fleet on virtual time.
+// fleetConfig configures a simulated fleet.
 type fleetConfig struct {
 	seed             uint64
 	routers          int
@@ -42,9 +42,9 @@
 	charge           pomelofair.ChargeOptions
 	registration     pomeloslot.RegistrationOptions
 	grant            pomeloslot.GrantOptions
-	// fixedShares makes each router serve its own fixed share of the slots, the baseline without any coordination.
+	// fixedShares gives each router a fixed share of the slots, as a baseline without coordination.
 	fixedShares bool
-	// dropFraction is the part of the control messages that is lost.
+	// dropFraction is the fraction of control messages that are lost.
 	dropFraction float64
 }
 
@@ -68,7 +68,7 @@
 	return last
 }
 
-// run is a request that holds a slot.
+// run is a request that was sent to an upstream.
 type run struct {
 	id       pomelorelay.RequestID
 	grant    pomelorelay.GrantID
@@ -78,7 +78,7 @@
 	cost     float64
 }
 
-// testRequest is a request of one router.
+// testRequest identifies a request across routers.
 type testRequest struct {
 	router int
 	id     pomelorelay.RequestID
@@ -104,10 +104,10 @@
 	localRunning int
 }
 
-// testLedger holds what each router reported last of each account.
+// testLedger holds the last entry of each account and router index.
 type testLedger map[pomelorelay.AccountID]map[int]pomelorelay.LedgerEntry
 
-// fleet is the event loop with the routers, the upstreams and a ledger modelled as a period.
+// fleet simulates routers, upstreams and a ledger that is exchanged periodically, in virtual time.
 type fleet struct {
 	cfg           fleetConfig
 	rng           *rand.Rand
@@ -118,16 +118,16 @@
 	routers       []*testRouter
 	routersByNode map[pomelorelay.NodeID]*testRouter
 	upstreams     []*testUpstream
-	served        []float64 // delivered by requests that ended
+	served        []float64 // cost of finished requests by account
 	ledger        testLedger
-	// partitionAt parts the routers below it from the rest, which then have a ledger of their own.
+	// partitionAt separates the routers with lower indices from the rest, which use partitionLedger; zero means no partition.
 	partitionAt     int
 	partitionLedger testLedger
 	busySlotSeconds float64
 	busyUpdatedAt   time.Time
 	running         int
 	messageCounts   map[string]int
-	// pushedAt and waits are kept of requests that arrive at random.
+	// pushedAt and waits are recorded for requests of scheduleArrival.
 	pushedAt         map[testRequest]time.Time
 	waits            []time.Duration
 	bytes            int
@@ -193,7 +193,7 @@
 	}
 }
 
-// startRouter fills a router's queues and starts its timers, a little apart from the other routers'.
+// startRouter fills a router's queues and starts its timers, offset from those of the other routers.
 func (f *fleet) startRouter(r *testRouter) {
 	for a := range f.cfg.accounts {
 		f.refill(r, a)
@@ -241,7 +241,7 @@
 	f.after(offset%period, step)
 }
 
-// runUntil runs the events up to a time since the start.
+// runUntil processes the events up to a time since the start.
 func (f *fleet) runUntil(d time.Duration) {
 	end := f.start.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
@@ -264,7 +264,7 @@
 	f.send(r, r.requester.Heads(f.now, []pomeloslot.PoolHead{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
 }
 
-// refill keeps an account's depth of requests waiting at a router.
+// refill pushes requests until the account has queueDepth requests waiting at a router.
 func (f *fleet) refill(r *testRouter, a int) {
 	account := &f.cfg.accounts[a]
 	here := false
@@ -287,7 +287,7 @@
 	}
 }
 
-// drawCost draws a log-normal cost of the account's mean.
+// drawCost draws a log-normal cost with the account's mean, limited to maxCost.
 func (f *fleet) drawCost(a int) float64 {
 	sigma := f.cfg.sigma
 	mean := f.cfg.accounts[a].meanCost
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// countMessage notes a message and an estimate of its encoded length with its envelope, field by field.
+// countMessage counts a message and its estimated encoded size, including the envelope.
 func (f *fleet) countMessage(m pomelorelay.Message) {
 	const envelope = 24
 	kind, size := "RunningQuery", envelope+8
@@ -86,7 +86,7 @@
 	f.send(r, r.requester.Settled(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
 }
 
-// dispatch sends a request that was popped to an upstream and fills its account's queue up again.
+// dispatch sends a popped request to an upstream and refills its account's queue.
 func (f *fleet) dispatch(r *testRouter, id pomelorelay.RequestID, upstream int, grant pomelorelay.GrantID) {
 	a := r.accountOf[id]
 	delete(r.accountOf, id)
@@ -120,7 +120,7 @@
 func (f *fleet) endRun(r *testRouter, x *run) {
 	u := f.upstreams[x.upstream]
 	if !u.runs[x] {
-		return // its router or upstream died
+		return // its router died
 	}
 	f.updateBusy()
 	delete(u.runs, x)
@@ -142,7 +142,7 @@
 	})
 }
 
-// serveLocally is the baseline: a router's own share of slots and nothing known of the others.
+// serveLocally dispatches requests within the router's fixed share of the slots, without coordination.
 func (f *fleet) serveLocally(r *testRouter) {
 	share := f.cfg.slots * f.cfg.upstreams / f.cfg.routers
 	for r.localRunning < share {
@@ -164,7 +164,7 @@
 	}
 }
 
-// publishDigests sends the digest of a router's upstreams to all.
+// publishDigests sends the digests of a router's upstreams to all routers.
 func (f *fleet) publishDigests(r *testRouter) {
 	digests := r.owner.Digests(f.now, nil)
 	for _, to := range f.routers {
@@ -178,7 +178,7 @@
 	}
 }
 
-// exchangeLedger reports a router's totals and brings the fleet's back.
+// exchangeLedger reports a router's entries to the ledger and applies the returned fleet totals.
 func (f *fleet) exchangeLedger(r *testRouter) {
 	if f.cfg.fixedShares {
 		return
@@ -213,13 +213,13 @@
 	return all
 }
 
-// updateBusy brings the integral of busy slots up to now.
+// updateBusy updates the integral of busy slots over time.
 func (f *fleet) updateBusy() {
 	f.busySlotSeconds += float64(f.running) * f.now.Sub(f.busyUpdatedAt).Seconds()
 	f.busyUpdatedAt = f.now
 }
 
-// delivered is an account's normalised service so far, running requests included.
+// delivered returns the normalised service of each account, including running requests.
 func (f *fleet) delivered() []float64 {
 	all := slices.Clone(f.served)
 	for _, u := range f.upstreams {
@@ -233,7 +233,7 @@
 	return all
 }
 
-// gapBound is the fixed bound of the gap, from the settings and from what was measured of costs and requests in flight.
+// gapBound returns the bound of the gap for the configuration and the measured costs and requests in flight.
 func (f *fleet) gapBound() pomelorelay.Tag {
 	in := pomelofair.GapBoundInput{
 		MaxCost: pomelorelay.Cost(f.largestCost), MaxInFlight: f.maxInFlight, CostPerSecond: 1, MinWeight: math.MaxFloat64,
@@ -252,7 +252,7 @@
 	return slices.Max(all) - slices.Min(all)
 }
 
-// measurement is what a run of a fleet shows.
+// measurement is the result of a simulation: gaps in slot seconds, utilisation, and control bytes per second and router.
 type measurement struct {
 	median, highest, utilisation float64
 	bytesPerNode                 float64
--- a/pomeloslot/gapbound_test.go
+++ b/pomeloslot/gapbound_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// TestMain fixes the seed, so that the verdict is the same every time.
+// TestMain sets a fixed seed to make the results reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
@@ -20,7 +20,7 @@
 	m.Run()
 }
 
-// drawFleet draws a small fleet with accounts of any weight, cost, hint and place.
+// drawFleet draws a small fleet with accounts of random weights, costs, hints and routers.
 func drawFleet(t *rapid.T) fleetConfig {
 	cfg := fleetConfig{
 		seed:             rapid.Uint64().Draw(t, "seed"),
@@ -64,21 +64,21 @@
 			gap, bound := f.gap(), float64(f.gapBound())
 			closest = max(closest, gap/max(bound, 1))
 			if gap > bound {
-				t.Fatalf("%v: gap %.2f over its bound %.2f", d, gap, bound)
+				t.Fatalf("%v: gap %.2f exceeds its bound %.2f", d, gap, bound)
 			}
 		}
 	})
-	t.Logf("the gap came to %.3f of its bound at most", closest)
+	t.Logf("the gap reached at most %.3f of its bound", closest)
 }
 
 func TestGapExceedsBoundWithoutCoordination(t *testing.T) {
-	// The same check on fixed shares without coordination: an account that is alone on its router gets far ahead of
-	// those that share one, and the gap leaves every bound.
+	// With fixed shares and no coordination, an account that is alone at its router receives far more than those that
+	// share one. This verifies that the bound is able to detect unfairness.
 	cfg := referenceConfig(1)
 	cfg.fixedShares = true
 	f := newFleet(cfg)
 	f.runUntil(3 * time.Minute)
 	if f.gap() <= float64(f.gapBound()) {
-		t.Errorf("gap %.0f within its bound %.0f", f.gap(), float64(f.gapBound()))
+		t.Errorf("gap %.0f does not exceed its bound %.0f", f.gap(), float64(f.gapBound()))
 	}
 }
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -6,18 +6,20 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// grant is one slot given to a router.
+// grant is a slot granted to a router.
 type grant struct {
 	id       pomelorelay.GrantID
 	router   *router
 	issuedAt time.Time
-	// confirmedAt is when the router last said that it uses the grant.
+	// confirmedAt is when the grant was issued or the router last confirmed that it holds it.
 	confirmedAt time.Time
-	used        bool
-	next        *grant
+	// used is set once the router has replied that it sent a request under the grant.
+	used bool
+	// next links the free list.
+	next *grant
 }
 
-// markUsed notes that the router sent a request.
+// markUsed records that the router sent a request under the grant.
 func (g *grant) markUsed(now time.Time) {
 	g.confirmedAt = now
 	if g.used {
@@ -37,7 +39,7 @@
 	return g
 }
 
-// releaseGrant frees the slot of a grant.
+// releaseGrant frees the slot of a grant and returns it to the free list.
 func (o *Owner) releaseGrant(u *upstream, g *grant) {
 	delete(u.grants, g.id)
 	if !g.used {
@@ -47,7 +49,7 @@
 	o.freeGrants = g
 }
 
-// grantFreeSlots grants free slots to the routers that want them, lowest tag first.
+// grantFreeSlots grants the free slots of an upstream to waiting routers, in the order of nextRouter.
 func (o *Owner) grantFreeSlots(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for free := u.freeSlots(now); free > 0; free-- {
 		r := u.nextRouter(now, o.cfg.Grant)
@@ -73,9 +75,9 @@
 	return pomelorelay.Outgoing{To: r.node, Message: m}
 }
 
-// nextRouter returns the router to grant to, nil when none wants a slot. One whose tag is from before a grant that it has
-// not answered comes after those with a fresh tag: its lowest account has been served since, and granting by the old
-// tag would be seen as one account taking every slot that came free within a round trip.
+// nextRouter returns the router that receives the next grant, or nil if none waits. Routers with unanswered grants come
+// last, because their tag is outdated: the account with that tag has been served since. Otherwise one account could
+// receive all slots that become free within a round trip.
 func (u *upstream) nextRouter(now time.Time, opt GrantOptions) *router {
 	var best *router
 	for _, r := range u.sortedRouters {
@@ -96,7 +98,7 @@
 	return r.head < other.head
 }
 
-// preferCached returns the lowest router within the margin of best whose prefix the upstream holds, else best.
+// preferCached returns the first router in order, within PrefixMargin of best, whose prefix the upstream has cached; otherwise best.
 func (u *upstream) preferCached(now time.Time, best *router, opt GrantOptions) *router {
 	chosen := best
 	found := u.cached.holdsAny(now, best.prefixes, opt.PrefixTTL)
@@ -114,8 +116,8 @@
 	return chosen
 }
 
-// queryOverdue asks routers after grants of which nothing was heard for too long. A reply can be lost, or its router can have
-// forgotten the grant: without asking, the slot would be seen idle and never granted again.
+// queryOverdue appends queries to the routers with grants that were not confirmed in time. A reply can be lost, or a router
+// can have lost its grant; without a query the slot would stay idle forever.
 func (o *Owner) queryOverdue(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, g := range u.grants {
 		wait := o.cfg.Grant.CheckInterval
@@ -143,8 +145,8 @@
 	return out
 }
 
-// Running takes a router's report of the grants that it holds: unknown ones are counted from now on, and ones that were
-// issued before the query and are not in the report are free.
+// Running handles a router's report of the grants that it holds and appends the resulting grants to out. Unknown grants
+// in the report are added; grants that were issued before the query and are missing from the report are released.
 func (o *Owner) Running(now time.Time, from pomelorelay.NodeID, m *pomelorelay.RunningReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
@@ -167,7 +169,7 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// confirm notes that a router holds a grant, which an earlier owner may have issued.
+// confirm records that a router holds a grant, which a previous owner may have issued.
 func (o *Owner) confirm(now time.Time, u *upstream, r *router, id pomelorelay.GrantID) {
 	g := u.grants[id]
 	if g == nil {
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Granted takes a grant and reports whether it may be used; it is to be settled either way. It may not when its
-// upstream leaves, when it arrived twice, or while nothing is known of its upstream.
+// Granted records a grant and reports whether it may be used; the caller must settle it in either case. A grant may not
+// be used if it is a duplicate or if its upstream is leaving or unknown.
 func (r *Asker) Granted(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
 	if r.grants[g.ID] != nil {
 		return false
@@ -24,8 +24,8 @@
 	return !u.leaving && !u.digest.Leaving
 }
 
-// GrantUsable reports whether a request may still leave under a grant. A claim can take long to become durable; without
-// this check a leaving upstream would be seen to get a request seconds after it was told that none comes.
+// GrantUsable reports whether a request may still be sent under a grant. A claim can take seconds to become durable;
+// without this check an upstream could receive a request after it was told that none would follow.
 func (r *Asker) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
 	h := r.grants[id]
 	if h == nil {
@@ -35,7 +35,7 @@
 	return u != nil && !u.leaving && !u.digest.Leaving && now.Before(h.expires)
 }
 
-// Settled tells the owner of a grant what became of it and what the router has waiting now.
+// Settled appends to out the reply to a grant's owner, with the grant's outcome and the router's current demand.
 func (r *Asker) Settled(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	h := r.grants[id]
 	if h == nil {
@@ -47,7 +47,7 @@
 	u := r.upstreams[h.upstream]
 	waiting := s.Waiting
 	if u == nil || u.leaving || u.digest.Leaving {
-		// An owner that does not know yet that the upstream leaves would grant again at once, be refused again, and so on.
+		// An owner that does not know yet that the upstream is leaving would grant again at once, in an endless loop.
 		waiting = 0
 	}
 	m := &pomelorelay.GrantReply{
@@ -66,13 +66,13 @@
 	}
 	r.recordReply(now, u, h.owner, s, waiting)
 	if u.digest.Owner != "" && u.digest.Owner != h.owner {
-		// The upstream changed hands: the new owner counts the grant since it asked what runs.
+		// The upstream has a new owner, which counts the grant since it queried the running requests.
 		out = append(out, pomelorelay.Outgoing{To: u.digest.Owner, Message: m})
 	}
 	return out
 }
 
-// recordReply takes the fresh demand and remembers what of it the reply carried.
+// recordReply stores the pool's current demand and the part of it that was sent in the reply.
 func (r *Asker) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s Settlement, waiting int) {
 	if p := r.pools[u.digest.Pool]; p != nil {
 		p.demand.Head, p.demand.Waiting = s.Head, s.Waiting
@@ -88,7 +88,7 @@
 	}
 }
 
-// Running answers an owner's query with the grants that the router holds on an upstream.
+// Running returns the report of the grants that the router holds for an upstream, in answer to an owner's query.
 func (r *Asker) Running(id pomelorelay.UpstreamID) *pomelorelay.RunningReport {
 	m := &pomelorelay.RunningReport{Upstream: id}
 	for grantID, h := range r.grants {
--- a/pomeloslot/idleanswer_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -9,15 +9,15 @@
 )
 
 func TestDemandSpillsWhenOwnerDoesNotAnswer(t *testing.T) {
-	// The owner next door is paused just after it told of idle slots. A request would wait there until the owner is taken for
-	// dead, almost two seconds, beside idle slots of the region's other domain.
+	// An owner in the local domain is paused just after it published idle slots. A request would wait almost 2 s for it,
+	// until it is declared dead, although another domain of the region has idle slots.
 	for _, c := range []struct {
 		name string
 		sign func(r *pomeloslot.Asker, at time.Time)
 		want bool
 	}{
-		{"no sign", func(*pomeloslot.Asker, time.Time) {}, true},
-		{"a fresh digest", func(r *pomeloslot.Asker, at time.Time) {
+		{"no message", func(*pomeloslot.Asker, time.Time) {}, true},
+		{"a new digest", func(r *pomeloslot.Asker, at time.Time) {
 			r.Slots(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
 		}, false},
 		{"a grant", func(r *pomeloslot.Asker, at time.Time) {
@@ -27,14 +27,14 @@
 		r := newRequester()
 		r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
 		if got := registeredAt(r.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
-			t.Fatalf("%s: registered at %v first", c.name, got)
+			t.Fatalf("%s: first registered at %v", c.name, got)
 		}
 		if got := registeredAt(r.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
-			t.Errorf("%s: registered at %v before the wait was over", c.name, got)
+			t.Errorf("%s: registered at %v before the timeout", c.name, got)
 		}
 		c.sign(r, start.Add(290*time.Millisecond))
 		if got := registeredAt(r.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
-			t.Errorf("%s: registered at %v after the wait", c.name, got)
+			t.Errorf("%s: registered at %v after the timeout", c.name, got)
 		}
 	}
 }
--- a/pomeloslot/limiter.go
+++ b/pomeloslot/limiter.go
@@ -6,36 +6,38 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxLateFraction is the part of answers that may miss a latency target.
+// maxLateFraction is the fraction of responses that may miss a latency target.
 const maxLateFraction = 0.05
 
-// limiter learns how many requests an upstream can run at once within its latency targets: it adds a slot after a
-// window in which all were in use and the targets held, and shrinks by a factor after one in which they did not.
+// limiter adapts the concurrency limit of an upstream to its latency targets by additive increase and multiplicative
+// decrease: it adds a slot after a window in which all slots were used and the targets were met, and multiplies by
+// ShrinkFactor after one in which they were missed.
 type limiter struct {
 	low, high float64
 	value     float64
-	// changedAt is when the limit last moved; answers to requests from before say nothing about it.
+	// changedAt is when the current window started; responses to requests issued before are ignored.
 	changedAt   time.Time
 	samples     int
 	lateSamples int
-	// hasLatencies tells that answers of the upstream carry latencies; a plain service's do not.
+	// hasLatencies is set once a response carried latencies; those of plain services never do.
 	hasLatencies bool
-	saturated    bool
-	// loadReports counts load reports of the window, crowded those in which requests waited at the upstream.
+	// saturated is set when all slots were in use during the window.
+	saturated bool
+	// loadReports is the number of load reports in the window, queuedReports that of reports with requests queued at the
+	// upstream.
 	loadReports   int
 	queuedReports int
 }
 
-// setBounds sets the bounds of the limit.
+// setBounds sets the bounds of the limit, at least one slot each, and clamps the limit to them.
 func (l *limiter) setBounds(low, high pomelorelay.Slots) {
 	l.low, l.high = float64(max(1, low)), float64(max(1, high))
 	l.value = min(max(l.value, l.low), l.high)
 }
 
-// slots returns the limit.
 func (l *limiter) slots() pomelorelay.Slots { return pomelorelay.Slots(l.value) }
 
-// addSample takes the latencies of one answer; zero latencies say nothing.
+// addSample adds the latencies of one response; zero latencies are ignored.
 func (l *limiter) addSample(issued time.Time, first, gap time.Duration, opt LimitOptions) {
 	if !issued.After(l.changedAt) || first == 0 && gap == 0 {
 		return
@@ -47,9 +49,9 @@
 	}
 }
 
-// addLoadReport takes one load report. A single one in which a request waits says little: an upstream frees a slot a moment after the
-// router saw the answer's end, and the next request is there before. Only when most of a window's reports say so is the limit too
-// high; on each single one the limit would shrink to where the upstream is seen half idle.
+// addLoadReport adds a load report to the window. The limit is too high only if requests are queued in most reports: an
+// upstream frees a slot slightly after the router saw the end of the response, so the next request may arrive earlier.
+// Reacting to single reports would shrink the limit until the upstream was half idle.
 func (l *limiter) addLoadReport(waiting int) {
 	l.loadReports++
 	if waiting > 0 {
@@ -57,7 +59,7 @@
 	}
 }
 
-// adjust ends a window and moves the limit.
+// adjust ends a completed window and changes the limit.
 func (l *limiter) adjust(now time.Time, opt LimitOptions) {
 	if now.Sub(l.changedAt) < opt.Window {
 		return
@@ -68,7 +70,7 @@
 	case slow || 2*l.queuedReports > l.loadReports:
 		l.value = max(l.low, l.value*opt.ShrinkFactor)
 	case l.hasLatencies && !measured:
-		return // the window goes on until there are enough answers
+		return // the window continues until there are enough samples
 	case l.saturated:
 		l.value = min(l.high, l.value+1)
 	}
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// peakIntervals is how many spans the lag of load reports is cut into.
+// peakIntervals is the number of intervals into which MaxLoadLag is divided.
 const peakIntervals = 8
 
-// loadTracker compares an upstream's reports with what its owner has granted.
+// loadTracker compares an upstream's load reports with the slots that its owner has granted.
 type loadTracker struct {
 	lastReport LoadReport
 	reported   bool
-	// excess is how many requests run there that no grant explains.
+	// excess is the number of reported requests that no known grant accounts for.
 	excess int
 	peaks  [peakIntervals + 1]peak
 }
 
-// peak is the largest number of slots taken within one span of time.
+// peak is the largest number of slots taken within one interval.
 type peak struct {
 	interval int64
 	taken    int
 }
 
-// recordPeak remembers how many slots were taken.
+// recordPeak updates the peak of the current interval.
 func (l *loadTracker) recordPeak(now time.Time, taken int, lag time.Duration) {
 	interval := now.UnixNano() / int64(lag/peakIntervals)
 	p := &l.peaks[interval%int64(len(l.peaks))]
@@ -30,7 +30,7 @@
 	p.taken = max(p.taken, taken)
 }
 
-// maxTaken is the most slots taken at any time that a report of now may describe.
+// maxTaken returns the largest number of slots taken during the period that a report received now may describe.
 func (l *loadTracker) maxTaken(now time.Time, lag time.Duration) int {
 	interval := now.UnixNano() / int64(lag/peakIntervals)
 	highest := 0
@@ -42,13 +42,14 @@
 	return highest
 }
 
-// resetLoad forgets the reports from before a crash.
+// resetLoad discards the last report after a crash.
 func (l *loadTracker) resetLoad() {
 	l.reported, l.excess = false, 0
 }
 
-// updateLoad finds what another owner put on the upstream. A report describes an earlier moment, so only what is beyond
-// the most that this owner had there lately counts; else every request that just ended would be seen as a stranger's.
+// updateLoad applies a load report and detects requests sent by another owner. A report describes an earlier state, so
+// only the excess over this owner's recent peak counts; otherwise every request that just ended would be taken for one of
+// another owner.
 func (u *upstream) updateLoad(now time.Time, load LoadReport, lag time.Duration) {
 	u.lastReport, u.reported = load, true
 	u.recordPeak(now, u.takenSlots(), lag)
@@ -59,7 +60,7 @@
 	u.limit.addLoadReport(load.Waiting)
 }
 
-// updateExcess finds how much of the last report no grant accounts for.
+// updateExcess recomputes the excess from the last load report.
 func (u *upstream) updateExcess(now time.Time, lag time.Duration) {
 	if !u.reported {
 		return
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -9,23 +9,24 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Owner grants the free slots of the upstreams that one router owns.
+// Owner grants the free slots of the upstreams that a router owns.
 type Owner struct {
 	cfg       OwnerConfig
 	upstreams map[pomelorelay.UpstreamID]*upstream
-	// sortedUpstreams is by id, so that the same messages always give the same answers.
+	// sortedUpstreams is sorted by ID to make the order of messages deterministic.
 	sortedUpstreams []*upstream
 	nextID          pomelorelay.GrantID
-	freeGrants      *grant
+	// freeGrants is a free list of grants.
+	freeGrants *grant
 }
 
-// The bits of a grant id: the owner's mark above, a count below.
+// Layout of a grant ID: a hash of the owner's incarnation in the high bits, a counter in the low bits.
 const (
 	grantOwnerBits = 24
 	grantCountBits = 32
 )
 
-// NewOwner returns an owner of no upstream.
+// NewOwner returns an owner without upstreams.
 func NewOwner(cfg OwnerConfig) *Owner {
 	cfg.Grant = cfg.Grant.withDefaults()
 	cfg.Limit = cfg.Limit.withDefaults()
@@ -36,8 +37,8 @@
 	}
 }
 
-// firstGrantID marks the ids of an owner's incarnation. With ids that start at one, a reply to an earlier owner's grant
-// would end a request's slot that still runs, and the upstream would be seen over its limit.
+// firstGrantID returns the first grant ID of an owner's incarnation. If IDs started at one, the reply to a previous owner's
+// grant could release the slot of another request that still runs, and the upstream would exceed its limit.
 func firstGrantID(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelorelay.GrantID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(node))
@@ -50,7 +51,7 @@
 	return pomelorelay.GrantID(owner<<grantCountBits + 1)
 }
 
-// Own takes an upstream on and asks the peers what runs there; this router is to be among them.
+// Own adds or updates an upstream, and for a new one queries the peers, which must include this router, for the requests that they run there.
 func (o *Owner) Own(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u := o.upstreams[up.ID]; u != nil {
 		u.pool, u.min, u.max = up.Pool, up.Min, up.Max
@@ -72,7 +73,7 @@
 	return out
 }
 
-// Disown forgets an upstream; its new owner asks the routers what runs there.
+// Disown removes an upstream; its new owner queries the routers for the running requests.
 func (o *Owner) Disown(id pomelorelay.UpstreamID) {
 	u := o.upstreams[id]
 	if u == nil {
@@ -82,7 +83,7 @@
 	o.sortedUpstreams = slices.DeleteFunc(o.sortedUpstreams, func(other *upstream) bool { return other == u })
 }
 
-// Demand takes a router's registration.
+// Demand handles a router's registration and appends the resulting grants to out.
 func (o *Owner) Demand(now time.Time, from pomelorelay.NodeID, m *pomelorelay.Demand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
@@ -95,7 +96,7 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// Reply takes what became of a grant and the router's fresh demand.
+// Reply handles the outcome of a grant and the router's current demand, and appends the resulting grants to out.
 func (o *Owner) Reply(now time.Time, from pomelorelay.NodeID, m *pomelorelay.GrantReply, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
@@ -114,13 +115,13 @@
 		return
 	}
 	if m.State == pomelorelay.GrantReturned && m.Waiting > 0 {
-		// A router whose waiting requests may not run there returns each grant; without a rest, the two would be
-		// seen to exchange grants without end, while others wait.
+		// A router whose waiting requests may not run on this upstream returns every grant; without a backoff,
+		// owner and router would exchange grants in an endless loop while other routers wait.
 		g.router.backoffUntil = now.Add(o.cfg.Grant.ReturnBackoff)
 	}
 	if m.State == pomelorelay.GrantUnreached {
-		// The upstream refuses connections. Granted on, its slots would be handed out and come back unused within
-		// milliseconds, and each request would spend all its attempts there while the upstream restarts.
+		// The upstream refuses connections. Further grants would come back unused within milliseconds, and requests
+		// would use up all their attempts while the upstream restarts.
 		u.crashed = true
 	}
 	if m.State == pomelorelay.GrantFinished {
@@ -129,7 +130,7 @@
 	o.releaseGrant(u, g)
 }
 
-// Load takes what an upstream reports of itself, which lags.
+// Load handles a load report of an upstream, which may be delayed, and appends the resulting grants to out.
 func (o *Owner) Load(now time.Time, id pomelorelay.UpstreamID, load LoadReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[id]
 	if u == nil {
@@ -140,14 +141,14 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// Leaving stops every further grant of an upstream; what runs there goes on.
+// Leaving marks an upstream as leaving: it receives no further grants, and its running requests continue.
 func (o *Owner) Leaving(_ time.Time, id pomelorelay.UpstreamID) {
 	if u := o.upstreams[id]; u != nil {
 		u.leaving = true
 	}
 }
 
-// Back takes a leaving mark back when the host list says that the upstream stays.
+// Back clears the leaving mark of an upstream that the host list no longer shows as leaving, and appends the resulting grants to out.
 func (o *Owner) Back(now time.Time, id pomelorelay.UpstreamID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[id]
 	if u == nil {
@@ -157,7 +158,7 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// Crashed forgets what ran on an upstream and stops its grants until it reports load again.
+// Crashed discards the grants, load and cached prefixes of a crashed upstream, which receives no grants until its next load report.
 func (o *Owner) Crashed(_ time.Time, id pomelorelay.UpstreamID) {
 	u := o.upstreams[id]
 	if u == nil {
@@ -174,7 +175,7 @@
 	}
 }
 
-// MemberGone reclaims the grants of a dead router and forgets its demand.
+// MemberGone discards the demand of a dead router, reclaims its grants and appends the resulting grants to out.
 func (o *Owner) MemberGone(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, u := range o.sortedUpstreams {
 		r := u.routers[node]
@@ -193,7 +194,7 @@
 	return out
 }
 
-// UpdateCachedPrefixes takes cache events of an upstream: prefixes that it holds now, and ones that it dropped. They may be late or missing.
+// UpdateCachedPrefixes applies cache events of an upstream, which may be late or missing: hashes of the prefixes that it holds and of those that it dropped.
 func (o *Owner) UpdateCachedPrefixes(now time.Time, id pomelorelay.UpstreamID, held, dropped []uint64) {
 	u := o.upstreams[id]
 	if u == nil {
@@ -207,7 +208,7 @@
 	}
 }
 
-// Tick moves the limits, asks after grants whose reply is missing, and grants what became free.
+// Tick adjusts the concurrency limits and appends to out the queries for overdue grants and the grants of free slots.
 func (o *Owner) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, u := range o.sortedUpstreams {
 		u.limit.adjust(now, o.cfg.Limit)
@@ -217,7 +218,7 @@
 	return out
 }
 
-// Digests appends what the routers are to know of each upstream.
+// Digests appends to out a digest of each upstream, to be published to all routers.
 func (o *Owner) Digests(now time.Time, out []pomelorelay.SlotDigest) []pomelorelay.SlotDigest {
 	for _, u := range o.sortedUpstreams {
 		out = append(out, pomelorelay.SlotDigest{
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -26,7 +26,7 @@
 	return &pomelorelay.GrantReply{ID: id, Upstream: "u", State: state, Seq: seq, Waiting: waiting}
 }
 
-// grantsIn returns the ids and receivers of the grants among the messages.
+// grantsIn returns the IDs and receivers of the grants among the messages.
 func grantsIn(out []pomelorelay.Outgoing) (ids []pomelorelay.GrantID, to []pomelorelay.NodeID) {
 	for _, o := range out {
 		if g, ok := o.Message.(*pomelorelay.Grant); ok {
@@ -36,7 +36,7 @@
 	return ids, to
 }
 
-// newOwnerOfUpstream returns an owner of one upstream that runs nothing.
+// newOwnerOfUpstream returns an owner of one idle upstream.
 func newOwnerOfUpstream(slots pomelorelay.Slots) *pomeloslot.Owner {
 	o := newOwner("r1")
 	o.Own(start, upstream(slots), nil, nil)
@@ -48,16 +48,16 @@
 	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 30, 5), nil))
 	o.Demand(start, "b", demand(1, 10, 5), nil)
 	o.Demand(start, "c", demand(1, 20, 5), nil)
-	o.Demand(start, "c", demand(0, 1, 5), nil) // late, older than the one before
+	o.Demand(start, "c", demand(0, 1, 5), nil) // delayed message with an older sequence number
 	_, to := grantsIn(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
 	if len(to) != 1 || to[0] != "a" {
-		t.Errorf("granted to %v, want a, whose fresh tag is zero", to)
+		t.Errorf("granted to %v, want a, whose updated tag is zero", to)
 	}
 }
 
 func TestFreeSlotsAlternateBetweenRouters(t *testing.T) {
-	// Several slots are free at once. The lowest router's tag is out of date after its first grant; by it alone, that
-	// router's account would be seen to get them all.
+	// Several slots become free at once. The tag of the first router is outdated after its first grant; without taking
+	// that into account, its account would receive all of the slots.
 	o := newOwner("r1")
 	o.Own(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
 	o.Demand(start, "a", demand(1, 10, 5), nil)
@@ -69,7 +69,7 @@
 }
 
 func TestNewOwnerQueriesRunningRequestsFirst(t *testing.T) {
-	// The owner of a busy upstream is replaced. If the new one granted the whole limit at once, the upstream would run
+	// The owner of a busy upstream is replaced. If the new owner granted the full limit at once, the upstream would run
 	// twice its limit.
 	o := newOwner("r2")
 	out := o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
@@ -77,52 +77,52 @@
 		t.Fatalf("%d queries, want 2", len(out))
 	}
 	if ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
-		t.Errorf("granted %d before anything is known", len(ids))
+		t.Errorf("granted %d before any running report", len(ids))
 	}
 	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902}, Running: 3}, nil)
 	ids, _ := grantsIn(o.Running(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(ids) != 5 {
-		t.Errorf("granted %d beside 3 that run, want 5", len(ids))
+		t.Errorf("granted %d with 3 running, want 5", len(ids))
 	}
 	ids, _ = grantsIn(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
 	if len(ids) != 1 {
-		t.Errorf("granted %d after an earlier owner's grant ended, want 1", len(ids))
+		t.Errorf("granted %d after a previous owner's grant finished, want 1", len(ids))
 	}
 }
 
 func TestRunningReportsReduceExcessLoad(t *testing.T) {
-	// The upstream's load report reaches a new owner before the routers' reports do. What they then explain must not
-	// count twice, or the slots would idle until the next load report.
+	// The upstream's load report reaches a new owner before the routers' running reports. The requests in both must not
+	// count twice, or slots would stay idle until the next load report.
 	o := newOwner("r2")
 	o.Own(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
 	o.Demand(start, "b", demand(1, 1, 9), nil)
 	if ids, _ := grantsIn(o.Load(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
-		t.Errorf("granted %d beside 5 that run, want 3", len(ids))
+		t.Errorf("granted %d with 5 running, want 3", len(ids))
 	}
 	m := &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902, 903, 904, 905}, Running: 5}
 	o.Running(start, "a", m, nil)
 	ids, _ := grantsIn(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
 	if len(ids) != 1 {
-		t.Errorf("granted %d when one of them ended, want 1", len(ids))
+		t.Errorf("granted %d after one of them finished, want 1", len(ids))
 	}
 }
 
 func TestUnresponsiveRouterDelaysNewOwnerForBoundedTime(t *testing.T) {
-	// One router is frozen when an upstream changes hands. Its slots would idle for as long as the freeze lasts.
+	// A router is paused while an upstream's owner is replaced. The slots must not stay idle for as long as the pause lasts.
 	o := newOwner("r2")
 	o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "frozen"}, nil)
 	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
 	o.Demand(start, "a", demand(1, 1, 9), nil)
 	if ids, _ := grantsIn(o.Tick(start.Add(499*time.Millisecond), nil)); len(ids) != 0 {
-		t.Errorf("granted %d while careful", len(ids))
+		t.Errorf("granted %d during recovery", len(ids))
 	}
 	if ids, _ := grantsIn(o.Tick(start.Add(500*time.Millisecond), nil)); len(ids) != 8 {
-		t.Errorf("granted %d afterwards, want 8", len(ids))
+		t.Errorf("granted %d after the recovery timeout, want 8", len(ids))
 	}
 }
 
 func TestSlotsOfLostRepliesAreReclaimed(t *testing.T) {
-	// The reply to a grant, or the one at a request's end, is lost. The slot would count as taken for ever.
+	// The reply to a grant, or the one at the end of a request, is lost. The slot must not stay taken forever.
 	o := newOwnerOfUpstream(2)
 	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
 	o.Reply(start, "a", reply(ids[0], pomelorelay.GrantUsed, 2, 9), nil)
@@ -137,7 +137,7 @@
 	o.Reply(now, "a", reply(again[0], pomelorelay.GrantUsed, 3, 0), nil)
 	now = now.Add(2 * time.Second)
 	if out := o.Tick(now, nil); len(out) != 1 {
-		t.Fatalf("%d queries after requests that run long, want 1", len(out))
+		t.Fatalf("%d queries after the check interval of a running request, want 1", len(out))
 	}
 	o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
 	if d := o.Digests(now, nil); d[0].Idle != 2 {
@@ -146,7 +146,7 @@
 }
 
 func TestDeadRouterReleasesItsSlots(t *testing.T) {
-	// A router dies with requests running and waiting. An owner that believes in its demand grants slots to nobody.
+	// A router dies with running and waiting requests. If its demand stayed valid, slots would be granted to a dead router.
 	o := newOwnerOfUpstream(2)
 	o.Demand(start, "dead", demand(1, 1, 9), nil)
 	o.Demand(start, "b", demand(1, 50, 9), nil)
@@ -157,7 +157,7 @@
 }
 
 func TestUnrefreshedDemandExpires(t *testing.T) {
-	// A router is cut off in one direction: its demand arrived, nothing later does.
+	// A router is partitioned in one direction: its demand has arrived, but later messages do not.
 	o := newOwnerOfUpstream(1)
 	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 1), nil))
 	o.Demand(start, "cut", demand(1, 0, 9), nil)
@@ -170,7 +170,7 @@
 }
 
 func TestLeavingUpstreamReceivesNoGrants(t *testing.T) {
-	// The host list says that an upstream leaves while requests wait and run there.
+	// The host list shows an upstream as leaving while requests wait for it and run on it.
 	o := newOwnerOfUpstream(2)
 	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
 	o.Leaving(start, "u")
@@ -178,30 +178,30 @@
 	out = o.Demand(start, "b", demand(1, 1, 9), out)
 	out = o.Load(start, "u", pomeloslot.LoadReport{}, out)
 	if got, _ := grantsIn(o.Tick(start, out)); len(got) != 0 {
-		t.Errorf("granted %d on a leaving upstream", len(got))
+		t.Errorf("granted %d slots of a leaving upstream", len(got))
 	}
 	if d := o.Digests(start, nil); !d[0].Leaving || d[0].Idle != 0 {
-		t.Errorf("digest %+v", d[0])
+		t.Errorf("digest %+v, want it leaving with no idle slots", d[0])
 	}
 }
 
 func TestCrashedUpstreamResumesAfterLoadReport(t *testing.T) {
-	// An upstream crashes with all that runs on it. Grants before it is back would be refused connections; slots that
-	// stay counted after it is back would idle.
+	// An upstream crashes with its running requests. Requests granted before it restarts would fail to connect; slots
+	// still counted as taken after the restart would stay idle.
 	o := newOwnerOfUpstream(2)
 	o.Demand(start, "a", demand(1, 1, 9), nil)
 	o.Crashed(start, "u")
 	if got, _ := grantsIn(o.Tick(start, nil)); len(got) != 0 {
-		t.Errorf("granted %d on a crashed upstream", len(got))
+		t.Errorf("granted %d slots of a crashed upstream", len(got))
 	}
 	if got, _ := grantsIn(o.Load(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
-		t.Errorf("granted %d after it is back, want 2", len(got))
+		t.Errorf("granted %d after the load report, want 2", len(got))
 	}
 }
 
 func TestRouterBacksOffAfterReturnedGrant(t *testing.T) {
-	// A router whose waiting request may not run at an upstream returns each grant of it. Without a rest the two
-	// exchange grants without end while another router waits.
+	// A router whose waiting requests may not run on an upstream returns each grant. Without a backoff, owner and router
+	// would exchange grants in an endless loop while another router waits.
 	o := newOwnerOfUpstream(1)
 	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
 	o.Demand(start, "b", demand(1, 50, 9), nil)
@@ -212,8 +212,8 @@
 }
 
 func TestLimitFollowsLatencies(t *testing.T) {
-	// An upstream's answers get slow at its full limit, and its load report lags. The limit falls until 95 in 100
-	// first tokens come in time, and rises again when they do.
+	// An upstream's responses are slow at its full limit, and its load reports lag. The limit decreases until 95% of first
+	// tokens meet the target, and then increases again.
 	o := newOwnerOfUpstream(100)
 	now, seq := start, uint64(1)
 	ids, _ := grantsIn(o.Demand(now, "a", demand(seq, 1, 1_000_000), nil))
@@ -221,7 +221,7 @@
 	lowest, highest := limit(), pomelorelay.Slots(0)
 	for round := range 600 {
 		now = now.Add(200 * time.Millisecond)
-		first := time.Duration(len(ids)) * 20 * time.Millisecond // in time for up to 60 at once
+		first := time.Duration(len(ids)) * 20 * time.Millisecond // meets the target with up to 60 concurrent requests
 		var out []pomelorelay.Outgoing
 		for _, id := range ids {
 			seq++
@@ -235,14 +235,14 @@
 			highest = max(highest, limit())
 		}
 	}
-	t.Logf("limit between %d and %d of 100; 60 keep the target", lowest, highest)
+	t.Logf("limit between %d and %d of 100; the target is met up to 60", lowest, highest)
 	if lowest < 50 || highest > 65 {
-		t.Errorf("limit between %d and %d of 100; 60 keep the target", lowest, highest)
+		t.Errorf("limit between %d and %d of 100; the target is met up to 60", lowest, highest)
 	}
 }
 
 func TestCachedPrefixDecidesOnlyWithinMargin(t *testing.T) {
-	// An upstream holds a prompt prefix in its cache, as far as late and missing cache events tell.
+	// An upstream probably has a prompt prefix cached, according to cache events that may be late or missing.
 	for _, c := range []struct {
 		name string
 		head pomelorelay.Tag
@@ -254,8 +254,8 @@
 		{"within the margin", 10.5, []uint64{7}, nil, 0, "b"},
 		{"beyond the margin", 11.5, []uint64{7}, nil, 0, "a"},
 		{"dropped", 10.5, []uint64{7}, []uint64{7}, 0, "a"},
-		{"no event for long", 10.5, []uint64{7}, nil, time.Hour, "a"},
-		{"events missing", 10.5, nil, nil, 0, "a"},
+		{"no event within the TTL", 10.5, []uint64{7}, nil, time.Hour, "a"},
+		{"no events", 10.5, nil, nil, 0, "a"},
 	} {
 		o := newOwnerOfUpstream(1)
 		ids, _ := grantsIn(o.Demand(start, "x", demand(1, 0, 1), nil))
@@ -274,19 +274,19 @@
 }
 
 func TestUnreachableUpstreamResumesAfterLoadReport(t *testing.T) {
-	// An upstream has crashed and refuses connections for a moment. Granted on, a request would spend all its attempts there
-	// within milliseconds and its caller would get an error although other upstreams, and soon this one, could serve it.
+	// An upstream crashed and refuses connections for a short time. With further grants, a request would use up all its
+	// attempts within milliseconds and fail, although other upstreams, and soon this one, could serve it.
 	now := start
 	o := newOwnerOfUpstream(1)
 	out := o.Demand(now, "a", demand(1, 5, 2), nil)
 	if len(out) != 1 {
-		t.Fatalf("the demand was answered by %d messages", len(out))
+		t.Fatalf("got %d messages for the demand, want 1", len(out))
 	}
 	grant := out[0].Message.(*pomelorelay.Grant)
 	if out := o.Reply(now, "a", reply(grant.ID, pomelorelay.GrantUnreached, 2, 2), nil); len(out) != 0 {
-		t.Errorf("the unreached upstream was granted again at once")
+		t.Errorf("the unreachable upstream was granted again at once")
 	}
 	if out := o.Load(now.Add(time.Second), "u", pomeloslot.LoadReport{Slots: 1}, nil); len(out) != 1 {
-		t.Errorf("after its load report the upstream was granted %d times", len(out))
+		t.Errorf("got %d grants after the load report, want 1", len(out))
 	}
 }
--- a/pomeloslot/partition_test.go
+++ b/pomeloslot/partition_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// partitioned reports whether a cut lies between two routers.
+// partitioned reports whether a partition separates two routers.
 func (f *fleet) partitioned(a, b *testRouter) bool {
 	return f.partitionAt > 0 && (a.index < f.partitionAt) != (b.index < f.partitionAt)
 }
@@ -19,7 +19,7 @@
 	return f.ledger
 }
 
-// partition cuts the fleet in two; each side goes on with the totals that it has.
+// partition splits the fleet in two; each side continues with a copy of the ledger.
 func (f *fleet) partition(at int) {
 	f.partitionAt = at
 	f.partitionLedger = make(testLedger)
@@ -29,7 +29,7 @@
 	f.after(detectionTime, f.declareOtherSideDead)
 }
 
-// declareOtherSideDead is what membership tells each router after a cut.
+// declareOtherSideDead reports the routers on the other side as dead to each owner.
 func (f *fleet) declareOtherSideDead() {
 	for _, r := range f.routers {
 		for _, other := range f.routers {
@@ -40,7 +40,7 @@
 	}
 }
 
-// heal joins the sides; each router's own totals are the newer ones on its own side.
+// heal ends the partition and merges the ledgers, taking each router's entries from its own side.
 func (f *fleet) heal() {
 	for account, entries := range f.partitionLedger {
 		for i, e := range entries {
@@ -53,8 +53,8 @@
 }
 
 func TestCatchUpAfterPartition(t *testing.T) {
-	// A partition lasts two minutes. Accounts with callers on both sides are served by both, the others by one. After
-	// the heal those that got less may catch up, but the ones that got more must not be seen to stand still for minutes.
+	// A partition lasts two minutes. Accounts with callers on both sides are served by both, the others by one. After the
+	// partition those that received less may catch up, but the others must not stop being served for minutes.
 	for seed := range uint64(1) {
 		f := newFleet(referenceConfig(seed + 1))
 		f.runUntil(time.Minute)
@@ -69,15 +69,15 @@
 		f.heal()
 		longest := f.longestPause(2 * time.Minute)
 		settled := f.gainedGap(time.Minute)
-		t.Logf("seed %d: %.0f to %.0f served during the cut; longest pause %v, gap gained in the third minute %.1f",
+		t.Logf("seed %d: %.0f to %.0f served during the partition; longest pause %v, gap gained in the third minute %.1f",
 			seed+1, slices.Min(gained), slices.Max(gained), longest, settled)
 		if longest > 10*time.Second {
-			t.Errorf("seed %d: an account stood still for %v", seed+1, longest)
+			t.Errorf("seed %d: an account with waiting requests ran none for %v", seed+1, longest)
 		}
 	}
 }
 
-// longestPause runs the fleet and returns the longest time in which an account with waiting requests ran none.
+// longestPause runs the simulation and returns the longest time in which an account with waiting requests ran none.
 func (f *fleet) longestPause(span time.Duration) time.Duration {
 	pauses := make([]time.Duration, len(f.cfg.accounts))
 	longest := time.Duration(0)
@@ -95,7 +95,7 @@
 	return longest
 }
 
-// gainedGap runs the fleet and returns the gap between what the accounts gained.
+// gainedGap runs the simulation and returns the gap between the normalised service that accounts received meanwhile.
 func (f *fleet) gainedGap(span time.Duration) float64 {
 	before := f.delivered()
 	f.runUntil(f.now.Add(span).Sub(f.start))
--- a/pomeloslot/prefixcache.go
+++ b/pomeloslot/prefixcache.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// prefixCache remembers which prompt prefixes an upstream probably holds. It is a guess: events come late or never, so
-// entries age out, and a wrong one costs only a cache miss, never an account's place.
+// prefixCache tracks the prompt prefixes that an upstream probably has cached. Cache events can be late or missing, so
+// entries expire; a wrong entry costs only a cache miss and does not affect fairness between accounts beyond PrefixMargin.
 type prefixCache struct {
 	lastSeen map[uint64]time.Time
 }
--- a/pomeloslot/randomfaults_test.go
+++ b/pomeloslot/randomfaults_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestSlotsAreNeitherLostNorOvercommitted(t *testing.T) {
-	// Control messages are lost at random, or a router that owns upstreams dies. An upstream that runs more than its
-	// slots answers late; a slot that nobody counts as free idles for ever.
+	// Control messages are lost at random, or a router that owns upstreams dies. An upstream with more requests than slots
+	// responds late; a slot that is wrongly counted as taken stays idle forever.
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := drawFleet(t)
 		cfg.dropFraction = rapid.SampledFrom([]float64{0, 0.01, 0.1, 0.3}).Draw(t, "drop")
@@ -33,7 +33,7 @@
 	})
 }
 
-// drain ends the arrival of requests and cancels those that wait.
+// drain stops the arrival of requests and cancels the waiting ones.
 func (f *fleet) drain() {
 	for i := range f.cfg.accounts {
 		f.cfg.accounts[i].queueDepth = 0
@@ -53,7 +53,7 @@
 		}
 		for _, d := range r.owner.Digests(f.now, nil) {
 			if int(d.Idle) != f.cfg.slots {
-				t.Fatalf("%s: %d of %d slots of %s idle with nothing to run", r.node, d.Idle, f.cfg.slots, d.Upstream)
+				t.Fatalf("%s: %d of %d slots of %s idle without any requests", r.node, d.Idle, f.cfg.slots, d.Upstream)
 			}
 		}
 	}
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -9,48 +9,51 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Asker registers one router's demand at slot owners and keeps the grants that it got.
+// Asker registers one router's demand at slot owners and tracks the grants that the router holds.
 type Asker struct {
 	cfg   AskerConfig
 	rng   *rand.Rand
 	pools map[pomelorelay.PoolID]*poolState
-	// sortedPools is by id, so that the same calls always give the same messages.
+	// sortedPools is sorted by ID to make the order of messages deterministic.
 	sortedPools []*poolState
 	upstreams   map[pomelorelay.UpstreamID]*remoteUpstream
 	grants      map[pomelorelay.GrantID]*heldGrant
 	seq         uint64
-	// startAt is when the first registrations may leave; zero until the first call.
+	// startAt is the earliest time of the first registrations; zero until the first call.
 	startAt time.Time
 }
 
-// poolState is what a router knows of one pool.
+// poolState is a router's demand in one pool and the upstreams known in it.
 type poolState struct {
-	id        pomelorelay.PoolID
-	spill     SpillOptions
-	demand    PoolHead
+	id     pomelorelay.PoolID
+	spill  SpillOptions
+	demand PoolHead
+	// upstreams is sorted by ID.
 	upstreams []*remoteUpstream
-	ranked    []*remoteUpstream
-	tags      []pomelorelay.Tag
+	// ranked and tags are scratch buffers of selectUpstreams and virtualTime.
+	ranked []*remoteUpstream
+	tags   []pomelorelay.Tag
 }
 
-// remoteUpstream is what a router knows of one upstream and its owner.
+// remoteUpstream is a router's view of one upstream and its owner.
 type remoteUpstream struct {
 	digest   pomelorelay.SlotDigest
 	digestAt time.Time
-	tieBreak uint64
-	// distance is how far the upstream is: in the own domain, the own region, or beyond.
+	// tieBreak is random, so that routers rank equal upstreams differently.
+	tieBreak   uint64
 	distance   pomelorelay.LinkClass
 	leaving    bool
 	heldGrants int
 	selected   bool
 	lastSent   sentDemand
-	// unansweredSince is when an owner that is said to have idle slots was asked and has shown no sign since; zero when it need not answer.
+	// unansweredSince is when the router registered at an owner with idle slots that has sent no grant or digest
+	// since; zero when no answer is expected.
 	unansweredSince time.Time
-	// idle are the slots that count as idle, computed at each choice.
+	// idle is the result of usableIdle at the last selection.
 	idle pomelorelay.Slots
 }
 
-// sentDemand is what the owner was last told.
+// sentDemand is the demand last sent to an owner.
 type sentDemand struct {
 	to      pomelorelay.NodeID
 	head    pomelorelay.Tag
@@ -58,14 +61,14 @@
 	at      time.Time
 }
 
-// heldGrant is a grant that the router has not settled.
+// heldGrant is a grant that is unused or whose request is still running.
 type heldGrant struct {
 	upstream pomelorelay.UpstreamID
 	owner    pomelorelay.NodeID
 	expires  time.Time
 }
 
-// NewAsker returns an asker that knows of no owner.
+// NewAsker returns a requester that knows no upstreams.
 func NewAsker(cfg AskerConfig) *Asker {
 	cfg.Registration = cfg.Registration.withDefaults()
 	cfg.Spill = cfg.Spill.withDefaults()
@@ -78,7 +81,7 @@
 	}
 }
 
-// Slots takes owners' digests, from this router's own Owner too; Tick is to be called after it.
+// Slots updates the known upstreams from owners' digests, including those of the local owner; the caller must call Tick afterwards.
 func (r *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
 	for _, d := range digests {
 		u := r.upstreams[d.Upstream]
@@ -124,7 +127,7 @@
 	return p
 }
 
-// Heads takes what waits in the pools that changed and registers where it is worth it.
+// Heads replaces the demand of the given pools and appends the resulting registrations and withdrawals to out.
 func (r *Asker) Heads(now time.Time, heads []PoolHead, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, h := range heads {
 		p := r.pool(h.Pool)
@@ -134,7 +137,7 @@
 	return out
 }
 
-// Tick refreshes the registrations.
+// Tick refreshes the registrations of all pools and appends the messages to out.
 func (r *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, p := range r.sortedPools {
 		out = r.updateRegistrations(now, p, out)
@@ -142,8 +145,8 @@
 	return out
 }
 
-// Virtual returns the pool's virtual time: the middle one of the last granted tags of the own domain's owners that have
-// no slot idle, or the highest of all when every one has.
+// Virtual returns the pool's virtual time: the median of the last granted tags of the local domain's upstreams without
+// idle slots, or the highest last granted tag if all have idle slots.
 func (r *Asker) Virtual(id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
@@ -152,10 +155,9 @@
 	return p.virtualTime(r.cfg.Domain)
 }
 
-// Crest returns the mark that accounts catch up with: the highest of the own domain's virtual time and those of the
-// other domains whose owners are heard and busy, less the margin up to which demand stays at home. Without the margin,
-// every account of a domain that is a little behind would be lifted to the same place again and again, and be served in
-// no fair order.
+// Crest returns the highest virtual time of the local domain and of the other saturated domains with current digests,
+// the latter less their spill margin. Without the margin, all accounts of a domain that is slightly behind would
+// repeatedly be lifted to the same tag and served in arbitrary order.
 func (r *Asker) Crest(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
@@ -178,7 +180,7 @@
 	return p.spill.RegionMargin
 }
 
-// SetSpill sets a pool's margins, whose unit is the pool's cost divided by weight; zero fields take the Asker's.
+// SetSpill sets a pool's spill options, with margins in units of the pool's cost divided by weight; zero fields take the configured options.
 func (r *Asker) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
 	if o.DomainMargin == 0 {
 		o.DomainMargin = r.cfg.Spill.DomainMargin
@@ -192,7 +194,7 @@
 	r.pool(id).spill = o
 }
 
-// saturated reports whether an owner of the domain is heard and none that is has a slot idle.
+// saturated reports whether the domain has upstreams with current digests and none of these has idle slots.
 func (p *poolState) saturated(now time.Time, domain pomelorelay.DomainID, ttl time.Duration) bool {
 	found := false
 	for _, u := range p.upstreams {
@@ -207,7 +209,7 @@
 	return found
 }
 
-// virtualTime is the virtual time of one failure domain.
+// virtualTime returns the virtual time of the pool in one failure domain.
 func (p *poolState) virtualTime(domain pomelorelay.DomainID) pomelorelay.Tag {
 	p.tags = p.tags[:0]
 	highest := pomelorelay.Tag(0)
@@ -227,7 +229,7 @@
 	return p.tags[len(p.tags)/2]
 }
 
-// Leaving makes the router refuse every further grant of an upstream, also one that is under way.
+// Leaving marks an upstream as leaving: the router refuses all further grants for it, including those in flight.
 func (r *Asker) Leaving(id pomelorelay.UpstreamID) {
 	if u := r.upstreams[id]; u != nil {
 		u.leaving = true
@@ -236,7 +238,7 @@
 	r.addUpstream(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).leaving = true
 }
 
-// Back takes a leaving mark back when the host list says that the upstream stays.
+// Back clears the leaving mark of an upstream that the host list no longer shows as leaving.
 func (r *Asker) Back(id pomelorelay.UpstreamID) {
 	if u := r.upstreams[id]; u != nil {
 		u.leaving = false
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// newRequester returns an asker in domain a of region north; b is another domain there, z one of another region.
+// newRequester returns a requester in domain a of region north; b is another domain of north, z a domain of region south.
 func newRequester() *pomeloslot.Asker {
 	r := pomeloslot.NewAsker(pomeloslot.AskerConfig{
 		Node:         "me",
@@ -29,7 +29,7 @@
 	return []pomeloslot.PoolHead{{Pool: testPool, Head: 50, Waiting: waiting}}
 }
 
-// registeredAt returns the upstreams at which the messages register, without those from which they withdraw.
+// registeredAt returns the upstreams of the registrations in the messages, without withdrawals.
 func registeredAt(out []pomelorelay.Outgoing) map[pomelorelay.UpstreamID]bool {
 	at := make(map[pomelorelay.UpstreamID]bool)
 	for _, o := range out {
@@ -47,20 +47,20 @@
 		waiting int
 		want    []pomelorelay.UpstreamID
 	}{
-		{"the highest last tags", []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 90, 0), digest("u3", "a", 80, 0)}, 1, []pomelorelay.UpstreamID{"u2", "u3"}},
-		{"idle covers, one to spare", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4), digest("u2", "a", 90, 0), digest("u3", "a", 0, 3), digest("u4", "a", 0, 2)}, 4, []pomelorelay.UpstreamID{"u1", "u3"}},
-		{"every idle one when much waits", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4), digest("u2", "a", 90, 1), digest("u3", "a", 0, 3), digest("u4", "a", 0, 2)}, 40, []pomelorelay.UpstreamID{"u1", "u2", "u3", "u4"}},
+		{"upstreams with the highest last tags", []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 90, 0), digest("u3", "a", 80, 0)}, 1, []pomelorelay.UpstreamID{"u2", "u3"}},
+		{"idle slots cover the demand, plus one spare owner", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4), digest("u2", "a", 90, 0), digest("u3", "a", 0, 3), digest("u4", "a", 0, 2)}, 4, []pomelorelay.UpstreamID{"u1", "u3"}},
+		{"all upstreams with idle slots under high demand", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4), digest("u2", "a", 90, 1), digest("u3", "a", 0, 3), digest("u4", "a", 0, 2)}, 40, []pomelorelay.UpstreamID{"u1", "u2", "u3", "u4"}},
 		{"another domain within the margin", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("v", "b", 59, 0)}, 1, []pomelorelay.UpstreamID{"u1"}},
-		{"another domain past the margin", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("v", "b", 61, 0)}, 1, []pomelorelay.UpstreamID{"u1", "v"}},
-		{"another domain's idle slots", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("v", "b", 0, 1)}, 1, []pomelorelay.UpstreamID{"v"}},
-		{"own idle slots first", []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)}, 1, []pomelorelay.UpstreamID{"u1"}},
+		{"another domain beyond the margin", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("v", "b", 61, 0)}, 1, []pomelorelay.UpstreamID{"u1", "v"}},
+		{"idle slots of another domain", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("v", "b", 0, 1)}, 1, []pomelorelay.UpstreamID{"v"}},
+		{"local idle slots first", []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)}, 1, []pomelorelay.UpstreamID{"u1"}},
 		{"another region within the margin", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 140, 0)}, 1, []pomelorelay.UpstreamID{"u1"}},
-		{"another region past the margin", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 151, 0)}, 1, []pomelorelay.UpstreamID{"u1", "w"}},
-		{"another region's idle slots, little waits", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 0, 9)}, 4, []pomelorelay.UpstreamID{"u1"}},
-		{"another region's idle slots, much waits", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 0, 9)}, 20, []pomelorelay.UpstreamID{"u1", "w"}},
-		{"own domain lost", []pomelorelay.SlotDigest{digest("v", "b", 10, 0)}, 1, []pomelorelay.UpstreamID{"v"}},
-		{"own region lost", []pomelorelay.SlotDigest{digest("w", "z", 10, 0)}, 1, []pomelorelay.UpstreamID{"w"}},
-		{"nothing waits", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)}, 0, nil},
+		{"another region beyond the margin", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 151, 0)}, 1, []pomelorelay.UpstreamID{"u1", "w"}},
+		{"idle slots of another region, low demand", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 0, 9)}, 4, []pomelorelay.UpstreamID{"u1"}},
+		{"idle slots of another region, high demand", []pomelorelay.SlotDigest{digest("u1", "a", 50, 0), digest("w", "z", 0, 9)}, 20, []pomelorelay.UpstreamID{"u1", "w"}},
+		{"no upstream in the local domain", []pomelorelay.SlotDigest{digest("v", "b", 10, 0)}, 1, []pomelorelay.UpstreamID{"v"}},
+		{"no upstream in the local region", []pomelorelay.SlotDigest{digest("w", "z", 10, 0)}, 1, []pomelorelay.UpstreamID{"w"}},
+		{"no demand", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)}, 0, nil},
 	} {
 		r := newRequester()
 		r.Slots(start, c.digests)
@@ -76,66 +76,66 @@
 }
 
 func TestGrantInFlightWhenUpstreamLeaves(t *testing.T) {
-	// An owner that has not heard of it grants on a leaving upstream, or the router's claim takes so long that the
-	// upstream left, or the grant lapsed, in the meantime. Callers would see work start there after the notice.
+	// An owner that does not know yet that an upstream is leaving grants its slots, or a router's claim takes so long that
+	// the upstream leaves or the grant expires meanwhile. Requests would start after the leaving notice.
 	r := newRequester()
 	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
 	r.Heads(now, heads(3), nil)
 	first := &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: 500 * time.Millisecond}
 	if !r.Granted(now, "owner-u1", first) || !r.GrantUsable(now, 1) {
-		t.Fatal("a good grant was refused")
+		t.Fatal("a valid grant was refused")
 	}
 	if r.Granted(now, "owner-u1", first) {
-		t.Error("the same grant was taken twice")
+		t.Error("a duplicate grant was accepted")
 	}
 	if r.GrantUsable(now.Add(time.Second), 1) {
-		t.Error("a lapsed grant is usable")
+		t.Error("an expired grant is usable")
 	}
 	r.Leaving("u1")
 	if r.GrantUsable(now, 1) {
-		t.Error("a grant is usable after its upstream left")
+		t.Error("a grant is usable although its upstream is leaving")
 	}
 	if r.Granted(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
-		t.Error("a grant on a leaving upstream was taken")
+		t.Error("a grant for a leaving upstream was accepted")
 	}
 	out := r.Settled(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
 	if m, ok := out[0].Message.(*pomelorelay.GrantReply); !ok || m.Waiting != 0 {
-		t.Errorf("reply %+v asks for more on a leaving upstream", out[0].Message)
+		t.Errorf("reply %+v requests slots of a leaving upstream", out[0].Message)
 	}
 	if got := registeredAt(r.Tick(now.Add(time.Second), nil)); len(got) != 0 {
-		t.Errorf("registered at %v", got)
+		t.Errorf("registered at %v, want none", got)
 	}
 	r.Back("u1")
 	r.Slots(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	if got := registeredAt(r.Tick(now.Add(time.Second), nil)); !got["u1"] {
-		t.Error("not registered after the upstream came back")
+		t.Error("not registered after the leaving mark was cleared")
 	}
 }
 
 func TestReplyAfterOwnerChange(t *testing.T) {
-	// A request runs while its upstream's owner is replaced. If only the first owner heard of its end, the new one would
-	// count its slot as taken until it asks.
+	// A request runs while its upstream's owner is replaced. If only the previous owner received its end, the new one
+	// would count the slot as taken until its next query.
 	r := newRequester()
 	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	r.Granted(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
 	if m := r.Running("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
-		t.Errorf("report %+v", m)
+		t.Errorf("report %+v, want grant 5", m)
 	}
 	d := digest("u1", "a", 10, 4)
 	d.Owner = "successor"
 	r.Slots(start, []pomelorelay.SlotDigest{d})
 	out := r.Settled(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
 	if len(out) != 2 || out[0].To != "owner-u1" || out[1].To != "successor" {
-		t.Errorf("replies %+v", out)
+		t.Errorf("replies %+v, want one to each owner", out)
 	}
 	if m := r.Running("u1"); len(m.Grants) != 0 {
-		t.Errorf("report %+v after the end", m)
+		t.Errorf("report %+v after the request finished, want no grants", m)
 	}
 }
 
 func TestDemandMovesFromOwnerWithoutDigests(t *testing.T) {
-	// An owner is cut off. Demand that stays with it alone would wait there for ever while other owners have slots.
+	// An owner is partitioned. Demand registered only there would wait forever while other owners have slots.
 	r := newRequester()
 	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
 	r.Heads(start.Add(time.Millisecond), heads(1), nil)
@@ -156,25 +156,25 @@
 }
 
 func TestMaxVirtualTimeSubtractsMargins(t *testing.T) {
-	// Another domain's accounts have had more, as they may up to the margin. Were its level the mark, all accounts here
-	// would be lifted to one place and served in no fair order.
+	// Accounts of another domain have received more, as they may within the margin. Without subtracting the margin, all
+	// local accounts would be lifted to the same tag and served in arbitrary order.
 	for _, c := range []struct {
 		name    string
 		digests []pomelorelay.SlotDigest
 		age     time.Duration
 		want    pomelorelay.Tag
 	}{
-		{"own domain alone", []pomelorelay.SlotDigest{digest("u", "a", 500, 0)}, 0, 500},
-		{"a domain within its margin", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 509, 0)}, 0, 500},
-		{"a domain far ahead", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, 0, 890},
-		{"a domain with idle slots", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0), digest("v2", "b", 900, 1)}, 0, 500},
-		{"a region far ahead", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("w", "z", 900, 0)}, 0, 800},
-		{"a domain not heard of", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, time.Minute, 500},
+		{"local domain only", []pomelorelay.SlotDigest{digest("u", "a", 500, 0)}, 0, 500},
+		{"another domain within its margin", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 509, 0)}, 0, 500},
+		{"another domain far ahead", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, 0, 890},
+		{"another domain with idle slots", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0), digest("v2", "b", 900, 1)}, 0, 500},
+		{"another region far ahead", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("w", "z", 900, 0)}, 0, 800},
+		{"another domain with expired digests", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, time.Minute, 500},
 	} {
 		r := newRequester()
 		r.Slots(start, c.digests)
 		if got := r.Crest(start.Add(c.age), testPool); got != c.want {
-			t.Errorf("%s: crest %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: maximum virtual time %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/pomeloslot/returningaccounts_test.go
+++ b/pomeloslot/returningaccounts_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestReturningAccountsGetNoIdleCredit(t *testing.T) {
-	// Four accounts are away for a minute while the others are served, then come back with much to do. If their
-	// unclaimed minute counted, nobody else would be served for as long; if they came back too far ahead, they would
-	// be seen to wait while all others are served.
+	// Four accounts are idle for a minute while the others are served, then have many requests. If the idle minute were
+	// credited, no other account would be served for as long; if they were lifted too far, they would wait while all others
+	// are served.
 	for seed := range uint64(1) {
 		cfg := referenceConfig(seed + 1)
 		away := []int{1, 6, 9, 13}
@@ -44,9 +44,9 @@
 			}
 			largest = max(largest, most-least)
 		}
-		t.Logf("seed %d: virtual time %.1f at a level of %.1f; gap since the return at most %.1f", seed+1, virtual, level, largest)
+		t.Logf("seed %d: virtual time %.1f at a mean service of %.1f; maximum gap since the return %.1f", seed+1, virtual, level, largest)
 		if largest > 60 {
-			t.Errorf("seed %d: gap since the return %.1f", seed+1, largest)
+			t.Errorf("seed %d: gap since the return %.1f, want at most 60", seed+1, largest)
 		}
 	}
 }
--- a/pomeloslot/scale_test.go
+++ b/pomeloslot/scale_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// domainConfig is one failure domain at the target size; depth is how much each account keeps waiting at each router.
+// domainConfig returns the configuration of one failure domain at the target size.
 func domainConfig(accounts, queueDepth int, meanCost float64) fleetConfig {
 	random := rand.New(rand.NewPCG(1, 2))
 	cfg := fleetConfig{
@@ -39,7 +39,7 @@
 	_ = f
 }
 
-// BenchmarkDomain runs one failure domain at the target size for a virtual minute.
+// BenchmarkDomain simulates one failure domain at the target size for one minute.
 func BenchmarkDomain(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkOpenLoad sends 9 requests a second to each router, two thirds of what the upstreams can run.
+// BenchmarkOpenLoad sends 9 requests per second to each router, two thirds of the capacity of the upstreams.
 func BenchmarkOpenLoad(b *testing.B) {
 	for b.Loop() {
 		f := newFleet(domainConfig(600, 0, 1))
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// updateRegistrations chooses the owners of a pool to wait at and sends what they do not know yet.
+// updateRegistrations selects the owners of a pool to register at and appends the registrations and withdrawals to out.
 func (r *Asker) updateRegistrations(now time.Time, p *poolState, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !r.startDelayElapsed(now) {
 		return out
@@ -24,8 +24,8 @@
 	return out
 }
 
-// startDelayElapsed spreads the first registrations of routers that start together: without it, half a fleet that restarts would
-// be seen to send every owner a registration within the same millisecond.
+// startDelayElapsed reports whether the random start delay has passed. Without the delay, routers that restart together
+// would all send registrations to every owner within the same millisecond.
 func (r *Asker) startDelayElapsed(now time.Time) bool {
 	if r.startAt.IsZero() {
 		r.startAt = now.Add(time.Duration(r.rng.Int64N(int64(r.cfg.Registration.StartJitter))))
@@ -33,8 +33,8 @@
 	return !now.Before(r.startAt)
 }
 
-// selectUpstreams marks the owners to be registered at. Those of which grants are held stay chosen: their next free slot is
-// known there at once, while it would be seen idle for a digest's period if nobody waited.
+// selectUpstreams marks the upstreams to register for. Upstreams with held grants stay selected: their owner can grant
+// the next free slot at once, while without a registration it would stay idle until the next digest.
 func (r *Asker) selectUpstreams(now time.Time, p *poolState) {
 	p.ranked = p.ranked[:0]
 	for _, u := range p.upstreams {
@@ -55,17 +55,17 @@
 	r.selectRanked(p)
 }
 
-// available reports whether an owner is known that may grant.
+// available reports whether the upstream is not leaving and its owner's digest is current.
 func (r *Asker) available(now time.Time, u *remoteUpstream) bool {
 	return !u.leaving && !u.digest.Leaving && now.Sub(u.digestAt) <= r.cfg.Registration.DigestTTL
 }
 
-// maxComparedIdle is the number of idle slots beyond which more make no owner better. If every router took the owner that had most
-// idle when digests were sent, all would be seen to wait there and at no other.
+// maxComparedIdle caps idle slots in comparisons. If routers preferred the upstream with the most idle slots in the last
+// digests, all of them would wait at that one and at no other.
 const maxComparedIdle = 2
 
-// compareUpstreams orders owners by idle slots first, nearest and in an order of the router's own, then by the highest last granted tag: the
-// accounts there have had more, so a waiting one is served sooner.
+// compareUpstreams orders upstreams with idle slots first, by distance, idle slots and tieBreak, and then the busy ones by
+// descending last granted tag: accounts served there have received more, so a waiting account is served sooner.
 func compareUpstreams(a, b *remoteUpstream) int {
 	if idle := cmp.Compare(min(b.idle, 1), min(a.idle, 1)); idle != 0 {
 		return idle
@@ -76,8 +76,9 @@
 	return cmp.Or(cmp.Compare(b.digest.LastTag, a.digest.LastTag), cmp.Compare(a.tieBreak, b.tieBreak))
 }
 
-// selectRanked chooses from the ranking: idle owners until their slots cover what waits, and Spare more, else Base owners and
-// one for every PerWaiting requests that wait.
+// selectRanked selects from the ranked upstreams. Those with idle slots are selected until their slots cover the waiting
+// requests, plus SpareOwners more. If they do not cover them, BaseOwners busy ones are added, and one for every
+// WaitingPerOwner waiting requests.
 func (r *Asker) selectRanked(p *poolState) {
 	waiting := p.demand.Waiting
 	width := r.cfg.Registration.BaseOwners + waiting/r.cfg.Registration.WaitingPerOwner
@@ -100,7 +101,7 @@
 	}
 }
 
-// refresh refreshes an owner's view of the demand when it is out of date.
+// refresh sends the current demand to an upstream's owner if the last sent demand is outdated.
 func (r *Asker) refresh(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	d := &p.demand
 	age := now.Sub(u.lastSent.at)
@@ -112,7 +113,7 @@
 	return r.sendDemand(now, p, u, d.Waiting, out)
 }
 
-// withdraw takes a registration back.
+// withdraw cancels the registration at an upstream's owner, if there is one.
 func (r *Asker) withdraw(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u.lastSent.waiting == 0 {
 		return out
@@ -136,16 +137,17 @@
 	return append(out, pomelorelay.Outgoing{To: u.digest.Owner, Message: m})
 }
 
-// nextSeq rises over restarts too: with numbers that start at one, the demand of a restarted router would be seen as older than its last.
+// nextSeq returns a sequence number that also increases across restarts: owners would discard the demand of a restarted
+// router as outdated if it started again at one.
 func (r *Asker) nextSeq(now time.Time) uint64 {
 	r.seq = max(r.seq+1, uint64(now.UnixMilli()))
 	return r.seq
 }
 
-// idleAnswerTimeout is how long an owner with idle slots may take to grant; a round trip within a region takes a millisecond or two.
+// idleAnswerTimeout is how long an owner with idle slots may take to send a grant; a round trip within a region takes 1 to 2 ms.
 const idleAnswerTimeout = 300 * time.Millisecond
 
-// trackAnswer begins the wait for an answer of an owner that is said to have idle slots.
+// trackAnswer starts waiting for an answer if demand was sent to an owner with idle slots.
 func (u *remoteUpstream) trackAnswer(now time.Time, waiting int) {
 	if waiting == 0 || u.digest.Idle == 0 {
 		u.unansweredSince = time.Time{}
@@ -156,8 +158,9 @@
 	}
 }
 
-// usableIdle returns the slots that may be counted on. Those of an owner that was asked and shows no sign are not: it may be paused
-// or cut off, and a request would be seen to wait beside idle slots of the next failure domain until it is taken for dead.
+// usableIdle returns the idle slots that can be expected to be granted: none if the owner did not answer a registration
+// in time. Such an owner may be paused or partitioned, and requests would wait for it until failure detection while
+// another failure domain has idle slots.
 func (u *remoteUpstream) usableIdle(now time.Time) pomelorelay.Slots {
 	if !u.unansweredSince.IsZero() && now.Sub(u.unansweredSince) >= idleAnswerTimeout {
 		return 0
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -6,18 +6,18 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// spillRange says how far demand is carried: every owner up to the distance, and beyond it those whose last granted tag is
-// above the margins.
+// spillRange selects the upstreams that a pool's demand may use: all up to maxDistance, and more distant ones whose last
+// granted tag is above the threshold of their distance or whose idle slots may be used.
 type spillRange struct {
 	maxDistance     pomelorelay.LinkClass
 	domainThreshold pomelorelay.Tag
 	regionThreshold pomelorelay.Tag
-	// useDomainIdle and regionIdle tell whether idle slots further away may be used.
+	// useDomainIdle and useRegionIdle allow the use of idle slots in other domains of the region and in other regions.
 	useDomainIdle, useRegionIdle bool
 }
 
-// spillRange finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
-// enough waits, those beyond; without a usable owner nearby the next distance counts as near.
+// spillRange returns the current spill range of a pool. Idle slots are used in the local domain first, then in the region,
+// and in other regions only if enough requests wait. maxDistance is the nearest distance with an available upstream.
 func (r *Asker) spillRange(now time.Time, p *poolState) spillRange {
 	var known, idle [pomelorelay.LinkClasses]bool
 	highest := pomelorelay.Tag(0)
@@ -41,7 +41,7 @@
 	return result
 }
 
-// allows reports whether an owner beyond the distance is worth its longer way.
+// allows reports whether demand may use an upstream that is farther than maxDistance.
 func (r spillRange) allows(u *remoteUpstream) bool {
 	if u.distance == pomelorelay.LinkRegion {
 		return r.useDomainIdle && u.idle > 0 || u.digest.LastTag > r.domainThreshold
--- a/pomeloslot/table_test.go
+++ b/pomeloslot/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// referenceConfig is the setting of the design's table.
+// referenceConfig returns the configuration of the reference measurements in the design.
 func referenceConfig(seed uint64) fleetConfig {
 	random := rand.New(rand.NewPCG(seed, 2))
 	cfg := fleetConfig{
@@ -36,7 +36,7 @@
 	return cfg
 }
 
-// expectation is what a run must show: gaps in slot seconds at most, utilisation at least.
+// expectation is a configuration with the required results; gaps are in slot seconds.
 type expectation struct {
 	name                  string
 	change                func(*fleetConfig)
@@ -48,13 +48,13 @@
 
 const referenceSeeds = 3
 
-// warmUp is how long a fleet that started with empty state runs before it is measured.
+// warmUp is the simulated time before a measurement starts.
 const warmUp = time.Minute
 
-// referenceSpan is how long the design's table measures.
+// referenceSpan is the simulated time of the reference measurements.
 const referenceSpan = 210 * time.Second
 
-// variedLoadMaxGap bounds the highest gap of loads other than the table's: one account with nine of its longest requests at once made 56.2.
+// variedLoadMaxGap is the maximum gap under varied loads; one account with nine of its longest requests at once reached 56.2.
 const variedLoadMaxGap = 60
 
 func (a expectation) check(t *testing.T) {
@@ -66,32 +66,32 @@
 		t.Logf("%s, seed %d: gap %.1f / %.1f, bound %.0f, utilisation %.4f, %.0f B/s a node, in flight %d", a.name, seed+1,
 			m.median, m.highest, float64(f.gapBound()), m.utilisation, m.bytesPerNode, f.maxInFlight)
 		if m.median > a.maxMedian || m.highest > a.maxHighest {
-			t.Errorf("%s, seed %d: gap %.1f / %.1f, aim %.0f / %.0f", a.name, seed+1, m.median, m.highest, a.maxMedian, a.maxHighest)
+			t.Errorf("%s, seed %d: gap %.1f / %.1f, want at most %.0f / %.0f", a.name, seed+1, m.median, m.highest, a.maxMedian, a.maxHighest)
 		}
 		if m.utilisation < a.minUtilisation {
-			t.Errorf("%s, seed %d: utilisation %.4f, aim %.3f", a.name, seed+1, m.utilisation, a.minUtilisation)
+			t.Errorf("%s, seed %d: utilisation %.4f, want at least %.3f", a.name, seed+1, m.utilisation, a.minUtilisation)
 		}
 	}
 }
 
 func TestGapAndUtilisation(t *testing.T) {
 	for _, a := range []expectation{
-		{"totals each 0.25 s", func(*fleetConfig) {}, 12, 25, 0.995, referenceSeeds, referenceSpan},
-		{"totals each 1 s", func(c *fleetConfig) { c.ledgerInterval = time.Second }, 15, 33, 0.995, referenceSeeds, referenceSpan},
+		{"ledger interval 250 ms", func(*fleetConfig) {}, 12, 25, 0.995, referenceSeeds, referenceSpan},
+		{"ledger interval 1 s", func(c *fleetConfig) { c.ledgerInterval = time.Second }, 15, 33, 0.995, referenceSeeds, referenceSpan},
 	} {
 		t.Run(a.name, a.check)
 	}
 }
 
 func TestFixedSharesBaseline(t *testing.T) {
-	// Each router serves its own accounts with its own share of the slots, as fleets without coordination do: an account
-	// on one router gets far less than one on seven.
+	// Each router serves its accounts with a fixed share of the slots, as fleets without coordination do: an account at one
+	// router receives far less than one at seven. The other tests would prove little if this gap disappeared.
 	cfg := referenceConfig(1)
 	cfg.fixedShares = true
 	m := newFleet(cfg).measure(warmUp, 210*time.Second, nil)
 	t.Logf("gap %.1f / %.1f, utilisation %.4f", m.median, m.highest, m.utilisation)
 	if m.median < 300 {
-		t.Errorf("gap %.1f: the baseline no longer shows the fault that the rest is meant for", m.median)
+		t.Errorf("gap %.1f, want at least 300: the baseline does not show the unfairness that coordination removes", m.median)
 	}
 }
 
@@ -107,22 +107,22 @@
 				c.accounts[i].meanCost = 0.1 * math.Pow(100, float64(i)/15)
 			}
 		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
-		{"one account hints a tenth", func(c *fleetConfig) {
+		{"one account hints a tenth of its cost", func(c *fleetConfig) {
 			c.accounts[13].costHint = c.accounts[13].meanCost / 10
 		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
-		{"one account hints tenfold", func(c *fleetConfig) {
+		{"one account hints ten times its cost", func(c *fleetConfig) {
 			c.accounts[13].costHint = c.accounts[13].meanCost * 10
 		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 		{"one account floods every router", func(c *fleetConfig) {
 			c.accounts[15].routers = []int{0, 1, 2, 3, 4, 5, 6, 7}
 			c.accounts[15].queueDepth = 200
 		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
-		{"small accounts all on one router", func(c *fleetConfig) {
+		{"low-cost accounts at one router", func(c *fleetConfig) {
 			for i := range 8 {
 				c.accounts[i].routers = []int{3}
 			}
 		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
-		{"work at one router only", func(c *fleetConfig) {
+		{"all accounts at one router", func(c *fleetConfig) {
 			for i := range c.accounts {
 				c.accounts[i].routers = []int{3}
 			}
--- a/pomeloslot/upstream.go
+++ b/pomeloslot/upstream.go
@@ -8,27 +8,29 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// upstream is what an owner knows of one upstream.
+// upstream is the owner's state of one upstream.
 type upstream struct {
 	id       pomelorelay.UpstreamID
 	pool     pomelorelay.PoolID
 	min, max pomelorelay.Slots
 	limit    limiter
 	routers  map[pomelorelay.NodeID]*router
-	// sortedRouters is by node, so that the same messages always give the same grants.
+	// sortedRouters is sorted by node ID to make the order of grants deterministic.
 	sortedRouters []*router
 	grants        map[pomelorelay.GrantID]*grant
-	unreported    map[pomelorelay.NodeID]bool
-	cached        prefixCache
-	lastTag       pomelorelay.Tag
-	leaving       bool
-	crashed       bool
-	// recoveryUntil ends the time in which what runs is not yet known from the routers.
+	// unreported holds the queried routers that have not sent a running report.
+	unreported map[pomelorelay.NodeID]bool
+	cached     prefixCache
+	// lastTag is the tag of the last grant.
+	lastTag pomelorelay.Tag
+	leaving bool
+	crashed bool
+	// recoveryUntil is when a new owner stops waiting for the routers' running reports.
 	recoveryUntil time.Time
 	loadTracker
 }
 
-// router is what an owner knows of one router's demand for one upstream.
+// router is the owner's state of one router's demand for one upstream.
 type router struct {
 	node     pomelorelay.NodeID
 	seq      uint64
@@ -36,16 +38,16 @@
 	waiting  int
 	prefixes []uint64
 	demandAt time.Time
-	// unansweredGrants counts grants without a reply; while there are some, head is from before them.
+	// unansweredGrants is the number of grants without a reply; while it is above zero, head predates them.
 	unansweredGrants int
-	// backoffUntil ends the time in which a router gets nothing after it returned a grant.
+	// backoffUntil is when the router may receive grants again after it returned one.
 	backoffUntil time.Time
-	// unknownRequests counts requests that the router runs without a grant known here.
+	// unknownRequests is the number of requests that the router runs without a grant known to the owner.
 	unknownRequests int
-	// reportedAt is when the router last said what it runs, asked when it was last queried.
+	// reportedAt is when the router last sent a running report, queriedAt when it was last queried for one.
 	reportedAt time.Time
 	queriedAt  time.Time
-	// queryDue marks a router to query; it is set and cleared within one check.
+	// queryDue marks a router to be queried; it is set and cleared within queryOverdue.
 	queryDue bool
 }
 
@@ -89,7 +91,7 @@
 	}
 }
 
-// updateDemand takes newer demand and reports whether it was newer.
+// updateDemand stores the demand and reports true if its sequence number is newer than the stored one.
 func (r *router) updateDemand(now time.Time, seq uint64, head pomelorelay.Tag, waiting uint32) bool {
 	if seq <= r.seq {
 		return false
@@ -98,13 +100,13 @@
 	return true
 }
 
-// wantsGrant reports whether a further grant would find a request waiting. Demand that is not refreshed ends: a router that
-// is cut off one way, or that lost its waiting requests, would else be seen to take slots that it never uses.
+// wantsGrant reports whether the router has a waiting request for a further grant. Demand expires after ttl: a router that
+// is partitioned in one direction or lost its requests would otherwise be granted slots that it never uses.
 func (r *router) wantsGrant(now time.Time, ttl time.Duration) bool {
 	return r.waiting > r.unansweredGrants && now.Sub(r.demandAt) <= ttl && !now.Before(r.backoffUntil)
 }
 
-// takenSlots is how many requests hold a slot as far as grants and reports tell.
+// takenSlots returns the number of slots taken according to grants and running reports.
 func (u *upstream) takenSlots() int {
 	n := len(u.grants)
 	for _, r := range u.sortedRouters {
@@ -113,7 +115,7 @@
 	return n
 }
 
-// freeSlots is how many more requests the upstream may get now.
+// freeSlots returns the number of slots that may be granted now; it can be negative.
 func (u *upstream) freeSlots(now time.Time) int {
 	if u.leaving || u.crashed {
 		return 0
@@ -126,13 +128,13 @@
 	return limit - taken - u.excess
 }
 
-// recovering reports whether routers may still run requests there that this owner does not know of.
+// recovering reports whether a new owner still waits for running reports, so that routers may run requests unknown to it.
 func (u *upstream) recovering(now time.Time) bool {
 	return len(u.unreported) > 0 && now.Before(u.recoveryUntil)
 }
 
-// freeDuringRecovery trusts only the upstream's own report. A new owner that grants its whole limit at once would put twice the
-// limit on the upstream, seen in late first tokens.
+// freeDuringRecovery returns the free slots of a new owner's upstream according to its own load report, and none without
+// one. Granting the full limit at once would load the upstream to twice its limit and delay first tokens.
 func (u *upstream) freeDuringRecovery(limit, taken int) int {
 	if !u.reported {
 		return 0
