--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -100,7 +100,7 @@
 	m := f.measure(warmUp, time.Minute, nil)
 	t.Logf("utilisation %.4f, gap %.1f / %.1f", m.utilisation, m.median, m.highest)
 	if m.utilisation < 0.98 {
-		t.Errorf("utilisation %.4f", m.utilisation)
+		t.Errorf("utilisation %.4f, want at least 0.98", m.utilisation)
 	}
 	for _, u := range f.upstreams {
 		if u.maxRunning > cfg.slots+1 {
--- a/pomeloslot/fleet_test.go
+++ b/pomeloslot/fleet_test.go
@@ -92,16 +92,18 @@
 }
 
 type testRouter struct {
-	index        int
-	node         pomelorelay.NodeID
-	queues       *pomelofair.Queues
-	owner        *pomeloslot.Owner
-	requester    *pomeloslot.Asker
-	runs         map[pomelorelay.RequestID]*run
-	accountOf    map[pomelorelay.RequestID]int
-	nextID       pomelorelay.RequestID
-	dead         bool
-	localRunning int
+	index     int
+	node      pomelorelay.NodeID
+	queues    *pomelofair.Queues
+	owner     *pomeloslot.Owner
+	requester *pomeloslot.Asker
+	runs      map[pomelorelay.RequestID]*run
+	// waitingRequests maps a waiting request to its account index; key 1<<40 plus an account index holds the number of
+	// requests that the account has waiting.
+	waitingRequests map[pomelorelay.RequestID]int
+	nextID          pomelorelay.RequestID
+	dead            bool
+	localRunning    int
 }
 
 // testLedger holds the last entry of each account and router index.
@@ -188,8 +190,8 @@
 		owner:  pomeloslot.NewOwner(pomeloslot.OwnerConfig{Node: node, Domain: "a", Incarnation: incarnation, Grant: f.cfg.grant}),
 		requester: pomeloslot.NewAsker(pomeloslot.AskerConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
 			Registration: f.cfg.registration}),
-		runs:      make(map[pomelorelay.RequestID]*run),
-		accountOf: make(map[pomelorelay.RequestID]int),
+		runs:            make(map[pomelorelay.RequestID]*run),
+		waitingRequests: make(map[pomelorelay.RequestID]int),
 	}
 }
 
@@ -271,15 +273,15 @@
 	for _, i := range account.routers {
 		here = here || i == r.index
 	}
-	for here && r.accountOf[pomelorelay.RequestID(1<<40+a)] < account.queueDepth {
-		r.accountOf[pomelorelay.RequestID(1<<40+a)]++
+	for here && r.waitingRequests[pomelorelay.RequestID(1<<40+a)] < account.queueDepth {
+		r.waitingRequests[pomelorelay.RequestID(1<<40+a)]++
 		f.push(r, a)
 	}
 }
 
 func (f *fleet) push(r *testRouter, a int) {
 	r.nextID++
-	r.accountOf[r.nextID] = a
+	r.waitingRequests[r.nextID] = a
 	account := &f.cfg.accounts[a]
 	err := r.queues.Push(f.now, pomelofair.Request{ID: r.nextID, Pool: testPool, Account: account.id, Hint: pomelorelay.Cost(account.costHint)})
 	if err != nil {
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -88,10 +88,10 @@
 
 // dispatch sends a popped request to an upstream and refills its account's queue.
 func (f *fleet) dispatch(r *testRouter, id pomelorelay.RequestID, upstream int, grant pomelorelay.GrantID) {
-	a := r.accountOf[id]
-	delete(r.accountOf, id)
+	a := r.waitingRequests[id]
+	delete(r.waitingRequests, id)
 	if f.cfg.accounts[a].queueDepth > 0 {
-		r.accountOf[pomelorelay.RequestID(1<<40+a)]--
+		r.waitingRequests[pomelorelay.RequestID(1<<40+a)]--
 		f.refill(r, a)
 	}
 	x := &run{id: id, grant: grant, account: a, upstream: upstream, cost: f.drawCost(a), started: f.now.Add(linkLatency)}
--- a/pomeloslot/gapbound_test.go
+++ b/pomeloslot/gapbound_test.go
@@ -56,19 +56,19 @@
 }
 
 func TestGapStaysWithinBound(t *testing.T) {
-	closest := 0.0
+	maxFraction := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(drawFleet(t))
 		for d := time.Duration(0); d < 10*time.Second; d += 100 * time.Millisecond {
 			f.runUntil(d)
 			gap, bound := f.gap(), float64(f.gapBound())
-			closest = max(closest, gap/max(bound, 1))
+			maxFraction = max(maxFraction, gap/max(bound, 1))
 			if gap > bound {
 				t.Fatalf("%v: gap %.2f exceeds its bound %.2f", d, gap, bound)
 			}
 		}
 	})
-	t.Logf("the gap reached at most %.3f of its bound", closest)
+	t.Logf("the gap reached at most %.3f of its bound", maxFraction)
 }
 
 func TestGapExceedsBoundWithoutCoordination(t *testing.T) {
--- a/pomeloslot/idleanswer_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -12,9 +12,9 @@
 	// An owner in the local domain is paused just after it published idle slots. A request would wait almost 2 s for it,
 	// until it is declared dead, although another domain of the region has idle slots.
 	for _, c := range []struct {
-		name string
-		sign func(r *pomeloslot.Asker, at time.Time)
-		want bool
+		name   string
+		answer func(r *pomeloslot.Asker, at time.Time)
+		want   bool
 	}{
 		{"no message", func(*pomeloslot.Asker, time.Time) {}, true},
 		{"a new digest", func(r *pomeloslot.Asker, at time.Time) {
@@ -32,7 +32,7 @@
 		if got := registeredAt(r.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
 			t.Errorf("%s: registered at %v before the timeout", c.name, got)
 		}
-		c.sign(r, start.Add(290*time.Millisecond))
+		c.answer(r, start.Add(290*time.Millisecond))
 		if got := registeredAt(r.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
 			t.Errorf("%s: registered at %v after the timeout", c.name, got)
 		}
--- a/pomeloslot/randomfaults_test.go
+++ b/pomeloslot/randomfaults_test.go
@@ -39,7 +39,7 @@
 		f.cfg.accounts[i].queueDepth = 0
 	}
 	for _, r := range f.routers {
-		for id := range r.accountOf {
+		for id := range r.waitingRequests {
 			r.queues.Cancel(f.now, id)
 		}
 		f.updateDemand(r)
--- a/pomeloslot/table_test.go
+++ b/pomeloslot/table_test.go
@@ -57,29 +57,29 @@
 // variedLoadMaxGap is the maximum gap under varied loads; one account with nine of its longest requests at once reached 56.2.
 const variedLoadMaxGap = 60
 
-func (a expectation) check(t *testing.T) {
-	for seed := range a.seeds {
+func (e expectation) check(t *testing.T) {
+	for seed := range e.seeds {
 		cfg := referenceConfig(seed + 1)
-		a.change(&cfg)
+		e.change(&cfg)
 		f := newFleet(cfg)
-		m := f.measure(warmUp, a.span, nil)
-		t.Logf("%s, seed %d: gap %.1f / %.1f, bound %.0f, utilisation %.4f, %.0f B/s a node, in flight %d", a.name, seed+1,
+		m := f.measure(warmUp, e.span, nil)
+		t.Logf("%s, seed %d: gap %.1f / %.1f, bound %.0f, utilisation %.4f, %.0f B/s a node, in flight %d", e.name, seed+1,
 			m.median, m.highest, float64(f.gapBound()), m.utilisation, m.bytesPerNode, f.maxInFlight)
-		if m.median > a.maxMedian || m.highest > a.maxHighest {
-			t.Errorf("%s, seed %d: gap %.1f / %.1f, want at most %.0f / %.0f", a.name, seed+1, m.median, m.highest, a.maxMedian, a.maxHighest)
+		if m.median > e.maxMedian || m.highest > e.maxHighest {
+			t.Errorf("%s, seed %d: gap %.1f / %.1f, want at most %.0f / %.0f", e.name, seed+1, m.median, m.highest, e.maxMedian, e.maxHighest)
 		}
-		if m.utilisation < a.minUtilisation {
-			t.Errorf("%s, seed %d: utilisation %.4f, want at least %.3f", a.name, seed+1, m.utilisation, a.minUtilisation)
+		if m.utilisation < e.minUtilisation {
+			t.Errorf("%s, seed %d: utilisation %.4f, want at least %.3f", e.name, seed+1, m.utilisation, e.minUtilisation)
 		}
 	}
 }
 
 func TestGapAndUtilisation(t *testing.T) {
-	for _, a := range []expectation{
+	for _, e := range []expectation{
 		{"ledger interval 250 ms", func(*fleetConfig) {}, 12, 25, 0.995, referenceSeeds, referenceSpan},
 		{"ledger interval 1 s", func(c *fleetConfig) { c.ledgerInterval = time.Second }, 15, 33, 0.995, referenceSeeds, referenceSpan},
 	} {
-		t.Run(a.name, a.check)
+		t.Run(e.name, e.check)
 	}
 }
 
@@ -96,7 +96,7 @@
 }
 
 func TestGapUnderVariedLoads(t *testing.T) {
-	for _, a := range []expectation{
+	for _, e := range []expectation{
 		{"weights 1 to 4", func(c *fleetConfig) {
 			for i := range c.accounts {
 				c.accounts[i].weight = float64(1 + i%4)
@@ -128,6 +128,6 @@
 			}
 		}, 12, variedLoadMaxGap, 0.995, 1, time.Minute},
 	} {
-		t.Run(a.name, a.check)
+		t.Run(e.name, e.check)
 	}
 }
