--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -42,7 +42,7 @@
 type PoolOptions struct {
 	// CatchUp overrides ChargeOptions.CatchUp.
 	CatchUp pomelorelay.Tag
-	// Count and Bytes override MaxWaiting and MaxWaitingBytes of LimitOptions.
+	// The limits on waiting requests override those of LimitOptions.
 	Count int
 	Bytes pomelorelay.Bytes
 }
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -102,7 +102,7 @@
 	q.dropWaiting(r)
 }
 
-// Expire removes the requests that have waited for the maximum time and appends them to out; the caller must reject each with WaitError.
+// Expire removes the requests that have waited for the maximum time and appends them to out; the caller must reject them.
 func (q *Queues) Expire(now time.Time, out []pomelorelay.RequestID) []pomelorelay.RequestID {
 	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.Wait {
 		r := q.oldest
