--- a/pomelofair/charge.go
+++ b/pomelofair/charge.go
@@ -6,21 +6,21 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// admit charges the admission fraction of the expected cost.
-func (q *Queues) admit(r *request) {
+// chargeAdmission marks a request as running and charges the admission fraction of its expected cost.
+func (q *Queues) chargeAdmission(r *request) {
 	a := r.account
 	r.running = true
-	r.pending = (q.expected(r) * pomelorelay.Cost(q.cfg.Charge.AdmissionFraction)).Normalise(a.weight)
+	r.pending = (q.expectedCost(r) * pomelorelay.Cost(q.cfg.Charge.AdmissionFraction)).Normalise(a.weight)
 	a.pending += r.pending
 	a.running++
 }
 
-// expected is the account's mean cost, moved by the hint within bounds. An unbounded hint would let a caller choose its
-// own place: one that says one for a thousand would be seen to hold every slot until its requests end.
-func (q *Queues) expected(r *request) pomelorelay.Cost {
-	mean := r.account.mean
+// expectedCost returns the caller's hint, limited to a range around the account's mean cost, or the mean without a hint.
+// With an unlimited hint, a caller that declared a cost of 1 instead of 1,000 could occupy all slots until its requests end.
+func (q *Queues) expectedCost(r *request) pomelorelay.Cost {
+	mean := r.account.meanCost
 	if mean == 0 {
-		mean = r.account.pool.mean
+		mean = r.account.pool.meanCost
 	}
 	if r.hint <= 0 {
 		return mean
@@ -29,17 +29,17 @@
 	return min(max(r.hint, mean/factor), mean*factor)
 }
 
-// Progress charges what a running request has accrued since its start beyond what it was charged; a lower figure than before is ignored.
+// Progress updates the total cost that a running request has accrued since its start and charges what exceeds its admission charge; a decrease is ignored.
 func (q *Queues) Progress(_ time.Time, id pomelorelay.RequestID, accrued pomelorelay.Cost) {
 	r := q.requests[id]
 	if r == nil || !r.running {
 		return
 	}
 	q.accrue(r, accrued)
-	r.account.pool.lower(r.account)
+	r.account.pool.decreaseKey(r.account)
 }
 
-// accrue moves cost from pending to served; what goes beyond pending raises the tag.
+// accrue moves cost from pending to ownServed; cost in excess of pending raises the tag.
 func (q *Queues) accrue(r *request, accrued pomelorelay.Cost) {
 	if accrued <= r.accrued {
 		return
@@ -47,14 +47,14 @@
 	a := r.account
 	step := (accrued - r.accrued).Normalise(a.weight)
 	r.accrued = accrued
-	a.own += step
+	a.ownServed += step
 	covered := min(step, r.pending)
 	r.pending -= covered
 	a.pending -= covered
-	q.mark(a)
+	q.markChanged(a)
 }
 
-// Finish settles a running request at its final cost and forgets it; a final cost under what has accrued counts as accrued.
+// Finish charges a running request at its final cost, or the accrued cost if that is higher, and removes it.
 func (q *Queues) Finish(_ time.Time, id pomelorelay.RequestID, final pomelorelay.Cost) {
 	r := q.requests[id]
 	if r == nil || !r.running {
@@ -62,39 +62,39 @@
 	}
 	a := r.account
 	q.accrue(r, final)
-	a.release(r)
-	if r.accrued > 0 { // one that never ran says nothing of what its like cost
-		q.learn(a, r.accrued)
+	a.releaseCharge(r)
+	if r.accrued > 0 { // a request that never ran is no sample of the cost
+		q.updateMeans(a, r.accrued)
 	}
-	q.forget(r)
-	a.pool.lower(a)
+	q.recycle(r)
+	a.pool.decreaseKey(a)
 	if a.idle() {
-		q.mark(a)
+		q.markChanged(a)
 	}
 }
 
-// Charge charges an account for service that it got without being queued here.
+// Charge charges an account for service that was not queued at this router.
 func (q *Queues) Charge(_ time.Time, id pomelorelay.PoolID, name pomelorelay.AccountID, cost pomelorelay.Cost) {
 	if cost <= 0 {
 		return
 	}
 	a := q.account(id, name)
-	a.own += cost.Normalise(a.weight)
-	q.mark(a)
+	a.ownServed += cost.Normalise(a.weight)
+	q.markChanged(a)
 }
 
-// learn moves the running means by the cost of a finished request.
-func (q *Queues) learn(a *account, cost pomelorelay.Cost) {
-	share := pomelorelay.Cost(q.cfg.Charge.MeanShare)
-	if a.mean == 0 {
-		a.mean = cost
+// updateMeans adds the cost of a finished request to the moving averages of its account and pool.
+func (q *Queues) updateMeans(a *account, cost pomelorelay.Cost) {
+	smoothing := pomelorelay.Cost(q.cfg.Charge.MeanSmoothing)
+	if a.meanCost == 0 {
+		a.meanCost = cost
 	} else {
-		a.mean += (cost - a.mean) * share
+		a.meanCost += (cost - a.meanCost) * smoothing
 	}
 	p := a.pool
-	if !p.meanSeen {
-		p.mean, p.meanSeen = cost, true
+	if !p.hasMeanCost {
+		p.meanCost, p.hasMeanCost = cost, true
 		return
 	}
-	p.mean += (cost - p.mean) * share
+	p.meanCost += (cost - p.meanCost) * smoothing
 }
--- a/pomelofair/pool.go
+++ b/pomelofair/pool.go
@@ -2,98 +2,98 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// noPlace is the place of an account that is not in the heap.
-const noPlace = -1
+// notInHeap is the heapIndex of an account that is not in the heap.
+const notInHeap = -1
 
-// pool keeps the waiting accounts in a heap by key. A key may be lower than its account's tag, never higher: tags
-// mostly rise, so a risen one is put right only when it reaches the top.
+// pool keeps the accounts with waiting requests in a min-heap by heapKey. A key may be lower than its account's tag, but
+// never higher: tags mostly increase, so an increased tag is only updated when its account reaches the top.
 type pool struct {
-	id       pomelorelay.PoolID
-	options  PoolOptions
-	accounts map[pomelorelay.AccountID]*account
-	order    []*account
-	heap     []*account
-	waiting  int
-	virtual  pomelorelay.Tag
-	told     bool
-	// crest is the highest virtual time so far, the own one or another domain's.
-	crest    pomelorelay.Tag
-	mean     pomelorelay.Cost
-	meanSeen bool
+	id              pomelorelay.PoolID
+	options         PoolOptions
+	accounts        map[pomelorelay.AccountID]*account
+	orderedAccounts []*account // in order of first use, to be deterministic
+	heap            []*account
+	waiting         int
+	virtualTime     pomelorelay.Tag
+	virtualTimeSet  bool
+	// maxVirtualTime is the highest virtual time so far, of the local or another failure domain.
+	maxVirtualTime pomelorelay.Tag
+	meanCost       pomelorelay.Cost
+	hasMeanCost    bool
 }
 
-// observe raises the virtual time while nobody tells it.
-func (p *pool) observe(tag pomelorelay.Tag) {
-	if !p.told && tag > p.virtual {
-		p.virtual = tag
+// raiseVirtualTime raises the virtual time to the tag, unless the virtual time has been set from outside.
+func (p *pool) raiseVirtualTime(tag pomelorelay.Tag) {
+	if !p.virtualTimeSet && tag > p.virtualTime {
+		p.virtualTime = tag
 	}
 }
 
-// enter puts a waiting account into the heap, or right when it is there already.
-func (p *pool) enter(a *account) {
-	if a.place != noPlace {
-		p.lower(a)
+// insert adds an account to the heap, or updates its key if it is in the heap already.
+func (p *pool) insert(a *account) {
+	if a.heapIndex != notInHeap {
+		p.decreaseKey(a)
 		return
 	}
-	a.key = a.tag()
-	a.place = len(p.heap)
+	a.heapKey = a.tag()
+	a.heapIndex = len(p.heap)
 	p.heap = append(p.heap, a)
-	p.up(a.place)
+	p.up(a.heapIndex)
 }
 
-// lower moves an account whose tag fell; a risen tag waits for lowest.
-func (p *pool) lower(a *account) {
-	if a.place == noPlace {
+// decreaseKey updates the key of an account whose tag has decreased; lowest updates increased ones.
+func (p *pool) decreaseKey(a *account) {
+	if a.heapIndex == notInHeap {
 		return
 	}
-	if tag := a.tag(); tag < a.key {
-		a.key = tag
-		p.up(a.place)
+	if tag := a.tag(); tag < a.heapKey {
+		a.heapKey = tag
+		p.up(a.heapIndex)
 	}
 }
 
-// settle takes an account out of the heap when nothing of it waits.
-func (p *pool) settle(a *account) {
-	if a.waiting > 0 || a.place == noPlace {
-		p.lower(a)
+// removeIfEmpty removes an account without waiting requests from the heap, and updates the key of any other.
+func (p *pool) removeIfEmpty(a *account) {
+	if a.waiting > 0 || a.heapIndex == notInHeap {
+		p.decreaseKey(a)
 		return
 	}
-	i := a.place
+	i := a.heapIndex
 	last := len(p.heap) - 1
 	p.swap(i, last)
 	p.heap[last] = nil
 	p.heap = p.heap[:last]
-	a.place = noPlace
+	a.heapIndex = notInHeap
 	if i < last {
 		p.down(i)
 		p.up(i)
 	}
 }
 
-// lowest returns the waiting account of the lowest tag; there must be one.
+// lowest returns the account with the lowest tag; the heap must not be empty.
 func (p *pool) lowest() *account {
 	for {
 		a := p.heap[0]
 		tag := a.tag()
-		if tag <= a.key {
+		if tag <= a.heapKey {
 			return a
 		}
-		a.key = tag
+		a.heapKey = tag
 		p.down(0)
 	}
 }
 
 func (p *pool) less(i, j int) bool {
-	if p.heap[i].key != p.heap[j].key {
-		return p.heap[i].key < p.heap[j].key
+	if p.heap[i].heapKey != p.heap[j].heapKey {
+		return p.heap[i].heapKey < p.heap[j].heapKey
 	}
 	return p.heap[i].id < p.heap[j].id
 }
 
 func (p *pool) swap(i, j int) {
 	p.heap[i], p.heap[j] = p.heap[j], p.heap[i]
-	p.heap[i].place = i
-	p.heap[j].place = j
+	p.heap[i].heapIndex = i
+	p.heap[j].heapIndex = j
 }
 
 func (p *pool) up(i int) {
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -6,17 +6,19 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Queues holds the waiting and running requests of one router.
+// Queues holds the waiting and running requests of one router in fair queues.
 type Queues struct {
 	cfg   Config
 	pools map[pomelorelay.PoolID]*pool
-	// order is by first use, so that the same calls always give the same answers.
-	order    []*pool
-	requests map[pomelorelay.RequestID]*request
-	changed  []*account
-	oldest   *request
-	newest   *request
-	free     *request
+	// orderedPools is in order of first use to make the results deterministic.
+	orderedPools    []*pool
+	requests        map[pomelorelay.RequestID]*request
+	changedAccounts []*account
+	// oldest and newest are the ends of the age list of waiting requests.
+	oldest *request
+	newest *request
+	// freeRequests is a free list of requests.
+	freeRequests *request
 }
 
 // New returns empty queues.
@@ -30,7 +32,7 @@
 	}
 }
 
-// Push queues a request; it fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated, none of which ran.
+// Push queues a request; it fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated, and the request did not run then.
 func (q *Queues) Push(now time.Time, r Request) error {
 	if _, found := q.requests[r.ID]; found {
 		return pomelorelay.NewError(pomelorelay.CodeRequestRepeated, "", nil)
@@ -39,17 +41,17 @@
 	if err := q.checkLimits(a, r); err != nil {
 		return err
 	}
-	q.wake(now, a)
+	q.startBacklog(now, a)
 	req := q.newRequest()
 	req.id, req.account, req.bytes, req.hint, req.pushed = r.ID, a, r.Bytes, r.Hint, now
 	q.requests[r.ID] = req
 	a.append(req)
-	q.appendAge(req)
-	a.pool.enter(a)
+	q.appendByAge(req)
+	a.pool.insert(a)
 	return nil
 }
 
-// Head returns the lowest tag of the pool's waiting accounts and how many requests wait; false when none does.
+// Head returns the lowest tag of the pool's waiting accounts and the number of waiting requests, or false if none wait.
 func (q *Queues) Head(_ time.Time, id pomelorelay.PoolID) (pomelorelay.Tag, int, bool) {
 	p := q.pools[id]
 	if p == nil || p.waiting == 0 {
@@ -58,8 +60,8 @@
 	return p.lowest().tag(), p.waiting, true
 }
 
-// Pop takes the first request of the lowest account and charges the admission fraction of its expected cost;
-// the tag is the account's before the charge.
+// Pop dequeues the first request of the account with the lowest tag and charges the admission fraction of its expected
+// cost; it returns the account's tag before the charge, or false if no request waits.
 func (q *Queues) Pop(now time.Time, id pomelorelay.PoolID) (pomelorelay.RequestID, pomelorelay.Tag, bool) {
 	p := q.pools[id]
 	if p == nil || p.waiting == 0 {
@@ -67,80 +69,80 @@
 	}
 	a := p.lowest()
 	tag := a.tag()
-	p.observe(tag)
-	a.notePop(now)
+	p.raiseVirtualTime(tag)
+	a.recordPop(now)
 	r := a.first
-	q.unqueue(r)
-	q.admit(r)
-	q.mark(a)
-	p.settle(a)
+	q.dequeue(r)
+	q.chargeAdmission(r)
+	q.markChanged(a)
+	p.removeIfEmpty(a)
 	return r.id, tag, true
 }
 
-// Requeue puts a popped request that was not sent back at the head of its account and takes its charge back.
+// Requeue returns a popped request that was not sent to the head of its account's queue and reverses its charge.
 func (q *Queues) Requeue(_ time.Time, id pomelorelay.RequestID) {
 	r := q.requests[id]
 	if r == nil || !r.running {
 		return
 	}
 	a := r.account
-	a.release(r)
+	a.releaseCharge(r)
 	r.accrued, r.running = 0, false
 	a.prepend(r)
-	q.insertAge(r)
-	a.pool.enter(a)
+	q.insertByAge(r)
+	a.pool.insert(a)
 }
 
-// Cancel forgets a waiting request; one that runs is left to Finish.
+// Cancel removes a waiting request; it has no effect on a running one, which ends with Finish.
 func (q *Queues) Cancel(_ time.Time, id pomelorelay.RequestID) {
 	r := q.requests[id]
 	if r == nil || r.running {
 		return
 	}
-	q.drop(r)
+	q.dropWaiting(r)
 }
 
-// Expire appends the requests that waited past the bound and forgets them; each is to be refused with WaitError.
+// Expire removes the requests that have waited for the maximum time and appends them to out; the caller must reject them.
 func (q *Queues) Expire(now time.Time, out []pomelorelay.RequestID) []pomelorelay.RequestID {
 	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.Wait {
 		r := q.oldest
 		out = append(out, r.id)
-		q.drop(r)
+		q.dropWaiting(r)
 	}
 	return out
 }
 
-// drop forgets a waiting request.
-func (q *Queues) drop(r *request) {
+// dropWaiting removes a waiting request.
+func (q *Queues) dropWaiting(r *request) {
 	a := r.account
-	q.unqueue(r)
-	a.pool.settle(a)
-	q.forget(r)
+	q.dequeue(r)
+	a.pool.removeIfEmpty(a)
+	q.recycle(r)
 	if a.idle() {
-		q.mark(a)
+		q.markChanged(a)
 	}
 }
 
-// unqueue takes a waiting request out of its account's queue and the list by age.
-func (q *Queues) unqueue(r *request) {
+// dequeue removes a waiting request from its account's queue and the age list.
+func (q *Queues) dequeue(r *request) {
 	r.account.remove(r)
-	q.removeAge(r)
+	q.unlinkByAge(r)
 	r.account.pool.waiting--
 }
 
-// forget gives the request's memory back for the next one.
-func (q *Queues) forget(r *request) {
+// recycle removes a request and puts it on the free list.
+func (q *Queues) recycle(r *request) {
 	delete(q.requests, r.id)
-	*r = request{next: q.free}
-	q.free = r
+	*r = request{next: q.freeRequests}
+	q.freeRequests = r
 }
 
 func (q *Queues) newRequest() *request {
-	r := q.free
+	r := q.freeRequests
 	if r == nil {
 		return &request{}
 	}
-	q.free = r.next
+	q.freeRequests = r.next
 	*r = request{}
 	return r
 }
@@ -148,9 +150,9 @@
 func (q *Queues) pool(id pomelorelay.PoolID) *pool {
 	p := q.pools[id]
 	if p == nil {
-		p = &pool{id: id, accounts: make(map[pomelorelay.AccountID]*account), mean: q.cfg.Charge.FirstCost, options: q.poolOptions(PoolOptions{})}
+		p = &pool{id: id, accounts: make(map[pomelorelay.AccountID]*account), meanCost: q.cfg.Charge.InitialCost, options: q.poolOptions(PoolOptions{})}
 		q.pools[id] = p
-		q.order = append(q.order, p)
+		q.orderedPools = append(q.orderedPools, p)
 	}
 	return p
 }
@@ -159,9 +161,9 @@
 	p := q.pool(id)
 	a := p.accounts[name]
 	if a == nil {
-		a = &account{id: name, pool: p, place: noPlace, weight: q.weight(id, name)}
+		a = &account{id: name, pool: p, heapIndex: notInHeap, weight: q.weight(id, name)}
 		p.accounts[name] = a
-		p.order = append(p.order, a)
+		p.orderedAccounts = append(p.orderedAccounts, a)
 	}
 	return a
 }
@@ -173,17 +175,17 @@
 	return q.cfg.Weights.Weight(id, name)
 }
 
-// SetWeights takes new shares; what was charged before stays as it was charged.
+// SetWeights replaces the weights for future charges; past charges keep the weight with which they were normalised.
 func (q *Queues) SetWeights(w pomelorelay.Weights) {
 	q.cfg.Weights = w
-	for _, p := range q.order {
-		for _, a := range p.order {
+	for _, p := range q.orderedPools {
+		for _, a := range p.orderedAccounts {
 			a.weight = q.weight(p.id, a.id)
 		}
 	}
 }
 
-// SetPool sets what differs from pool to pool; zero fields take what New was given.
+// SetPool sets the options of a pool; zero fields take those given to New.
 func (q *Queues) SetPool(id pomelorelay.PoolID, o PoolOptions) {
 	q.pool(id).options = q.poolOptions(o)
 }
@@ -193,10 +195,10 @@
 		o.CatchUp = q.cfg.Charge.CatchUp
 	}
 	if o.Count == 0 {
-		o.Count = q.cfg.Limit.Count
+		o.Count = q.cfg.Limit.MaxWaiting
 	}
 	if o.Bytes == 0 {
-		o.Bytes = q.cfg.Limit.Bytes
+		o.Bytes = q.cfg.Limit.MaxWaitingBytes
 	}
 	return o
 }
--- a/pomelofair/random_test.go
+++ b/pomelofair/random_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofair"
 )
 
-// TestMain fixes the seed, so that the verdict is the same every time.
+// TestMain sets a fixed seed to make the results reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
@@ -21,7 +21,7 @@
 	m.Run()
 }
 
-// queuesModel drives queues at random beside plain lists of what waits and runs.
+// queuesModel applies random operations to queues and tracks the waiting and running requests independently.
 type queuesModel struct {
 	q       *pomelofair.Queues
 	now     time.Time
@@ -45,26 +45,26 @@
 	lowest, _, _ := m.q.Head(m.now, pool)
 	id, tag, ok := m.q.Pop(m.now, pool)
 	if ok != (len(m.waiting) > 0) {
-		t.Fatalf("pop %v with %d waiting", ok, len(m.waiting))
+		t.Fatalf("Pop returned %v with %d requests waiting", ok, len(m.waiting))
 	}
 	if !ok {
 		return
 	}
 	if _, found := m.waiting[id]; !found {
-		t.Fatalf("request %d does not wait", id)
+		t.Fatalf("popped request %d, which is not waiting", id)
 	}
 	if tag != lowest {
-		t.Fatalf("popped at %v, head %v", tag, lowest)
+		t.Fatalf("popped tag %v, want the head tag %v", tag, lowest)
 	}
 	delete(m.waiting, id)
 	m.running[id] = 0
 }
 
-// one picks the lowest of the ids past a random one, so that a draw always means the same request.
-func one(t *rapid.T, most pomelorelay.RequestID, has func(pomelorelay.RequestID) bool) (pomelorelay.RequestID, bool) {
-	from := pomelorelay.RequestID(rapid.Uint64Range(0, uint64(most)).Draw(t, "from"))
-	for id := from; id <= most; id++ {
-		if has(id) {
+// pickRequest returns the lowest matching ID that is not below a drawn one, so that equal draws select equal requests.
+func pickRequest(t *rapid.T, maxID pomelorelay.RequestID, matches func(pomelorelay.RequestID) bool) (pomelorelay.RequestID, bool) {
+	from := pomelorelay.RequestID(rapid.Uint64Range(0, uint64(maxID)).Draw(t, "from"))
+	for id := from; id <= maxID; id++ {
+		if matches(id) {
 			return id, true
 		}
 	}
@@ -75,7 +75,7 @@
 func (m *queuesModel) isWaiting(id pomelorelay.RequestID) bool { _, ok := m.waiting[id]; return ok }
 
 func (m *queuesModel) progress(t *rapid.T) {
-	if id, ok := one(t, m.next, m.isRunning); ok {
+	if id, ok := pickRequest(t, m.next, m.isRunning); ok {
 		cost := pomelorelay.Cost(rapid.IntRange(0, 50).Draw(t, "accrued"))
 		m.q.Progress(m.now, id, cost)
 		m.running[id] = max(m.running[id], cost)
@@ -83,7 +83,7 @@
 }
 
 func (m *queuesModel) finish(t *rapid.T) {
-	if id, ok := one(t, m.next, m.isRunning); ok {
+	if id, ok := pickRequest(t, m.next, m.isRunning); ok {
 		cost := pomelorelay.Cost(rapid.IntRange(0, 50).Draw(t, "final"))
 		m.q.Finish(m.now, id, cost)
 		m.served += max(m.running[id], cost)
@@ -92,7 +92,7 @@
 }
 
 func (m *queuesModel) requeue(t *rapid.T) {
-	id, ok := one(t, m.next, m.isRunning)
+	id, ok := pickRequest(t, m.next, m.isRunning)
 	if ok && m.running[id] == 0 {
 		m.q.Requeue(m.now, id)
 		delete(m.running, id)
@@ -101,13 +101,13 @@
 }
 
 func (m *queuesModel) cancel(t *rapid.T) {
-	if id, ok := one(t, m.next, m.isWaiting); ok {
+	if id, ok := pickRequest(t, m.next, m.isWaiting); ok {
 		m.q.Cancel(m.now, id)
 		delete(m.waiting, id)
 	}
 }
 
-func (m *queuesModel) totals(t *rapid.T) {
+func (m *queuesModel) setTotals(t *rapid.T) {
 	_ = m.q.Changed(nil)
 	e := pomelorelay.LedgerEntry{
 		Pool:    pool,
@@ -119,7 +119,7 @@
 	m.q.SetFleet(m.now, e)
 }
 
-func TestNothingIsLostOrServedOutOfOrder(t *testing.T) {
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queuesModel{
 			q: pomelofair.New(pomelofair.Config{}), now: start,
@@ -128,7 +128,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": m.push, "pop": m.pop, "progress": m.progress, "finish": m.finish,
-			"requeue": m.requeue, "cancel": m.cancel, "totals": m.totals,
+			"requeue": m.requeue, "cancel": m.cancel, "totals": m.setTotals,
 			"": func(t *rapid.T) { m.check(t) },
 		})
 	})
@@ -137,17 +137,17 @@
 func (m *queuesModel) check(t *rapid.T) {
 	_, waiting, ok := m.q.Head(m.now, pool)
 	if waiting != len(m.waiting) || ok != (waiting > 0) {
-		t.Fatalf("%d wait, want %d", waiting, len(m.waiting))
+		t.Fatalf("%d requests waiting, want %d", waiting, len(m.waiting))
 	}
 	accrued := m.served
 	for _, cost := range m.running {
 		accrued += cost
 	}
 	reported := pomelorelay.Cost(0)
-	for _, e := range m.q.All(nil) {
+	for _, e := range m.q.AllEntries(nil) {
 		reported += e.Served
 	}
 	if reported < accrued-1e-6 {
-		t.Fatalf("reported %v of %v", reported, accrued)
+		t.Fatalf("reported service %v, want at least the accrued %v", reported, accrued)
 	}
 }
--- /dev/null
+++ b/pomeloslot/heldgrants.go
@@ -0,0 +1,102 @@
+package pomeloslot
+
+import (
+	"slices"
+	"time"
+
+	"github.com/pomelorelay/pomelorelay"
+)
+
+// Granted records a grant and reports whether it may be used; the caller must settle it in either case. A grant may not
+// be used if it is a duplicate or if its upstream is leaving or unknown.
+func (r *Asker) Granted(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
+	if r.grants[g.ID] != nil {
+		return false
+	}
+	r.grants[g.ID] = &heldGrant{upstream: g.Upstream, owner: from, expires: now.Add(g.TTL)}
+	u := r.upstreams[g.Upstream]
+	if u == nil {
+		return false
+	}
+	u.heldGrants++
+	u.unansweredSince = time.Time{}
+	u.digest.LastTag = max(u.digest.LastTag, g.LastTag)
+	return !u.leaving && !u.digest.Leaving
+}
+
+// GrantUsable reports whether a request may still be sent under a grant. A claim can take seconds to become durable;
+// without this check an upstream could receive a request after it was told that none would follow.
+func (r *Asker) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
+	h := r.grants[id]
+	if h == nil {
+		return false
+	}
+	u := r.upstreams[h.upstream]
+	return u != nil && !u.leaving && !u.digest.Leaving && now.Before(h.expires)
+}
+
+// Settled appends to out the reply to a grant's owner, with the grant's outcome and the router's current demand.
+func (r *Asker) Settled(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	h := r.grants[id]
+	if h == nil {
+		return out
+	}
+	if s.State != pomelorelay.GrantUsed {
+		r.releaseGrant(id, h)
+	}
+	u := r.upstreams[h.upstream]
+	waiting := s.Waiting
+	if u == nil || u.leaving || u.digest.Leaving {
+		// An owner that does not know yet that the upstream is leaving would grant again at once, in an endless loop.
+		waiting = 0
+	}
+	m := &pomelorelay.GrantReply{
+		ID:         id,
+		Upstream:   h.upstream,
+		State:      s.State,
+		Seq:        r.nextSeq(now),
+		Head:       s.Head,
+		Waiting:    uint32(waiting),
+		FirstToken: s.FirstToken,
+		TokenGap:   s.TokenGap,
+	}
+	out = append(out, pomelorelay.Outgoing{To: h.owner, Message: m})
+	if u == nil {
+		return out
+	}
+	r.recordReply(now, u, h.owner, s, waiting)
+	if u.digest.Owner != "" && u.digest.Owner != h.owner {
+		// The upstream has a new owner, which counts the grant since it queried the running requests.
+		out = append(out, pomelorelay.Outgoing{To: u.digest.Owner, Message: m})
+	}
+	return out
+}
+
+// recordReply stores the pool's current demand and the part of it that was sent in the reply.
+func (r *Asker) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s Settlement, waiting int) {
+	if p := r.pools[u.digest.Pool]; p != nil {
+		p.demand.Head, p.demand.Waiting = s.Head, s.Waiting
+	}
+	u.lastSent = sentDemand{to: to, head: s.Head, waiting: waiting, at: now}
+	u.trackAnswer(now, waiting)
+}
+
+func (r *Asker) releaseGrant(id pomelorelay.GrantID, h *heldGrant) {
+	delete(r.grants, id)
+	if u := r.upstreams[h.upstream]; u != nil && u.heldGrants > 0 {
+		u.heldGrants--
+	}
+}
+
+// Running returns the report of the grants that the router holds for an upstream, in answer to an owner's query.
+func (r *Asker) Running(id pomelorelay.UpstreamID) *pomelorelay.RunningReport {
+	m := &pomelorelay.RunningReport{Upstream: id}
+	for grantID, h := range r.grants {
+		if h.upstream == id {
+			m.Grants = append(m.Grants, grantID)
+		}
+	}
+	slices.Sort(m.Grants)
+	m.Running = uint32(len(m.Grants))
+	return m
+}
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// peakSpans is how many spans the lag of load reports is cut into.
-const peakSpans = 8
+// peakIntervals is the number of intervals into which MaxLoadLag is divided.
+const peakIntervals = 8
 
-// loads compares an upstream's reports with what its owner has granted.
-type loads struct {
-	last   LoadReport
-	loaded bool
-	// excess is how many requests run there that no grant explains.
+// loadTracker compares an upstream's load reports with the slots that its owner has granted.
+type loadTracker struct {
+	lastReport LoadReport
+	reported   bool
+	// excess is the number of reported requests that no known grant accounts for.
 	excess int
-	peaks  [peakSpans + 1]peak
+	peaks  [peakIntervals + 1]peak
 }
 
-// peak is the largest number of slots taken within one span of time.
+// peak is the largest number of slots taken within one interval.
 type peak struct {
-	span  int64
-	taken int
+	interval int64
+	taken    int
 }
 
-// notePeak remembers how many slots were taken.
-func (l *loads) notePeak(now time.Time, taken int, lag time.Duration) {
-	span := now.UnixNano() / int64(lag/peakSpans)
-	p := &l.peaks[span%int64(len(l.peaks))]
-	if p.span != span {
-		*p = peak{span: span}
+// recordPeak updates the peak of the current interval.
+func (l *loadTracker) recordPeak(now time.Time, taken int, lag time.Duration) {
+	interval := now.UnixNano() / int64(lag/peakIntervals)
+	p := &l.peaks[interval%int64(len(l.peaks))]
+	if p.interval != interval {
+		*p = peak{interval: interval}
 	}
 	p.taken = max(p.taken, taken)
 }
 
-// highest is the most slots taken at any time that a report of now may describe.
-func (l *loads) highest(now time.Time, lag time.Duration) int {
-	span := now.UnixNano() / int64(lag/peakSpans)
-	most := 0
+// maxTaken returns the largest number of slots taken during the period that a report received now may describe.
+func (l *loadTracker) maxTaken(now time.Time, lag time.Duration) int {
+	interval := now.UnixNano() / int64(lag/peakIntervals)
+	highest := 0
 	for _, p := range l.peaks {
-		if span-p.span <= peakSpans {
-			most = max(most, p.taken)
+		if interval-p.interval <= peakIntervals {
+			highest = max(highest, p.taken)
 		}
 	}
-	return most
+	return highest
 }
 
-// clearLoad forgets the reports from before a crash.
-func (l *loads) clearLoad() {
-	l.loaded, l.excess = false, 0
+// resetLoad discards the last report after a crash.
+func (l *loadTracker) resetLoad() {
+	l.reported, l.excess = false, 0
 }
 
-// noteLoad finds what another owner put on the upstream. A report describes an earlier moment, so only what is beyond
-// the most that this owner had there lately counts; else every request that just ended would be seen as a stranger's.
-func (u *upstream) noteLoad(now time.Time, load LoadReport, lag time.Duration) {
-	u.last, u.loaded = load, true
-	u.notePeak(now, u.taken(), lag)
-	u.explain(now, lag)
+// updateLoad applies a load report and detects requests sent by another owner. A report describes an earlier state, so
+// only the excess over this owner's recent peak counts; otherwise every request that just ended would be taken for one of
+// another owner.
+func (u *upstream) updateLoad(now time.Time, load LoadReport, lag time.Duration) {
+	u.lastReport, u.reported = load, true
+	u.recordPeak(now, u.takenSlots(), lag)
+	u.updateExcess(now, lag)
 	if load.Slots > 0 {
-		u.limit.bound(min(u.min, load.Slots), min(u.max, load.Slots))
+		u.limit.setBounds(min(u.min, load.Slots), min(u.max, load.Slots))
 	}
-	u.limit.report(load.Waiting)
+	u.limit.addLoadReport(load.Waiting)
 }
 
-// explain finds how much of the last report no grant accounts for.
-func (u *upstream) explain(now time.Time, lag time.Duration) {
-	if !u.loaded {
+// updateExcess recomputes the excess from the last load report.
+func (u *upstream) updateExcess(now time.Time, lag time.Duration) {
+	if !u.reported {
 		return
 	}
-	u.excess = max(0, u.last.Running+u.last.Waiting-u.highest(now, lag))
+	u.excess = max(0, u.lastReport.Running+u.lastReport.Waiting-u.maxTaken(now, lag))
 }
--- /dev/null
+++ b/pomeloslot/requester.go
@@ -0,0 +1,246 @@
+package pomeloslot
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/pomelorelay/pomelorelay"
+)
+
+// Asker registers one router's demand at slot owners and tracks the grants that the router holds.
+type Asker struct {
+	cfg   AskerConfig
+	rng   *rand.Rand
+	pools map[pomelorelay.PoolID]*poolState
+	// sortedPools is sorted by ID to make the order of messages deterministic.
+	sortedPools []*poolState
+	upstreams   map[pomelorelay.UpstreamID]*remoteUpstream
+	grants      map[pomelorelay.GrantID]*heldGrant
+	seq         uint64
+	// startAt is the earliest time of the first registrations; zero until the first call.
+	startAt time.Time
+}
+
+// poolState is a router's demand in one pool and the upstreams known in it.
+type poolState struct {
+	id     pomelorelay.PoolID
+	spill  SpillOptions
+	demand PoolHead
+	// upstreams is sorted by ID.
+	upstreams []*remoteUpstream
+	// ranked and tags are scratch buffers of selectUpstreams and virtualTime.
+	ranked []*remoteUpstream
+	tags   []pomelorelay.Tag
+}
+
+// remoteUpstream is a router's view of one upstream and its owner.
+type remoteUpstream struct {
+	digest   pomelorelay.SlotDigest
+	digestAt time.Time
+	// tieBreak is random, so that routers rank equal upstreams differently.
+	tieBreak   uint64
+	distance   pomelorelay.LinkClass
+	leaving    bool
+	heldGrants int
+	selected   bool
+	lastSent   sentDemand
+	// unansweredSince is when the router registered at an owner with idle slots that has sent no grant or digest
+	// since; zero when no answer is expected.
+	unansweredSince time.Time
+	// idle is the result of usableIdle at the last selection.
+	idle pomelorelay.Slots
+}
+
+// sentDemand is the demand last sent to an owner.
+type sentDemand struct {
+	to      pomelorelay.NodeID
+	head    pomelorelay.Tag
+	waiting int
+	at      time.Time
+}
+
+// heldGrant is a grant that is unused or whose request is still running.
+type heldGrant struct {
+	upstream pomelorelay.UpstreamID
+	owner    pomelorelay.NodeID
+	expires  time.Time
+}
+
+// NewAsker returns a requester that knows no upstreams.
+func NewAsker(cfg AskerConfig) *Asker {
+	cfg.Registration = cfg.Registration.withDefaults()
+	cfg.Spill = cfg.Spill.withDefaults()
+	return &Asker{
+		cfg:       cfg,
+		rng:       rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		pools:     make(map[pomelorelay.PoolID]*poolState),
+		upstreams: make(map[pomelorelay.UpstreamID]*remoteUpstream),
+		grants:    make(map[pomelorelay.GrantID]*heldGrant),
+	}
+}
+
+// Slots updates the known upstreams from owners' digests, including those of the local owner; the caller must call Tick afterwards.
+func (r *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
+	for _, d := range digests {
+		u := r.upstreams[d.Upstream]
+		if u == nil {
+			u = r.addUpstream(d)
+		}
+		u.digest, u.digestAt, u.unansweredSince = d, now, time.Time{}
+	}
+}
+
+func (r *Asker) addUpstream(d pomelorelay.SlotDigest) *remoteUpstream {
+	u := &remoteUpstream{digest: d, tieBreak: r.rng.Uint64(), distance: r.distance(d.Domain)}
+	r.upstreams[d.Upstream] = u
+	p := r.pool(d.Pool)
+	i, _ := slices.BinarySearchFunc(p.upstreams, d.Upstream, func(u *remoteUpstream, id pomelorelay.UpstreamID) int {
+		return strings.Compare(string(u.digest.Upstream), string(id))
+	})
+	p.upstreams = slices.Insert(p.upstreams, i, u)
+	return u
+}
+
+func (r *Asker) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
+	switch {
+	case domain == r.cfg.Domain:
+		return pomelorelay.LinkDomain
+	case r.cfg.Regions[domain] == r.cfg.Regions[r.cfg.Domain]:
+		return pomelorelay.LinkRegion
+	}
+	return pomelorelay.LinkCross
+}
+
+func (r *Asker) pool(id pomelorelay.PoolID) *poolState {
+	if p := r.pools[id]; p != nil {
+		return p
+	}
+	p := &poolState{id: id, spill: r.cfg.Spill}
+	p.demand.Pool = id
+	r.pools[id] = p
+	i, _ := slices.BinarySearchFunc(r.sortedPools, id, func(p *poolState, id pomelorelay.PoolID) int {
+		return strings.Compare(string(p.id), string(id))
+	})
+	r.sortedPools = slices.Insert(r.sortedPools, i, p)
+	return p
+}
+
+// Heads replaces the demand of the given pools and appends the resulting registrations and withdrawals to out.
+func (r *Asker) Heads(now time.Time, heads []PoolHead, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	for _, h := range heads {
+		p := r.pool(h.Pool)
+		p.demand = h
+		out = r.updateRegistrations(now, p, out)
+	}
+	return out
+}
+
+// Tick refreshes the registrations of all pools and appends the messages to out.
+func (r *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	for _, p := range r.sortedPools {
+		out = r.updateRegistrations(now, p, out)
+	}
+	return out
+}
+
+// Virtual returns the pool's virtual time: the median of the last granted tags of the local domain's upstreams without
+// idle slots, or the highest last granted tag if all have idle slots.
+func (r *Asker) Virtual(id pomelorelay.PoolID) pomelorelay.Tag {
+	p := r.pools[id]
+	if p == nil {
+		return 0
+	}
+	return p.virtualTime(r.cfg.Domain)
+}
+
+// Crest returns the highest virtual time of the local domain and of the other saturated domains with current digests,
+// the latter less their spill margin. Without the margin, all accounts of a domain that is slightly behind would
+// repeatedly be lifted to the same tag and served in arbitrary order.
+func (r *Asker) Crest(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
+	p := r.pools[id]
+	if p == nil {
+		return 0
+	}
+	highest := p.virtualTime(r.cfg.Domain)
+	for domain := range r.cfg.Regions {
+		if domain == r.cfg.Domain || !p.saturated(now, domain, r.cfg.Registration.DigestTTL) {
+			continue
+		}
+		highest = max(highest, p.virtualTime(domain)-r.margin(p, domain))
+	}
+	return highest
+}
+
+func (r *Asker) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
+	if r.distance(domain) == pomelorelay.LinkRegion {
+		return p.spill.DomainMargin
+	}
+	return p.spill.RegionMargin
+}
+
+// SetSpill sets a pool's spill options, with margins in units of the pool's cost divided by weight; zero fields take the configured options.
+func (r *Asker) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
+	if o.DomainMargin == 0 {
+		o.DomainMargin = r.cfg.Spill.DomainMargin
+	}
+	if o.RegionMargin == 0 {
+		o.RegionMargin = r.cfg.Spill.RegionMargin
+	}
+	if o.RegionMinWaiting == 0 {
+		o.RegionMinWaiting = r.cfg.Spill.RegionMinWaiting
+	}
+	r.pool(id).spill = o
+}
+
+// saturated reports whether the domain has upstreams with current digests and none of these has idle slots.
+func (p *poolState) saturated(now time.Time, domain pomelorelay.DomainID, ttl time.Duration) bool {
+	found := false
+	for _, u := range p.upstreams {
+		if u.digest.Domain != domain || now.Sub(u.digestAt) > ttl {
+			continue
+		}
+		if u.digest.Idle > 0 {
+			return false
+		}
+		found = true
+	}
+	return found
+}
+
+// virtualTime returns the virtual time of the pool in one failure domain.
+func (p *poolState) virtualTime(domain pomelorelay.DomainID) pomelorelay.Tag {
+	p.tags = p.tags[:0]
+	highest := pomelorelay.Tag(0)
+	for _, u := range p.upstreams {
+		if u.digest.Domain != domain {
+			continue
+		}
+		highest = max(highest, u.digest.LastTag)
+		if u.digest.Idle == 0 && !u.digest.Leaving {
+			p.tags = append(p.tags, u.digest.LastTag)
+		}
+	}
+	if len(p.tags) == 0 {
+		return highest
+	}
+	slices.Sort(p.tags)
+	return p.tags[len(p.tags)/2]
+}
+
+// Leaving marks an upstream as leaving: the router refuses all further grants for it, including those in flight.
+func (r *Asker) Leaving(id pomelorelay.UpstreamID) {
+	if u := r.upstreams[id]; u != nil {
+		u.leaving = true
+		return
+	}
+	r.addUpstream(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).leaving = true
+}
+
+// Back clears the leaving mark of an upstream that the host list no longer shows as leaving.
+func (r *Asker) Back(id pomelorelay.UpstreamID) {
+	if u := r.upstreams[id]; u != nil {
+		u.leaving = false
+	}
+}
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -8,83 +8,84 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// register chooses the owners of a pool to wait at and sends what they do not know yet.
-func (a *Asker) register(now time.Time, p *askerPool, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if !a.started(now) {
+// updateRegistrations selects the owners of a pool to register at and appends the registrations and withdrawals to out.
+func (r *Asker) updateRegistrations(now time.Time, p *poolState, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	if !r.startDelayElapsed(now) {
 		return out
 	}
-	a.choose(now, p)
-	for _, w := range p.owners {
-		if w.chosen {
-			out = a.tell(now, p, w, out)
+	r.selectUpstreams(now, p)
+	for _, u := range p.upstreams {
+		if u.selected {
+			out = r.refresh(now, p, u, out)
 			continue
 		}
-		out = a.withdraw(now, p, w, out)
+		out = r.withdraw(now, p, u, out)
 	}
 	return out
 }
 
-// started spreads the first registrations of routers that start together: without it, half a fleet that restarts would
-// be seen to send every owner a registration within the same millisecond.
-func (a *Asker) started(now time.Time) bool {
-	if a.startAt.IsZero() {
-		a.startAt = now.Add(time.Duration(a.random.Int64N(int64(a.cfg.Registration.StartSpread))))
+// startDelayElapsed reports whether the random start delay has passed. Without the delay, routers that restart together
+// would all send registrations to every owner within the same millisecond.
+func (r *Asker) startDelayElapsed(now time.Time) bool {
+	if r.startAt.IsZero() {
+		r.startAt = now.Add(time.Duration(r.rng.Int64N(int64(r.cfg.Registration.StartJitter))))
 	}
-	return !now.Before(a.startAt)
+	return !now.Before(r.startAt)
 }
 
-// choose marks the owners to be registered at. Those of which grants are held stay chosen: their next free slot is
-// known there at once, while it would be seen idle for a digest's period if nobody waited.
-func (a *Asker) choose(now time.Time, p *askerPool) {
-	p.ranking = p.ranking[:0]
-	for _, w := range p.owners {
-		w.idle = w.idleNow(now)
+// selectUpstreams marks the upstreams to register for. Upstreams with held grants stay selected: their owner can grant
+// the next free slot at once, while without a registration it would stay idle until the next digest.
+func (r *Asker) selectUpstreams(now time.Time, p *poolState) {
+	p.ranked = p.ranked[:0]
+	for _, u := range p.upstreams {
+		u.idle = u.usableIdle(now)
 	}
-	reach := a.reach(now, p)
-	for _, w := range p.owners {
-		w.chosen = false
-		if !a.usable(now, w) || p.demand.Waiting == 0 {
+	spill := r.spillRange(now, p)
+	for _, u := range p.upstreams {
+		u.selected = false
+		if !r.available(now, u) || p.demand.Waiting == 0 {
 			continue
 		}
-		w.chosen = w.held > 0
-		if w.distance <= reach.distance || reach.allows(w) {
-			p.ranking = append(p.ranking, w)
+		u.selected = u.heldGrants > 0
+		if u.distance <= spill.maxDistance || spill.allows(u) {
+			p.ranked = append(p.ranked, u)
 		}
 	}
-	slices.SortFunc(p.ranking, compareOwned)
-	a.widen(p)
+	slices.SortFunc(p.ranked, compareUpstreams)
+	r.selectRanked(p)
 }
 
-// usable reports whether an owner is known that may grant.
-func (a *Asker) usable(now time.Time, w *owned) bool {
-	return !w.left && !w.digest.Leaving && now.Sub(w.at) <= a.cfg.Registration.DigestTTL
+// available reports whether the upstream is not leaving and its owner's digest is current.
+func (r *Asker) available(now time.Time, u *remoteUpstream) bool {
+	return !u.leaving && !u.digest.Leaving && now.Sub(u.digestAt) <= r.cfg.Registration.DigestTTL
 }
 
-// plenty is the number of idle slots beyond which more make no owner better. If every router took the owner that had most
-// idle when digests were sent, all would be seen to wait there and at no other.
-const plenty = 2
+// maxComparedIdle caps idle slots in comparisons. If routers preferred the upstream with the most idle slots in the last
+// digests, all of them would wait at that one and at no other.
+const maxComparedIdle = 2
 
-// compareOwned orders owners by idle slots first, nearest and in an order of the router's own, then by the highest last granted tag: the
-// accounts there have had more, so a waiting one is served sooner.
-func compareOwned(v, w *owned) int {
-	if idle := cmp.Compare(min(w.idle, 1), min(v.idle, 1)); idle != 0 {
+// compareUpstreams orders upstreams with idle slots first, by distance, idle slots and tieBreak, and then the busy ones by
+// descending last granted tag: accounts served there have received more, so a waiting account is served sooner.
+func compareUpstreams(a, b *remoteUpstream) int {
+	if idle := cmp.Compare(min(b.idle, 1), min(a.idle, 1)); idle != 0 {
 		return idle
 	}
-	if v.idle > 0 {
-		return cmp.Or(cmp.Compare(v.distance, w.distance), cmp.Compare(min(w.idle, plenty), min(v.idle, plenty)), cmp.Compare(v.rank, w.rank))
+	if a.idle > 0 {
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(min(b.idle, maxComparedIdle), min(a.idle, maxComparedIdle)), cmp.Compare(a.tieBreak, b.tieBreak))
 	}
-	return cmp.Or(cmp.Compare(w.digest.LastTag, v.digest.LastTag), cmp.Compare(v.rank, w.rank))
+	return cmp.Or(cmp.Compare(b.digest.LastTag, a.digest.LastTag), cmp.Compare(a.tieBreak, b.tieBreak))
 }
 
-// widen chooses from the ranking: idle owners until their slots cover what waits, and Spare more, else Base owners and
-// one for every PerWaiting requests that wait.
-func (a *Asker) widen(p *askerPool) {
+// selectRanked selects from the ranked upstreams. Those with idle slots are selected until their slots cover the waiting
+// requests, plus SpareOwners more. If they do not cover them, BaseOwners busy ones are added, and one for every
+// WaitingPerOwner waiting requests.
+func (r *Asker) selectRanked(p *poolState) {
 	waiting := p.demand.Waiting
-	width := a.cfg.Registration.Base + waiting/a.cfg.Registration.PerWaiting
-	spare, idle, busy := a.cfg.Registration.Spare, 0, 0
-	for _, w := range p.ranking {
+	width := r.cfg.Registration.BaseOwners + waiting/r.cfg.Registration.WaitingPerOwner
+	spare, idle, busy := r.cfg.Registration.SpareOwners, 0, 0
+	for _, u := range p.ranked {
 		covered := idle >= waiting
-		if w.idle == 0 {
+		if u.idle == 0 {
 			if covered || busy >= width {
 				return
 			}
@@ -95,72 +96,74 @@
 			}
 			spare--
 		}
-		idle += int(w.idle)
-		w.chosen = true
+		idle += int(u.idle)
+		u.selected = true
 	}
 }
 
-// tell refreshes an owner's view of the demand when it is out of date.
-func (a *Asker) tell(now time.Time, p *askerPool, w *owned, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// refresh sends the current demand to an upstream's owner if the last sent demand is outdated.
+func (r *Asker) refresh(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	d := &p.demand
-	age := now.Sub(w.sent.at)
-	fresh := w.sent.to == w.digest.Owner && w.sent.waiting > 0
-	changed := w.sent.head != d.Head || w.sent.waiting != d.Waiting
-	if fresh && (age < a.cfg.Registration.Refresh || !changed && age < a.cfg.Registration.Keep) {
+	age := now.Sub(u.lastSent.at)
+	known := u.lastSent.to == u.digest.Owner && u.lastSent.waiting > 0
+	changed := u.lastSent.head != d.Head || u.lastSent.waiting != d.Waiting
+	if known && (age < r.cfg.Registration.ChangeInterval || !changed && age < r.cfg.Registration.KeepAliveInterval) {
 		return out
 	}
-	return a.send(now, p, w, d.Waiting, out)
+	return r.sendDemand(now, p, u, d.Waiting, out)
 }
 
-// withdraw takes a registration back.
-func (a *Asker) withdraw(now time.Time, p *askerPool, w *owned, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if w.sent.waiting == 0 {
+// withdraw cancels the registration at an upstream's owner, if there is one.
+func (r *Asker) withdraw(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	if u.lastSent.waiting == 0 {
 		return out
 	}
-	return a.send(now, p, w, 0, out)
+	return r.sendDemand(now, p, u, 0, out)
 }
 
-func (a *Asker) send(now time.Time, p *askerPool, w *owned, waiting int, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	w.sent = sentDemand{to: w.digest.Owner, head: p.demand.Head, waiting: waiting, at: now}
-	w.noteAsked(now, waiting)
+func (r *Asker) sendDemand(now time.Time, p *poolState, u *remoteUpstream, waiting int, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	u.lastSent = sentDemand{to: u.digest.Owner, head: p.demand.Head, waiting: waiting, at: now}
+	u.trackAnswer(now, waiting)
 	m := &pomelorelay.Demand{
-		Upstream: w.digest.Upstream,
+		Upstream: u.digest.Upstream,
 		Pool:     p.id,
-		Seq:      a.nextSeq(now),
+		Seq:      r.nextSeq(now),
 		Head:     p.demand.Head,
 		Waiting:  uint32(waiting),
 	}
 	if waiting > 0 {
 		m.Prefixes = p.demand.Prefixes
 	}
-	return append(out, pomelorelay.Outgoing{To: w.digest.Owner, Message: m})
+	return append(out, pomelorelay.Outgoing{To: u.digest.Owner, Message: m})
 }
 
-// nextSeq rises over restarts too: with numbers that start at one, the demand of a restarted router would be seen as older than its last.
-func (a *Asker) nextSeq(now time.Time) uint64 {
-	a.seq = max(a.seq+1, uint64(now.UnixMilli()))
-	return a.seq
+// nextSeq returns a sequence number that also increases across restarts: owners would discard the demand of a restarted
+// router as outdated if it started again at one.
+func (r *Asker) nextSeq(now time.Time) uint64 {
+	r.seq = max(r.seq+1, uint64(now.UnixMilli()))
+	return r.seq
 }
 
-// answerWait is how long an owner with idle slots may take to grant; a round trip within a region takes a millisecond or two.
-const answerWait = 300 * time.Millisecond
+// idleAnswerTimeout is how long an owner with idle slots may take to send a grant; a round trip within a region takes 1 to 2 ms.
+const idleAnswerTimeout = 300 * time.Millisecond
 
-// noteAsked begins the wait for an answer of an owner that is said to have idle slots.
-func (w *owned) noteAsked(now time.Time, waiting int) {
-	if waiting == 0 || w.digest.Idle == 0 {
-		w.asked = time.Time{}
+// trackAnswer starts waiting for an answer if demand was sent to an owner with idle slots.
+func (u *remoteUpstream) trackAnswer(now time.Time, waiting int) {
+	if waiting == 0 || u.digest.Idle == 0 {
+		u.unansweredSince = time.Time{}
 		return
 	}
-	if w.asked.IsZero() {
-		w.asked = now
+	if u.unansweredSince.IsZero() {
+		u.unansweredSince = now
 	}
 }
 
-// idleNow returns the slots that may be counted on. Those of an owner that was asked and shows no sign are not: it may be paused
-// or cut off, and a request would be seen to wait beside idle slots of the next failure domain until it is taken for dead.
-func (w *owned) idleNow(now time.Time) pomelorelay.Slots {
-	if !w.asked.IsZero() && now.Sub(w.asked) >= answerWait {
+// usableIdle returns the idle slots that can be expected to be granted: none if the owner did not answer a registration
+// in time. Such an owner may be paused or partitioned, and requests would wait for it until failure detection while
+// another failure domain has idle slots.
+func (u *remoteUpstream) usableIdle(now time.Time) pomelorelay.Slots {
+	if !u.unansweredSince.IsZero() && now.Sub(u.unansweredSince) >= idleAnswerTimeout {
 		return 0
 	}
-	return w.digest.Idle
+	return u.digest.Idle
 }
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -6,45 +6,45 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// reach says how far demand is carried: every owner up to the distance, and beyond it those whose last granted tag is
-// above the margins.
-type reach struct {
-	distance pomelorelay.LinkClass
-	domain   pomelorelay.Tag
-	region   pomelorelay.Tag
-	// domainIdle and regionIdle tell whether idle slots further away may be used.
-	domainIdle, regionIdle bool
+// spillRange selects the upstreams that a pool's demand may use: all up to maxDistance, and more distant ones whose last
+// granted tag is above the threshold of their distance or whose idle slots may be used.
+type spillRange struct {
+	maxDistance     pomelorelay.LinkClass
+	domainThreshold pomelorelay.Tag
+	regionThreshold pomelorelay.Tag
+	// useDomainIdle and useRegionIdle allow the use of idle slots in other domains of the region and in other regions.
+	useDomainIdle, useRegionIdle bool
 }
 
-// reach finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
-// enough waits, those beyond; without a usable owner nearby the next distance counts as near.
-func (a *Asker) reach(now time.Time, p *askerPool) reach {
+// spillRange returns the current spill range of a pool. Idle slots are used in the local domain first, then in the region,
+// and in other regions only if enough requests wait. maxDistance is the nearest distance with an available upstream.
+func (r *Asker) spillRange(now time.Time, p *poolState) spillRange {
 	var known, idle [pomelorelay.LinkClasses]bool
 	highest := pomelorelay.Tag(0)
-	for _, w := range p.owners {
-		if !a.usable(now, w) {
+	for _, u := range p.upstreams {
+		if !r.available(now, u) {
 			continue
 		}
-		known[w.distance] = true
-		idle[w.distance] = idle[w.distance] || w.idle > 0
-		if w.distance == pomelorelay.LinkDomain {
-			highest = max(highest, w.digest.LastTag)
+		known[u.distance] = true
+		idle[u.distance] = idle[u.distance] || u.idle > 0
+		if u.distance == pomelorelay.LinkDomain {
+			highest = max(highest, u.digest.LastTag)
 		}
 	}
-	r := reach{domain: highest + p.spill.DomainMargin, region: highest + p.spill.RegionMargin}
-	r.domainIdle = !idle[pomelorelay.LinkDomain]
-	enough := p.demand.Waiting >= p.spill.RegionIdleWaiting
-	r.regionIdle = r.domainIdle && !idle[pomelorelay.LinkRegion] && enough
-	for r.distance < pomelorelay.LinkCross && !known[r.distance] {
-		r.distance++
+	result := spillRange{domainThreshold: highest + p.spill.DomainMargin, regionThreshold: highest + p.spill.RegionMargin}
+	result.useDomainIdle = !idle[pomelorelay.LinkDomain]
+	enoughWaiting := p.demand.Waiting >= p.spill.RegionMinWaiting
+	result.useRegionIdle = result.useDomainIdle && !idle[pomelorelay.LinkRegion] && enoughWaiting
+	for result.maxDistance < pomelorelay.LinkCross && !known[result.maxDistance] {
+		result.maxDistance++
 	}
-	return r
+	return result
 }
 
-// allows reports whether an owner beyond the distance is worth its longer way.
-func (r reach) allows(w *owned) bool {
-	if w.distance == pomelorelay.LinkRegion {
-		return r.domainIdle && w.idle > 0 || w.digest.LastTag > r.domain
+// allows reports whether demand may use an upstream that is farther than maxDistance.
+func (r spillRange) allows(u *remoteUpstream) bool {
+	if u.distance == pomelorelay.LinkRegion {
+		return r.useDomainIdle && u.idle > 0 || u.digest.LastTag > r.domainThreshold
 	}
-	return r.regionIdle && w.idle > 0 || w.digest.LastTag > r.region
+	return r.useRegionIdle && u.idle > 0 || u.digest.LastTag > r.regionThreshold
 }
