--- a/pomelofair/catchup_test.go
+++ b/pomelofair/catchup_test.go
@@ -30,9 +30,9 @@
 	// has caught up completely.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
-	q.SetVirtual(pool, 100)
+	q.SetVirtualTime(pool, 100)
 	setTotals(q, "a", 100, true)
-	q.SetCrest(pool, 900)
+	q.RaiseMaxVirtualTime(pool, 900)
 	setTotals(q, "a", 100, true)
 	if got := liftOf(q, "a"); got != 740 {
 		t.Errorf("lift %v, want 740", got)
@@ -46,7 +46,7 @@
 	push(t, q, 1, "a")
 	setTotals(q, "a", 10, true)
 	pop(t, q, 1)
-	q.SetVirtual(pool, 500)
+	q.SetVirtualTime(pool, 500)
 	later := start.Add(time.Minute)
 	if err := q.Push(later, pomelofair.Request{ID: 2, Pool: pool, Account: "a"}); err != nil {
 		t.Fatal(err)
--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -34,8 +34,8 @@
 	MaxWaiting int
 	// MaxWaitingBytes is the maximum total body size of the waiting requests; default 16 MiB.
 	MaxWaitingBytes pomelorelay.Bytes
-	// Wait is the maximum time that a request waits; default 60 s.
-	Wait time.Duration
+	// MaxWait is the maximum time that a request waits; default 60 s.
+	MaxWait time.Duration
 }
 
 // PoolOptions overrides options for one pool, since the unit of cost differs between pools: tokens in one, slot seconds in another.
@@ -43,8 +43,8 @@
 	// CatchUp overrides ChargeOptions.CatchUp.
 	CatchUp pomelorelay.Tag
 	// The limits on waiting requests override those of LimitOptions.
-	Count int
-	Bytes pomelorelay.Bytes
+	MaxWaiting      int
+	MaxWaitingBytes pomelorelay.Bytes
 }
 
 const (
@@ -84,8 +84,8 @@
 	if o.MaxWaitingBytes == 0 {
 		o.MaxWaitingBytes = defaultMaxWaitingBytes
 	}
-	if o.Wait == 0 {
-		o.Wait = defaultMaxWait
+	if o.MaxWait == 0 {
+		o.MaxWait = defaultMaxWait
 	}
 	return o
 }
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -15,8 +15,8 @@
 	q.changedAccounts = append(q.changedAccounts, a)
 }
 
-// SetVirtual sets the pool's virtual time, the tag at which the fleet currently serves it.
-func (q *Queues) SetVirtual(id pomelorelay.PoolID, tag pomelorelay.Tag) {
+// SetVirtualTime sets the pool's virtual time, the tag at which the fleet currently serves it.
+func (q *Queues) SetVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	p := q.pools[id]
 	if p == nil {
 		return
@@ -25,17 +25,17 @@
 	p.maxVirtualTime = max(p.maxVirtualTime, tag)
 }
 
-// SetCrest raises the pool's maximum virtual time across failure domains. Backlogged accounts are lifted to within the
+// RaiseMaxVirtualTime raises the pool's maximum virtual time across failure domains. Backlogged accounts are lifted to within the
 // catch-up limit of it. The current virtual time is no substitute: after a partition it falls to the tags of the accounts
 // that are behind, and the others would receive no service until these had fully caught up.
-func (q *Queues) SetCrest(id pomelorelay.PoolID, tag pomelorelay.Tag) {
+func (q *Queues) RaiseMaxVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	if p := q.pools[id]; p != nil {
 		p.maxVirtualTime = max(p.maxVirtualTime, tag)
 	}
 }
 
-// SetFleet updates an account from its fleet totals, which include this router's own service.
-func (q *Queues) SetFleet(now time.Time, e pomelorelay.LedgerEntry) {
+// SetFleetTotals updates an account from its fleet totals, which include this router's own service.
+func (q *Queues) SetFleetTotals(now time.Time, e pomelorelay.LedgerEntry) {
 	p := q.pools[e.Pool]
 	if p == nil {
 		return
@@ -133,8 +133,8 @@
 	}
 }
 
-// Changed appends to out this router's own cumulative entries that changed since the last call.
-func (q *Queues) Changed(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
+// ChangedEntries appends to out this router's own cumulative entries that changed since the last call.
+func (q *Queues) ChangedEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
 	for i, a := range q.changedAccounts {
 		a.dirty = false
 		a.recordReport()
@@ -156,8 +156,8 @@
 	return out
 }
 
-// Interest appends to out the accounts with waiting requests, whose fleet totals the router needs.
-func (q *Queues) Interest(out []pomelorelay.LedgerKey) []pomelorelay.LedgerKey {
+// WaitingAccounts appends to out the accounts with waiting requests, whose fleet totals the router needs.
+func (q *Queues) WaitingAccounts(out []pomelorelay.LedgerKey) []pomelorelay.LedgerKey {
 	for _, p := range q.orderedPools {
 		for _, a := range p.heap {
 			out = append(out, pomelorelay.LedgerKey{Pool: p.id, Account: a.id})
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -104,7 +104,7 @@
 
 // Expire removes the requests that have waited for the maximum time and appends them to out; the caller must reject them.
 func (q *Queues) Expire(now time.Time, out []pomelorelay.RequestID) []pomelorelay.RequestID {
-	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.Wait {
+	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.MaxWait {
 		r := q.oldest
 		out = append(out, r.id)
 		q.dropWaiting(r)
@@ -185,8 +185,8 @@
 	}
 }
 
-// SetPool sets the options of a pool; zero fields take those given to New.
-func (q *Queues) SetPool(id pomelorelay.PoolID, o PoolOptions) {
+// SetPoolOptions sets the options of a pool; zero fields take those given to New.
+func (q *Queues) SetPoolOptions(id pomelorelay.PoolID, o PoolOptions) {
 	q.pool(id).options = q.poolOptions(o)
 }
 
@@ -194,11 +194,11 @@
 	if o.CatchUp == 0 {
 		o.CatchUp = q.cfg.Charge.CatchUp
 	}
-	if o.Count == 0 {
-		o.Count = q.cfg.Limit.MaxWaiting
+	if o.MaxWaiting == 0 {
+		o.MaxWaiting = q.cfg.Limit.MaxWaiting
 	}
-	if o.Bytes == 0 {
-		o.Bytes = q.cfg.Limit.MaxWaitingBytes
+	if o.MaxWaitingBytes == 0 {
+		o.MaxWaitingBytes = q.cfg.Limit.MaxWaitingBytes
 	}
 	return o
 }
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -62,7 +62,7 @@
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
 		// The traffic path's own timer ends each wait at its service's bound.
-		Limit: pomelofair.LimitOptions{Wait: longestWait},
+		Limit: pomelofair.LimitOptions{MaxWait: longestWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
 		Node:        n.self.Node,
@@ -70,7 +70,7 @@
 		Incarnation: n.incarnation,
 		Grant:       pomeloslot.GrantOptions{TTL: s.GrantTTL},
 	})
-	c.asker = pomeloslot.NewAsker(pomeloslot.AskerConfig{
+	c.asker = pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:    n.self.Node,
 		Domain:  n.self.Domain,
 		Regions: c.regions,
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -51,7 +51,7 @@
 // forget reclaims what a router that is no more held.
 func (c *control) forget(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
-	c.out = c.owner.MemberGone(now, node, c.out)
+	c.out = c.owner.RemoveRouter(now, node, c.out)
 	c.ledger.MemberGone(now, node)
 	c.arbiter.MemberGone(node)
 }
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -15,15 +15,15 @@
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
-		c.out = c.owner.Demand(now, e.From, m, c.out)
+		c.out = c.owner.HandleDemand(now, e.From, m, c.out)
 	case *pomelorelay.Grant:
 		c.granted(now, e.From, m)
 	case *pomelorelay.GrantReply:
-		c.out = c.owner.Reply(now, e.From, m, c.out)
+		c.out = c.owner.HandleReply(now, e.From, m, c.out)
 	case *pomelorelay.RunningQuery:
-		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.Running(m.Upstream)})
+		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.RunningReport(m.Upstream)})
 	case *pomelorelay.RunningReport:
-		c.out = c.owner.Running(now, e.From, m, c.out)
+		c.out = c.owner.HandleRunningReport(now, e.From, m, c.out)
 	case *pomelorelay.LeavingNotice:
 		c.leave(m.Upstream)
 	default:
@@ -94,7 +94,7 @@
 	if !c.view.Located(e.From) {
 		c.n.wantHosts()
 	}
-	c.asker.Slots(now, m.Slots)
+	c.asker.UpdateDigests(now, m.Slots)
 	c.out = c.asker.Tick(now, c.out)
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	for _, e := range m.Entries {
-		c.queues.SetFleet(now, e)
+		c.queues.SetFleetTotals(now, e)
 		c.touch(e.Pool)
 	}
 }
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -127,8 +127,8 @@
 	Slots pomelorelay.Slots
 }
 
-// AskerConfig configures a router's requester.
-type AskerConfig struct {
+// RequesterConfig configures a router's requester.
+type RequesterConfig struct {
 	Node   pomelorelay.NodeID
 	Domain pomelorelay.DomainID
 	// Regions maps each failure domain to its region.
@@ -201,8 +201,8 @@
 	return o
 }
 
-// PoolHead is a router's demand in one pool.
-type PoolHead struct {
+// PoolDemand is a router's demand in one pool.
+type PoolDemand struct {
 	Pool pomelorelay.PoolID
 	// Head is the lowest tag of the pool's waiting accounts.
 	Head pomelorelay.Tag
--- a/pomeloslot/fleet_test.go
+++ b/pomeloslot/fleet_test.go
@@ -96,7 +96,7 @@
 	node      pomelorelay.NodeID
 	queues    *pomelofair.Queues
 	owner     *pomeloslot.Owner
-	requester *pomeloslot.Asker
+	requester *pomeloslot.Requester
 	runs      map[pomelorelay.RequestID]*run
 	// waitingRequests maps a waiting request to its account index; key 1<<40 plus an account index holds the number of
 	// requests that the account has waiting.
@@ -188,7 +188,7 @@
 		node:   node,
 		queues: pomelofair.New(pomelofair.Config{Weights: f, Charge: f.cfg.charge}),
 		owner:  pomeloslot.NewOwner(pomeloslot.OwnerConfig{Node: node, Domain: "a", Incarnation: incarnation, Grant: f.cfg.grant}),
-		requester: pomeloslot.NewAsker(pomeloslot.AskerConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
+		requester: pomeloslot.NewRequester(pomeloslot.RequesterConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
 			Registration: f.cfg.registration}),
 		runs:            make(map[pomelorelay.RequestID]*run),
 		waitingRequests: make(map[pomelorelay.RequestID]int),
@@ -221,7 +221,7 @@
 	}
 	up := pomeloslot.Upstream{ID: f.upstreams[upstream].id, Pool: testPool, Min: 1, Max: pomelorelay.Slots(f.cfg.slots)}
 	r := f.routers[router]
-	f.send(r, r.owner.Own(f.now, up, peers, nil))
+	f.send(r, r.owner.AddUpstream(f.now, up, peers, nil))
 }
 
 func (f *fleet) schedule(t time.Time, action func()) {
@@ -255,7 +255,7 @@
 }
 
 func (f *fleet) tick(r *testRouter) {
-	r.queues.SetVirtual(testPool, r.requester.Virtual(testPool))
+	r.queues.SetVirtualTime(testPool, r.requester.VirtualTime(testPool))
 	f.send(r, r.owner.Tick(f.now, nil))
 	f.updateDemand(r)
 	f.send(r, r.requester.Tick(f.now, nil))
@@ -263,7 +263,7 @@
 
 func (f *fleet) updateDemand(r *testRouter) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.requester.Heads(f.now, []pomeloslot.PoolHead{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
+	f.send(r, r.requester.UpdateDemand(f.now, []pomeloslot.PoolDemand{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
 }
 
 // refill pushes requests until the account has queueDepth requests waiting at a router.
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -54,20 +54,20 @@
 func (f *fleet) receive(r *testRouter, from pomelorelay.NodeID, m pomelorelay.Message) {
 	switch m := m.(type) {
 	case *pomelorelay.Demand:
-		f.send(r, r.owner.Demand(f.now, from, m, nil))
+		f.send(r, r.owner.HandleDemand(f.now, from, m, nil))
 	case *pomelorelay.Grant:
 		f.handleGrant(r, from, m)
 	case *pomelorelay.GrantReply:
-		f.send(r, r.owner.Reply(f.now, from, m, nil))
+		f.send(r, r.owner.HandleReply(f.now, from, m, nil))
 	case *pomelorelay.RunningQuery:
-		f.send(r, []pomelorelay.Outgoing{{To: from, Message: r.requester.Running(m.Upstream)}})
+		f.send(r, []pomelorelay.Outgoing{{To: from, Message: r.requester.RunningReport(m.Upstream)}})
 	case *pomelorelay.RunningReport:
-		f.send(r, r.owner.Running(f.now, from, m, nil))
+		f.send(r, r.owner.HandleRunningReport(f.now, from, m, nil))
 	}
 }
 
 func (f *fleet) handleGrant(r *testRouter, from pomelorelay.NodeID, g *pomelorelay.Grant) {
-	if !r.requester.Granted(f.now, from, g) {
+	if !r.requester.AcceptGrant(f.now, from, g) {
 		f.settle(r, g.ID, pomelorelay.GrantReturned)
 		return
 	}
@@ -83,7 +83,7 @@
 
 func (f *fleet) settle(r *testRouter, id pomelorelay.GrantID, state pomelorelay.GrantState) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.requester.Settled(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
+	f.send(r, r.requester.SettleGrant(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
 }
 
 // dispatch sends a popped request to an upstream and refills its account's queue.
@@ -172,7 +172,7 @@
 			if to.dead || f.partitioned(r, to) {
 				return
 			}
-			to.requester.Slots(f.now, digests)
+			to.requester.UpdateDigests(f.now, digests)
 			f.send(to, to.requester.Tick(f.now, nil))
 		})
 	}
@@ -183,8 +183,8 @@
 	if f.cfg.fixedShares {
 		return
 	}
-	entries := r.queues.Changed(nil)
-	interest := r.queues.Interest(nil)
+	entries := r.queues.ChangedEntries(nil)
+	interest := r.queues.WaitingAccounts(nil)
 	f.after(linkLatency, func() {
 		for _, e := range entries {
 			f.ledgerOf(r)[e.Account][r.index] = e
@@ -192,7 +192,7 @@
 		totals := f.ledgerTotals(f.ledgerOf(r), interest)
 		f.after(linkLatency, func() {
 			for _, e := range totals {
-				r.queues.SetFleet(f.now, e)
+				r.queues.SetFleetTotals(f.now, e)
 			}
 		})
 	})
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -145,9 +145,9 @@
 	return out
 }
 
-// Running handles a router's report of the grants that it holds and appends the resulting grants to out. Unknown grants
+// HandleRunningReport handles a router's report of the grants that it holds and appends the resulting grants to out. Unknown grants
 // in the report are added; grants that were issued before the query and are missing from the report are released.
-func (o *Owner) Running(now time.Time, from pomelorelay.NodeID, m *pomelorelay.RunningReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (o *Owner) HandleRunningReport(now time.Time, from pomelorelay.NodeID, m *pomelorelay.RunningReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
 		return out
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -7,9 +7,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Granted records a grant and reports whether it may be used; the caller must settle it in either case. A grant may not
+// AcceptGrant records a grant and reports whether it may be used; the caller must settle it in either case. A grant may not
 // be used if it is a duplicate or if its upstream is leaving or unknown.
-func (r *Asker) Granted(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
+func (r *Requester) AcceptGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
 	if r.grants[g.ID] != nil {
 		return false
 	}
@@ -26,7 +26,7 @@
 
 // GrantUsable reports whether a request may still be sent under a grant. A claim can take seconds to become durable;
 // without this check an upstream could receive a request after it was told that none would follow.
-func (r *Asker) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
+func (r *Requester) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
 	h := r.grants[id]
 	if h == nil {
 		return false
@@ -35,8 +35,8 @@
 	return u != nil && !u.leaving && !u.digest.Leaving && now.Before(h.expires)
 }
 
-// Settled appends to out the reply to a grant's owner, with the grant's outcome and the router's current demand.
-func (r *Asker) Settled(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// SettleGrant appends to out the reply to a grant's owner, with the grant's outcome and the router's current demand.
+func (r *Requester) SettleGrant(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	h := r.grants[id]
 	if h == nil {
 		return out
@@ -73,7 +73,7 @@
 }
 
 // recordReply stores the pool's current demand and the part of it that was sent in the reply.
-func (r *Asker) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s Settlement, waiting int) {
+func (r *Requester) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s Settlement, waiting int) {
 	if p := r.pools[u.digest.Pool]; p != nil {
 		p.demand.Head, p.demand.Waiting = s.Head, s.Waiting
 	}
@@ -81,15 +81,15 @@
 	u.trackAnswer(now, waiting)
 }
 
-func (r *Asker) releaseGrant(id pomelorelay.GrantID, h *heldGrant) {
+func (r *Requester) releaseGrant(id pomelorelay.GrantID, h *heldGrant) {
 	delete(r.grants, id)
 	if u := r.upstreams[h.upstream]; u != nil && u.heldGrants > 0 {
 		u.heldGrants--
 	}
 }
 
-// Running returns the report of the grants that the router holds for an upstream, in answer to an owner's query.
-func (r *Asker) Running(id pomelorelay.UpstreamID) *pomelorelay.RunningReport {
+// RunningReport returns the report of the grants that the router holds for an upstream, in answer to an owner's query.
+func (r *Requester) RunningReport(id pomelorelay.UpstreamID) *pomelorelay.RunningReport {
 	m := &pomelorelay.RunningReport{Upstream: id}
 	for grantID, h := range r.grants {
 		if h.upstream == id {
--- a/pomeloslot/idleanswer_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -13,20 +13,20 @@
 	// until it is declared dead, although another domain of the region has idle slots.
 	for _, c := range []struct {
 		name   string
-		answer func(r *pomeloslot.Asker, at time.Time)
+		answer func(r *pomeloslot.Requester, at time.Time)
 		want   bool
 	}{
-		{"no message", func(*pomeloslot.Asker, time.Time) {}, true},
-		{"a new digest", func(r *pomeloslot.Asker, at time.Time) {
-			r.Slots(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
+		{"no message", func(*pomeloslot.Requester, time.Time) {}, true},
+		{"a new digest", func(r *pomeloslot.Requester, at time.Time) {
+			r.UpdateDigests(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
 		}, false},
-		{"a grant", func(r *pomeloslot.Asker, at time.Time) {
-			r.Granted(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
+		{"a grant", func(r *pomeloslot.Requester, at time.Time) {
+			r.AcceptGrant(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
 		}, false},
 	} {
 		r := newRequester()
-		r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
-		if got := registeredAt(r.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
+		r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
+		if got := registeredAt(r.UpdateDemand(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
 			t.Fatalf("%s: first registered at %v", c.name, got)
 		}
 		if got := registeredAt(r.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -51,8 +51,8 @@
 	return pomelorelay.GrantID(owner<<grantCountBits + 1)
 }
 
-// Own adds or updates an upstream, and for a new one queries the peers, which must include this router, for the requests that they run there.
-func (o *Owner) Own(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// AddUpstream adds or updates an upstream, and for a new one queries the peers, which must include this router, for the requests that they run there.
+func (o *Owner) AddUpstream(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u := o.upstreams[up.ID]; u != nil {
 		u.pool, u.min, u.max = up.Pool, up.Min, up.Max
 		u.limit.setBounds(up.Min, up.Max)
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Disown removes an upstream; its new owner queries the routers for the running requests.
-func (o *Owner) Disown(id pomelorelay.UpstreamID) {
+// RemoveUpstream removes an upstream; its new owner queries the routers for the running requests.
+func (o *Owner) RemoveUpstream(id pomelorelay.UpstreamID) {
 	u := o.upstreams[id]
 	if u == nil {
 		return
@@ -83,8 +83,8 @@
 	o.sortedUpstreams = slices.DeleteFunc(o.sortedUpstreams, func(other *upstream) bool { return other == u })
 }
 
-// Demand handles a router's registration and appends the resulting grants to out.
-func (o *Owner) Demand(now time.Time, from pomelorelay.NodeID, m *pomelorelay.Demand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleDemand handles a router's registration and appends the resulting grants to out.
+func (o *Owner) HandleDemand(now time.Time, from pomelorelay.NodeID, m *pomelorelay.Demand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
 		return out
@@ -96,8 +96,8 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// Reply handles the outcome of a grant and the router's current demand, and appends the resulting grants to out.
-func (o *Owner) Reply(now time.Time, from pomelorelay.NodeID, m *pomelorelay.GrantReply, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleReply handles the outcome of a grant and the router's current demand, and appends the resulting grants to out.
+func (o *Owner) HandleReply(now time.Time, from pomelorelay.NodeID, m *pomelorelay.GrantReply, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
 		return out
@@ -130,8 +130,8 @@
 	o.releaseGrant(u, g)
 }
 
-// Load handles a load report of an upstream, which may be delayed, and appends the resulting grants to out.
-func (o *Owner) Load(now time.Time, id pomelorelay.UpstreamID, load LoadReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleLoadReport handles a load report of an upstream, which may be delayed, and appends the resulting grants to out.
+func (o *Owner) HandleLoadReport(now time.Time, id pomelorelay.UpstreamID, load LoadReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[id]
 	if u == nil {
 		return out
@@ -141,15 +141,15 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// Leaving marks an upstream as leaving: it receives no further grants, and its running requests continue.
-func (o *Owner) Leaving(_ time.Time, id pomelorelay.UpstreamID) {
+// MarkLeaving marks an upstream as leaving: it receives no further grants, and its running requests continue.
+func (o *Owner) MarkLeaving(_ time.Time, id pomelorelay.UpstreamID) {
 	if u := o.upstreams[id]; u != nil {
 		u.leaving = true
 	}
 }
 
-// Back clears the leaving mark of an upstream that the host list no longer shows as leaving, and appends the resulting grants to out.
-func (o *Owner) Back(now time.Time, id pomelorelay.UpstreamID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// ClearLeaving clears the leaving mark of an upstream that the host list no longer shows as leaving, and appends the resulting grants to out.
+func (o *Owner) ClearLeaving(now time.Time, id pomelorelay.UpstreamID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[id]
 	if u == nil {
 		return out
@@ -158,8 +158,8 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// Crashed discards the grants, load and cached prefixes of a crashed upstream, which receives no grants until its next load report.
-func (o *Owner) Crashed(_ time.Time, id pomelorelay.UpstreamID) {
+// MarkCrashed discards the grants, load and cached prefixes of a crashed upstream, which receives no grants until its next load report.
+func (o *Owner) MarkCrashed(_ time.Time, id pomelorelay.UpstreamID) {
 	u := o.upstreams[id]
 	if u == nil {
 		return
@@ -175,8 +175,8 @@
 	}
 }
 
-// MemberGone discards the demand of a dead router, reclaims its grants and appends the resulting grants to out.
-func (o *Owner) MemberGone(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// RemoveRouter discards the demand of a dead router, reclaims its grants and appends the resulting grants to out.
+func (o *Owner) RemoveRouter(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, u := range o.sortedUpstreams {
 		r := u.routers[node]
 		if r == nil {
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -39,17 +39,17 @@
 // newOwnerOfUpstream returns an owner of one idle upstream.
 func newOwnerOfUpstream(slots pomelorelay.Slots) *pomeloslot.Owner {
 	o := newOwner("r1")
-	o.Own(start, upstream(slots), nil, nil)
+	o.AddUpstream(start, upstream(slots), nil, nil)
 	return o
 }
 
 func TestLowestTagIsGrantedFirst(t *testing.T) {
 	o := newOwnerOfUpstream(1)
-	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 30, 5), nil))
-	o.Demand(start, "b", demand(1, 10, 5), nil)
-	o.Demand(start, "c", demand(1, 20, 5), nil)
-	o.Demand(start, "c", demand(0, 1, 5), nil) // delayed message with an older sequence number
-	_, to := grantsIn(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
+	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 30, 5), nil))
+	o.HandleDemand(start, "b", demand(1, 10, 5), nil)
+	o.HandleDemand(start, "c", demand(1, 20, 5), nil)
+	o.HandleDemand(start, "c", demand(0, 1, 5), nil) // delayed message with an older sequence number
+	_, to := grantsIn(o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
 	if len(to) != 1 || to[0] != "a" {
 		t.Errorf("granted to %v, want a, whose updated tag is zero", to)
 	}
@@ -59,10 +59,10 @@
 	// Several slots become free at once. The tag of the first router is outdated after its first grant; without taking
 	// that into account, its account would receive all of the slots.
 	o := newOwner("r1")
-	o.Own(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
-	o.Demand(start, "a", demand(1, 10, 5), nil)
-	o.Demand(start, "b", demand(1, 11, 5), nil)
-	_, to := grantsIn(o.Running(start, "x", &pomelorelay.RunningReport{Upstream: "u"}, nil))
+	o.AddUpstream(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
+	o.HandleDemand(start, "a", demand(1, 10, 5), nil)
+	o.HandleDemand(start, "b", demand(1, 11, 5), nil)
+	_, to := grantsIn(o.HandleRunningReport(start, "x", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(to) != 3 || to[0] != "a" || to[1] != "b" || to[2] != "a" {
 		t.Errorf("granted to %v, want a b a", to)
 	}
@@ -72,19 +72,19 @@
 	// The owner of a busy upstream is replaced. If the new owner granted the full limit at once, the upstream would run
 	// twice its limit.
 	o := newOwner("r2")
-	out := o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
+	out := o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
 	if len(out) != 2 {
 		t.Fatalf("%d queries, want 2", len(out))
 	}
-	if ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
+	if ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
 		t.Errorf("granted %d before any running report", len(ids))
 	}
-	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902}, Running: 3}, nil)
-	ids, _ := grantsIn(o.Running(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
+	o.HandleRunningReport(start, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902}, Running: 3}, nil)
+	ids, _ := grantsIn(o.HandleRunningReport(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(ids) != 5 {
 		t.Errorf("granted %d with 3 running, want 5", len(ids))
 	}
-	ids, _ = grantsIn(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
+	ids, _ = grantsIn(o.HandleReply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
 	if len(ids) != 1 {
 		t.Errorf("granted %d after a previous owner's grant finished, want 1", len(ids))
 	}
@@ -94,14 +94,14 @@
 	// The upstream's load report reaches a new owner before the routers' running reports. The requests in both must not
 	// count twice, or slots would stay idle until the next load report.
 	o := newOwner("r2")
-	o.Own(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
-	o.Demand(start, "b", demand(1, 1, 9), nil)
-	if ids, _ := grantsIn(o.Load(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
+	o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
+	o.HandleDemand(start, "b", demand(1, 1, 9), nil)
+	if ids, _ := grantsIn(o.HandleLoadReport(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
 		t.Errorf("granted %d with 5 running, want 3", len(ids))
 	}
 	m := &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902, 903, 904, 905}, Running: 5}
-	o.Running(start, "a", m, nil)
-	ids, _ := grantsIn(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
+	o.HandleRunningReport(start, "a", m, nil)
+	ids, _ := grantsIn(o.HandleReply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
 	if len(ids) != 1 {
 		t.Errorf("granted %d after one of them finished, want 1", len(ids))
 	}
@@ -110,9 +110,9 @@
 func TestUnresponsiveRouterDelaysNewOwnerForBoundedTime(t *testing.T) {
 	// A router is paused while an upstream's owner is replaced. The slots must not stay idle for as long as the pause lasts.
 	o := newOwner("r2")
-	o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "frozen"}, nil)
-	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
-	o.Demand(start, "a", demand(1, 1, 9), nil)
+	o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a", "frozen"}, nil)
+	o.HandleRunningReport(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
+	o.HandleDemand(start, "a", demand(1, 1, 9), nil)
 	if ids, _ := grantsIn(o.Tick(start.Add(499*time.Millisecond), nil)); len(ids) != 0 {
 		t.Errorf("granted %d during recovery", len(ids))
 	}
@@ -124,22 +124,22 @@
 func TestSlotsOfLostRepliesAreReclaimed(t *testing.T) {
 	// The reply to a grant, or the one at the end of a request, is lost. The slot must not stay taken forever.
 	o := newOwnerOfUpstream(2)
-	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
-	o.Reply(start, "a", reply(ids[0], pomelorelay.GrantUsed, 2, 9), nil)
+	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
+	o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantUsed, 2, 9), nil)
 	now := start.Add(time.Second)
 	if out := o.Tick(now, nil); len(out) != 1 {
 		t.Fatalf("%d queries after the unanswered grant, want 1", len(out))
 	}
-	again, _ := grantsIn(o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: ids[:1], Running: 1}, nil))
+	again, _ := grantsIn(o.HandleRunningReport(now, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: ids[:1], Running: 1}, nil))
 	if len(again) != 1 {
 		t.Fatalf("granted %d after the reclaim, want 1", len(again))
 	}
-	o.Reply(now, "a", reply(again[0], pomelorelay.GrantUsed, 3, 0), nil)
+	o.HandleReply(now, "a", reply(again[0], pomelorelay.GrantUsed, 3, 0), nil)
 	now = now.Add(2 * time.Second)
 	if out := o.Tick(now, nil); len(out) != 1 {
 		t.Fatalf("%d queries after the check interval of a running request, want 1", len(out))
 	}
-	o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
+	o.HandleRunningReport(now, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
 	if d := o.Digests(now, nil); d[0].Idle != 2 {
 		t.Errorf("%d slots idle, want 2", d[0].Idle)
 	}
@@ -148,9 +148,9 @@
 func TestDeadRouterReleasesItsSlots(t *testing.T) {
 	// A router dies with running and waiting requests. If its demand stayed valid, slots would be granted to a dead router.
 	o := newOwnerOfUpstream(2)
-	o.Demand(start, "dead", demand(1, 1, 9), nil)
-	o.Demand(start, "b", demand(1, 50, 9), nil)
-	_, to := grantsIn(o.MemberGone(start, "dead", nil))
+	o.HandleDemand(start, "dead", demand(1, 1, 9), nil)
+	o.HandleDemand(start, "b", demand(1, 50, 9), nil)
+	_, to := grantsIn(o.RemoveRouter(start, "dead", nil))
 	if len(to) != 2 || to[0] != "b" || to[1] != "b" {
 		t.Errorf("granted to %v, want b twice", to)
 	}
@@ -159,11 +159,11 @@
 func TestUnrefreshedDemandExpires(t *testing.T) {
 	// A router is partitioned in one direction: its demand has arrived, but later messages do not.
 	o := newOwnerOfUpstream(1)
-	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 1), nil))
-	o.Demand(start, "cut", demand(1, 0, 9), nil)
+	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 1), nil))
+	o.HandleDemand(start, "cut", demand(1, 0, 9), nil)
 	now := start.Add(4 * time.Second)
-	o.Demand(now, "b", demand(1, 50, 1), nil)
-	_, to := grantsIn(o.Reply(now, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
+	o.HandleDemand(now, "b", demand(1, 50, 1), nil)
+	_, to := grantsIn(o.HandleReply(now, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
 	if len(to) != 1 || to[0] != "b" {
 		t.Errorf("granted to %v, want b", to)
 	}
@@ -172,11 +172,11 @@
 func TestLeavingUpstreamReceivesNoGrants(t *testing.T) {
 	// The host list shows an upstream as leaving while requests wait for it and run on it.
 	o := newOwnerOfUpstream(2)
-	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
-	o.Leaving(start, "u")
-	out := o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 9), nil)
-	out = o.Demand(start, "b", demand(1, 1, 9), out)
-	out = o.Load(start, "u", pomeloslot.LoadReport{}, out)
+	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
+	o.MarkLeaving(start, "u")
+	out := o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 9), nil)
+	out = o.HandleDemand(start, "b", demand(1, 1, 9), out)
+	out = o.HandleLoadReport(start, "u", pomeloslot.LoadReport{}, out)
 	if got, _ := grantsIn(o.Tick(start, out)); len(got) != 0 {
 		t.Errorf("granted %d slots of a leaving upstream", len(got))
 	}
@@ -189,12 +189,12 @@
 	// An upstream crashes with its running requests. Requests granted before it restarts would fail to connect; slots
 	// still counted as taken after the restart would stay idle.
 	o := newOwnerOfUpstream(2)
-	o.Demand(start, "a", demand(1, 1, 9), nil)
-	o.Crashed(start, "u")
+	o.HandleDemand(start, "a", demand(1, 1, 9), nil)
+	o.MarkCrashed(start, "u")
 	if got, _ := grantsIn(o.Tick(start, nil)); len(got) != 0 {
 		t.Errorf("granted %d slots of a crashed upstream", len(got))
 	}
-	if got, _ := grantsIn(o.Load(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
+	if got, _ := grantsIn(o.HandleLoadReport(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
 		t.Errorf("granted %d after the load report, want 2", len(got))
 	}
 }
@@ -203,9 +203,9 @@
 	// A router whose waiting requests may not run on an upstream returns each grant. Without a backoff, owner and router
 	// would exchange grants in an endless loop while another router waits.
 	o := newOwnerOfUpstream(1)
-	ids, _ := grantsIn(o.Demand(start, "a", demand(1, 1, 9), nil))
-	o.Demand(start, "b", demand(1, 50, 9), nil)
-	_, to := grantsIn(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantReturned, 2, 9), nil))
+	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
+	o.HandleDemand(start, "b", demand(1, 50, 9), nil)
+	_, to := grantsIn(o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantReturned, 2, 9), nil))
 	if len(to) != 1 || to[0] != "b" {
 		t.Errorf("granted to %v, want b", to)
 	}
@@ -216,7 +216,7 @@
 	// tokens meet the target, and then increases again.
 	o := newOwnerOfUpstream(100)
 	now, seq := start, uint64(1)
-	ids, _ := grantsIn(o.Demand(now, "a", demand(seq, 1, 1_000_000), nil))
+	ids, _ := grantsIn(o.HandleDemand(now, "a", demand(seq, 1, 1_000_000), nil))
 	limit := func() pomelorelay.Slots { return o.Digests(now, nil)[0].Limit }
 	lowest, highest := limit(), pomelorelay.Slots(0)
 	for round := range 600 {
@@ -227,7 +227,7 @@
 			seq++
 			m := reply(id, pomelorelay.GrantFinished, seq, 1_000_000)
 			m.FirstToken, m.TokenGap = first, 20*time.Millisecond
-			out = o.Reply(now, "a", m, out)
+			out = o.HandleReply(now, "a", m, out)
 		}
 		ids, _ = grantsIn(o.Tick(now, out))
 		lowest = min(lowest, limit())
@@ -258,15 +258,15 @@
 		{"no events", 10.5, nil, nil, 0, "a"},
 	} {
 		o := newOwnerOfUpstream(1)
-		ids, _ := grantsIn(o.Demand(start, "x", demand(1, 0, 1), nil))
+		ids, _ := grantsIn(o.HandleDemand(start, "x", demand(1, 0, 1), nil))
 		o.UpdateCachedPrefixes(start, "u", c.held, nil)
 		o.UpdateCachedPrefixes(start, "u", nil, c.drop)
 		now := start.Add(c.age)
-		o.Demand(now, "a", demand(1, 10, 1), nil)
+		o.HandleDemand(now, "a", demand(1, 10, 1), nil)
 		b := demand(1, c.head, 1)
 		b.Prefixes = []uint64{7}
-		o.Demand(now, "b", b, nil)
-		_, to := grantsIn(o.Reply(now, "x", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
+		o.HandleDemand(now, "b", b, nil)
+		_, to := grantsIn(o.HandleReply(now, "x", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
 		if len(to) != 1 || to[0] != c.want {
 			t.Errorf("%s: granted to %v, want %v", c.name, to, c.want)
 		}
@@ -278,15 +278,15 @@
 	// attempts within milliseconds and fail, although other upstreams, and soon this one, could serve it.
 	now := start
 	o := newOwnerOfUpstream(1)
-	out := o.Demand(now, "a", demand(1, 5, 2), nil)
+	out := o.HandleDemand(now, "a", demand(1, 5, 2), nil)
 	if len(out) != 1 {
 		t.Fatalf("got %d messages for the demand, want 1", len(out))
 	}
 	grant := out[0].Message.(*pomelorelay.Grant)
-	if out := o.Reply(now, "a", reply(grant.ID, pomelorelay.GrantUnreached, 2, 2), nil); len(out) != 0 {
+	if out := o.HandleReply(now, "a", reply(grant.ID, pomelorelay.GrantUnreached, 2, 2), nil); len(out) != 0 {
 		t.Errorf("the unreachable upstream was granted again at once")
 	}
-	if out := o.Load(now.Add(time.Second), "u", pomeloslot.LoadReport{Slots: 1}, nil); len(out) != 1 {
+	if out := o.HandleLoadReport(now.Add(time.Second), "u", pomeloslot.LoadReport{Slots: 1}, nil); len(out) != 1 {
 		t.Errorf("got %d grants after the load report, want 1", len(out))
 	}
 }
--- a/pomeloslot/partition_test.go
+++ b/pomeloslot/partition_test.go
@@ -34,7 +34,7 @@
 	for _, r := range f.routers {
 		for _, other := range f.routers {
 			if f.partitioned(r, other) {
-				f.send(r, r.owner.MemberGone(f.now, other.node, nil))
+				f.send(r, r.owner.RemoveRouter(f.now, other.node, nil))
 			}
 		}
 	}
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -9,9 +9,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Asker registers one router's demand at slot owners and tracks the grants that the router holds.
-type Asker struct {
-	cfg   AskerConfig
+// Requester registers one router's demand at slot owners and tracks the grants that the router holds.
+type Requester struct {
+	cfg   RequesterConfig
 	rng   *rand.Rand
 	pools map[pomelorelay.PoolID]*poolState
 	// sortedPools is sorted by ID to make the order of messages deterministic.
@@ -27,7 +27,7 @@
 type poolState struct {
 	id     pomelorelay.PoolID
 	spill  SpillOptions
-	demand PoolHead
+	demand PoolDemand
 	// upstreams is sorted by ID.
 	upstreams []*remoteUpstream
 	// ranked and tags are scratch buffers of selectUpstreams and virtualTime.
@@ -68,11 +68,11 @@
 	expires  time.Time
 }
 
-// NewAsker returns a requester that knows no upstreams.
-func NewAsker(cfg AskerConfig) *Asker {
+// NewRequester returns a requester that knows no upstreams.
+func NewRequester(cfg RequesterConfig) *Requester {
 	cfg.Registration = cfg.Registration.withDefaults()
 	cfg.Spill = cfg.Spill.withDefaults()
-	return &Asker{
+	return &Requester{
 		cfg:       cfg,
 		rng:       rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		pools:     make(map[pomelorelay.PoolID]*poolState),
@@ -81,8 +81,8 @@
 	}
 }
 
-// Slots updates the known upstreams from owners' digests, including those of the local owner; the caller must call Tick afterwards.
-func (r *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
+// UpdateDigests updates the known upstreams from owners' digests, including those of the local owner; the caller must call Tick afterwards.
+func (r *Requester) UpdateDigests(now time.Time, digests []pomelorelay.SlotDigest) {
 	for _, d := range digests {
 		u := r.upstreams[d.Upstream]
 		if u == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (r *Asker) addUpstream(d pomelorelay.SlotDigest) *remoteUpstream {
+func (r *Requester) addUpstream(d pomelorelay.SlotDigest) *remoteUpstream {
 	u := &remoteUpstream{digest: d, tieBreak: r.rng.Uint64(), distance: r.distance(d.Domain)}
 	r.upstreams[d.Upstream] = u
 	p := r.pool(d.Pool)
@@ -103,7 +103,7 @@
 	return u
 }
 
-func (r *Asker) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
+func (r *Requester) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
 	switch {
 	case domain == r.cfg.Domain:
 		return pomelorelay.LinkDomain
@@ -113,7 +113,7 @@
 	return pomelorelay.LinkCross
 }
 
-func (r *Asker) pool(id pomelorelay.PoolID) *poolState {
+func (r *Requester) pool(id pomelorelay.PoolID) *poolState {
 	if p := r.pools[id]; p != nil {
 		return p
 	}
@@ -127,8 +127,8 @@
 	return p
 }
 
-// Heads replaces the demand of the given pools and appends the resulting registrations and withdrawals to out.
-func (r *Asker) Heads(now time.Time, heads []PoolHead, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// UpdateDemand replaces the demand of the given pools and appends the resulting registrations and withdrawals to out.
+func (r *Requester) UpdateDemand(now time.Time, heads []PoolDemand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, h := range heads {
 		p := r.pool(h.Pool)
 		p.demand = h
@@ -138,16 +138,16 @@
 }
 
 // Tick refreshes the registrations of all pools and appends the messages to out.
-func (r *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Requester) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, p := range r.sortedPools {
 		out = r.updateRegistrations(now, p, out)
 	}
 	return out
 }
 
-// Virtual returns the pool's virtual time: the median of the last granted tags of the local domain's upstreams without
+// VirtualTime returns the pool's virtual time: the median of the last granted tags of the local domain's upstreams without
 // idle slots, or the highest last granted tag if all have idle slots.
-func (r *Asker) Virtual(id pomelorelay.PoolID) pomelorelay.Tag {
+func (r *Requester) VirtualTime(id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
 		return 0
@@ -155,10 +155,10 @@
 	return p.virtualTime(r.cfg.Domain)
 }
 
-// Crest returns the highest virtual time of the local domain and of the other saturated domains with current digests,
+// MaxVirtualTime returns the highest virtual time of the local domain and of the other saturated domains with current digests,
 // the latter less their spill margin. Without the margin, all accounts of a domain that is slightly behind would
 // repeatedly be lifted to the same tag and served in arbitrary order.
-func (r *Asker) Crest(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
+func (r *Requester) MaxVirtualTime(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
 		return 0
@@ -173,7 +173,7 @@
 	return highest
 }
 
-func (r *Asker) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
+func (r *Requester) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
 	if r.distance(domain) == pomelorelay.LinkRegion {
 		return p.spill.DomainMargin
 	}
@@ -181,7 +181,7 @@
 }
 
 // SetSpill sets a pool's spill options, with margins in units of the pool's cost divided by weight; zero fields take the configured options.
-func (r *Asker) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
+func (r *Requester) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
 	if o.DomainMargin == 0 {
 		o.DomainMargin = r.cfg.Spill.DomainMargin
 	}
@@ -229,8 +229,8 @@
 	return p.tags[len(p.tags)/2]
 }
 
-// Leaving marks an upstream as leaving: the router refuses all further grants for it, including those in flight.
-func (r *Asker) Leaving(id pomelorelay.UpstreamID) {
+// MarkLeaving marks an upstream as leaving: the router refuses all further grants for it, including those in flight.
+func (r *Requester) MarkLeaving(id pomelorelay.UpstreamID) {
 	if u := r.upstreams[id]; u != nil {
 		u.leaving = true
 		return
@@ -238,8 +238,8 @@
 	r.addUpstream(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).leaving = true
 }
 
-// Back clears the leaving mark of an upstream that the host list no longer shows as leaving.
-func (r *Asker) Back(id pomelorelay.UpstreamID) {
+// ClearLeaving clears the leaving mark of an upstream that the host list no longer shows as leaving.
+func (r *Requester) ClearLeaving(id pomelorelay.UpstreamID) {
 	if u := r.upstreams[id]; u != nil {
 		u.leaving = false
 	}
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -9,8 +9,8 @@
 )
 
 // newRequester returns a requester in domain a of region north; b is another domain of north, z a domain of region south.
-func newRequester() *pomeloslot.Asker {
-	r := pomeloslot.NewAsker(pomeloslot.AskerConfig{
+func newRequester() *pomeloslot.Requester {
+	r := pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:         "me",
 		Domain:       "a",
 		Regions:      map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "north", "b": "north", "z": "south"},
@@ -25,8 +25,8 @@
 	return pomelorelay.SlotDigest{Upstream: id, Pool: testPool, Owner: pomelorelay.NodeID("owner-" + id), Domain: domain, LastTag: last, Idle: idle, Limit: 8}
 }
 
-func heads(waiting int) []pomeloslot.PoolHead {
-	return []pomeloslot.PoolHead{{Pool: testPool, Head: 50, Waiting: waiting}}
+func heads(waiting int) []pomeloslot.PoolDemand {
+	return []pomeloslot.PoolDemand{{Pool: testPool, Head: 50, Waiting: waiting}}
 }
 
 // registeredAt returns the upstreams of the registrations in the messages, without withdrawals.
@@ -63,8 +63,8 @@
 		{"no demand", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)}, 0, nil},
 	} {
 		r := newRequester()
-		r.Slots(start, c.digests)
-		got := registeredAt(r.Heads(start.Add(time.Millisecond), heads(c.waiting), nil))
+		r.UpdateDigests(start, c.digests)
+		got := registeredAt(r.UpdateDemand(start.Add(time.Millisecond), heads(c.waiting), nil))
 		same := len(got) == len(c.want)
 		for _, id := range c.want {
 			same = same && got[id]
@@ -79,35 +79,35 @@
 	// An owner that does not know yet that an upstream is leaving grants its slots, or a router's claim takes so long that
 	// the upstream leaves or the grant expires meanwhile. Requests would start after the leaving notice.
 	r := newRequester()
-	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
-	r.Heads(now, heads(3), nil)
+	r.UpdateDemand(now, heads(3), nil)
 	first := &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: 500 * time.Millisecond}
-	if !r.Granted(now, "owner-u1", first) || !r.GrantUsable(now, 1) {
+	if !r.AcceptGrant(now, "owner-u1", first) || !r.GrantUsable(now, 1) {
 		t.Fatal("a valid grant was refused")
 	}
-	if r.Granted(now, "owner-u1", first) {
+	if r.AcceptGrant(now, "owner-u1", first) {
 		t.Error("a duplicate grant was accepted")
 	}
 	if r.GrantUsable(now.Add(time.Second), 1) {
 		t.Error("an expired grant is usable")
 	}
-	r.Leaving("u1")
+	r.MarkLeaving("u1")
 	if r.GrantUsable(now, 1) {
 		t.Error("a grant is usable although its upstream is leaving")
 	}
-	if r.Granted(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
+	if r.AcceptGrant(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
 		t.Error("a grant for a leaving upstream was accepted")
 	}
-	out := r.Settled(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
+	out := r.SettleGrant(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
 	if m, ok := out[0].Message.(*pomelorelay.GrantReply); !ok || m.Waiting != 0 {
 		t.Errorf("reply %+v requests slots of a leaving upstream", out[0].Message)
 	}
 	if got := registeredAt(r.Tick(now.Add(time.Second), nil)); len(got) != 0 {
 		t.Errorf("registered at %v, want none", got)
 	}
-	r.Back("u1")
-	r.Slots(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	r.ClearLeaving("u1")
+	r.UpdateDigests(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	if got := registeredAt(r.Tick(now.Add(time.Second), nil)); !got["u1"] {
 		t.Error("not registered after the leaving mark was cleared")
 	}
@@ -117,19 +117,19 @@
 	// A request runs while its upstream's owner is replaced. If only the previous owner received its end, the new one
 	// would count the slot as taken until its next query.
 	r := newRequester()
-	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
-	r.Granted(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
-	if m := r.Running("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
+	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	r.AcceptGrant(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
+	if m := r.RunningReport("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
 		t.Errorf("report %+v, want grant 5", m)
 	}
 	d := digest("u1", "a", 10, 4)
 	d.Owner = "successor"
-	r.Slots(start, []pomelorelay.SlotDigest{d})
-	out := r.Settled(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
+	r.UpdateDigests(start, []pomelorelay.SlotDigest{d})
+	out := r.SettleGrant(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
 	if len(out) != 2 || out[0].To != "owner-u1" || out[1].To != "successor" {
 		t.Errorf("replies %+v, want one to each owner", out)
 	}
-	if m := r.Running("u1"); len(m.Grants) != 0 {
+	if m := r.RunningReport("u1"); len(m.Grants) != 0 {
 		t.Errorf("report %+v after the request finished, want no grants", m)
 	}
 }
@@ -137,10 +137,10 @@
 func TestDemandMovesFromOwnerWithoutDigests(t *testing.T) {
 	// An owner is partitioned. Demand registered only there would wait forever while other owners have slots.
 	r := newRequester()
-	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
-	r.Heads(start.Add(time.Millisecond), heads(1), nil)
+	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
+	r.UpdateDemand(start.Add(time.Millisecond), heads(1), nil)
 	now := start.Add(4 * time.Second)
-	r.Slots(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
+	r.UpdateDigests(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
 	got := registeredAt(r.Tick(now, nil))
 	if got["u1"] || !got["u2"] || !got["u3"] {
 		t.Errorf("registered at %v, want u2 and u3", got)
@@ -149,8 +149,8 @@
 
 func TestVirtualTimeIsMedianOfBusyOwners(t *testing.T) {
 	r := newRequester()
-	r.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
-	if got := r.Virtual(testPool); got != 30 {
+	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
+	if got := r.VirtualTime(testPool); got != 30 {
 		t.Errorf("virtual time %v, want 30", got)
 	}
 }
@@ -172,8 +172,8 @@
 		{"another domain with expired digests", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, time.Minute, 500},
 	} {
 		r := newRequester()
-		r.Slots(start, c.digests)
-		if got := r.Crest(start.Add(c.age), testPool); got != c.want {
+		r.UpdateDigests(start, c.digests)
+		if got := r.MaxVirtualTime(start.Add(c.age), testPool); got != c.want {
 			t.Errorf("%s: maximum virtual time %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/pomeloslot/returningaccounts_test.go
+++ b/pomeloslot/returningaccounts_test.go
@@ -25,7 +25,7 @@
 			meanService += d / float64(len(present))
 		}
 		for _, r := range f.routers {
-			virtualTime += float64(r.requester.Virtual(testPool)) / float64(len(f.routers))
+			virtualTime += float64(r.requester.VirtualTime(testPool)) / float64(len(f.routers))
 		}
 		before := f.delivered()
 		for _, a := range idleAccounts {
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -9,7 +9,7 @@
 )
 
 // updateRegistrations selects the owners of a pool to register at and appends the registrations and withdrawals to out.
-func (r *Asker) updateRegistrations(now time.Time, p *poolState, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Requester) updateRegistrations(now time.Time, p *poolState, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !r.startDelayElapsed(now) {
 		return out
 	}
@@ -26,7 +26,7 @@
 
 // startDelayElapsed reports whether the random start delay has passed. Without the delay, routers that restart together
 // would all send registrations to every owner within the same millisecond.
-func (r *Asker) startDelayElapsed(now time.Time) bool {
+func (r *Requester) startDelayElapsed(now time.Time) bool {
 	if r.startAt.IsZero() {
 		r.startAt = now.Add(time.Duration(r.rng.Int64N(int64(r.cfg.Registration.StartJitter))))
 	}
@@ -35,7 +35,7 @@
 
 // selectUpstreams marks the upstreams to register for. Upstreams with held grants stay selected: their owner can grant
 // the next free slot at once, while without a registration it would stay idle until the next digest.
-func (r *Asker) selectUpstreams(now time.Time, p *poolState) {
+func (r *Requester) selectUpstreams(now time.Time, p *poolState) {
 	p.ranked = p.ranked[:0]
 	for _, u := range p.upstreams {
 		u.idle = u.usableIdle(now)
@@ -56,7 +56,7 @@
 }
 
 // available reports whether the upstream is not leaving and its owner's digest is current.
-func (r *Asker) available(now time.Time, u *remoteUpstream) bool {
+func (r *Requester) available(now time.Time, u *remoteUpstream) bool {
 	return !u.leaving && !u.digest.Leaving && now.Sub(u.digestAt) <= r.cfg.Registration.DigestTTL
 }
 
@@ -79,7 +79,7 @@
 // selectRanked selects from the ranked upstreams. Those with idle slots are selected until their slots cover the waiting
 // requests, plus SpareOwners more. If they do not cover them, BaseOwners busy ones are added, and one for every
 // WaitingPerOwner waiting requests.
-func (r *Asker) selectRanked(p *poolState) {
+func (r *Requester) selectRanked(p *poolState) {
 	waiting := p.demand.Waiting
 	width := r.cfg.Registration.BaseOwners + waiting/r.cfg.Registration.WaitingPerOwner
 	spare, idle, busy := r.cfg.Registration.SpareOwners, 0, 0
@@ -102,7 +102,7 @@
 }
 
 // refresh sends the current demand to an upstream's owner if the last sent demand is outdated.
-func (r *Asker) refresh(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Requester) refresh(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	d := &p.demand
 	age := now.Sub(u.lastSent.at)
 	known := u.lastSent.to == u.digest.Owner && u.lastSent.waiting > 0
@@ -114,14 +114,14 @@
 }
 
 // withdraw cancels the registration at an upstream's owner, if there is one.
-func (r *Asker) withdraw(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Requester) withdraw(now time.Time, p *poolState, u *remoteUpstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u.lastSent.waiting == 0 {
 		return out
 	}
 	return r.sendDemand(now, p, u, 0, out)
 }
 
-func (r *Asker) sendDemand(now time.Time, p *poolState, u *remoteUpstream, waiting int, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Requester) sendDemand(now time.Time, p *poolState, u *remoteUpstream, waiting int, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u.lastSent = sentDemand{to: u.digest.Owner, head: p.demand.Head, waiting: waiting, at: now}
 	u.trackAnswer(now, waiting)
 	m := &pomelorelay.Demand{
@@ -139,7 +139,7 @@
 
 // nextSeq returns a sequence number that also increases across restarts: owners would discard the demand of a restarted
 // router as outdated if it started again at one.
-func (r *Asker) nextSeq(now time.Time) uint64 {
+func (r *Requester) nextSeq(now time.Time) uint64 {
 	r.seq = max(r.seq+1, uint64(now.UnixMilli()))
 	return r.seq
 }
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -18,7 +18,7 @@
 
 // spillRange returns the current spill range of a pool. Idle slots are used in the local domain first, then in the region,
 // and in other regions only if enough requests wait. maxDistance is the nearest distance with an available upstream.
-func (r *Asker) spillRange(now time.Time, p *poolState) spillRange {
+func (r *Requester) spillRange(now time.Time, p *poolState) spillRange {
 	var known, idle [pomelorelay.LinkClasses]bool
 	highest := pomelorelay.Tag(0)
 	for _, u := range p.upstreams {
