--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -76,8 +76,8 @@
 	BoundTime Bound = "Time"
 	// BoundSlots stands for an engine that runs too many requests to take this one.
 	BoundSlots Bound = "Slots"
-	// BoundAgain stands for shared parts that would be read although a busier engine keeps them.
-	BoundAgain Bound = "Again"
+	// BoundRecompute stands for shared parts that would be read although a busier engine keeps them.
+	BoundRecompute Bound = "Again"
 )
 
 // Decision is where a request goes, or why it goes nowhere and when it may come back.
@@ -124,18 +124,18 @@
 
 // Run is a request at an upstream, until Ended.
 type Run struct {
-	up      *upstream
-	sent    time.Time
-	missing pomelorelay.Tokens
-	// copied are the tokens that are copied from another engine.
-	copied pomelorelay.Tokens
-	// ahead are the tokens that were to be read before the request's own, as they were known.
-	ahead float64
-	// crowded tells that no slot was free, so that the time to the first token is no sample of reading.
-	crowded bool
-	held    pomelorelay.Tokens
-	begun   bool
-	ended   bool
+	up            *upstream
+	sent          time.Time
+	prefillTokens pomelorelay.Tokens
+	// copiedTokens are the tokens that are copied from another engine.
+	copiedTokens pomelorelay.Tokens
+	// queuedTokens are the tokens that were to be read before the request's own, as they were known.
+	queuedTokens float64
+	// waitedForSlot tells that no slot was free, so that the time to the first token is no sample of reading.
+	waitedForSlot bool
+	memoryTokens  pomelorelay.Tokens
+	started       bool
+	ended         bool
 }
 
 // Result is how a run ended.
@@ -163,34 +163,34 @@
 func (r Result) NotRun() bool { return r == ResultUnreached || r == ResultRefused || r == ResultUnsent }
 
 const (
-	// startRate is the first guess of how fast an engine reads where the operators do not say what all engines produce together.
-	startRate pomelospeed.Rate = 100
-	// readTimes is how many times as fast as it produces tokens on the whole an engine reads: about half of its time goes to generating.
-	readTimes = 2
-	// startService is the first guess of a plain service's time for a request; it is learnt from then on.
-	startService = 40 * time.Millisecond
-	// serviceShare is the weight of a new sample in its running mean.
-	serviceShare = 0.05
-	// noRegionRetry is the Retry-After of requests that no region may serve, which only the operators can change.
-	noRegionRetry = 30 * time.Second
-	// evacuatedRetry is the Retry-After while all upstreams are under evacuation, which takes seconds at least.
-	evacuatedRetry = 2 * time.Second
-	// hangFor is the time after which a connection attempt that failed says nothing of the upstream, unless others answered meanwhile: the network to
+	// initialPrefillRate is the first guess of how fast an engine reads where the operators do not say what all engines produce together.
+	initialPrefillRate pomelospeed.Rate = 100
+	// prefillRateFactor is how many times as fast as it produces tokens on the whole an engine reads: about half of its time goes to generating.
+	prefillRateFactor = 2
+	// initialServiceTime is the first guess of a plain service's time for a request; it is learnt from then on.
+	initialServiceTime = 40 * time.Millisecond
+	// serviceTimeAlpha is the weight of a new sample in its running mean.
+	serviceTimeAlpha = 0.05
+	// noRegionRetryAfter is the Retry-After of requests that no region may serve, which only the operators can change.
+	noRegionRetryAfter = 30 * time.Second
+	// evacuatedRetryAfter is the Retry-After while all upstreams are under evacuation, which takes seconds at least.
+	evacuatedRetryAfter = 2 * time.Second
+	// hungConnectAfter is the time after which a connection attempt that failed says nothing of the upstream, unless others answered meanwhile: the network to
 	// it may be cut.
-	hangFor = 100 * time.Millisecond
-	// failShare is the weight of a new result in the rate of failures.
-	failShare = 0.25
-	// failMemory is how long it takes until half of a rate of failures is forgiven, so that an upstream gets another chance.
-	failMemory = 2 * time.Second
-	// unreachedFor is how long an upstream that took no connection gets nothing, twice as long each time in a row, up to unreachedMost: a
+	hungConnectAfter = 100 * time.Millisecond
+	// failureAlpha is the weight of a new result in the rate of failures.
+	failureAlpha = 0.25
+	// failureHalfLife is how long it takes until half of a rate of failures is forgiven, so that an upstream gets another chance.
+	failureHalfLife = 2 * time.Second
+	// unreachableBackoff is how long an upstream that took no connection gets nothing, twice as long each time in a row, up to unreachedMost: a
 	// restart takes seconds. Idle as it looks, it would be the first choice of every router again each time, and requests that find
 	// several such upstreams in a row are refused.
-	unreachedFor  = 700 * time.Millisecond
-	unreachedMost = 2800 * time.Millisecond
-	// leastUnread is the part of the unread tokens that still counts when reading should long be over by the rate.
-	leastUnread = 0.3
-	// fullMemory is the part of an engine's memory up to which running requests may fill it; above, it evicts what runs.
-	fullMemory = 0.9
+	unreachableBackoff    = 700 * time.Millisecond
+	maxUnreachableBackoff = 2800 * time.Millisecond
+	// minPendingFraction is the part of the unread tokens that still counts when reading should long be over by the rate.
+	minPendingFraction = 0.3
+	// maxMemoryFraction is the part of an engine's memory up to which running requests may fill it; above, it evicts what runs.
+	maxMemoryFraction = 0.9
 	// SilentAfter is the age from which another router's report does not count: it is gone, and its requests with it.
 	SilentAfter = 3 * time.Second
 )
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -9,40 +9,40 @@
 // Where an engine lacks shared parts that another one keeps, it copies them from there: engines that are free serve requests of busy
 // sessions without reading their shared parts again, and a crowd at one session's engine spreads over the others.
 
-// leastCopy is the least number of tokens that are worth a copy's own delay.
-const leastCopy = 256
+// minCopyTokens is the least number of tokens that are worth a copy's own delay.
+const minCopyTokens = 256
 
-// source is the engine that keeps most of a prompt, and how much of it must still be read there.
-type source struct {
-	up      *upstream
-	missing pomelorelay.Tokens
+// copySource is the engine that keeps most of a prompt, and how much of it must still be read there.
+type copySource struct {
+	up       *upstream
+	uncached pomelorelay.Tokens
 }
 
-// source returns the engine that keeps most of the request's prompt, of several the one that runs least. Prompts are copied only from where the
+// findCopySource returns the engine that keeps most of the request's prompt, of several the one that runs least. Prompts are copied only from where the
 // request itself may be served.
-func (p *Placer) source(now time.Time, s *pool, r *Request) source {
-	best := source{missing: r.Prompt}
-	for _, u := range s.list {
-		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.rests(now, &p.cfg.Without) || u.kept.parts[r.Parts[0].Hash] == nil {
+func (p *Placer) findCopySource(now time.Time, s *pool, r *Request) copySource {
+	best := copySource{uncached: r.Prompt}
+	for _, u := range s.upstreams {
+		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.inBackoff(now, &p.cfg.Without) || u.cache.parts[r.Parts[0].Hash] == nil {
 			continue
 		}
-		missing := u.kept.missing(r)
-		if best.up == nil || missing < best.missing || (missing == best.missing && u.running() < best.up.running()) {
-			best = source{u, missing}
+		uncached := u.cache.uncached(r)
+		if best.up == nil || uncached < best.uncached || (uncached == best.uncached && u.running() < best.up.running()) {
+			best = copySource{u, uncached}
 		}
 	}
 	return best
 }
 
-// copy decides whether the candidate copies parts that it would have to read, and returns the time of it.
-func (p *Placer) copy(c *candidate, from source, missing pomelorelay.Tokens) time.Duration {
-	tokens := missing - from.missing
-	if p.cfg.Without.Copies || from.up == nil || from.up == c.up || tokens < leastCopy {
+// planCopy decides whether the candidate copies parts that it would have to read, and returns the time of it.
+func (p *Placer) planCopy(c *candidate, from copySource, uncached pomelorelay.Tokens) time.Duration {
+	tokens := uncached - from.uncached
+	if p.cfg.Without.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
 		return 0
 	}
-	if c.up.pool.copyPart >= 1 {
+	if c.up.pool.copyFraction >= 1 {
 		return 0
 	}
-	c.from, c.copied = from.up, tokens
-	return part(c.up.pool.copyPart, c.up.reading(float64(tokens)))
+	c.copyFrom, c.copiedTokens = from.up, tokens
+	return scale(c.up.pool.copyFraction, c.up.prefillTime(float64(tokens)))
 }
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -9,11 +9,11 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// hangs is how long a connection attempt to a host that does not answer takes.
-const hangs = 500 * time.Millisecond
+// connectTimeout is how long a connection attempt to a host that does not answer takes.
+const connectTimeout = 500 * time.Millisecond
 
-// darkPlay is a router before engines in two failure domains, one of which falls silent.
-type darkPlay struct {
+// domainOutage is a router before engines in two failure domains, one of which falls silent.
+type domainOutage struct {
 	t       *testing.T
 	p       *pomeloplace.Placer
 	now     time.Time
@@ -29,9 +29,9 @@
 	result pomeloplace.Result
 }
 
-func newDarkPlay(t *testing.T, without pomeloplace.Mechanisms, perDomain int) *darkPlay {
+func newDomainOutage(t *testing.T, disabled pomeloplace.Mechanisms, perDomain int) *domainOutage {
 	p := pomeloplace.New(pomeloplace.Config{
-		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Without: without,
+		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Without: disabled,
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}}})
 	for i := range perDomain {
@@ -39,11 +39,11 @@
 			p.Put(start, engineIn(pomelorelay.UpstreamID(fmt.Sprintf("%s%d", domain, i)), domain))
 		}
 	}
-	return &darkPlay{t: t, p: p, now: start}
+	return &domainOutage{t: t, p: p, now: start}
 }
 
 // run sends so many requests a second; dark tells whether domain b is silent.
-func (d *darkPlay) run(length time.Duration, perSecond int, dark bool) {
+func (d *domainOutage) run(length time.Duration, perSecond int, outage bool) {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.now = d.now.Add(time.Second / time.Duration(perSecond))
 		d.settle()
@@ -52,52 +52,52 @@
 		if got.Reason != pomeloplace.ReasonNone {
 			d.t.Fatalf("refused: %s", got.Reason)
 		}
-		one := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
+		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
 		if got.Upstream.Domain == "b" {
-			if dark {
-				one.at, one.result = d.now.Add(hangs), pomeloplace.ResultUnreached
+			if outage {
+				pending.at, pending.result = d.now.Add(connectTimeout), pomeloplace.ResultUnreached
 				d.hung++
 			} else {
 				d.reached++
 			}
 		}
-		d.pending = append(d.pending, one)
+		d.pending = append(d.pending, pending)
 	}
 }
 
-func (d *darkPlay) settle() {
-	kept := d.pending[:0]
-	for _, one := range d.pending {
-		if one.at.After(d.now) {
-			kept = append(kept, one)
+func (d *domainOutage) settle() {
+	remaining := d.pending[:0]
+	for _, pending := range d.pending {
+		if pending.at.After(d.now) {
+			remaining = append(remaining, pending)
 			continue
 		}
-		if one.result == pomeloplace.ResultGood {
-			d.p.Begun(one.at, one.run)
+		if pending.result == pomeloplace.ResultGood {
+			d.p.Begun(pending.at, pending.run)
 		}
-		d.p.Ended(one.at, one.run, one.result)
+		d.p.Ended(pending.at, pending.run, pending.result)
 	}
-	d.pending = kept
+	d.pending = remaining
 }
 
 // Guards against a router that finds a lost failure domain out upstream by upstream: each of its callers that tries one is late.
-func TestALostDomainIsLeftAloneAsAWhole(t *testing.T) {
-	play := func(without pomeloplace.Mechanisms) int {
-		d := newDarkPlay(t, without, 40)
+func TestUnreachableDomainIsBackedOffAsAWhole(t *testing.T) {
+	hungRequests := func(disabled pomeloplace.Mechanisms) int {
+		d := newDomainOutage(t, disabled, 40)
 		d.run(3*time.Second, 40, false)
 		d.run(8*time.Second, 40, true)
 		return d.hung
 	}
-	whole, each := play(pomeloplace.Mechanisms{}), play(pomeloplace.Mechanisms{DomainRests: true})
-	t.Logf("%d of 320 requests hung, %d where each upstream is found out by itself", whole, each)
-	if whole > 25 || each < 2*whole {
-		t.Errorf("%d requests hung, %d where each upstream is found out by itself", whole, each)
+	perDomain, perUpstream := hungRequests(pomeloplace.Mechanisms{}), hungRequests(pomeloplace.Mechanisms{DomainRests: true})
+	t.Logf("%d of 320 requests hung, %d where each upstream is found out by itself", perDomain, perUpstream)
+	if perDomain > 25 || perUpstream < 2*perDomain {
+		t.Errorf("%d requests hung, %d where each upstream is found out by itself", perDomain, perUpstream)
 	}
 }
 
 // Guards against a failure domain that stays unused after it is back.
-func TestADomainThatIsBackIsUsedAgain(t *testing.T) {
-	d := newDarkPlay(t, pomeloplace.Mechanisms{}, 40)
+func TestRecoveredDomainIsUsedAgain(t *testing.T) {
+	d := newDomainOutage(t, pomeloplace.Mechanisms{}, 40)
 	d.run(3*time.Second, 40, false)
 	d.run(8*time.Second, 40, true)
 	d.reached = 0
@@ -108,22 +108,22 @@
 }
 
 // Guards against a failure domain that is left alone because some of its upstreams are down while others answer.
-func TestADomainThatAnswersIsNotLeftAlone(t *testing.T) {
-	d := newDarkPlay(t, pomeloplace.Mechanisms{}, 12)
+func TestPartlyDownDomainIsNotBackedOff(t *testing.T) {
+	d := newDomainOutage(t, pomeloplace.Mechanisms{}, 12)
 	down := func(id pomelorelay.UpstreamID) bool { return id == "b0" || id == "b1" || id == "b2" || id == "b3" }
 	for range 400 {
 		d.now = d.now.Add(25 * time.Millisecond)
 		d.settle()
 		d.seq++
 		got := place(t, d.p, d.now, prompt(d.seq, 300, 100))
-		one := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
+		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
 		switch {
 		case down(got.Upstream.ID):
-			one.at, one.result = d.now.Add(hangs), pomeloplace.ResultUnreached
+			pending.at, pending.result = d.now.Add(connectTimeout), pomeloplace.ResultUnreached
 		case got.Upstream.Domain == "b":
 			d.reached++
 		}
-		d.pending = append(d.pending, one)
+		d.pending = append(d.pending, pending)
 	}
 	if d.reached < 100 {
 		t.Errorf("%d of 400 requests went to the upstreams that answer in the domain", d.reached)
--- a/pomeloplace/evacuation_test.go
+++ b/pomeloplace/evacuation_test.go
@@ -9,7 +9,7 @@
 
 // Guards against new requests, retries and copies at upstreams of a failure domain under evacuation, and against upstreams that stay unused
 // after it was taken back.
-func TestAnEvacuatedDomainGetsNothingNew(t *testing.T) {
+func TestEvacuatedDomainGetsNoNewRequests(t *testing.T) {
 	p := withEngines(2)
 	p.Put(start, engineIn("b0", "b"))
 	now := start
@@ -30,8 +30,8 @@
 		cause   pomeloplace.Reason
 	}{
 		{"anywhere", prompt(1, 500, 100), pomeloplace.ReasonEvacuated, ""},
-		{"in the evacuated region", limited(prompt(1, 500, 100), "ra"), pomeloplace.ReasonRegion, pomeloplace.ReasonEvacuated},
-		{"elsewhere", limited(prompt(1, 500, 100), "rb"), pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"in the evacuated region", limitedTo(prompt(1, 500, 100), "ra"), pomeloplace.ReasonRegion, pomeloplace.ReasonEvacuated},
+		{"elsewhere", limitedTo(prompt(1, 500, 100), "rb"), pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
 	} {
 		d := p.Place(now, c.request)
 		if d.Reason != c.reason || d.Cause != c.cause || d.RetryAfter <= 0 {
@@ -45,11 +45,11 @@
 }
 
 // Guards against prompts that are copied from an engine of a failure domain under evacuation.
-func TestNothingIsCopiedFromAnEvacuatedDomain(t *testing.T) {
+func TestNoCopiesFromEvacuatedDomain(t *testing.T) {
 	p := newPlacer()
 	p.Put(start, engineIn("b0", "b"))
 	now := start
-	now = keepShared(t, p, now)
+	now = cacheSharedPart(t, p, now)
 	p.Put(start, engineIn("a0", "a"))
 	p.SetEvacuated(now, "b", true)
 	if d := place(t, p, now, prompt(1, 5000, 500)); d.Upstream.ID != "a0" || d.Copied != 0 {
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -78,16 +78,16 @@
 
 // ParseMechanisms returns the mechanisms of the names; it fails with CodeSettingsInvalid.
 func ParseMechanisms(names []string) (Mechanisms, error) {
-	var set Mechanisms
+	var disabled Mechanisms
 	for _, name := range names {
-		if !set.add(name) {
-			return set, pomelorelay.NewError(pomelorelay.CodeSettingsInvalid, "no mechanism is called "+name, nil)
+		if !disabled.disable(name) {
+			return disabled, pomelorelay.NewError(pomelorelay.CodeSettingsInvalid, "no mechanism is called "+name, nil)
 		}
 	}
-	return set, nil
+	return disabled, nil
 }
 
-func (m *Mechanisms) add(name string) bool {
+func (m *Mechanisms) disable(name string) bool {
 	for _, known := range mechanisms {
 		if known.name == name {
 			*known.field(m) = true
--- a/pomeloplace/mechanism_test.go
+++ b/pomeloplace/mechanism_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-func TestMechanismsAreSwitchedOffByName(t *testing.T) {
+func TestParseMechanismsByName(t *testing.T) {
 	for _, name := range pomeloplace.MechanismNames() {
 		set, err := pomeloplace.ParseMechanisms([]string{name})
 		if err != nil || set == (pomeloplace.Mechanisms{}) {
@@ -22,7 +22,7 @@
 
 // A fleet stands in two regions, and the way between them takes longer than anybody said. Routers that do not learn it expect answers too
 // early, and send requests to the other region that are late there.
-func TestTheWayToAnotherRegionIsLearnt(t *testing.T) {
+func TestRegionLatencyIsLearnt(t *testing.T) {
 	p := newPlacer()
 	far := engine("e0")
 	far.Domain = "b"
@@ -30,21 +30,21 @@
 	near := engine("e1")
 	p.Put(start, near)
 	now := start
-	ask := func(avoid pomelorelay.UpstreamID, way time.Duration) pomeloplace.Decision {
+	ask := func(avoid pomelorelay.UpstreamID, rtt time.Duration) pomeloplace.Decision {
 		now = now.Add(200 * time.Millisecond)
 		r := prompt(uint64(now.UnixNano()), 500, 500)
 		r.Avoid = []pomelorelay.UpstreamID{avoid}
 		d := place(t, p, now, r)
-		p.Begun(now.Add(40*time.Millisecond+way), d.Run)
-		p.Ended(now.Add(50*time.Millisecond+way), d.Run, pomeloplace.ResultGood)
+		p.Begun(now.Add(40*time.Millisecond+rtt), d.Run)
+		p.Ended(now.Add(50*time.Millisecond+rtt), d.Run, pomeloplace.ResultGood)
 		return d
 	}
-	const way = 100 * time.Millisecond
-	var there, here pomeloplace.Decision
+	const rtt = 100 * time.Millisecond
+	var remote, local pomeloplace.Decision
 	for range 1000 {
-		there, here = ask("e1", way), ask("e0", 0)
+		remote, local = ask("e1", rtt), ask("e0", 0)
 	}
-	if got := there.Expected - here.Expected; got < way*3/4 || got > way*5/4 {
-		t.Errorf("the other region is taken to be %v further, want about %v", got, way)
+	if got := remote.Expected - local.Expected; got < rtt*3/4 || got > rtt*5/4 {
+		t.Errorf("the other region is taken to be %v further, want about %v", got, rtt)
 	}
 }
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -17,9 +17,9 @@
 )
 
 // routes say what callers expect.
-var routes = []pomelorelay.Route{{Target: 400 * time.Millisecond, Pause: pauseAllowed, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
+var routes = []pomelorelay.Route{{Target: 400 * time.Millisecond, Pause: maxPause, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
 
-const pauseAllowed = 400 * time.Millisecond
+const maxPause = 400 * time.Millisecond
 
 func newPlacer() *pomeloplace.Placer {
 	p := pomeloplace.New(pomeloplace.Config{
@@ -64,7 +64,7 @@
 	return d
 }
 
-func TestSharedPartsGoWhereTheyAreKept(t *testing.T) {
+func TestRequestsGoToTheEngineWithTheirCachedPrefix(t *testing.T) {
 	p := withEngines(9)
 	first := place(t, p, start, prompt(1, 5000, 100))
 	now := start
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestOtherRoutersPartsAreKnown(t *testing.T) {
+func TestPartsReportedByOtherRoutersAreUsed(t *testing.T) {
 	a, b := withEngines(9), withEngines(9)
 	d := place(t, a, start, prompt(1, 5000, 100))
 	var m pomelorelay.LoadReport
@@ -93,11 +93,11 @@
 
 // An upstream begins to drain, or a request already failed at it. Sent there, the request would be cut by the upstream's end, or fail
 // once more.
-func TestNeverToDrainingAndSeldomToAvoided(t *testing.T) {
+func TestDrainingUpstreamsExcludedAndAvoidedOnesLast(t *testing.T) {
 	p := withEngines(3)
-	leaving := engine("e0")
-	leaving.Draining = true
-	p.Put(start, leaving)
+	draining := engine("e0")
+	draining.Draining = true
+	p.Put(start, draining)
 	r := prompt(1, 100, 100)
 	r.Avoid = []pomelorelay.UpstreamID{"e1"}
 	for i := range 20 {
@@ -119,7 +119,7 @@
 
 // Long queues have formed at every engine. A request that is sent nevertheless waits past its target and delays the next; its caller
 // would rather hear at once when to come back.
-func TestRefusesWhatCannotBeginInTime(t *testing.T) {
+func TestRefusesRequestsThatWouldMissTheirTarget(t *testing.T) {
 	p := withEngines(2)
 	refused := pomeloplace.Decision{}
 	for i := range 100 {
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestBeyondAShareOnlyWhereItDelaysNobody(t *testing.T) {
+func TestOverShareRequestsRefusedOnBusyEngine(t *testing.T) {
 	p := withEngines(1)
 	for i := range 50 {
 		place(t, p, start.Add(time.Duration(i)*time.Second), prompt(uint64(i+1), 10, 10))
@@ -156,10 +156,10 @@
 
 // An account floods while the engine that keeps its prompts is full, and another one is free. Read again there, its long shared parts take
 // the free engine from callers within their share, who see late answers and refusals. Copied from the full engine, they take next to nothing.
-func TestBeyondAShareNothingIsReadAgain(t *testing.T) {
+func TestOverShareRequestsDoNotRecomputeCachedParts(t *testing.T) {
 	p := withEngines(2)
-	keeper := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: keeper, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
+	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
 	flood := func(shared uint64, tokens pomelorelay.Tokens) pomeloplace.Request {
 		r := prompt(shared, tokens, 100)
 		r.Owed = false
@@ -170,40 +170,40 @@
 	if d := p.Place(start, flood(1, 5000)); d.Reason != pomeloplace.ReasonShare {
 		t.Errorf("%q at %s, which reads %d shared tokens again", d.Reason, d.Upstream.ID, d.Shared)
 	}
-	if d := place(t, p, start, flood(2, 5000)); d.Upstream.ID == keeper {
+	if d := place(t, p, start, flood(2, 5000)); d.Upstream.ID == holder {
 		t.Error("a part that no engine keeps went to the full one")
 	}
-	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == keeper || d.Shared != 5000 {
+	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == holder || d.Shared != 5000 {
 		t.Errorf("a request within its share went to %s and reads %d shared tokens", d.Upstream.ID, d.Shared)
 	}
 }
 
 // The engine that keeps a session's parts is crowded, and others are free. Waiting there, its callers see late answers; read again
 // elsewhere, its parts take another engine's time from everybody.
-func TestACrowdedSessionsPartsAreCopied(t *testing.T) {
+func TestPrefixIsCopiedFromOverloadedEngine(t *testing.T) {
 	p := withEngines(3)
-	keeper := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: keeper, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
+	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
 	d := place(t, p, start, prompt(1, 5000, 200))
-	if d.Upstream.ID == keeper || d.CopyFrom.ID != keeper || d.Copied != 5000 || d.Shared != 0 {
+	if d.Upstream.ID == holder || d.CopyFrom.ID != holder || d.Copied != 5000 || d.Shared != 0 {
 		t.Errorf("sent to %s, which copies %d tokens from %q and reads %d shared ones", d.Upstream.ID, d.Copied, d.CopyFrom.ID, d.Shared)
 	}
 	// An engine that takes no connection gives nothing away either.
-	lost := place(t, p, start, prompt(2, 5000, 300))
-	p.Ended(start, lost.Run, pomeloplace.ResultUnreached)
-	if d := place(t, p, start, prompt(2, 5000, 400)); d.CopyFrom.ID == lost.Upstream.ID {
+	unreachable := place(t, p, start, prompt(2, 5000, 300))
+	p.Ended(start, unreachable.Run, pomeloplace.ResultUnreached)
+	if d := place(t, p, start, prompt(2, 5000, 400)); d.CopyFrom.ID == unreachable.Upstream.ID {
 		t.Errorf("copies from %s, which takes no connection", d.CopyFrom.ID)
 	}
 }
 
 // A single prompt takes longer to read than its caller's target. Refused each time, the largest requests would never be served.
-func TestTheLargestAreServedWhereLittleWaits(t *testing.T) {
+func TestLongPromptsAdmittedWhenQueuesAreShort(t *testing.T) {
 	p := withEngines(4)
 	place(t, p, start, prompt(1, 100, 50_000))
 }
 
 // An upstream that fails what it is sent still looks idle, and every router's requests would go there.
-func TestFailingUpstreamsLoseTheirRequests(t *testing.T) {
+func TestFailingUpstreamsGetFewRequests(t *testing.T) {
 	p := withEngines(2)
 	now := start
 	sent := make(map[pomelorelay.UpstreamID]int)
@@ -229,7 +229,7 @@
 
 // An entry lapses while the store is away and comes back; the upstream lived all the while. A restart under the same name, on the
 // other hand, has lost what it kept.
-func TestReturnedUpstreamsKeepAndRestartedOnesForget(t *testing.T) {
+func TestCacheKeptOnRelistingAndClearedOnRestart(t *testing.T) {
 	p := withEngines(1)
 	d := place(t, p, start, prompt(1, 5000, 100))
 	p.Ended(start, d.Run, pomeloplace.ResultGood)
@@ -248,12 +248,12 @@
 
 // The report in which a router's load fell to nothing is lost with a link, or the router is gone. Its load would be counted for ever,
 // and the upstream would look full.
-func TestLostReportsAndSilentRouters(t *testing.T) {
+func TestLoadClearedAfterLostReportOrRouterTimeout(t *testing.T) {
 	a, b := withEngines(1), withEngines(1)
 	d := place(t, a, start, prompt(1, 100, 100))
-	var began pomelorelay.LoadReport
-	a.Report(&began)
-	b.TakeReport(start, "a", 1, &began)
+	var started pomelorelay.LoadReport
+	a.Report(&started)
+	b.TakeReport(start, "a", 1, &started)
 	running := func(now time.Time) int {
 		d := place(t, b, now, prompt(2, 0, 10))
 		b.Ended(now, d.Run, pomeloplace.ResultGood)
@@ -271,7 +271,7 @@
 	if n := running(start); n != 0 {
 		t.Errorf("%d running after a whole report, want 0", n)
 	}
-	b.TakeReport(start, "c", 1, &began)
+	b.TakeReport(start, "c", 1, &started)
 	b.Tick(start.Add(10 * time.Second))
 	if n := running(start.Add(10 * time.Second)); n != 0 {
 		t.Errorf("%d running of a router that is silent, want 0", n)
@@ -280,7 +280,7 @@
 
 // A router hears nothing from another for a while and goes on placing by its last report. On call, one must see from the line of a request
 // how old that was.
-func TestADecisionTellsHowOldItsInputsAre(t *testing.T) {
+func TestDecisionIncludesReportAge(t *testing.T) {
 	p := withEngines(2)
 	if d := p.Place(start, prompt(1, 500, 10)); d.ReportAge != 0 {
 		t.Errorf("a report of %v, none was heard", d.ReportAge)
@@ -299,7 +299,7 @@
 	}
 }
 
-func TestPlainServicesGoToTheLeastLoaded(t *testing.T) {
+func TestPlainServicesUseLeastLoadedUpstream(t *testing.T) {
 	p := newPlacer()
 	for i := range 3 {
 		p.Put(start, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("p%d", i)), Service: plain, Domain: "a", Slots: 6})
@@ -318,10 +318,10 @@
 
 // An engine crashes and stays down for seconds. It runs nothing, so that it looks like the best place each time its rest is over; every
 // router tries it again and again, and callers' requests lose time and attempts by it.
-func TestUpstreamsThatStayDownRestLonger(t *testing.T) {
+func TestBackoffGrowsForUnreachableUpstreams(t *testing.T) {
 	p := withEngines(2)
 	down := pomelorelay.UpstreamID("")
-	tries := 0
+	attempts := 0
 	for at := time.Duration(0); at < 5*time.Second; at += 20 * time.Millisecond {
 		d := place(t, p, start.Add(at), prompt(1, 100, 100))
 		if down == "" {
@@ -329,13 +329,13 @@
 		}
 		result := pomeloplace.ResultGood
 		if d.Upstream.ID == down {
-			tries++
+			attempts++
 			result = pomeloplace.ResultUnreached
 		}
 		p.Ended(start.Add(at+time.Millisecond), d.Run, result)
 	}
-	if tries > 4 {
-		t.Errorf("tried %d times in 5 s, want at most 4", tries)
+	if attempts > 4 {
+		t.Errorf("tried %d times in 5 s, want at most 4", attempts)
 	}
 }
 
@@ -362,7 +362,7 @@
 }
 
 // Guards against engines of few slots that stand idle because nearly all of their slots are kept free of requests beyond shares.
-func TestFewSlotsAreNotAllReserved(t *testing.T) {
+func TestSlotReserveLeavesSlotsOnSmallEngines(t *testing.T) {
 	got := runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Owed = false })
 	if got < 6 || got > 10 {
 		t.Errorf("%d of twelve slots run requests beyond shares, want more than half and not all", got)
@@ -370,12 +370,12 @@
 }
 
 // Guards against an account that takes the last slots of every engine while another is short by far.
-func TestAnAccountThatIsAheadLeavesSlots(t *testing.T) {
+func TestAheadAccountsLeaveSlotsFree(t *testing.T) {
 	fills := func(ahead float64) int {
 		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Ahead = ahead })
 	}
-	short, little, far := fills(0), fills(1.1), fills(5)
-	if short != 12 || little < 9 || little >= short || far >= little || far < 6 {
-		t.Errorf("of twelve slots a short account fills %d, one a little ahead %d, one far ahead %d", short, little, far)
+	short, slightlyAhead, farAhead := fills(0), fills(1.1), fills(5)
+	if short != 12 || slightlyAhead < 9 || slightlyAhead >= short || farAhead >= slightlyAhead || farAhead < 6 {
+		t.Errorf("of twelve slots a short account fills %d, one a little ahead %d, one far ahead %d", short, slightlyAhead, farAhead)
 	}
 }
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -13,10 +13,10 @@
 type Placer struct {
 	cfg       Config
 	upstreams map[pomelorelay.UpstreamID]*upstream
-	// retired are upstreams that were removed.
-	retired  map[pomelorelay.UpstreamID]*upstream
-	services map[pomelorelay.ServiceID]*pool
-	engines  map[pomelorelay.ServiceID]*pomelorelay.EngineSpec
+	// removed are upstreams that were removed.
+	removed     map[pomelorelay.UpstreamID]*upstream
+	pools       map[pomelorelay.ServiceID]*pool
+	engineSpecs map[pomelorelay.ServiceID]*pomelorelay.EngineSpec
 	// capacity is what all engines together produce in a second as the operators configured it; zero when they did not.
 	capacity pomelorelay.Cost
 	// engineCount is the number of upstreams that are model engines.
@@ -24,33 +24,33 @@
 	peers       map[pomelorelay.NodeID]*peer
 	domains     map[pomelorelay.DomainID]*domainState
 	// warmup is which upstreams are cold, starts what the other routers are to learn of it.
-	warmup *pomelowarmup.Gate
-	starts []pomelorelay.UpstreamStart
-	// answeredAt is when an upstream last answered this router.
-	answeredAt time.Time
-	parts      []pomelorelay.PartPlaced
-	// oldest is the time of the oldest last report of another router; zero when there is none.
-	oldest time.Time
-	// sentSince are the prompt tokens that were sent since the last report.
-	sentSince pomelorelay.Tokens
-	seq       uint64
-	// latencies are the round trips to other regions that were learnt, beyond those within the own.
-	latencies map[pomelorelay.RegionID]time.Duration
-	// expected are what the callers of each service expect.
-	expected map[pomelorelay.ServiceID]expectation
+	warmup        *pomelowarmup.Gate
+	pendingStarts []pomelorelay.UpstreamStart
+	// lastAnswerAt is when an upstream last answered this router.
+	lastAnswerAt time.Time
+	pendingParts []pomelorelay.PartPlaced
+	// oldestReportAt is the time of the oldest last report of another router; zero when there is none.
+	oldestReportAt time.Time
+	// tokensSinceReport are the prompt tokens that were sent since the last report.
+	tokensSinceReport pomelorelay.Tokens
+	seq               uint64
+	// regionLatencies are the round trips to other regions that were learnt, beyond those within the own.
+	regionLatencies map[pomelorelay.RegionID]time.Duration
+	// targets are what the callers of each service expect.
+	targets map[pomelorelay.ServiceID]latencyTargets
 }
 
 // New returns a Placer without upstreams.
 func New(cfg Config) *Placer {
 	return &Placer{
-		cfg:       cfg,
-		upstreams: make(map[pomelorelay.UpstreamID]*upstream),
-		retired:   make(map[pomelorelay.UpstreamID]*upstream),
-		services:  make(map[pomelorelay.ServiceID]*pool),
-		engines:   make(map[pomelorelay.ServiceID]*pomelorelay.EngineSpec),
-		latencies: make(map[pomelorelay.RegionID]time.Duration),
-		peers:     make(map[pomelorelay.NodeID]*peer),
-		domains:   make(map[pomelorelay.DomainID]*domainState),
+		cfg:             cfg,
+		upstreams:       make(map[pomelorelay.UpstreamID]*upstream),
+		removed:         make(map[pomelorelay.UpstreamID]*upstream),
+		pools:           make(map[pomelorelay.ServiceID]*pool),
+		engineSpecs:     make(map[pomelorelay.ServiceID]*pomelorelay.EngineSpec),
+		regionLatencies: make(map[pomelorelay.RegionID]time.Duration),
+		peers:           make(map[pomelorelay.NodeID]*peer),
+		domains:         make(map[pomelorelay.DomainID]*domainState),
 		warmup: pomelowarmup.New(pomelowarmup.Config{
 			Self: cfg.Self, Regions: cfg.Regions, Bounds: cfg.Cold,
 		}),
@@ -59,39 +59,39 @@
 
 // SetConfig takes what the configuration says of the services and of what their engines produce.
 func (p *Placer) SetConfig(config *pomelorelay.FleetConfig) {
-	clear(p.engines)
+	clear(p.engineSpecs)
 	p.capacity = config.Limits.TokensPerSecond
 	p.warmup.SetServices(config.Services)
-	p.expected = expectations(config.Routes)
-	for name, s := range p.services {
-		s.expectation = p.expected[name]
+	p.targets = latencyTargetsByService(config.Routes)
+	for name, s := range p.pools {
+		s.latencyTargets = p.targets[name]
 	}
 	for _, s := range config.Services {
-		p.engines[s.Name] = s.Engine
+		p.engineSpecs[s.Name] = s.Engine
 	}
 	p.engineCount = 0
 	for _, u := range p.upstreams {
-		u.setEngine(p.engines[u.info.Service])
-		p.count(u, 1)
+		u.setEngine(p.engineSpecs[u.info.Service])
+		p.countEngine(u, 1)
 	}
-	p.guess()
+	p.updateInitialRate()
 }
 
-// count counts an upstream that comes or goes among the engines.
-func (p *Placer) count(u *upstream, change int) {
+// countEngine counts an upstream that comes or goes among the engines.
+func (p *Placer) countEngine(u *upstream, delta int) {
 	if u.engine != nil {
-		p.engineCount += change
+		p.engineCount += delta
 	}
 }
 
-// guess makes the operators' figure the first guess of how fast each engine reads.
-func (p *Placer) guess() {
-	rate := startRate
+// updateInitialRate makes the operators' figure the first guess of how fast each engine reads.
+func (p *Placer) updateInitialRate() {
+	rate := initialPrefillRate
 	if p.capacity > 0 && p.engineCount > 0 {
-		rate = pomelospeed.Rate(readTimes * float64(p.capacity) / float64(p.engineCount) / 1000)
+		rate = pomelospeed.Rate(prefillRateFactor * float64(p.capacity) / float64(p.engineCount) / 1000)
 	}
-	for _, s := range p.services {
-		s.line.SetGuess(rate)
+	for _, s := range p.pools {
+		s.speed.SetGuess(rate)
 	}
 }
 
@@ -100,38 +100,38 @@
 func (p *Placer) Put(now time.Time, info pomelorelay.FleetUpstream) {
 	u := p.upstreams[info.ID]
 	if u == nil {
-		u = p.retired[info.ID]
+		u = p.removed[info.ID]
 	}
-	if u == nil || !u.same(info) {
+	if u == nil || !u.sameInstance(info) {
 		p.Remove(info.ID)
-		u = newUpstream(info, p.engines[info.Service])
-		u.start = p.startOf(now, info)
-		p.recount(u, info.ID)
+		u = newUpstream(info, p.engineSpecs[info.Service])
+		u.warmup = p.warmupState(now, info)
+		p.addPeerLoads(u, info.ID)
 	}
 	u.info = info
 	u.region = p.cfg.Regions[info.Domain]
-	u.foreign = u.region != p.cfg.Self.Region
-	u.domain = p.domain(info.Domain)
-	u.start.Listed(now, info)
+	u.otherRegion = u.region != p.cfg.Self.Region
+	u.domain = p.ensureDomain(info.Domain)
+	u.warmup.Listed(now, info)
 	if p.upstreams[info.ID] == u {
 		return
 	}
-	delete(p.retired, info.ID)
+	delete(p.removed, info.ID)
 	p.upstreams[info.ID] = u
-	s := p.services[info.Service]
+	s := p.pools[info.Service]
 	if s == nil {
 		s = newPool()
-		s.expectation = p.expected[info.Service]
-		p.services[info.Service] = s
+		s.latencyTargets = p.targets[info.Service]
+		p.pools[info.Service] = s
 	}
-	u.setEngine(p.engines[info.Service])
+	u.setEngine(p.engineSpecs[info.Service])
 	s.add(u)
 	u.pool = s
-	p.count(u, 1)
-	p.guess()
+	p.countEngine(u, 1)
+	p.updateInitialRate()
 }
 
-func (p *Placer) domain(id pomelorelay.DomainID) *domainState {
+func (p *Placer) ensureDomain(id pomelorelay.DomainID) *domainState {
 	d := p.domains[id]
 	if d == nil {
 		d = newDomainState()
@@ -140,9 +140,9 @@
 	return d
 }
 
-// startOf returns what is known of the start of an upstream that is listed anew.
-func (p *Placer) startOf(now time.Time, info pomelorelay.FleetUpstream) *pomelowarmup.Upstream {
-	if p.known(info.ID) != nil {
+// warmupState returns what is known of the start of an upstream that is listed anew.
+func (p *Placer) warmupState(now time.Time, info pomelorelay.FleetUpstream) *pomelowarmup.Upstream {
+	if p.lookUp(info.ID) != nil {
 		return p.warmup.Restarted(now, info)
 	}
 	return p.warmup.Upstream(now, info)
@@ -151,13 +151,13 @@
 // SetRouters takes the other routers that are registered.
 func (p *Placer) SetRouters(others []pomelorelay.Peer) { p.warmup.SetRouters(others) }
 
-// same reports whether an entry is of the same start of the same upstream.
-func (u *upstream) same(info pomelorelay.FleetUpstream) bool {
+// sameInstance reports whether an entry is of the same start of the same upstream.
+func (u *upstream) sameInstance(info pomelorelay.FleetUpstream) bool {
 	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.Born == info.Born || info.Born == 0)
 }
 
-// mostRetired bounds the upstreams that are remembered after they were removed.
-const mostRetired = 256
+// maxRemoved bounds the upstreams that are remembered after they were removed.
+const maxRemoved = 256
 
 // Remove takes an upstream out; what runs there goes on, and it is remembered in case that its entry comes back.
 func (p *Placer) Remove(id pomelorelay.UpstreamID) {
@@ -165,48 +165,48 @@
 	if u == nil {
 		return
 	}
-	if len(p.retired) >= mostRetired {
-		clear(p.retired)
+	if len(p.removed) >= maxRemoved {
+		clear(p.removed)
 	}
-	p.retired[id] = u
+	p.removed[id] = u
 	delete(p.upstreams, id)
 	u.pool.remove(u)
-	p.count(u, -1)
-	p.guess()
+	p.countEngine(u, -1)
+	p.updateInitialRate()
 }
 
 // Place decides on a request. The run that it returns must be ended.
 func (p *Placer) Place(now time.Time, r Request) Decision {
 	if r.Residency.Empty() {
-		return Decision{Reason: ReasonNoRegion, RetryAfter: noRegionRetry, ReportAge: p.reportAge(now)}
+		return Decision{Reason: ReasonNoRegion, RetryAfter: noRegionRetryAfter, ReportAge: p.reportAge(now)}
 	}
 	best, v, found := p.choose(now, &r)
 	if !found {
-		return p.unplaced(now, &r)
+		return p.noUpstreamDecision(now, &r)
 	}
 	d := Decision{
-		Term:      best.largest,
+		Term:      best.largestTerm,
 		ReportAge: p.reportAge(now),
-		Upstream:  best.up.info, Expected: best.expected, Backlog: best.backlog, Missing: best.missing, Shared: best.shared, Running: best.up.running(),
+		Upstream:  best.up.info, Expected: best.expectedLatency, Backlog: best.queueDelay, Missing: best.prefillTokens, Shared: best.uncachedShared, Running: best.up.running(),
 	}
-	if best.from != nil {
-		d.CopyFrom, d.Copied = best.from.info, best.copied
+	if best.copyFrom != nil {
+		d.CopyFrom, d.Copied = best.copyFrom.info, best.copiedTokens
 	}
 	if v.bound != BoundNone {
 		d.Reason, d.Bound, d.RetryAfter = v.reason, v.bound, v.retryAfter
 		return d
 	}
-	d.Run = p.start(now, best, &r)
+	d.Run = p.startRun(now, best, &r)
 	return d
 }
 
-// unplaced is the decision on a request for which there is no upstream.
-func (p *Placer) unplaced(now time.Time, r *Request) Decision {
-	d := Decision{Reason: ReasonNoUpstream, RetryAfter: unreachedFor, ReportAge: p.reportAge(now)}
+// noUpstreamDecision is the decision on a request for which there is no upstream.
+func (p *Placer) noUpstreamDecision(now time.Time, r *Request) Decision {
+	d := Decision{Reason: ReasonNoUpstream, RetryAfter: unreachableBackoff, ReportAge: p.reportAge(now)}
 	if wait, cold := p.coldWait(now, r); cold {
 		d.Reason, d.RetryAfter = ReasonCold, wait
 	} else if p.onlyEvacuated(r) {
-		d.Reason, d.RetryAfter = ReasonEvacuated, evacuatedRetry
+		d.Reason, d.RetryAfter = ReasonEvacuated, evacuatedRetryAfter
 	}
 	if r.Residency.Limited {
 		d.Reason, d.Cause = ReasonRegion, d.Reason
@@ -216,35 +216,35 @@
 
 // onlyEvacuated reports whether an upstream would take the request if it were not for an evacuation.
 func (p *Placer) onlyEvacuated(r *Request) bool {
-	s := p.services[r.Service]
+	s := p.pools[r.Service]
 	if s == nil {
 		return false
 	}
-	return slices.ContainsFunc(s.list, func(u *upstream) bool {
+	return slices.ContainsFunc(s.upstreams, func(u *upstream) bool {
 		return u.domain.evacuated && !u.info.Draining && p.allowed(u, r)
 	})
 }
 
 // coldWait returns when this router may send the request to a cold upstream, and whether there is any that it could go to.
 func (p *Placer) coldWait(now time.Time, r *Request) (time.Duration, bool) {
-	s := p.services[r.Service]
+	s := p.pools[r.Service]
 	if s == nil {
 		return 0, false
 	}
-	least, found := mostRetry, false
-	for _, u := range s.list {
-		if p.usable(u, r) && u.start.Cold(now) {
-			least, found = min(least, u.start.Wait(now)), true
+	least, found := maxRetryAfter, false
+	for _, u := range s.upstreams {
+		if p.usable(u, r) && u.warmup.Cold(now) {
+			least, found = min(least, u.warmup.Wait(now)), true
 		}
 	}
-	return max(least, leastRetry), found
+	return max(least, minRetryAfter), found
 }
 
 // Warmups returns the upstreams that are cold or may be.
 func (p *Placer) Warmups(now time.Time) map[pomelorelay.UpstreamID]pomelowarmup.Status {
 	cold := make(map[pomelorelay.UpstreamID]pomelowarmup.Status)
 	for id, u := range p.upstreams {
-		if s := u.start.Status(now); s.Cold {
+		if s := u.warmup.Status(now); s.Cold {
 			cold[id] = s
 		}
 	}
@@ -253,13 +253,13 @@
 
 // SetEvacuated begins or ends the evacuation of a failure domain. Its upstreams may have become cold meanwhile.
 func (p *Placer) SetEvacuated(now time.Time, domain pomelorelay.DomainID, evacuated bool) {
-	p.domain(domain).evacuated = evacuated
+	p.ensureDomain(domain).evacuated = evacuated
 	if evacuated {
 		return
 	}
 	for _, u := range p.upstreams {
 		if u.info.Domain == domain {
-			u.start.MayBeCold(now)
+			u.warmup.MayBeCold(now)
 		}
 	}
 }
@@ -275,15 +275,15 @@
 }
 
 // choose returns the best candidate for the request, and whether it is admitted there. Cold upstreams are taken only when no other one admits it.
-func (p *Placer) choose(now time.Time, r *Request) (candidate, verdict, bool) {
-	best, found := p.best(now, r, pomelowarmup.Open)
-	var v verdict
+func (p *Placer) choose(now time.Time, r *Request) (candidate, admission, bool) {
+	best, found := p.bestCandidate(now, r, pomelowarmup.Open)
+	var v admission
 	if found {
 		if v = p.admit(best, r); v.bound == BoundNone {
 			return best, v, true
 		}
 	}
-	if cold, ok := p.best(now, r, pomelowarmup.Reserve); ok {
+	if cold, ok := p.bestCandidate(now, r, pomelowarmup.Reserve); ok {
 		if admitted := p.admit(cold, r); admitted.bound == BoundNone || !found {
 			return cold, admitted, true
 		}
@@ -291,79 +291,79 @@
 	return best, v, found
 }
 
-// best returns the candidate of the lowest cost among the upstreams of a class. Those that failed this request or take no connections are taken
+// bestCandidate returns the candidate of the lowest cost among the upstreams of a class. Those that failed this request or take no connections are taken
 // only when there is no other.
-func (p *Placer) best(now time.Time, r *Request, class pomelowarmup.Class) (candidate, bool) {
+func (p *Placer) bestCandidate(now time.Time, r *Request, class pomelowarmup.Class) (candidate, bool) {
 	var best candidate
-	s := p.services[r.Service]
+	s := p.pools[r.Service]
 	if s == nil {
 		return best, false
 	}
 	found := false
 	least := r.Prompt
-	source := p.source(now, s, r)
-	s.renew(now)
+	source := p.findCopySource(now, s, r)
+	s.refreshEstimates(now)
 	for round := 0; round < 2 && !found; round++ {
-		for _, u := range s.list {
-			if !p.usable(u, r) || u.start.Class(now) != class || (round == 0 && (u.rests(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
+		for _, u := range s.upstreams {
+			if !p.usable(u, r) || u.warmup.Class(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
 				continue
 			}
-			c := p.weigh(now, u, source, r)
-			least = min(least, c.shared)
+			c := p.evaluate(now, u, source, r)
+			least = min(least, c.uncachedShared)
 			if !found || c.cost < best.cost {
 				best, found = c, true
 			}
 		}
 	}
-	best.again = best.shared - least
+	best.recomputed = best.uncachedShared - least
 	return best, found
 }
 
-func (p *Placer) start(now time.Time, c candidate, r *Request) *Run {
+func (p *Placer) startRun(now time.Time, c candidate, r *Request) *Run {
 	u := c.up
-	u.start.Take(now)
-	u.domain.sent(now)
-	run := &Run{up: u, sent: now, missing: c.missing, copied: c.copied, held: r.Prompt + r.Output}
+	u.warmup.Take(now)
+	u.domain.recordSend(now)
+	run := &Run{up: u, sent: now, prefillTokens: c.prefillTokens, copiedTokens: c.copiedTokens, memoryTokens: r.Prompt + r.Output}
 	u.own.running++
 	u.changed = true
 	if u.engine == nil {
 		return run
 	}
-	run.ahead, run.crowded = u.backlog(now), u.running() > u.slots()
-	u.own.unread += run.missing
-	u.own.held += run.held
-	u.own.sent += run.missing
-	p.sentSince += run.missing
-	u.enqueue(now, run.missing*pomelorelay.Tokens(1+u.pool.unreported))
-	u.noteLong(now)
-	u.pool.flow.addOwn(now, run.missing, u.pool.long(run.missing))
-	p.notePlaced(now, u, r)
+	run.queuedTokens, run.waitedForSlot = u.queuedTokens(now), u.running() > u.slots()
+	u.own.pendingPrefill += run.prefillTokens
+	u.own.memoryTokens += run.memoryTokens
+	u.own.sent += run.prefillTokens
+	p.tokensSinceReport += run.prefillTokens
+	u.enqueue(now, run.prefillTokens*pomelorelay.Tokens(1+u.pool.unreportedRouters))
+	u.noteLongPrefill(now)
+	u.pool.work.addOwn(now, run.prefillTokens, u.pool.isLong(run.prefillTokens))
+	p.recordParts(now, u, r)
 	return run
 }
 
-// leastPart is the least number of tokens of a part that is reported to other routers: below, reading it again costs less than the report.
-const leastPart = 64
+// minReportedPart is the least number of tokens of a part that is reported to other routers: below, reading it again costs less than the report.
+const minReportedPart = 64
 
-func (p *Placer) notePlaced(now time.Time, u *upstream, r *Request) {
+func (p *Placer) recordParts(now time.Time, u *upstream, r *Request) {
 	for i, part := range r.Parts {
-		u.kept.note(part.Hash, part.Tokens)
-		if part.Tokens >= leastPart && i < len(r.Parts)-1 && u.kept.tell(now, part.Hash) {
-			p.parts = append(p.parts, pomelorelay.PartPlaced{Upstream: u.info.ID, Hash: part.Hash, Tokens: part.Tokens})
+		u.cache.add(part.Hash, part.Tokens)
+		if part.Tokens >= minReportedPart && i < len(r.Parts)-1 && u.cache.markReported(now, part.Hash) {
+			p.pendingParts = append(p.pendingParts, pomelorelay.PartPlaced{Upstream: u.info.ID, Hash: part.Hash, Tokens: part.Tokens})
 		}
 	}
 }
 
 // Begun notes that a run's answer began.
 func (p *Placer) Begun(now time.Time, run *Run) {
-	if run.begun || run.ended {
+	if run.started || run.ended {
 		return
 	}
-	run.begun = true
+	run.started = true
 	u := run.up
-	p.noteAnswer(now, run)
-	u.own.unread -= run.missing
+	p.recordAnswer(now, run)
+	u.own.pendingPrefill -= run.prefillTokens
 	u.changed = true
-	p.learnLatency(u, u.learn(now, run, now.Sub(run.sent), p.latency(u)))
+	p.updateRegionLatency(u, u.observeFirstToken(now, run, now.Sub(run.sent), p.regionLatency(u)))
 }
 
 // Ended notes that a run ended.
@@ -374,53 +374,53 @@
 	run.ended = true
 	u := run.up
 	if u.engine != nil {
-		if !run.begun {
-			u.own.unread -= run.missing
+		if !run.started {
+			u.own.pendingPrefill -= run.prefillTokens
 		}
-		u.own.held -= run.held
+		u.own.memoryTokens -= run.memoryTokens
 	}
 	u.own.running--
-	if run.begun && u.engine != nil && (result == ResultGood || result == ResultPaused) && u.longAt.After(run.sent) {
-		u.pool.notePause(now, result == ResultPaused)
+	if run.started && u.engine != nil && (result == ResultGood || result == ResultPaused) && u.longPrefillAt.After(run.sent) {
+		u.pool.recordPause(now, result == ResultPaused)
 	}
 	u.changed = true
-	u.result(now, result)
+	u.recordResult(now, result)
 	if result == ResultUnreached {
-		p.noteUnreached(now, run)
+		p.recordUnreachable(now, run)
 	}
 }
 
-// noteUnreached notes that an upstream took no connection.
-func (p *Placer) noteUnreached(now time.Time, run *Run) {
-	u, hung := run.up, now.Sub(run.sent) >= hangFor
-	if hung {
-		u.domain.hang(now, run.sent, u.info.ID)
+// recordUnreachable notes that an upstream took no connection.
+func (p *Placer) recordUnreachable(now time.Time, run *Run) {
+	u, timedOut := run.up, now.Sub(run.sent) >= hungConnectAfter
+	if timedOut {
+		u.domain.recordHang(now, run.sent, u.info.ID)
 	}
-	if (!hung || p.answeredAt.After(run.sent)) && u.start.Unreached(now) {
-		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
+	if (!timedOut || p.lastAnswerAt.After(run.sent)) && u.warmup.Unreached(now) {
+		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
 	}
 }
 
-// noteAnswer notes that an upstream answers.
-func (p *Placer) noteAnswer(now time.Time, run *Run) {
-	p.answeredAt = now
-	run.up.domain.answer(now)
+// recordAnswer notes that an upstream answers.
+func (p *Placer) recordAnswer(now time.Time, run *Run) {
+	p.lastAnswerAt = now
+	run.up.domain.recordAnswer(now)
 	u := run.up
-	if left, news := u.start.Answered(now, run.sent); news {
-		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: left})
+	if remaining, changed := u.warmup.Answered(now, run.sent); changed {
+		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: remaining})
 	}
 }
 
-// takeStarts takes what another router found out of upstreams' starts.
-func (p *Placer) takeStarts(now time.Time, starts []pomelorelay.UpstreamStart) {
+// applyStarts takes what another router found out of upstreams' starts.
+func (p *Placer) applyStarts(now time.Time, starts []pomelorelay.UpstreamStart) {
 	for _, s := range starts {
 		u := p.upstreams[s.Upstream]
 		switch {
 		case u == nil:
 		case s.Unreached:
-			u.start.Suspect(now)
+			u.warmup.Suspect(now)
 		default:
-			u.start.ColdFor(now, s.ColdFor)
+			u.warmup.ColdFor(now, s.ColdFor)
 		}
 	}
 }
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -18,49 +18,51 @@
 // Report fills in what this router has on the upstreams: what changed since the last report, or all.
 func (p *Placer) Report(m *pomelorelay.LoadReport) {
 	p.seq++
-	p.sentSince = 0
+	p.tokensSinceReport = 0
 	m.Seq = p.seq
-	for name, s := range p.services {
-		if sums := s.line.Own(); s.tells(sums.Answers) || (m.Whole && sums.Answers > 0) {
-			s.told = sums.Answers
+	for name, s := range p.pools {
+		if sums := s.speed.Own(); s.speedReportDue(sums.Answers) || (m.Whole && sums.Answers > 0) {
+			s.reportedAnswers = sums.Answers
 			sums.Service = name
-			pauses := s.pauses.Own()
+			pauses := s.pauseRatio.Own()
 			sums.Beside, sums.Paused = pauses.Of, pauses.Amount
-			copies := s.copies.Own()
+			copies := s.copyRatio.Own()
 			sums.Copied, sums.CopyTook = copies.Of, copies.Amount
 			m.Speeds = append(m.Speeds, sums)
 		}
-		for _, u := range s.list {
+		for _, u := range s.upstreams {
 			if !u.changed && (!m.Whole || u.own == (load{})) {
 				continue
 			}
 			u.changed = false
 			m.Upstreams = append(m.Upstreams, pomelorelay.UpstreamLoad{
-				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), Unread: max(0, u.own.unread), Held: max(0, u.own.held), Sent: u.own.sent,
-				Expected: u.own.expected, Took: u.own.took,
+				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), Unread: max(0, u.own.pendingPrefill), Held: max(0, u.own.memoryTokens), Sent: u.own.sent,
+				Expected: u.own.expectedSum, Took: u.own.measuredSum,
 			})
 		}
 	}
-	m.Parts = append(m.Parts, p.parts...)
-	p.parts = p.parts[:0]
-	m.Starts = append(m.Starts, p.starts...)
-	p.starts = p.starts[:0]
+	m.Parts = append(m.Parts, p.pendingParts...)
+	p.pendingParts = p.pendingParts[:0]
+	m.Starts = append(m.Starts, p.pendingStarts...)
+	p.pendingStarts = p.pendingStarts[:0]
 }
 
-// tells reports whether the times of so many answers are due for a report: each of the first ones, later a tenth more, or fewer where they are many.
-func (s *pool) tells(answers float64) bool {
-	return answers >= s.told+min(max(1, s.told/10), mostUnreported)
+// speedReportDue reports whether the times of so many answers are due for a report: each of the first ones, later a tenth more, or fewer where they are many.
+func (s *pool) speedReportDue(answers float64) bool {
+	return answers >= s.reportedAnswers+min(max(1, s.reportedAnswers/10), maxUnreportedAnswers)
 }
 
-// mostUnreported is the most answers whose times wait for the next whole report.
-const mostUnreported = 20
+// maxUnreportedAnswers is the most answers whose times wait for the next whole report.
+const maxUnreportedAnswers = 20
 
 // urgentTokens is the number of prompt tokens sent since the last report from which the next one is sent at once. With fewer, each
 // request would make a report of its own; with more, others would send to the same engine meanwhile.
 const urgentTokens = 4000
 
 // Urgent reports whether the other routers should have a report before the next one is due.
-func (p *Placer) Urgent() bool { return p.sentSince >= urgentTokens || len(p.starts) > 0 }
+func (p *Placer) Urgent() bool {
+	return p.tokensSinceReport >= urgentTokens || len(p.pendingStarts) > 0
+}
 
 // TakeReport takes another router's report.
 func (p *Placer) TakeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
@@ -69,67 +71,67 @@
 		return
 	}
 	if o == nil || incarnation > o.incarnation {
-		p.forget(from)
+		p.forgetRouter(from)
 		o = &peer{incarnation: incarnation, loads: make(map[pomelorelay.UpstreamID]load), speeds: make(map[pomelorelay.ServiceID]pomelorelay.SpeedSums)}
 		p.peers[from] = o
 	}
 	o.seenAt = now
-	p.takeSpeeds(now, o, m.Speeds)
-	p.takeStarts(now, m.Starts)
-	named := p.takeParts(now, m.Parts)
+	p.applySpeeds(now, o, m.Speeds)
+	p.applyStarts(now, m.Starts)
+	identified := p.applyParts(now, m.Parts)
 	for _, l := range m.Upstreams {
 		before := o.loads[l.Upstream]
-		p.take(now, o, l)
+		p.applyLoad(now, o, l)
 		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Without.OthersMemory {
-			u.kept.noteUnnamed(l.Sent - before.sent - named[l.Upstream])
+			u.cache.addUnidentified(l.Sent - before.sent - identified[l.Upstream])
 		}
 	}
 	if m.Whole {
-		p.clearOthers(now, o, m)
+		p.clearUnlistedLoads(now, o, m)
 	}
 }
 
-// takeParts notes the parts that another router's requests used, and returns the tokens that each upstream had to read of them.
-func (p *Placer) takeParts(now time.Time, parts []pomelorelay.PartPlaced) map[pomelorelay.UpstreamID]pomelorelay.Tokens {
+// applyParts notes the parts that another router's requests used, and returns the tokens that each upstream had to read of them.
+func (p *Placer) applyParts(now time.Time, parts []pomelorelay.PartPlaced) map[pomelorelay.UpstreamID]pomelorelay.Tokens {
 	read := make(map[pomelorelay.UpstreamID]pomelorelay.Tokens)
 	for _, part := range parts {
 		u := p.upstreams[part.Upstream]
 		if u == nil {
 			continue
 		}
-		if u.kept.parts[part.Hash] == nil {
+		if u.cache.parts[part.Hash] == nil {
 			read[part.Upstream] += part.Tokens
 		}
-		u.kept.note(part.Hash, part.Tokens)
-		u.kept.tell(now, part.Hash)
+		u.cache.add(part.Hash, part.Tokens)
+		u.cache.markReported(now, part.Hash)
 	}
 	return read
 }
 
-// clearOthers takes back what a whole report does not hold: the report in which it fell to nothing was lost.
-func (p *Placer) clearOthers(now time.Time, o *peer, m *pomelorelay.LoadReport) {
-	told := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
+// clearUnlistedLoads takes back what a whole report does not hold: the report in which it fell to nothing was lost.
+func (p *Placer) clearUnlistedLoads(now time.Time, o *peer, m *pomelorelay.LoadReport) {
+	listed := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
 	for _, l := range m.Upstreams {
-		told[l.Upstream] = true
+		listed[l.Upstream] = true
 	}
 	for id, l := range o.loads {
-		if !told[id] && l.running != 0 {
-			p.take(now, o, pomelorelay.UpstreamLoad{Upstream: id, Sent: l.sent, Expected: l.expected, Took: l.took})
+		if !listed[id] && l.running != 0 {
+			p.applyLoad(now, o, pomelorelay.UpstreamLoad{Upstream: id, Sent: l.sent, Expected: l.expectedSum, Took: l.measuredSum})
 		}
 	}
 }
 
-func (p *Placer) takeSpeeds(now time.Time, o *peer, speeds []pomelorelay.SpeedSums) {
+func (p *Placer) applySpeeds(now time.Time, o *peer, speeds []pomelorelay.SpeedSums) {
 	if p.cfg.Without.SharedSpeeds {
 		return
 	}
 	for _, sums := range speeds {
 		before := o.speeds[sums.Service]
 		o.speeds[sums.Service] = sums
-		if s := p.services[sums.Service]; s != nil {
-			s.line.Merge(now, before, sums)
-			s.pauses.Merge(now, pauseSums(before), pauseSums(sums))
-			s.copies.Merge(now, copySums(before), copySums(sums))
+		if s := p.pools[sums.Service]; s != nil {
+			s.speed.Merge(now, before, sums)
+			s.pauseRatio.Merge(now, pauseSums(before), pauseSums(sums))
+			s.copyRatio.Merge(now, copySums(before), copySums(sums))
 		}
 	}
 }
@@ -142,27 +144,27 @@
 	return pomelospeed.Sums{Amount: s.CopyTook, Of: s.Copied}
 }
 
-func (p *Placer) take(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
-	next := load{running: int(l.Running), unread: l.Unread, held: l.Held, sent: l.Sent, expected: l.Expected, took: l.Took}
+func (p *Placer) applyLoad(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
+	next := load{running: int(l.Running), pendingPrefill: l.Unread, memoryTokens: l.Held, sent: l.Sent, expectedSum: l.Expected, measuredSum: l.Took}
 	before, known := o.loads[l.Upstream]
 	o.loads[l.Upstream] = next
-	u := p.known(l.Upstream)
+	u := p.lookUp(l.Upstream)
 	if u == nil {
 		return
 	}
 	u.others.running += next.running - before.running
-	u.others.unread += next.unread - before.unread
-	u.others.held += next.held - before.held
-	if known && next.expected > before.expected {
-		u.factor.Note(now, next.took-before.took, next.expected-before.expected)
+	u.others.pendingPrefill += next.pendingPrefill - before.pendingPrefill
+	u.others.memoryTokens += next.memoryTokens - before.memoryTokens
+	if known && next.expectedSum > before.expectedSum {
+		u.speedFactor.Note(now, next.measuredSum-before.measuredSum, next.expectedSum-before.expectedSum)
 	}
 	switch {
 	case known && next.sent > before.sent:
 		u.enqueue(now, next.sent-before.sent)
-		u.noteLong(now)
-		u.pool.flow.add(now, next.sent-before.sent)
+		u.noteLongPrefill(now)
+		u.pool.work.add(now, next.sent-before.sent)
 	case !known:
-		u.enqueue(now, next.unread)
+		u.enqueue(now, next.pendingPrefill)
 	}
 }
 
@@ -173,78 +175,78 @@
 	if p.cfg.Without.Unreported {
 		routers = 0
 	}
-	for _, s := range p.services {
-		s.unreported = routers
+	for _, s := range p.pools {
+		s.unreportedRouters = routers
 	}
 }
 
 // Tick forgets routers that have been silent and spreads the long prompts anew.
 func (p *Placer) Tick(now time.Time) {
-	for _, s := range p.services {
-		s.spread(now, &p.cfg.Without)
+	for _, s := range p.pools {
+		s.assignLongEngines(now, &p.cfg.Without)
 	}
-	p.oldest = time.Time{}
+	p.oldestReportAt = time.Time{}
 	for node, o := range p.peers {
 		if now.Sub(o.seenAt) > SilentAfter {
-			p.forget(node)
+			p.forgetRouter(node)
 			continue
 		}
-		if p.oldest.IsZero() || o.seenAt.Before(p.oldest) {
-			p.oldest = o.seenAt
+		if p.oldestReportAt.IsZero() || o.seenAt.Before(p.oldestReportAt) {
+			p.oldestReportAt = o.seenAt
 		}
 	}
 }
 
 // reportAge returns the age of the oldest report that counts, as of the last tick.
 func (p *Placer) reportAge(now time.Time) time.Duration {
-	if p.oldest.IsZero() {
+	if p.oldestReportAt.IsZero() {
 		return 0
 	}
-	return now.Sub(p.oldest)
+	return now.Sub(p.oldestReportAt)
 }
 
-// forget takes back what a router had on the upstreams.
-func (p *Placer) forget(node pomelorelay.NodeID) {
+// forgetRouter takes back what a router had on the upstreams.
+func (p *Placer) forgetRouter(node pomelorelay.NodeID) {
 	o := p.peers[node]
 	if o == nil {
 		return
 	}
 	delete(p.peers, node)
 	for id, l := range o.loads {
-		if u := p.known(id); u != nil {
+		if u := p.lookUp(id); u != nil {
 			u.others.running -= l.running
-			u.others.unread -= l.unread
-			u.others.held -= l.held
+			u.others.pendingPrefill -= l.pendingPrefill
+			u.others.memoryTokens -= l.memoryTokens
 		}
 	}
 }
 
 // Forget takes back what a router had on the upstreams.
-func (p *Placer) Forget(node pomelorelay.NodeID) { p.forget(node) }
+func (p *Placer) Forget(node pomelorelay.NodeID) { p.forgetRouter(node) }
 
 // ForgetOthers takes back what all routers but one had on the upstreams.
-func (p *Placer) ForgetOthers(but pomelorelay.NodeID) {
+func (p *Placer) ForgetOthers(except pomelorelay.NodeID) {
 	for node := range p.peers {
-		if node != but {
-			p.forget(node)
+		if node != except {
+			p.forgetRouter(node)
 		}
 	}
 }
 
-// recount sums up the other routers' load of a new upstream.
-func (p *Placer) recount(u *upstream, id pomelorelay.UpstreamID) {
+// addPeerLoads sums up the other routers' load of a new upstream.
+func (p *Placer) addPeerLoads(u *upstream, id pomelorelay.UpstreamID) {
 	for _, o := range p.peers {
 		l := o.loads[id]
 		u.others.running += l.running
-		u.others.unread += l.unread
-		u.others.held += l.held
+		u.others.pendingPrefill += l.pendingPrefill
+		u.others.memoryTokens += l.memoryTokens
 	}
 }
 
-// known returns an upstream that is there or may come back.
-func (p *Placer) known(id pomelorelay.UpstreamID) *upstream {
+// lookUp returns an upstream that is there or may come back.
+func (p *Placer) lookUp(id pomelorelay.UpstreamID) *upstream {
 	if u := p.upstreams[id]; u != nil {
 		return u
 	}
-	return p.retired[id]
+	return p.removed[id]
 }
--- a/pomeloplace/residency_test.go
+++ b/pomeloplace/residency_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-func limited(r pomeloplace.Request, regions ...pomelorelay.RegionID) pomeloplace.Request {
+func limitedTo(r pomeloplace.Request, regions ...pomelorelay.RegionID) pomeloplace.Request {
 	r.Residency = pomelorelay.Residency{Limited: true, Regions: regions}
 	return r
 }
@@ -21,7 +21,7 @@
 }
 
 // Guards against a request that reaches an upstream outside of the regions that may serve it, whatever the state of those inside.
-func TestRequestsStayInTheirRegions(t *testing.T) {
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	draining := engineIn("b0", "b")
 	draining.Draining = true
 	for _, c := range []struct {
@@ -43,7 +43,7 @@
 		p.Put(start, engineIn("b0", "b"))
 		p.Put(start, engineIn("lost", "of no region"))
 		c.prepare(p)
-		d := p.Place(start, limited(prompt(1, 500, 100), c.regions...))
+		d := p.Place(start, limitedTo(prompt(1, 500, 100), c.regions...))
 		if d.Upstream.ID != c.want || d.Reason != c.reason || d.Cause != c.cause {
 			t.Errorf("%s: sent to %q, reason %q, cause %q", c.name, d.Upstream.ID, d.Reason, d.Cause)
 		}
@@ -54,12 +54,12 @@
 }
 
 // Guards against a retry that leaves the regions because those inside failed the request or take no connections.
-func TestRetriesStayInTheirRegions(t *testing.T) {
+func TestRetriesStayInAllowedRegions(t *testing.T) {
 	p := withEngines(3)
 	p.Put(start, engineIn("b0", "b"))
 	now := start
 	for range 5 {
-		r := limited(prompt(1, 500, 100), "rb")
+		r := limitedTo(prompt(1, 500, 100), "rb")
 		r.Avoid = []pomelorelay.UpstreamID{"b0"}
 		d := p.Place(now, r)
 		if d.Reason == pomeloplace.ReasonNone {
@@ -72,8 +72,8 @@
 	}
 }
 
-// keepShared lets engines answer a few requests with a shared part, which they keep from then on; it returns the time after the last.
-func keepShared(t *testing.T, p *pomeloplace.Placer, now time.Time) time.Time {
+// cacheSharedPart lets engines answer a few requests with a shared part, which they keep from then on; it returns the time after the last.
+func cacheSharedPart(t *testing.T, p *pomeloplace.Placer, now time.Time) time.Time {
 	t.Helper()
 	for i := range 3 {
 		d := place(t, p, now, prompt(1, 5000, pomelorelay.Tokens(100+i)))
@@ -85,13 +85,13 @@
 }
 
 // Guards against prompts that are copied from an engine in a region where they may not be kept.
-func TestPromptsAreNotCopiedFromOtherRegions(t *testing.T) {
+func TestPromptsAreNotCopiedFromDisallowedRegions(t *testing.T) {
 	copies := func(regions ...pomelorelay.RegionID) bool {
 		p := newPlacer()
 		p.Put(start, engineIn("b0", "b"))
 		p.Put(start, engineIn("b1", "b"))
 		now := start
-		now = keepShared(t, p, now)
+		now = cacheSharedPart(t, p, now)
 		// The engines that keep the part stop taking requests; others must copy or read it.
 		for i := range 2 {
 			u := engineIn(pomelorelay.UpstreamID(fmt.Sprintf("b%d", i)), "b")
@@ -99,7 +99,7 @@
 			p.Put(start, u)
 		}
 		p.Put(start, engineIn("a0", "a"))
-		d := p.Place(now, limited(prompt(1, 5000, 500), regions...))
+		d := p.Place(now, limitedTo(prompt(1, 5000, 500), regions...))
 		if d.Upstream.ID != "a0" {
 			t.Fatalf("sent to %q: %s", d.Upstream.ID, d.Reason)
 		}
--- a/pomeloplace/speed.go
+++ b/pomeloplace/speed.go
@@ -22,11 +22,11 @@
 // Speeds returns what is known of each service of engines.
 func (p *Placer) Speeds() []Speed {
 	var all []Speed
-	for name, s := range p.services {
-		if len(s.list) == 0 || s.list[0].engine == nil {
+	for name, s := range p.pools {
+		if len(s.upstreams) == 0 || s.upstreams[0].engine == nil {
 			continue
 		}
-		all = append(all, Speed{Service: name, Rate: s.line.Rate(), Overhead: s.line.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyPart})
+		all = append(all, Speed{Service: name, Rate: s.speed.Rate(), Overhead: s.speed.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyFraction})
 	}
 	return all
 }
--- a/pomeloplace/speed_test.go
+++ b/pomeloplace/speed_test.go
@@ -11,38 +11,38 @@
 
 // Engines read a fourth as fast as the operators' figure lets expect, and a router starts beside one that knows it. Until it learns that too, it
 // sends four times what they can begin in time.
-func TestRoutersTellEachOtherHowFastEnginesRead(t *testing.T) {
+func TestPrefillSpeedIsSharedBetweenRouters(t *testing.T) {
 	const rate = 25.0
-	old, fresh := withEngines(4), withEngines(4)
-	now := readAt(t, old, rate)
-	if got := speedOf(t, old); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
+	running, started := withEngines(4), withEngines(4)
+	now := prefillAtRate(t, running, rate)
+	if got := speedOf(t, running); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
 		t.Errorf("learnt %.1f tokens a millisecond, want %.0f", got.Rate, rate)
 	}
 	var m pomelorelay.LoadReport
-	old.Report(&m)
-	fresh.TakeReport(now, "old", 1, &m)
-	if got := speedOf(t, fresh); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
+	running.Report(&m)
+	started.TakeReport(now, "old", 1, &m)
+	if got := speedOf(t, started); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
 		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.Rate, rate)
 	}
 }
 
 // The fleet is idle for a moment while a router starts. Told speeds only when there are new ones, it would begin the next busy minute with the
 // operators' figure, and send slow engines far too much.
-func TestARouterThatStartsInACalmMomentLearnsHowFastEnginesRead(t *testing.T) {
+func TestNewRouterLearnsPrefillSpeedFromIdleFleet(t *testing.T) {
 	const rate = 25.0
-	old, fresh := withEngines(4), withEngines(4)
-	readAt(t, old, rate)
-	old.Report(&pomelorelay.LoadReport{Whole: true})
+	running, started := withEngines(4), withEngines(4)
+	prefillAtRate(t, running, rate)
+	running.Report(&pomelorelay.LoadReport{Whole: true})
 	m := pomelorelay.LoadReport{Whole: true}
-	old.Report(&m)
-	fresh.TakeReport(start, "old", 1, &m)
-	if got := speedOf(t, fresh); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
+	running.Report(&m)
+	started.TakeReport(start, "old", 1, &m)
+	if got := speedOf(t, started); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
 		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.Rate, rate)
 	}
 }
 
-// readAt lets a router see two hundred answers of engines that read at the rate, and returns when the last one came.
-func readAt(t *testing.T, p *pomeloplace.Placer, rate float64) time.Time {
+// prefillAtRate lets a router see two hundred answers of engines that read at the rate, and returns when the last one came.
+func prefillAtRate(t *testing.T, p *pomeloplace.Placer, rate float64) time.Time {
 	t.Helper()
 	now := start
 	for i := range 200 {
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -13,55 +13,55 @@
 
 // load is what runs at an upstream.
 type load struct {
-	running int
-	unread  pomelorelay.Tokens
-	held    pomelorelay.Tokens
-	sent    pomelorelay.Tokens
-	// expected and took are the sums of the times to first tokens.
-	expected, took time.Duration
+	running        int
+	pendingPrefill pomelorelay.Tokens
+	memoryTokens   pomelorelay.Tokens
+	sent           pomelorelay.Tokens
+	// expectedSum and took are the sums of the times to first tokens.
+	expectedSum, measuredSum time.Duration
 }
 
 // upstream is one upstream as the whole fleet uses it.
 type upstream struct {
 	info pomelorelay.FleetUpstream
 	// region is that of its failure domain, foreign whether it is another one than this router's.
-	region  pomelorelay.RegionID
-	foreign bool
-	domain  *domainState
-	// rank and idHash are hashes of its id.
-	rank, idHash uint64
-	engine       *pomelorelay.EngineSpec
-	own          load
-	others       load
-	changed      bool
-	pool         *pool
-	// start is whether it has started lately and is cold.
-	start *pomelowarmup.Upstream
-	// forLong tells that long prompts go here.
-	forLong bool
-	// queue is the number of tokens that are still to be read at the time queueAt, as it falls by the rate.
-	queue   float64
-	queueAt time.Time
+	region      pomelorelay.RegionID
+	otherRegion bool
+	domain      *domainState
+	// longRank and idHash are hashes of its id.
+	longRank, idHash uint64
+	engine           *pomelorelay.EngineSpec
+	own              load
+	others           load
+	changed          bool
+	pool             *pool
+	// warmup is whether it has started lately and is cold.
+	warmup *pomelowarmup.Upstream
+	// servesLong tells that long prompts go here.
+	servesLong bool
+	// queueEstimate is the number of tokens that are still to be read at the time queueAt, as it falls by the rate.
+	queueEstimate   float64
+	queueEstimateAt time.Time
 	// busySince is since when it has been reading without a break.
 	busySince time.Time
-	// factor is how an engine's speed differs from its service's, slow the same beside the middle one of the service.
-	factor pomelospeed.Factor
-	slow   float64
-	// longAt is when the engine last had so much to read that streams beside it may have paused for too long.
-	longAt time.Time
-	// service is the time of a plain request.
-	service time.Duration
-	kept    kept
-	// failures is the rate of failures at failedAt; it fades.
-	failures  float64
-	failedAt  time.Time
-	downUntil time.Time
-	// downFor is how long it was last left alone for taking no connection.
-	downFor time.Duration
+	// speedFactor is how an engine's speed differs from its service's, slow the same beside the middle one of the service.
+	speedFactor pomelospeed.Factor
+	slowdown    float64
+	// longPrefillAt is when the engine last had so much to read that streams beside it may have paused for too long.
+	longPrefillAt time.Time
+	// serviceTime is the time of a plain request.
+	serviceTime time.Duration
+	cache       prefixCache
+	// failureRate is the rate of failures at failedAt; it fades.
+	failureRate   float64
+	failureRateAt time.Time
+	backoffUntil  time.Time
+	// backoff is how long it was last left alone for taking no connection.
+	backoff time.Duration
 }
 
 func newUpstream(info pomelorelay.FleetUpstream, engine *pomelorelay.EngineSpec) *upstream {
-	u := &upstream{info: info, rank: rank(info.ID), idHash: xxhash.Sum64String(string(info.ID)), slow: 1, service: startService}
+	u := &upstream{info: info, longRank: longRank(info.ID), idHash: xxhash.Sum64String(string(info.ID)), slowdown: 1, serviceTime: initialServiceTime}
 	u.setEngine(engine)
 	return u
 }
@@ -69,7 +69,7 @@
 func (u *upstream) setEngine(engine *pomelorelay.EngineSpec) {
 	u.engine = engine
 	if engine != nil {
-		u.kept.room = engine.Memory
+		u.cache.capacity = engine.Memory
 	}
 }
 
@@ -80,149 +80,149 @@
 	return max(1, int(u.info.Slots))
 }
 
-func (u *upstream) running() int { return u.pool.fleet(u.own.running) + u.others.running }
+func (u *upstream) running() int { return u.pool.scaleToFleet(u.own.running) + u.others.running }
 
-func (u *upstream) unread() float64 {
-	return float64(u.own.unread)*(1+float64(u.pool.unreported)) + float64(u.others.unread)
+func (u *upstream) pendingPrefill() float64 {
+	return float64(u.own.pendingPrefill)*(1+float64(u.pool.unreportedRouters)) + float64(u.others.pendingPrefill)
 }
 
-// drain lets the queue fall by what was read since.
-func (u *upstream) drain(now time.Time) {
-	if passed := now.Sub(u.queueAt); passed > 0 {
-		u.queue = max(0, u.queue-u.rate()*milliseconds(passed))
-		u.queueAt = now
-		if u.queue == 0 {
+// drainQueue lets the queue fall by what was read since.
+func (u *upstream) drainQueue(now time.Time) {
+	if elapsed := now.Sub(u.queueEstimateAt); elapsed > 0 {
+		u.queueEstimate = max(0, u.queueEstimate-u.prefillRate()*milliseconds(elapsed))
+		u.queueEstimateAt = now
+		if u.queueEstimate == 0 {
 			u.busySince = now
 		}
 	}
 }
 
 func (u *upstream) enqueue(now time.Time, tokens pomelorelay.Tokens) {
-	u.drain(now)
-	u.queue += float64(tokens)
+	u.drainQueue(now)
+	u.queueEstimate += float64(tokens)
 }
 
-// noteLong notes when what is to be read takes as long as callers accept a stream to pause.
-func (u *upstream) noteLong(now time.Time) {
-	if u.pool.pause > 0 && u.reading(u.queue) >= u.pool.pause {
-		u.longAt = now
+// noteLongPrefill notes when what is to be read takes as long as callers accept a stream to pause.
+func (u *upstream) noteLongPrefill(now time.Time) {
+	if u.pool.maxPause > 0 && u.prefillTime(u.queueEstimate) >= u.pool.maxPause {
+		u.longPrefillAt = now
 	}
 }
 
-// backlog returns the tokens that are to be read before a new request's. Answers that have not begun bound it from above; reading
+// queuedTokens returns the tokens that are to be read before a new request's. Answers that have not begun bound it from above; reading
 // that is slower than the rate says shows by answers that still have not begun.
-func (u *upstream) backlog(now time.Time) float64 {
-	u.drain(now)
-	u.queue = min(u.queue, u.unread())
-	return max(u.queue, leastUnread*u.unread())
+func (u *upstream) queuedTokens(now time.Time) float64 {
+	u.drainQueue(now)
+	u.queueEstimate = min(u.queueEstimate, u.pendingPrefill())
+	return max(u.queueEstimate, minPendingFraction*u.pendingPrefill())
 }
 
-// turnIn returns the time until a request's turn comes.
-func (u *upstream) turnIn(now time.Time) time.Duration {
+// queueDelay returns the time until a request's turn comes.
+func (u *upstream) queueDelay(now time.Time) time.Duration {
 	if u.engine == nil {
-		over := u.running() - u.slots() + 1
-		return time.Duration(max(0, over)) * u.service / time.Duration(u.slots())
+		excess := u.running() - u.slots() + 1
+		return time.Duration(max(0, excess)) * u.serviceTime / time.Duration(u.slots())
 	}
-	wait := u.reading(u.backlog(now))
-	if over := u.running() - u.slots() + 1; over > 0 {
-		wait += time.Duration(over) * slotTurn
+	wait := u.prefillTime(u.queuedTokens(now))
+	if excess := u.running() - u.slots() + 1; excess > 0 {
+		wait += time.Duration(excess) * slotFreeInterval
 	}
 	return wait
 }
 
-func (u *upstream) reading(tokens float64) time.Duration {
-	return time.Duration(tokens / u.rate() * float64(time.Millisecond))
+func (u *upstream) prefillTime(tokens float64) time.Duration {
+	return time.Duration(tokens / u.prefillRate() * float64(time.Millisecond))
 }
 
-// worth returns the time in which engines of the service read so many tokens; of plain upstreams, by the first guess.
-func (u *upstream) worth(tokens float64) time.Duration {
-	return time.Duration(tokens / float64(u.pool.line.Rate()) * float64(time.Millisecond))
+// poolPrefillTime returns the time in which engines of the service read so many tokens; of plain upstreams, by the first guess.
+func (u *upstream) poolPrefillTime(tokens float64) time.Duration {
+	return time.Duration(tokens / float64(u.pool.speed.Rate()) * float64(time.Millisecond))
 }
 
-// rate returns how many tokens the engine reads in a millisecond.
-func (u *upstream) rate() float64 { return float64(u.pool.line.Rate()) / u.slow }
+// prefillRate returns how many tokens the engine reads in a millisecond.
+func (u *upstream) prefillRate() float64 { return float64(u.pool.speed.Rate()) / u.slowdown }
 
-// overhead returns the time to a first token besides reading.
-func (u *upstream) overhead() time.Duration {
-	return time.Duration(u.slow * float64(u.pool.line.Overhead()))
+// firstTokenOverhead returns the time to a first token besides reading.
+func (u *upstream) firstTokenOverhead() time.Duration {
+	return time.Duration(u.slowdown * float64(u.pool.speed.Overhead()))
 }
 
-// failing returns the rate of failures, faded since the last result.
-func (u *upstream) failing(now time.Time) float64 {
-	if u.failures == 0 {
+// decayedFailureRate returns the rate of failures, faded since the last result.
+func (u *upstream) decayedFailureRate(now time.Time) float64 {
+	if u.failureRate == 0 {
 		return 0
 	}
-	return u.failures * math.Exp2(-float64(now.Sub(u.failedAt))/float64(failMemory))
+	return u.failureRate * math.Exp2(-float64(now.Sub(u.failureRateAt))/float64(failureHalfLife))
 }
 
-func (u *upstream) result(now time.Time, r Result) {
+func (u *upstream) recordResult(now time.Time, r Result) {
 	switch r {
 	case ResultGood, ResultPaused:
-		u.failures = u.failing(now) * (1 - failShare)
-		u.downUntil, u.downFor = time.Time{}, 0
+		u.failureRate = u.decayedFailureRate(now) * (1 - failureAlpha)
+		u.backoffUntil, u.backoff = time.Time{}, 0
 	case ResultFailed, ResultRefused:
-		u.failures = u.failing(now)*(1-failShare) + failShare
+		u.failureRate = u.decayedFailureRate(now)*(1-failureAlpha) + failureAlpha
 	case ResultUnreached:
-		u.failures = max(u.failing(now), failShare)
-		u.rest(now)
+		u.failureRate = max(u.decayedFailureRate(now), failureAlpha)
+		u.startBackoff(now)
 	default:
 		return
 	}
-	u.failedAt = now
+	u.failureRateAt = now
 }
 
-// rests reports whether the upstream is left alone.
-func (u *upstream) rests(now time.Time, off *Mechanisms) bool {
-	return (now.Before(u.downUntil) && !off.Rests) || (u.domain.rests(now) && !off.DomainRests)
+// inBackoff reports whether the upstream is left alone.
+func (u *upstream) inBackoff(now time.Time, disabled *Mechanisms) bool {
+	return (now.Before(u.backoffUntil) && !disabled.Rests) || (u.domain.inBackoff(now) && !disabled.DomainRests)
 }
 
-// rest leaves alone an upstream that took no connection. Requests that were under way to it when the first one failed count once.
-func (u *upstream) rest(now time.Time) {
-	if now.Before(u.downUntil) {
+// startBackoff leaves alone an upstream that took no connection. Requests that were under way to it when the first one failed count once.
+func (u *upstream) startBackoff(now time.Time) {
+	if now.Before(u.backoffUntil) {
 		return
 	}
-	u.downFor = min(max(2*u.downFor, unreachedFor), unreachedMost)
-	u.downUntil = now.Add(u.downFor)
+	u.backoff = min(max(2*u.backoff, unreachableBackoff), maxUnreachableBackoff)
+	u.backoffUntil = now.Add(u.backoff)
 }
 
-// learn takes the time to a first token, of which the latency between regions is a part, as a sample of the speed. It returns what the answer took beyond
+// observeFirstToken takes the time to a first token, of which the latency between regions is a part, as a sample of the speed. It returns what the answer took beyond
 // what was expected without that latency.
-func (u *upstream) learn(now time.Time, r *Run, took, way time.Duration) time.Duration {
+func (u *upstream) observeFirstToken(now time.Time, r *Run, latency, rtt time.Duration) time.Duration {
 	if u.engine == nil {
-		u.service += part(serviceShare, took-way-u.service)
-		return way
+		u.serviceTime += scale(serviceTimeAlpha, latency-rtt-u.serviceTime)
+		return rtt
 	}
-	if r.crowded || took <= way {
-		return way
+	if r.waitedForSlot || latency <= rtt {
+		return rtt
 	}
-	tokens := r.ahead + float64(r.missing)
-	expected := u.pool.line.Expect(tokens)
-	beyond := took - part(u.slow, expected)
-	if r.copied > 0 {
-		u.pool.copies.Note(now, u.copied(r, beyond-way))
-		return way
+	tokens := r.queuedTokens + float64(r.prefillTokens)
+	expected := u.pool.speed.Expect(tokens)
+	excess := latency - scale(u.slowdown, expected)
+	if r.copiedTokens > 0 {
+		u.pool.copyRatio.Note(now, u.copySample(r, excess-rtt))
+		return rtt
 	}
-	u.factor.Note(now, took-way, expected)
-	u.own.expected += expected
-	u.own.took += took - way
-	u.pool.line.Note(now, tokens, part(1/u.slow, took-way))
-	return beyond
+	u.speedFactor.Note(now, latency-rtt, expected)
+	u.own.expectedSum += expected
+	u.own.measuredSum += latency - rtt
+	u.pool.speed.Note(now, tokens, scale(1/u.slowdown, latency-rtt))
+	return excess
 }
 
-// copied returns what a copy took, in tokens that could have been read meanwhile: what the answer took beyond what was expected without it. That is
+// copySample returns what a copy took, in tokens that could have been read meanwhile: what the answer took beyond what was expected without it. That is
 // bounded, since waits that have other reasons say nothing of it.
-func (u *upstream) copied(r *Run, beyond time.Duration) pomelospeed.Sums {
-	tokens := float64(r.copied)
-	return pomelospeed.Sums{Amount: min(max(milliseconds(beyond)*u.rate(), -tokens), 2*tokens), Of: tokens}
+func (u *upstream) copySample(r *Run, excess time.Duration) pomelospeed.Sums {
+	tokens := float64(r.copiedTokens)
+	return pomelospeed.Sums{Amount: min(max(milliseconds(excess)*u.prefillRate(), -tokens), 2*tokens), Of: tokens}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// full reports whether running requests and the new one would overfill the engine's memory.
-func (u *upstream) full(need pomelorelay.Tokens) bool {
+// memoryFull reports whether running requests and the new one would overfill the engine's memory.
+func (u *upstream) memoryFull(tokens pomelorelay.Tokens) bool {
 	if u.engine == nil || u.engine.Memory <= 0 {
 		return false
 	}
-	taken := u.own.held + u.others.held
-	return taken > 0 && float64(taken+need) > fullMemory*float64(u.engine.Memory)
+	used := u.own.memoryTokens + u.others.memoryTokens
+	return used > 0 && float64(used+tokens) > maxMemoryFraction*float64(u.engine.Memory)
 }
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against a cold engine that idles and therefore draws requests of every router, and against one that is left out after it is warm.
-func TestAColdEngineGetsNothingBesideWarmOnes(t *testing.T) {
+func TestColdEngineUnusedWhileWarmOnesAreAvailable(t *testing.T) {
 	p := withColdEngines("r1", engine("e0"), cold("e1", coldFor))
 	now := start
 	for now.Before(start.Add(coldFor)) {
@@ -65,7 +65,7 @@
 }
 
 // Guards against a service that is refused as a whole while all of its engines are cold, and against more than they accept.
-func TestColdEnginesServeWhatTheyAccept(t *testing.T) {
+func TestColdEnginesServeWithinTheirBound(t *testing.T) {
 	sent := 0
 	var refused pomeloplace.Decision
 	routers := []*pomeloplace.Placer{withColdEngines("r1", cold("e0", coldFor)), withColdEngines("r2", cold("e0", coldFor))}
@@ -80,8 +80,8 @@
 			p.Ended(now, d.Run, pomeloplace.ResultGood)
 		}
 	}
-	if most := coldFor.Seconds() * coldRate; sent < 10 || float64(sent) > most {
-		t.Errorf("%d requests in %v, at most %.0f are accepted", sent, coldFor, most)
+	if limit := coldFor.Seconds() * coldRate; sent < 10 || float64(sent) > limit {
+		t.Errorf("%d requests in %v, at most %.0f are accepted", sent, coldFor, limit)
 	}
 	if refused.Reason != pomeloplace.ReasonCold || refused.RetryAfter <= 0 || refused.RetryAfter > coldFor {
 		t.Errorf("refused for %q, come back after %v", refused.Reason, refused.RetryAfter)
@@ -89,7 +89,7 @@
 }
 
 // Guards against an engine that crashes and gets the requests of the whole fleet when it is back, since its restart was not listed yet.
-func TestAnUnreachedEngineIsColdForTheWholeFleet(t *testing.T) {
+func TestUnreachableEngineIsColdForTheWholeFleet(t *testing.T) {
 	near, other, far := withColdEngines("r1", engine("e0"), engine("e1")), withColdEngines("r2", engine("e0"), engine("e1")), withColdEngines("far", engine("e0"), engine("e1"))
 	now := start
 	for range 100 {
@@ -120,7 +120,7 @@
 }
 
 // Guards against a router cut off from everything that takes all upstreams for restarted, or tells others so.
-func TestACutOffRouterTakesNoUpstreamForRestarted(t *testing.T) {
+func TestPartitionedRouterDoesNotAssumeRestarts(t *testing.T) {
 	p := withColdEngines("r1", engine("e0"), engine("e1"))
 	now := start
 	for range 4 {
--- a/pomeloplace/world_test.go
+++ b/pomeloplace/world_test.go
@@ -12,13 +12,13 @@
 
 // The engines of the play: a step generates one token for each running stream and reads up to a chunk of prompts in order of arrival.
 const (
-	stepMS      = 2.97
-	stepPerSlot = 0.0222
-	readPerMS   = 101.0
-	pairsPerMS  = 1e6 / 0.184
-	chunk       = 4096
+	stepMS       = 2.97
+	stepPerSlot  = 0.0222
+	prefillPerMS = 101.0
+	pairsPerMS   = 1e6 / 0.184
+	chunk        = 4096
 	// copyPerToken is half of the time to read a token.
-	copyPerToken = float64(time.Millisecond) / readPerMS / 2
+	copyPerToken = float64(time.Millisecond) / prefillPerMS / 2
 )
 
 // job is a request at an engine of the play.
@@ -28,70 +28,70 @@
 	run     *pomeloplace.Run
 	sent    time.Time
 	// readyAt is when what it copies from another engine is there.
-	readyAt time.Time
-	unread  float64
-	read    float64
-	output  int
-	made    int
-	last    time.Time
-	pause   time.Duration
-	first   time.Duration
+	readyAt      time.Time
+	unread       float64
+	prefilled    float64
+	output       int
+	generated    int
+	lastEventAt  time.Time
+	longestPause time.Duration
+	firstToken   time.Duration
 }
 
-type playEngine struct {
-	waiting []*job
-	running []*job
-	at      time.Time
+type simEngine struct {
+	waiting    []*job
+	running    []*job
+	nextStepAt time.Time
 }
 
-// play is a fleet of routers before engines in virtual time: reports arrive 12 ms after they were sent.
-type play struct {
-	random  *rand.Rand
-	routers []*pomeloplace.Placer
-	engines map[pomelorelay.UpstreamID]*playEngine
-	mail    []letter
-	now     time.Time
-	choose  func(p *play, router int, r pomeloplace.Request) pomeloplace.Decision
-	kept    map[pomelorelay.UpstreamID]map[uint64]bool
+// simulation is a fleet of routers before engines in virtual time: reports arrive 12 ms after they were sent.
+type simulation struct {
+	random    *rand.Rand
+	routers   []*pomeloplace.Placer
+	engines   map[pomelorelay.UpstreamID]*simEngine
+	inTransit []reportInTransit
+	now       time.Time
+	choose    func(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision
+	cached    map[pomelorelay.UpstreamID]map[uint64]bool
 
 	// slots and eventTokens are the engines', delay is how late reports arrive.
 	slots, eventTokens int
-	delay              time.Duration
-	// blind is how long the first reports take, and knows tells that the routers know that they hear nothing yet.
-	blind time.Duration
-	knows bool
-	// scale multiplies the number of sessions.
-	scale uint64
-	// beyond is the part of the requests that is beyond its account's share.
-	beyond float64
+	reportDelay        time.Duration
+	// reportBlackout is how long the first reports take, and knows tells that the routers know that they hear nothing yet.
+	reportBlackout  time.Duration
+	unreportedKnown bool
+	// sessionFactor multiplies the number of sessions.
+	sessionFactor uint64
+	// overShare is the part of the requests that is beyond its account's share.
+	overShare float64
 
-	// comeBack makes callers that are refused come back once, as they are told or, if it is set, after retryAfter.
-	comeBack   bool
-	retryAfter time.Duration
-	returning  []returning
+	// retryRefused makes callers that are refused come back once, as they are told or, if it is set, after retryAfter.
+	retryRefused bool
+	retryAfter   time.Duration
+	retries      []pendingRequest
 
-	asked, refused, inTime, latePause, lateFirst, reread, copied int
-	owedAsked, owedInTime                                        int
+	requested, refused, onTime, longPauses, lateFirstTokens, prefilledShared, copied int
+	inShareRequested, inShareOnTime                                                  int
 }
 
-// returning is a caller that comes back.
-type returning struct {
-	at, since time.Time
-	request   pomeloplace.Request
-	output    int
+// pendingRequest is a caller that comes back.
+type pendingRequest struct {
+	retryAt, firstSentAt time.Time
+	request              pomeloplace.Request
+	output               int
 }
 
-type letter struct {
-	at   time.Time
-	from int
-	m    *pomelorelay.LoadReport
+type reportInTransit struct {
+	arrivesAt time.Time
+	from      int
+	m         *pomelorelay.LoadReport
 }
 
-func newPlay(seed uint64, routers, engineCount int) *play {
-	p := &play{
-		random: rand.New(rand.NewPCG(seed, 1)), now: start, slots: 64, eventTokens: 7, delay: 12 * time.Millisecond, scale: 1,
-		engines: make(map[pomelorelay.UpstreamID]*playEngine), kept: make(map[pomelorelay.UpstreamID]map[uint64]bool),
-		choose: func(p *play, router int, r pomeloplace.Request) pomeloplace.Decision {
+func newSimulation(seed uint64, routers, engineCount int) *simulation {
+	p := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), now: start, slots: 64, eventTokens: 7, reportDelay: 12 * time.Millisecond, sessionFactor: 1,
+		engines: make(map[pomelorelay.UpstreamID]*simEngine), cached: make(map[pomelorelay.UpstreamID]map[uint64]bool),
+		choose: func(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
 			return p.routers[router].Place(p.now, r)
 		},
 	}
@@ -100,18 +100,18 @@
 	}
 	for i := range engineCount {
 		id := pomelorelay.UpstreamID(fmt.Sprintf("e%d", i))
-		p.engines[id] = &playEngine{at: start}
-		p.kept[id] = make(map[uint64]bool)
+		p.engines[id] = &simEngine{nextStepAt: start}
+		p.cached[id] = make(map[uint64]bool)
 	}
 	return p
 }
 
-func (p *play) logNormal(mean, sigma, most float64) float64 {
-	return min(most, mean*math.Exp(sigma*p.random.NormFloat64()-sigma*sigma/2))
+func (p *simulation) logNormal(mean, sigma, limit float64) float64 {
+	return min(limit, mean*math.Exp(sigma*p.random.NormFloat64()-sigma*sigma/2))
 }
 
-// draw makes a request: long drafts of shared sessions, short questions, and tags of a few tokens.
-func (p *play) draw() (pomeloplace.Request, int) {
+// randomRequest makes a request: long drafts of shared sessions, short questions, and tags of a few tokens.
+func (p *simulation) randomRequest() (pomeloplace.Request, int) {
 	kind := p.random.Float64()
 	own, shared, sessions, output, target := 0.0, pomelorelay.Tokens(0), uint64(0), 0.0, 400*time.Millisecond
 	switch {
@@ -122,7 +122,7 @@
 	default:
 		own, shared, sessions, output = p.logNormal(1800, 1.3, 6870), 570, 192, p.logNormal(21, 1.4, 90)
 	}
-	session := uint64(shared)<<32 | p.random.Uint64N(sessions*p.scale) + 1
+	session := uint64(shared)<<32 | p.random.Uint64N(sessions*p.sessionFactor) + 1
 	r := pomeloplace.Request{
 		Service: engines, Prompt: shared + pomelorelay.Tokens(own) + 1, Output: pomelorelay.Tokens(output) + 1, Owed: true,
 		Parts:  []pomelorelay.PromptPart{{Hash: session, Tokens: shared}, {Hash: p.random.Uint64(), Tokens: pomelorelay.Tokens(own) + 1}},
@@ -132,7 +132,7 @@
 }
 
 // run plays the load of so many requests a second for the length.
-func (p *play) run(perSecond float64, length time.Duration) {
+func (p *simulation) run(perSecond float64, length time.Duration) {
 	end := p.now.Add(length)
 	arrival, report := p.now, p.now
 	for p.now.Before(end) {
@@ -141,41 +141,41 @@
 			arrival = arrival.Add(time.Duration(p.random.ExpFloat64() / perSecond * float64(time.Second)))
 			p.arrive()
 		}
-		p.admitReturning()
+		p.submitDueRetries()
 		if p.now.Sub(report) >= 100*time.Millisecond {
 			report = p.now
-			p.report(p.now.Sub(start)%time.Second < 100*time.Millisecond)
+			p.sendReports(p.now.Sub(start)%time.Second < 100*time.Millisecond)
 		}
-		p.deliver()
+		p.deliverReports()
 		for id, e := range p.engines {
 			p.step(id, e)
 		}
 	}
 }
 
-func (p *play) arrive() {
-	r, output := p.draw()
-	r.Owed = p.random.Float64() >= p.beyond
-	p.asked++
+func (p *simulation) arrive() {
+	r, output := p.randomRequest()
+	r.Owed = p.random.Float64() >= p.overShare
+	p.requested++
 	if r.Owed {
-		p.owedAsked++
+		p.inShareRequested++
 	}
-	p.ask(returning{since: p.now, request: r, output: output})
+	p.submit(pendingRequest{firstSentAt: p.now, request: r, output: output})
 }
 
-// ask takes a caller's request to a router; one whose at is set has been refused before.
-func (p *play) ask(c returning) {
+// submit takes a caller's request to a router; one whose at is set has been refused before.
+func (p *simulation) submit(c pendingRequest) {
 	r, output := c.request, c.output
 	router := p.random.IntN(len(p.routers))
 	d := p.choose(p, router, r)
 	if d.Reason != pomeloplace.ReasonNone {
-		if p.comeBack && c.at.IsZero() {
+		if p.retryRefused && c.retryAt.IsZero() {
 			wait := d.RetryAfter
 			if p.retryAfter > 0 {
 				wait = p.retryAfter
 			}
-			c.at = p.now.Add(wait)
-			p.returning = append(p.returning, c)
+			c.retryAt = p.now.Add(wait)
+			p.retries = append(p.retries, c)
 			return
 		}
 		p.refused++
@@ -184,48 +184,48 @@
 	unread, copying := float64(r.Prompt), time.Duration(0)
 	session := r.Parts[0]
 	switch {
-	case p.kept[d.Upstream.ID][session.Hash]:
+	case p.cached[d.Upstream.ID][session.Hash]:
 		unread -= float64(session.Tokens)
-	case d.Copied > 0 && p.kept[d.CopyFrom.ID][session.Hash]:
+	case d.Copied > 0 && p.cached[d.CopyFrom.ID][session.Hash]:
 		unread -= float64(session.Tokens)
 		copying = time.Duration(float64(session.Tokens) * copyPerToken)
 		p.copied += int(session.Tokens)
 	default:
-		p.reread += int(session.Tokens)
+		p.prefilledShared += int(session.Tokens)
 	}
-	p.kept[d.Upstream.ID][session.Hash] = true
+	p.cached[d.Upstream.ID][session.Hash] = true
 	e := p.engines[d.Upstream.ID]
-	e.waiting = append(e.waiting, &job{router: router, request: r, run: d.Run, sent: c.since, readyAt: p.now.Add(copying), unread: unread, output: output})
+	e.waiting = append(e.waiting, &job{router: router, request: r, run: d.Run, sent: c.firstSentAt, readyAt: p.now.Add(copying), unread: unread, output: output})
 }
 
-// admitReturning lets the callers come back whose time it is.
-func (p *play) admitReturning() {
-	var later []returning
-	due := p.returning
-	p.returning = nil
+// submitDueRetries lets the callers come back whose time it is.
+func (p *simulation) submitDueRetries() {
+	var later []pendingRequest
+	due := p.retries
+	p.retries = nil
 	for _, c := range due {
-		if c.at.After(p.now) {
+		if c.retryAt.After(p.now) {
 			later = append(later, c)
 			continue
 		}
-		p.ask(c)
+		p.submit(c)
 	}
-	p.returning = append(later, p.returning...)
+	p.retries = append(later, p.retries...)
 }
 
-func (p *play) report(whole bool) {
+func (p *simulation) sendReports(whole bool) {
 	for i, router := range p.routers {
 		m := &pomelorelay.LoadReport{Whole: whole}
 		router.Report(m)
 		router.Tick(p.now)
-		p.mail = append(p.mail, letter{at: p.now.Add(p.delay), from: i, m: m})
+		p.inTransit = append(p.inTransit, reportInTransit{arrivesAt: p.now.Add(p.reportDelay), from: i, m: m})
 	}
 }
 
-func (p *play) deliver() {
-	if p.now.Sub(start) < p.blind {
+func (p *simulation) deliverReports() {
+	if p.now.Sub(start) < p.reportBlackout {
 		for _, router := range p.routers {
-			if p.knows {
+			if p.unreportedKnown {
 				router.SetUnreported(len(p.routers) - 1)
 			}
 		}
@@ -234,9 +234,9 @@
 	for _, router := range p.routers {
 		router.SetUnreported(0)
 	}
-	for len(p.mail) > 0 && !p.mail[0].at.After(p.now) {
-		l := p.mail[0]
-		p.mail = p.mail[1:]
+	for len(p.inTransit) > 0 && !p.inTransit[0].arrivesAt.After(p.now) {
+		l := p.inTransit[0]
+		p.inTransit = p.inTransit[1:]
 		for i, router := range p.routers {
 			if i != l.from {
 				router.TakeReport(p.now, pomelorelay.NodeID(fmt.Sprint("r", l.from)), 1, l.m)
@@ -246,8 +246,8 @@
 }
 
 // step lets an engine take its next step when the last one is over.
-func (p *play) step(id pomelorelay.UpstreamID, e *playEngine) {
-	if e.at.After(p.now) {
+func (p *simulation) step(id pomelorelay.UpstreamID, e *simEngine) {
+	if e.nextStepAt.After(p.now) {
 		return
 	}
 	waiting := e.waiting[:0]
@@ -268,53 +268,53 @@
 		if j.unread > 0 {
 			n := min(room, j.unread)
 			room -= n
-			ms += n/readPerMS + n*j.read/pairsPerMS
+			ms += n/prefillPerMS + n*j.prefilled/pairsPerMS
 			j.unread -= n
-			j.read += n
+			j.prefilled += n
 			if j.unread > 0 {
 				continue
 			}
 		}
 		done = append(done, j)
 	}
-	e.at = p.now.Add(time.Duration(ms * float64(time.Millisecond)))
+	e.nextStepAt = p.now.Add(time.Duration(ms * float64(time.Millisecond)))
 	for _, j := range done {
-		p.token(e, j)
+		p.emitToken(e, j)
 	}
 }
 
-// token gives a stream its next token at the end of the step.
-func (p *play) token(e *playEngine, j *job) {
-	j.made++
+// emitToken gives a stream its next token at the end of the step.
+func (p *simulation) emitToken(e *simEngine, j *job) {
+	j.generated++
 	router := p.routers[j.router]
-	if j.made%p.eventTokens == 1 {
-		if j.made == 1 {
-			j.first = e.at.Sub(j.sent)
-			router.Begun(e.at, j.run)
+	if j.generated%p.eventTokens == 1 {
+		if j.generated == 1 {
+			j.firstToken = e.nextStepAt.Sub(j.sent)
+			router.Begun(e.nextStepAt, j.run)
 		} else {
-			j.pause = max(j.pause, e.at.Sub(j.last))
+			j.longestPause = max(j.longestPause, e.nextStepAt.Sub(j.lastEventAt))
 		}
-		j.last = e.at
+		j.lastEventAt = e.nextStepAt
 	}
-	if j.made < j.output {
+	if j.generated < j.output {
 		return
 	}
 	result := pomeloplace.ResultGood
-	if j.pause > pauseAllowed {
+	if j.longestPause > maxPause {
 		result = pomeloplace.ResultPaused
 	}
-	router.Ended(e.at, j.run, result)
-	if j.first <= j.request.Target && result == pomeloplace.ResultGood {
-		p.inTime++
+	router.Ended(e.nextStepAt, j.run, result)
+	if j.firstToken <= j.request.Target && result == pomeloplace.ResultGood {
+		p.onTime++
 		if j.request.Owed {
-			p.owedInTime++
+			p.inShareOnTime++
 		}
 	}
 	if result == pomeloplace.ResultPaused {
-		p.latePause++
+		p.longPauses++
 	}
-	if j.first > j.request.Target {
-		p.lateFirst++
+	if j.firstToken > j.request.Target {
+		p.lateFirstTokens++
 	}
 	for i, o := range e.running {
 		if o == j {
