--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -7,52 +7,46 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// A request is admitted to the best upstream for it unless one of these bounds is passed. Each answers another load:
-//
-//   - Again: a flood of sessions whose engines are busy. Their shared parts would be read by engines that others need.
-//   - Slots: more long answers than engines run at once.
-//   - Queue: more prompts than engines read. What waits is bounded by the shortest target of the service's routes, for all requests alike:
-//     bounded by each request's own, those that can wait for long would fill the queue and keep out those that cannot.
-//   - Time: a request that would begin too late wherever it went.
-//
-// Requests that their account is owed may use all of the slots and most of the queue. What is beyond a share fills what is left, and
-// what belongs to an account that is ahead of one that is short fills less the further it is ahead.
+// Admission limits protect against different kinds of overload. BoundRecompute keeps a flood of sessions on busy engines from taking
+// other engines for prefilling their shared parts again. BoundSlots covers more long answers than engines can run, BoundQueue more prompts
+// than they can prefill, and BoundTime any request that would begin too late. In-share requests may use all slots and most of the queue;
+// over-share requests may use what remains, and an account whose usage is ahead of a short one gets less the further it is ahead.
 
 const (
-	// inShareQueueFraction, freeQueue and aheadQueue are the parts of the shortest target that may wait before a request within its account's share,
-	// one beyond it, and one of an account that is ahead of one that is short. The last, and the slots that it may fill, fall with the square
-	// of the lead, down to aheadLeast of them: callers call it unfair when one account gets twice as much as another that is short.
+	// These fractions of the shortest target limit the queue for requests within their account's share, for those beyond it, and for those
+	// of accounts ahead of one that is short. The last fraction and the slots fall with the square of the lead, down to minAheadFraction:
+	// callers consider it unfair when an account gets twice as much as another that is short.
 	inShareQueueFraction   = 0.45
 	overShareQueueFraction = 0.2
 	aheadQueueFraction     = 0.15
 	minAheadFraction       = 0.4
-	// onTimeFraction is the part of its target within which an answer must be expected to begin; the rest is for what other routers sent meanwhile.
+	// onTimeFraction is the fraction of the target within which the answer must be expected; the rest absorbs unreported requests.
 	onTimeFraction = 0.85
-	// slotReserveFactor is how many times the square root of an engine's slots is kept free of requests beyond shares: what other routers send
-	// meanwhile differs by about that root, and would find an engine full that was filled with requests beyond their accounts' shares.
-	// reserveMost is the largest part of the slots that is kept free so: engines of few slots would run nothing else.
+	// slotReserveFactor times the square root of an engine's slots is reserved for in-share requests, since unreported requests of other
+	// routers vary by about that root. maxReserveFraction limits the reserve, which would take nearly all slots of a small engine.
 	slotReserveFactor  = 3.0
 	maxReserveFraction = 0.4
-	// yieldedSlotFraction is the part of the slots that an account leaves to one that is short by far, times how far it is ahead, up to yieldMost.
+	// yieldedSlotFraction times an account's lead is the fraction of slots it leaves to a far shorter one, up to maxYieldedSlotFraction.
 	yieldedSlotFraction    = 0.1
 	maxYieldedSlotFraction = 0.35
-	// maxRecomputeTokens is the most shared tokens that a request beyond its account's share may make an engine read though another one, which is
-	// too busy, keeps them: about what an engine reads in one step.
+	// maxRecomputeTokens limits the shared tokens that an over-share request may prefill although a busier engine has them cached; it is about
+	// what an engine processes in one step.
 	maxRecomputeTokens = 400
-	// minRetryAfter and mostRetry bound the Retry-After of a refusal. The least is the time after which an engine has a free slot again
-	// and the routers have its report. Callers that come back within their target still get their answer in time.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. The minimum is the time in which an engine frees a slot and reports
+	// of it reach the routers; callers that retry within their target can still be served on time.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
 
-// latencyTargets is what the callers of a service's routes expect of it.
+// latencyTargets holds the strictest latency requirements of the routes to a service.
 type latencyTargets struct {
-	// target is the shortest time to the first of an answer, pause the shortest of the longest pauses between events; zero when no
-	// route says.
+	// target is the shortest time to the first byte or event; maxPause is the shortest limit on the pause between events. Zero means unset.
+	// The shortest target limits the queue for all requests: with its own target as the limit, a request with a long target would fill the
+	// queue and keep out requests with a short one.
 	target, maxPause time.Duration
 }
 
-// latencyTargetsByService returns what the routes say of each service.
+// latencyTargetsByService returns the latency targets of each service.
 func latencyTargetsByService(routes []pomelorelay.Route) map[pomelorelay.ServiceID]latencyTargets {
 	all := make(map[pomelorelay.ServiceID]latencyTargets)
 	for _, r := range routes {
@@ -65,7 +59,7 @@
 	return all
 }
 
-// minNonZero returns the shorter of two times of which zero says nothing.
+// minNonZero returns the shorter of two durations, ignoring those that are not positive.
 func minNonZero(a, b time.Duration) time.Duration {
 	if a <= 0 || (b > 0 && b < a) {
 		return b
@@ -73,14 +67,14 @@
 	return a
 }
 
-// admission is whether a request is admitted, and when it may come back otherwise.
+// admission is the outcome of an admission check; its zero value admits the request.
 type admission struct {
 	reason     Reason
 	bound      Bound
 	retryAfter time.Duration
 }
 
-// allowance is how much of an upstream a request may use.
+// allowance is the part of an upstream that a request may use.
 type allowance struct {
 	maxRunning    int
 	maxQueueDelay time.Duration
@@ -117,19 +111,19 @@
 	return a
 }
 
-// admit decides whether the request may go to the best candidate for it.
+// admit decides whether the request may be sent to its best candidate.
 func (p *Placer) admit(c candidate, r *Request) admission {
 	a := p.allowance(c.up, r)
 	bound := p.exceededBound(c, r, a)
 	if bound == BoundNone {
 		return admission{}
 	}
-	// When what waits has fallen to what the request may join.
+	// The queue must drop to the limit, and the expected latency to the admissible one.
 	wait := max(c.queueDelay-a.maxQueueDelay, c.expectedLatency-scale(onTimeFraction, r.Target))
 	return admission{reason: a.reason, bound: bound, retryAfter: min(max(wait, minRetryAfter), maxRetryAfter)}
 }
 
-// exceededBound returns the bound that the request is over at the candidate.
+// exceededBound returns the limit that the request exceeds at the candidate.
 func (p *Placer) exceededBound(c candidate, r *Request, a allowance) Bound {
 	ownTime := c.expectedLatency - c.queueDelay
 	switch {
@@ -142,7 +136,7 @@
 	case c.expectedLatency <= scale(onTimeFraction, r.Target):
 		return BoundNone
 	case ownTime > r.Target/2 && ownTime < r.Left/2:
-		// A long prompt takes most of its target by itself. Held to it, the largest would never be served.
+		// The prefill of a long prompt takes most of the target by itself; held to the target, the longest prompts would never be served.
 		return BoundNone
 	}
 	return BoundTime
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -7,190 +7,192 @@
 	"github.com/pomelorelay/pomelorelay/pomelospeed"
 )
 
-// Config holds what a Placer needs.
+// Config configures a Placer.
 type Config struct {
 	Self pomelorelay.Peer
-	// Regions gives the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
-	// Cold bounds what the fleet sends to cold upstreams.
+	// Cold limits the request rate of the fleet to cold upstreams.
 	Cold pomelorelay.ColdBounds
-	// Without are the mechanisms that are switched off.
+	// Without lists the disabled mechanisms.
 	Without Mechanisms
 }
 
-// Request is a request that wants a place.
+// Request describes a request to be placed.
 type Request struct {
 	Service pomelorelay.ServiceID
-	// Prompt is the number of the prompt's tokens, Output the expected number of generated ones.
+	// Prompt is the length of the prompt; Output is the expected number of generated tokens.
 	Prompt pomelorelay.Tokens
 	Output pomelorelay.Tokens
 	Parts  []pomelorelay.PromptPart
-	// Target is the time to the first of the answer that the caller expects; Left is how long it waits at most.
+	// Target is the route's target for the time to the first byte or event of the answer; Left is the remaining time the caller will wait.
 	Target time.Duration
 	Left   time.Duration
-	// Owed tells that the request is within its account's share.
+	// Owed reports whether the request is within its account's fair share.
 	Owed bool
-	// Lead is how many times as much the account has had as it may beside another that is short; up to one it is not ahead.
+	// Lead is the account's usage relative to its limit while another account is below its share. Above 1, its over-share requests get a
+	// shorter queue and fewer slots.
 	Lead float64
-	// Ahead is how many times as much as it may the account has had beside another one that is short by far; above one it leaves slots to that.
+	// Ahead is the account's usage relative to its limit while another account is far below its share. Above 1, all of its requests get
+	// fewer slots.
 	Ahead float64
-	// Residency says in which regions the request may be served.
+	// Residency restricts the regions in which the request may be served.
 	Residency pomelorelay.Residency
-	// Avoid lists upstreams that failed this request.
+	// Avoid lists upstreams that have already failed this request.
 	Avoid []pomelorelay.UpstreamID
 }
 
-// Reason tells why a request gets no place.
+// Reason is the reason why a request was refused.
 type Reason string
 
-// The reasons.
+// Reasons for refusing a request.
 const (
-	// ReasonNone stands for a request that has its place.
+	// ReasonNone means that the request was admitted.
 	ReasonNone Reason = ""
-	// ReasonNoUpstream stands for a service without an upstream that takes requests.
+	// ReasonNoUpstream means that the service has no upstream that accepts requests.
 	ReasonNoUpstream Reason = "NoUpstream"
-	// ReasonNoRegion stands for a request that no region may serve.
+	// ReasonNoRegion means that no region is allowed to serve the request.
 	ReasonNoRegion Reason = "NoRegion"
-	// ReasonRegion stands for a service without an upstream that takes requests in the regions that may serve the request.
+	// ReasonRegion means that no upstream in the allowed regions accepts requests; Decision.Cause holds the underlying reason.
 	ReasonRegion Reason = "Region"
-	// ReasonEvacuated stands for a service all of whose upstreams are in failure domains under evacuation.
+	// ReasonEvacuated means that every upstream of the service is in a failure domain under evacuation.
 	ReasonEvacuated Reason = "Evacuated"
-	// ReasonCold stands for a service all of whose upstreams are cold and have had what they accept.
+	// ReasonCold means that every upstream of the service is cold and its rate limit is used up.
 	ReasonCold Reason = "Cold"
-	// ReasonLate stands for upstreams at which the request could not begin in time.
+	// ReasonLate means that the answer could not begin within the target.
 	ReasonLate Reason = "Late"
-	// ReasonShare stands for a request beyond its account's share while upstreams are busy.
+	// ReasonShare means that the request exceeds its account's share while the upstreams are busy.
 	ReasonShare Reason = "Share"
 )
 
-// Bound tells which bound a refused request was over.
+// Bound is the admission limit that a refused request exceeded.
 type Bound string
 
-// The bounds.
+// Admission limits.
 const (
-	// BoundNone stands for a request that has its place, or for which there is no upstream.
+	// BoundNone means that the request was admitted or that no upstream was available.
 	BoundNone Bound = ""
-	// BoundQueue stands for engines at which too much waits.
+	// BoundQueue limits the prompt tokens queued at an engine.
 	BoundQueue Bound = "Queue"
-	// BoundTime stands for an answer that would begin too late.
+	// BoundTime limits the expected time until the answer begins.
 	BoundTime Bound = "Time"
-	// BoundSlots stands for an engine that runs too many requests to take this one.
+	// BoundSlots limits the requests running at an engine.
 	BoundSlots Bound = "Slots"
-	// BoundRecompute stands for shared parts that would be read although a busier engine keeps them.
+	// BoundRecompute limits the prefill of shared prompt parts that a busier engine holds in its cache.
 	BoundRecompute Bound = "Again"
 )
 
-// Decision is where a request goes, or why it goes nowhere and when it may come back.
+// Decision is the result of placing a request: the selected upstream, or the reason for refusal and when to retry.
 type Decision struct {
 	Reason Reason
-	// Cause tells why no upstream takes the request in the regions that may serve it.
+	// Cause is the reason why no upstream in the allowed regions accepts the request; set with ReasonRegion only.
 	Cause Reason
 	Bound Bound
-	// Residency is that under which the request was decided on.
+	// Residency is the residency in force when the decision was made.
 	Residency pomelorelay.Residency
-	// Term is the largest part of what it costs to send the request there.
+	// Term is the largest term of the placement cost.
 	Term Term
-	// RetryAfter is when there is likely to be a place.
+	// RetryAfter is the estimated time until capacity is available.
 	RetryAfter time.Duration
 	Upstream   pomelorelay.FleetUpstream
 	Run        *Run
-	// Expected is the time until the answer should begin, Backlog the part of it that others cause.
+	// Expected is the estimated time until the answer begins; Backlog is the part of it spent waiting for earlier requests.
 	Expected time.Duration
 	Backlog  time.Duration
-	// Missing is the work of what the upstream must read, in tokens of a short prompt; Shared are the tokens among it that belong to
-	// parts which other requests share.
+	// Missing is the prefill work of the request at the upstream, in tokens of a short prompt; Shared is the number of uncached tokens in
+	// prompt parts that other requests share.
 	Missing pomelorelay.Tokens
 	Shared  pomelorelay.Tokens
-	// CopyFrom is the upstream from which Copied tokens of the prompt are copied instead of read; without an id when none are.
+	// CopyFrom is the upstream from which Copied tokens of the prompt's KV cache are copied; its ID is empty when nothing is copied.
 	CopyFrom pomelorelay.FleetUpstream
 	Copied   pomelorelay.Tokens
-	// Running is what the fleet runs at the upstream.
+	// Running is the number of requests of all routers at the upstream.
 	Running int
-	// ReportAge is the age of the oldest report of another router that counted; zero when there was none.
+	// ReportAge is the age of the oldest load report in use; zero when there is none.
 	ReportAge time.Duration
-	// ListAge is the time since the last list of upstreams from the platform's store.
+	// ListAge is the time since upstreams were last listed from the platform's store.
 	ListAge time.Duration
-	// Share is what decided about the account's share.
+	// Share is the state of the account's fair share at the time of the decision.
 	Share ShareState
 }
 
-// ShareState is what an account has had of the capacity that all share, when a request of it was decided on.
+// ShareState is an account's usage of the shared capacity at the time of a decision.
 type ShareState struct {
 	Cost pomelorelay.Cost
-	// Asked and Served are the account's in the window, Level is up to where accounts are owed; zero when there is enough for all.
+	// Asked and Served are the account's totals in the current window; Level is the fair-share limit, or zero when demand is below capacity.
 	Asked, Served, Level pomelorelay.Cost
 	Owed                 bool
 }
 
-// Run is a request at an upstream, until Ended.
+// Run is a request in progress at an upstream.
 type Run struct {
 	up            *upstream
 	sent          time.Time
 	prefillTokens pomelorelay.Tokens
-	// copiedTokens are the tokens that are copied from another engine.
+	// copiedTokens is the number of prompt tokens whose KV cache is copied from another engine.
 	copiedTokens pomelorelay.Tokens
-	// queuedTokens are the tokens that were to be read before the request's own, as they were known.
+	// queuedTokens is the estimated number of prompt tokens queued at the engine before this request.
 	queuedTokens float64
-	// waitedForSlot tells that no slot was free, so that the time to the first token is no sample of reading.
+	// waitedForSlot excludes the request's time to first token from the prefill speed estimate, since no slot was free.
 	waitedForSlot bool
 	memoryTokens  pomelorelay.Tokens
 	started       bool
 	ended         bool
 }
 
-// Result is how a run ended.
+// Result is the outcome of a run.
 type Result int
 
-// The results.
+// Run outcomes.
 const (
-	// ResultGood is a whole answer.
+	// ResultGood is a complete answer.
 	ResultGood Result = iota
-	// ResultGone is an end that says nothing of the upstream, as when the caller left.
+	// ResultGone is an outcome that does not reflect on the upstream, such as a cancellation by the caller.
 	ResultGone
-	// ResultFailed is an upstream that failed the request.
+	// ResultFailed is a failure of the upstream.
 	ResultFailed
-	// ResultUnreached is an upstream that took no connection.
+	// ResultUnreached is a failed connection attempt.
 	ResultUnreached
-	// ResultRefused is an upstream that said it did not run the request.
+	// ResultRefused is a response in which the upstream states that it did not run the request.
 	ResultRefused
-	// ResultUnsent is a request whose caller left before it was sent.
+	// ResultUnsent is a cancellation by the caller before the request was sent.
 	ResultUnsent
-	// ResultPaused is a whole answer that paused for longer than its caller accepts.
+	// ResultPaused is a complete answer with a pause between events that exceeds the route's limit.
 	ResultPaused
 )
 
-// NotRun reports whether the request surely did not run.
+// NotRun reports whether the upstream certainly did not run the request.
 func (r Result) NotRun() bool { return r == ResultUnreached || r == ResultRefused || r == ResultUnsent }
 
 const (
-	// initialPrefillRate is the first guess of how fast an engine reads where the operators do not say what all engines produce together.
+	// initialPrefillRate is the initial estimate of an engine's prefill rate when no token capacity is configured.
 	initialPrefillRate pomelospeed.Rate = 100
-	// prefillRateFactor is how many times as fast as it produces tokens on the whole an engine reads: about half of its time goes to generating.
+	// prefillRateFactor converts an engine's average output rate to its prefill rate: about half of its time goes to decoding.
 	prefillRateFactor = 2
-	// initialServiceTime is the first guess of a plain service's time for a request; it is learnt from then on.
+	// initialServiceTime is the initial estimate of a plain service's time per request.
 	initialServiceTime = 40 * time.Millisecond
-	// serviceTimeAlpha is the weight of a new sample in its running mean.
+	// serviceTimeAlpha is the weight of a new sample in the moving average of the service time.
 	serviceTimeAlpha = 0.05
-	// noRegionRetryAfter is the Retry-After of requests that no region may serve, which only the operators can change.
+	// noRegionRetryAfter is the Retry-After of requests that no region may serve; only a configuration change can help.
 	noRegionRetryAfter = 30 * time.Second
-	// evacuatedRetryAfter is the Retry-After while all upstreams are under evacuation, which takes seconds at least.
+	// evacuatedRetryAfter is the Retry-After while all upstreams are under evacuation, which takes at least several seconds.
 	evacuatedRetryAfter = 2 * time.Second
-	// hungConnectAfter is the time after which a connection attempt that failed says nothing of the upstream, unless others answered meanwhile: the network to
-	// it may be cut.
+	// hungConnectAfter is the connect time from which a failure is attributed to the network rather than to the upstream, unless other
+	// upstreams answered in the meantime.
 	hungConnectAfter = 100 * time.Millisecond
-	// failureAlpha is the weight of a new result in the rate of failures.
+	// failureAlpha is the weight of a new result in the moving failure rate.
 	failureAlpha = 0.25
-	// failureHalfLife is how long it takes until half of a rate of failures is forgiven, so that an upstream gets another chance.
+	// failureHalfLife is the half-life of the failure rate, after which a failing upstream is tried again.
 	failureHalfLife = 2 * time.Second
-	// unreachableBackoff is how long an upstream that took no connection gets nothing, twice as long each time in a row, up to unreachedMost: a
-	// restart takes seconds. Idle as it looks, it would be the first choice of every router again each time, and requests that find
-	// several such upstreams in a row are refused.
+	// unreachableBackoff is the initial backoff after a failed connection; it doubles with each consecutive failure up to
+	// maxUnreachableBackoff, since a restart takes seconds. Without backoff, an unreachable upstream looks idle and attracts requests from
+	// every router, and requests that hit several of them are refused.
 	unreachableBackoff    = 700 * time.Millisecond
 	maxUnreachableBackoff = 2800 * time.Millisecond
-	// minPendingFraction is the part of the unread tokens that still counts when reading should long be over by the rate.
+	// minPendingFraction is the fraction of pending prompt tokens that counts as queued even if they should have been processed by now.
 	minPendingFraction = 0.3
-	// maxMemoryFraction is the part of an engine's memory up to which running requests may fill it; above, it evicts what runs.
+	// maxMemoryFraction is the fraction of KV cache memory that running requests may fill; above it, the engine evicts running requests.
 	maxMemoryFraction = 0.9
-	// SilentAfter is the age from which another router's report does not count: it is gone, and its requests with it.
+	// SilentAfter is the report age after which a router and its requests are considered gone.
 	SilentAfter = 3 * time.Second
 )
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -6,20 +6,20 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Where an engine lacks shared parts that another one keeps, it copies them from there: engines that are free serve requests of busy
-// sessions without reading their shared parts again, and a crowd at one session's engine spreads over the others.
+// An engine copies the KV cache of shared parts that another engine has cached and it lacks. Idle engines can then serve requests of busy
+// sessions without another prefill, and a burst of requests to one session's engine spreads over the others.
 
-// minCopyTokens is the least number of tokens that are worth a copy's own delay.
+// minCopyTokens is the minimum number of tokens for which a copy is worth its own latency.
 const minCopyTokens = 256
 
-// copySource is the engine that keeps most of a prompt, and how much of it must still be read there.
+// copySource is the engine with the longest cached prefix of a prompt and the number of tokens uncached there.
 type copySource struct {
 	up       *upstream
 	uncached pomelorelay.Tokens
 }
 
-// findCopySource returns the engine that keeps most of the request's prompt, of several the one that runs least. Prompts are copied only from where the
-// request itself may be served.
+// findCopySource returns the engine with the longest cached prefix of the prompt, preferring the one with fewer running requests. Only
+// upstreams that may serve the request itself are eligible.
 func (p *Placer) findCopySource(now time.Time, s *pool, r *Request) copySource {
 	best := copySource{uncached: r.Prompt}
 	for _, u := range s.upstreams {
@@ -34,7 +34,7 @@
 	return best
 }
 
-// planCopy decides whether the candidate copies parts that it would have to read, and returns the time of it.
+// planCopy decides whether the candidate copies uncached parts from the source, and returns the estimated copy time.
 func (p *Placer) planCopy(c *candidate, from copySource, uncached pomelorelay.Tokens) time.Duration {
 	tokens := uncached - from.uncached
 	if p.cfg.Without.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
--- a/pomeloplace/doc.go
+++ b/pomeloplace/doc.go
@@ -1,6 +1,4 @@
-// Package pomeloplace decides which upstream a request is sent to, and whether
-// one can serve it in time at all. It keeps what the whole fleet has on each
-// upstream: its own requests at once, the other routers' by their reports. It
-// is a decision part: no goroutines, no locks, no I/O, and not safe for
-// concurrent use.
+// Package pomeloplace selects the upstream for each request and refuses requests that no upstream can serve in time. It tracks the load of
+// the whole fleet: this router's own requests directly, those of other routers through their load reports. It starts no goroutines, takes no
+// locks, performs no I/O, and is not safe for concurrent use.
 package pomeloplace
--- a/pomeloplace/domain.go
+++ b/pomeloplace/domain.go
@@ -6,24 +6,24 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// A failure domain that is lost or cut off answers nothing: each connection to it hangs until it is given up. Left to find that out upstream by
-// upstream, a router would hang at each of them, and callers would be late for as long as it has upstreams there. So after a few that hang, with no
-// answer of any other meanwhile, all of the domain are left alone, and one request at a time finds out whether it is back.
+// Connections to a failure domain that is down or partitioned hang until they time out. If each upstream were detected separately, callers
+// would see late answers for as many attempts as the domain has upstreams. After a few upstreams hang with no answer from any other, the
+// whole domain goes into backoff, and one request at a time probes it.
 
-// minHungUpstreams is the number of upstreams of a failure domain that must hang.
+// minHungUpstreams is the number of hanging upstreams from which a failure domain counts as unreachable.
 const minHungUpstreams = 3
 
-// domainState is whether a failure domain is reachable and takes requests.
+// domainState is the reachability and evacuation state of a failure domain.
 type domainState struct {
-	// evacuated domains get nothing new.
+	// evacuated domains receive no new requests.
 	evacuated bool
-	// hung are the upstreams at which connections hung since one of the domain last answered.
+	// hung holds the upstreams whose connections hung since the domain last answered.
 	hung         map[pomelorelay.UpstreamID]bool
 	lastAnswerAt time.Time
-	// backoffUntil is until when the domain is left alone, downFor how long it was last.
+	// backoffUntil is the end of the current backoff; backoff is its duration.
 	backoffUntil time.Time
 	backoff      time.Duration
-	// probing tells that a request is under way to find out whether the domain is back.
+	// probing reports whether a request that probes the domain is in flight.
 	probing bool
 }
 
@@ -31,20 +31,20 @@
 	return &domainState{hung: make(map[pomelorelay.UpstreamID]bool)}
 }
 
-// unreachable reports whether the domain is taken for unreachable, also when it is to be tried again.
+// unreachable reports whether the domain counts as unreachable, including the time after a backoff.
 func (d *domainState) unreachable() bool { return len(d.hung) >= minHungUpstreams }
 
-// inBackoff reports whether the domain is left alone.
+// inBackoff reports whether the domain is in backoff.
 func (d *domainState) inBackoff(now time.Time) bool { return now.Before(d.backoffUntil) }
 
-// recordSend notes a request to the domain; while it is taken for unreachable, no other one follows until this one has had its time.
+// recordSend records a request to the domain. A request to an unreachable domain is a probe; a backoff gives it time for an outcome.
 func (d *domainState) recordSend(now time.Time) {
 	if d.unreachable() && !d.inBackoff(now) {
 		d.backoffUntil, d.probing = now.Add(unreachableBackoff), true
 	}
 }
 
-// recordAnswer notes that an upstream of the domain answers.
+// recordAnswer records an answer from the domain and ends its backoff.
 func (d *domainState) recordAnswer(now time.Time) {
 	d.lastAnswerAt = now
 	if len(d.hung) > 0 {
@@ -53,7 +53,7 @@
 	d.backoffUntil, d.backoff, d.probing = time.Time{}, 0, false
 }
 
-// recordHang notes that a connection to an upstream hung until it was given up, for a request that was sent at a time.
+// recordHang records a connection to an upstream that hung until it timed out; sent is when the request was sent.
 func (d *domainState) recordHang(now, sent time.Time, id pomelorelay.UpstreamID) {
 	if d.lastAnswerAt.After(sent) {
 		return
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -9,17 +9,17 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// connectTimeout is how long a connection attempt to a host that does not answer takes.
+// connectTimeout is how long a connection attempt to an unresponsive host takes to fail.
 const connectTimeout = 500 * time.Millisecond
 
-// domainOutage is a router before engines in two failure domains, one of which falls silent.
+// domainOutage simulates one router and engines in two failure domains, of which domain b can be made unresponsive.
 type domainOutage struct {
 	t       *testing.T
 	p       *pomeloplace.Placer
 	now     time.Time
 	pending []pendingRun
 	seq     uint64
-	// hung counts the requests whose connections hung, reached those that the silent domain answered.
+	// hung counts requests whose connections hung; reached counts requests answered by domain b.
 	hung, reached int
 }
 
@@ -42,7 +42,7 @@
 	return &domainOutage{t: t, p: p, now: start}
 }
 
-// run sends so many requests a second; dark tells whether domain b is silent.
+// run sends requests at a constant rate; outage makes domain b unresponsive.
 func (d *domainOutage) run(length time.Duration, perSecond int, outage bool) {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.now = d.now.Add(time.Second / time.Duration(perSecond))
@@ -80,7 +80,7 @@
 	d.pending = remaining
 }
 
-// Guards against a router that finds a lost failure domain out upstream by upstream: each of its callers that tries one is late.
+// Guards against a router that detects a lost failure domain one upstream at a time, delaying a caller on each attempt.
 func TestUnreachableDomainIsBackedOffAsAWhole(t *testing.T) {
 	hungRequests := func(disabled pomeloplace.Mechanisms) int {
 		d := newDomainOutage(t, disabled, 40)
@@ -89,13 +89,13 @@
 		return d.hung
 	}
 	perDomain, perUpstream := hungRequests(pomeloplace.Mechanisms{}), hungRequests(pomeloplace.Mechanisms{DomainRests: true})
-	t.Logf("%d of 320 requests hung, %d where each upstream is found out by itself", perDomain, perUpstream)
+	t.Logf("%d of 320 requests hung, %d with backoff of single upstreams only", perDomain, perUpstream)
 	if perDomain > 25 || perUpstream < 2*perDomain {
-		t.Errorf("%d requests hung, %d where each upstream is found out by itself", perDomain, perUpstream)
+		t.Errorf("%d requests hung, %d with backoff of single upstreams only", perDomain, perUpstream)
 	}
 }
 
-// Guards against a failure domain that stays unused after it is back.
+// Guards against a failure domain that stays unused after it has recovered.
 func TestRecoveredDomainIsUsedAgain(t *testing.T) {
 	d := newDomainOutage(t, pomeloplace.Mechanisms{}, 40)
 	d.run(3*time.Second, 40, false)
@@ -103,11 +103,11 @@
 	d.reached = 0
 	d.run(3*time.Second, 40, false)
 	if d.reached < 10 {
-		t.Errorf("%d of 120 requests went to the domain in the 3 s after it was back", d.reached)
+		t.Errorf("%d of 120 requests went to the domain in the 3 s after its recovery, want at least 10", d.reached)
 	}
 }
 
-// Guards against a failure domain that is left alone because some of its upstreams are down while others answer.
+// Guards against backoff of a whole failure domain when only some of its upstreams are down.
 func TestPartlyDownDomainIsNotBackedOff(t *testing.T) {
 	d := newDomainOutage(t, pomeloplace.Mechanisms{}, 12)
 	down := func(id pomelorelay.UpstreamID) bool { return id == "b0" || id == "b1" || id == "b2" || id == "b3" }
@@ -126,6 +126,6 @@
 		d.pending = append(d.pending, pending)
 	}
 	if d.reached < 100 {
-		t.Errorf("%d of 400 requests went to the upstreams that answer in the domain", d.reached)
+		t.Errorf("%d of 400 requests went to the responsive upstreams of the domain, want at least 100", d.reached)
 	}
 }
--- a/pomeloplace/evacuation_test.go
+++ b/pomeloplace/evacuation_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against new requests, retries and copies at upstreams of a failure domain under evacuation, and against upstreams that stay unused
-// after it was taken back.
+// after the evacuation was cancelled.
 func TestEvacuatedDomainGetsNoNewRequests(t *testing.T) {
 	p := withEngines(2)
 	p.Put(start, engineIn("b0", "b"))
@@ -40,11 +40,11 @@
 	}
 	p.SetEvacuated(now, "a", false)
 	if d := p.Place(now.Add(time.Minute), prompt(1, 500, 100)); d.Reason != pomeloplace.ReasonNone {
-		t.Errorf("refused after the evacuation was taken back: %s", d.Reason)
+		t.Errorf("refused after the end of the evacuation: %s", d.Reason)
 	}
 }
 
-// Guards against prompts that are copied from an engine of a failure domain under evacuation.
+// Guards against copying prompts from an engine of a failure domain under evacuation.
 func TestNoCopiesFromEvacuatedDomain(t *testing.T) {
 	p := newPlacer()
 	p.Put(start, engineIn("b0", "b"))
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Eight routers send drafts, questions and tags to nine engines. Placed at random, every session is read by each engine and the
-// queues are uneven; callers see late answers though the engines have time to spare.
+// Compares placement with random selection for eight routers and nine engines. Random selection prefills every session on each engine
+// and makes queues uneven, so that answers are late although the engines have spare capacity.
 func TestPlacementMeetsTargetUnderLoad(t *testing.T) {
 	const length = 20 * time.Second
 	for _, c := range []struct {
@@ -26,21 +26,21 @@
 		random := newSimulation(1, 8, 9)
 		random.choose = placeAtRandom
 		random.run(c.perSecond, length)
-		t.Logf("%.0f requests a second: %s; at random: %s", c.perSecond, placed, random)
+		t.Logf("%.0f requests/s: %s; random selection: %s", c.perSecond, placed, random)
 		if got := float64(placed.onTime) / float64(placed.ended()); got < c.inTime {
-			t.Errorf("%.0f a second: %.3f in time, want %.2f", c.perSecond, got, c.inTime)
+			t.Errorf("%.0f requests/s: %.3f on time, want %.2f", c.perSecond, got, c.inTime)
 		}
 		if got := float64(placed.refused) / float64(placed.requested); got > c.refused {
-			t.Errorf("%.0f a second: %.3f refused, want at most %.2f", c.perSecond, got, c.refused)
+			t.Errorf("%.0f requests/s: %.3f refused, want at most %.2f", c.perSecond, got, c.refused)
 		}
 		if placed.onTime <= random.onTime || (placed.prefilledShared+placed.copied)*2 > random.prefilledShared+random.copied {
-			t.Errorf("%.0f a second: no better than at random", c.perSecond)
+			t.Errorf("%.0f requests/s: no better than random selection", c.perSecond)
 		}
 	}
 }
 
-// Many routers before many small engines learn late what the others sent, and half of what callers ask is beyond their accounts' shares.
-// Let in until the engines are full, that half delays the rest: callers within their share see late answers all the time.
+// Many routers with delayed load reports share many small engines, and half of the requests exceed their accounts' shares. If those were
+// admitted until the engines are full, they would delay the in-share requests.
 func TestInShareRequestsMeetTargetUnderFlood(t *testing.T) {
 	p := newSimulation(1, 33, 56)
 	p.slots, p.eventTokens, p.reportDelay, p.sessionFactor, p.overShare = 16, 11, 110*time.Millisecond, 5, 0.5
@@ -49,18 +49,18 @@
 	}
 	p.run(1000, 8*time.Second)
 	got := float64(p.inShareOnTime) / float64(p.inShareRequested)
-	t.Logf("%s; within their share %d, in time %.3f, first of the answer late %d", p, p.inShareRequested, got, p.lateFirstTokens)
+	t.Logf("%s; in-share requests %d, on time %.3f, late first tokens %d", p, p.inShareRequested, got, p.lateFirstTokens)
 	if got < 0.72 {
-		t.Errorf("%.3f of the requests within a share in time, want 0.72", got)
+		t.Errorf("%.3f of the in-share requests on time, want 0.72", got)
 	}
 }
 
-// All routers are restarted at once, and their callers come back at the same moment, before any router has heard of the others. Each sees
-// idle engines: together they send several times what these can begin in time, and callers wait for seconds.
+// All routers restart at once and receive requests before their first load reports. Each sees idle engines; together they would send
+// several times the capacity, and callers would wait for seconds.
 func TestSimultaneousRouterStartDoesNotOverloadEngines(t *testing.T) {
 	const (
 		seeds      = 12
-		returning  = 400 // requests a second while nobody is heard
+		returning  = 400 // requests per second before the first reports
 		afterwards = 150
 	)
 	restart := func(unreportedKnown bool) (late, inTime int) {
@@ -75,14 +75,14 @@
 	}
 	unawareLate, unawareOnTime := restart(false)
 	late, onTime := restart(true)
-	t.Logf("%d late and %d in time; without knowing that they hear nothing %d and %d", late, onTime, unawareLate, unawareOnTime)
+	t.Logf("%d late and %d on time; without accounting for unreported routers %d and %d", late, onTime, unawareLate, unawareOnTime)
 	if late >= unawareLate || onTime < unawareOnTime {
-		t.Error("want fewer late answers, and as many in time")
+		t.Error("want fewer late answers and at least as many on time")
 	}
 }
 
-// A flood lasts for longer than anybody waits, and each caller that is refused comes back once, when it is told to. Told to come back when the
-// flood may be over, it finds a place no more often, and its answer comes seconds late.
+// During a long overload, each refused caller retries once after its Retry-After. A longer Retry-After does not improve the chance of
+// admission and makes the answers seconds late.
 func TestRetryAfterLetsRetriesMeetTheirTarget(t *testing.T) {
 	const seeds = 3
 	type outcome struct{ inTime, lateFirst, read int }
@@ -91,25 +91,25 @@
 			p := newSimulation(seed+1, 8, 9)
 			p.overShare, p.retryRefused, p.retryAfter = 0.7, true, retryAfter
 			p.run(260, 20*time.Second)
-			t.Logf("come back after %v (zero: as told): %s; first of the answer late %d", retryAfter, p, p.lateFirstTokens)
+			t.Logf("retry after %v (0: the returned Retry-After): %s; late first tokens %d", retryAfter, p, p.lateFirstTokens)
 			sum.inTime, sum.lateFirst, sum.read = sum.inTime+p.onTime, sum.lateFirst+p.lateFirstTokens, sum.read+p.prefilledShared
 		}
 		return sum
 	}
 	advised, later := flood(0), flood(3*time.Second)
 	if advised.inTime < later.inTime+later.inTime/10 {
-		t.Errorf("%d in time when they come back as told, %d after 3 s: want a tenth more", advised.inTime, later.inTime)
+		t.Errorf("%d on time with the returned Retry-After, %d with 3 s: want a tenth more", advised.inTime, later.inTime)
 	}
 	const mostRead = 1_000_000 * seeds
 	if advised.read > mostRead {
-		t.Errorf("%d shared tokens read, want at most %d", advised.read, mostRead)
+		t.Errorf("%d shared tokens prefilled, want at most %d", advised.read, mostRead)
 	}
 	if advised.lateFirst*2 > later.lateFirst {
-		t.Errorf("%d late when they come back as told, %d after 3 s: want half", advised.lateFirst, later.lateFirst)
+		t.Errorf("%d late with the returned Retry-After, %d with 3 s: want at most half", advised.lateFirst, later.lateFirst)
 	}
 }
 
-// ended is the number of requests whose answers had time to end before the play did.
+// ended returns the number of requests that were answered or refused before the end of the simulation.
 func (p *simulation) ended() int {
 	unfinished := 0
 	for _, e := range p.engines {
@@ -119,10 +119,10 @@
 }
 
 func (p *simulation) String() string {
-	return fmt.Sprintf("%d asked, %d refused, %d in time, %d paused too long, %d shared tokens read and %d copied", p.requested, p.refused, p.onTime, p.longPauses, p.prefilledShared, p.copied)
+	return fmt.Sprintf("%d requests, %d refused, %d on time, %d paused too long, %d shared tokens prefilled and %d copied", p.requested, p.refused, p.onTime, p.longPauses, p.prefilledShared, p.copied)
 }
 
-// placeAtRandom sends each request to an engine at random and lets the placer refuse nothing.
+// placeAtRandom sends each request to a random engine and disables refusal by the target.
 func placeAtRandom(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
 	only := pomelorelay.UpstreamID(fmt.Sprintf("e%d", p.random.IntN(len(p.engines))))
 	for id := range p.engines {
@@ -151,7 +151,7 @@
 	}
 }
 
-// BenchmarkPutAll lists all upstreams of a fleet at a router that starts.
+// BenchmarkPutAll measures the listing of all upstreams when a router starts.
 func BenchmarkPutAll(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// BenchmarkTick does what follows from time alone.
+// BenchmarkTick measures the periodic update.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -176,8 +176,8 @@
 	}
 }
 
-// Guards against long prompts that are read one after the other beside the same streams: on a calm day, when engines read a third of the time, each
-// wait is short, and together they make the streams pause for too long.
+// Guards against successive prefills of long prompts beside the same streams. At low load, with engines prefilling a third of the time,
+// each delay is short, but together they make streams pause for too long.
 func TestStreamsSeldomPauseAtLowLoad(t *testing.T) {
 	const (
 		seeds = 3
@@ -191,7 +191,7 @@
 			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, Memory: 632_306, EventTokens: 10}}}})
 		}
 		p.run(430, 20*time.Second)
-		t.Logf("%s; first of the answer late %d", p, p.lateFirstTokens)
+		t.Logf("%s; late first tokens %d", p, p.lateFirstTokens)
 		paused, ended = paused+p.longPauses, ended+p.ended()
 	}
 	if got := float64(paused) / float64(ended); got > most {
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -12,40 +12,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// An engine reads a long prompt in chunks and gives each stream that runs beside it one token a chunk. Where chunks are long and an event holds
-// many tokens, no event of those streams is complete within the pause that callers accept while a long prompt is read: it makes all of them
-// late at once. There, long prompts go to a few engines that streams keep away from.
+// An engine prefills a long prompt in chunks and generates one token per running stream with each chunk. With long chunks and many tokens per
+// event, no stream completes an event within the maximum pause during a long prefill. Services where this happens assign long prompts to a
+// few engines that streams avoid.
 
 const (
-	// longCapacityFactor is the room that long prompts are given for their own work; short answers fill what they leave.
+	// longCapacityFactor scales the capacity assigned to long prompts relative to their work; short answers use the rest of it.
 	longCapacityFactor = 1.0
-	// maxLongFraction is the largest part of a service's engines for long prompts.
+	// maxLongFraction limits the fraction of a service's engines assigned to long prompts.
 	maxLongFraction = 0.25
-	// streamOnLongEngineCost and shortAtLong are what it costs a request to go where long prompts go, in an engine's time: a stream of many events is
-	// late there as a rule, an answer of a few events sometimes.
+	// streamOnLongEngineCost and shortOnLongEngineCost are the costs in engine time of other requests on an engine assigned to long prompts:
+	// a stream of many events usually pauses too long there, an answer of a few events sometimes.
 	streamOnLongEngineCost = 400 * time.Millisecond
 	shortOnLongEngineCost  = 25 * time.Millisecond
-	// minStreamEvents is the number of events from which an answer counts as a stream of many.
+	// minStreamEvents is the number of events from which an answer counts as a stream.
 	minStreamEvents = 8
-	// longEngineHold is how long an engine goes on taking long prompts when fewer would do. Each change moves the prompts that are kept
-	// there, and shared parts are read again.
+	// longEngineHold is how long an engine stays assigned to long prompts that fewer engines could serve. Each change moves cached prompts
+	// to other engines, where their shared parts are prefilled again.
 	longEngineHold = 15 * time.Second
-	// workHalfLife is the time in which the flow of work follows a change by half.
+	// workHalfLife is the half-life of the measured work rate.
 	workHalfLife = 3 * time.Second
-	// attentionCost is the work of relating one token to one before it, in tokens that are read. It decides from which length on a prompt takes
-	// longer than its tokens say.
+	// attentionCost is the cost of attention between two tokens, relative to the prefill of one token. It determines the length from which
+	// the quadratic part of the prefill matters.
 	attentionCost = 1.86e-5
 )
 
-// prefillWork returns what an engine has to do to read the missing part of a prompt, in tokens of a short prompt.
+// prefillWork returns the work to prefill the uncached part of a prompt, in tokens of a short prompt.
 func prefillWork(uncached, prompt pomelorelay.Tokens) pomelorelay.Tokens {
 	m, all := float64(uncached), float64(max(uncached, prompt))
 	return uncached + pomelorelay.Tokens(attentionCost*(m*all-m*m/2))
 }
 
-// workRate measures the work that requests bring, and the part of it that long prompts make.
+// workRate measures the rate of prefill work and the fraction of it that comes from long prompts.
 type workRate struct {
-	total, own, long float64 // a second
+	total, own, long float64 // tokens per second
 	updatedAt        time.Time
 }
 
@@ -60,7 +60,7 @@
 	f.updatedAt = now
 }
 
-// sumToRate is the factor that turns a sum that fades by half in flowFade into a rate.
+// sumToRate converts a sum that decays with workHalfLife to a rate per second.
 var sumToRate = math.Ln2 / workHalfLife.Seconds()
 
 func (f *workRate) add(now time.Time, tokens pomelorelay.Tokens) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// longEngines returns how many engines of the rate the long prompts need.
+// longEngines returns the number of engines needed for long prompts at the given prefill rate.
 func (f *workRate) longEngines(rate float64) float64 {
 	if f.own <= 0 {
 		return 0
@@ -84,29 +84,29 @@
 	return longCapacityFactor * f.total * (f.long / f.own) / (rate * 1000)
 }
 
-// pool is the upstreams of one service.
+// pool holds the upstreams of a service.
 type pool struct {
-	// upstreams is by id, so that the same calls always give the same answers.
+	// upstreams is sorted by ID, so that placement is deterministic.
 	upstreams []*upstream
-	// speed is how fast the service's engines read.
+	// speed is the service's estimate of the time to first token.
 	speed *pomelospeed.Line
-	// expectation is what callers expect, pauses whether long reading leads to longer pauses than that.
+	// pauseRatio is the fraction of streams that paused too long during a long prefill.
 	latencyTargets
 	pauseRatio *pomelospeed.Ratio
-	// copyRatio is how long it takes to copy kept parts from another engine, as a part of the time to read them.
+	// copyRatio is the time to copy cached parts from another engine, as a fraction of the time to prefill them.
 	copyRatio *pomelospeed.Ratio
-	// pauseWeight and copyPart are what these said when a request was last placed.
+	// pauseWeight and copyFraction are the estimates in use, as of the last placement.
 	pauseWeight, copyFraction float64
-	// byLongRank is in the order of a hash that is the same at every router; the first take the long prompts.
+	// byLongRank is sorted by a hash that is the same on every router; the first engines are assigned to long prompts.
 	byLongRank []*upstream
 	work       workRate
-	// longEngines is how many engines take long prompts, neededAt when so many were last needed.
+	// longEngines is the number of engines assigned to long prompts; longEnginesNeededAt is when that many were last needed.
 	longEngines         int
 	longEnginesNeededAt time.Time
 	speedFactors        []float64
-	// unreportedRouters is the number of routers without a report yet.
+	// unreportedRouters is the number of registered routers that have not yet sent a load report.
 	unreportedRouters int
-	// reportedAnswers is the number of answers in the last report of their times.
+	// reportedAnswers is the number of answers included in the last speed report.
 	reportedAnswers float64
 }
 
@@ -114,7 +114,7 @@
 	return &pool{speed: pomelospeed.NewLine(initialPrefillRate), pauseRatio: pomelospeed.NewPauses(), copyRatio: pomelospeed.NewCopies()}
 }
 
-// refreshEstimates takes over what was learnt, once for all candidates of a request.
+// refreshEstimates updates the estimates in use, once for all candidates of a request.
 func (s *pool) refreshEstimates(now time.Time) {
 	s.pauseWeight = pomelospeed.PauseWeight(s.pauseRatio.Value(now))
 	s.copyFraction = max(0, s.copyRatio.Value(now))
@@ -125,13 +125,13 @@
 	s.byLongRank = insertSorted(s.byLongRank, u, func(a, b *upstream) int { return cmp.Compare(a.longRank, b.longRank) })
 }
 
-// insertSorted puts an upstream into an ordered list.
+// insertSorted inserts an upstream into a sorted list.
 func insertSorted(list []*upstream, u *upstream, compare func(a, b *upstream) int) []*upstream {
 	at, _ := slices.BinarySearchFunc(list, u, compare)
 	return slices.Insert(list, at, u)
 }
 
-// longRank orders the engines for long prompts, alike at every router.
+// longRank returns the position of an engine in the assignment of long prompts, which is the same on every router.
 func longRank(id pomelorelay.UpstreamID) uint64 { return xxhash.Sum64String("long/" + string(id)) }
 
 func (s *pool) remove(u *upstream) {
@@ -140,7 +140,7 @@
 	s.byLongRank = slices.DeleteFunc(s.byLongRank, equal)
 }
 
-// assignLongEngines notes which engines take the long prompts from now on.
+// assignLongEngines selects the engines that serve long prompts.
 func (s *pool) assignLongEngines(now time.Time, disabled *Mechanisms) {
 	if len(s.byLongRank) == 0 || s.byLongRank[0].engine == nil {
 		return
@@ -164,10 +164,10 @@
 	}
 }
 
-// scaleToFleet returns how many of something this router and those without a report have, assuming as much for each.
+// scaleToFleet adds an equal count for each router without a load report to this router's own count.
 func (s *pool) scaleToFleet(own int) int { return own * (1 + s.unreportedRouters) }
 
-// recordPause takes a stream that ran while its engine read for long.
+// recordPause records whether a stream that ran during a long prefill paused for too long.
 func (s *pool) recordPause(now time.Time, paused bool) {
 	sums := pomelospeed.Sums{Of: 1}
 	if paused {
@@ -176,8 +176,8 @@
 	s.pauseRatio.Note(now, sums)
 }
 
-// updateSlowdowns sets each engine's speed beside that of the middle one: what is the same for all belongs to the service's line, which may
-// still be on its way to where it fits.
+// updateSlowdowns compares each engine's speed with the median engine. A deviation common to all engines belongs to the service's speed
+// estimate, which may not have converged yet.
 func (s *pool) updateSlowdowns(now time.Time) {
 	s.speedFactors = s.speedFactors[:0]
 	for _, u := range s.upstreams {
@@ -190,7 +190,7 @@
 	}
 }
 
-// longEngineCost is what it costs a request to go to an engine of the other kind.
+// longEngineCost returns the cost of sending other requests to an engine assigned to long prompts.
 func longEngineCost(u *upstream, r *Request, work pomelorelay.Tokens) time.Duration {
 	if !u.servesLong || u.pool.isLong(work) {
 		return 0
@@ -202,7 +202,7 @@
 	return scale(u.pool.pauseWeight, cost)
 }
 
-// isLong reports whether reading so much at a stretch makes streams beside it pause for too long.
+// isLong reports whether an uninterrupted prefill of this work makes concurrent streams pause for too long.
 func (s *pool) isLong(work pomelorelay.Tokens) bool {
 	return s.maxPause > 0 && float64(work)/float64(s.speed.Rate()) >= pauseRampStart*milliseconds(s.maxPause)
 }
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -2,47 +2,47 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// Mechanisms are the parts of the decisions that can be switched off one by one, to find out what each is worth.
+// Mechanisms selects placement mechanisms to disable, so that the effect of each can be measured.
 type Mechanisms struct {
-	// SharedSpeeds are the times to first tokens that other routers saw.
+	// SharedSpeeds disables the use of other routers' times to first token.
 	SharedSpeeds bool
-	// SlowEngines is that an engine which turns slow is told apart from the others.
+	// SlowEngines disables the detection of engines that become slower than the others.
 	SlowEngines bool
-	// Pauses is the cost of reading for long beside streams.
+	// Pauses disables the cost of long prefills on engines with running streams.
 	Pauses bool
-	// LongEngines is that long prompts have engines of their own.
+	// LongEngines disables the assignment of separate engines to long prompts.
 	LongEngines bool
-	// Homes is the order of the engines that a hash gives a prompt's shared parts.
+	// Homes disables the preference for engines by a hash of the shared prompt parts.
 	Homes bool
-	// Copies is that shared parts are copied from an engine that keeps them.
+	// Copies disables copying the KV cache of shared prompt parts between engines.
 	Copies bool
-	// OthersMemory is that what other routers sent takes room in an engine's memory.
+	// OthersMemory disables counting other routers' prompts towards an engine's cache memory.
 	OthersMemory bool
-	// Waits is the cost of waiting.
+	// Waits disables the cost of waiting.
 	Waits bool
-	// Regions is the cost of bytes to other regions.
+	// Regions disables the cost of traffic to other regions.
 	Regions bool
-	// Failures is the cost of upstreams that fail requests.
+	// Failures disables the cost of upstreams that fail requests.
 	Failures bool
-	// Rests is that upstreams which take no connection are left alone for a while.
+	// Rests disables the backoff for unreachable upstreams.
 	Rests bool
-	// DomainRests is that all upstreams of a failure domain are left alone where several hang.
+	// DomainRests disables the backoff for a whole failure domain after connections to several of its upstreams hang.
 	DomainRests bool
-	// Unreported is that routers without a report yet count as sending as much as this one.
+	// Unreported disables the assumption that routers without a load report send as much as this one.
 	Unreported bool
-	// SlotReserve is that slots are kept free of requests beyond shares.
+	// SlotReserve disables the slots reserved for requests within their account's share.
 	SlotReserve bool
-	// FreeQueue is that requests beyond shares may join shorter queues only.
+	// FreeQueue disables the shorter queue limit for requests beyond their account's share.
 	FreeQueue bool
-	// Ahead is that accounts which are ahead of one that is short get less.
+	// Ahead disables the stricter limits for accounts with high usage while another account is below its share.
 	Ahead bool
-	// SharedTarget is that queues are bounded by the shortest target of a service's routes.
+	// SharedTarget disables the use of the shortest target of a service's routes as the base of its queue limit.
 	SharedTarget bool
-	// ReadAgain is that requests beyond shares are refused rather than their shared parts read again.
+	// ReadAgain disables the refusal of over-share requests whose shared prompt parts would be prefilled a second time.
 	ReadAgain bool
 }
 
-// mechanisms are the fields by name, in the order of Mechanisms.
+// mechanisms lists the fields of Mechanisms by name, in declaration order.
 var mechanisms = []struct {
 	name  string
 	field func(m *Mechanisms) *bool
@@ -67,7 +67,7 @@
 	{"ReadAgain", func(m *Mechanisms) *bool { return &m.ReadAgain }},
 }
 
-// MechanismNames returns the names by which mechanisms are switched off.
+// MechanismNames returns the names accepted by ParseMechanisms.
 func MechanismNames() []string {
 	names := make([]string, 0, len(mechanisms))
 	for _, m := range mechanisms {
@@ -76,12 +76,12 @@
 	return names
 }
 
-// ParseMechanisms returns the mechanisms of the names; it fails with CodeSettingsInvalid.
+// ParseMechanisms returns the mechanisms with the given names set; an unknown name yields CodeSettingsInvalid.
 func ParseMechanisms(names []string) (Mechanisms, error) {
 	var disabled Mechanisms
 	for _, name := range names {
 		if !disabled.disable(name) {
-			return disabled, pomelorelay.NewError(pomelorelay.CodeSettingsInvalid, "no mechanism is called "+name, nil)
+			return disabled, pomelorelay.NewError(pomelorelay.CodeSettingsInvalid, "unknown placement mechanism "+name, nil)
 		}
 	}
 	return disabled, nil
--- a/pomeloplace/mechanism_test.go
+++ b/pomeloplace/mechanism_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// A fleet stands in two regions, and the way between them takes longer than anybody said. Routers that do not learn it expect answers too
-// early, and send requests to the other region that are late there.
+// The round trip to another region takes longer than the initial estimate. Routers that do not learn it would expect answers too early and
+// send requests to the other region that are then late.
 func TestRegionLatencyIsLearnt(t *testing.T) {
 	p := newPlacer()
 	far := engine("e0")
@@ -45,6 +45,6 @@
 		remote, local = ask("e1", rtt), ask("e0", 0)
 	}
 	if got := remote.Expected - local.Expected; got < rtt*3/4 || got > rtt*5/4 {
-		t.Errorf("the other region is taken to be %v further, want about %v", got, rtt)
+		t.Errorf("learnt a round trip of %v to the other region, want about %v", got, rtt)
 	}
 }
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -16,7 +16,7 @@
 	plain   = "plain"
 )
 
-// routes say what callers expect.
+// routes defines the callers' latency targets.
 var routes = []pomelorelay.Route{{Target: 400 * time.Millisecond, Pause: maxPause, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
 
 const maxPause = 400 * time.Millisecond
@@ -37,7 +37,7 @@
 	return pomelorelay.FleetUpstream{ID: id, Service: engines, Domain: "a", Slots: 64}
 }
 
-// withEngines returns a placer that knows the engines e0, e1 and so on.
+// withEngines returns a placer with n engines named e0, e1 and so on.
 func withEngines(n int) *pomeloplace.Placer {
 	p := newPlacer()
 	for i := range n {
@@ -46,7 +46,7 @@
 	return p
 }
 
-// prompt is a request with a shared part and one of its own.
+// prompt returns a request with a shared part of the given size and a part of its own.
 func prompt(shared uint64, tokens, own pomelorelay.Tokens) pomeloplace.Request {
 	return pomeloplace.Request{
 		Service: engines, Prompt: tokens + own, Output: 100, Owed: true,
@@ -72,7 +72,7 @@
 		now = now.Add(200 * time.Millisecond)
 		d := place(t, p, now, prompt(1, 5000, pomelorelay.Tokens(200+i)))
 		if d.Upstream.ID != first.Upstream.ID || d.Shared != 0 {
-			t.Fatalf("request %d went to %s and reads %d shared tokens again; %s keeps them", i, d.Upstream.ID, d.Shared, first.Upstream.ID)
+			t.Fatalf("request %d sent to %s with %d uncached shared tokens, want %s with all cached", i, d.Upstream.ID, d.Shared, first.Upstream.ID)
 		}
 		p.Begun(now.Add(50*time.Millisecond), d.Run)
 		p.Ended(now.Add(100*time.Millisecond), d.Run, pomeloplace.ResultGood)
@@ -87,12 +87,11 @@
 	b.TakeReport(start, "a", 1, &m)
 	got := place(t, b, start.Add(time.Second), prompt(1, 5000, 300))
 	if got.Upstream.ID != d.Upstream.ID {
-		t.Errorf("sent to %s, though %s keeps the part", got.Upstream.ID, d.Upstream.ID)
+		t.Errorf("sent to %s, want %s, which has the part cached", got.Upstream.ID, d.Upstream.ID)
 	}
 }
 
-// An upstream begins to drain, or a request already failed at it. Sent there, the request would be cut by the upstream's end, or fail
-// once more.
+// Guards against sending a request to a draining upstream, which would cut it off, or to one that has already failed it.
 func TestDrainingUpstreamsExcludedAndAvoidedOnesLast(t *testing.T) {
 	p := withEngines(3)
 	draining := engine("e0")
@@ -109,16 +108,16 @@
 	}
 	p.Remove("e2")
 	if d := place(t, p, start, r); d.Upstream.ID != "e1" {
-		t.Errorf("sent to %s, though only e1 is left", d.Upstream.ID)
+		t.Errorf("sent to %s, want e1, the only upstream left", d.Upstream.ID)
 	}
 	p.Remove("e1")
 	if d := p.Place(start, r); d.Reason != pomeloplace.ReasonNoUpstream || d.RetryAfter <= 0 {
-		t.Errorf("%s after %v", d.Reason, d.RetryAfter)
+		t.Errorf("refused with reason %q and Retry-After %v, want NoUpstream and a positive time", d.Reason, d.RetryAfter)
 	}
 }
 
-// Long queues have formed at every engine. A request that is sent nevertheless waits past its target and delays the next; its caller
-// would rather hear at once when to come back.
+// Guards against admitting a request when every queue is long. It would miss its target and delay the next ones, whereas a refusal gives
+// the caller a time to retry.
 func TestRefusesRequestsThatWouldMissTheirTarget(t *testing.T) {
 	p := withEngines(2)
 	refused := pomeloplace.Decision{}
@@ -128,14 +127,14 @@
 			break
 		}
 		if refused.Expected > 400*time.Millisecond {
-			t.Fatalf("sent, though the answer is expected after %v", refused.Expected)
+			t.Fatalf("admitted with an expected latency of %v, want at most 400 ms", refused.Expected)
 		}
 	}
 	if refused.Reason != pomeloplace.ReasonLate || refused.RetryAfter <= 0 || refused.Run != nil {
 		t.Fatalf("%+v", refused)
 	}
 	if d := p.Place(start.Add(refused.RetryAfter), prompt(1, 5000, 100)); d.Reason != pomeloplace.ReasonNone {
-		t.Errorf("refused again (%s) after the time that it was told", d.Reason)
+		t.Errorf("refused again (%s) after the returned Retry-After", d.Reason)
 	}
 }
 
@@ -148,14 +147,14 @@
 	r := prompt(1, 10, 10)
 	r.Owed, r.Lead = false, 1.5
 	if d := p.Place(now, r); d.Reason != pomeloplace.ReasonShare {
-		t.Errorf("an account that is ahead of others: %q", d.Reason)
+		t.Errorf("request of an account ahead of others: reason %q, want Share", d.Reason)
 	}
 	r.Owed = true
 	place(t, p, now, r)
 }
 
-// An account floods while the engine that keeps its prompts is full, and another one is free. Read again there, its long shared parts take
-// the free engine from callers within their share, who see late answers and refusals. Copied from the full engine, they take next to nothing.
+// An account exceeds its share while the engine with its cached prompt is full and another one is idle. Prefilling long shared parts again
+// would take the idle engine from in-share requests; copying them costs very little.
 func TestOverShareRequestsDoNotRecomputeCachedParts(t *testing.T) {
 	p := withEngines(2)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
@@ -168,41 +167,41 @@
 	slowCopies := pomelorelay.SpeedSums{Service: engines, Copied: 1e6, CopyTook: 100e6}
 	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
 	if d := p.Place(start, flood(1, 5000)); d.Reason != pomeloplace.ReasonShare {
-		t.Errorf("%q at %s, which reads %d shared tokens again", d.Reason, d.Upstream.ID, d.Shared)
+		t.Errorf("reason %q at %s with %d uncached shared tokens, want Share", d.Reason, d.Upstream.ID, d.Shared)
 	}
 	if d := place(t, p, start, flood(2, 5000)); d.Upstream.ID == holder {
-		t.Error("a part that no engine keeps went to the full one")
+		t.Error("a request with an uncached part was sent to the full engine")
 	}
 	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == holder || d.Shared != 5000 {
-		t.Errorf("a request within its share went to %s and reads %d shared tokens", d.Upstream.ID, d.Shared)
+		t.Errorf("in-share request sent to %s with %d uncached shared tokens", d.Upstream.ID, d.Shared)
 	}
 }
 
-// The engine that keeps a session's parts is crowded, and others are free. Waiting there, its callers see late answers; read again
-// elsewhere, its parts take another engine's time from everybody.
+// The engine with a session's cached parts is overloaded and others are idle. Waiting for it makes answers late, and another prefill
+// elsewhere takes engine time from other requests.
 func TestPrefixIsCopiedFromOverloadedEngine(t *testing.T) {
 	p := withEngines(3)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
 	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
 	d := place(t, p, start, prompt(1, 5000, 200))
 	if d.Upstream.ID == holder || d.CopyFrom.ID != holder || d.Copied != 5000 || d.Shared != 0 {
-		t.Errorf("sent to %s, which copies %d tokens from %q and reads %d shared ones", d.Upstream.ID, d.Copied, d.CopyFrom.ID, d.Shared)
+		t.Errorf("sent to %s with %d tokens copied from %q and %d uncached shared tokens", d.Upstream.ID, d.Copied, d.CopyFrom.ID, d.Shared)
 	}
-	// An engine that takes no connection gives nothing away either.
+	// An unreachable engine is not a copy source either.
 	unreachable := place(t, p, start, prompt(2, 5000, 300))
 	p.Ended(start, unreachable.Run, pomeloplace.ResultUnreached)
 	if d := place(t, p, start, prompt(2, 5000, 400)); d.CopyFrom.ID == unreachable.Upstream.ID {
-		t.Errorf("copies from %s, which takes no connection", d.CopyFrom.ID)
+		t.Errorf("copied from %s, which is unreachable", d.CopyFrom.ID)
 	}
 }
 
-// A single prompt takes longer to read than its caller's target. Refused each time, the largest requests would never be served.
+// Guards against refusing a prompt whose prefill alone takes longer than the target. The longest prompts would never be served.
 func TestLongPromptsAdmittedWhenQueuesAreShort(t *testing.T) {
 	p := withEngines(4)
 	place(t, p, start, prompt(1, 100, 50_000))
 }
 
-// An upstream that fails what it is sent still looks idle, and every router's requests would go there.
+// Guards against an upstream that looks idle because it fails requests, and so attracts those of every router.
 func TestFailingUpstreamsGetFewRequests(t *testing.T) {
 	p := withEngines(2)
 	now := start
@@ -218,17 +217,16 @@
 		p.Ended(now.Add(20*time.Millisecond), d.Run, result)
 	}
 	if sent["e0"] > 10 {
-		t.Errorf("%d of 60 requests went to the upstream that fails all", sent["e0"])
+		t.Errorf("%d of 60 requests sent to the failing upstream, want at most 10", sent["e0"])
 	}
 	d := place(t, p, now, prompt(100, 0, 100))
 	p.Ended(now, d.Run, pomeloplace.ResultUnreached)
 	if again := place(t, p, now.Add(100*time.Millisecond), prompt(101, 0, 100)); again.Upstream.ID == d.Upstream.ID {
-		t.Error("sent again at once to an upstream that takes no connection")
+		t.Error("sent to an unreachable upstream during its backoff")
 	}
 }
 
-// An entry lapses while the store is away and comes back; the upstream lived all the while. A restart under the same name, on the
-// other hand, has lost what it kept.
+// An upstream that was unlisted while the store was unavailable still has its cache. One that restarted under the same name has lost it.
 func TestCacheKeptOnRelistingAndClearedOnRestart(t *testing.T) {
 	p := withEngines(1)
 	d := place(t, p, start, prompt(1, 5000, 100))
@@ -236,18 +234,18 @@
 	p.Remove("e0")
 	p.Put(start, engine("e0"))
 	if d := place(t, p, start.Add(time.Second), prompt(1, 5000, 200)); d.Shared != 0 {
-		t.Errorf("%d tokens forgotten of an upstream that was only away", d.Shared)
+		t.Errorf("%d uncached shared tokens at an upstream that was only unlisted, want 0", d.Shared)
 	}
 	restarted := engine("e0")
 	restarted.Born = 5
 	p.Put(start, restarted)
 	if d := place(t, p, start.Add(2*time.Second), prompt(1, 5000, 300)); d.Shared != 5000 || d.Running > 1 {
-		t.Errorf("%d shared tokens to read and %d running at an upstream that has just started", d.Shared, d.Running)
+		t.Errorf("%d uncached shared tokens and %d running requests at a restarted upstream, want 5000 and at most 1", d.Shared, d.Running)
 	}
 }
 
-// The report in which a router's load fell to nothing is lost with a link, or the router is gone. Its load would be counted for ever,
-// and the upstream would look full.
+// Guards against load that is counted forever and makes an upstream look full, because the report of its end was lost or its router has
+// gone.
 func TestLoadClearedAfterLostReportOrRouterTimeout(t *testing.T) {
 	a, b := withEngines(1), withEngines(1)
 	d := place(t, a, start, prompt(1, 100, 100))
@@ -269,33 +267,32 @@
 	a.Report(&whole)
 	b.TakeReport(start, "a", 1, &whole)
 	if n := running(start); n != 0 {
-		t.Errorf("%d running after a whole report, want 0", n)
+		t.Errorf("%d running after a full report, want 0", n)
 	}
 	b.TakeReport(start, "c", 1, &started)
 	b.Tick(start.Add(10 * time.Second))
 	if n := running(start.Add(10 * time.Second)); n != 0 {
-		t.Errorf("%d running of a router that is silent, want 0", n)
+		t.Errorf("%d running of a router without recent reports, want 0", n)
 	}
 }
 
-// A router hears nothing from another for a while and goes on placing by its last report. On call, one must see from the line of a request
-// how old that was.
+// A router that receives no reports keeps placing requests by the last ones. The request log must show how old they were.
 func TestDecisionIncludesReportAge(t *testing.T) {
 	p := withEngines(2)
 	if d := p.Place(start, prompt(1, 500, 10)); d.ReportAge != 0 {
-		t.Errorf("a report of %v, none was heard", d.ReportAge)
+		t.Errorf("report age %v, want 0 without any report", d.ReportAge)
 	}
 	p.TakeReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
 	p.TakeReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
 	at := start.Add(1200 * time.Millisecond)
 	p.Tick(at)
 	if d := p.Place(at, prompt(1, 500, 10)); d.ReportAge != 1200*time.Millisecond {
-		t.Errorf("the oldest report is %v old, want 1.2 s", d.ReportAge)
+		t.Errorf("report age %v, want 1.2 s", d.ReportAge)
 	}
 	at = start.Add(3500 * time.Millisecond)
 	p.Tick(at)
 	if d := p.Place(at, prompt(1, 500, 10)); d.ReportAge != 2500*time.Millisecond {
-		t.Errorf("the oldest report that counts is %v old, want 2.5 s", d.ReportAge)
+		t.Errorf("report age %v without the expired report, want 2.5 s", d.ReportAge)
 	}
 }
 
@@ -311,13 +308,13 @@
 	}
 	for id, n := range sent {
 		if n != 4 {
-			t.Errorf("%s has %d of 12 requests", id, n)
+			t.Errorf("%s has %d of 12 requests, want 4", id, n)
 		}
 	}
 }
 
-// An engine crashes and stays down for seconds. It runs nothing, so that it looks like the best place each time its rest is over; every
-// router tries it again and again, and callers' requests lose time and attempts by it.
+// An engine that stays down for seconds runs nothing and so looks like the best candidate after each backoff. Guards against repeated
+// attempts by every router, which cost requests time and attempts.
 func TestBackoffGrowsForUnreachableUpstreams(t *testing.T) {
 	p := withEngines(2)
 	down := pomelorelay.UpstreamID("")
@@ -335,18 +332,18 @@
 		p.Ended(start.Add(at+time.Millisecond), d.Run, result)
 	}
 	if attempts > 4 {
-		t.Errorf("tried %d times in 5 s, want at most 4", attempts)
+		t.Errorf("%d attempts in 5 s, want at most 4", attempts)
 	}
 }
 
-// fewSlots returns a placer before one engine of twelve slots.
+// fewSlots returns a placer with one engine of twelve slots.
 func fewSlots() *pomeloplace.Placer {
 	p := withEngines(1)
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, Memory: 500_000, EventTokens: 18}}}})
 	return p
 }
 
-// runsUntilRefused returns how many requests the placer admits one second apart, none of which ends.
+// runsUntilRefused returns how many requests are admitted at intervals of one second if none of them ends.
 func runsUntilRefused(p *pomeloplace.Placer, change func(*pomeloplace.Request)) int {
 	now := start
 	for n := 0; ; n++ {
@@ -361,21 +358,21 @@
 	}
 }
 
-// Guards against engines of few slots that stand idle because nearly all of their slots are kept free of requests beyond shares.
+// Guards against engines with few slots that stay idle because nearly all slots are reserved for in-share requests.
 func TestSlotReserveLeavesSlotsOnSmallEngines(t *testing.T) {
 	got := runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Owed = false })
 	if got < 6 || got > 10 {
-		t.Errorf("%d of twelve slots run requests beyond shares, want more than half and not all", got)
+		t.Errorf("%d of 12 slots run over-share requests, want 6 to 10", got)
 	}
 }
 
-// Guards against an account that takes the last slots of every engine while another is short by far.
+// Guards against an account that occupies the last slots of every engine while another is far below its share.
 func TestAheadAccountsLeaveSlotsFree(t *testing.T) {
 	fills := func(ahead float64) int {
 		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Ahead = ahead })
 	}
 	short, slightlyAhead, farAhead := fills(0), fills(1.1), fills(5)
 	if short != 12 || slightlyAhead < 9 || slightlyAhead >= short || farAhead >= slightlyAhead || farAhead < 6 {
-		t.Errorf("of twelve slots a short account fills %d, one a little ahead %d, one far ahead %d", short, slightlyAhead, farAhead)
+		t.Errorf("of 12 slots, an account fills %d when short, %d when slightly ahead, %d when far ahead", short, slightlyAhead, farAhead)
 	}
 }
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -9,34 +9,34 @@
 	"github.com/pomelorelay/pomelorelay/pomelowarmup"
 )
 
-// Placer decides where requests go.
+// Placer selects upstreams for requests.
 type Placer struct {
 	cfg       Config
 	upstreams map[pomelorelay.UpstreamID]*upstream
-	// removed are upstreams that were removed.
+	// removed holds upstreams that were removed, in case they are listed again.
 	removed     map[pomelorelay.UpstreamID]*upstream
 	pools       map[pomelorelay.ServiceID]*pool
 	engineSpecs map[pomelorelay.ServiceID]*pomelorelay.EngineSpec
-	// capacity is what all engines together produce in a second as the operators configured it; zero when they did not.
+	// capacity is the configured output of all engines in tokens per second; zero when not configured.
 	capacity pomelorelay.Cost
 	// engineCount is the number of upstreams that are model engines.
 	engineCount int
 	peers       map[pomelorelay.NodeID]*peer
 	domains     map[pomelorelay.DomainID]*domainState
-	// warmup is which upstreams are cold, starts what the other routers are to learn of it.
+	// warmup tracks cold upstreams; pendingStarts holds upstream starts for the next load report.
 	warmup        *pomelowarmup.Gate
 	pendingStarts []pomelorelay.UpstreamStart
-	// lastAnswerAt is when an upstream last answered this router.
+	// lastAnswerAt is when any upstream last answered this router.
 	lastAnswerAt time.Time
 	pendingParts []pomelorelay.PartPlaced
-	// oldestReportAt is the time of the oldest last report of another router; zero when there is none.
+	// oldestReportAt is the time of the oldest of the other routers' latest reports; zero when there is none.
 	oldestReportAt time.Time
-	// tokensSinceReport are the prompt tokens that were sent since the last report.
+	// tokensSinceReport is the number of prompt tokens sent since the last report.
 	tokensSinceReport pomelorelay.Tokens
 	seq               uint64
-	// regionLatencies are the round trips to other regions that were learnt, beyond those within the own.
+	// regionLatencies holds the learnt additional round-trip time to other regions.
 	regionLatencies map[pomelorelay.RegionID]time.Duration
-	// targets are what the callers of each service expect.
+	// targets holds the latency targets of each service.
 	targets map[pomelorelay.ServiceID]latencyTargets
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// SetConfig takes what the configuration says of the services and of what their engines produce.
+// SetConfig applies the services, routes and limits of a fleet configuration.
 func (p *Placer) SetConfig(config *pomelorelay.FleetConfig) {
 	clear(p.engineSpecs)
 	p.capacity = config.Limits.TokensPerSecond
@@ -77,14 +77,14 @@
 	p.updateInitialRate()
 }
 
-// countEngine counts an upstream that comes or goes among the engines.
+// countEngine adds delta to the number of engines if the upstream is one.
 func (p *Placer) countEngine(u *upstream, delta int) {
 	if u.engine != nil {
 		p.engineCount += delta
 	}
 }
 
-// updateInitialRate makes the operators' figure the first guess of how fast each engine reads.
+// updateInitialRate derives the initial prefill rate of each engine from the configured capacity.
 func (p *Placer) updateInitialRate() {
 	rate := initialPrefillRate
 	if p.capacity > 0 && p.engineCount > 0 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Put takes an upstream's entry. One that was born anew, or has another address, keeps nothing of before; one whose entry only was
-// away for a while keeps all.
+// Put adds or updates an upstream. An upstream that restarted or changed its address starts with empty state; one that was only
+// temporarily unlisted keeps its state.
 func (p *Placer) Put(now time.Time, info pomelorelay.FleetUpstream) {
 	u := p.upstreams[info.ID]
 	if u == nil {
@@ -140,7 +140,7 @@
 	return d
 }
 
-// warmupState returns what is known of the start of an upstream that is listed anew.
+// warmupState returns the warm-up state of a newly listed upstream.
 func (p *Placer) warmupState(now time.Time, info pomelorelay.FleetUpstream) *pomelowarmup.Upstream {
 	if p.lookUp(info.ID) != nil {
 		return p.warmup.Restarted(now, info)
@@ -148,18 +148,18 @@
 	return p.warmup.Upstream(now, info)
 }
 
-// SetRouters takes the other routers that are registered.
+// SetRouters sets the other registered routers.
 func (p *Placer) SetRouters(others []pomelorelay.Peer) { p.warmup.SetRouters(others) }
 
-// sameInstance reports whether an entry is of the same start of the same upstream.
+// sameInstance reports whether the entry describes the same instance of the upstream, without a restart.
 func (u *upstream) sameInstance(info pomelorelay.FleetUpstream) bool {
 	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.Born == info.Born || info.Born == 0)
 }
 
-// maxRemoved bounds the upstreams that are remembered after they were removed.
+// maxRemoved limits the number of removed upstreams that are remembered.
 const maxRemoved = 256
 
-// Remove takes an upstream out; what runs there goes on, and it is remembered in case that its entry comes back.
+// Remove removes an upstream. Its requests continue, and its state is kept in case it is listed again.
 func (p *Placer) Remove(id pomelorelay.UpstreamID) {
 	u := p.upstreams[id]
 	if u == nil {
@@ -175,7 +175,7 @@
 	p.updateInitialRate()
 }
 
-// Place decides on a request. The run that it returns must be ended.
+// Place selects an upstream for the request or refuses it. The caller must pass the returned run to Ended.
 func (p *Placer) Place(now time.Time, r Request) Decision {
 	if r.Residency.Empty() {
 		return Decision{Reason: ReasonNoRegion, RetryAfter: noRegionRetryAfter, ReportAge: p.reportAge(now)}
@@ -200,7 +200,7 @@
 	return d
 }
 
-// noUpstreamDecision is the decision on a request for which there is no upstream.
+// noUpstreamDecision returns the refusal of a request for which no upstream is available.
 func (p *Placer) noUpstreamDecision(now time.Time, r *Request) Decision {
 	d := Decision{Reason: ReasonNoUpstream, RetryAfter: unreachableBackoff, ReportAge: p.reportAge(now)}
 	if wait, cold := p.coldWait(now, r); cold {
@@ -214,7 +214,7 @@
 	return d
 }
 
-// onlyEvacuated reports whether an upstream would take the request if it were not for an evacuation.
+// onlyEvacuated reports whether an upstream would be usable if its failure domain were not under evacuation.
 func (p *Placer) onlyEvacuated(r *Request) bool {
 	s := p.pools[r.Service]
 	if s == nil {
@@ -225,7 +225,7 @@
 	})
 }
 
-// coldWait returns when this router may send the request to a cold upstream, and whether there is any that it could go to.
+// coldWait returns the time until this router may send the request to a cold upstream, and whether a cold upstream is usable at all.
 func (p *Placer) coldWait(now time.Time, r *Request) (time.Duration, bool) {
 	s := p.pools[r.Service]
 	if s == nil {
@@ -240,7 +240,7 @@
 	return max(least, minRetryAfter), found
 }
 
-// Warmups returns the upstreams that are cold or may be.
+// Warmups returns the status of each upstream that is or may be cold.
 func (p *Placer) Warmups(now time.Time) map[pomelorelay.UpstreamID]pomelowarmup.Status {
 	cold := make(map[pomelorelay.UpstreamID]pomelowarmup.Status)
 	for id, u := range p.upstreams {
@@ -251,7 +251,7 @@
 	return cold
 }
 
-// SetEvacuated begins or ends the evacuation of a failure domain. Its upstreams may have become cold meanwhile.
+// SetEvacuated starts or ends the evacuation of a failure domain. Afterwards its upstreams may be cold.
 func (p *Placer) SetEvacuated(now time.Time, domain pomelorelay.DomainID, evacuated bool) {
 	p.ensureDomain(domain).evacuated = evacuated
 	if evacuated {
@@ -269,12 +269,12 @@
 	return r.Residency.Allows(u.region)
 }
 
-// usable reports whether the request may be sent to the upstream at all.
+// usable reports whether the request may be sent to the upstream.
 func (p *Placer) usable(u *upstream, r *Request) bool {
 	return !u.info.Draining && !u.domain.evacuated && p.allowed(u, r)
 }
 
-// choose returns the best candidate for the request, and whether it is admitted there. Cold upstreams are taken only when no other one admits it.
+// choose returns the best candidate and its admission. Cold upstreams are considered only if no other upstream admits the request.
 func (p *Placer) choose(now time.Time, r *Request) (candidate, admission, bool) {
 	best, found := p.bestCandidate(now, r, pomelowarmup.Open)
 	var v admission
@@ -291,8 +291,8 @@
 	return best, v, found
 }
 
-// bestCandidate returns the candidate of the lowest cost among the upstreams of a class. Those that failed this request or take no connections are taken
-// only when there is no other.
+// bestCandidate returns the candidate with the lowest cost among the upstreams of a class. Upstreams in backoff and those that failed this
+// request are considered only if there is no other.
 func (p *Placer) bestCandidate(now time.Time, r *Request, class pomelowarmup.Class) (candidate, bool) {
 	var best candidate
 	s := p.pools[r.Service]
@@ -341,7 +341,7 @@
 	return run
 }
 
-// minReportedPart is the least number of tokens of a part that is reported to other routers: below, reading it again costs less than the report.
+// minReportedPart is the minimum size in tokens of a reported prompt part; prefilling a smaller one costs less than the report.
 const minReportedPart = 64
 
 func (p *Placer) recordParts(now time.Time, u *upstream, r *Request) {
@@ -353,7 +353,7 @@
 	}
 }
 
-// Begun notes that a run's answer began.
+// Begun records that the answer of a run has begun.
 func (p *Placer) Begun(now time.Time, run *Run) {
 	if run.started || run.ended {
 		return
@@ -366,7 +366,7 @@
 	p.updateRegionLatency(u, u.observeFirstToken(now, run, now.Sub(run.sent), p.regionLatency(u)))
 }
 
-// Ended notes that a run ended.
+// Ended records the outcome of a run; further calls for the same run have no effect.
 func (p *Placer) Ended(now time.Time, run *Run, result Result) {
 	if run.ended {
 		return
@@ -390,7 +390,7 @@
 	}
 }
 
-// recordUnreachable notes that an upstream took no connection.
+// recordUnreachable records a failed connection attempt.
 func (p *Placer) recordUnreachable(now time.Time, run *Run) {
 	u, timedOut := run.up, now.Sub(run.sent) >= hungConnectAfter
 	if timedOut {
@@ -401,7 +401,7 @@
 	}
 }
 
-// recordAnswer notes that an upstream answers.
+// recordAnswer records that an upstream has answered.
 func (p *Placer) recordAnswer(now time.Time, run *Run) {
 	p.lastAnswerAt = now
 	run.up.domain.recordAnswer(now)
@@ -411,7 +411,7 @@
 	}
 }
 
-// applyStarts takes what another router found out of upstreams' starts.
+// applyStarts applies the upstream starts that another router reported.
 func (p *Placer) applyStarts(now time.Time, starts []pomelorelay.UpstreamStart) {
 	for _, s := range starts {
 		u := p.upstreams[s.Upstream]
--- a/pomeloplace/kept.go
+++ b/pomeloplace/prefixcache.go
@@ -8,14 +8,14 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// prefixCache is what an engine probably keeps of prompts it has read: what all routers sent there last, up to its memory.
+// prefixCache estimates which prompt parts an engine has cached: the latest ones from all routers, up to its memory.
 type prefixCache struct {
 	capacity pomelorelay.Tokens
 	used     pomelorelay.Tokens
 	parts    map[uint64]*cachedPart
-	// unidentified are prompts of other routers' requests whose parts were not reported, oldest first. They take memory like the others: left
-	// out, each router would expect its parts to be kept as many times as long as there are routers, and send requests to engines that
-	// have to read them again.
+	// unidentified holds prompt tokens of other routers whose parts were not reported, oldest first. They occupy memory too: without them,
+	// each router would expect parts to stay cached longer by a factor of the number of routers, and send requests to engines that must
+	// prefill the parts again.
 	unidentified []cachedPart
 	seq          uint64
 }
@@ -23,11 +23,11 @@
 type cachedPart struct {
 	tokens  pomelorelay.Tokens
 	lastUse uint64
-	// reportedAt is when its use was last reported to the others.
+	// reportedAt is when a use of the part was last reported to the other routers.
 	reportedAt time.Time
 }
 
-// promptMemoryFraction is the part of an engine's memory that prompts, running and kept, are taken to fill; generated tokens take the rest.
+// promptMemoryFraction is the fraction of an engine's memory that prompts fill, running or cached; generated tokens take the rest.
 const promptMemoryFraction = 0.95
 
 func (k *prefixCache) add(hash uint64, tokens pomelorelay.Tokens) {
@@ -43,7 +43,7 @@
 	k.grow(tokens)
 }
 
-// addUnidentified takes tokens of prompts whose parts are not known.
+// addUnidentified adds prompt tokens whose parts are unknown.
 func (k *prefixCache) addUnidentified(tokens pomelorelay.Tokens) {
 	if tokens <= 0 {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// markReported reports whether a use of the part is due for a report to the others, and notes that it is sent. Used by one router only, a part would
-// look to the others as if it had not been used since it was read.
+// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because
+// the other routers would otherwise consider a part that only this router uses as unused since its prefill.
 func (k *prefixCache) markReported(now time.Time, hash uint64) bool {
 	p := k.parts[hash]
 	if p == nil || (!p.reportedAt.IsZero() && now.Sub(p.reportedAt) < partReportInterval) {
@@ -71,10 +71,10 @@
 	return true
 }
 
-// partReportInterval is the time after which another use of a part is reported; engines keep a part for several times as long after its last use.
+// partReportInterval is the minimum time between reports of a part; engines cache a part for several times as long after its last use.
 const partReportInterval = 2 * time.Second
 
-// evictFraction is how much of what is kept goes at once, so that the oldest need not be sought each time.
+// evictFraction is the fraction of the cache evicted at once, so that entries need not be sorted on each addition.
 const evictFraction = 0.1
 
 func (k *prefixCache) evict() {
@@ -100,7 +100,7 @@
 	}
 }
 
-// uncached returns the tokens of a prompt that must be read: all from the first part that is not kept.
+// uncached returns the number of prompt tokens to prefill: everything from the first uncached part on, and at least one token.
 func (k *prefixCache) uncached(r *Request) pomelorelay.Tokens {
 	remaining := r.Prompt
 	for _, p := range r.Parts {
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelospeed"
 )
 
-// peer is the last report of another router.
+// peer is the latest state reported by another router.
 type peer struct {
 	incarnation pomelorelay.Incarnation
 	seenAt      time.Time
@@ -15,7 +15,7 @@
 	speeds      map[pomelorelay.ServiceID]pomelorelay.SpeedSums
 }
 
-// Report fills in what this router has on the upstreams: what changed since the last report, or all.
+// Report adds this router's load to a load report: changes since the last report, or the full state if Whole is set.
 func (p *Placer) Report(m *pomelorelay.LoadReport) {
 	p.seq++
 	p.tokensSinceReport = 0
@@ -47,24 +47,25 @@
 	p.pendingStarts = p.pendingStarts[:0]
 }
 
-// speedReportDue reports whether the times of so many answers are due for a report: each of the first ones, later a tenth more, or fewer where they are many.
+// speedReportDue reports whether enough new times to first token have accumulated for a report: at first each one, later an increase of
+// a tenth up to maxUnreportedAnswers.
 func (s *pool) speedReportDue(answers float64) bool {
 	return answers >= s.reportedAnswers+min(max(1, s.reportedAnswers/10), maxUnreportedAnswers)
 }
 
-// maxUnreportedAnswers is the most answers whose times wait for the next whole report.
+// maxUnreportedAnswers limits the number of answers whose times are held back until the next full report.
 const maxUnreportedAnswers = 20
 
-// urgentTokens is the number of prompt tokens sent since the last report from which the next one is sent at once. With fewer, each
-// request would make a report of its own; with more, others would send to the same engine meanwhile.
+// urgentTokens is the number of prompt tokens sent since the last report that triggers an immediate report. With a lower value each request
+// would trigger one; with a higher value other routers would send to the same engine in the meantime.
 const urgentTokens = 4000
 
-// Urgent reports whether the other routers should have a report before the next one is due.
+// Urgent reports whether a load report should be sent ahead of schedule.
 func (p *Placer) Urgent() bool {
 	return p.tokensSinceReport >= urgentTokens || len(p.pendingStarts) > 0
 }
 
-// TakeReport takes another router's report.
+// TakeReport applies another router's load report. Reports of an earlier incarnation are ignored.
 func (p *Placer) TakeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	o := p.peers[from]
 	if o != nil && incarnation < o.incarnation {
@@ -91,7 +92,7 @@
 	}
 }
 
-// applyParts notes the parts that another router's requests used, and returns the tokens that each upstream had to read of them.
+// applyParts records the prompt parts used by another router's requests and returns the tokens that each upstream had to prefill for them.
 func (p *Placer) applyParts(now time.Time, parts []pomelorelay.PartPlaced) map[pomelorelay.UpstreamID]pomelorelay.Tokens {
 	read := make(map[pomelorelay.UpstreamID]pomelorelay.Tokens)
 	for _, part := range parts {
@@ -108,7 +109,7 @@
 	return read
 }
 
-// clearUnlistedLoads takes back what a whole report does not hold: the report in which it fell to nothing was lost.
+// clearUnlistedLoads clears loads that a full report does not list, since an earlier report of their end was lost.
 func (p *Placer) clearUnlistedLoads(now time.Time, o *peer, m *pomelorelay.LoadReport) {
 	listed := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
 	for _, l := range m.Upstreams {
@@ -168,9 +169,9 @@
 	}
 }
 
-// SetUnreported sets the number of registered routers without a report yet. They count as sending as much as this one: when all routers start at
-// once, each sees idle engines, and together they would fill them several times over before the first reports arrive. What callers
-// notice are seconds of late answers after a restart of the fleet.
+// SetUnreported sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without this
+// assumption, routers that start at once would all see idle engines and overfill them several times before the first reports arrive, and
+// callers would get answers seconds late after a restart of the fleet.
 func (p *Placer) SetUnreported(routers int) {
 	if p.cfg.Without.Unreported {
 		routers = 0
@@ -180,7 +181,7 @@
 	}
 }
 
-// Tick forgets routers that have been silent and spreads the long prompts anew.
+// Tick removes routers whose reports have expired and updates the assignment of long prompts.
 func (p *Placer) Tick(now time.Time) {
 	for _, s := range p.pools {
 		s.assignLongEngines(now, &p.cfg.Without)
@@ -197,7 +198,7 @@
 	}
 }
 
-// reportAge returns the age of the oldest report that counts, as of the last tick.
+// reportAge returns the age of the oldest report in use, as of the last tick.
 func (p *Placer) reportAge(now time.Time) time.Duration {
 	if p.oldestReportAt.IsZero() {
 		return 0
@@ -205,7 +206,7 @@
 	return now.Sub(p.oldestReportAt)
 }
 
-// forgetRouter takes back what a router had on the upstreams.
+// forgetRouter removes a router's load.
 func (p *Placer) forgetRouter(node pomelorelay.NodeID) {
 	o := p.peers[node]
 	if o == nil {
@@ -221,10 +222,10 @@
 	}
 }
 
-// Forget takes back what a router had on the upstreams.
+// Forget removes a router's load.
 func (p *Placer) Forget(node pomelorelay.NodeID) { p.forgetRouter(node) }
 
-// ForgetOthers takes back what all routers but one had on the upstreams.
+// ForgetOthers removes the load of all routers except one.
 func (p *Placer) ForgetOthers(except pomelorelay.NodeID) {
 	for node := range p.peers {
 		if node != except {
@@ -233,7 +234,7 @@
 	}
 }
 
-// addPeerLoads sums up the other routers' load of a new upstream.
+// addPeerLoads adds the other routers' load to a new upstream.
 func (p *Placer) addPeerLoads(u *upstream, id pomelorelay.UpstreamID) {
 	for _, o := range p.peers {
 		l := o.loads[id]
@@ -243,7 +244,7 @@
 	}
 }
 
-// lookUp returns an upstream that is there or may come back.
+// lookUp returns a listed or recently removed upstream; nil if unknown.
 func (p *Placer) lookUp(id pomelorelay.UpstreamID) *upstream {
 	if u := p.upstreams[id]; u != nil {
 		return u
--- a/pomeloplace/residency_test.go
+++ b/pomeloplace/residency_test.go
@@ -20,7 +20,7 @@
 	return u
 }
 
-// Guards against a request that reaches an upstream outside of the regions that may serve it, whatever the state of those inside.
+// Guards against requests that reach an upstream outside the allowed regions, whatever the state of the upstreams inside.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	draining := engineIn("b0", "b")
 	draining.Draining = true
@@ -32,10 +32,10 @@
 		reason  pomeloplace.Reason
 		cause   pomeloplace.Reason
 	}{
-		{"an idle upstream inside", []pomelorelay.RegionID{"rb"}, func(*pomeloplace.Placer) {}, "b0", pomeloplace.ReasonNone, ""},
-		{"a draining one inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Put(start, draining) }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"none inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Remove("b0") }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"a region that nobody names", []pomelorelay.RegionID{"rc"}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"an idle upstream in an allowed region", []pomelorelay.RegionID{"rb"}, func(*pomeloplace.Placer) {}, "b0", pomeloplace.ReasonNone, ""},
+		{"a draining upstream in an allowed region", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Put(start, draining) }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"no upstream in an allowed region", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Remove("b0") }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"an unknown region", []pomelorelay.RegionID{"rc"}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
 		{"an upstream of an unknown domain", []pomelorelay.RegionID{""}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
 		{"no region in common", nil, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonNoRegion, ""},
 	} {
@@ -48,12 +48,12 @@
 			t.Errorf("%s: sent to %q, reason %q, cause %q", c.name, d.Upstream.ID, d.Reason, d.Cause)
 		}
 		if d.Reason != pomeloplace.ReasonNone && d.RetryAfter <= 0 {
-			t.Errorf("%s: no time to come back", c.name)
+			t.Errorf("%s: no Retry-After", c.name)
 		}
 	}
 }
 
-// Guards against a retry that leaves the regions because those inside failed the request or take no connections.
+// Guards against retries that leave the allowed regions because the upstreams inside failed the request or are unreachable.
 func TestRetriesStayInAllowedRegions(t *testing.T) {
 	p := withEngines(3)
 	p.Put(start, engineIn("b0", "b"))
@@ -72,7 +72,7 @@
 	}
 }
 
-// cacheSharedPart lets engines answer a few requests with a shared part, which they keep from then on; it returns the time after the last.
+// cacheSharedPart sends three requests with a shared part, so that an engine caches it, and returns the time after the last one.
 func cacheSharedPart(t *testing.T, p *pomeloplace.Placer, now time.Time) time.Time {
 	t.Helper()
 	for i := range 3 {
@@ -84,7 +84,7 @@
 	return now
 }
 
-// Guards against prompts that are copied from an engine in a region where they may not be kept.
+// Guards against copying prompts from an engine in a region where they may not be stored.
 func TestPromptsAreNotCopiedFromDisallowedRegions(t *testing.T) {
 	copies := func(regions ...pomelorelay.RegionID) bool {
 		p := newPlacer()
@@ -92,7 +92,7 @@
 		p.Put(start, engineIn("b1", "b"))
 		now := start
 		now = cacheSharedPart(t, p, now)
-		// The engines that keep the part stop taking requests; others must copy or read it.
+		// The engines with the cached part stop accepting requests; others must copy or prefill it.
 		for i := range 2 {
 			u := engineIn(pomelorelay.UpstreamID(fmt.Sprintf("b%d", i)), "b")
 			u.Draining = true
@@ -106,9 +106,9 @@
 		return d.Copied > 0
 	}
 	if !copies("ra", "rb") {
-		t.Error("nothing was copied where both regions are allowed")
+		t.Error("nothing was copied although both regions are allowed")
 	}
 	if copies("ra") {
-		t.Error("the prompt was copied from a region that is not allowed")
+		t.Error("the prompt was copied from a region outside its residency")
 	}
 }
--- a/pomeloplace/world_test.go
+++ b/pomeloplace/simulation_test.go
@@ -10,24 +10,24 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// The engines of the play: a step generates one token for each running stream and reads up to a chunk of prompts in order of arrival.
+// Parameters of simulated engines. A step generates one token for each running stream and prefills up to a chunk of prompts in FIFO order.
 const (
 	stepMS       = 2.97
 	stepPerSlot  = 0.0222
 	prefillPerMS = 101.0
 	pairsPerMS   = 1e6 / 0.184
 	chunk        = 4096
-	// copyPerToken is half of the time to read a token.
+	// copyPerToken is half of the time to prefill a token.
 	copyPerToken = float64(time.Millisecond) / prefillPerMS / 2
 )
 
-// job is a request at an engine of the play.
+// job is a request at a simulated engine.
 type job struct {
 	router  int
 	request pomeloplace.Request
 	run     *pomeloplace.Run
 	sent    time.Time
-	// readyAt is when what it copies from another engine is there.
+	// readyAt is when the copy from another engine is complete.
 	readyAt      time.Time
 	unread       float64
 	prefilled    float64
@@ -44,7 +44,7 @@
 	nextStepAt time.Time
 }
 
-// simulation is a fleet of routers before engines in virtual time: reports arrive 12 ms after they were sent.
+// simulation runs a fleet of routers and engines in virtual time; load reports arrive after 12 ms by default.
 type simulation struct {
 	random    *rand.Rand
 	routers   []*pomeloplace.Placer
@@ -54,18 +54,18 @@
 	choose    func(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision
 	cached    map[pomelorelay.UpstreamID]map[uint64]bool
 
-	// slots and eventTokens are the engines', delay is how late reports arrive.
+	// slots and eventTokens are engine parameters; reportDelay is the delivery delay of load reports.
 	slots, eventTokens int
 	reportDelay        time.Duration
-	// reportBlackout is how long the first reports take, and knows tells that the routers know that they hear nothing yet.
+	// reportBlackout is the initial time without report delivery; unreportedKnown makes routers aware of the missing reports.
 	reportBlackout  time.Duration
 	unreportedKnown bool
 	// sessionFactor multiplies the number of sessions.
 	sessionFactor uint64
-	// overShare is the part of the requests that is beyond its account's share.
+	// overShare is the fraction of requests beyond their account's share.
 	overShare float64
 
-	// retryRefused makes callers that are refused come back once, as they are told or, if it is set, after retryAfter.
+	// retryRefused makes refused callers retry once after the returned Retry-After, or after retryAfter if set.
 	retryRefused bool
 	retryAfter   time.Duration
 	retries      []pendingRequest
@@ -74,7 +74,7 @@
 	inShareRequested, inShareOnTime                                                  int
 }
 
-// pendingRequest is a caller that comes back.
+// pendingRequest is a request to be submitted, for the second time if retryAt is set.
 type pendingRequest struct {
 	retryAt, firstSentAt time.Time
 	request              pomeloplace.Request
@@ -110,7 +110,7 @@
 	return min(limit, mean*math.Exp(sigma*p.random.NormFloat64()-sigma*sigma/2))
 }
 
-// randomRequest makes a request: long drafts of shared sessions, short questions, and tags of a few tokens.
+// randomRequest returns a long draft in a shared session, a short question, or a tagging request with an answer of a few tokens.
 func (p *simulation) randomRequest() (pomeloplace.Request, int) {
 	kind := p.random.Float64()
 	own, shared, sessions, output, target := 0.0, pomelorelay.Tokens(0), uint64(0), 0.0, 400*time.Millisecond
@@ -131,7 +131,7 @@
 	return r, int(output) + p.eventTokens
 }
 
-// run plays the load of so many requests a second for the length.
+// run simulates Poisson arrivals at the given rate.
 func (p *simulation) run(perSecond float64, length time.Duration) {
 	end := p.now.Add(length)
 	arrival, report := p.now, p.now
@@ -163,7 +163,7 @@
 	p.submit(pendingRequest{firstSentAt: p.now, request: r, output: output})
 }
 
-// submit takes a caller's request to a router; one whose at is set has been refused before.
+// submit sends a request to a random router; a request with retryAt set is not retried again.
 func (p *simulation) submit(c pendingRequest) {
 	r, output := c.request, c.output
 	router := p.random.IntN(len(p.routers))
@@ -198,7 +198,7 @@
 	e.waiting = append(e.waiting, &job{router: router, request: r, run: d.Run, sent: c.firstSentAt, readyAt: p.now.Add(copying), unread: unread, output: output})
 }
 
-// submitDueRetries lets the callers come back whose time it is.
+// submitDueRetries submits the retries that are due.
 func (p *simulation) submitDueRetries() {
 	var later []pendingRequest
 	due := p.retries
@@ -245,7 +245,7 @@
 	}
 }
 
-// step lets an engine take its next step when the last one is over.
+// step runs the engine's next step if the previous one is over.
 func (p *simulation) step(id pomelorelay.UpstreamID, e *simEngine) {
 	if e.nextStepAt.After(p.now) {
 		return
@@ -283,7 +283,7 @@
 	}
 }
 
-// emitToken gives a stream its next token at the end of the step.
+// emitToken generates a stream's next token at the end of the step.
 func (p *simulation) emitToken(e *simEngine, j *job) {
 	j.generated++
 	router := p.routers[j.router]
--- a/pomeloplace/speed.go
+++ b/pomeloplace/speed.go
@@ -7,19 +7,19 @@
 	"github.com/pomelorelay/pomelorelay/pomelospeed"
 )
 
-// Speed is what a router has learnt of a service's engines.
+// Speed is the learnt speed of a service's engines.
 type Speed struct {
 	Service pomelorelay.ServiceID
-	// Rate is how fast they read, Overhead what a first token takes besides.
+	// Rate is the prefill rate in tokens per millisecond; Overhead is the part of the time to first token besides prefill.
 	Rate     pomelospeed.Rate
 	Overhead time.Duration
-	// Pauses is how much it counts, from 0 to 1, that long reading makes streams pause for too long.
+	// Pauses is the weight, from 0 to 1, of the cost of long prefills to concurrent streams.
 	Pauses float64
-	// CopyPart is the time to copy a token from another engine, as a part of the time to read it.
+	// CopyPart is the time to copy a token from another engine, as a fraction of the time to prefill it.
 	CopyPart float64
 }
 
-// Speeds returns what is known of each service of engines.
+// Speeds returns the learnt speed of each service with model engines.
 func (p *Placer) Speeds() []Speed {
 	var all []Speed
 	for name, s := range p.pools {
--- a/pomeloplace/speed_test.go
+++ b/pomeloplace/speed_test.go
@@ -9,25 +9,25 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Engines read a fourth as fast as the operators' figure lets expect, and a router starts beside one that knows it. Until it learns that too, it
-// sends four times what they can begin in time.
+// Engines prefill four times as slowly as the configured capacity suggests. A router that starts without the learnt rate would send four
+// times what they can serve in time.
 func TestPrefillSpeedIsSharedBetweenRouters(t *testing.T) {
 	const rate = 25.0
 	running, started := withEngines(4), withEngines(4)
 	now := prefillAtRate(t, running, rate)
 	if got := speedOf(t, running); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("learnt %.1f tokens a millisecond, want %.0f", got.Rate, rate)
+		t.Errorf("learnt a rate of %.1f tokens/ms, want %.0f", got.Rate, rate)
 	}
 	var m pomelorelay.LoadReport
 	running.Report(&m)
 	started.TakeReport(now, "old", 1, &m)
 	if got := speedOf(t, started); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.Rate, rate)
+		t.Errorf("rate from the report is %.1f tokens/ms, want %.0f", got.Rate, rate)
 	}
 }
 
-// The fleet is idle for a moment while a router starts. Told speeds only when there are new ones, it would begin the next busy minute with the
-// operators' figure, and send slow engines far too much.
+// A router starts while the fleet is idle. If speeds were reported only when they change, it would begin the next load peak with the
+// configured rate and overload slow engines.
 func TestNewRouterLearnsPrefillSpeedFromIdleFleet(t *testing.T) {
 	const rate = 25.0
 	running, started := withEngines(4), withEngines(4)
@@ -37,11 +37,11 @@
 	running.Report(&m)
 	started.TakeReport(start, "old", 1, &m)
 	if got := speedOf(t, started); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.Rate, rate)
+		t.Errorf("rate from the report is %.1f tokens/ms, want %.0f", got.Rate, rate)
 	}
 }
 
-// prefillAtRate lets a router see two hundred answers of engines that read at the rate, and returns when the last one came.
+// prefillAtRate simulates 200 answers from engines with the given prefill rate and returns the time of the last one.
 func prefillAtRate(t *testing.T, p *pomeloplace.Placer, rate float64) time.Time {
 	t.Helper()
 	now := start
@@ -63,6 +63,6 @@
 			return s
 		}
 	}
-	t.Fatal("nothing is known of the engines")
+	t.Fatal("no speed estimate for the engines")
 	return pomeloplace.Speed{}
 }
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -11,52 +11,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// load is what runs at an upstream.
+// load is the load that one or more routers put on an upstream.
 type load struct {
 	running        int
 	pendingPrefill pomelorelay.Tokens
 	memoryTokens   pomelorelay.Tokens
 	sent           pomelorelay.Tokens
-	// expectedSum and took are the sums of the times to first tokens.
+	// expectedSum and measuredSum are the sums of the expected and measured times to first token.
 	expectedSum, measuredSum time.Duration
 }
 
-// upstream is one upstream as the whole fleet uses it.
+// upstream is the state of an upstream, including the load from other routers.
 type upstream struct {
 	info pomelorelay.FleetUpstream
-	// region is that of its failure domain, foreign whether it is another one than this router's.
+	// region is the region of the failure domain; otherRegion reports whether it differs from this router's region.
 	region      pomelorelay.RegionID
 	otherRegion bool
 	domain      *domainState
-	// longRank and idHash are hashes of its id.
+	// longRank and idHash are hashes of the upstream's ID.
 	longRank, idHash uint64
 	engine           *pomelorelay.EngineSpec
 	own              load
 	others           load
 	changed          bool
 	pool             *pool
-	// warmup is whether it has started lately and is cold.
+	// warmup tracks whether the upstream is cold after a start.
 	warmup *pomelowarmup.Upstream
-	// servesLong tells that long prompts go here.
+	// servesLong reports whether the engine is assigned to long prompts.
 	servesLong bool
-	// queueEstimate is the number of tokens that are still to be read at the time queueAt, as it falls by the rate.
+	// queueEstimate is the estimated number of queued prompt tokens at queueEstimateAt; it falls at the prefill rate.
 	queueEstimate   float64
 	queueEstimateAt time.Time
-	// busySince is since when it has been reading without a break.
+	// busySince is when the current uninterrupted prefill began.
 	busySince time.Time
-	// speedFactor is how an engine's speed differs from its service's, slow the same beside the middle one of the service.
+	// speedFactor compares the engine's times to first token with the service's estimate; slowdown compares it with the median engine.
 	speedFactor pomelospeed.Factor
 	slowdown    float64
-	// longPrefillAt is when the engine last had so much to read that streams beside it may have paused for too long.
+	// longPrefillAt is when the engine last had a backlog long enough to pause concurrent streams for too long.
 	longPrefillAt time.Time
-	// serviceTime is the time of a plain request.
+	// serviceTime is the moving average of the time of a request to a plain upstream.
 	serviceTime time.Duration
 	cache       prefixCache
-	// failureRate is the rate of failures at failedAt; it fades.
+	// failureRate is the moving failure rate at failureRateAt; it decays over time.
 	failureRate   float64
 	failureRateAt time.Time
 	backoffUntil  time.Time
-	// backoff is how long it was last left alone for taking no connection.
+	// backoff is the duration of the latest backoff after a failed connection.
 	backoff time.Duration
 }
 
@@ -86,7 +86,7 @@
 	return float64(u.own.pendingPrefill)*(1+float64(u.pool.unreportedRouters)) + float64(u.others.pendingPrefill)
 }
 
-// drainQueue lets the queue fall by what was read since.
+// drainQueue reduces the queue estimate by the tokens processed since the last update.
 func (u *upstream) drainQueue(now time.Time) {
 	if elapsed := now.Sub(u.queueEstimateAt); elapsed > 0 {
 		u.queueEstimate = max(0, u.queueEstimate-u.prefillRate()*milliseconds(elapsed))
@@ -102,22 +102,22 @@
 	u.queueEstimate += float64(tokens)
 }
 
-// noteLongPrefill notes when what is to be read takes as long as callers accept a stream to pause.
+// noteLongPrefill records the time if the queued prefill takes at least the maximum pause.
 func (u *upstream) noteLongPrefill(now time.Time) {
 	if u.pool.maxPause > 0 && u.prefillTime(u.queueEstimate) >= u.pool.maxPause {
 		u.longPrefillAt = now
 	}
 }
 
-// queuedTokens returns the tokens that are to be read before a new request's. Answers that have not begun bound it from above; reading
-// that is slower than the rate says shows by answers that still have not begun.
+// queuedTokens returns the estimated number of prompt tokens queued before a new request. Pending requests limit the estimate from above;
+// their number also shows when prefill is slower than estimated.
 func (u *upstream) queuedTokens(now time.Time) float64 {
 	u.drainQueue(now)
 	u.queueEstimate = min(u.queueEstimate, u.pendingPrefill())
 	return max(u.queueEstimate, minPendingFraction*u.pendingPrefill())
 }
 
-// queueDelay returns the time until a request's turn comes.
+// queueDelay returns the estimated time until a new request is processed.
 func (u *upstream) queueDelay(now time.Time) time.Duration {
 	if u.engine == nil {
 		excess := u.running() - u.slots() + 1
@@ -134,20 +134,20 @@
 	return time.Duration(tokens / u.prefillRate() * float64(time.Millisecond))
 }
 
-// poolPrefillTime returns the time in which engines of the service read so many tokens; of plain upstreams, by the first guess.
+// poolPrefillTime returns the prefill time at the service's average rate; plain services use the initial rate.
 func (u *upstream) poolPrefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / float64(u.pool.speed.Rate()) * float64(time.Millisecond))
 }
 
-// prefillRate returns how many tokens the engine reads in a millisecond.
+// prefillRate returns the engine's prefill rate in tokens per millisecond.
 func (u *upstream) prefillRate() float64 { return float64(u.pool.speed.Rate()) / u.slowdown }
 
-// firstTokenOverhead returns the time to a first token besides reading.
+// firstTokenOverhead returns the part of the time to first token that does not depend on the prompt.
 func (u *upstream) firstTokenOverhead() time.Duration {
 	return time.Duration(u.slowdown * float64(u.pool.speed.Overhead()))
 }
 
-// decayedFailureRate returns the rate of failures, faded since the last result.
+// decayedFailureRate returns the failure rate, decayed since the last result.
 func (u *upstream) decayedFailureRate(now time.Time) float64 {
 	if u.failureRate == 0 {
 		return 0
@@ -171,12 +171,12 @@
 	u.failureRateAt = now
 }
 
-// inBackoff reports whether the upstream is left alone.
+// inBackoff reports whether the upstream or its failure domain is in backoff.
 func (u *upstream) inBackoff(now time.Time, disabled *Mechanisms) bool {
 	return (now.Before(u.backoffUntil) && !disabled.Rests) || (u.domain.inBackoff(now) && !disabled.DomainRests)
 }
 
-// startBackoff leaves alone an upstream that took no connection. Requests that were under way to it when the first one failed count once.
+// startBackoff starts a backoff. Failures of requests already in flight when the backoff began do not extend it.
 func (u *upstream) startBackoff(now time.Time) {
 	if now.Before(u.backoffUntil) {
 		return
@@ -185,8 +185,8 @@
 	u.backoffUntil = now.Add(u.backoff)
 }
 
-// observeFirstToken takes the time to a first token, of which the latency between regions is a part, as a sample of the speed. It returns what the answer took beyond
-// what was expected without that latency.
+// observeFirstToken updates the speed estimates with a time to first token, which includes the round trip to another region. It returns
+// the excess over the estimate without the round trip.
 func (u *upstream) observeFirstToken(now time.Time, r *Run, latency, rtt time.Duration) time.Duration {
 	if u.engine == nil {
 		u.serviceTime += scale(serviceTimeAlpha, latency-rtt-u.serviceTime)
@@ -209,8 +209,8 @@
 	return excess
 }
 
-// copySample returns what a copy took, in tokens that could have been read meanwhile: what the answer took beyond what was expected without it. That is
-// bounded, since waits that have other reasons say nothing of it.
+// copySample returns the cost of a copy in tokens that could have been prefilled in the same time: the excess over the expected time to
+// first token. The excess is clamped, since it may have other causes.
 func (u *upstream) copySample(r *Run, excess time.Duration) pomelospeed.Sums {
 	tokens := float64(r.copiedTokens)
 	return pomelospeed.Sums{Amount: min(max(milliseconds(excess)*u.prefillRate(), -tokens), 2*tokens), Of: tokens}
@@ -218,7 +218,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// memoryFull reports whether running requests and the new one would overfill the engine's memory.
+// memoryFull reports whether the request would overfill the engine's memory together with those already running.
 func (u *upstream) memoryFull(tokens pomelorelay.Tokens) bool {
 	if u.engine == nil || u.engine.Memory <= 0 {
 		return false
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -13,7 +13,7 @@
 	coldRate = 15.0
 )
 
-// withColdEngines returns the placer of the router named, one of two in the region, whose engines are cold after a start.
+// withColdEngines returns the placer of the named router, one of two in the region, with engines that are cold after a start.
 func withColdEngines(self pomelorelay.NodeID, listed ...pomelorelay.FleetUpstream) *pomeloplace.Placer {
 	peers := []pomelorelay.Peer{{Node: "r1", Domain: "a", Region: "ra"}, {Node: "r2", Domain: "a", Region: "ra"}, {Node: "far", Domain: "b", Region: "rb"}}
 	var own pomelorelay.Peer
@@ -44,7 +44,7 @@
 	return u
 }
 
-// Guards against a cold engine that idles and therefore draws requests of every router, and against one that is left out after it is warm.
+// Guards against a cold engine that looks idle and attracts requests of every router, and against one that stays unused once it is warm.
 func TestColdEngineUnusedWhileWarmOnesAreAvailable(t *testing.T) {
 	p := withColdEngines("r1", engine("e0"), cold("e1", coldFor))
 	now := start
@@ -60,11 +60,11 @@
 	drained.Draining = true
 	p.Put(now, drained)
 	if d := place(t, p, now, prompt(1, 500, 100)); d.Upstream.ID != "e1" {
-		t.Errorf("sent to %s once e1 was warm", d.Upstream.ID)
+		t.Errorf("sent to %s after e1 became warm, want e1", d.Upstream.ID)
 	}
 }
 
-// Guards against a service that is refused as a whole while all of its engines are cold, and against more than they accept.
+// Guards against refusing all requests of a service while its engines are cold, and against sending them more than their limit.
 func TestColdEnginesServeWithinTheirBound(t *testing.T) {
 	sent := 0
 	var refused pomeloplace.Decision
@@ -81,14 +81,14 @@
 		}
 	}
 	if limit := coldFor.Seconds() * coldRate; sent < 10 || float64(sent) > limit {
-		t.Errorf("%d requests in %v, at most %.0f are accepted", sent, coldFor, limit)
+		t.Errorf("%d requests in %v, want 10 to %.0f", sent, coldFor, limit)
 	}
 	if refused.Reason != pomeloplace.ReasonCold || refused.RetryAfter <= 0 || refused.RetryAfter > coldFor {
-		t.Errorf("refused for %q, come back after %v", refused.Reason, refused.RetryAfter)
+		t.Errorf("refused with reason %q and Retry-After %v, want Cold", refused.Reason, refused.RetryAfter)
 	}
 }
 
-// Guards against an engine that crashes and gets the requests of the whole fleet when it is back, since its restart was not listed yet.
+// Guards against an engine that crashes and, since its restart is not listed yet, gets the requests of the whole fleet on its return.
 func TestUnreachableEngineIsColdForTheWholeFleet(t *testing.T) {
 	near, other, far := withColdEngines("r1", engine("e0"), engine("e1")), withColdEngines("r2", engine("e0"), engine("e1")), withColdEngines("far", engine("e0"), engine("e1"))
 	now := start
@@ -102,7 +102,7 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	if !near.Urgent() {
-		t.Error("the other routers are not told at once")
+		t.Error("no urgent report to the other routers")
 	}
 	var m pomelorelay.LoadReport
 	near.Report(&m)
@@ -114,12 +114,12 @@
 	for range 50 {
 		now = now.Add(20 * time.Millisecond)
 		if d := place(t, far, now, prompt(uint64(now.UnixNano()), 500, 100)); d.Upstream.ID == "e1" {
-			t.Fatal("a router of another region sent to the engine")
+			t.Fatal("a router of another region used the unreachable engine")
 		}
 	}
 }
 
-// Guards against a router cut off from everything that takes all upstreams for restarted, or tells others so.
+// Guards against a partitioned router that assumes that all upstreams have restarted, or reports this to others.
 func TestPartitionedRouterDoesNotAssumeRestarts(t *testing.T) {
 	p := withColdEngines("r1", engine("e0"), engine("e1"))
 	now := start
@@ -136,6 +136,6 @@
 		t.Errorf("reported %+v", m.Starts)
 	}
 	if d := p.Place(now.Add(3*time.Second), prompt(1, 500, 100)); d.Reason != pomeloplace.ReasonNone {
-		t.Errorf("refused after the cut: %s", d.Reason)
+		t.Errorf("refused after the partition: %s", d.Reason)
 	}
 }
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -6,94 +6,93 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Term names a part of what it costs to send a request to an upstream.
+// Term names a term of the placement cost.
 type Term string
 
-// The terms, and the load that each answers.
+// Cost terms.
 const (
-	// TermPrefill is the reading of what the engine does not keep: sessions whose parts are spread over too many engines.
+	// TermPrefill is the prefill of uncached prompt parts; it keeps the requests of a session on few engines.
 	TermPrefill Term = "Read"
-	// TermCopy is the copying of parts that another engine keeps: crowds at one session's engine.
+	// TermCopy is the copying of cached parts from another engine; it limits the spread of a busy session.
 	TermCopy Term = "Copy"
-	// TermAffinity is the engine's place in the order of those that begin to keep a part: sessions that nobody has read yet.
+	// TermAffinity is the engine's position in a hash order for the shared parts; it concentrates parts that no engine has cached yet.
 	TermAffinity Term = "Home"
-	// TermWait is the time until the answer begins: uneven queues.
+	// TermWait is the time until the answer begins; it evens out queues.
 	TermWait Term = "Wait"
-	// TermLateness is the part of it that other routers' requests may push past the target: bursts.
+	// TermLateness is the time beyond a fraction of the target; it leaves room for bursts of requests from other routers.
 	TermLateness Term = "Late"
-	// TermPause is what running streams lose beside long reading: long prompts among streams.
+	// TermPause is the delay that a long prefill causes to streams on the same engine.
 	TermPause Term = "Pause"
-	// TermLongEngine keeps streams away from the engines of long prompts.
+	// TermLongEngine keeps streams away from engines assigned to long prompts.
 	TermLongEngine Term = "Long"
-	// TermOccupancy is the slots of a plain upstream that are taken: uneven loads that do not wait yet.
+	// TermOccupancy is the occupancy of a plain upstream's slots; it evens out load before queues form.
 	TermOccupancy Term = "Crowd"
-	// TermRegion is the bytes to another region, which operators pay for.
+	// TermRegion is the traffic to another region, which operators pay for.
 	TermRegion Term = "Region"
-	// TermMemory is what an engine loses that must evict running requests.
+	// TermMemory is the cost of evicting running requests when an engine's memory is full.
 	TermMemory Term = "Memory"
-	// TermFailures is upstreams that fail requests.
+	// TermFailures is the recent failure rate of the upstream.
 	TermFailures Term = "Fail"
 )
 
 const (
-	// prefillWeight is how much reading counts: it takes the engine's time from what comes after, and shared parts that are read once more
-	// push others out of its memory.
+	// prefillWeight weights prefill time, which delays later requests; prefilling a shared part on another engine also evicts others there.
 	prefillWeight = 4.5
-	// copyWeight is how much the time of a copy counts: copied parts take memory at two engines, and others lose theirs.
+	// copyWeight weights copy time: a copied part occupies memory on two engines and evicts other parts.
 	copyWeight = 2.5
-	// waitWeight is how much a wait counts that ends well within the target; waiting at one engine or the other is nearly the same.
+	// waitWeight weights a wait that ends well within the target, where the choice between engines matters little.
 	waitWeight = 0.1
-	// latenessThreshold is the part of the target up to which a wait is calm; beyond, each millisecond counts lateWeight times more, since
-	// other routers' requests that are not yet known may push the answer past its target. A larger weight would send requests away from short
-	// queues into the way of streams.
+	// latenessThreshold is the fraction of the target beyond which each millisecond also counts latenessWeight, since requests of other
+	// routers that are not yet known may delay the answer past its target. A larger weight would move requests from short queues to engines
+	// where they delay streams.
 	latenessThreshold = 0.55
 	latenessWeight    = 1.0
-	// occupancyWeight is the cost of a plain upstream's last free slot, growing with the square of the part that is taken.
+	// occupancyWeight is the cost of a plain upstream with all slots taken; the cost grows with the square of the occupied fraction.
 	occupancyWeight = 50 * time.Millisecond
-	// crossRegionTokens is what the bytes of a request to another region and of its answer cost, in tokens that an engine could read.
+	// crossRegionTokens is the cost of a request's traffic to another region, expressed as prefill tokens.
 	crossRegionTokens = 1000
-	// pauseRampStart and pauseTo are the lengths of uninterrupted reading, as parts of the pause that callers accept, between which the streams
-	// that run beside it become late.
+	// pauseRampStart and pauseRampEnd are prefill durations as fractions of the maximum pause; between them, the fraction of concurrent
+	// streams that exceed the maximum pause rises from 0 to 1.
 	pauseRampStart = 0.7
 	pauseRampEnd   = 1.05
-	// longPauseCost is what one late stream counts, in an engine's time: several times what it is worth, which keeps long reading away from
-	// streams before it is certain.
+	// longPauseCost is the cost in engine time of one stream with too long a pause. It is several times the actual loss, to keep long
+	// prefills away from streams even when a pause is uncertain.
 	longPauseCost = 400 * time.Millisecond
-	// failureCost is what an upstream that fails every request is behind one that fails none.
+	// failureCost is the cost of an upstream that fails every request, compared to one that fails none.
 	failureCost = 3 * time.Second
-	// affinityStep is what each engine is behind the one before it in the order that a hash gives a prompt's shared parts, and homeMost the
-	// most that one can be behind the first. Requests for a part that no engine is known to keep then begin at the same few engines from
-	// every router, whatever the number of engines. With a small step, the first ten of a hundred engines would be nearly equal.
+	// affinityStep is the additional cost of each engine in the hash order of a prompt's shared parts, up to maxAffinityCost. It lets all
+	// routers send uncached parts to the same few engines, whatever the number of engines. With a small step, the first ten of a hundred
+	// engines would have nearly equal costs.
 	affinityStep    = 8 * time.Millisecond
 	maxAffinityCost = 60 * time.Millisecond
-	// initialRegionLatency is the first guess of the round trip to another region, beyond one within the own; it is learnt from then on.
+	// initialRegionLatency is the initial estimate of the additional round-trip time to another region.
 	initialRegionLatency = 20 * time.Millisecond
-	// regionLatencyAlpha is the weight of a new sample in its running mean: times to first tokens vary by much more than the round trip.
+	// regionLatencyAlpha is the weight of a new sample in the moving average; times to first token vary much more than the round trip.
 	regionLatencyAlpha = 0.005
-	// slotFreeInterval is about how long it takes until one of an engine's slots is free: seconds of a run, by dozens of slots.
+	// slotFreeInterval is the approximate time until one of an engine's slots becomes free: runs of seconds over dozens of slots.
 	slotFreeInterval = 80 * time.Millisecond
 )
 
-// candidate is an upstream weighed for a request.
+// candidate is an upstream under consideration for a request.
 type candidate struct {
 	up             *upstream
 	prefillTokens  pomelorelay.Tokens
 	uncachedShared pomelorelay.Tokens
-	// recomputed are the shared tokens that it must read though another upstream keeps them.
+	// recomputed is the number of shared tokens to prefill here that another upstream has cached.
 	recomputed pomelorelay.Tokens
 	queueDelay time.Duration
-	// copyFrom is the engine from which copied tokens are copied instead of read; nil when none are.
+	// copyFrom is the engine from which copiedTokens are copied; nil when nothing is copied.
 	copyFrom     *upstream
 	copiedTokens pomelorelay.Tokens
-	// expectedLatency is the time until the answer begins, cost orders the candidates.
+	// expectedLatency is the estimated time until the answer begins; cost orders the candidates.
 	expectedLatency time.Duration
 	cost            time.Duration
-	// largestTerm is the largest part of the cost, largestCost what it is.
+	// largestTerm is the largest term of the cost; largestCost is its value.
 	largestTerm Term
 	largestCost time.Duration
 }
 
-// addCost counts a part of the cost, in an engine's time: what the request and those beside it lose by going there.
+// addCost adds a term in engine time: the delay to this request and to others on the engine.
 func (c *candidate) addCost(term Term, cost time.Duration) {
 	c.cost += cost
 	if cost > c.largestCost {
@@ -101,7 +100,7 @@
 	}
 }
 
-// evaluate returns a candidate with its cost.
+// evaluate returns the candidate with its cost.
 func (p *Placer) evaluate(now time.Time, u *upstream, from copySource, r *Request) candidate {
 	c := candidate{up: u, queueDelay: u.queueDelay(now)}
 	c.expectedLatency = c.queueDelay + p.regionLatency(u)
@@ -152,7 +151,7 @@
 	}
 }
 
-// regionLatency returns the round trip to an upstream, beyond that to one of this router's own region.
+// regionLatency returns the additional round-trip time to the upstream, compared to one in this router's region.
 func (p *Placer) regionLatency(u *upstream) time.Duration {
 	if !u.otherRegion {
 		return 0
@@ -164,7 +163,7 @@
 	return rtt
 }
 
-// updateRegionLatency takes the time to a first token beyond what was expected without the round trip to the region.
+// updateRegionLatency updates the round-trip estimate with the excess of a time to first token over its estimate without the round trip.
 func (p *Placer) updateRegionLatency(u *upstream, excess time.Duration) {
 	if !u.otherRegion {
 		return
@@ -174,7 +173,7 @@
 	p.regionLatencies[u.region] = max(0, rtt+scale(regionLatencyAlpha, sample-rtt))
 }
 
-// ownTokens returns the tokens of the prompt's last part, which no other request shares.
+// ownTokens returns the size of the last prompt part, which no other request shares.
 func (r *Request) ownTokens() pomelorelay.Tokens {
 	if len(r.Parts) == 0 {
 		return r.Prompt
@@ -187,7 +186,7 @@
 	return scale(taken*taken, occupancyWeight)
 }
 
-// busyFor returns how long the engine has been reading without a break.
+// busyFor returns how long the engine has been prefilling without interruption.
 func (u *upstream) busyFor(now time.Time) time.Duration {
 	if u.busySince.IsZero() {
 		return 0
@@ -195,8 +194,8 @@
 	return now.Sub(u.busySince)
 }
 
-// pauseCost is what the streams that run at the engine lose when a prompt is read after the backlog: those that wait for all of it, or those that the
-// prompt makes late after what the engine has read without a break already.
+// pauseCost returns the cost to the engine's streams of prefilling a prompt after the backlog. It counts streams that wait for all of the
+// prefill, or those that exceed the maximum pause because of this prompt after the engine's uninterrupted prefill so far.
 func (u *upstream) pauseCost(now time.Time, backlog, prefill time.Duration) time.Duration {
 	if u.pool.maxPause <= 0 {
 		return 0
@@ -206,7 +205,7 @@
 	return scale(u.pool.pauseWeight*lateFraction*float64(u.running()), longPauseCost)
 }
 
-// pausedFraction returns the part of an engine's streams that are late when it reads for a time without a break.
+// pausedFraction returns the fraction of streams whose pause is too long after an uninterrupted prefill of the given duration.
 func (u *upstream) pausedFraction(prefill time.Duration) float64 {
 	excess := (float64(prefill)/float64(u.pool.maxPause) - pauseRampStart) / (pauseRampEnd - pauseRampStart)
 	return min(max(excess, 0), 1)
@@ -216,13 +215,13 @@
 	if len(r.Parts) < 2 {
 		return 0
 	}
-	// The last part is the request's own; the one before it is the longest chain that others share.
+	// The last part belongs to this request alone; the one before it ends the longest shared prefix.
 	sharedHash := r.Parts[len(r.Parts)-2].Hash
 	position := float64(len(u.pool.upstreams)) * float64(mix(sharedHash^u.idHash)>>11) / (1 << 53)
 	return min(maxAffinityCost, scale(position, affinityStep))
 }
 
-// mix spreads the bits of a number evenly, as the finalizer of MurmurHash3 does.
+// mix spreads the bits of a number evenly, like the finalizer of MurmurHash3.
 func mix(n uint64) uint64 {
 	n ^= n >> 33
 	n *= 0xff51afd7ed558ccd
@@ -231,5 +230,5 @@
 	return n ^ n>>33
 }
 
-// scale returns so many times the duration.
+// scale returns the duration multiplied by the factor.
 func scale(factor float64, d time.Duration) time.Duration { return time.Duration(factor * float64(d)) }
