--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -30,11 +30,11 @@
 	Left   time.Duration
 	// Owed reports whether the request is within its account's fair share.
 	Owed bool
-	// Lead is the account's usage relative to its limit while another account is below its share. Above 1, its over-share requests get a
-	// shorter queue and fewer slots.
+	// Lead is the account's usage divided by the usage accepted while another account is below its share. Above 1, the account's over-share
+	// requests get a shorter queue and fewer slots.
 	Lead float64
-	// Ahead is the account's usage relative to its limit while another account is far below its share. Above 1, all of its requests get
-	// fewer slots.
+	// Ahead is the account's usage divided by the usage accepted while another account is far below its share. Above 1, all of the account's
+	// requests get fewer slots.
 	Ahead float64
 	// Residency restricts the regions in which the request may be served.
 	Residency pomelorelay.Residency
@@ -133,7 +133,7 @@
 	copiedTokens pomelorelay.Tokens
 	// queuedTokens is the estimated number of prompt tokens queued at the engine before this request.
 	queuedTokens float64
-	// waitedForSlot excludes the request's time to first token from the prefill speed estimate, since no slot was free.
+	// waitedForSlot reports that no slot was free; the time to first token of such a run is not a sample of the prefill speed.
 	waitedForSlot bool
 	memoryTokens  pomelorelay.Tokens
 	started       bool
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -46,7 +46,7 @@
 func (d *domainOutage) run(length time.Duration, perSecond int, outage bool) {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.now = d.now.Add(time.Second / time.Duration(perSecond))
-		d.settle()
+		d.endDueRuns()
 		d.seq++
 		got := d.p.Place(d.now, prompt(d.seq, 300, 100))
 		if got.Reason != pomeloplace.ReasonNone {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *domainOutage) settle() {
+func (d *domainOutage) endDueRuns() {
 	remaining := d.pending[:0]
 	for _, pending := range d.pending {
 		if pending.at.After(d.now) {
@@ -113,7 +113,7 @@
 	down := func(id pomelorelay.UpstreamID) bool { return id == "b0" || id == "b1" || id == "b2" || id == "b3" }
 	for range 400 {
 		d.now = d.now.Add(25 * time.Millisecond)
-		d.settle()
+		d.endDueRuns()
 		d.seq++
 		got := place(t, d.p, d.now, prompt(d.seq, 300, 100))
 		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -14,12 +14,12 @@
 func TestPlacementMeetsTargetUnderLoad(t *testing.T) {
 	const length = 20 * time.Second
 	for _, c := range []struct {
-		perSecond float64
-		inTime    float64
-		refused   float64
+		perSecond       float64
+		onTimeFraction  float64
+		refusedFraction float64
 	}{
-		{perSecond: 150, inTime: 0.90, refused: 0.01},
-		{perSecond: 210, inTime: 0.82, refused: 0.05},
+		{perSecond: 150, onTimeFraction: 0.90, refusedFraction: 0.01},
+		{perSecond: 210, onTimeFraction: 0.82, refusedFraction: 0.05},
 	} {
 		placed := newSimulation(1, 8, 9)
 		placed.run(c.perSecond, length)
@@ -27,11 +27,11 @@
 		random.choose = placeAtRandom
 		random.run(c.perSecond, length)
 		t.Logf("%.0f requests/s: %s; random selection: %s", c.perSecond, placed, random)
-		if got := float64(placed.onTime) / float64(placed.ended()); got < c.inTime {
-			t.Errorf("%.0f requests/s: %.3f on time, want %.2f", c.perSecond, got, c.inTime)
+		if got := float64(placed.onTime) / float64(placed.ended()); got < c.onTimeFraction {
+			t.Errorf("%.0f requests/s: %.3f on time, want %.2f", c.perSecond, got, c.onTimeFraction)
 		}
-		if got := float64(placed.refused) / float64(placed.requested); got > c.refused {
-			t.Errorf("%.0f requests/s: %.3f refused, want at most %.2f", c.perSecond, got, c.refused)
+		if got := float64(placed.refused) / float64(placed.requested); got > c.refusedFraction {
+			t.Errorf("%.0f requests/s: %.3f refused, want at most %.2f", c.perSecond, got, c.refusedFraction)
 		}
 		if placed.onTime <= random.onTime || (placed.prefilledShared+placed.copied)*2 > random.prefilledShared+random.copied {
 			t.Errorf("%.0f requests/s: no better than random selection", c.perSecond)
@@ -42,14 +42,14 @@
 // Many routers with delayed load reports share many small engines, and half of the requests exceed their accounts' shares. If those were
 // admitted until the engines are full, they would delay the in-share requests.
 func TestInShareRequestsMeetTargetUnderFlood(t *testing.T) {
-	p := newSimulation(1, 33, 56)
-	p.slots, p.eventTokens, p.reportDelay, p.sessionFactor, p.overShare = 16, 11, 110*time.Millisecond, 5, 0.5
-	for _, r := range p.routers {
+	s := newSimulation(1, 33, 56)
+	s.slots, s.eventTokens, s.reportDelay, s.sessionFactor, s.overShare = 16, 11, 110*time.Millisecond, 5, 0.5
+	for _, r := range s.routers {
 		r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 16, Memory: 386_234, EventTokens: 11}}}})
 	}
-	p.run(1000, 8*time.Second)
-	got := float64(p.inShareOnTime) / float64(p.inShareRequested)
-	t.Logf("%s; in-share requests %d, on time %.3f, late first tokens %d", p, p.inShareRequested, got, p.lateFirstTokens)
+	s.run(1000, 8*time.Second)
+	got := float64(s.inShareOnTime) / float64(s.inShareRequested)
+	t.Logf("%s; in-share requests %d, on time %.3f, late first tokens %d", s, s.inShareRequested, got, s.lateFirstTokens)
 	if got < 0.72 {
 		t.Errorf("%.3f of the in-share requests on time, want 0.72", got)
 	}
@@ -59,19 +59,19 @@
 // several times the capacity, and callers would wait for seconds.
 func TestSimultaneousRouterStartDoesNotOverloadEngines(t *testing.T) {
 	const (
-		seeds      = 12
-		returning  = 400 // requests per second before the first reports
-		afterwards = 150
+		seeds       = 12
+		restartRate = 400 // requests per second before the first reports
+		steadyRate  = 150
 	)
-	restart := func(unreportedKnown bool) (late, inTime int) {
+	restart := func(unreportedKnown bool) (late, onTime int) {
 		for seed := range uint64(seeds) {
-			p := newSimulation(seed, 8, 9)
-			p.reportBlackout, p.unreportedKnown = 300*time.Millisecond, unreportedKnown
-			p.run(returning, p.reportBlackout)
-			p.run(afterwards, 3*time.Second)
-			late, inTime = late+p.lateFirstTokens, inTime+p.onTime
+			s := newSimulation(seed, 8, 9)
+			s.reportBlackout, s.unreportedKnown = 300*time.Millisecond, unreportedKnown
+			s.run(restartRate, s.reportBlackout)
+			s.run(steadyRate, 3*time.Second)
+			late, onTime = late+s.lateFirstTokens, onTime+s.onTime
 		}
-		return late, inTime
+		return late, onTime
 	}
 	unawareLate, unawareOnTime := restart(false)
 	late, onTime := restart(true)
@@ -85,53 +85,53 @@
 // admission and makes the answers seconds late.
 func TestRetryAfterLetsRetriesMeetTheirTarget(t *testing.T) {
 	const seeds = 3
-	type outcome struct{ inTime, lateFirst, read int }
-	flood := func(retryAfter time.Duration) (sum outcome) {
+	type outcome struct{ onTime, lateFirstTokens, prefilled int }
+	overload := func(retryAfter time.Duration) (sum outcome) {
 		for seed := range uint64(seeds) {
-			p := newSimulation(seed+1, 8, 9)
-			p.overShare, p.retryRefused, p.retryAfter = 0.7, true, retryAfter
-			p.run(260, 20*time.Second)
-			t.Logf("retry after %v (0: the returned Retry-After): %s; late first tokens %d", retryAfter, p, p.lateFirstTokens)
-			sum.inTime, sum.lateFirst, sum.read = sum.inTime+p.onTime, sum.lateFirst+p.lateFirstTokens, sum.read+p.prefilledShared
+			s := newSimulation(seed+1, 8, 9)
+			s.overShare, s.retryRefused, s.retryAfter = 0.7, true, retryAfter
+			s.run(260, 20*time.Second)
+			t.Logf("retry after %v (0: the returned Retry-After): %s; late first tokens %d", retryAfter, s, s.lateFirstTokens)
+			sum.onTime, sum.lateFirstTokens, sum.prefilled = sum.onTime+s.onTime, sum.lateFirstTokens+s.lateFirstTokens, sum.prefilled+s.prefilledShared
 		}
 		return sum
 	}
-	advised, later := flood(0), flood(3*time.Second)
-	if advised.inTime < later.inTime+later.inTime/10 {
-		t.Errorf("%d on time with the returned Retry-After, %d with 3 s: want a tenth more", advised.inTime, later.inTime)
+	advised, later := overload(0), overload(3*time.Second)
+	if advised.onTime < later.onTime+later.onTime/10 {
+		t.Errorf("%d on time with the returned Retry-After, %d with 3 s: want a tenth more", advised.onTime, later.onTime)
 	}
-	const mostRead = 1_000_000 * seeds
-	if advised.read > mostRead {
-		t.Errorf("%d shared tokens prefilled, want at most %d", advised.read, mostRead)
+	const maxPrefilled = 1_000_000 * seeds
+	if advised.prefilled > maxPrefilled {
+		t.Errorf("%d shared tokens prefilled, want at most %d", advised.prefilled, maxPrefilled)
 	}
-	if advised.lateFirst*2 > later.lateFirst {
-		t.Errorf("%d late with the returned Retry-After, %d with 3 s: want at most half", advised.lateFirst, later.lateFirst)
+	if advised.lateFirstTokens*2 > later.lateFirstTokens {
+		t.Errorf("%d late with the returned Retry-After, %d with 3 s: want at most half", advised.lateFirstTokens, later.lateFirstTokens)
 	}
 }
 
 // ended returns the number of requests that were answered or refused before the end of the simulation.
-func (p *simulation) ended() int {
+func (s *simulation) ended() int {
 	unfinished := 0
-	for _, e := range p.engines {
+	for _, e := range s.engines {
 		unfinished += len(e.running) + len(e.waiting)
 	}
-	return p.requested - unfinished
+	return s.requested - unfinished
 }
 
-func (p *simulation) String() string {
-	return fmt.Sprintf("%d requests, %d refused, %d on time, %d paused too long, %d shared tokens prefilled and %d copied", p.requested, p.refused, p.onTime, p.longPauses, p.prefilledShared, p.copied)
+func (s *simulation) String() string {
+	return fmt.Sprintf("%d requests, %d refused, %d on time, %d paused too long, %d shared tokens prefilled and %d copied", s.requested, s.refused, s.onTime, s.longPauses, s.prefilledShared, s.copied)
 }
 
-// placeAtRandom sends each request to a random engine and disables refusal by the target.
-func placeAtRandom(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
-	only := pomelorelay.UpstreamID(fmt.Sprintf("e%d", p.random.IntN(len(p.engines))))
-	for id := range p.engines {
-		if id != only {
+// placeAtRandom sends each request to a random engine, with a target so long that it is not refused.
+func placeAtRandom(s *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
+	selected := pomelorelay.UpstreamID(fmt.Sprintf("e%d", s.random.IntN(len(s.engines))))
+	for id := range s.engines {
+		if id != selected {
 			r.Avoid = append(r.Avoid, id)
 		}
 	}
 	r.Target = time.Hour
-	return p.routers[router].Place(p.now, r)
+	return s.routers[router].Place(s.now, r)
 }
 
 func BenchmarkPlace(b *testing.B) {
@@ -180,21 +180,21 @@
 // each delay is short, but together they make streams pause for too long.
 func TestStreamsSeldomPauseAtLowLoad(t *testing.T) {
 	const (
-		seeds = 3
-		most  = 0.025
+		seeds             = 3
+		maxPausedFraction = 0.025
 	)
 	paused, ended := 0, 0
 	for seed := range uint64(seeds) {
-		p := newSimulation(seed+1, 13, 30)
-		p.slots, p.eventTokens, p.reportDelay, p.sessionFactor = 32, 10, 50*time.Millisecond, 3
-		for _, r := range p.routers {
+		s := newSimulation(seed+1, 13, 30)
+		s.slots, s.eventTokens, s.reportDelay, s.sessionFactor = 32, 10, 50*time.Millisecond, 3
+		for _, r := range s.routers {
 			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, Memory: 632_306, EventTokens: 10}}}})
 		}
-		p.run(430, 20*time.Second)
-		t.Logf("%s; late first tokens %d", p, p.lateFirstTokens)
-		paused, ended = paused+p.longPauses, ended+p.ended()
+		s.run(430, 20*time.Second)
+		t.Logf("%s; late first tokens %d", s, s.lateFirstTokens)
+		paused, ended = paused+s.longPauses, ended+s.ended()
 	}
-	if got := float64(paused) / float64(ended); got > most {
-		t.Errorf("%.4f of the answers paused for too long, want at most %.3f", got, most)
+	if got := float64(paused) / float64(ended); got > maxPausedFraction {
+		t.Errorf("%.4f of the answers paused for too long, want at most %.3f", got, maxPausedFraction)
 	}
 }
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -49,39 +49,39 @@
 	updatedAt        time.Time
 }
 
-func (f *workRate) decay(now time.Time) {
-	if f.updatedAt.IsZero() {
-		f.updatedAt = now
+func (w *workRate) decay(now time.Time) {
+	if w.updatedAt.IsZero() {
+		w.updatedAt = now
 	}
-	factor := math.Exp2(-float64(now.Sub(f.updatedAt)) / float64(workHalfLife))
-	f.total *= factor
-	f.own *= factor
-	f.long *= factor
-	f.updatedAt = now
+	factor := math.Exp2(-float64(now.Sub(w.updatedAt)) / float64(workHalfLife))
+	w.total *= factor
+	w.own *= factor
+	w.long *= factor
+	w.updatedAt = now
 }
 
 // sumToRate converts a sum that decays with workHalfLife to a rate per second.
 var sumToRate = math.Ln2 / workHalfLife.Seconds()
 
-func (f *workRate) add(now time.Time, tokens pomelorelay.Tokens) {
-	f.decay(now)
-	f.total += float64(tokens) * sumToRate
+func (w *workRate) add(now time.Time, tokens pomelorelay.Tokens) {
+	w.decay(now)
+	w.total += float64(tokens) * sumToRate
 }
 
-func (f *workRate) addOwn(now time.Time, tokens pomelorelay.Tokens, long bool) {
-	f.add(now, tokens)
-	f.own += float64(tokens) * sumToRate
+func (w *workRate) addOwn(now time.Time, tokens pomelorelay.Tokens, long bool) {
+	w.add(now, tokens)
+	w.own += float64(tokens) * sumToRate
 	if long {
-		f.long += float64(tokens) * sumToRate
+		w.long += float64(tokens) * sumToRate
 	}
 }
 
 // longEngines returns the number of engines needed for long prompts at the given prefill rate.
-func (f *workRate) longEngines(rate float64) float64 {
-	if f.own <= 0 {
+func (w *workRate) longEngines(rate float64) float64 {
+	if w.own <= 0 {
 		return 0
 	}
-	return longCapacityFactor * f.total * (f.long / f.own) / (rate * 1000)
+	return longCapacityFactor * w.total * (w.long / w.own) / (rate * 1000)
 }
 
 // pool holds the upstreams of a service.
@@ -90,8 +90,8 @@
 	upstreams []*upstream
 	// speed is the service's estimate of the time to first token.
 	speed *pomelospeed.Line
-	// pauseRatio is the fraction of streams that paused too long during a long prefill.
 	latencyTargets
+	// pauseRatio is the fraction of streams that paused too long during a long prefill.
 	pauseRatio *pomelospeed.Ratio
 	// copyRatio is the time to copy cached parts from another engine, as a fraction of the time to prefill them.
 	copyRatio *pomelospeed.Ratio
@@ -131,7 +131,7 @@
 	return slices.Insert(list, at, u)
 }
 
-// longRank returns the position of an engine in the assignment of long prompts, which is the same on every router.
+// longRank returns the sort key for the assignment of engines to long prompts, which is the same on every router.
 func longRank(id pomelorelay.UpstreamID) uint64 { return xxhash.Sum64String("long/" + string(id)) }
 
 func (s *pool) remove(u *upstream) {
--- a/pomeloplace/mechanism_test.go
+++ b/pomeloplace/mechanism_test.go
@@ -10,9 +10,9 @@
 
 func TestParseMechanismsByName(t *testing.T) {
 	for _, name := range pomeloplace.MechanismNames() {
-		set, err := pomeloplace.ParseMechanisms([]string{name})
-		if err != nil || set == (pomeloplace.Mechanisms{}) {
-			t.Errorf("%s: %+v, %v", name, set, err)
+		mechanisms, err := pomeloplace.ParseMechanisms([]string{name})
+		if err != nil || mechanisms == (pomeloplace.Mechanisms{}) {
+			t.Errorf("%s: %+v, %v", name, mechanisms, err)
 		}
 	}
 	if _, err := pomeloplace.ParseMechanisms([]string{"Copies", "Magic"}); !pomelorelay.IsErrCode(err, pomelorelay.CodeSettingsInvalid) {
@@ -30,7 +30,7 @@
 	near := engine("e1")
 	p.Put(start, near)
 	now := start
-	ask := func(avoid pomelorelay.UpstreamID, rtt time.Duration) pomeloplace.Decision {
+	placeAvoiding := func(avoid pomelorelay.UpstreamID, rtt time.Duration) pomeloplace.Decision {
 		now = now.Add(200 * time.Millisecond)
 		r := prompt(uint64(now.UnixNano()), 500, 500)
 		r.Avoid = []pomelorelay.UpstreamID{avoid}
@@ -42,7 +42,7 @@
 	const rtt = 100 * time.Millisecond
 	var remote, local pomeloplace.Decision
 	for range 1000 {
-		remote, local = ask("e1", rtt), ask("e0", 0)
+		remote, local = placeAvoiding("e1", rtt), placeAvoiding("e0", 0)
 	}
 	if got := remote.Expected - local.Expected; got < rtt*3/4 || got > rtt*5/4 {
 		t.Errorf("learnt a round trip of %v to the other region, want about %v", got, rtt)
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -159,17 +159,17 @@
 	p := withEngines(2)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
 	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
-	flood := func(shared uint64, tokens pomelorelay.Tokens) pomeloplace.Request {
+	overShare := func(shared uint64, tokens pomelorelay.Tokens) pomeloplace.Request {
 		r := prompt(shared, tokens, 100)
 		r.Owed = false
 		return r
 	}
 	slowCopies := pomelorelay.SpeedSums{Service: engines, Copied: 1e6, CopyTook: 100e6}
 	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
-	if d := p.Place(start, flood(1, 5000)); d.Reason != pomeloplace.ReasonShare {
+	if d := p.Place(start, overShare(1, 5000)); d.Reason != pomeloplace.ReasonShare {
 		t.Errorf("reason %q at %s with %d uncached shared tokens, want Share", d.Reason, d.Upstream.ID, d.Shared)
 	}
-	if d := place(t, p, start, flood(2, 5000)); d.Upstream.ID == holder {
+	if d := place(t, p, start, overShare(2, 5000)); d.Upstream.ID == holder {
 		t.Error("a request with an uncached part was sent to the full engine")
 	}
 	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == holder || d.Shared != 5000 {
@@ -263,9 +263,9 @@
 	a.Ended(start, d.Run, pomeloplace.ResultGood)
 	var lost pomelorelay.LoadReport
 	a.Report(&lost)
-	whole := pomelorelay.LoadReport{Whole: true}
-	a.Report(&whole)
-	b.TakeReport(start, "a", 1, &whole)
+	full := pomelorelay.LoadReport{Whole: true}
+	a.Report(&full)
+	b.TakeReport(start, "a", 1, &full)
 	if n := running(start); n != 0 {
 		t.Errorf("%d running after a full report, want 0", n)
 	}
@@ -368,10 +368,10 @@
 
 // Guards against an account that occupies the last slots of every engine while another is far below its share.
 func TestAheadAccountsLeaveSlotsFree(t *testing.T) {
-	fills := func(ahead float64) int {
+	filledSlots := func(ahead float64) int {
 		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Ahead = ahead })
 	}
-	short, slightlyAhead, farAhead := fills(0), fills(1.1), fills(5)
+	short, slightlyAhead, farAhead := filledSlots(0), filledSlots(1.1), filledSlots(5)
 	if short != 12 || slightlyAhead < 9 || slightlyAhead >= short || farAhead >= slightlyAhead || farAhead < 6 {
 		t.Errorf("of 12 slots, an account fills %d when short, %d when slightly ahead, %d when far ahead", short, slightlyAhead, farAhead)
 	}
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -231,13 +231,13 @@
 	if s == nil {
 		return 0, false
 	}
-	least, found := maxRetryAfter, false
+	shortest, found := maxRetryAfter, false
 	for _, u := range s.upstreams {
 		if p.usable(u, r) && u.warmup.Cold(now) {
-			least, found = min(least, u.warmup.Wait(now)), true
+			shortest, found = min(shortest, u.warmup.Wait(now)), true
 		}
 	}
-	return max(least, minRetryAfter), found
+	return max(shortest, minRetryAfter), found
 }
 
 // Warmups returns the status of each upstream that is or may be cold.
@@ -251,7 +251,7 @@
 	return cold
 }
 
-// SetEvacuated starts or ends the evacuation of a failure domain. Afterwards its upstreams may be cold.
+// SetEvacuated starts or ends the evacuation of a failure domain. After an evacuation, its upstreams may be cold.
 func (p *Placer) SetEvacuated(now time.Time, domain pomelorelay.DomainID, evacuated bool) {
 	p.ensureDomain(domain).evacuated = evacuated
 	if evacuated {
@@ -300,7 +300,7 @@
 		return best, false
 	}
 	found := false
-	least := r.Prompt
+	minUncached := r.Prompt
 	source := p.findCopySource(now, s, r)
 	s.refreshEstimates(now)
 	for round := 0; round < 2 && !found; round++ {
@@ -309,13 +309,13 @@
 				continue
 			}
 			c := p.evaluate(now, u, source, r)
-			least = min(least, c.uncachedShared)
+			minUncached = min(minUncached, c.uncachedShared)
 			if !found || c.cost < best.cost {
 				best, found = c, true
 			}
 		}
 	}
-	best.recomputed = best.uncachedShared - least
+	best.recomputed = best.uncachedShared - minUncached
 	return best, found
 }
 
--- a/pomeloplace/prefixcache.go
+++ b/pomeloplace/prefixcache.go
@@ -30,40 +30,40 @@
 // promptMemoryFraction is the fraction of an engine's memory that prompts fill, running or cached; generated tokens take the rest.
 const promptMemoryFraction = 0.95
 
-func (k *prefixCache) add(hash uint64, tokens pomelorelay.Tokens) {
-	if k.parts == nil {
-		k.parts = make(map[uint64]*cachedPart)
+func (c *prefixCache) add(hash uint64, tokens pomelorelay.Tokens) {
+	if c.parts == nil {
+		c.parts = make(map[uint64]*cachedPart)
 	}
-	k.seq++
-	if p := k.parts[hash]; p != nil {
-		p.lastUse = k.seq
+	c.seq++
+	if p := c.parts[hash]; p != nil {
+		p.lastUse = c.seq
 		return
 	}
-	k.parts[hash] = &cachedPart{tokens: tokens, lastUse: k.seq}
-	k.grow(tokens)
+	c.parts[hash] = &cachedPart{tokens: tokens, lastUse: c.seq}
+	c.grow(tokens)
 }
 
 // addUnidentified adds prompt tokens whose parts are unknown.
-func (k *prefixCache) addUnidentified(tokens pomelorelay.Tokens) {
+func (c *prefixCache) addUnidentified(tokens pomelorelay.Tokens) {
 	if tokens <= 0 {
 		return
 	}
-	k.seq++
-	k.unidentified = append(k.unidentified, cachedPart{tokens: tokens, lastUse: k.seq})
-	k.grow(tokens)
+	c.seq++
+	c.unidentified = append(c.unidentified, cachedPart{tokens: tokens, lastUse: c.seq})
+	c.grow(tokens)
 }
 
-func (k *prefixCache) grow(tokens pomelorelay.Tokens) {
-	k.used += tokens
-	if float64(k.used) > promptMemoryFraction*float64(k.capacity) {
-		k.evict()
+func (c *prefixCache) grow(tokens pomelorelay.Tokens) {
+	c.used += tokens
+	if float64(c.used) > promptMemoryFraction*float64(c.capacity) {
+		c.evict()
 	}
 }
 
 // markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because
 // the other routers would otherwise consider a part that only this router uses as unused since its prefill.
-func (k *prefixCache) markReported(now time.Time, hash uint64) bool {
-	p := k.parts[hash]
+func (c *prefixCache) markReported(now time.Time, hash uint64) bool {
+	p := c.parts[hash]
 	if p == nil || (!p.reportedAt.IsZero() && now.Sub(p.reportedAt) < partReportInterval) {
 		return false
 	}
@@ -77,34 +77,34 @@
 // evictFraction is the fraction of the cache evicted at once, so that entries need not be sorted on each addition.
 const evictFraction = 0.1
 
-func (k *prefixCache) evict() {
+func (c *prefixCache) evict() {
 	type entry struct {
 		hash    uint64
 		lastUse uint64
 	}
-	entries := make([]entry, 0, len(k.parts))
-	for hash, p := range k.parts {
+	entries := make([]entry, 0, len(c.parts))
+	for hash, p := range c.parts {
 		entries = append(entries, entry{hash, p.lastUse})
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.lastUse, b.lastUse) })
-	target := pomelorelay.Tokens((1 - evictFraction) * promptMemoryFraction * float64(k.capacity))
-	for k.used > target && len(entries)+len(k.unidentified) > 0 {
-		if len(entries) == 0 || (len(k.unidentified) > 0 && k.unidentified[0].lastUse < entries[0].lastUse) {
-			k.used -= k.unidentified[0].tokens
-			k.unidentified = k.unidentified[1:]
+	target := pomelorelay.Tokens((1 - evictFraction) * promptMemoryFraction * float64(c.capacity))
+	for c.used > target && len(entries)+len(c.unidentified) > 0 {
+		if len(entries) == 0 || (len(c.unidentified) > 0 && c.unidentified[0].lastUse < entries[0].lastUse) {
+			c.used -= c.unidentified[0].tokens
+			c.unidentified = c.unidentified[1:]
 			continue
 		}
-		k.used -= k.parts[entries[0].hash].tokens
-		delete(k.parts, entries[0].hash)
+		c.used -= c.parts[entries[0].hash].tokens
+		delete(c.parts, entries[0].hash)
 		entries = entries[1:]
 	}
 }
 
 // uncached returns the number of prompt tokens to prefill: everything from the first uncached part on, and at least one token.
-func (k *prefixCache) uncached(r *Request) pomelorelay.Tokens {
+func (c *prefixCache) uncached(r *Request) pomelorelay.Tokens {
 	remaining := r.Prompt
 	for _, p := range r.Parts {
-		if k.parts[p.Hash] == nil {
+		if c.parts[p.Hash] == nil {
 			return remaining
 		}
 		remaining = max(0, remaining-p.Tokens)
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -94,19 +94,19 @@
 
 // applyParts records the prompt parts used by another router's requests and returns the tokens that each upstream had to prefill for them.
 func (p *Placer) applyParts(now time.Time, parts []pomelorelay.PartPlaced) map[pomelorelay.UpstreamID]pomelorelay.Tokens {
-	read := make(map[pomelorelay.UpstreamID]pomelorelay.Tokens)
+	prefilled := make(map[pomelorelay.UpstreamID]pomelorelay.Tokens)
 	for _, part := range parts {
 		u := p.upstreams[part.Upstream]
 		if u == nil {
 			continue
 		}
 		if u.cache.parts[part.Hash] == nil {
-			read[part.Upstream] += part.Tokens
+			prefilled[part.Upstream] += part.Tokens
 		}
 		u.cache.add(part.Hash, part.Tokens)
 		u.cache.markReported(now, part.Hash)
 	}
-	return read
+	return prefilled
 }
 
 // clearUnlistedLoads clears loads that a full report does not list, since an earlier report of their end was lost.
--- a/pomeloplace/simulation_test.go
+++ b/pomeloplace/simulation_test.go
@@ -29,7 +29,7 @@
 	sent    time.Time
 	// readyAt is when the copy from another engine is complete.
 	readyAt      time.Time
-	unread       float64
+	uncached     float64
 	prefilled    float64
 	output       int
 	generated    int
@@ -88,171 +88,171 @@
 }
 
 func newSimulation(seed uint64, routers, engineCount int) *simulation {
-	p := &simulation{
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), now: start, slots: 64, eventTokens: 7, reportDelay: 12 * time.Millisecond, sessionFactor: 1,
 		engines: make(map[pomelorelay.UpstreamID]*simEngine), cached: make(map[pomelorelay.UpstreamID]map[uint64]bool),
-		choose: func(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
-			return p.routers[router].Place(p.now, r)
+		choose: func(s *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
+			return s.routers[router].Place(s.now, r)
 		},
 	}
 	for range routers {
-		p.routers = append(p.routers, withEngines(engineCount))
+		s.routers = append(s.routers, withEngines(engineCount))
 	}
 	for i := range engineCount {
 		id := pomelorelay.UpstreamID(fmt.Sprintf("e%d", i))
-		p.engines[id] = &simEngine{nextStepAt: start}
-		p.cached[id] = make(map[uint64]bool)
+		s.engines[id] = &simEngine{nextStepAt: start}
+		s.cached[id] = make(map[uint64]bool)
 	}
-	return p
+	return s
 }
 
-func (p *simulation) logNormal(mean, sigma, limit float64) float64 {
-	return min(limit, mean*math.Exp(sigma*p.random.NormFloat64()-sigma*sigma/2))
+func (s *simulation) logNormal(mean, sigma, limit float64) float64 {
+	return min(limit, mean*math.Exp(sigma*s.random.NormFloat64()-sigma*sigma/2))
 }
 
 // randomRequest returns a long draft in a shared session, a short question, or a tagging request with an answer of a few tokens.
-func (p *simulation) randomRequest() (pomeloplace.Request, int) {
-	kind := p.random.Float64()
+func (s *simulation) randomRequest() (pomeloplace.Request, int) {
+	kind := s.random.Float64()
 	own, shared, sessions, output, target := 0.0, pomelorelay.Tokens(0), uint64(0), 0.0, 400*time.Millisecond
 	switch {
 	case kind < 0.21:
-		own, shared, sessions, output, target = p.logNormal(6610, 1.4, 54600), 5400, 75, p.logNormal(385, 0.44, 1120), 600*time.Millisecond
+		own, shared, sessions, output, target = s.logNormal(6610, 1.4, 54600), 5400, 75, s.logNormal(385, 0.44, 1120), 600*time.Millisecond
 	case kind < 0.65:
-		own, shared, sessions, output = p.logNormal(628, 1, 3310), 200, 360, p.logNormal(294, 0.69, 950)
+		own, shared, sessions, output = s.logNormal(628, 1, 3310), 200, 360, s.logNormal(294, 0.69, 950)
 	default:
-		own, shared, sessions, output = p.logNormal(1800, 1.3, 6870), 570, 192, p.logNormal(21, 1.4, 90)
+		own, shared, sessions, output = s.logNormal(1800, 1.3, 6870), 570, 192, s.logNormal(21, 1.4, 90)
 	}
-	session := uint64(shared)<<32 | p.random.Uint64N(sessions*p.sessionFactor) + 1
+	session := uint64(shared)<<32 | s.random.Uint64N(sessions*s.sessionFactor) + 1
 	r := pomeloplace.Request{
 		Service: engines, Prompt: shared + pomelorelay.Tokens(own) + 1, Output: pomelorelay.Tokens(output) + 1, Owed: true,
-		Parts:  []pomelorelay.PromptPart{{Hash: session, Tokens: shared}, {Hash: p.random.Uint64(), Tokens: pomelorelay.Tokens(own) + 1}},
+		Parts:  []pomelorelay.PromptPart{{Hash: session, Tokens: shared}, {Hash: s.random.Uint64(), Tokens: pomelorelay.Tokens(own) + 1}},
 		Target: target, Left: 10 * time.Second,
 	}
-	return r, int(output) + p.eventTokens
+	return r, int(output) + s.eventTokens
 }
 
 // run simulates Poisson arrivals at the given rate.
-func (p *simulation) run(perSecond float64, length time.Duration) {
-	end := p.now.Add(length)
-	arrival, report := p.now, p.now
-	for p.now.Before(end) {
-		p.now = p.now.Add(time.Millisecond)
-		for arrival.Before(p.now) {
-			arrival = arrival.Add(time.Duration(p.random.ExpFloat64() / perSecond * float64(time.Second)))
-			p.arrive()
+func (s *simulation) run(perSecond float64, length time.Duration) {
+	end := s.now.Add(length)
+	arrival, report := s.now, s.now
+	for s.now.Before(end) {
+		s.now = s.now.Add(time.Millisecond)
+		for arrival.Before(s.now) {
+			arrival = arrival.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
+			s.arrive()
 		}
-		p.submitDueRetries()
-		if p.now.Sub(report) >= 100*time.Millisecond {
-			report = p.now
-			p.sendReports(p.now.Sub(start)%time.Second < 100*time.Millisecond)
+		s.submitDueRetries()
+		if s.now.Sub(report) >= 100*time.Millisecond {
+			report = s.now
+			s.sendReports(s.now.Sub(start)%time.Second < 100*time.Millisecond)
 		}
-		p.deliverReports()
-		for id, e := range p.engines {
-			p.step(id, e)
+		s.deliverReports()
+		for id, e := range s.engines {
+			s.step(id, e)
 		}
 	}
 }
 
-func (p *simulation) arrive() {
-	r, output := p.randomRequest()
-	r.Owed = p.random.Float64() >= p.overShare
-	p.requested++
+func (s *simulation) arrive() {
+	r, output := s.randomRequest()
+	r.Owed = s.random.Float64() >= s.overShare
+	s.requested++
 	if r.Owed {
-		p.inShareRequested++
+		s.inShareRequested++
 	}
-	p.submit(pendingRequest{firstSentAt: p.now, request: r, output: output})
+	s.submit(pendingRequest{firstSentAt: s.now, request: r, output: output})
 }
 
 // submit sends a request to a random router; a request with retryAt set is not retried again.
-func (p *simulation) submit(c pendingRequest) {
+func (s *simulation) submit(c pendingRequest) {
 	r, output := c.request, c.output
-	router := p.random.IntN(len(p.routers))
-	d := p.choose(p, router, r)
+	router := s.random.IntN(len(s.routers))
+	d := s.choose(s, router, r)
 	if d.Reason != pomeloplace.ReasonNone {
-		if p.retryRefused && c.retryAt.IsZero() {
+		if s.retryRefused && c.retryAt.IsZero() {
 			wait := d.RetryAfter
-			if p.retryAfter > 0 {
-				wait = p.retryAfter
+			if s.retryAfter > 0 {
+				wait = s.retryAfter
 			}
-			c.retryAt = p.now.Add(wait)
-			p.retries = append(p.retries, c)
+			c.retryAt = s.now.Add(wait)
+			s.retries = append(s.retries, c)
 			return
 		}
-		p.refused++
+		s.refused++
 		return
 	}
-	unread, copying := float64(r.Prompt), time.Duration(0)
+	uncached, copyTime := float64(r.Prompt), time.Duration(0)
 	session := r.Parts[0]
 	switch {
-	case p.cached[d.Upstream.ID][session.Hash]:
-		unread -= float64(session.Tokens)
-	case d.Copied > 0 && p.cached[d.CopyFrom.ID][session.Hash]:
-		unread -= float64(session.Tokens)
-		copying = time.Duration(float64(session.Tokens) * copyPerToken)
-		p.copied += int(session.Tokens)
+	case s.cached[d.Upstream.ID][session.Hash]:
+		uncached -= float64(session.Tokens)
+	case d.Copied > 0 && s.cached[d.CopyFrom.ID][session.Hash]:
+		uncached -= float64(session.Tokens)
+		copyTime = time.Duration(float64(session.Tokens) * copyPerToken)
+		s.copied += int(session.Tokens)
 	default:
-		p.prefilledShared += int(session.Tokens)
+		s.prefilledShared += int(session.Tokens)
 	}
-	p.cached[d.Upstream.ID][session.Hash] = true
-	e := p.engines[d.Upstream.ID]
-	e.waiting = append(e.waiting, &job{router: router, request: r, run: d.Run, sent: c.firstSentAt, readyAt: p.now.Add(copying), unread: unread, output: output})
+	s.cached[d.Upstream.ID][session.Hash] = true
+	e := s.engines[d.Upstream.ID]
+	e.waiting = append(e.waiting, &job{router: router, request: r, run: d.Run, sent: c.firstSentAt, readyAt: s.now.Add(copyTime), uncached: uncached, output: output})
 }
 
 // submitDueRetries submits the retries that are due.
-func (p *simulation) submitDueRetries() {
+func (s *simulation) submitDueRetries() {
 	var later []pendingRequest
-	due := p.retries
-	p.retries = nil
+	due := s.retries
+	s.retries = nil
 	for _, c := range due {
-		if c.retryAt.After(p.now) {
+		if c.retryAt.After(s.now) {
 			later = append(later, c)
 			continue
 		}
-		p.submit(c)
+		s.submit(c)
 	}
-	p.retries = append(later, p.retries...)
+	s.retries = append(later, s.retries...)
 }
 
-func (p *simulation) sendReports(whole bool) {
-	for i, router := range p.routers {
+func (s *simulation) sendReports(whole bool) {
+	for i, router := range s.routers {
 		m := &pomelorelay.LoadReport{Whole: whole}
 		router.Report(m)
-		router.Tick(p.now)
-		p.inTransit = append(p.inTransit, reportInTransit{arrivesAt: p.now.Add(p.reportDelay), from: i, m: m})
+		router.Tick(s.now)
+		s.inTransit = append(s.inTransit, reportInTransit{arrivesAt: s.now.Add(s.reportDelay), from: i, m: m})
 	}
 }
 
-func (p *simulation) deliverReports() {
-	if p.now.Sub(start) < p.reportBlackout {
-		for _, router := range p.routers {
-			if p.unreportedKnown {
-				router.SetUnreported(len(p.routers) - 1)
+func (s *simulation) deliverReports() {
+	if s.now.Sub(start) < s.reportBlackout {
+		for _, router := range s.routers {
+			if s.unreportedKnown {
+				router.SetUnreported(len(s.routers) - 1)
 			}
 		}
 		return
 	}
-	for _, router := range p.routers {
+	for _, router := range s.routers {
 		router.SetUnreported(0)
 	}
-	for len(p.inTransit) > 0 && !p.inTransit[0].arrivesAt.After(p.now) {
-		l := p.inTransit[0]
-		p.inTransit = p.inTransit[1:]
-		for i, router := range p.routers {
-			if i != l.from {
-				router.TakeReport(p.now, pomelorelay.NodeID(fmt.Sprint("r", l.from)), 1, l.m)
+	for len(s.inTransit) > 0 && !s.inTransit[0].arrivesAt.After(s.now) {
+		delivered := s.inTransit[0]
+		s.inTransit = s.inTransit[1:]
+		for i, router := range s.routers {
+			if i != delivered.from {
+				router.TakeReport(s.now, pomelorelay.NodeID(fmt.Sprint("r", delivered.from)), 1, delivered.m)
 			}
 		}
 	}
 }
 
 // step runs the engine's next step if the previous one is over.
-func (p *simulation) step(id pomelorelay.UpstreamID, e *simEngine) {
-	if e.nextStepAt.After(p.now) {
+func (s *simulation) step(id pomelorelay.UpstreamID, e *simEngine) {
+	if e.nextStepAt.After(s.now) {
 		return
 	}
 	waiting := e.waiting[:0]
 	for _, j := range e.waiting {
-		if len(e.running) < p.slots && !j.readyAt.After(p.now) {
+		if len(e.running) < s.slots && !j.readyAt.After(s.now) {
 			e.running = append(e.running, j)
 			continue
 		}
@@ -262,32 +262,32 @@
 	if len(e.running) == 0 {
 		return
 	}
-	room, ms := float64(chunk), stepMS+stepPerSlot*float64(len(e.running))
+	budget, ms := float64(chunk), stepMS+stepPerSlot*float64(len(e.running))
 	var done []*job
 	for _, j := range e.running {
-		if j.unread > 0 {
-			n := min(room, j.unread)
-			room -= n
+		if j.uncached > 0 {
+			n := min(budget, j.uncached)
+			budget -= n
 			ms += n/prefillPerMS + n*j.prefilled/pairsPerMS
-			j.unread -= n
+			j.uncached -= n
 			j.prefilled += n
-			if j.unread > 0 {
+			if j.uncached > 0 {
 				continue
 			}
 		}
 		done = append(done, j)
 	}
-	e.nextStepAt = p.now.Add(time.Duration(ms * float64(time.Millisecond)))
+	e.nextStepAt = s.now.Add(time.Duration(ms * float64(time.Millisecond)))
 	for _, j := range done {
-		p.emitToken(e, j)
+		s.emitToken(e, j)
 	}
 }
 
 // emitToken generates a stream's next token at the end of the step.
-func (p *simulation) emitToken(e *simEngine, j *job) {
+func (s *simulation) emitToken(e *simEngine, j *job) {
 	j.generated++
-	router := p.routers[j.router]
-	if j.generated%p.eventTokens == 1 {
+	router := s.routers[j.router]
+	if j.generated%s.eventTokens == 1 {
 		if j.generated == 1 {
 			j.firstToken = e.nextStepAt.Sub(j.sent)
 			router.Begun(e.nextStepAt, j.run)
@@ -305,16 +305,16 @@
 	}
 	router.Ended(e.nextStepAt, j.run, result)
 	if j.firstToken <= j.request.Target && result == pomeloplace.ResultGood {
-		p.onTime++
+		s.onTime++
 		if j.request.Owed {
-			p.inShareOnTime++
+			s.inShareOnTime++
 		}
 	}
 	if result == pomeloplace.ResultPaused {
-		p.longPauses++
+		s.longPauses++
 	}
 	if j.firstToken > j.request.Target {
-		p.lateFirstTokens++
+		s.lateFirstTokens++
 	}
 	for i, o := range e.running {
 		if o == j {
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// queuedTokens returns the estimated number of prompt tokens queued before a new request. Pending requests limit the estimate from above;
-// their number also shows when prefill is slower than estimated.
+// queuedTokens returns the estimated number of prompt tokens queued before a new request. It is at most the tokens of requests without an
+// answer, and at least a fraction of them, since late answers show that prefill is slower than estimated.
 func (u *upstream) queuedTokens(now time.Time) float64 {
 	u.drainQueue(now)
 	u.queueEstimate = min(u.queueEstimate, u.pendingPrefill())
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -38,15 +38,15 @@
 	return p
 }
 
-func cold(id pomelorelay.UpstreamID, left time.Duration) pomelorelay.FleetUpstream {
+func coldEngine(id pomelorelay.UpstreamID, remaining time.Duration) pomelorelay.FleetUpstream {
 	u := engine(id)
-	u.ColdFor = left
+	u.ColdFor = remaining
 	return u
 }
 
 // Guards against a cold engine that looks idle and attracts requests of every router, and against one that stays unused once it is warm.
 func TestColdEngineUnusedWhileWarmOnesAreAvailable(t *testing.T) {
-	p := withColdEngines("r1", engine("e0"), cold("e1", coldFor))
+	p := withColdEngines("r1", engine("e0"), coldEngine("e1", coldFor))
 	now := start
 	for now.Before(start.Add(coldFor)) {
 		d := place(t, p, now, prompt(uint64(now.UnixNano()), 500, 100))
@@ -68,7 +68,7 @@
 func TestColdEnginesServeWithinTheirBound(t *testing.T) {
 	sent := 0
 	var refused pomeloplace.Decision
-	routers := []*pomeloplace.Placer{withColdEngines("r1", cold("e0", coldFor)), withColdEngines("r2", cold("e0", coldFor))}
+	routers := []*pomeloplace.Placer{withColdEngines("r1", coldEngine("e0", coldFor)), withColdEngines("r2", coldEngine("e0", coldFor))}
 	for now := start; now.Before(start.Add(coldFor)); now = now.Add(10 * time.Millisecond) {
 		for _, p := range routers {
 			d := p.Place(now, prompt(uint64(now.UnixNano()), 500, 100))
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -182,8 +182,8 @@
 }
 
 func occupancyCost(u *upstream) time.Duration {
-	taken := float64(u.running()) / float64(u.slots())
-	return scale(taken*taken, occupancyWeight)
+	occupied := float64(u.running()) / float64(u.slots())
+	return scale(occupied*occupied, occupancyWeight)
 }
 
 // busyFor returns how long the engine has been prefilling without interruption.
