--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -88,7 +88,7 @@
 	}
 	slots := u.slots()
 	a := allowance{maxRunning: slots, maxQueueDelay: scale(inShareQueueFraction, target), reason: ReasonLate}
-	if r.Ahead > 1 && !disabled.Ahead {
+	if r.Ahead > 1 && !disabled.AheadLimits {
 		reserve := min(yieldedSlotFraction*r.Ahead, maxYieldedSlotFraction)
 		a.maxRunning = max(1, slots-int(math.Ceil(reserve*float64(slots))))
 	}
@@ -100,10 +100,10 @@
 		reserve := min(slotReserveFactor*math.Sqrt(float64(slots)), maxReserveFraction*float64(slots))
 		a.maxRunning = max(1, int(float64(slots)-reserve))
 	}
-	if !disabled.FreeQueue {
+	if !disabled.OverShareQueue {
 		a.maxQueueDelay = scale(overShareQueueFraction, target)
 	}
-	if r.Lead > 1 && !disabled.Ahead {
+	if r.Lead > 1 && !disabled.AheadLimits {
 		fraction := max(1/(r.Lead*r.Lead), minAheadFraction)
 		a.maxQueueDelay = scale(aheadQueueFraction*fraction, target)
 		a.maxRunning = max(1, int(fraction*float64(a.maxRunning)))
@@ -127,7 +127,7 @@
 func (p *Placer) exceededBound(c candidate, r *Request, a allowance) Bound {
 	ownTime := c.expectedLatency - c.queueDelay
 	switch {
-	case !r.Owed && c.recomputed > maxRecomputeTokens && !p.cfg.Without.ReadAgain:
+	case !r.Owed && c.recomputed > maxRecomputeTokens && !p.cfg.Without.RecomputeLimit:
 		return BoundRecompute
 	case c.up.engine != nil && c.up.running() >= a.maxRunning:
 		return BoundSlots
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -21,13 +21,15 @@
 // Request describes a request to be placed.
 type Request struct {
 	Service pomelorelay.ServiceID
-	// Prompt is the length of the prompt; Output is the expected number of generated tokens.
+	// Prompt is the length of the prompt.
 	Prompt pomelorelay.Tokens
+	// Output is the expected length of the answer.
 	Output pomelorelay.Tokens
 	Parts  []pomelorelay.PromptPart
-	// Target is the route's target for the time to the first byte or event of the answer; Left is the remaining time the caller will wait.
+	// Target is the route's target for the time to the first byte or event of the answer.
 	Target time.Duration
-	Left   time.Duration
+	// Left is the remaining time that the caller will wait.
+	Left time.Duration
 	// Owed reports whether the request is within its account's fair share.
 	Owed bool
 	// Lead is the account's usage divided by the usage accepted while another account is below its share. Above 1, the account's over-share
@@ -85,7 +87,7 @@
 // Decision is the result of placing a request: the selected upstream, or the reason for refusal and when to retry.
 type Decision struct {
 	Reason Reason
-	// Cause is the reason why no upstream in the allowed regions accepts the request; set with ReasonRegion only.
+	// Cause is the reason why no upstream in the allowed regions accepts the request; empty for other reasons of refusal.
 	Cause Reason
 	Bound Bound
 	// Residency is the residency in force when the decision was made.
@@ -96,16 +98,18 @@
 	RetryAfter time.Duration
 	Upstream   pomelorelay.FleetUpstream
 	Run        *Run
-	// Expected is the estimated time until the answer begins; Backlog is the part of it spent waiting for earlier requests.
+	// Expected is the estimated time until the answer begins.
 	Expected time.Duration
-	Backlog  time.Duration
-	// Missing is the prefill work of the request at the upstream, in tokens of a short prompt; Shared is the number of uncached tokens in
-	// prompt parts that other requests share.
+	// Backlog is the part of that time spent waiting for earlier requests.
+	Backlog time.Duration
+	// Missing is the prefill work of the request at the upstream, in tokens of a short prompt.
 	Missing pomelorelay.Tokens
-	Shared  pomelorelay.Tokens
-	// CopyFrom is the upstream from which Copied tokens of the prompt's KV cache are copied; its ID is empty when nothing is copied.
+	// Shared is the number of uncached tokens in prompt parts that other requests share.
+	Shared pomelorelay.Tokens
+	// CopyFrom is the upstream from which part of the prompt's KV cache is copied; its ID is empty when nothing is copied.
 	CopyFrom pomelorelay.FleetUpstream
-	Copied   pomelorelay.Tokens
+	// Copied is the number of copied prompt tokens.
+	Copied pomelorelay.Tokens
 	// Running is the number of requests of all routers at the upstream.
 	Running int
 	// ReportAge is the age of the oldest load report in use; zero when there is none.
@@ -119,7 +123,8 @@
 // ShareState is an account's usage of the shared capacity at the time of a decision.
 type ShareState struct {
 	Cost pomelorelay.Cost
-	// Asked and Served are the account's totals in the current window; Level is the fair-share limit, or zero when demand is below capacity.
+	// The account's requested and served totals in the current window, and the fair-share limit; the limit is zero when demand is below
+	// capacity.
 	Asked, Served, Level pomelorelay.Cost
 	Owed                 bool
 }
@@ -182,7 +187,7 @@
 	hungConnectAfter = 100 * time.Millisecond
 	// failureAlpha is the weight of a new result in the moving failure rate.
 	failureAlpha = 0.25
-	// failureHalfLife is the half-life of the failure rate, after which a failing upstream is tried again.
+	// failureHalfLife is the half-life of the failure rate; the decay gives a failing upstream another chance.
 	failureHalfLife = 2 * time.Second
 	// unreachableBackoff is the initial backoff after a failed connection; it doubles with each consecutive failure up to
 	// maxUnreachableBackoff, since a restart takes seconds. Without backoff, an unreachable upstream looks idle and attracts requests from
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -88,7 +88,7 @@
 		d.run(8*time.Second, 40, true)
 		return d.hung
 	}
-	perDomain, perUpstream := hungRequests(pomeloplace.Mechanisms{}), hungRequests(pomeloplace.Mechanisms{DomainRests: true})
+	perDomain, perUpstream := hungRequests(pomeloplace.Mechanisms{}), hungRequests(pomeloplace.Mechanisms{DomainBackoff: true})
 	t.Logf("%d of 320 requests hung, %d with backoff of single upstreams only", perDomain, perUpstream)
 	if perDomain > 25 || perUpstream < 2*perDomain {
 		t.Errorf("%d requests hung, %d with backoff of single upstreams only", perDomain, perUpstream)
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -8,63 +8,63 @@
 	SharedSpeeds bool
 	// SlowEngines disables the detection of engines that become slower than the others.
 	SlowEngines bool
-	// Pauses disables the cost of long prefills on engines with running streams.
-	Pauses bool
+	// PauseCost disables the cost of long prefills on engines with running streams.
+	PauseCost bool
 	// LongEngines disables the assignment of separate engines to long prompts.
 	LongEngines bool
-	// Homes disables the preference for engines by a hash of the shared prompt parts.
-	Homes bool
+	// PrefixAffinity disables the preference for engines by a hash of the shared prompt parts.
+	PrefixAffinity bool
 	// Copies disables copying the KV cache of shared prompt parts between engines.
 	Copies bool
-	// OthersMemory disables counting other routers' prompts towards an engine's cache memory.
-	OthersMemory bool
-	// Waits disables the cost of waiting.
-	Waits bool
-	// Regions disables the cost of traffic to other regions.
-	Regions bool
-	// Failures disables the cost of upstreams that fail requests.
-	Failures bool
-	// Rests disables the backoff for unreachable upstreams.
-	Rests bool
-	// DomainRests disables the backoff for a whole failure domain after connections to several of its upstreams hang.
-	DomainRests bool
+	// RemoteCacheUse disables counting other routers' prompts towards an engine's cache memory.
+	RemoteCacheUse bool
+	// WaitCost disables the cost of waiting.
+	WaitCost bool
+	// RegionCost disables the cost of traffic to other regions.
+	RegionCost bool
+	// FailureCost disables the cost of upstreams that fail requests.
+	FailureCost bool
+	// UpstreamBackoff disables the backoff for unreachable upstreams.
+	UpstreamBackoff bool
+	// DomainBackoff disables the backoff for a whole failure domain after connections to several of its upstreams hang.
+	DomainBackoff bool
 	// Unreported disables the assumption that routers without a load report send as much as this one.
 	Unreported bool
 	// SlotReserve disables the slots reserved for requests within their account's share.
 	SlotReserve bool
-	// FreeQueue disables the shorter queue limit for requests beyond their account's share.
-	FreeQueue bool
-	// Ahead disables the stricter limits for accounts with high usage while another account is below its share.
-	Ahead bool
+	// OverShareQueue disables the shorter queue limit for requests beyond their account's share.
+	OverShareQueue bool
+	// AheadLimits disables the stricter limits for accounts with high usage while another account is below its share.
+	AheadLimits bool
 	// SharedTarget disables the use of the shortest target of a service's routes as the base of its queue limit.
 	SharedTarget bool
-	// ReadAgain disables the refusal of over-share requests whose shared prompt parts would be prefilled a second time.
-	ReadAgain bool
+	// RecomputeLimit disables the refusal of over-share requests whose shared prompt parts would be prefilled a second time.
+	RecomputeLimit bool
 }
 
-// mechanisms lists the fields of Mechanisms by name, in declaration order.
+// mechanisms maps the values of the command-line flag to the fields of Mechanisms, in declaration order.
 var mechanisms = []struct {
 	name  string
 	field func(m *Mechanisms) *bool
 }{
 	{"SharedSpeeds", func(m *Mechanisms) *bool { return &m.SharedSpeeds }},
 	{"SlowEngines", func(m *Mechanisms) *bool { return &m.SlowEngines }},
-	{"Pauses", func(m *Mechanisms) *bool { return &m.Pauses }},
+	{"Pauses", func(m *Mechanisms) *bool { return &m.PauseCost }},
 	{"LongEngines", func(m *Mechanisms) *bool { return &m.LongEngines }},
-	{"Homes", func(m *Mechanisms) *bool { return &m.Homes }},
+	{"Homes", func(m *Mechanisms) *bool { return &m.PrefixAffinity }},
 	{"Copies", func(m *Mechanisms) *bool { return &m.Copies }},
-	{"OthersMemory", func(m *Mechanisms) *bool { return &m.OthersMemory }},
-	{"Waits", func(m *Mechanisms) *bool { return &m.Waits }},
-	{"Regions", func(m *Mechanisms) *bool { return &m.Regions }},
-	{"Failures", func(m *Mechanisms) *bool { return &m.Failures }},
-	{"Rests", func(m *Mechanisms) *bool { return &m.Rests }},
-	{"DomainRests", func(m *Mechanisms) *bool { return &m.DomainRests }},
+	{"OthersMemory", func(m *Mechanisms) *bool { return &m.RemoteCacheUse }},
+	{"Waits", func(m *Mechanisms) *bool { return &m.WaitCost }},
+	{"Regions", func(m *Mechanisms) *bool { return &m.RegionCost }},
+	{"Failures", func(m *Mechanisms) *bool { return &m.FailureCost }},
+	{"Rests", func(m *Mechanisms) *bool { return &m.UpstreamBackoff }},
+	{"DomainRests", func(m *Mechanisms) *bool { return &m.DomainBackoff }},
 	{"Unreported", func(m *Mechanisms) *bool { return &m.Unreported }},
 	{"SlotReserve", func(m *Mechanisms) *bool { return &m.SlotReserve }},
-	{"FreeQueue", func(m *Mechanisms) *bool { return &m.FreeQueue }},
-	{"Ahead", func(m *Mechanisms) *bool { return &m.Ahead }},
+	{"FreeQueue", func(m *Mechanisms) *bool { return &m.OverShareQueue }},
+	{"Ahead", func(m *Mechanisms) *bool { return &m.AheadLimits }},
 	{"SharedTarget", func(m *Mechanisms) *bool { return &m.SharedTarget }},
-	{"ReadAgain", func(m *Mechanisms) *bool { return &m.ReadAgain }},
+	{"ReadAgain", func(m *Mechanisms) *bool { return &m.RecomputeLimit }},
 }
 
 // MechanismNames returns the names accepted by ParseMechanisms.
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -175,7 +175,7 @@
 	p.updateInitialRate()
 }
 
-// Place selects an upstream for the request or refuses it. The caller must pass the returned run to Ended.
+// Place selects an upstream for the request or refuses it. The caller must record the end of the returned run.
 func (p *Placer) Place(now time.Time, r Request) Decision {
 	if r.Residency.Empty() {
 		return Decision{Reason: ReasonNoRegion, RetryAfter: noRegionRetryAfter, ReportAge: p.reportAge(now)}
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -83,7 +83,7 @@
 	for _, l := range m.Upstreams {
 		before := o.loads[l.Upstream]
 		p.applyLoad(now, o, l)
-		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Without.OthersMemory {
+		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Without.RemoteCacheUse {
 			u.cache.addUnidentified(l.Sent - before.sent - identified[l.Upstream])
 		}
 	}
--- a/pomeloplace/speed.go
+++ b/pomeloplace/speed.go
@@ -10,8 +10,9 @@
 // Speed is the learnt speed of a service's engines.
 type Speed struct {
 	Service pomelorelay.ServiceID
-	// Rate is the prefill rate in tokens per millisecond; Overhead is the part of the time to first token besides prefill.
-	Rate     pomelospeed.Rate
+	// Rate is the prefill rate in tokens per millisecond.
+	Rate pomelospeed.Rate
+	// Overhead is the part of the time to first token besides prefill.
 	Overhead time.Duration
 	// Pauses is the weight, from 0 to 1, of the cost of long prefills to concurrent streams.
 	Pauses float64
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -173,7 +173,7 @@
 
 // inBackoff reports whether the upstream or its failure domain is in backoff.
 func (u *upstream) inBackoff(now time.Time, disabled *Mechanisms) bool {
-	return (now.Before(u.backoffUntil) && !disabled.Rests) || (u.domain.inBackoff(now) && !disabled.DomainRests)
+	return (now.Before(u.backoffUntil) && !disabled.UpstreamBackoff) || (u.domain.inBackoff(now) && !disabled.DomainBackoff)
 }
 
 // startBackoff starts a backoff. Failures of requests already in flight when the backoff began do not extend it.
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -105,10 +105,10 @@
 	c := candidate{up: u, queueDelay: u.queueDelay(now)}
 	c.expectedLatency = c.queueDelay + p.regionLatency(u)
 	disabled := &p.cfg.Without
-	if u.otherRegion && !disabled.Regions {
+	if u.otherRegion && !disabled.RegionCost {
 		c.addCost(TermRegion, u.poolPrefillTime(crossRegionTokens))
 	}
-	if !disabled.Failures {
+	if !disabled.FailureCost {
 		c.addCost(TermFailures, time.Duration(u.decayedFailureRate(now)*float64(failureCost)))
 	}
 	if u.engine == nil {
@@ -132,14 +132,14 @@
 	c.expectedLatency += prefill + copyTime + u.firstTokenOverhead()
 	c.addCost(TermPrefill, scale(prefillWeight, prefill))
 	c.addCost(TermCopy, scale(copyWeight, copyTime))
-	if !disabled.Homes {
+	if !disabled.PrefixAffinity {
 		c.addCost(TermAffinity, affinityCost(u, r))
 	}
-	if !disabled.Waits {
+	if !disabled.WaitCost {
 		c.addCost(TermWait, scale(waitWeight, c.expectedLatency))
 		c.addCost(TermLateness, scale(latenessWeight, max(0, c.expectedLatency-scale(latenessThreshold, r.Target))))
 	}
-	if !disabled.Pauses {
+	if !disabled.PauseCost {
 		c.addCost(TermPause, u.pauseCost(now, c.queueDelay, prefill))
 	}
 	if !disabled.LongEngines {
