--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -51,7 +51,7 @@
 	// cold are the upstreams that were cold at the last look.
 	cold map[pomelorelay.UpstreamID]pomelowarmup.Status
 	// speeds are the reading speeds that were last logged.
-	speeds map[pomelorelay.ServiceID]pomelospeed.Rate
+	speeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
 }
 
 func newControl(e *Entry) *control {
@@ -64,7 +64,7 @@
 		upstreams: newUpstreams(),
 		evacuated: make(map[pomelorelay.DomainID]bool),
 		peers:     newPeers(),
-		speeds:    make(map[pomelorelay.ServiceID]pomelospeed.Rate),
+		speeds:    make(map[pomelorelay.ServiceID]pomelospeed.PrefillRate),
 	}
 }
 
@@ -129,18 +129,18 @@
 
 func (c *control) setGauges() {
 	m := c.e.metrics
-	m.Set("upstreams", float64(len(c.upstreams.present)))
-	m.Set("evacuated_domains", float64(len(c.evacuated)))
-	m.Set("peers", float64(len(c.peers.present)))
-	m.Set("requests_in_flight", float64(c.e.inFlight.Load()))
-	m.Set("caller_connections", float64(c.e.conns.Load()))
-	m.Set("upstream_connections_opened", float64(c.e.forward.Opened()))
+	m.SetGauge("upstreams", float64(len(c.upstreams.present)))
+	m.SetGauge("evacuated_domains", float64(len(c.evacuated)))
+	m.SetGauge("peers", float64(len(c.peers.present)))
+	m.SetGauge("requests_in_flight", float64(c.e.inFlight.Load()))
+	m.SetGauge("caller_connections", float64(c.e.conns.Load()))
+	m.SetGauge("upstream_connections_opened", float64(c.e.forward.Opened()))
 	if c.config != nil {
-		m.Set("generation", float64(c.config.Version))
+		m.SetGauge("generation", float64(c.config.Version))
 	}
 	for _, s := range c.placer.Speeds() {
-		m.Set("read_tokens_per_ms_"+string(s.Service), float64(s.Rate))
-		m.Set("first_token_overhead_ms_"+string(s.Service), float64(s.Overhead.Milliseconds()))
+		m.SetGauge("read_tokens_per_ms_"+string(s.Service), float64(s.Rate))
+		m.SetGauge("first_token_overhead_ms_"+string(s.Service), float64(s.Overhead.Milliseconds()))
 		c.noteSpeed(s)
 	}
 }
@@ -164,30 +164,30 @@
 	counts := w.Cost > 0 && w.Account != ""
 	r := w.Place
 	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
-	r.Residency = c.residency.Of(now, w.Route, w.Account)
+	r.Residency = c.residency.Residency(now, w.Route, w.Account)
 	r.Owed = true
 	var share pomeloplace.ShareState
 	if counts {
 		if !w.Again {
-			c.shares.Asked(w.Account, w.Cost)
+			c.shares.RecordRequest(w.Account, w.Cost)
 		}
 		// Only what may have run, and was charged, goes before others: were it so for each request that found an upstream down, a flood
 		// would get past its share whenever many are, and other accounts would see their requests refused.
-		r.Owed = w.Charged || c.shares.Owed(w.Account, w.Cost)
-		r.Lead = c.shares.Lead(w.Account)
-		r.Ahead = c.shares.Ahead(w.Account)
+		r.Owed = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
+		r.Lead = c.shares.LeadOverLevel(w.Account)
+		r.Ahead = c.shares.LeadOverLeastServed(w.Account)
 		share.Cost, share.Owed = w.Cost, r.Owed
-		share.Asked, share.Served, share.Level = c.shares.State(w.Account)
+		share.Asked, share.Served, share.Level = c.shares.Usage(w.Account)
 	}
 	d := c.placer.Place(now, r)
 	d.Share, d.Residency = share, r.Residency
 	if !c.upstreams.listedAt.IsZero() {
 		d.ListAge = now.Sub(c.upstreams.listedAt)
 	}
-	c.e.metrics.Placed(string(d.Reason))
+	c.e.metrics.CountPlacement(string(d.Reason))
 	switch {
 	case d.Reason == pomeloplace.ReasonNone && counts && !w.Charged:
-		c.shares.Served(w.Account, w.Cost)
+		c.shares.RecordServed(w.Account, w.Cost)
 	case d.Reason == pomeloplace.ReasonShare:
 		d.RetryAfter = c.returnAfter(&d, &w)
 	}
@@ -202,7 +202,7 @@
 // still be in time then; else as soon as there may be a place again. In a flood that lasts, waiting longer raises no chance, and makes the
 // answer late for sure.
 func (c *control) returnAfter(d *pomeloplace.Decision, w *pomeloforward.Work) time.Duration {
-	wait := c.shares.Wait(w.Account, w.Cost)
+	wait := c.shares.RetryAfter(w.Account, w.Cost)
 	if wait > time.Duration(worthWaiting*float64(w.Place.Target)) {
 		return d.RetryAfter
 	}
@@ -224,7 +224,7 @@
 	}
 	c.reportedAt = now
 	c.placer.Report(m)
-	m.Accounts = c.shares.Report(m.Whole, m.Accounts)
+	m.Accounts = c.shares.AppendReport(m.Whole, m.Accounts)
 	m.Leaving = c.upstreams.announced(now)
 	if !c.direct() {
 		c.relayOwn(now, m)
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -68,7 +68,7 @@
 
 // Served returns what an account was served in the window.
 func (d Decider) Served(id pomelorelay.AccountID) pomelorelay.Cost {
-	_, served, _ := d.c.shares.State(id)
+	_, served, _ := d.c.shares.Usage(id)
 	return served
 }
 
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -77,7 +77,7 @@
 func (d *ended) apply(c *control, now time.Time) {
 	c.placer.Ended(now, d.run, d.result)
 	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
-		c.shares.Returned(d.work.Account, d.work.Cost)
+		c.shares.Refund(d.work.Account, d.work.Cost)
 	}
 }
 
@@ -87,4 +87,4 @@
 	cost    pomelorelay.Cost
 }
 
-func (f *refusedUnread) apply(c *control, _ time.Time) { c.shares.Asked(f.account, f.cost) }
+func (f *refusedUnread) apply(c *control, _ time.Time) { c.shares.RecordRequest(f.account, f.cost) }
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -149,7 +149,7 @@
 			}
 		}
 		r.domains[domain] = m.From
-		c.shares.Mark(m.From, m.Incarnation, report.Accounts)
+		c.shares.SetBaseline(m.From, m.Incarnation, report.Accounts)
 	}
 	r.all.take(now, "/"+string(domain), m.From, m.Incarnation, report)
 	c.apply(now, m, report)
@@ -164,7 +164,7 @@
 		}
 		c.placer.ForgetOthers(m.From)
 		r.from, r.incarnation, r.taken = m.From, m.Incarnation, 0
-		c.shares.Mark(m.From, m.Incarnation, s.Report.Accounts)
+		c.shares.SetBaseline(m.From, m.Incarnation, s.Report.Accounts)
 	}
 	if s.Report.Seq <= r.taken {
 		return
@@ -181,7 +181,7 @@
 // apply takes a report or a sum of reports for decisions.
 func (c *control) apply(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	c.placer.TakeReport(now, m.From, m.Incarnation, report)
-	c.shares.TakeReport(m.From, m.Incarnation, report.Accounts)
+	c.shares.MergeReport(m.From, m.Incarnation, report.Accounts)
 	c.takeLeaving(now, m.From, report.Leaving)
 }
 
@@ -239,6 +239,6 @@
 // send queues a message; one that the mesh refuses is lost like one on a broken link, and the next whole report makes up for it.
 func (c *control) send(to pomelorelay.NodeID, m pomelorelay.Message) {
 	if err := c.e.mesh.Send(to, m); err != nil {
-		c.e.metrics.Missed()
+		c.e.metrics.CountMissedMessage()
 	}
 }
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -35,7 +35,7 @@
 			c.fail(f)
 			return
 		}
-		c.h.cfg.Meter.Retried(f.Err.Code)
+		c.h.cfg.Meter.CountRetry(f.Err.Code)
 		c.log(pomelorelay.EventRequestRetried, codeFields(f)...)
 	}
 }
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -127,7 +127,7 @@
 	if c.route != nil {
 		kind = c.route.Kind
 	}
-	c.h.cfg.Meter.Answered(kind, ending, first, now.Sub(c.arrived))
+	c.h.cfg.Meter.ObserveAnswer(kind, ending, first, now.Sub(c.arrived))
 	d := c.decision
 	all := append(fields,
 		pomelorelay.Field{Key: "WaitMS", Value: c.fields.Wait.Milliseconds()},
--- a/pomeloforward/world_test.go
+++ b/pomeloforward/world_test.go
@@ -198,9 +198,9 @@
 
 func (w *world) StopsIn() (time.Duration, bool) { return w.stopsIn, w.stopping }
 
-func (w *world) Answered(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
+func (w *world) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
 
-func (w *world) Retried(pomelorelay.ResultCode) {}
+func (w *world) CountRetry(pomelorelay.ResultCode) {}
 
 // answer is what a caller got.
 type answer struct {
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -171,7 +171,7 @@
 
 const (
 	// initialPrefillRate is the initial estimate of an engine's prefill rate when no token capacity is configured.
-	initialPrefillRate pomelospeed.Rate = 100
+	initialPrefillRate pomelospeed.PrefillRate = 100
 	// prefillRateFactor converts an engine's average output rate to its prefill rate: about half of its time goes to decoding.
 	prefillRateFactor = 2
 	// initialServiceTime is the initial estimate of a plain service's time per request.
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -89,12 +89,12 @@
 	// upstreams is sorted by ID, so that placement is deterministic.
 	upstreams []*upstream
 	// speed is the service's estimate of the time to first token.
-	speed *pomelospeed.Line
+	speed *pomelospeed.FirstTokenModel
 	latencyTargets
 	// pauseRatio is the fraction of streams that paused too long during a long prefill.
-	pauseRatio *pomelospeed.Ratio
+	pauseRatio *pomelospeed.DecayingRatio
 	// copyRatio is the time to copy cached parts from another engine, as a fraction of the time to prefill them.
-	copyRatio *pomelospeed.Ratio
+	copyRatio *pomelospeed.DecayingRatio
 	// pauseWeight and copyFraction are the estimates in use, as of the last placement.
 	pauseWeight, copyFraction float64
 	// byLongRank is sorted by a hash that is the same on every router; the first engines are assigned to long prompts.
@@ -111,7 +111,7 @@
 }
 
 func newPool() *pool {
-	return &pool{speed: pomelospeed.NewLine(initialPrefillRate), pauseRatio: pomelospeed.NewPauses(), copyRatio: pomelospeed.NewCopies()}
+	return &pool{speed: pomelospeed.NewFirstTokenModel(initialPrefillRate), pauseRatio: pomelospeed.NewPauseRatio(), copyRatio: pomelospeed.NewCopyTimeRatio()}
 }
 
 // refreshEstimates updates the estimates in use, once for all candidates of a request.
@@ -150,7 +150,7 @@
 	}
 	s.refreshEstimates(now)
 	s.work.decay(now)
-	needed := int(math.Ceil(s.pauseWeight * s.work.longEngines(float64(s.speed.Rate()))))
+	needed := int(math.Ceil(s.pauseWeight * s.work.longEngines(float64(s.speed.PrefillRate()))))
 	needed = min(needed, int(maxLongFraction*float64(len(s.byLongRank))))
 	if needed >= s.longEngines || now.Sub(s.longEnginesNeededAt) > longEngineHold {
 		s.longEngines, s.longEnginesNeededAt = needed, now
@@ -169,11 +169,11 @@
 
 // recordPause records whether a stream that ran during a long prefill paused for too long.
 func (s *pool) recordPause(now time.Time, paused bool) {
-	sums := pomelospeed.Sums{Of: 1}
+	sums := pomelospeed.RatioSums{Denominator: 1}
 	if paused {
-		sums.Amount = 1
+		sums.Numerator = 1
 	}
-	s.pauseRatio.Note(now, sums)
+	s.pauseRatio.Observe(now, sums)
 }
 
 // updateSlowdowns compares each engine's speed with the median engine. A deviation common to all engines belongs to the service's speed
@@ -186,7 +186,7 @@
 	slices.Sort(s.speedFactors)
 	median := s.speedFactors[len(s.speedFactors)/2]
 	for _, u := range s.upstreams {
-		u.slowdown = u.speedFactor.Beside(now, median)
+		u.slowdown = u.speedFactor.RelativeTo(now, median)
 	}
 }
 
@@ -204,5 +204,5 @@
 
 // isLong reports whether an uninterrupted prefill of this work makes concurrent streams pause for too long.
 func (s *pool) isLong(work pomelorelay.Tokens) bool {
-	return s.maxPause > 0 && float64(work)/float64(s.speed.Rate()) >= pauseRampStart*milliseconds(s.maxPause)
+	return s.maxPause > 0 && float64(work)/float64(s.speed.PrefillRate()) >= pauseRampStart*milliseconds(s.maxPause)
 }
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -88,10 +88,10 @@
 func (p *Placer) updateInitialRate() {
 	rate := initialPrefillRate
 	if p.capacity > 0 && p.engineCount > 0 {
-		rate = pomelospeed.Rate(prefillRateFactor * float64(p.capacity) / float64(p.engineCount) / 1000)
+		rate = pomelospeed.PrefillRate(prefillRateFactor * float64(p.capacity) / float64(p.engineCount) / 1000)
 	}
 	for _, s := range p.pools {
-		s.speed.SetGuess(rate)
+		s.speed.SetPriorRate(rate)
 	}
 }
 
@@ -112,7 +112,7 @@
 	u.region = p.cfg.Regions[info.Domain]
 	u.otherRegion = u.region != p.cfg.Self.Region
 	u.domain = p.ensureDomain(info.Domain)
-	u.warmup.Listed(now, info)
+	u.warmup.UpdateEntry(now, info)
 	if p.upstreams[info.ID] == u {
 		return
 	}
@@ -143,9 +143,9 @@
 // warmupState returns the warm-up state of a newly listed upstream.
 func (p *Placer) warmupState(now time.Time, info pomelorelay.FleetUpstream) *pomelowarmup.Upstream {
 	if p.lookUp(info.ID) != nil {
-		return p.warmup.Restarted(now, info)
+		return p.warmup.NewRestartedUpstream(now, info)
 	}
-	return p.warmup.Upstream(now, info)
+	return p.warmup.NewUpstream(now, info)
 }
 
 // SetRouters sets the other registered routers.
@@ -234,7 +234,7 @@
 	shortest, found := maxRetryAfter, false
 	for _, u := range s.upstreams {
 		if p.usable(u, r) && u.warmup.Cold(now) {
-			shortest, found = min(shortest, u.warmup.Wait(now)), true
+			shortest, found = min(shortest, u.warmup.RetryAfter(now)), true
 		}
 	}
 	return max(shortest, minRetryAfter), found
@@ -259,7 +259,7 @@
 	}
 	for _, u := range p.upstreams {
 		if u.info.Domain == domain {
-			u.warmup.MayBeCold(now)
+			u.warmup.MarkMaybeCold(now)
 		}
 	}
 }
@@ -293,7 +293,7 @@
 
 // bestCandidate returns the candidate with the lowest cost among the upstreams of a class. Upstreams in backoff and those that failed this
 // request are considered only if there is no other.
-func (p *Placer) bestCandidate(now time.Time, r *Request, class pomelowarmup.Class) (candidate, bool) {
+func (p *Placer) bestCandidate(now time.Time, r *Request, class pomelowarmup.Admission) (candidate, bool) {
 	var best candidate
 	s := p.pools[r.Service]
 	if s == nil {
@@ -305,7 +305,7 @@
 	s.refreshEstimates(now)
 	for round := 0; round < 2 && !found; round++ {
 		for _, u := range s.upstreams {
-			if !p.usable(u, r) || u.warmup.Class(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
+			if !p.usable(u, r) || u.warmup.Admission(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
 				continue
 			}
 			c := p.evaluate(now, u, source, r)
@@ -321,7 +321,7 @@
 
 func (p *Placer) startRun(now time.Time, c candidate, r *Request) *Run {
 	u := c.up
-	u.warmup.Take(now)
+	u.warmup.RecordSend(now)
 	u.domain.recordSend(now)
 	run := &Run{up: u, sent: now, prefillTokens: c.prefillTokens, copiedTokens: c.copiedTokens, memoryTokens: r.Prompt + r.Output}
 	u.own.running++
@@ -396,7 +396,7 @@
 	if timedOut {
 		u.domain.recordHang(now, run.sent, u.info.ID)
 	}
-	if (!timedOut || p.lastAnswerAt.After(run.sent)) && u.warmup.Unreached(now) {
+	if (!timedOut || p.lastAnswerAt.After(run.sent)) && u.warmup.RecordConnectFailure(now) {
 		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
 	}
 }
@@ -406,7 +406,7 @@
 	p.lastAnswerAt = now
 	run.up.domain.recordAnswer(now)
 	u := run.up
-	if remaining, changed := u.warmup.Answered(now, run.sent); changed {
+	if remaining, changed := u.warmup.RecordAnswer(now, run.sent); changed {
 		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: remaining})
 	}
 }
@@ -418,9 +418,9 @@
 		switch {
 		case u == nil:
 		case s.Unreached:
-			u.warmup.Suspect(now)
+			u.warmup.MarkSuspect(now)
 		default:
-			u.warmup.ColdFor(now, s.ColdFor)
+			u.warmup.MarkCold(now, s.ColdFor)
 		}
 	}
 }
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -21,13 +21,13 @@
 	p.tokensSinceReport = 0
 	m.Seq = p.seq
 	for name, s := range p.pools {
-		if sums := s.speed.Own(); s.speedReportDue(sums.Answers) || (m.Whole && sums.Answers > 0) {
+		if sums := s.speed.LocalSums(); s.speedReportDue(sums.Answers) || (m.Whole && sums.Answers > 0) {
 			s.reportedAnswers = sums.Answers
 			sums.Service = name
-			pauses := s.pauseRatio.Own()
-			sums.Beside, sums.Paused = pauses.Of, pauses.Amount
-			copies := s.copyRatio.Own()
-			sums.Copied, sums.CopyTook = copies.Of, copies.Amount
+			pauses := s.pauseRatio.LocalSums()
+			sums.Beside, sums.Paused = pauses.Denominator, pauses.Numerator
+			copies := s.copyRatio.LocalSums()
+			sums.Copied, sums.CopyTook = copies.Denominator, copies.Numerator
 			m.Speeds = append(m.Speeds, sums)
 		}
 		for _, u := range s.upstreams {
@@ -137,12 +137,12 @@
 	}
 }
 
-func pauseSums(s pomelorelay.SpeedSums) pomelospeed.Sums {
-	return pomelospeed.Sums{Amount: s.Paused, Of: s.Beside}
+func pauseSums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
+	return pomelospeed.RatioSums{Numerator: s.Paused, Denominator: s.Beside}
 }
 
-func copySums(s pomelorelay.SpeedSums) pomelospeed.Sums {
-	return pomelospeed.Sums{Amount: s.CopyTook, Of: s.Copied}
+func copySums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
+	return pomelospeed.RatioSums{Numerator: s.CopyTook, Denominator: s.Copied}
 }
 
 func (p *Placer) applyLoad(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
@@ -157,7 +157,7 @@
 	u.others.pendingPrefill += next.pendingPrefill - before.pendingPrefill
 	u.others.memoryTokens += next.memoryTokens - before.memoryTokens
 	if known && next.expectedSum > before.expectedSum {
-		u.speedFactor.Note(now, next.measuredSum-before.measuredSum, next.expectedSum-before.expectedSum)
+		u.speedFactor.Observe(now, next.measuredSum-before.measuredSum, next.expectedSum-before.expectedSum)
 	}
 	switch {
 	case known && next.sent > before.sent:
--- a/pomeloplace/speed.go
+++ b/pomeloplace/speed.go
@@ -11,7 +11,7 @@
 type Speed struct {
 	Service pomelorelay.ServiceID
 	// Rate is the prefill rate in tokens per millisecond.
-	Rate pomelospeed.Rate
+	Rate pomelospeed.PrefillRate
 	// Overhead is the part of the time to first token besides prefill.
 	Overhead time.Duration
 	// Pauses is the weight, from 0 to 1, of the cost of long prefills to concurrent streams.
@@ -27,7 +27,7 @@
 		if len(s.upstreams) == 0 || s.upstreams[0].engine == nil {
 			continue
 		}
-		all = append(all, Speed{Service: name, Rate: s.speed.Rate(), Overhead: s.speed.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyFraction})
+		all = append(all, Speed{Service: name, Rate: s.speed.PrefillRate(), Overhead: s.speed.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyFraction})
 	}
 	return all
 }
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -45,7 +45,7 @@
 	// busySince is when the current uninterrupted prefill began.
 	busySince time.Time
 	// speedFactor compares the engine's times to first token with the service's estimate; slowdown compares it with the median engine.
-	speedFactor pomelospeed.Factor
+	speedFactor pomelospeed.SlowdownFactor
 	slowdown    float64
 	// longPrefillAt is when the engine last had a backlog long enough to pause concurrent streams for too long.
 	longPrefillAt time.Time
@@ -136,11 +136,11 @@
 
 // poolPrefillTime returns the prefill time at the service's average rate; plain services use the initial rate.
 func (u *upstream) poolPrefillTime(tokens float64) time.Duration {
-	return time.Duration(tokens / float64(u.pool.speed.Rate()) * float64(time.Millisecond))
+	return time.Duration(tokens / float64(u.pool.speed.PrefillRate()) * float64(time.Millisecond))
 }
 
 // prefillRate returns the engine's prefill rate in tokens per millisecond.
-func (u *upstream) prefillRate() float64 { return float64(u.pool.speed.Rate()) / u.slowdown }
+func (u *upstream) prefillRate() float64 { return float64(u.pool.speed.PrefillRate()) / u.slowdown }
 
 // firstTokenOverhead returns the part of the time to first token that does not depend on the prompt.
 func (u *upstream) firstTokenOverhead() time.Duration {
@@ -196,24 +196,24 @@
 		return rtt
 	}
 	tokens := r.queuedTokens + float64(r.prefillTokens)
-	expected := u.pool.speed.Expect(tokens)
+	expected := u.pool.speed.ExpectedTime(tokens)
 	excess := latency - scale(u.slowdown, expected)
 	if r.copiedTokens > 0 {
-		u.pool.copyRatio.Note(now, u.copySample(r, excess-rtt))
+		u.pool.copyRatio.Observe(now, u.copySample(r, excess-rtt))
 		return rtt
 	}
-	u.speedFactor.Note(now, latency-rtt, expected)
+	u.speedFactor.Observe(now, latency-rtt, expected)
 	u.own.expectedSum += expected
 	u.own.measuredSum += latency - rtt
-	u.pool.speed.Note(now, tokens, scale(1/u.slowdown, latency-rtt))
+	u.pool.speed.Observe(now, tokens, scale(1/u.slowdown, latency-rtt))
 	return excess
 }
 
 // copySample returns the cost of a copy in tokens that could have been prefilled in the same time: the excess over the expected time to
 // first token. The excess is clamped, since it may have other causes.
-func (u *upstream) copySample(r *Run, excess time.Duration) pomelospeed.Sums {
+func (u *upstream) copySample(r *Run, excess time.Duration) pomelospeed.RatioSums {
 	tokens := float64(r.copiedTokens)
-	return pomelospeed.Sums{Amount: min(max(milliseconds(excess)*u.prefillRate(), -tokens), 2*tokens), Of: tokens}
+	return pomelospeed.RatioSums{Numerator: min(max(milliseconds(excess)*u.prefillRate(), -tokens), 2*tokens), Denominator: tokens}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
