--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -7,142 +7,136 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// A request is admitted to the best upstream for it unless one of these bounds is passed. Each answers another load:
-//
-//   - Again: a flood of sessions whose engines are busy. Their shared parts would be read by engines that others need.
-//   - Slots: more long answers than engines run at once.
-//   - Queue: more prompts than engines read. What waits is bounded by the shortest target of the service's routes, for all requests alike:
-//     bounded by each request's own, those that can wait for long would fill the queue and keep out those that cannot.
-//   - Time: a request that would begin too late wherever it went.
-//
-// Requests that their account is owed may use all of the slots and most of the queue. What is beyond a share fills what is left, and
-// what belongs to an account that is ahead of one that is short fills less the further it is ahead.
+// Admission limits protect against different kinds of overload. BoundRecompute keeps a flood of sessions on busy engines from taking
+// other engines for prefilling their shared parts again. BoundSlots covers more long answers than engines can run, BoundQueue more prompts
+// than they can prefill, and BoundTime any request that would begin too late. In-share requests may use all slots and most of the queue;
+// over-share requests may use what remains, and an account whose usage is ahead of a short one gets less the further it is ahead.
 
 const (
-	// owedQueue, freeQueue and aheadQueue are the parts of the shortest target that may wait before a request within its account's share,
-	// one beyond it, and one of an account that is ahead of one that is short. The last, and the slots that it may fill, fall with the square
-	// of the lead, down to aheadLeast of them: callers call it unfair when one account gets twice as much as another that is short.
-	owedQueue  = 0.45
-	freeQueue  = 0.2
-	aheadQueue = 0.15
-	aheadLeast = 0.4
-	// inTime is the part of its target within which an answer must be expected to begin; the rest is for what other routers sent meanwhile.
-	inTime = 0.85
-	// slotReserve is how many times the square root of an engine's slots is kept free of requests beyond shares: what other routers send
-	// meanwhile differs by about that root, and would find an engine full that was filled with requests beyond their accounts' shares.
-	// reserveMost is the largest part of the slots that is kept free so: engines of few slots would run nothing else.
-	slotReserve = 3.0
-	reserveMost = 0.4
-	// yieldReserve is the part of the slots that an account leaves to one that is short by far, times how far it is ahead, up to yieldMost.
-	yieldReserve = 0.1
-	yieldMost    = 0.35
-	// freeAgain is the most shared tokens that a request beyond its account's share may make an engine read though another one, which is
-	// too busy, keeps them: about what an engine reads in one step.
-	freeAgain = 400
-	// leastRetry and mostRetry bound the Retry-After of a refusal. The least is the time after which an engine has a free slot again
-	// and the routers have its report. Callers that come back within their target still get their answer in time.
-	leastRetry = 100 * time.Millisecond
-	mostRetry  = 3 * time.Second
+	// These fractions of the shortest target limit the queue for requests within their account's share, for those beyond it, and for those
+	// of accounts ahead of one that is short. The last fraction and the slots fall with the square of the lead, down to minAheadFraction:
+	// callers consider it unfair when an account gets twice as much as another that is short.
+	inShareQueueFraction   = 0.45
+	overShareQueueFraction = 0.2
+	aheadQueueFraction     = 0.15
+	minAheadFraction       = 0.4
+	// onTimeFraction is the fraction of the target within which the answer must be expected; the rest absorbs unreported requests.
+	onTimeFraction = 0.85
+	// slotReserveFactor times the square root of an engine's slots is reserved for in-share requests, since unreported requests of other
+	// routers vary by about that root. maxReserveFraction limits the reserve, which would take nearly all slots of a small engine.
+	slotReserveFactor  = 3.0
+	maxReserveFraction = 0.4
+	// yieldedSlotFraction times an account's lead is the fraction of slots it leaves to a far shorter one, up to maxYieldedSlotFraction.
+	yieldedSlotFraction    = 0.1
+	maxYieldedSlotFraction = 0.35
+	// maxRecomputeTokens limits the shared tokens that an over-share request may prefill although a busier engine has them cached; it is about
+	// what an engine processes in one step.
+	maxRecomputeTokens = 400
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. The minimum is the time in which an engine frees a slot and reports
+	// of it reach the routers; callers that retry within their target can still be served on time.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// expectation is what the callers of a service's routes expect of it.
-type expectation struct {
-	// target is the shortest time to the first of an answer, pause the shortest of the longest pauses between events; zero when no
-	// route says.
-	target, pause time.Duration
+// latencyTargets holds the strictest latency requirements of the routes to a service.
+type latencyTargets struct {
+	// target is the shortest time to the first byte or event; maxPause is the shortest limit on the pause between events. Zero means unset.
+	// The shortest target limits the queue for all requests: with its own target as the limit, a request with a long target would fill the
+	// queue and keep out requests with a short one.
+	target, maxPause time.Duration
 }
 
-// expectations returns what the routes say of each service.
-func expectations(routes []pomelorelay.Route) map[pomelorelay.ServiceID]expectation {
-	all := make(map[pomelorelay.ServiceID]expectation)
+// latencyTargetsByService returns the latency targets of each service.
+func latencyTargetsByService(routes []pomelorelay.Route) map[pomelorelay.ServiceID]latencyTargets {
+	all := make(map[pomelorelay.ServiceID]latencyTargets)
 	for _, r := range routes {
 		for _, s := range r.Shares {
 			e := all[s.Service]
-			e.target, e.pause = shorter(e.target, r.Target), shorter(e.pause, r.Pause)
+			e.target, e.maxPause = minNonZero(e.target, r.Target), minNonZero(e.maxPause, r.Pause)
 			all[s.Service] = e
 		}
 	}
 	return all
 }
 
-// shorter returns the shorter of two times of which zero says nothing.
-func shorter(a, b time.Duration) time.Duration {
+// minNonZero returns the shorter of two durations, ignoring those that are not positive.
+func minNonZero(a, b time.Duration) time.Duration {
 	if a <= 0 || (b > 0 && b < a) {
 		return b
 	}
 	return a
 }
 
-// verdict is whether a request is admitted, and when it may come back otherwise.
-type verdict struct {
+// admission is the outcome of an admission check; its zero value admits the request.
+type admission struct {
 	reason     Reason
 	bound      Bound
 	retryAfter time.Duration
 }
 
-// allowance is how much of an upstream a request may use.
+// allowance is the part of an upstream that a request may use.
 type allowance struct {
-	slots  int
-	queue  time.Duration
-	reason Reason
+	maxRunning    int
+	maxQueueDelay time.Duration
+	reason        Reason
 }
 
 func (p *Placer) allowance(u *upstream, r *Request) allowance {
-	off, target := &p.cfg.Without, r.Target
-	if !off.SharedTarget {
-		target = shorter(u.pool.target, r.Target)
+	disabled, target := &p.cfg.Without, r.Target
+	if !disabled.SharedTarget {
+		target = minNonZero(u.pool.target, r.Target)
 	}
 	slots := u.slots()
-	a := allowance{slots: slots, queue: part(owedQueue, target), reason: ReasonLate}
-	if r.Ahead > 1 && !off.Ahead {
-		reserve := min(yieldReserve*r.Ahead, yieldMost)
-		a.slots = max(1, slots-int(math.Ceil(reserve*float64(slots))))
+	a := allowance{maxRunning: slots, maxQueueDelay: scale(inShareQueueFraction, target), reason: ReasonLate}
+	if r.Ahead > 1 && !disabled.AheadLimits {
+		reserve := min(yieldedSlotFraction*r.Ahead, maxYieldedSlotFraction)
+		a.maxRunning = max(1, slots-int(math.Ceil(reserve*float64(slots))))
 	}
 	if r.Owed {
 		return a
 	}
 	a.reason = ReasonShare
-	if !off.SlotReserve {
-		reserve := min(slotReserve*math.Sqrt(float64(slots)), reserveMost*float64(slots))
-		a.slots = max(1, int(float64(slots)-reserve))
+	if !disabled.SlotReserve {
+		reserve := min(slotReserveFactor*math.Sqrt(float64(slots)), maxReserveFraction*float64(slots))
+		a.maxRunning = max(1, int(float64(slots)-reserve))
 	}
-	if !off.FreeQueue {
-		a.queue = part(freeQueue, target)
+	if !disabled.OverShareQueue {
+		a.maxQueueDelay = scale(overShareQueueFraction, target)
 	}
-	if r.Lead > 1 && !off.Ahead {
-		behind := max(1/(r.Lead*r.Lead), aheadLeast)
-		a.queue = part(aheadQueue*behind, target)
-		a.slots = max(1, int(behind*float64(a.slots)))
+	if r.Lead > 1 && !disabled.AheadLimits {
+		fraction := max(1/(r.Lead*r.Lead), minAheadFraction)
+		a.maxQueueDelay = scale(aheadQueueFraction*fraction, target)
+		a.maxRunning = max(1, int(fraction*float64(a.maxRunning)))
 	}
 	return a
 }
 
-// admit decides whether the request may go to the best candidate for it.
-func (p *Placer) admit(c candidate, r *Request) verdict {
+// admit decides whether the request may be sent to its best candidate.
+func (p *Placer) admit(c candidate, r *Request) admission {
 	a := p.allowance(c.up, r)
-	bound := p.bound(c, r, a)
+	bound := p.exceededBound(c, r, a)
 	if bound == BoundNone {
-		return verdict{}
+		return admission{}
 	}
-	// When what waits has fallen to what the request may join.
-	wait := max(c.backlog-a.queue, c.expected-part(inTime, r.Target))
-	return verdict{reason: a.reason, bound: bound, retryAfter: min(max(wait, leastRetry), mostRetry)}
+	// The queue must drop to the limit, and the expected latency to the admissible one.
+	wait := max(c.queueDelay-a.maxQueueDelay, c.expectedLatency-scale(onTimeFraction, r.Target))
+	return admission{reason: a.reason, bound: bound, retryAfter: min(max(wait, minRetryAfter), maxRetryAfter)}
 }
 
-// bound returns the bound that the request is over at the candidate.
-func (p *Placer) bound(c candidate, r *Request, a allowance) Bound {
-	own := c.expected - c.backlog
+// exceededBound returns the limit that the request exceeds at the candidate.
+func (p *Placer) exceededBound(c candidate, r *Request, a allowance) Bound {
+	ownTime := c.expectedLatency - c.queueDelay
 	switch {
-	case !r.Owed && c.again > freeAgain && !p.cfg.Without.ReadAgain:
-		return BoundAgain
-	case c.up.engine != nil && c.up.running() >= a.slots:
+	case !r.Owed && c.recomputed > maxRecomputeTokens && !p.cfg.Without.RecomputeLimit:
+		return BoundRecompute
+	case c.up.engine != nil && c.up.running() >= a.maxRunning:
 		return BoundSlots
-	case c.backlog > a.queue:
+	case c.queueDelay > a.maxQueueDelay:
 		return BoundQueue
-	case c.expected <= part(inTime, r.Target):
+	case c.expectedLatency <= scale(onTimeFraction, r.Target):
 		return BoundNone
-	case own > r.Target/2 && own < r.Left/2:
-		// A long prompt takes most of its target by itself. Held to it, the largest would never be served.
+	case ownTime > r.Target/2 && ownTime < r.Left/2:
+		// The prefill of a long prompt takes most of the target by itself; held to the target, the longest prompts would never be served.
 		return BoundNone
 	}
 	return BoundTime
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -9,129 +9,129 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Eight routers send drafts, questions and tags to nine engines. Placed at random, every session is read by each engine and the
-// queues are uneven; callers see late answers though the engines have time to spare.
-func TestPlacementServesABusyFleetInTime(t *testing.T) {
+// Compares placement with random selection for eight routers and nine engines. Random selection prefills every session on each engine
+// and makes queues uneven, so that answers are late although the engines have spare capacity.
+func TestPlacementMeetsTargetUnderLoad(t *testing.T) {
 	const length = 20 * time.Second
 	for _, c := range []struct {
-		perSecond float64
-		inTime    float64
-		refused   float64
+		perSecond       float64
+		onTimeFraction  float64
+		refusedFraction float64
 	}{
-		{perSecond: 150, inTime: 0.90, refused: 0.01},
-		{perSecond: 210, inTime: 0.82, refused: 0.05},
+		{perSecond: 150, onTimeFraction: 0.90, refusedFraction: 0.01},
+		{perSecond: 210, onTimeFraction: 0.82, refusedFraction: 0.05},
 	} {
-		ours := newPlay(1, 8, 9)
-		ours.run(c.perSecond, length)
-		random := newPlay(1, 8, 9)
-		random.choose = atRandom
+		placed := newSimulation(1, 8, 9)
+		placed.run(c.perSecond, length)
+		random := newSimulation(1, 8, 9)
+		random.choose = placeAtRandom
 		random.run(c.perSecond, length)
-		t.Logf("%.0f requests a second: %s; at random: %s", c.perSecond, ours, random)
-		if got := float64(ours.inTime) / float64(ours.ended()); got < c.inTime {
-			t.Errorf("%.0f a second: %.3f in time, want %.2f", c.perSecond, got, c.inTime)
+		t.Logf("%.0f requests/s: %s; random selection: %s", c.perSecond, placed, random)
+		if got := float64(placed.onTime) / float64(placed.ended()); got < c.onTimeFraction {
+			t.Errorf("%.0f requests/s: %.3f on time, want %.2f", c.perSecond, got, c.onTimeFraction)
 		}
-		if got := float64(ours.refused) / float64(ours.asked); got > c.refused {
-			t.Errorf("%.0f a second: %.3f refused, want at most %.2f", c.perSecond, got, c.refused)
+		if got := float64(placed.refused) / float64(placed.requested); got > c.refusedFraction {
+			t.Errorf("%.0f requests/s: %.3f refused, want at most %.2f", c.perSecond, got, c.refusedFraction)
 		}
-		if ours.inTime <= random.inTime || (ours.reread+ours.copied)*2 > random.reread+random.copied {
-			t.Errorf("%.0f a second: no better than at random", c.perSecond)
+		if placed.onTime <= random.onTime || (placed.prefilledShared+placed.copied)*2 > random.prefilledShared+random.copied {
+			t.Errorf("%.0f requests/s: no better than random selection", c.perSecond)
 		}
 	}
 }
 
-// Many routers before many small engines learn late what the others sent, and half of what callers ask is beyond their accounts' shares.
-// Let in until the engines are full, that half delays the rest: callers within their share see late answers all the time.
-func TestFloodsLeaveALargeFleetInTime(t *testing.T) {
-	p := newPlay(1, 33, 56)
-	p.slots, p.eventTokens, p.delay, p.scale, p.beyond = 16, 11, 110*time.Millisecond, 5, 0.5
-	for _, r := range p.routers {
+// Many routers with delayed load reports share many small engines, and half of the requests exceed their accounts' shares. If those were
+// admitted until the engines are full, they would delay the in-share requests.
+func TestInShareRequestsMeetTargetUnderFlood(t *testing.T) {
+	s := newSimulation(1, 33, 56)
+	s.slots, s.eventTokens, s.reportDelay, s.sessionFactor, s.overShare = 16, 11, 110*time.Millisecond, 5, 0.5
+	for _, r := range s.routers {
 		r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 16, Memory: 386_234, EventTokens: 11}}}})
 	}
-	p.run(1000, 8*time.Second)
-	got := float64(p.owedInTime) / float64(p.owedAsked)
-	t.Logf("%s; within their share %d, in time %.3f, first of the answer late %d", p, p.owedAsked, got, p.lateFirst)
+	s.run(1000, 8*time.Second)
+	got := float64(s.inShareOnTime) / float64(s.inShareRequested)
+	t.Logf("%s; in-share requests %d, on time %.3f, late first tokens %d", s, s.inShareRequested, got, s.lateFirstTokens)
 	if got < 0.72 {
-		t.Errorf("%.3f of the requests within a share in time, want 0.72", got)
+		t.Errorf("%.3f of the in-share requests on time, want 0.72", got)
 	}
 }
 
-// All routers are restarted at once, and their callers come back at the same moment, before any router has heard of the others. Each sees
-// idle engines: together they send several times what these can begin in time, and callers wait for seconds.
-func TestRoutersThatStartTogetherLeaveRoomForEachOther(t *testing.T) {
+// All routers restart at once and receive requests before their first load reports. Each sees idle engines; together they would send
+// several times the capacity, and callers would wait for seconds.
+func TestSimultaneousRouterStartDoesNotOverloadEngines(t *testing.T) {
 	const (
-		seeds      = 12
-		returning  = 400 // requests a second while nobody is heard
-		afterwards = 150
+		seeds       = 12
+		restartRate = 400 // requests per second before the first reports
+		steadyRate  = 150
 	)
-	restart := func(knows bool) (late, inTime int) {
+	restart := func(unreportedKnown bool) (late, onTime int) {
 		for seed := range uint64(seeds) {
-			p := newPlay(seed, 8, 9)
-			p.blind, p.knows = 300*time.Millisecond, knows
-			p.run(returning, p.blind)
-			p.run(afterwards, 3*time.Second)
-			late, inTime = late+p.lateFirst, inTime+p.inTime
+			s := newSimulation(seed, 8, 9)
+			s.reportBlackout, s.unreportedKnown = 300*time.Millisecond, unreportedKnown
+			s.run(restartRate, s.reportBlackout)
+			s.run(steadyRate, 3*time.Second)
+			late, onTime = late+s.lateFirstTokens, onTime+s.onTime
 		}
-		return late, inTime
+		return late, onTime
 	}
-	blindLate, blindInTime := restart(false)
-	late, inTime := restart(true)
-	t.Logf("%d late and %d in time; without knowing that they hear nothing %d and %d", late, inTime, blindLate, blindInTime)
-	if late >= blindLate || inTime < blindInTime {
-		t.Error("want fewer late answers, and as many in time")
+	unawareLate, unawareOnTime := restart(false)
+	late, onTime := restart(true)
+	t.Logf("%d late and %d on time; without accounting for unreported routers %d and %d", late, onTime, unawareLate, unawareOnTime)
+	if late >= unawareLate || onTime < unawareOnTime {
+		t.Error("want fewer late answers and at least as many on time")
 	}
 }
 
-// A flood lasts for longer than anybody waits, and each caller that is refused comes back once, when it is told to. Told to come back when the
-// flood may be over, it finds a place no more often, and its answer comes seconds late.
-func TestCallersThatComeBackAsToldAreInTime(t *testing.T) {
+// During a long overload, each refused caller retries once after its Retry-After. A longer Retry-After does not improve the chance of
+// admission and makes the answers seconds late.
+func TestRetryAfterLetsRetriesMeetTheirTarget(t *testing.T) {
 	const seeds = 3
-	type outcome struct{ inTime, lateFirst, read int }
-	flood := func(retryAfter time.Duration) (sum outcome) {
+	type outcome struct{ onTime, lateFirstTokens, prefilled int }
+	overload := func(retryAfter time.Duration) (sum outcome) {
 		for seed := range uint64(seeds) {
-			p := newPlay(seed+1, 8, 9)
-			p.beyond, p.comeBack, p.retryAfter = 0.7, true, retryAfter
-			p.run(260, 20*time.Second)
-			t.Logf("come back after %v (zero: as told): %s; first of the answer late %d", retryAfter, p, p.lateFirst)
-			sum.inTime, sum.lateFirst, sum.read = sum.inTime+p.inTime, sum.lateFirst+p.lateFirst, sum.read+p.reread
+			s := newSimulation(seed+1, 8, 9)
+			s.overShare, s.retryRefused, s.retryAfter = 0.7, true, retryAfter
+			s.run(260, 20*time.Second)
+			t.Logf("retry after %v (0: the returned Retry-After): %s; late first tokens %d", retryAfter, s, s.lateFirstTokens)
+			sum.onTime, sum.lateFirstTokens, sum.prefilled = sum.onTime+s.onTime, sum.lateFirstTokens+s.lateFirstTokens, sum.prefilled+s.prefilledShared
 		}
 		return sum
 	}
-	told, later := flood(0), flood(3*time.Second)
-	if told.inTime < later.inTime+later.inTime/10 {
-		t.Errorf("%d in time when they come back as told, %d after 3 s: want a tenth more", told.inTime, later.inTime)
+	advised, later := overload(0), overload(3*time.Second)
+	if advised.onTime < later.onTime+later.onTime/10 {
+		t.Errorf("%d on time with the returned Retry-After, %d with 3 s: want a tenth more", advised.onTime, later.onTime)
 	}
-	const mostRead = 1_000_000 * seeds
-	if told.read > mostRead {
-		t.Errorf("%d shared tokens read, want at most %d", told.read, mostRead)
+	const maxPrefilled = 1_000_000 * seeds
+	if advised.prefilled > maxPrefilled {
+		t.Errorf("%d shared tokens prefilled, want at most %d", advised.prefilled, maxPrefilled)
 	}
-	if told.lateFirst*2 > later.lateFirst {
-		t.Errorf("%d late when they come back as told, %d after 3 s: want half", told.lateFirst, later.lateFirst)
+	if advised.lateFirstTokens*2 > later.lateFirstTokens {
+		t.Errorf("%d late with the returned Retry-After, %d with 3 s: want at most half", advised.lateFirstTokens, later.lateFirstTokens)
 	}
 }
 
-// ended is the number of requests whose answers had time to end before the play did.
-func (p *play) ended() int {
-	left := 0
-	for _, e := range p.engines {
-		left += len(e.running) + len(e.waiting)
+// ended returns the number of requests that were answered or refused before the end of the simulation.
+func (s *simulation) ended() int {
+	unfinished := 0
+	for _, e := range s.engines {
+		unfinished += len(e.running) + len(e.waiting)
 	}
-	return p.asked - left
+	return s.requested - unfinished
 }
 
-func (p *play) String() string {
-	return fmt.Sprintf("%d asked, %d refused, %d in time, %d paused too long, %d shared tokens read and %d copied", p.asked, p.refused, p.inTime, p.latePause, p.reread, p.copied)
+func (s *simulation) String() string {
+	return fmt.Sprintf("%d requests, %d refused, %d on time, %d paused too long, %d shared tokens prefilled and %d copied", s.requested, s.refused, s.onTime, s.longPauses, s.prefilledShared, s.copied)
 }
 
-// atRandom sends each request to an engine at random and lets the placer refuse nothing.
-func atRandom(p *play, router int, r pomeloplace.Request) pomeloplace.Decision {
-	only := pomelorelay.UpstreamID(fmt.Sprintf("e%d", p.random.IntN(len(p.engines))))
-	for id := range p.engines {
-		if id != only {
+// placeAtRandom sends each request to a random engine, with a target so long that it is not refused.
+func placeAtRandom(s *simulation, router int, r pomeloplace.Request) pomeloplace.Decision {
+	selected := pomelorelay.UpstreamID(fmt.Sprintf("e%d", s.random.IntN(len(s.engines))))
+	for id := range s.engines {
+		if id != selected {
 			r.Avoid = append(r.Avoid, id)
 		}
 	}
 	r.Target = time.Hour
-	return p.routers[router].Place(p.now, r)
+	return s.routers[router].Place(s.now, r)
 }
 
 func BenchmarkPlace(b *testing.B) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// BenchmarkPutAll lists all upstreams of a fleet at a router that starts.
+// BenchmarkPutAll measures the listing of all upstreams when a router starts.
 func BenchmarkPutAll(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// BenchmarkTick does what follows from time alone.
+// BenchmarkTick measures the periodic update.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -176,25 +176,25 @@
 	}
 }
 
-// Guards against long prompts that are read one after the other beside the same streams: on a calm day, when engines read a third of the time, each
-// wait is short, and together they make the streams pause for too long.
-func TestStreamsSeldomPauseOnACalmDay(t *testing.T) {
+// Guards against successive prefills of long prompts beside the same streams. At low load, with engines prefilling a third of the time,
+// each delay is short, but together they make streams pause for too long.
+func TestStreamsSeldomPauseAtLowLoad(t *testing.T) {
 	const (
-		seeds = 3
-		most  = 0.025
+		seeds             = 3
+		maxPausedFraction = 0.025
 	)
 	paused, ended := 0, 0
 	for seed := range uint64(seeds) {
-		p := newPlay(seed+1, 13, 30)
-		p.slots, p.eventTokens, p.delay, p.scale = 32, 10, 50*time.Millisecond, 3
-		for _, r := range p.routers {
+		s := newSimulation(seed+1, 13, 30)
+		s.slots, s.eventTokens, s.reportDelay, s.sessionFactor = 32, 10, 50*time.Millisecond, 3
+		for _, r := range s.routers {
 			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, Memory: 632_306, EventTokens: 10}}}})
 		}
-		p.run(430, 20*time.Second)
-		t.Logf("%s; first of the answer late %d", p, p.lateFirst)
-		paused, ended = paused+p.latePause, ended+p.ended()
+		s.run(430, 20*time.Second)
+		t.Logf("%s; late first tokens %d", s, s.lateFirstTokens)
+		paused, ended = paused+s.longPauses, ended+s.ended()
 	}
-	if got := float64(paused) / float64(ended); got > most {
-		t.Errorf("%.4f of the answers paused for too long, want at most %.3f", got, most)
+	if got := float64(paused) / float64(ended); got > maxPausedFraction {
+		t.Errorf("%.4f of the answers paused for too long, want at most %.3f", got, maxPausedFraction)
 	}
 }
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -2,72 +2,72 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// Mechanisms are the parts of the decisions that can be switched off one by one, to find out what each is worth.
+// Mechanisms selects placement mechanisms to disable, so that the effect of each can be measured.
 type Mechanisms struct {
-	// SharedSpeeds are the times to first tokens that other routers saw.
+	// SharedSpeeds disables the use of other routers' times to first token.
 	SharedSpeeds bool
-	// SlowEngines is that an engine which turns slow is told apart from the others.
+	// SlowEngines disables the detection of engines that become slower than the others.
 	SlowEngines bool
-	// Pauses is the cost of reading for long beside streams.
-	Pauses bool
-	// LongEngines is that long prompts have engines of their own.
+	// PauseCost disables the cost of long prefills on engines with running streams.
+	PauseCost bool
+	// LongEngines disables the assignment of separate engines to long prompts.
 	LongEngines bool
-	// Homes is the order of the engines that a hash gives a prompt's shared parts.
-	Homes bool
-	// Copies is that shared parts are copied from an engine that keeps them.
+	// PrefixAffinity disables the preference for engines by a hash of the shared prompt parts.
+	PrefixAffinity bool
+	// Copies disables copying the KV cache of shared prompt parts between engines.
 	Copies bool
-	// OthersMemory is that what other routers sent takes room in an engine's memory.
-	OthersMemory bool
-	// Waits is the cost of waiting.
-	Waits bool
-	// Regions is the cost of bytes to other regions.
-	Regions bool
-	// Failures is the cost of upstreams that fail requests.
-	Failures bool
-	// Rests is that upstreams which take no connection are left alone for a while.
-	Rests bool
-	// DomainRests is that all upstreams of a failure domain are left alone where several hang.
-	DomainRests bool
-	// Unreported is that routers without a report yet count as sending as much as this one.
+	// RemoteCacheUse disables counting other routers' prompts towards an engine's cache memory.
+	RemoteCacheUse bool
+	// WaitCost disables the cost of waiting.
+	WaitCost bool
+	// RegionCost disables the cost of traffic to other regions.
+	RegionCost bool
+	// FailureCost disables the cost of upstreams that fail requests.
+	FailureCost bool
+	// UpstreamBackoff disables the backoff for unreachable upstreams.
+	UpstreamBackoff bool
+	// DomainBackoff disables the backoff for a whole failure domain after connections to several of its upstreams hang.
+	DomainBackoff bool
+	// Unreported disables the assumption that routers without a load report send as much as this one.
 	Unreported bool
-	// SlotReserve is that slots are kept free of requests beyond shares.
+	// SlotReserve disables the slots reserved for requests within their account's share.
 	SlotReserve bool
-	// FreeQueue is that requests beyond shares may join shorter queues only.
-	FreeQueue bool
-	// Ahead is that accounts which are ahead of one that is short get less.
-	Ahead bool
-	// SharedTarget is that queues are bounded by the shortest target of a service's routes.
+	// OverShareQueue disables the shorter queue limit for requests beyond their account's share.
+	OverShareQueue bool
+	// AheadLimits disables the stricter limits for accounts with high usage while another account is below its share.
+	AheadLimits bool
+	// SharedTarget disables the use of the shortest target of a service's routes as the base of its queue limit.
 	SharedTarget bool
-	// ReadAgain is that requests beyond shares are refused rather than their shared parts read again.
-	ReadAgain bool
+	// RecomputeLimit disables the refusal of over-share requests whose shared prompt parts would be prefilled a second time.
+	RecomputeLimit bool
 }
 
-// mechanisms are the fields by name, in the order of Mechanisms.
+// mechanisms maps the values of the command-line flag to the fields of Mechanisms, in declaration order.
 var mechanisms = []struct {
 	name  string
 	field func(m *Mechanisms) *bool
 }{
 	{"SharedSpeeds", func(m *Mechanisms) *bool { return &m.SharedSpeeds }},
 	{"SlowEngines", func(m *Mechanisms) *bool { return &m.SlowEngines }},
-	{"Pauses", func(m *Mechanisms) *bool { return &m.Pauses }},
+	{"Pauses", func(m *Mechanisms) *bool { return &m.PauseCost }},
 	{"LongEngines", func(m *Mechanisms) *bool { return &m.LongEngines }},
-	{"Homes", func(m *Mechanisms) *bool { return &m.Homes }},
+	{"Homes", func(m *Mechanisms) *bool { return &m.PrefixAffinity }},
 	{"Copies", func(m *Mechanisms) *bool { return &m.Copies }},
-	{"OthersMemory", func(m *Mechanisms) *bool { return &m.OthersMemory }},
-	{"Waits", func(m *Mechanisms) *bool { return &m.Waits }},
-	{"Regions", func(m *Mechanisms) *bool { return &m.Regions }},
-	{"Failures", func(m *Mechanisms) *bool { return &m.Failures }},
-	{"Rests", func(m *Mechanisms) *bool { return &m.Rests }},
-	{"DomainRests", func(m *Mechanisms) *bool { return &m.DomainRests }},
+	{"OthersMemory", func(m *Mechanisms) *bool { return &m.RemoteCacheUse }},
+	{"Waits", func(m *Mechanisms) *bool { return &m.WaitCost }},
+	{"Regions", func(m *Mechanisms) *bool { return &m.RegionCost }},
+	{"Failures", func(m *Mechanisms) *bool { return &m.FailureCost }},
+	{"Rests", func(m *Mechanisms) *bool { return &m.UpstreamBackoff }},
+	{"DomainRests", func(m *Mechanisms) *bool { return &m.DomainBackoff }},
 	{"Unreported", func(m *Mechanisms) *bool { return &m.Unreported }},
 	{"SlotReserve", func(m *Mechanisms) *bool { return &m.SlotReserve }},
-	{"FreeQueue", func(m *Mechanisms) *bool { return &m.FreeQueue }},
-	{"Ahead", func(m *Mechanisms) *bool { return &m.Ahead }},
+	{"FreeQueue", func(m *Mechanisms) *bool { return &m.OverShareQueue }},
+	{"Ahead", func(m *Mechanisms) *bool { return &m.AheadLimits }},
 	{"SharedTarget", func(m *Mechanisms) *bool { return &m.SharedTarget }},
-	{"ReadAgain", func(m *Mechanisms) *bool { return &m.ReadAgain }},
+	{"ReadAgain", func(m *Mechanisms) *bool { return &m.RecomputeLimit }},
 }
 
-// MechanismNames returns the names by which mechanisms are switched off.
+// MechanismNames returns the names accepted by ParseMechanisms.
 func MechanismNames() []string {
 	names := make([]string, 0, len(mechanisms))
 	for _, m := range mechanisms {
@@ -76,18 +76,18 @@
 	return names
 }
 
-// ParseMechanisms returns the mechanisms of the names; it fails with CodeSettingsInvalid.
+// ParseMechanisms returns the mechanisms with the given names set; an unknown name yields CodeSettingsInvalid.
 func ParseMechanisms(names []string) (Mechanisms, error) {
-	var set Mechanisms
+	var disabled Mechanisms
 	for _, name := range names {
-		if !set.add(name) {
-			return set, pomelorelay.NewError(pomelorelay.CodeSettingsInvalid, "no mechanism is called "+name, nil)
+		if !disabled.disable(name) {
+			return disabled, pomelorelay.NewError(pomelorelay.CodeSettingsInvalid, "unknown placement mechanism "+name, nil)
 		}
 	}
-	return set, nil
+	return disabled, nil
 }
 
-func (m *Mechanisms) add(name string) bool {
+func (m *Mechanisms) disable(name string) bool {
 	for _, known := range mechanisms {
 		if known.name == name {
 			*known.field(m) = true
--- a/pomeloplace/residency_test.go
+++ b/pomeloplace/residency_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-func limited(r pomeloplace.Request, regions ...pomelorelay.RegionID) pomeloplace.Request {
+func limitedTo(r pomeloplace.Request, regions ...pomelorelay.RegionID) pomeloplace.Request {
 	r.Residency = pomelorelay.Residency{Limited: true, Regions: regions}
 	return r
 }
@@ -20,8 +20,8 @@
 	return u
 }
 
-// Guards against a request that reaches an upstream outside of the regions that may serve it, whatever the state of those inside.
-func TestRequestsStayInTheirRegions(t *testing.T) {
+// Guards against requests that reach an upstream outside the allowed regions, whatever the state of the upstreams inside.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	draining := engineIn("b0", "b")
 	draining.Draining = true
 	for _, c := range []struct {
@@ -32,10 +32,10 @@
 		reason  pomeloplace.Reason
 		cause   pomeloplace.Reason
 	}{
-		{"an idle upstream inside", []pomelorelay.RegionID{"rb"}, func(*pomeloplace.Placer) {}, "b0", pomeloplace.ReasonNone, ""},
-		{"a draining one inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Put(start, draining) }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"none inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Remove("b0") }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"a region that nobody names", []pomelorelay.RegionID{"rc"}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"an idle upstream in an allowed region", []pomelorelay.RegionID{"rb"}, func(*pomeloplace.Placer) {}, "b0", pomeloplace.ReasonNone, ""},
+		{"a draining upstream in an allowed region", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Put(start, draining) }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"no upstream in an allowed region", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Remove("b0") }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"an unknown region", []pomelorelay.RegionID{"rc"}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
 		{"an upstream of an unknown domain", []pomelorelay.RegionID{""}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
 		{"no region in common", nil, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonNoRegion, ""},
 	} {
@@ -43,23 +43,23 @@
 		p.Put(start, engineIn("b0", "b"))
 		p.Put(start, engineIn("lost", "of no region"))
 		c.prepare(p)
-		d := p.Place(start, limited(prompt(1, 500, 100), c.regions...))
+		d := p.Place(start, limitedTo(prompt(1, 500, 100), c.regions...))
 		if d.Upstream.ID != c.want || d.Reason != c.reason || d.Cause != c.cause {
 			t.Errorf("%s: sent to %q, reason %q, cause %q", c.name, d.Upstream.ID, d.Reason, d.Cause)
 		}
 		if d.Reason != pomeloplace.ReasonNone && d.RetryAfter <= 0 {
-			t.Errorf("%s: no time to come back", c.name)
+			t.Errorf("%s: no Retry-After", c.name)
 		}
 	}
 }
 
-// Guards against a retry that leaves the regions because those inside failed the request or take no connections.
-func TestRetriesStayInTheirRegions(t *testing.T) {
+// Guards against retries that leave the allowed regions because the upstreams inside failed the request or are unreachable.
+func TestRetriesStayInAllowedRegions(t *testing.T) {
 	p := withEngines(3)
 	p.Put(start, engineIn("b0", "b"))
 	now := start
 	for range 5 {
-		r := limited(prompt(1, 500, 100), "rb")
+		r := limitedTo(prompt(1, 500, 100), "rb")
 		r.Avoid = []pomelorelay.UpstreamID{"b0"}
 		d := p.Place(now, r)
 		if d.Reason == pomeloplace.ReasonNone {
@@ -72,8 +72,8 @@
 	}
 }
 
-// keepShared lets engines answer a few requests with a shared part, which they keep from then on; it returns the time after the last.
-func keepShared(t *testing.T, p *pomeloplace.Placer, now time.Time) time.Time {
+// cacheSharedPart sends three requests with a shared part, so that an engine caches it, and returns the time after the last one.
+func cacheSharedPart(t *testing.T, p *pomeloplace.Placer, now time.Time) time.Time {
 	t.Helper()
 	for i := range 3 {
 		d := place(t, p, now, prompt(1, 5000, pomelorelay.Tokens(100+i)))
@@ -84,31 +84,31 @@
 	return now
 }
 
-// Guards against prompts that are copied from an engine in a region where they may not be kept.
-func TestPromptsAreNotCopiedFromOtherRegions(t *testing.T) {
+// Guards against copying prompts from an engine in a region where they may not be stored.
+func TestPromptsAreNotCopiedFromDisallowedRegions(t *testing.T) {
 	copies := func(regions ...pomelorelay.RegionID) bool {
 		p := newPlacer()
 		p.Put(start, engineIn("b0", "b"))
 		p.Put(start, engineIn("b1", "b"))
 		now := start
-		now = keepShared(t, p, now)
-		// The engines that keep the part stop taking requests; others must copy or read it.
+		now = cacheSharedPart(t, p, now)
+		// The engines with the cached part stop accepting requests; others must copy or prefill it.
 		for i := range 2 {
 			u := engineIn(pomelorelay.UpstreamID(fmt.Sprintf("b%d", i)), "b")
 			u.Draining = true
 			p.Put(start, u)
 		}
 		p.Put(start, engineIn("a0", "a"))
-		d := p.Place(now, limited(prompt(1, 5000, 500), regions...))
+		d := p.Place(now, limitedTo(prompt(1, 5000, 500), regions...))
 		if d.Upstream.ID != "a0" {
 			t.Fatalf("sent to %q: %s", d.Upstream.ID, d.Reason)
 		}
 		return d.Copied > 0
 	}
 	if !copies("ra", "rb") {
-		t.Error("nothing was copied where both regions are allowed")
+		t.Error("nothing was copied although both regions are allowed")
 	}
 	if copies("ra") {
-		t.Error("the prompt was copied from a region that is not allowed")
+		t.Error("the prompt was copied from a region outside its residency")
 	}
 }
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -13,7 +13,7 @@
 	coldRate = 15.0
 )
 
-// withColdEngines returns the placer of the router named, one of two in the region, whose engines are cold after a start.
+// withColdEngines returns the placer of the named router, one of two in the region, with engines that are cold after a start.
 func withColdEngines(self pomelorelay.NodeID, listed ...pomelorelay.FleetUpstream) *pomeloplace.Placer {
 	peers := []pomelorelay.Peer{{Node: "r1", Domain: "a", Region: "ra"}, {Node: "r2", Domain: "a", Region: "ra"}, {Node: "far", Domain: "b", Region: "rb"}}
 	var own pomelorelay.Peer
@@ -38,15 +38,15 @@
 	return p
 }
 
-func cold(id pomelorelay.UpstreamID, left time.Duration) pomelorelay.FleetUpstream {
+func coldEngine(id pomelorelay.UpstreamID, remaining time.Duration) pomelorelay.FleetUpstream {
 	u := engine(id)
-	u.ColdFor = left
+	u.ColdFor = remaining
 	return u
 }
 
-// Guards against a cold engine that idles and therefore draws requests of every router, and against one that is left out after it is warm.
-func TestAColdEngineGetsNothingBesideWarmOnes(t *testing.T) {
-	p := withColdEngines("r1", engine("e0"), cold("e1", coldFor))
+// Guards against a cold engine that looks idle and attracts requests of every router, and against one that stays unused once it is warm.
+func TestColdEngineUnusedWhileWarmOnesAreAvailable(t *testing.T) {
+	p := withColdEngines("r1", engine("e0"), coldEngine("e1", coldFor))
 	now := start
 	for now.Before(start.Add(coldFor)) {
 		d := place(t, p, now, prompt(uint64(now.UnixNano()), 500, 100))
@@ -60,15 +60,15 @@
 	drained.Draining = true
 	p.Put(now, drained)
 	if d := place(t, p, now, prompt(1, 500, 100)); d.Upstream.ID != "e1" {
-		t.Errorf("sent to %s once e1 was warm", d.Upstream.ID)
+		t.Errorf("sent to %s after e1 became warm, want e1", d.Upstream.ID)
 	}
 }
 
-// Guards against a service that is refused as a whole while all of its engines are cold, and against more than they accept.
-func TestColdEnginesServeWhatTheyAccept(t *testing.T) {
+// Guards against refusing all requests of a service while its engines are cold, and against sending them more than their limit.
+func TestColdEnginesServeWithinTheirBound(t *testing.T) {
 	sent := 0
 	var refused pomeloplace.Decision
-	routers := []*pomeloplace.Placer{withColdEngines("r1", cold("e0", coldFor)), withColdEngines("r2", cold("e0", coldFor))}
+	routers := []*pomeloplace.Placer{withColdEngines("r1", coldEngine("e0", coldFor)), withColdEngines("r2", coldEngine("e0", coldFor))}
 	for now := start; now.Before(start.Add(coldFor)); now = now.Add(10 * time.Millisecond) {
 		for _, p := range routers {
 			d := p.Place(now, prompt(uint64(now.UnixNano()), 500, 100))
@@ -80,16 +80,16 @@
 			p.Ended(now, d.Run, pomeloplace.ResultGood)
 		}
 	}
-	if most := coldFor.Seconds() * coldRate; sent < 10 || float64(sent) > most {
-		t.Errorf("%d requests in %v, at most %.0f are accepted", sent, coldFor, most)
+	if limit := coldFor.Seconds() * coldRate; sent < 10 || float64(sent) > limit {
+		t.Errorf("%d requests in %v, want 10 to %.0f", sent, coldFor, limit)
 	}
 	if refused.Reason != pomeloplace.ReasonCold || refused.RetryAfter <= 0 || refused.RetryAfter > coldFor {
-		t.Errorf("refused for %q, come back after %v", refused.Reason, refused.RetryAfter)
+		t.Errorf("refused with reason %q and Retry-After %v, want Cold", refused.Reason, refused.RetryAfter)
 	}
 }
 
-// Guards against an engine that crashes and gets the requests of the whole fleet when it is back, since its restart was not listed yet.
-func TestAnUnreachedEngineIsColdForTheWholeFleet(t *testing.T) {
+// Guards against an engine that crashes and, since its restart is not listed yet, gets the requests of the whole fleet on its return.
+func TestUnreachableEngineIsColdForTheWholeFleet(t *testing.T) {
 	near, other, far := withColdEngines("r1", engine("e0"), engine("e1")), withColdEngines("r2", engine("e0"), engine("e1")), withColdEngines("far", engine("e0"), engine("e1"))
 	now := start
 	for range 100 {
@@ -102,7 +102,7 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	if !near.Urgent() {
-		t.Error("the other routers are not told at once")
+		t.Error("no urgent report to the other routers")
 	}
 	var m pomelorelay.LoadReport
 	near.Report(&m)
@@ -114,13 +114,13 @@
 	for range 50 {
 		now = now.Add(20 * time.Millisecond)
 		if d := place(t, far, now, prompt(uint64(now.UnixNano()), 500, 100)); d.Upstream.ID == "e1" {
-			t.Fatal("a router of another region sent to the engine")
+			t.Fatal("a router of another region used the unreachable engine")
 		}
 	}
 }
 
-// Guards against a router cut off from everything that takes all upstreams for restarted, or tells others so.
-func TestACutOffRouterTakesNoUpstreamForRestarted(t *testing.T) {
+// Guards against a partitioned router that assumes that all upstreams have restarted, or reports this to others.
+func TestPartitionedRouterDoesNotAssumeRestarts(t *testing.T) {
 	p := withColdEngines("r1", engine("e0"), engine("e1"))
 	now := start
 	for range 4 {
@@ -136,6 +136,6 @@
 		t.Errorf("reported %+v", m.Starts)
 	}
 	if d := p.Place(now.Add(3*time.Second), prompt(1, 500, 100)); d.Reason != pomeloplace.ReasonNone {
-		t.Errorf("refused after the cut: %s", d.Reason)
+		t.Errorf("refused after the partition: %s", d.Reason)
 	}
 }
