--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -37,7 +37,7 @@
 	c.placer.SetConfig(&config)
 	c.residency.SetConfig(time.Time{}, &config)
 	for _, u := range upstreams {
-		c.placer.Put(time.Time{}, u)
+		c.placer.PutUpstream(time.Time{}, u)
 	}
 	return Decider{c}
 }
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -64,7 +64,7 @@
 
 type begun struct{ run *pomeloplace.Run }
 
-func (b *begun) apply(c *control, now time.Time) { c.placer.Begun(now, b.run) }
+func (b *begun) apply(c *control, now time.Time) { c.placer.RecordAnswerStart(now, b.run) }
 
 type ended struct {
 	run    *pomeloplace.Run
@@ -75,7 +75,7 @@
 // apply ends a run. What surely did not run is given back to its account: while upstreams are down, an account whose requests find
 // them first would use up its share by nothing, and see the rest refused.
 func (d *ended) apply(c *control, now time.Time) {
-	c.placer.Ended(now, d.run, d.result)
+	c.placer.RecordEnd(now, d.run, d.result)
 	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
 		c.shares.Refund(d.work.Account, d.work.Cost)
 	}
--- a/pomeloforward/world_test.go
+++ b/pomeloforward/world_test.go
@@ -175,7 +175,7 @@
 	defer w.mu.Unlock()
 	w.works = append(w.works, work)
 	if len(w.places) == 0 {
-		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonLate, RetryAfter: 250 * time.Millisecond}, nil
+		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: 250 * time.Millisecond}, nil
 	}
 	d := w.places[0]
 	w.places = w.places[1:]
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -15,8 +15,8 @@
 	speeds      map[pomelorelay.ServiceID]pomelorelay.SpeedSums
 }
 
-// Report adds this router's load to a load report: changes since the last report, or the full state if Whole is set.
-func (p *Placer) Report(m *pomelorelay.LoadReport) {
+// FillReport adds this router's load to a load report: changes since the last report, or the full state if Whole is set.
+func (p *Placer) FillReport(m *pomelorelay.LoadReport) {
 	p.seq++
 	p.tokensSinceReport = 0
 	m.Seq = p.seq
@@ -65,8 +65,8 @@
 	return p.tokensSinceReport >= urgentTokens || len(p.pendingStarts) > 0
 }
 
-// TakeReport applies another router's load report. Reports of an earlier incarnation are ignored.
-func (p *Placer) TakeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+// ApplyReport applies another router's load report. Reports of an earlier incarnation are ignored.
+func (p *Placer) ApplyReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	o := p.peers[from]
 	if o != nil && incarnation < o.incarnation {
 		return
@@ -83,7 +83,7 @@
 	for _, l := range m.Upstreams {
 		before := o.loads[l.Upstream]
 		p.applyLoad(now, o, l)
-		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Without.RemoteCacheUse {
+		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Disabled.RemoteCacheUse {
 			u.cache.addUnidentified(l.Sent - before.sent - identified[l.Upstream])
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 func (p *Placer) applySpeeds(now time.Time, o *peer, speeds []pomelorelay.SpeedSums) {
-	if p.cfg.Without.SharedSpeeds {
+	if p.cfg.Disabled.SharedSpeeds {
 		return
 	}
 	for _, sums := range speeds {
@@ -169,11 +169,11 @@
 	}
 }
 
-// SetUnreported sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without this
+// SetUnreportedRouters sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without this
 // assumption, routers that start at once would all see idle engines and overfill them several times before the first reports arrive, and
 // callers would get answers seconds late after a restart of the fleet.
-func (p *Placer) SetUnreported(routers int) {
-	if p.cfg.Without.Unreported {
+func (p *Placer) SetUnreportedRouters(routers int) {
+	if p.cfg.Disabled.Unreported {
 		routers = 0
 	}
 	for _, s := range p.pools {
@@ -184,11 +184,11 @@
 // Tick removes routers whose reports have expired and updates the assignment of long prompts.
 func (p *Placer) Tick(now time.Time) {
 	for _, s := range p.pools {
-		s.assignLongEngines(now, &p.cfg.Without)
+		s.assignLongEngines(now, &p.cfg.Disabled)
 	}
 	p.oldestReportAt = time.Time{}
 	for node, o := range p.peers {
-		if now.Sub(o.seenAt) > SilentAfter {
+		if now.Sub(o.seenAt) > PeerTimeout {
 			p.forgetRouter(node)
 			continue
 		}
@@ -222,11 +222,11 @@
 	}
 }
 
-// Forget removes a router's load.
-func (p *Placer) Forget(node pomelorelay.NodeID) { p.forgetRouter(node) }
+// ForgetRouter removes a router's load.
+func (p *Placer) ForgetRouter(node pomelorelay.NodeID) { p.forgetRouter(node) }
 
-// ForgetOthers removes the load of all routers except one.
-func (p *Placer) ForgetOthers(except pomelorelay.NodeID) {
+// ForgetRoutersExcept removes the load of all routers except one.
+func (p *Placer) ForgetRoutersExcept(except pomelorelay.NodeID) {
 	for node := range p.peers {
 		if node != except {
 			p.forgetRouter(node)
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -157,12 +157,12 @@
 
 func (u *upstream) recordResult(now time.Time, r Result) {
 	switch r {
-	case ResultGood, ResultPaused:
+	case ResultCompleted, ResultLongPause:
 		u.failureRate = u.decayedFailureRate(now) * (1 - failureAlpha)
 		u.backoffUntil, u.backoff = time.Time{}, 0
 	case ResultFailed, ResultRefused:
 		u.failureRate = u.decayedFailureRate(now)*(1-failureAlpha) + failureAlpha
-	case ResultUnreached:
+	case ResultUnreachable:
 		u.failureRate = max(u.decayedFailureRate(now), failureAlpha)
 		u.startBackoff(now)
 	default:
