--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -39,38 +39,38 @@
 	incarnation pomelorelay.Incarnation
 	reportedAt  time.Time
 	sums
-	// base holds the counters as they were first reported; settled is set once everything was reported, after which nothing is added to it.
-	base    sums
-	settled bool
+	// baseline holds the counters as they were first reported; settled is set once everything was reported, after which nothing is added to it.
+	baseline    sums
+	baselineComplete bool
 }
 
-// load returns a report's entry with its counters from the base on.
-func (s *source) load(l pomelorelay.UpstreamLoad) pomelorelay.UpstreamLoad {
-	if _, known := s.upstreams[l.Upstream]; !known && !s.settled {
-		s.base.upstreams[l.Upstream] = l
+// rebaseLoad returns a report's entry with its counters from the base on.
+func (s *source) rebaseLoad(l pomelorelay.UpstreamLoad) pomelorelay.UpstreamLoad {
+	if _, known := s.upstreams[l.Upstream]; !known && !s.baselineComplete {
+		s.baseline.upstreams[l.Upstream] = l
 	}
-	base := s.base.upstreams[l.Upstream]
+	base := s.baseline.upstreams[l.Upstream]
 	l.Sent -= base.Sent
 	l.Expected -= base.Expected
 	l.Took -= base.Took
 	return l
 }
 
-func (s *source) use(u pomelorelay.AccountUse) pomelorelay.AccountUse {
-	if _, known := s.accounts[u.Account]; !known && !s.settled {
-		s.base.accounts[u.Account] = u
+func (s *source) rebaseUse(u pomelorelay.AccountUse) pomelorelay.AccountUse {
+	if _, known := s.accounts[u.Account]; !known && !s.baselineComplete {
+		s.baseline.accounts[u.Account] = u
 	}
-	base := s.base.accounts[u.Account]
+	base := s.baseline.accounts[u.Account]
 	u.Asked -= base.Asked
 	u.Served -= base.Served
 	return u
 }
 
-func (s *source) speed(v pomelorelay.SpeedSums) pomelorelay.SpeedSums {
-	if _, known := s.speeds[v.Service]; !known && !s.settled {
-		s.base.speeds[v.Service] = v
+func (s *source) rebaseSpeed(v pomelorelay.SpeedSums) pomelorelay.SpeedSums {
+	if _, known := s.speeds[v.Service]; !known && !s.baselineComplete {
+		s.baseline.speeds[v.Service] = v
 	}
-	return plusSpeeds(v, pomelorelay.SpeedSums{}, s.base.speeds[v.Service])
+	return adjustSpeeds(v, pomelorelay.SpeedSums{}, s.baseline.speeds[v.Service])
 }
 
 type loadSum struct {
@@ -110,37 +110,37 @@
 	}
 }
 
-// take adds a source's report; a report of another router or incarnation replaces what the source had.
-func (a *aggregate) take(now time.Time, key string, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+// add adds a source's report; a report of another router or incarnation replaces what the source had.
+func (a *aggregate) add(now time.Time, key string, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	s := a.sources[key]
 	if s != nil && (s.node != node || s.incarnation != incarnation) {
-		a.forget(key)
+		a.remove(key)
 		s = nil
 	}
 	if s == nil {
-		s = &source{node: node, incarnation: incarnation, sums: newSums(), base: newSums()}
+		s = &source{node: node, incarnation: incarnation, sums: newSums(), baseline: newSums()}
 		a.sources[key] = s
 	}
 	s.reportedAt = now
 	if m.Whole {
-		a.clear(s, m)
+		a.clearGauges(s, m)
 	}
 	for _, l := range m.Upstreams {
-		l = s.load(l)
+		l = s.rebaseLoad(l)
 		a.addLoad(s.upstreams[l.Upstream], l)
 		s.upstreams[l.Upstream] = l
 	}
 	for _, u := range m.Accounts {
-		u = s.use(u)
+		u = s.rebaseUse(u)
 		a.addUse(s.accounts[u.Account], u)
 		s.accounts[u.Account] = u
 	}
 	for _, v := range m.Speeds {
-		v = s.speed(v)
+		v = s.rebaseSpeed(v)
 		a.addSpeed(s.speeds[v.Service], v)
 		s.speeds[v.Service] = v
 	}
-	s.settled = s.settled || m.Whole
+	s.baselineComplete = s.baselineComplete || m.Whole
 	for _, p := range m.Parts {
 		a.parts = append(a.parts, sourcePart{key, p})
 	}
@@ -152,8 +152,8 @@
 	}
 }
 
-// clear takes back the gauges of upstreams that a whole report does not hold.
-func (a *aggregate) clear(s *source, m *pomelorelay.LoadReport) {
+// clearGauges takes back the gauges of upstreams that a whole report does not hold.
+func (a *aggregate) clearGauges(s *source, m *pomelorelay.LoadReport) {
 	held := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
 	for _, l := range m.Upstreams {
 		held[l.Upstream] = true
@@ -200,12 +200,12 @@
 		sum = &speedSum{SpeedSums: pomelorelay.SpeedSums{Service: v.Service}}
 		a.speeds[v.Service] = sum
 	}
-	sum.SpeedSums = plusSpeeds(sum.SpeedSums, v, before)
+	sum.SpeedSums = adjustSpeeds(sum.SpeedSums, v, before)
 	sum.changed = true
 }
 
-// plusSpeeds returns the sums with more added and less taken off.
-func plusSpeeds(s, more, less pomelorelay.SpeedSums) pomelorelay.SpeedSums {
+// adjustSpeeds returns the sums with more added and less taken off.
+func adjustSpeeds(s, more, less pomelorelay.SpeedSums) pomelorelay.SpeedSums {
 	s.Answers += more.Answers - less.Answers
 	s.Weight += more.Weight - less.Weight
 	s.Read += more.Read - less.Read
@@ -219,21 +219,21 @@
 	return s
 }
 
-// forget takes back a source's gauges; what it added to counters stays.
-func (a *aggregate) forget(key string) {
+// remove takes back a source's gauges; what it added to counters stays.
+func (a *aggregate) remove(key string) {
 	s := a.sources[key]
 	if s == nil {
 		return
 	}
-	a.clear(s, &pomelorelay.LoadReport{})
+	a.clearGauges(s, &pomelorelay.LoadReport{})
 	delete(a.sources, key)
 }
 
-// forgetSilent forgets the sources that have reported nothing for a time.
-func (a *aggregate) forgetSilent(now time.Time, most time.Duration) {
+// removeSilent forgets the sources that have reported nothing for a time.
+func (a *aggregate) removeSilent(now time.Time, most time.Duration) {
 	for key, s := range a.sources {
 		if now.Sub(s.reportedAt) > most {
-			a.forget(key)
+			a.remove(key)
 		}
 	}
 }
@@ -270,7 +270,7 @@
 	}
 	for id, sum := range a.speeds {
 		if sum.changed || whole {
-			m.Speeds = append(m.Speeds, plusSpeeds(sum.SpeedSums, pomelorelay.SpeedSums{}, own.speeds[id]))
+			m.Speeds = append(m.Speeds, adjustSpeeds(sum.SpeedSums, pomelorelay.SpeedSums{}, own.speeds[id]))
 		}
 	}
 	for _, p := range a.parts {
@@ -304,8 +304,8 @@
 	return len(a.parts)+len(a.starts)+len(a.leaving) > 0
 }
 
-// flushed marks everything as reported.
-func (a *aggregate) flushed() {
+// markFlushed marks everything as reported.
+func (a *aggregate) markFlushed() {
 	for _, sum := range a.upstreams {
 		sum.changed = false
 	}
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -7,50 +7,50 @@
 )
 
 const (
-	// pullAfter is how long a router waits for its own watch before it asks a peer for a newer configuration: several answers of
+	// configPullDelay is how long a router waits for its own watch before it asks a peer for a newer configuration: several answers of
 	// the store, and a twentieth of the time within which a configuration is to be in force.
-	pullAfter = 100 * time.Millisecond
-	// pullEvery is the time between two asks.
-	pullEvery = 300 * time.Millisecond
+	configPullDelay = 100 * time.Millisecond
+	// configPullInterval is the time between two asks.
+	configPullInterval = 300 * time.Millisecond
 )
 
-// pulls holds which peer has a newer configuration, and since when.
-type pulls struct {
+// pendingPull holds which peer has a newer configuration, and since when.
+type pendingPull struct {
 	from       pomelorelay.NodeID
 	generation pomelorelay.Generation
 	since      time.Time
-	askedAt    time.Time
+	requestedAt    time.Time
 }
 
-// noteGeneration takes a peer's generation, which rides on each of its messages.
-func (c *control) noteGeneration(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation) {
+// recordGeneration takes a peer's generation, which rides on each of its messages.
+func (c *control) recordGeneration(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation) {
 	if c.config != nil && generation <= c.config.Version {
 		return
 	}
-	if generation <= c.pulls.generation {
+	if generation <= c.pendingPull.generation {
 		return
 	}
-	if c.pulls.since.IsZero() {
-		c.pulls.since = now
+	if c.pendingPull.since.IsZero() {
+		c.pendingPull.since = now
 	}
-	c.pulls.from, c.pulls.generation = from, generation
+	c.pendingPull.from, c.pendingPull.generation = from, generation
 }
 
-// pullBehind asks a peer for the newer configuration that this router's own watch did not bring. Without it a router that cannot
+// requestNewerConfig asks a peer for the newer configuration that this router's own watch did not bring. Without it a router that cannot
 // reach the store would go on with dropped routes and keys; callers would notice by other answers than their neighbours'.
-func (c *control) pullBehind(now time.Time) {
-	p := &c.pulls
+func (c *control) requestNewerConfig(now time.Time) {
+	p := &c.pendingPull
 	if p.generation == 0 || p.generation <= c.version() {
-		*p = pulls{}
+		*p = pendingPull{}
 		return
 	}
-	if now.Sub(p.since) < pullAfter || now.Sub(p.askedAt) < pullEvery {
+	if now.Sub(p.since) < configPullDelay || now.Sub(p.requestedAt) < configPullInterval {
 		return
 	}
-	p.askedAt = now
+	p.requestedAt = now
 	if err := c.e.mesh.Send(p.from, &pomelorelay.ConfigPull{Above: c.version()}); err != nil {
 		// The peer is gone; another one's message names the generation again.
-		*p = pulls{}
+		*p = pendingPull{}
 	}
 }
 
@@ -61,8 +61,8 @@
 	return c.config.Version
 }
 
-// push answers a peer that is behind.
-func (c *control) push(to pomelorelay.NodeID, m *pomelorelay.ConfigPull) {
+// sendConfig answers a peer that is behind.
+func (c *control) sendConfig(to pomelorelay.NodeID, m *pomelorelay.ConfigPull) {
 	if c.config == nil || c.config.Version <= m.Above {
 		return
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (c *control) takePush(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush) {
+func (c *control) applyPushedConfig(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush) {
 	config, err := c.e.cfg.Platform.ReadConfig(m.Root)
 	if err != nil {
 		c.e.log(pomelorelay.EventConfigBadRoot, field("Node", from), field("Fault", err.Error()))
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// tickEvery is the interval at which timers are looked at, adjustEvery that at which shares and loads are reckoned anew.
-	tickEvery   = 20 * time.Millisecond
-	adjustEvery = 50 * time.Millisecond
-	// directEvery and relayedEvery are the intervals of reports to the other routers, sent to each by itself and by way of relays; until the
+	// tickInterval is the interval at which timers are looked at, adjustEvery that at which shares and loads are reckoned anew.
+	tickInterval   = 20 * time.Millisecond
+	adjustInterval = 50 * time.Millisecond
+	// directReportInterval and relayedEvery are the intervals of reports to the other routers, sent to each by itself and by way of relays; until the
 	// next one they place by older loads.
-	directEvery  = 100 * time.Millisecond
-	relayedEvery = 40 * time.Millisecond
-	// wholeEvery is the interval of reports that hold everything; a lost one is made up for within it.
-	wholeEvery = time.Second
-	// urgentGap is the least time between reports: the round trip between regions takes longer.
-	urgentGap = 20 * time.Millisecond
-	// gaugesEvery is the interval at which the metrics of the router's state are renewed.
-	gaugesEvery = time.Second
+	directReportInterval  = 100 * time.Millisecond
+	relayedReportInterval = 40 * time.Millisecond
+	// fullReportInterval is the interval of reports that hold everything; a lost one is made up for within it.
+	fullReportInterval = time.Second
+	// minReportGap is the least time between reports: the round trip between regions takes longer.
+	minReportGap = 20 * time.Millisecond
+	// gaugeInterval is the interval at which the metrics of the router's state are renewed.
+	gaugeInterval = time.Second
 )
 
 // control is the state of the control goroutine; nothing else touches it.
@@ -40,18 +40,18 @@
 	// evacuated are the failure domains under evacuation; one ends only when the store or a peer's whole state says so.
 	evacuated map[pomelorelay.DomainID]bool
 	peers     peers
-	pulls     pulls
-	asks      asks
-	relayed   relays
+	pendingPull     pendingPull
+	stateRequests      stateRequests
+	relay   relayState
 
 	adjustedAt time.Time
 	reportedAt time.Time
-	wholeAt    time.Time
+	fullReportAt    time.Time
 	gaugesAt   time.Time
-	// cold are the upstreams that were cold at the last look.
-	cold map[pomelorelay.UpstreamID]pomelowarmup.Status
-	// speeds are the reading speeds that were last logged.
-	speeds map[pomelorelay.ServiceID]pomelospeed.Rate
+	// coldUpstreams are the upstreams that were cold at the last look.
+	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
+	// loggedSpeeds are the reading speeds that were last logged.
+	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.Rate
 }
 
 func newControl(e *Entry) *control {
@@ -64,13 +64,13 @@
 		upstreams: newUpstreams(),
 		evacuated: make(map[pomelorelay.DomainID]bool),
 		peers:     newPeers(),
-		speeds:    make(map[pomelorelay.ServiceID]pomelospeed.Rate),
+		loggedSpeeds:    make(map[pomelorelay.ServiceID]pomelospeed.Rate),
 	}
 }
 
 // run takes in events, messages and ticks until the router ends.
 func (c *control) run() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -79,15 +79,15 @@
 		case ev := <-c.e.events:
 			now := c.now()
 			ev.apply(c, now)
-			if c.placer.Urgent() && now.Sub(c.reportedAt) >= urgentGap {
+			if c.placer.Urgent() && now.Sub(c.reportedAt) >= minReportGap {
 				c.report(now)
 			}
 		case m := <-c.e.mesh.Receive():
 			c.receive(c.now(), m)
 		case <-ticker.C:
 			now := c.now()
-			c.e.noteTick(now)
-			c.e.adapt()
+			c.e.recordTick(now)
+			c.e.adaptRequestLimit()
 			c.tick(now)
 		}
 	}
@@ -96,20 +96,20 @@
 func (c *control) now() time.Time { return c.e.cfg.Clock.Now() }
 
 func (c *control) tick(now time.Time) {
-	if now.Sub(c.adjustedAt) >= adjustEvery {
+	if now.Sub(c.adjustedAt) >= adjustInterval {
 		c.adjustedAt = now
 		c.adjust(now)
 	}
-	if now.Sub(c.reportedAt) >= c.reportEvery()-tickEvery/2 {
+	if now.Sub(c.reportedAt) >= c.reportInterval()-tickInterval/2 {
 		c.report(now)
 	}
-	if c.relayed.local != nil {
-		c.flush(now)
+	if c.relay.local != nil {
+		c.flushSummaries(now)
 	}
-	if now.Sub(c.gaugesAt) >= gaugesEvery {
+	if now.Sub(c.gaugesAt) >= gaugeInterval {
 		c.gaugesAt = now
 		c.setGauges()
-		c.noteWarmups(now)
+		c.logWarmups(now)
 	}
 }
 
@@ -118,11 +118,11 @@
 	c.shares.Tick(now)
 	c.placer.SetUnreported(c.unreported(now))
 	c.placer.Tick(now)
-	c.dropLapsed(now)
-	c.takeTurn(now)
-	c.pullBehind(now)
-	c.askForState(now)
-	if c.peers.drop(now) {
+	c.removeLapsed(now)
+	c.updateReadDelay(now)
+	c.requestNewerConfig(now)
+	c.requestMissingState(now)
+	if c.peers.dropSilent(now) {
 		c.setPeers()
 	}
 }
@@ -131,7 +131,7 @@
 	m := c.e.metrics
 	m.Set("upstreams", float64(len(c.upstreams.present)))
 	m.Set("evacuated_domains", float64(len(c.evacuated)))
-	m.Set("peers", float64(len(c.peers.present)))
+	m.Set("peers", float64(len(c.peers.byNode)))
 	m.Set("requests_in_flight", float64(c.e.inFlight.Load()))
 	m.Set("caller_connections", float64(c.e.conns.Load()))
 	m.Set("upstream_connections_opened", float64(c.e.forward.Opened()))
@@ -141,20 +141,20 @@
 	for _, s := range c.placer.Speeds() {
 		m.Set("read_tokens_per_ms_"+string(s.Service), float64(s.Rate))
 		m.Set("first_token_overhead_ms_"+string(s.Service), float64(s.Overhead.Milliseconds()))
-		c.noteSpeed(s)
+		c.logSpeed(s)
 	}
 }
 
-// speedNews is the change of a reading speed from which it is worth a line.
-const speedNews = 1.2
+// speedLogRatio is the change of a reading speed from which it is worth a line.
+const speedLogRatio = 1.2
 
-// noteSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
-func (c *control) noteSpeed(s pomeloplace.Speed) {
-	told := c.speeds[s.Service]
-	if told > 0 && s.Rate < speedNews*told && told < speedNews*s.Rate {
+// logSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
+func (c *control) logSpeed(s pomeloplace.Speed) {
+	told := c.loggedSpeeds[s.Service]
+	if told > 0 && s.Rate < speedLogRatio*told && told < speedLogRatio*s.Rate {
 		return
 	}
-	c.speeds[s.Service] = s.Rate
+	c.loggedSpeeds[s.Service] = s.Rate
 	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.Rate)), field("OverheadMS", s.Overhead.Milliseconds()),
 		field("Pauses", s.Pauses), field("CopyPart", s.CopyPart))
 }
@@ -189,89 +189,89 @@
 	case d.Reason == pomeloplace.ReasonNone && counts && !w.Charged:
 		c.shares.Served(w.Account, w.Cost)
 	case d.Reason == pomeloplace.ReasonShare:
-		d.RetryAfter = c.returnAfter(&d, &w)
+		d.RetryAfter = c.retryAfter(&d, &w)
 	}
 	return d
 }
 
-// worthWaiting is the part of the target within which an account's wait for its share is worth the caller's while: the rest of the
+// maxShareWaitFraction is the part of the target within which an account's wait for its share is worth the caller's while: the rest of the
 // target is for the answer.
-const worthWaiting = 0.5
+const maxShareWaitFraction = 0.5
 
-// returnAfter returns when a caller whose account is beyond its share is to come back: once the account is owed the request, if the answer can
+// retryAfter returns when a caller whose account is beyond its share is to come back: once the account is owed the request, if the answer can
 // still be in time then; else as soon as there may be a place again. In a flood that lasts, waiting longer raises no chance, and makes the
 // answer late for sure.
-func (c *control) returnAfter(d *pomeloplace.Decision, w *pomeloforward.Work) time.Duration {
+func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.Work) time.Duration {
 	wait := c.shares.Wait(w.Account, w.Cost)
-	if wait > time.Duration(worthWaiting*float64(w.Place.Target)) {
+	if wait > time.Duration(maxShareWaitFraction*float64(w.Place.Target)) {
 		return d.RetryAfter
 	}
 	return max(d.RetryAfter, wait)
 }
 
-func (c *control) reportEvery() time.Duration {
-	if c.direct() {
-		return directEvery
+func (c *control) reportInterval() time.Duration {
+	if c.reportsDirectly() {
+		return directReportInterval
 	}
-	return relayedEvery
+	return relayedReportInterval
 }
 
 // report sends the other routers what changed here.
 func (c *control) report(now time.Time) {
-	m := &pomelorelay.LoadReport{Whole: now.Sub(c.wholeAt) >= wholeEvery}
+	m := &pomelorelay.LoadReport{Whole: now.Sub(c.fullReportAt) >= fullReportInterval}
 	if m.Whole {
-		c.wholeAt = now
+		c.fullReportAt = now
 	}
 	c.reportedAt = now
 	c.placer.Report(m)
 	m.Accounts = c.shares.Report(m.Whole, m.Accounts)
-	m.Leaving = c.upstreams.announced(now)
-	if !c.direct() {
-		c.relayOwn(now, m)
+	m.Leaving = c.upstreams.reportedLeaving(now)
+	if !c.reportsDirectly() {
+		c.relayOwnReport(now, m)
 		return
 	}
 	if m.Empty() {
 		return
 	}
-	for node := range c.peers.present {
+	for node := range c.peers.byNode {
 		c.send(node, m)
 	}
 }
 
-// takeReport takes another router's report, whoever brought it. One that is repeated or late is left out: for a moment two relays may hand
+// receiveReport takes another router's report, whoever brought it. One that is repeated or late is left out: for a moment two relays may hand
 // on the same reports, and taken after a newer one, an old report would bring back work that has ended, and sums that have grown since.
-func (c *control) takeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	if !c.peers.newer(from, incarnation, m.Seq) {
+func (c *control) receiveReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+	if !c.peers.acceptReport(from, incarnation, m.Seq) {
 		return
 	}
 	// A router's first report holds all that it has.
 	if m.Whole || m.Seq == 1 {
-		c.peers.noteWhole(from)
+		c.peers.markFullyReported(from)
 	}
-	c.apply(now, pomelorelay.Envelope{From: from, Incarnation: incarnation}, m)
+	c.applyReport(now, pomelorelay.Envelope{From: from, Incarnation: incarnation}, m)
 }
 
 func (c *control) receive(now time.Time, m pomelorelay.Envelope) {
-	c.peers.noteMessage(now, pomelorelay.Peer{Node: m.From, Domain: m.Domain, Region: m.Region})
-	c.noteGeneration(now, m.From, m.Generation)
+	c.peers.recordMessage(now, pomelorelay.Peer{Node: m.From, Domain: m.Domain, Region: m.Region})
+	c.recordGeneration(now, m.From, m.Generation)
 	switch msg := m.Message.(type) {
 	case *pomelorelay.LoadReport:
-		if c.direct() || c.relaysHere(now) {
-			c.takeReport(now, m.From, m.Incarnation, msg)
-			c.collect(now, m, msg)
+		if c.reportsDirectly() || c.isRelay(now) {
+			c.receiveReport(now, m.From, m.Incarnation, msg)
+			c.addNeighbourReport(now, m, msg)
 		}
 	case *pomelorelay.LoadSummary:
-		c.takeSummary(now, m, msg)
+		c.receiveSummary(now, m, msg)
 	case *pomelorelay.FleetUpdate:
 		c.receiveUpdate(now, m.From, msg)
 	case *pomelorelay.ConfigPull:
-		c.push(m.From, msg)
+		c.sendConfig(m.From, msg)
 	case *pomelorelay.ConfigPush:
-		c.takePush(now, m.From, msg)
+		c.applyPushedConfig(now, m.From, msg)
 	case *pomelorelay.StateAsk:
 		c.sendState(m.From, msg)
 	case *pomelorelay.FleetState:
-		c.takeState(now, m.From, msg)
+		c.applyPeerState(now, m.From, msg)
 	}
 }
 
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -39,7 +39,7 @@
 	events      chan event
 
 	cursor    cursor
-	storeBack bell
+	storeRecovered broadcast
 
 	table atomic.Pointer[pomelotable.Table]
 	// upstreams is the number of known upstreams.
@@ -47,32 +47,32 @@
 	// stopAt is the Unix nanosecond at which a planned stop ends the process, zero while none is planned.
 	stopAt   atomic.Int64
 	inFlight atomic.Int64
-	// turn is how long, in nanoseconds, no update must have come until this router reads the store; zero for the first in turn.
+	// readDelay is how long, in nanoseconds, no update must have come until this router reads the store; zero for the first in turn.
 	// updatedAt is the Unix nanosecond at which another router last sent an update.
-	turn      atomic.Int64
-	updatedAt atomic.Int64
+	readDelay      atomic.Int64
+	lastUpdateAt atomic.Int64
 	conns     atomic.Int64
-	bounds    bounds
-	// limit is how many requests the router takes at once; the control goroutine moves it.
-	limit atomic.Int64
-	// pressedAt is the Unix nanosecond at which the router last had nearly what it can take.
-	pressedAt atomic.Int64
-	// tickedAt is the Unix nanosecond of the control goroutine's last tick, tickLag how late it came.
-	tickedAt atomic.Int64
+	hostLimits    hostLimits
+	// requestLimit is how many requests the router takes at once; the control goroutine moves it.
+	requestLimit atomic.Int64
+	// nearCapacityAt is the Unix nanosecond at which the router last had nearly what it can take.
+	nearCapacityAt atomic.Int64
+	// lastTickAt is the Unix nanosecond of the control goroutine's last tick, tickLag how late it came.
+	lastTickAt atomic.Int64
 	tickLag  atomic.Int64
-	// laggedAt is the Unix nanosecond of the last tick that came late.
-	laggedAt atomic.Int64
+	// lastLateTickAt is the Unix nanosecond of the last tick that came late.
+	lastLateTickAt atomic.Int64
 
 	ctx     context.Context
 	cancel  context.CancelFunc
-	once    sync.Once
+	closeOnce    sync.Once
 	wg      sync.WaitGroup
 	servers []*http.Server
 	errs    chan error
 }
 
-// eventQueue is the length of the control goroutine's queue: several times the requests that a router has at once.
-const eventQueue = 1024
+// eventQueueLength is the length of the control goroutine's queue: several times the requests that a router has at once.
+const eventQueueLength = 1024
 
 // New makes a router and starts its goroutines; Listen opens its ports. It fails with the mesh's code.
 func New(cfg Config) (*Entry, error) {
@@ -84,11 +84,11 @@
 	}
 	e := &Entry{
 		cfg:         cfg,
-		bounds:      boundsOf(cfg.Settings),
+		hostLimits:      hostLimitsOf(cfg.Settings),
 		incarnation: cfg.Incarnation,
 		metrics:     pomelometric.New(),
-		events:      make(chan event, eventQueue),
-		errs:        make(chan error, listeners),
+		events:      make(chan event, eventQueueLength),
+		errs:        make(chan error, listenerCount),
 	}
 	if e.incarnation == 0 {
 		e.incarnation = pomelorelay.Incarnation(cfg.Clock.Now().UnixNano())
@@ -105,15 +105,15 @@
 		Placement:  placement{e},
 		Stopping:   stopping{e},
 		Meter:      e.metrics,
-		Left:       e.left,
+		Left:       e.callerGone,
 		RetryRatio: cfg.Settings.RetryRatio,
 		RetrySlack: cfg.Settings.RetrySlack,
 	})
-	e.limit.Store(e.bounds.first)
-	e.tickedAt.Store(cfg.Clock.Now().UnixNano())
+	e.requestLimit.Store(e.hostLimits.initialRequests)
+	e.lastTickAt.Store(cfg.Clock.Now().UnixNano())
 	c := newControl(e)
 	e.start(func(context.Context) { c.run() })
-	e.start(e.followStore)
+	e.start(e.readStoreLoop)
 	e.start(e.keepRegistered)
 	return e, nil
 }
@@ -168,12 +168,12 @@
 
 // Ready reports whether the router takes requests.
 func (e *Entry) Ready() bool {
-	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.pressed()
+	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.nearCapacity()
 }
 
 // Close ends the router at once; Stop does so gracefully.
 func (e *Entry) Close() {
-	e.once.Do(func() {
+	e.closeOnce.Do(func() {
 		for _, s := range e.servers {
 			s.Close()
 		}
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -13,8 +13,8 @@
 
 // NewLimited returns a router that does nothing but keep its limit of requests at once.
 func NewLimited(settings pomelorelay.FleetSettings) *Entry {
-	e := &Entry{bounds: boundsOf(settings)}
-	e.limit.Store(e.bounds.first)
+	e := &Entry{hostLimits: hostLimitsOf(settings)}
+	e.requestLimit.Store(e.hostLimits.initialRequests)
 	return e
 }
 
@@ -22,8 +22,8 @@
 func (e *Entry) TickWith(lag time.Duration, running int64) int64 {
 	e.tickLag.Store(int64(lag))
 	e.inFlight.Store(running)
-	e.adapt()
-	return e.limit.Load()
+	e.adaptRequestLimit()
+	return e.requestLimit.Load()
 }
 
 // Decider decides on places as the control goroutine does, without the goroutine.
@@ -45,7 +45,7 @@
 // UnreportedAfter returns how many routers are taken to send as much as this one, so long after one registered that is never heard.
 func UnreportedAfter(passed time.Duration) int {
 	p, now := newPeers(), time.Now()
-	p.put(now, pomelorelay.Peer{Node: "silent", Domain: "b", Region: "rb"})
+	p.register(now, pomelorelay.Peer{Node: "silent", Domain: "b", Region: "rb"})
 	return p.unreported(now.Add(passed), func(*knownPeer) bool { return false })
 }
 
@@ -62,8 +62,8 @@
 
 // Report takes another router's report.
 func (d Decider) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	d.c.peers.noteMessage(now, pomelorelay.Peer{Node: from})
-	d.c.takeReport(now, from, incarnation, m)
+	d.c.peers.recordMessage(now, pomelorelay.Peer{Node: from})
+	d.c.receiveReport(now, from, incarnation, m)
 }
 
 // Served returns what an account was served in the window.
@@ -74,16 +74,16 @@
 
 // LongestPause returns how long a reader may send no update, by the time after which an upstream that leaves must get nothing.
 func LongestPause(drain time.Duration) time.Duration {
-	return time.Duration((pacePart + waitPart) * float64(drain))
+	return time.Duration((readIntervalFraction + watchWaitFraction) * float64(drain))
 }
 
 // Turn returns how long without an update the router waits that is so many places after the first in the order of readers.
 func Turn(drain time.Duration, place int) time.Duration {
-	return time.Duration((turnPart + turnStep*float64(place-1)) * float64(drain))
+	return time.Duration((takeoverFraction + takeoverStepFraction*float64(place-1)) * float64(drain))
 }
 
 // Look returns how often a router looks whether it has to read the store itself.
-const Look = turnLook
+const Look = takeoverPollInterval
 
 // Follower is the part of a router that takes updates and decides whether it reads the store.
 type Follower struct{ c *control }
@@ -104,8 +104,8 @@
 
 // Turn returns how long without an update the router waits until it reads the store itself.
 func (f Follower) Turn(now time.Time) time.Duration {
-	f.c.takeTurn(now)
-	return time.Duration(f.c.e.turn.Load())
+	f.c.updateReadDelay(now)
+	return time.Duration(f.c.e.readDelay.Load())
 }
 
 // Receive takes an update, and returns the revision up to which the router has everything.
@@ -119,7 +119,7 @@
 
 // UpdateOf returns the update that the router sends of what it read.
 func (f Follower) UpdateOf(change pomelorelay.FleetChange) *pomelorelay.FleetUpdate {
-	return f.c.updateOf(&storeRead{change: change})
+	return f.c.updateFrom(&storeRead{change: change})
 }
 
 // Version returns the version of the configuration in force.
@@ -127,14 +127,14 @@
 
 // TakeState takes what a peer has.
 func (f Follower) TakeState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) pomelorelay.Revision {
-	f.c.takeState(now, from, m)
+	f.c.applyPeerState(now, from, m)
 	return f.c.e.cursor.get()
 }
 
 // TakeSummary takes the sum of the others' reports from the relay of its failure domain, and returns the number of other routers.
 func (f Follower) TakeSummary(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LoadSummary) int {
-	f.c.takeSummary(now, pomelorelay.Envelope{From: from, Incarnation: 1, Message: m}, m)
-	return len(f.c.peers.present)
+	f.c.receiveSummary(now, pomelorelay.Envelope{From: from, Incarnation: 1, Message: m}, m)
+	return len(f.c.peers.byNode)
 }
 
 // Upstreams returns the ids of the upstreams that the router has.
@@ -160,7 +160,7 @@
 
 // Take adds a source's report.
 func (s Sum) Take(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	s.a.take(now, string(from), from, incarnation, m)
+	s.a.add(now, string(from), from, incarnation, m)
 }
 
 // Reports returns what changed, or everything, for each source, without what that source has.
@@ -169,9 +169,9 @@
 	for _, from := range sources {
 		all[from] = s.a.report(string(from), whole, 1)
 	}
-	s.a.flushed()
+	s.a.markFlushed()
 	return all
 }
 
 // ForgetSilent forgets the sources that have reported nothing for a time.
-func (s Sum) ForgetSilent(now time.Time, most time.Duration) { s.a.forgetSilent(now, most) }
+func (s Sum) ForgetSilent(now time.Time, most time.Duration) { s.a.removeSilent(now, most) }
--- a/pomeloentry/follow.go
+++ b/pomeloentry/follow.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// followPause and followMost bound the pause after a failed call to the store: it answers in 4 ms when it is well, and after an
+	// minRetryPause and followMost bound the pause after a failed call to the store: it answers in 4 ms when it is well, and after an
 	// outage a router should have its answer well within the time to a configuration's being in force.
-	followPause = 100 * time.Millisecond
-	followMost  = 400 * time.Millisecond
-	// followIdle bounds the pause of what waits for the store to answer this router's reader again.
-	followIdle = 5 * time.Second
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause  = 400 * time.Millisecond
+	// maxPassiveRetryPause bounds the pause of what waits for the store to answer this router's reader again.
+	maxPassiveRetryPause = 5 * time.Second
 )
 
-// followMost bounds the pause after failures. Only a router's reader goes on trying; its success wakes the rest. The later a router's
+// maxPauseOf bounds the pause after failures. Only a router's reader goes on trying; its success wakes the rest. The later a router's
 // turn to read the store is, the longer it may pause: a large fleet would spend the store's rate on calls that fail.
-func (e *Entry) followMost(f *followed) time.Duration {
-	if !f.probes {
-		return followIdle
+func (e *Entry) maxPauseOf(f *storeTask) time.Duration {
+	if !f.probesStore {
+		return maxPassiveRetryPause
 	}
-	return min(followMost+time.Duration(e.turn.Load())/turnPause, followIdle)
+	return min(maxRetryPause+time.Duration(e.readDelay.Load())/readDelayPerPause, maxPassiveRetryPause)
 }
 
-// turnPause is how many times as long as its turn takes to come a router pauses more between two tries.
-const turnPause = 4
+// readDelayPerPause is how many times as long as its turn takes to come a router pauses more between two tries.
+const readDelayPerPause = 4
 
-// followed is something in the store that is watched.
-type followed struct {
+// storeTask is something in the store that is watched.
+type storeTask struct {
 	name string
 	// call makes one call; failed tells that the one before failed.
 	call func(failed bool) error
-	// pace is the least time between two calls.
-	pace time.Duration
-	// probes tells that it goes on trying while the store is away.
-	probes bool
+	// minInterval is the least time between two calls.
+	minInterval time.Duration
+	// probesStore tells that it goes on trying while the store is away.
+	probesStore bool
 }
 
-// follow calls again and again until ctx ends, and pauses longer after each failure in a row.
-func (e *Entry) follow(ctx context.Context, f followed) {
-	pause := followPause
+// runStoreTask calls again and again until ctx ends, and pauses longer after each failure in a row.
+func (e *Entry) runStoreTask(ctx context.Context, f storeTask) {
+	pause := minRetryPause
 	failed := false
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -54,28 +54,28 @@
 			if failed {
 				failed = false
 				e.log(pomelorelay.EventPlatformBack, field("What", f.name))
-				e.storeBack.signal()
+				e.storeRecovered.signal()
 			}
-			pause = followPause
-			sleep(ctx, f.pace-time.Since(began))
+			pause = minRetryPause
+			sleep(ctx, f.minInterval-time.Since(began))
 			continue
 		}
 		if !failed {
 			failed = true
 			e.log(pomelorelay.EventPlatformLost, field("What", f.name), field("Code", int(pomelorelay.CodeOf(err))), field("Fault", err.Error()))
 		}
-		e.storeBack.wait(ctx, pause)
-		pause = min(2*pause, e.followMost(&f))
+		e.storeRecovered.wait(ctx, pause)
+		pause = min(2*pause, e.maxPauseOf(&f))
 	}
 }
 
-// bell wakes all who wait for it; its zero value is ready for use.
-type bell struct {
+// broadcast wakes all who wait for it; its zero value is ready for use.
+type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-func (b *bell) channel() chan struct{} {
+func (b *broadcast) channel() chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next == nil {
@@ -85,7 +85,7 @@
 }
 
 // signal wakes everybody who waits now.
-func (b *bell) signal() {
+func (b *broadcast) signal() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next != nil {
@@ -96,7 +96,7 @@
 
 // wait waits for the signal, at most for the time. The first call that the store answers again wakes the others: each waiting for its
 // own time, a router that starts in an outage would refuse requests for most of a second longer.
-func (b *bell) wait(ctx context.Context, most time.Duration) {
+func (b *broadcast) wait(ctx context.Context, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// listeners is the number of ports that a router serves by HTTP.
-	listeners = 3
-	// headerWait bounds the reading of a request's header; the operators' own bound is 3 s.
-	headerWait = 10 * time.Second
-	// idleWait closes connections that callers leave unused; callers may use one again after four fifths of the operators' bound, 15 s.
-	idleWait = 20 * time.Second
+	// listenerCount is the number of ports that a router serves by HTTP.
+	listenerCount = 3
+	// headerTimeout bounds the reading of a request's header; the operators' own bound is 3 s.
+	headerTimeout = 10 * time.Second
+	// callerIdleTimeout closes connections that callers leave unused; callers may use one again after four fifths of the operators' bound, 15 s.
+	callerIdleTimeout = 20 * time.Second
 	// maxHeaderBytes bounds a request's header, above the operators' bound of 16 KiB.
 	maxHeaderBytes = 64 << 10
-	// stopPoll is how often a graceful stop looks whether the last request has ended.
-	stopPoll = 20 * time.Millisecond
+	// stopPollInterval is how often a graceful stop looks whether the last request has ended.
+	stopPollInterval = 20 * time.Millisecond
 	// stopMargin is the time before the process would be killed at which it ends by itself.
 	stopMargin = 700 * time.Millisecond
-	// quietAfter is how long after the signal to stop the balancer may still send new connections: two of its looks, a second apart.
-	quietAfter = 2500 * time.Millisecond
+	// balancerDrainTime is how long after the signal to stop the balancer may still send new connections: two of its looks, a second apart.
+	balancerDrainTime = 2500 * time.Millisecond
 )
 
 // Listen opens the ports; it fails with CodeListen when an address cannot be listened on.
@@ -34,11 +34,11 @@
 	settings := e.cfg.Settings
 	callers := &http.Server{
 		Handler:                      http.HandlerFunc(e.serveCaller),
-		ReadHeaderTimeout:            headerWait,
-		IdleTimeout:                  idleWait,
+		ReadHeaderTimeout:            headerTimeout,
+		IdleTimeout:                  callerIdleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
 		ConnState:                    e.countConn,
-		ConnContext:                  keepConn,
+		ConnContext:                  withConn,
 		DisableGeneralOptionsHandler: true,
 	}
 	ready := mux.NewRouter()
@@ -49,8 +49,8 @@
 		addr   netip.AddrPort
 		server *http.Server
 	}{
-		{settings.Metrics, &http.Server{Handler: metrics, ReadHeaderTimeout: headerWait}},
-		{settings.Readiness, &http.Server{Handler: ready, ReadHeaderTimeout: headerWait}},
+		{settings.Metrics, &http.Server{Handler: metrics, ReadHeaderTimeout: headerTimeout}},
+		{settings.Readiness, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}},
 		{settings.Callers, callers},
 	} {
 		if err := e.serve(l.server, l.addr); err != nil {
@@ -68,7 +68,7 @@
 	}
 	e.servers = append(e.servers, s)
 	if s.ConnState != nil {
-		l = boundListener{Listener: l, e: e}
+		l = loadSheddingListener{Listener: l, e: e}
 	}
 	e.start(func(context.Context) {
 		if err := s.Serve(l); err != http.ErrServerClosed {
@@ -84,7 +84,7 @@
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	if !e.takes(w, r) {
+	if !e.admit(w, r) {
 		return
 	}
 	e.forward.ServeHTTP(w, r)
@@ -116,10 +116,10 @@
 	e.log(pomelorelay.EventStopping, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()))
 	for {
 		now := e.cfg.Clock.Now()
-		if now.After(end) || (now.Sub(began) > quietAfter && e.conns.Load() == 0) {
+		if now.After(end) || (now.Sub(began) > balancerDrainTime && e.conns.Load() == 0) {
 			break
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	e.log(pomelorelay.EventStopped, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()))
 	e.Close()
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -16,123 +16,123 @@
 // cheaply, and the caller's next attempt reaches another router.
 
 const (
-	// requestMemory is what a request takes while it runs: two connections' buffers, stacks and a body.
-	requestMemory = 64 << 10
-	// requestsShare is the part of the memory that requests may take.
-	requestsShare = 0.3
-	// requestsPerCore is the number of streams that a core is taken to carry at first.
-	requestsPerCore = 1000
-	// leastRequests keeps a host of unknown size at work.
-	leastRequests = 64
-	// connMemory is what an idle connection takes: a stack, two buffers of 4 KB and net/http's own; and connsShare the part of the memory that connections may take.
-	connMemory = 20 << 10
-	connsShare = 0.3
-	// systemFDs are the descriptors that the platform keeps for files, and fdsShare the part of the others that callers may take; each
+	// requestMemoryBytes is what a request takes while it runs: two connections' buffers, stacks and a body.
+	requestMemoryBytes = 64 << 10
+	// requestMemoryFraction is the part of the memory that requests may take.
+	requestMemoryFraction = 0.3
+	// initialRequestsPerCore is the number of streams that a core is taken to carry at first.
+	initialRequestsPerCore = 1000
+	// minRequests keeps a host of unknown size at work.
+	minRequests = 64
+	// connMemoryBytes is what an idle connection takes: a stack, two buffers of 4 KB and net/http's own; and connsShare the part of the memory that connections may take.
+	connMemoryBytes = 20 << 10
+	connMemoryFraction = 0.3
+	// reservedFDs are the descriptors that the platform keeps for files, and fdsShare the part of the others that callers may take; each
 	// running request has a second one to its upstream.
-	systemFDs = 200
-	fdsShare  = 0.5
-	// pressedShare is the part of a bound from which a router asks for less: it is not ready, and callers' connections end with their
+	reservedFDs = 200
+	connFDFraction  = 0.5
+	// nearCapacityFraction is the part of a bound from which a router asks for less: it is not ready, and callers' connections end with their
 	// answers. It does so until pressedFor after.
-	pressedShare = 0.85
-	pressedFor   = 2500 * time.Millisecond
+	nearCapacityFraction = 0.85
+	nearCapacityHold   = 2500 * time.Millisecond
 	// The limit of requests at once follows the processor: each tick that comes lagLook late takes limitDown of it off, each in time that
 	// finds it used adds limitUp. What a stream costs differs by how often its upstream sends events: a fixed limit would keep some
 	// hosts late for seconds, and make others refuse beside a free processor.
-	limitDown = 0.9
-	limitUp   = 1.02
-	// busyRetry is the Retry-After of a full router: another one takes them at once.
-	busyRetry = 10 * time.Millisecond
+	limitDecrease = 0.9
+	limitIncrease   = 1.02
+	// fullRouterRetryAfter is the Retry-After of a full router: another one takes them at once.
+	fullRouterRetryAfter = 10 * time.Millisecond
 )
 
-// bounds are what a router of its host's size takes.
-type bounds struct {
-	requests int64
-	conns    int64
-	// first is the limit of requests at once with which a router starts; requests bounds it.
-	first int64
+// hostLimits are what a router of its host's size takes.
+type hostLimits struct {
+	maxRequests int64
+	maxConns    int64
+	// initialRequests is the limit of requests at once with which a router starts; requests bounds it.
+	initialRequests int64
 }
 
-func boundsOf(s pomelorelay.FleetSettings) bounds {
-	b := bounds{requests: 1 << 20, conns: 1 << 20}
+func hostLimitsOf(s pomelorelay.FleetSettings) hostLimits {
+	b := hostLimits{maxRequests: 1 << 20, maxConns: 1 << 20}
 	if s.Memory > 0 {
-		b.requests = min(b.requests, int64(requestsShare*float64(s.Memory)/requestMemory))
-		b.conns = min(b.conns, int64(connsShare*float64(s.Memory)/connMemory))
+		b.maxRequests = min(b.maxRequests, int64(requestMemoryFraction*float64(s.Memory)/requestMemoryBytes))
+		b.maxConns = min(b.maxConns, int64(connMemoryFraction*float64(s.Memory)/connMemoryBytes))
 	}
-	if s.MaxFDs > systemFDs {
-		b.conns = min(b.conns, int64(fdsShare*float64(s.MaxFDs-systemFDs)))
+	if s.MaxFDs > reservedFDs {
+		b.maxConns = min(b.maxConns, int64(connFDFraction*float64(s.MaxFDs-reservedFDs)))
 	}
-	b.requests = max(b.requests, leastRequests)
-	b.first = b.requests
+	b.maxRequests = max(b.maxRequests, minRequests)
+	b.initialRequests = b.maxRequests
 	if s.Self.Power > 0 {
-		b.first = min(b.first, max(int64(requestsPerCore*s.Self.Power), leastRequests))
+		b.initialRequests = min(b.initialRequests, max(int64(initialRequestsPerCore*s.Self.Power), minRequests))
 	}
-	b.conns = max(b.conns, leastRequests)
+	b.maxConns = max(b.maxConns, minRequests)
 	return b
 }
 
 const (
-	// lagMost is how late the control goroutine's ticks may come; beyond, the processor does not keep up and new requests are refused.
+	// maxLag is how late the control goroutine's ticks may come; beyond, the processor does not keep up and new requests are refused.
 	// A request that waits as long to be read has lost a quarter of its target.
-	lagMost = 100 * time.Millisecond
-	// lagLook is the lateness from which a router looks whether a caller is still there before it sends a request on.
-	lagLook = 20 * time.Millisecond
-	// laggedFor is how long after the last late tick callers are looked for: they wait a second until they give up.
-	laggedFor = 1500 * time.Millisecond
-	// connsOver is how far over their bound connections may go before new ones are closed unread.
-	connsOver = 1.3
+	maxLag = 100 * time.Millisecond
+	// lateTickThreshold is the lateness from which a router looks whether a caller is still there before it sends a request on.
+	lateTickThreshold = 20 * time.Millisecond
+	// lateTickHold is how long after the last late tick callers are looked for: they wait a second until they give up.
+	lateTickHold = 1500 * time.Millisecond
+	// connOverloadFactor is how far over their bound connections may go before new ones are closed unread.
+	connOverloadFactor = 1.3
 )
 
 // lag returns how late the control goroutine is: what waits to run on this processor waits as long.
 func (e *Entry) lag() time.Duration {
-	since := time.Duration(e.cfg.Clock.Now().UnixNano() - e.tickedAt.Load())
-	return max(time.Duration(e.tickLag.Load()), since-tickEvery)
+	since := time.Duration(e.cfg.Clock.Now().UnixNano() - e.lastTickAt.Load())
+	return max(time.Duration(e.tickLag.Load()), since-tickInterval)
 }
 
-// noteTick notes when the control goroutine ticks.
-func (e *Entry) noteTick(now time.Time) {
-	last := e.tickedAt.Swap(now.UnixNano())
-	lag := max(0, now.UnixNano()-last-int64(tickEvery))
+// recordTick notes when the control goroutine ticks.
+func (e *Entry) recordTick(now time.Time) {
+	last := e.lastTickAt.Swap(now.UnixNano())
+	lag := max(0, now.UnixNano()-last-int64(tickInterval))
 	e.tickLag.Store(lag)
-	if lag >= int64(lagLook) {
-		e.laggedAt.Store(now.UnixNano())
+	if lag >= int64(lateTickThreshold) {
+		e.lastLateTickAt.Store(now.UnixNano())
 	}
 }
 
-// adapt moves the limit of requests at once after a tick.
-func (e *Entry) adapt() {
-	limit, running := float64(e.limit.Load()), float64(e.inFlight.Load())
+// adaptRequestLimit moves the limit of requests at once after a tick.
+func (e *Entry) adaptRequestLimit() {
+	limit, running := float64(e.requestLimit.Load()), float64(e.inFlight.Load())
 	switch {
-	case e.tickLag.Load() >= int64(lagLook):
-		limit = max(leastRequests, limitDown*min(limit, max(running, leastRequests)))
-	case running > pressedShare*limit:
-		limit = min(float64(e.bounds.requests), limitUp*limit+1)
+	case e.tickLag.Load() >= int64(lateTickThreshold):
+		limit = max(minRequests, limitDecrease*min(limit, max(running, minRequests)))
+	case running > nearCapacityFraction*limit:
+		limit = min(float64(e.hostLimits.maxRequests), limitIncrease*limit+1)
 	}
-	e.limit.Store(int64(limit))
+	e.requestLimit.Store(int64(limit))
 }
 
-// lagged reports whether the control goroutine was late a moment ago: what waited meanwhile is only read now.
-func (e *Entry) lagged() bool {
+// recentlyLate reports whether the control goroutine was late a moment ago: what waited meanwhile is only read now.
+func (e *Entry) recentlyLate() bool {
 	now := e.cfg.Clock.Now().UnixNano()
-	return e.lag() >= lagLook || now-e.laggedAt.Load() < int64(laggedFor)
+	return e.lag() >= lateTickThreshold || now-e.lastLateTickAt.Load() < int64(lateTickHold)
 }
 
-func (e *Entry) overrun() bool {
-	return e.lag() > lagMost || float64(e.conns.Load()) > connsOver*float64(e.bounds.conns)
+func (e *Entry) overloaded() bool {
+	return e.lag() > maxLag || float64(e.conns.Load()) > connOverloadFactor*float64(e.hostLimits.maxConns)
 }
 
-// boundListener closes connections that come while there are too many or the processor does not keep up, before anything is read of
+// loadSheddingListener closes connections that come while there are too many or the processor does not keep up, before anything is read of
 // them: their callers try another router, and no goroutine or buffer is spent on them. A small host that read and refused each would stand
 // still, with everything that runs there.
-type boundListener struct {
+type loadSheddingListener struct {
 	net.Listener
 	e *Entry
 }
 
 // Accept returns the next connection that the router has room for.
-func (l boundListener) Accept() (net.Conn, error) {
+func (l loadSheddingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if err != nil || !l.e.overrun() {
+		if err != nil || !l.e.overloaded() {
 			return conn, err
 		}
 		// A failure to close leaves nothing to do: the connection is gone either way.
@@ -140,10 +140,10 @@
 	}
 }
 
-// noteRefused counts what a request asked that is refused unread. Left out, an account whose callers come to full routers looks as if it wanted
+// countRefused counts what a request asked that is refused unread. Left out, an account whose callers come to full routers looks as if it wanted
 // nothing, the others get its share, and its shortage does not show. Where the control goroutine has more than it can take, the
 // request is not counted: the router must not wait for it.
-func (e *Entry) noteRefused(r *http.Request) {
+func (e *Entry) countRefused(r *http.Request) {
 	account, cost := e.forward.Asks(r)
 	if cost <= 0 {
 		return
@@ -156,15 +156,15 @@
 
 type connKey struct{}
 
-// keepConn keeps a caller's connection with its requests.
-func keepConn(ctx context.Context, c net.Conn) context.Context {
+// withConn keeps a caller's connection with its requests.
+func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// left reports whether the caller closed its connection. On a processor that does not keep up, net/http notices that late: requests
+// callerGone reports whether the caller closed its connection. On a processor that does not keep up, net/http notices that late: requests
 // would be sent on whose callers gave up while nobody read them.
-func (e *Entry) left(r *http.Request) bool {
-	if !e.lagged() {
+func (e *Entry) callerGone(r *http.Request) bool {
+	if !e.recentlyLate() {
 		return false
 	}
 	conn, ok := r.Context().Value(connKey{}).(*net.TCPConn)
@@ -184,29 +184,29 @@
 	return gone || err != nil
 }
 
-// pressed reports whether the router has nearly what it can take, or had a moment ago.
-func (e *Entry) pressed() bool {
+// nearCapacity reports whether the router has nearly what it can take, or had a moment ago.
+func (e *Entry) nearCapacity() bool {
 	now := e.cfg.Clock.Now().UnixNano()
-	full := e.lag() > lagMost || float64(e.inFlight.Load()) > pressedShare*float64(e.limit.Load()) || float64(e.conns.Load()) > pressedShare*float64(e.bounds.conns)
+	full := e.lag() > maxLag || float64(e.inFlight.Load()) > nearCapacityFraction*float64(e.requestLimit.Load()) || float64(e.conns.Load()) > nearCapacityFraction*float64(e.hostLimits.maxConns)
 	if full {
-		e.pressedAt.Store(now)
+		e.nearCapacityAt.Store(now)
 	}
-	return full || now-e.pressedAt.Load() < int64(pressedFor)
+	return full || now-e.nearCapacityAt.Load() < int64(nearCapacityHold)
 }
 
-// takes counts a request in; it reports false, and has answered, when the router is full.
-func (e *Entry) takes(w http.ResponseWriter, r *http.Request) bool {
-	if e.pressed() {
+// admit counts a request in; it reports false, and has answered, when the router is full.
+func (e *Entry) admit(w http.ResponseWriter, r *http.Request) bool {
+	if e.nearCapacity() {
 		w.Header().Set("Connection", "close")
 	}
-	if e.inFlight.Load() <= e.limit.Load() && e.lag() <= lagMost {
+	if e.inFlight.Load() <= e.requestLimit.Load() && e.lag() <= maxLag {
 		return true
 	}
 	err := pomelorelay.NewError(pomelorelay.CodeRouterFull, "", nil)
-	err.RetryAfter = busyRetry
+	err.RetryAfter = fullRouterRetryAfter
 	pomeloforward.Refuse(w, err)
 	e.metrics.Answered("None", "full", 0, 0)
-	e.noteRefused(r)
-	e.log(pomelorelay.EventRouterFull, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()), field("Most", e.limit.Load()), field("LagMS", e.lag().Milliseconds()))
+	e.countRefused(r)
+	e.log(pomelorelay.EventRouterFull, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()), field("Most", e.requestLimit.Load()), field("LagMS", e.lag().Milliseconds()))
 	return false
 }
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -10,64 +10,64 @@
 const (
 	// registrationTTL is how long a router's entry outlives its last renewal; its peers close nothing before their links break.
 	registrationTTL = 30 * time.Second
-	// renewEvery is the interval of renewals, a third of the time to live.
-	renewEvery = 10 * time.Second
-	// leaveWait bounds the call that ends the registration at a planned stop.
-	leaveWait = 500 * time.Millisecond
+	// renewInterval is the interval of renewals, a third of the time to live.
+	renewInterval = 10 * time.Second
+	// deregisterTimeout bounds the call that ends the registration at a planned stop.
+	deregisterTimeout = 500 * time.Millisecond
 )
 
-// silentAfter is how long an unregistered router may be silent until it is taken as gone: a few whole reports.
-const silentAfter = 5 * time.Second
+// peerSilenceTimeout is how long an unregistered router may be silent until it is taken as gone: a few whole reports.
+const peerSilenceTimeout = 5 * time.Second
 
 // knownPeer is a router that is registered, or was and still sends messages.
 type knownPeer struct {
 	pomelorelay.Peer
 	registered bool
 	seenAt     time.Time
-	// since is when this router first knew it.
-	since time.Time
-	// whole is set once it has reported all that it has on the upstreams.
-	whole bool
+	// knownSince is when this router first knew it.
+	knownSince time.Time
+	// fullyReported is set once it has reported all that it has on the upstreams.
+	fullyReported bool
 	// incarnation and seq are of the last report that was taken.
 	incarnation pomelorelay.Incarnation
-	seq         uint64
+	lastSeq         uint64
 }
 
-// relays reports whether the router is there to relay.
-func (p *knownPeer) relays(now time.Time) bool {
-	return now.Sub(p.seenAt) <= relayTimeout || now.Sub(p.since) <= relayGrace
+// relayEligible reports whether the router is there to relay.
+func (p *knownPeer) relayEligible(now time.Time) bool {
+	return now.Sub(p.seenAt) <= relayTimeout || now.Sub(p.knownSince) <= relayGrace
 }
 
 // peers are the other routers. One that cannot reach the store loses its registration; it still gets every message as long as its
 // own messages come, or it would go on with an old configuration beside neighbours that could give it the new one.
 type peers struct {
-	present map[pomelorelay.NodeID]*knownPeer
+	byNode map[pomelorelay.NodeID]*knownPeer
 }
 
-func newPeers() peers { return peers{present: make(map[pomelorelay.NodeID]*knownPeer)} }
+func newPeers() peers { return peers{byNode: make(map[pomelorelay.NodeID]*knownPeer)} }
 
-func (p *peers) put(now time.Time, peer pomelorelay.Peer) {
-	known := p.present[peer.Node]
+func (p *peers) register(now time.Time, peer pomelorelay.Peer) {
+	known := p.byNode[peer.Node]
 	if known == nil {
-		known = &knownPeer{since: now}
-		p.present[peer.Node] = known
+		known = &knownPeer{knownSince: now}
+		p.byNode[peer.Node] = known
 	}
 	known.Peer, known.registered = peer, true
 }
 
 func (p *peers) unregister(node pomelorelay.NodeID) {
-	if known := p.present[node]; known != nil {
+	if known := p.byNode[node]; known != nil {
 		known.registered = false
 	}
 }
 
-// noteMessage notes a router's message. One that was never seen registered is answered over its own link: it may have been parted from the
+// recordMessage notes a router's message. One that was never seen registered is answered over its own link: it may have been parted from the
 // store before this router could read its entry. What is not known of where it is, the message's sender says.
-func (p *peers) noteMessage(now time.Time, peer pomelorelay.Peer) {
-	known := p.present[peer.Node]
+func (p *peers) recordMessage(now time.Time, peer pomelorelay.Peer) {
+	known := p.byNode[peer.Node]
 	if known == nil {
-		known = &knownPeer{Peer: peer, since: now}
-		p.present[peer.Node] = known
+		known = &knownPeer{Peer: peer, knownSince: now}
+		p.byNode[peer.Node] = known
 	}
 	if known.Domain == "" {
 		known.Domain, known.Region = peer.Domain, peer.Region
@@ -75,29 +75,29 @@
 	known.seenAt = now
 }
 
-// newer reports whether a report comes after all that were taken from the router, and notes it.
-func (p *peers) newer(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, seq uint64) bool {
-	known := p.present[node]
-	if known == nil || incarnation < known.incarnation || (incarnation == known.incarnation && seq <= known.seq) {
+// acceptReport reports whether a report comes after all that were taken from the router, and notes it.
+func (p *peers) acceptReport(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, seq uint64) bool {
+	known := p.byNode[node]
+	if known == nil || incarnation < known.incarnation || (incarnation == known.incarnation && seq <= known.lastSeq) {
 		return false
 	}
-	known.incarnation, known.seq = incarnation, seq
+	known.incarnation, known.lastSeq = incarnation, seq
 	return true
 }
 
-// noteWhole notes that a router has reported all that it has.
-func (p *peers) noteWhole(node pomelorelay.NodeID) { p.present[node].whole = true }
+// markFullyReported notes that a router has reported all that it has.
+func (p *peers) markFullyReported(node pomelorelay.NodeID) { p.byNode[node].fullyReported = true }
 
-// unreportedFor is how long a router without a report yet counts as sending as much as this one: several whole reports. Taken so for longer, a
+// unreportedTimeout is how long a router without a report yet counts as sending as much as this one: several whole reports. Taken so for longer, a
 // router that starts while other regions are cut off would keep most of the upstreams that it reaches free for them, and refuse its callers
 // beside idle engines until the cut ends.
-const unreportedFor = 3 * time.Second
+const unreportedTimeout = 3 * time.Second
 
 // unreported returns the number of registered routers that have not reported yet what they have on the upstreams.
 func (p *peers) unreported(now time.Time, summed func(*knownPeer) bool) int {
 	n := 0
-	for _, known := range p.present {
-		if known.registered && !known.whole && now.Sub(known.since) < unreportedFor && !summed(known) {
+	for _, known := range p.byNode {
+		if known.registered && !known.fullyReported && now.Sub(known.knownSince) < unreportedTimeout && !summed(known) {
 			n++
 		}
 	}
@@ -107,16 +107,16 @@
 // unreported leaves out the routers that a relay's summary holds.
 func (c *control) unreported(now time.Time) int {
 	return c.peers.unreported(now, func(p *knownPeer) bool {
-		return c.relayed.from != "" || c.relayed.domains[p.Domain] != ""
+		return c.relay.relayNode != "" || c.relay.domainRelays[p.Domain] != ""
 	})
 }
 
-// drop forgets unregistered routers that are silent; it reports whether there were any.
-func (p *peers) drop(now time.Time) bool {
+// dropSilent forgets unregistered routers that are silent; it reports whether there were any.
+func (p *peers) dropSilent(now time.Time) bool {
 	dropped := false
-	for node, known := range p.present {
-		if !known.registered && now.Sub(known.seenAt) > silentAfter {
-			delete(p.present, node)
+	for node, known := range p.byNode {
+		if !known.registered && now.Sub(known.seenAt) > peerSilenceTimeout {
+			delete(p.byNode, node)
 			dropped = true
 		}
 	}
@@ -125,8 +125,8 @@
 
 // registered returns the registered routers.
 func (p *peers) registered() []pomelorelay.Peer {
-	list := make([]pomelorelay.Peer, 0, len(p.present)+1)
-	for _, known := range p.present {
+	list := make([]pomelorelay.Peer, 0, len(p.byNode)+1)
+	for _, known := range p.byNode {
 		if known.registered {
 			list = append(list, known.Peer)
 		}
@@ -134,10 +134,10 @@
 	return list
 }
 
-// list returns the routers that can be dialled.
-func (p *peers) list() []pomelorelay.Peer {
-	list := make([]pomelorelay.Peer, 0, len(p.present))
-	for _, known := range p.present {
+// dialable returns the routers that can be dialled.
+func (p *peers) dialable() []pomelorelay.Peer {
+	list := make([]pomelorelay.Peer, 0, len(p.byNode))
+	for _, known := range p.byNode {
 		if known.Addr.IsValid() {
 			list = append(list, known.Peer)
 		}
@@ -148,26 +148,26 @@
 // applyPeers takes in what changed among the registered routers.
 func (c *control) applyPeers(now time.Time, change *pomelorelay.FleetChange) {
 	if change.Whole {
-		for node := range c.peers.present {
+		for node := range c.peers.byNode {
 			c.peers.unregister(node)
 		}
 	}
 	for _, p := range change.Peers {
 		if p.Node != c.e.cfg.Settings.Self.Node {
-			c.peers.put(now, p)
+			c.peers.register(now, p)
 		}
 	}
 	for _, node := range change.GonePeers {
 		c.peers.unregister(node)
 	}
-	dropped := c.peers.drop(now)
+	dropped := c.peers.dropSilent(now)
 	if dropped || change.Whole || len(change.Peers)+len(change.GonePeers) > 0 {
 		c.setPeers()
 	}
 }
 
 func (c *control) setPeers() {
-	list := c.peers.list()
+	list := c.peers.dialable()
 	c.e.mesh.SetPeers(list)
 	c.placer.SetRouters(c.peers.registered())
 	c.e.log(pomelorelay.EventPeersChanged, field("Peers", len(list)))
@@ -176,7 +176,7 @@
 // keepRegistered keeps this router's entry in the store, so that the others find it.
 func (e *Entry) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
-	e.follow(ctx, followed{name: "registration", pace: renewEvery, call: func(bool) error {
+	e.runStoreTask(ctx, storeTask{name: "registration", minInterval: renewInterval, call: func(bool) error {
 		if lease == 0 {
 			opened, err := e.cfg.Platform.Announce(ctx, e.cfg.Settings.Self, registrationTTL)
 			e.metrics.StoreCalled("announce", "registration", pomelorelay.CodeOf(err))
@@ -196,7 +196,7 @@
 		return
 	}
 	// ctx has ended; the entry would lapse by itself, a little later.
-	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveWait)
+	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
 	err := e.cfg.Platform.CloseLease(left, lease)
 	e.metrics.StoreCalled("close", "registration", pomelorelay.CodeOf(err))
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -19,7 +19,7 @@
 
 // Place returns a ticket or a refusal; it fails when ctx ends first.
 func (p placement) Place(ctx context.Context, w pomeloforward.Work) (pomeloforward.Ticket, pomeloplace.Decision, error) {
-	asked := &placeAsked{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
+	asked := &placementRequested{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
 	select {
 	case p.e.events <- asked:
 	case <-ctx.Done():
@@ -31,17 +31,17 @@
 	if d.Run == nil {
 		return nil, d, ctx.Err()
 	}
-	return ticket{e: p.e, run: d.Run, work: w}, d, nil
+	return reservation{e: p.e, run: d.Run, work: w}, d, nil
 }
 
-// placeAsked is posted by a request that wants a place.
-type placeAsked struct {
+// placementRequested is posted by a request that wants a place.
+type placementRequested struct {
 	ctx    context.Context
 	work   pomeloforward.Work
 	answer chan pomeloplace.Decision
 }
 
-func (a *placeAsked) apply(c *control, now time.Time) {
+func (a *placementRequested) apply(c *control, now time.Time) {
 	if a.ctx.Err() != nil {
 		a.answer <- pomeloplace.Decision{}
 		return
@@ -49,24 +49,24 @@
 	a.answer <- c.place(now, a.work)
 }
 
-// ticket implements pomeloforward.Ticket.
-type ticket struct {
+// reservation implements pomeloforward.Ticket.
+type reservation struct {
 	e    *Entry
 	run  *pomeloplace.Run
 	work pomeloforward.Work
 }
 
 // Begun notes that the answer began.
-func (t ticket) Begun() { t.e.post(&begun{t.run}) }
+func (t reservation) Begun() { t.e.post(&answerBegan{t.run}) }
 
 // Ended notes how the run ended.
-func (t ticket) Ended(r pomeloplace.Result) { t.e.post(&ended{t.run, t.work, r}) }
+func (t reservation) Ended(r pomeloplace.Result) { t.e.post(&runEnded{t.run, t.work, r}) }
 
-type begun struct{ run *pomeloplace.Run }
+type answerBegan struct{ run *pomeloplace.Run }
 
-func (b *begun) apply(c *control, now time.Time) { c.placer.Begun(now, b.run) }
+func (b *answerBegan) apply(c *control, now time.Time) { c.placer.Begun(now, b.run) }
 
-type ended struct {
+type runEnded struct {
 	run    *pomeloplace.Run
 	work   pomeloforward.Work
 	result pomeloplace.Result
@@ -74,7 +74,7 @@
 
 // apply ends a run. What surely did not run is given back to its account: while upstreams are down, an account whose requests find
 // them first would use up its share by nothing, and see the rest refused.
-func (d *ended) apply(c *control, now time.Time) {
+func (d *runEnded) apply(c *control, now time.Time) {
 	c.placer.Ended(now, d.run, d.result)
 	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
 		c.shares.Returned(d.work.Account, d.work.Cost)
--- a/pomeloentry/reader.go
+++ b/pomeloentry/reader.go
@@ -16,22 +16,22 @@
 // when no update has come for longer, in an order that every router computes alike.
 
 const (
-	// pacePart is the least time between two reads, as a part of the time to the last request of an upstream that leaves: upstreams write
+	// readIntervalFraction is the least time between two reads, as a part of the time to the last request of an upstream that leaves: upstreams write
 	// all the time.
-	pacePart = 0.2
-	// waitPart is how long a read waits for a change, as a part of the same time.
-	waitPart = 0.2
-	// turnPart is the part of that time without an update after which the second router in turn reads, and turnStep what each further one
+	readIntervalFraction = 0.2
+	// watchWaitFraction is how long a read waits for a change, as a part of the same time.
+	watchWaitFraction = 0.2
+	// takeoverFraction is the part of that time without an update after which the second router in turn reads, and turnStep what each further one
 	// waits longer. The reader is silent for its pace and its wait together at most.
-	turnPart = 0.5
-	turnStep = 0.03
-	// turnLook is how often a router looks whether its turn has come.
-	turnLook = 200 * time.Millisecond
-	// settleWork is the work, in seconds of a whole core, after which a router that starts reads by itself if nobody sends it updates. The
+	takeoverFraction = 0.5
+	takeoverStepFraction = 0.03
+	// takeoverPollInterval is how often a router looks whether its turn has come.
+	takeoverPollInterval = 200 * time.Millisecond
+	// startupDelayWork is the work, in seconds of a whole core, after which a router that starts reads by itself if nobody sends it updates. The
 	// strongest routers read first then and spare the others.
-	settleWork = 250 * time.Millisecond
-	// settleMost bounds that time.
-	settleMost = 3 * time.Second
+	startupDelayWork = 250 * time.Millisecond
+	// maxStartupDelay bounds that time.
+	maxStartupDelay = 3 * time.Second
 )
 
 // cursor is the revision up to which this router has what the store holds.
@@ -46,8 +46,8 @@
 	return w.at
 }
 
-// begun reports whether the router has read everything once.
-func (w *cursor) begun() bool { return w.get() > 0 }
+// hasRead reports whether the router has read everything once.
+func (w *cursor) hasRead() bool { return w.get() > 0 }
 
 // advance moves on by a change between two revisions; it reports false when the change is old, or when a part before it is missing.
 func (w *cursor) advance(after, at pomelorelay.Revision, whole bool) bool {
@@ -60,41 +60,41 @@
 	return true
 }
 
-// misses reports whether a change shows that something before it is missing.
-func (w *cursor) misses(at pomelorelay.Revision) bool { return at > w.get() }
+// isBehind reports whether a change shows that something before it is missing.
+func (w *cursor) isBehind(at pomelorelay.Revision) bool { return at > w.get() }
 
-// followStore reads the store whenever it is this router's turn.
-func (e *Entry) followStore(ctx context.Context) {
+// readStoreLoop reads the store whenever it is this router's turn.
+func (e *Entry) readStoreLoop(ctx context.Context) {
 	started := time.Now()
-	settle := e.settleTime()
-	e.follow(ctx, followed{name: "store", probes: true, call: func(failed bool) error {
-		if e.cursor.begun() && (time.Since(started) < settle || !e.readsNow()) {
-			sleep(ctx, turnLook)
+	settle := e.startupDelay()
+	e.runStoreTask(ctx, storeTask{name: "store", probesStore: true, call: func(failed bool) error {
+		if e.cursor.hasRead() && (time.Since(started) < settle || !e.shouldRead()) {
+			sleep(ctx, takeoverPollInterval)
 			return nil
 		}
 		began := time.Now()
 		if err := e.read(ctx, failed); err != nil {
 			return err
 		}
-		sleep(ctx, e.ofDrain(pacePart)-time.Since(began))
+		sleep(ctx, e.drainFraction(readIntervalFraction)-time.Since(began))
 		return nil
 	}})
 }
 
-// settleTime returns how long after its start the router waits for updates before it reads again.
-func (e *Entry) settleTime() time.Duration {
+// startupDelay returns how long after its start the router waits for updates before it reads again.
+func (e *Entry) startupDelay() time.Duration {
 	power := e.cfg.Settings.Self.Power
 	if power <= 0 {
 		return 0
 	}
 	spread := 1 + float64(xxhash.Sum64String(string(e.cfg.Settings.Self.Node))>>11)/(1<<53)
-	return min(time.Duration(spread/power*float64(settleWork)), settleMost)
+	return min(time.Duration(spread/power*float64(startupDelayWork)), maxStartupDelay)
 }
 
-// readsNow reports whether it is this router's turn to read the store.
-func (e *Entry) readsNow() bool {
-	turn := e.turn.Load()
-	return turn == 0 || e.cfg.Clock.Now().UnixNano()-e.updatedAt.Load() >= turn
+// shouldRead reports whether it is this router's turn to read the store.
+func (e *Entry) shouldRead() bool {
+	turn := e.readDelay.Load()
+	return turn == 0 || e.cfg.Clock.Now().UnixNano()-e.lastUpdateAt.Load() >= turn
 }
 
 // read reads everything at first and after the store dropped its history, and changes otherwise.
@@ -104,15 +104,15 @@
 		// What a stale read lacks comes with the first update.
 		return e.readAll(ctx, "start", !failed)
 	}
-	change, err := e.cfg.Platform.Watch(ctx, after, e.ofDrain(waitPart))
-	e.metrics.StoreCalled("watch", e.turnName(), pomelorelay.CodeOf(err))
+	change, err := e.cfg.Platform.Watch(ctx, after, e.drainFraction(watchWaitFraction))
+	e.metrics.StoreCalled("watch", e.readerRole(), pomelorelay.CodeOf(err))
 	if pomelorelay.IsErrCode(err, pomelorelay.CodeStoreCompacted) {
 		return e.readAll(ctx, "compacted", false)
 	}
 	if err != nil {
 		return err
 	}
-	e.postRead(ctx, &storeRead{change: change, after: after, back: failed})
+	e.postRead(ctx, &storeRead{change: change, after: after, recovered: failed})
 	return nil
 }
 
@@ -126,8 +126,8 @@
 	return nil
 }
 
-func (e *Entry) turnName() string {
-	if e.turn.Load() == 0 {
+func (e *Entry) readerRole() string {
+	if e.readDelay.Load() == 0 {
 		return "first"
 	}
 	return "takeover"
@@ -150,7 +150,7 @@
 	change pomelorelay.FleetChange
 	after  pomelorelay.Revision
 	stale  bool
-	back   bool
+	recovered   bool
 	done   chan struct{}
 }
 
@@ -161,13 +161,13 @@
 		return
 	}
 	if !a.stale {
-		c.sendUpdate(now, c.updateOf(a))
+		c.sendUpdate(now, c.updateFrom(a))
 	}
-	c.applyChange(now, &a.change, a.back, "store")
+	c.applyChange(now, &a.change, a.recovered, "store")
 }
 
-// updateOf returns what of a change the other routers do not have: heartbeats that change nothing are left out.
-func (c *control) updateOf(a *storeRead) *pomelorelay.FleetUpdate {
+// updateFrom returns what of a change the other routers do not have: heartbeats that change nothing are left out.
+func (c *control) updateFrom(a *storeRead) *pomelorelay.FleetUpdate {
 	m := &pomelorelay.FleetUpdate{After: a.after, At: a.change.At, Whole: a.change.Whole, GoneUpstreams: a.change.GoneUpstreams, GonePeers: a.change.GonePeers, Evacuated: a.change.Evacuated, Restored: a.change.Restored}
 	if a.change.Config != nil {
 		// The others go on from this revision: should this router die next, the configuration would not be read again.
@@ -180,7 +180,7 @@
 		}
 	}
 	for _, p := range a.change.Peers {
-		if known := c.peers.present[p.Node]; m.Whole || known == nil || !known.registered || known.Peer != p {
+		if known := c.peers.byNode[p.Node]; m.Whole || known == nil || !known.registered || known.Peer != p {
 			m.Peers = append(m.Peers, p)
 		}
 	}
@@ -208,7 +208,7 @@
 			c.send(node, m)
 		}
 	}
-	if c.relaysHere(now) {
+	if c.isRelay(now) {
 		c.forwardUpdate(self.Node, m)
 	}
 }
@@ -217,7 +217,7 @@
 func (c *control) forwardUpdate(from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
 	forwarded := *m
 	forwarded.Forwarded = true
-	for node, p := range c.peers.present {
+	for node, p := range c.peers.byNode {
 		if p.Domain == c.e.cfg.Settings.Self.Domain && node != from {
 			c.send(node, &forwarded)
 		}
@@ -227,19 +227,19 @@
 // receiveUpdate takes what another router read in the store. Where something before it is missing, the router asks for everything.
 func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
 	taken := c.e.cursor.advance(m.After, m.At, m.Whole)
-	missed := !taken && c.e.cursor.misses(m.At)
+	missed := !taken && c.e.cursor.isBehind(m.At)
 	if taken || missed || m.At == c.e.cursor.get() {
-		c.e.updatedAt.Store(now.UnixNano())
-		c.e.storeBack.signal()
+		c.e.lastUpdateAt.Store(now.UnixNano())
+		c.e.storeRecovered.signal()
 	}
-	if !m.Forwarded && c.relaysHere(now) {
+	if !m.Forwarded && c.isRelay(now) {
 		c.forwardUpdate(from, m)
 	}
 	if len(m.Document) > 0 {
-		c.takePush(now, from, &pomelorelay.ConfigPush{Root: m.Document})
+		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
 	}
 	if missed {
-		c.askState(now, from)
+		c.requestFullState(now, from)
 	}
 	if taken {
 		change := pomelorelay.FleetChange{
@@ -253,7 +253,7 @@
 // domains returns the failure domains of this router and of those that it has links to, in an order that is the same everywhere.
 func (c *control) domains() []pomelorelay.DomainID {
 	all := []pomelorelay.DomainID{c.e.cfg.Settings.Self.Domain}
-	for _, p := range c.peers.present {
+	for _, p := range c.peers.byNode {
 		if p.Domain != "" && !slices.Contains(all, p.Domain) {
 			all = append(all, p.Domain)
 		}
@@ -262,9 +262,9 @@
 	return all
 }
 
-// takeTurn reckons how long without an update this router waits until it reads the store itself: not at all for the relay of the first
+// updateReadDelay reckons how long without an update this router waits until it reads the store itself: not at all for the relay of the first
 // failure domain, the longer the later a router is in the order of relays, and then of all others by a hash.
-func (c *control) takeTurn(now time.Time) {
+func (c *control) updateReadDelay(now time.Time) {
 	self := c.e.cfg.Settings.Self
 	rank, place := 0, -1
 	for _, domain := range c.domains() {
@@ -278,11 +278,11 @@
 		rank++
 	}
 	if place < 0 {
-		place = rank + int(xxhash.Sum64String(string(self.Node))%uint64(len(c.peers.present)+1))
+		place = rank + int(xxhash.Sum64String(string(self.Node))%uint64(len(c.peers.byNode)+1))
 	}
 	turn := time.Duration(0)
 	if place > 0 {
-		turn = c.e.ofDrain(turnPart + turnStep*float64(place-1))
+		turn = c.e.drainFraction(takeoverFraction + takeoverStepFraction*float64(place-1))
 	}
-	c.e.turn.Store(int64(turn))
+	c.e.readDelay.Store(int64(turn))
 }
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -13,36 +13,36 @@
 // routers. Which one relays follows from the registrations and from whose messages arrive.
 
 const (
-	// directMost is the number of other routers that each reports to by itself.
-	directMost = 12
+	// maxDirectPeers is the number of other routers that each reports to by itself.
+	maxDirectPeers = 12
 	// relayTimeout is how long a silent router goes on counting as one that can relay: it sends something every second.
 	relayTimeout = 1500 * time.Millisecond
 	// relayGrace is how long a router that is new to this one counts as live.
 	relayGrace = 3 * time.Second
-	// standbyMost is the number of routers that a relay names to its neighbours as the next ones, and standbyGrace how much longer than the
+	// maxStandbys is the number of routers that a relay names to its neighbours as the next ones, and standbyGrace how much longer than the
 	// relay they count as live.
-	standbyMost  = 2
+	maxStandbys  = 2
 	standbyGrace = 700 * time.Millisecond
-	// flushEvery is the least time between two summaries of a relay.
-	flushEvery = 40 * time.Millisecond
+	// flushInterval is the least time between two summaries of a relay.
+	flushInterval = 40 * time.Millisecond
 )
 
-// relays is what a relay sums up, and whose summary this router uses when it is none.
-type relays struct {
+// relayState is what a relay sums up, and whose summary this router uses when it is none.
+type relayState struct {
 	// local is of the routers of the own failure domain, all is of these and of the other domains.
 	local, all *aggregate
 	flushedAt  time.Time
-	wholeAt    time.Time
+	fullSummaryAt    time.Time
 	seq        uint64
-	// from is the relay whose summaries are taken, incarnation and taken the last one's; domains names the relays of other domains whose summaries
+	// relayNode is the relay whose summaries are taken, incarnation and taken the last one's; domains names the relays of other domains whose summaries
 	// this relay takes.
-	from        pomelorelay.NodeID
-	incarnation pomelorelay.Incarnation
-	taken       uint64
-	domains     map[pomelorelay.DomainID]pomelorelay.NodeID
+	relayNode        pomelorelay.NodeID
+	relayIncarnation pomelorelay.Incarnation
+	lastSeq       uint64
+	domainRelays     map[pomelorelay.DomainID]pomelorelay.NodeID
 }
 
-func (c *control) direct() bool { return len(c.peers.present) <= directMost }
+func (c *control) reportsDirectly() bool { return len(c.peers.byNode) <= maxDirectPeers }
 
 // relayOf returns the router that relays for a failure domain: the strongest that is there, and of equals the first by name.
 func (c *control) relayOf(now time.Time, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
@@ -51,8 +51,8 @@
 	if self := c.e.cfg.Settings.Self; self.Domain == domain {
 		best, found = self, true
 	}
-	for _, p := range c.peers.present {
-		if p.Domain == domain && p.registered && p.relays(now) && (!found || stronger(p.Peer, best)) {
+	for _, p := range c.peers.byNode {
+		if p.Domain == domain && p.registered && p.relayEligible(now) && (!found || stronger(p.Peer, best)) {
 			best, found = p.Peer, true
 		}
 	}
@@ -66,137 +66,137 @@
 	return a.Node < b.Node
 }
 
-// relaysHere reports whether this router relays for its failure domain.
-func (c *control) relaysHere(now time.Time) bool {
+// isRelay reports whether this router relays for its failure domain.
+func (c *control) isRelay(now time.Time) bool {
 	self := c.e.cfg.Settings.Self
 	node, _ := c.relayOf(now, self.Domain)
 	return node == self.Node
 }
 
-// relayOwn sends this router's report to its failure domain's relay, or sums it up if that is itself.
-func (c *control) relayOwn(now time.Time, m *pomelorelay.LoadReport) {
+// relayOwnReport sends this router's report to its failure domain's relay, or sums it up if that is itself.
+func (c *control) relayOwnReport(now time.Time, m *pomelorelay.LoadReport) {
 	self := c.e.cfg.Settings.Self
 	node, _ := c.relayOf(now, self.Domain)
 	if node != self.Node {
-		c.relayed.local, c.relayed.all = nil, nil
+		c.relay.local, c.relay.all = nil, nil
 		if !m.Empty() {
 			c.send(node, m)
 		}
 		return
 	}
-	c.beginRelay()
+	c.startRelaying()
 	if !m.Empty() {
-		c.sumUp(now, self.Node, c.e.incarnation, m)
+		c.addLocalReport(now, self.Node, c.e.incarnation, m)
 	}
-	c.flush(now)
+	c.flushSummaries(now)
 }
 
-// beginRelay makes this router a relay; what its own relay summed up for it is dropped, since the reports come to itself now.
-func (c *control) beginRelay() {
-	r := &c.relayed
+// startRelaying makes this router a relay; what its own relay summed up for it is dropped, since the reports come to itself now.
+func (c *control) startRelaying() {
+	r := &c.relay
 	if r.local != nil {
 		return
 	}
-	if r.from != "" {
-		c.placer.Forget(r.from)
+	if r.relayNode != "" {
+		c.placer.Forget(r.relayNode)
 	}
-	*r = relays{local: newAggregate(), all: newAggregate(), seq: r.seq, domains: make(map[pomelorelay.DomainID]pomelorelay.NodeID)}
+	*r = relayState{local: newAggregate(), all: newAggregate(), seq: r.seq, domainRelays: make(map[pomelorelay.DomainID]pomelorelay.NodeID)}
 }
 
-// sumUp adds the report of a router of the own failure domain.
-func (c *control) sumUp(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	c.relayed.local.take(now, string(from), from, incarnation, m)
-	c.relayed.all.take(now, string(from), from, incarnation, m)
+// addLocalReport adds the report of a router of the own failure domain.
+func (c *control) addLocalReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+	c.relay.local.add(now, string(from), from, incarnation, m)
+	c.relay.all.add(now, string(from), from, incarnation, m)
 }
 
-// collect sums up a neighbour's report.
-func (c *control) collect(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
-	p := c.peers.present[m.From]
-	if c.direct() || p == nil || p.Domain != c.e.cfg.Settings.Self.Domain || !c.relaysHere(now) {
+// addNeighbourReport sums up a neighbour's report.
+func (c *control) addNeighbourReport(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
+	p := c.peers.byNode[m.From]
+	if c.reportsDirectly() || p == nil || p.Domain != c.e.cfg.Settings.Self.Domain || !c.isRelay(now) {
 		return
 	}
-	c.beginRelay()
-	c.sumUp(now, m.From, m.Incarnation, report)
+	c.startRelaying()
+	c.addLocalReport(now, m.From, m.Incarnation, report)
 }
 
-// takeSummary takes the sum of other routers' reports, from the own relay or, if this router relays, from that of another failure domain.
-func (c *control) takeSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
-	p := c.peers.present[m.From]
-	if p == nil || c.direct() {
+// receiveSummary takes the sum of other routers' reports, from the own relay or, if this router relays, from that of another failure domain.
+func (c *control) receiveSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
+	p := c.peers.byNode[m.From]
+	if p == nil || c.reportsDirectly() {
 		return
 	}
 	relay, _ := c.relayOf(now, p.Domain)
 	switch {
-	case p.Domain != c.e.cfg.Settings.Self.Domain && c.relaysHere(now):
-		c.takeDomain(now, p.Domain, m, s.Report)
+	case p.Domain != c.e.cfg.Settings.Self.Domain && c.isRelay(now):
+		c.applyDomainSummary(now, p.Domain, m, s.Report)
 	case p.Domain == c.e.cfg.Settings.Self.Domain && relay == m.From:
-		c.takeFleet(now, m, s)
+		c.applyFleetSummary(now, m, s)
 	}
 }
 
-// takeDomain takes the sum of another failure domain. One of a new relay there replaces that of the one before.
-func (c *control) takeDomain(now time.Time, domain pomelorelay.DomainID, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
-	c.beginRelay()
-	r := &c.relayed
-	if before := r.domains[domain]; before != m.From {
+// applyDomainSummary takes the sum of another failure domain. One of a new relay there replaces that of the one before.
+func (c *control) applyDomainSummary(now time.Time, domain pomelorelay.DomainID, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
+	c.startRelaying()
+	r := &c.relay
+	if before := r.domainRelays[domain]; before != m.From {
 		if !report.Whole {
 			return
 		}
 		c.placer.Forget(before)
-		for node, p := range c.peers.present {
+		for node, p := range c.peers.byNode {
 			if p.Domain == domain {
 				c.placer.Forget(node)
 			}
 		}
-		r.domains[domain] = m.From
+		r.domainRelays[domain] = m.From
 		c.shares.Mark(m.From, m.Incarnation, report.Accounts)
 	}
-	r.all.take(now, "/"+string(domain), m.From, m.Incarnation, report)
-	c.apply(now, m, report)
+	r.all.add(now, "/"+string(domain), m.From, m.Incarnation, report)
+	c.applyReport(now, m, report)
 }
 
-// takeFleet takes the sum of all other routers. That of a new relay replaces all that was known of others.
-func (c *control) takeFleet(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
-	r := &c.relayed
-	if r.from != m.From || r.incarnation != m.Incarnation {
+// applyFleetSummary takes the sum of all other routers. That of a new relay replaces all that was known of others.
+func (c *control) applyFleetSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
+	r := &c.relay
+	if r.relayNode != m.From || r.relayIncarnation != m.Incarnation {
 		if !s.Report.Whole {
 			return
 		}
 		c.placer.ForgetOthers(m.From)
-		r.from, r.incarnation, r.taken = m.From, m.Incarnation, 0
+		r.relayNode, r.relayIncarnation, r.lastSeq = m.From, m.Incarnation, 0
 		c.shares.Mark(m.From, m.Incarnation, s.Report.Accounts)
 	}
-	if s.Report.Seq <= r.taken {
+	if s.Report.Seq <= r.lastSeq {
 		return
 	}
-	r.taken = s.Report.Seq
+	r.lastSeq = s.Report.Seq
 	for i, node := range s.Standby {
 		if node != c.e.cfg.Settings.Self.Node {
-			c.peers.noteMessage(now.Add(time.Duration(i+1)*standbyGrace), pomelorelay.Peer{Node: node})
+			c.peers.recordMessage(now.Add(time.Duration(i+1)*standbyGrace), pomelorelay.Peer{Node: node})
 		}
 	}
-	c.apply(now, m, s.Report)
+	c.applyReport(now, m, s.Report)
 }
 
-// apply takes a report or a sum of reports for decisions.
-func (c *control) apply(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
+// applyReport takes a report or a sum of reports for decisions.
+func (c *control) applyReport(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	c.placer.TakeReport(now, m.From, m.Incarnation, report)
 	c.shares.TakeReport(m.From, m.Incarnation, report.Accounts)
-	c.takeLeaving(now, m.From, report.Leaving)
+	c.applyLeaving(now, m.From, report.Leaving)
 }
 
-// flush sends what was summed up: the own domain's sum to the other domains' relays, and to each neighbour the sum of all others.
-func (c *control) flush(now time.Time) {
-	r := &c.relayed
-	r.local.forgetSilent(now, pomeloplace.SilentAfter)
-	r.all.forgetSilent(now, pomeloplace.SilentAfter)
-	whole := now.Sub(r.wholeAt) >= wholeEvery
-	if now.Sub(r.flushedAt) < flushEvery || (!whole && !r.all.changed()) {
+// flushSummaries sends what was summed up: the own domain's sum to the other domains' relays, and to each neighbour the sum of all others.
+func (c *control) flushSummaries(now time.Time) {
+	r := &c.relay
+	r.local.removeSilent(now, pomeloplace.SilentAfter)
+	r.all.removeSilent(now, pomeloplace.SilentAfter)
+	whole := now.Sub(r.fullSummaryAt) >= fullReportInterval
+	if now.Sub(r.flushedAt) < flushInterval || (!whole && !r.all.changed()) {
 		return
 	}
 	r.flushedAt = now
 	if whole {
-		r.wholeAt = now
+		r.fullSummaryAt = now
 	}
 	r.seq++
 	self := c.e.cfg.Settings.Self
@@ -205,20 +205,20 @@
 			c.send(node, &pomelorelay.LoadSummary{Report: r.local.report("", whole, r.seq)})
 		}
 	}
-	standby := c.standby(now)
-	for node, p := range c.peers.present {
+	standby := c.standbys(now)
+	for node, p := range c.peers.byNode {
 		if p.Domain == self.Domain {
 			c.send(node, &pomelorelay.LoadSummary{Report: r.all.report(string(node), whole, r.seq), Standby: standby})
 		}
 	}
-	r.local.flushed()
-	r.all.flushed()
+	r.local.markFlushed()
+	r.all.markFlushed()
 }
 
-// standby returns the routers of the own failure domain that relay next.
-func (c *control) standby(now time.Time) []pomelorelay.NodeID {
+// standbys returns the routers of the own failure domain that relay next.
+func (c *control) standbys(now time.Time) []pomelorelay.NodeID {
 	var live []pomelorelay.Peer
-	for _, p := range c.peers.present {
+	for _, p := range c.peers.byNode {
 		if p.Domain == c.e.cfg.Settings.Self.Domain && p.registered && now.Sub(p.seenAt) <= relayTimeout {
 			live = append(live, p.Peer)
 		}
@@ -230,7 +230,7 @@
 		return 1
 	})
 	var nodes []pomelorelay.NodeID
-	for _, p := range live[:min(len(live), standbyMost)] {
+	for _, p := range live[:min(len(live), maxStandbys)] {
 		nodes = append(nodes, p.Node)
 	}
 	return nodes
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// askAfter is how long a router that lacks something waits for the store, which answers in 4 ms when it is well.
-	askAfter = 300 * time.Millisecond
-	// askEvery is the time between two asks: an answer from another region takes 25 ms, and holds the whole configuration.
-	askEvery = 500 * time.Millisecond
+	// stateRequestDelay is how long a router that lacks something waits for the store, which answers in 4 ms when it is well.
+	stateRequestDelay = 300 * time.Millisecond
+	// stateRequestInterval is the time between two asks: an answer from another region takes 25 ms, and holds the whole configuration.
+	stateRequestInterval = 500 * time.Millisecond
 )
 
-// asks holds since when this router lacks something that its peers may have, and when it last asked for it.
-type asks struct {
+// stateRequests holds since when this router lacks something that its peers may have, and when it last asked for it.
+type stateRequests struct {
 	since   time.Time
-	askedAt time.Time
-	// missedAt is when it last asked because it missed an update.
-	missedAt time.Time
+	requestedAt time.Time
+	// gapRequestedAt is when it last asked because it missed an update.
+	gapRequestedAt time.Time
 }
 
-// lacks reports whether the router cannot serve, or stands alone, while the store is silent.
-func (c *control) lacks(now time.Time) bool {
-	if now.Sub(c.upstreams.listedAt) <= c.e.ofDrain(silentPart) {
+// lacksState reports whether the router cannot serve, or stands alone, while the store is silent.
+func (c *control) lacksState(now time.Time) bool {
+	if now.Sub(c.upstreams.listedAt) <= c.e.drainFraction(storeSilenceFraction) {
 		return false
 	}
-	return c.config == nil || !c.e.cursor.begun() || len(c.peers.present) == 0
+	return c.config == nil || !c.e.cursor.hasRead() || len(c.peers.byNode) == 0
 }
 
-// askForState asks a peer, or the seeds while none is known, for what the store does not answer. A router that starts while the store is
+// requestMissingState asks a peer, or the seeds while none is known, for what the store does not answer. A router that starts while the store is
 // away would refuse every request until the store is back, beside neighbours that serve; one that is parted from the store before it read
 // the list of routers would go on with dropped routes and keys.
-func (c *control) askForState(now time.Time) {
-	if !c.lacks(now) {
-		c.asks.since, c.asks.askedAt = time.Time{}, time.Time{}
+func (c *control) requestMissingState(now time.Time) {
+	if !c.lacksState(now) {
+		c.stateRequests.since, c.stateRequests.requestedAt = time.Time{}, time.Time{}
 		return
 	}
-	if c.asks.since.IsZero() {
-		c.asks.since = now
+	if c.stateRequests.since.IsZero() {
+		c.stateRequests.since = now
 	}
-	if now.Sub(c.asks.since) < askAfter || now.Sub(c.asks.askedAt) < askEvery {
+	if now.Sub(c.stateRequests.since) < stateRequestDelay || now.Sub(c.stateRequests.requestedAt) < stateRequestInterval {
 		return
 	}
-	c.asks.askedAt = now
-	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.begun()}
+	c.stateRequests.requestedAt = now
+	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.hasRead()}
 	// Any peer will do, another one each time: the first may lack as much as this router.
-	for node := range c.peers.present {
+	for node := range c.peers.byNode {
 		c.send(node, m)
 		return
 	}
@@ -62,12 +62,12 @@
 	}
 }
 
-// askState asks the sender of an update for everything, since an update before it was missed.
-func (c *control) askState(now time.Time, from pomelorelay.NodeID) {
-	if now.Sub(c.asks.missedAt) < askEvery {
+// requestFullState asks the sender of an update for everything, since an update before it was missed.
+func (c *control) requestFullState(now time.Time, from pomelorelay.NodeID) {
+	if now.Sub(c.stateRequests.gapRequestedAt) < stateRequestInterval {
 		return
 	}
-	c.asks.missedAt = now
+	c.stateRequests.gapRequestedAt = now
 	c.send(from, &pomelorelay.StateAsk{Above: c.version(), Upstreams: true})
 }
 
@@ -91,10 +91,10 @@
 	}
 }
 
-// takeState takes what a peer has, in so far as it is newer than what this router has.
-func (c *control) takeState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) {
+// applyPeerState takes what a peer has, in so far as it is newer than what this router has.
+func (c *control) applyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) {
 	if len(m.Document) > 0 {
-		c.takePush(now, from, &pomelorelay.ConfigPush{Root: m.Document})
+		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
 	}
 	change := pomelorelay.FleetChange{At: m.At, Whole: m.At > 0, Upstreams: m.Upstreams, Peers: m.Peers, Evacuated: m.Evacuated}
 	switch {
@@ -102,7 +102,7 @@
 		c.applyUpstreams(now, &change, false, string(from))
 		c.applyEvacuations(now, &change, string(from))
 		c.applyPeers(now, &change)
-	case !c.e.cursor.begun():
+	case !c.e.cursor.hasRead():
 		c.applyPeers(now, &change)
 	}
 	c.e.log(pomelorelay.EventStateFromPeer, field("Node", from), field("Generation", uint64(c.version())), field("Revision", uint64(m.At)), field("Upstreams", len(m.Upstreams)), field("Peers", len(m.Peers)))
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// defaultDrain is the time to the last request of an upstream that leaves where the settings name none.
-	defaultDrain = 2500 * time.Millisecond
-	// returnWait is how long after the store came back a vanished entry may be missing: upstreams that live are back within 2 s.
-	returnWait = 2300 * time.Millisecond
-	// massWait is how long many entries that vanish at once are kept: they lapsed in an outage that this router did not notice.
+	// defaultDrainWait is the time to the last request of an upstream that leaves where the settings name none.
+	defaultDrainWait = 2500 * time.Millisecond
+	// reregisterGrace is how long after the store came back a vanished entry may be missing: upstreams that live are back within 2 s.
+	reregisterGrace = 2300 * time.Millisecond
+	// massLapseGrace is how long many entries that vanish at once are kept: they lapsed in an outage that this router did not notice.
 	// With the pace it stays under the time after which an upstream that really left must get nothing.
-	massWait = 1500 * time.Millisecond
-	// massShare is the part of the upstreams whose entries must vanish within massWait of each other for that.
-	massShare = 0.34
-	// silentPart is the time without an answer of the store from which a router relies on its peers and expects lapsed entries: upstreams
+	massLapseGrace = 1500 * time.Millisecond
+	// massLapseFraction is the part of the upstreams whose entries must vanish within massWait of each other for that.
+	massLapseFraction = 0.34
+	// storeSilenceFraction is the time without an answer of the store from which a router relies on its peers and expects lapsed entries: upstreams
 	// write every 1.2 s, so that some do in each pace.
-	silentPart = 0.8
-	// announceFor is how long reports name an upstream that leaves.
-	announceFor = 3 * time.Second
+	storeSilenceFraction = 0.8
+	// leavingReportTime is how long reports name an upstream that leaves.
+	leavingReportTime = 3 * time.Second
 )
 
-// ofDrain returns a part of the time after which an upstream that said it leaves must get no more requests.
-func (e *Entry) ofDrain(part float64) time.Duration {
+// drainFraction returns a part of the time after which an upstream that said it leaves must get no more requests.
+func (e *Entry) drainFraction(part float64) time.Duration {
 	drain := e.cfg.Settings.DrainWait
 	if drain <= 0 {
-		drain = defaultDrain
+		drain = defaultDrainWait
 	}
 	return time.Duration(part * float64(drain))
 }
@@ -39,9 +39,9 @@
 	lapsed map[pomelorelay.UpstreamID]time.Time
 	// leaving holds when this router learnt that an upstream drains or has gone.
 	leaving  map[pomelorelay.UpstreamID]time.Time
-	vanished []time.Time
-	// backAt is when the store answered again after it had not, listedAt when upstreams were last read from it.
-	backAt   time.Time
+	recentLapses []time.Time
+	// storeRecoveredAt is when the store answered again after it had not, listedAt when upstreams were last read from it.
+	storeRecoveredAt   time.Time
 	listedAt time.Time
 }
 
@@ -53,11 +53,11 @@
 	}
 }
 
-// announced returns the upstreams whose leaving is to be reported.
-func (u *upstreams) announced(now time.Time) []pomelorelay.UpstreamID {
+// reportedLeaving returns the upstreams whose leaving is to be reported.
+func (u *upstreams) reportedLeaving(now time.Time) []pomelorelay.UpstreamID {
 	var ids []pomelorelay.UpstreamID
 	for id, since := range u.leaving {
-		if now.Sub(since) > announceFor {
+		if now.Sub(since) > leavingReportTime {
 			delete(u.leaving, id)
 			continue
 		}
@@ -68,8 +68,8 @@
 
 // applyUpstreams takes in what changed among the upstreams; back is set when the store had not answered before.
 func (c *control) applyUpstreams(now time.Time, change *pomelorelay.FleetChange, back bool, source string) {
-	if back || now.Sub(c.upstreams.listedAt) > c.e.ofDrain(silentPart) {
-		c.upstreams.backAt = now
+	if back || now.Sub(c.upstreams.listedAt) > c.e.drainFraction(storeSilenceFraction) {
+		c.upstreams.storeRecoveredAt = now
 	}
 	c.upstreams.listedAt = now
 	for _, fault := range change.Faults {
@@ -81,12 +81,12 @@
 		c.putUpstream(now, u, source)
 	}
 	for _, id := range change.GoneUpstreams {
-		c.vanish(now, id)
+		c.lapseUpstream(now, id)
 	}
 	if change.Whole {
 		for id := range c.upstreams.present {
 			if !seen[id] {
-				c.vanish(now, id)
+				c.lapseUpstream(now, id)
 			}
 		}
 	}
@@ -110,9 +110,9 @@
 	c.e.log(pomelorelay.EventUpstreamListed, field("Upstream", u.ID), field("Service", u.Service), field("Address", u.Addr.String()), field("Domain", u.Domain), field("Born", u.Born), field("ColdMS", u.ColdFor.Milliseconds()), field("Source", source))
 }
 
-// vanish takes an entry that is no longer there. After an outage of the store, in which leases lapse, the entries of upstreams that
+// lapseUpstream takes an entry that is no longer there. After an outage of the store, in which leases lapse, the entries of upstreams that
 // live come back; taken as gone at once, a whole service would be seen to have no upstream for two seconds.
-func (c *control) vanish(now time.Time, id pomelorelay.UpstreamID) {
+func (c *control) lapseUpstream(now time.Time, id pomelorelay.UpstreamID) {
 	u, known := c.upstreams.present[id]
 	if !known {
 		return
@@ -124,36 +124,36 @@
 		c.removeUpstream(now, id)
 		return
 	}
-	c.upstreams.vanished = append(c.upstreams.vanished, now)
-	c.upstreams.lapsed[id] = c.goneAt(now)
+	c.upstreams.recentLapses = append(c.upstreams.recentLapses, now)
+	c.upstreams.lapsed[id] = c.removalTime(now)
 	c.e.log(pomelorelay.EventUpstreamLapsed, field("Upstream", id), field("GoneInMS", c.upstreams.lapsed[id].Sub(now).Milliseconds()))
-	c.dropLapsed(now)
+	c.removeLapsed(now)
 }
 
-func (c *control) goneAt(now time.Time) time.Time {
+func (c *control) removalTime(now time.Time) time.Time {
 	u := &c.upstreams
-	if back := u.backAt.Add(returnWait); now.Before(back) {
+	if back := u.storeRecoveredAt.Add(reregisterGrace); now.Before(back) {
 		return back
 	}
-	recent := u.vanished[:0]
-	for _, at := range u.vanished {
-		if now.Sub(at) < massWait {
+	recent := u.recentLapses[:0]
+	for _, at := range u.recentLapses {
+		if now.Sub(at) < massLapseGrace {
 			recent = append(recent, at)
 		}
 	}
-	u.vanished = recent
-	if float64(len(recent)) < massShare*float64(len(u.present)) {
+	u.recentLapses = recent
+	if float64(len(recent)) < massLapseFraction*float64(len(u.present)) {
 		return now
 	}
 	// Those that vanished just before were part of the same lapse.
 	for id := range u.lapsed {
-		u.lapsed[id] = now.Add(massWait)
+		u.lapsed[id] = now.Add(massLapseGrace)
 	}
-	return now.Add(massWait)
+	return now.Add(massLapseGrace)
 }
 
-// dropLapsed removes the upstreams whose entries did not come back.
-func (c *control) dropLapsed(now time.Time) {
+// removeLapsed removes the upstreams whose entries did not come back.
+func (c *control) removeLapsed(now time.Time) {
 	for id, at := range c.upstreams.lapsed {
 		if !now.Before(at) {
 			c.removeUpstream(now, id)
@@ -170,10 +170,10 @@
 	c.e.log(pomelorelay.EventUpstreamGone, field("Upstream", id))
 }
 
-// takeLeaving takes the upstreams that a peer reports to leave. A router that cannot reach the store would send new work to an upstream that leaves;
+// applyLeaving takes the upstreams that a peer reports to leave. A router that cannot reach the store would send new work to an upstream that leaves;
 // one that can has newer entries than its peers' reports.
-func (c *control) takeLeaving(now time.Time, from pomelorelay.NodeID, ids []pomelorelay.UpstreamID) {
-	if now.Sub(c.upstreams.listedAt) <= c.e.ofDrain(silentPart) {
+func (c *control) applyLeaving(now time.Time, from pomelorelay.NodeID, ids []pomelorelay.UpstreamID) {
+	if now.Sub(c.upstreams.listedAt) <= c.e.drainFraction(storeSilenceFraction) {
 		return
 	}
 	for _, id := range ids {
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -6,20 +6,20 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// noteWarmups writes a line for each upstream that was found cold or has become warm since the last look.
-func (c *control) noteWarmups(now time.Time) {
+// logWarmups writes a line for each upstream that was found cold or has become warm since the last look.
+func (c *control) logWarmups(now time.Time) {
 	cold := c.placer.Warmups(now)
 	for id, s := range cold {
-		if before, known := c.cold[id]; known && before.Unreached == s.Unreached {
+		if before, known := c.coldUpstreams[id]; known && before.Unreached == s.Unreached {
 			continue
 		}
 		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Left.Milliseconds()), field("Unreached", s.Unreached), field("Holder", s.Holder))
 	}
-	for id := range c.cold {
+	for id := range c.coldUpstreams {
 		if _, still := cold[id]; !still {
 			c.e.log(pomelorelay.EventUpstreamWarm, field("Upstream", id))
 		}
 	}
-	c.cold = cold
+	c.coldUpstreams = cold
 	c.e.metrics.Set("cold_upstreams", float64(len(cold)))
 }
