--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -40,7 +40,7 @@
 	reportedAt  time.Time
 	sums
 	// baseline holds the counters as they were first reported; settled is set once everything was reported, after which nothing is added to it.
-	baseline    sums
+	baseline         sums
 	baselineComplete bool
 }
 
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -16,10 +16,10 @@
 
 // pendingPull holds which peer has a newer configuration, and since when.
 type pendingPull struct {
-	from       pomelorelay.NodeID
-	generation pomelorelay.Generation
-	since      time.Time
-	requestedAt    time.Time
+	from        pomelorelay.NodeID
+	generation  pomelorelay.Generation
+	since       time.Time
+	requestedAt time.Time
 }
 
 // recordGeneration takes a peer's generation, which rides on each of its messages.
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -38,16 +38,16 @@
 	config    *pomelorelay.FleetConfig
 	upstreams upstreams
 	// evacuated are the failure domains under evacuation; one ends only when the store or a peer's whole state says so.
-	evacuated map[pomelorelay.DomainID]bool
-	peers     peers
-	pendingPull     pendingPull
-	stateRequests      stateRequests
-	relay   relayState
+	evacuated     map[pomelorelay.DomainID]bool
+	peers         peers
+	pendingPull   pendingPull
+	stateRequests stateRequests
+	relay         relayState
 
-	adjustedAt time.Time
-	reportedAt time.Time
-	fullReportAt    time.Time
-	gaugesAt   time.Time
+	adjustedAt   time.Time
+	reportedAt   time.Time
+	fullReportAt time.Time
+	gaugesAt     time.Time
 	// coldUpstreams are the upstreams that were cold at the last look.
 	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
 	// loggedSpeeds are the reading speeds that were last logged.
@@ -57,14 +57,14 @@
 func newControl(e *Entry) *control {
 	s := e.cfg.Settings
 	return &control{
-		e:         e,
-		placer:    pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, Cold: s.Cold, Without: e.cfg.Without}),
-		shares:    pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
-		residency: pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
-		upstreams: newUpstreams(),
-		evacuated: make(map[pomelorelay.DomainID]bool),
-		peers:     newPeers(),
-		loggedSpeeds:    make(map[pomelorelay.ServiceID]pomelospeed.Rate),
+		e:            e,
+		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, Cold: s.Cold, Without: e.cfg.Without}),
+		shares:       pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
+		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
+		upstreams:    newUpstreams(),
+		evacuated:    make(map[pomelorelay.DomainID]bool),
+		peers:        newPeers(),
+		loggedSpeeds: make(map[pomelorelay.ServiceID]pomelospeed.Rate),
 	}
 }
 
@@ -134,7 +134,7 @@
 	m.Set("peers", float64(len(c.peers.byNode)))
 	m.Set("requests_in_flight", float64(c.e.inFlight.Load()))
 	m.Set("caller_connections", float64(c.e.conns.Load()))
-	m.Set("upstream_connections_opened", float64(c.e.forward.Opened()))
+	m.Set("upstream_connections_opened", float64(c.e.forward.OpenedConnections()))
 	if c.config != nil {
 		m.Set("generation", float64(c.config.Version))
 	}
@@ -160,15 +160,15 @@
 }
 
 // place decides on a request and charges its account.
-func (c *control) place(now time.Time, w pomeloforward.Work) pomeloplace.Decision {
+func (c *control) place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
 	counts := w.Cost > 0 && w.Account != ""
-	r := w.Place
+	r := w.Request
 	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
 	r.Residency = c.residency.Of(now, w.Route, w.Account)
 	r.Owed = true
 	var share pomeloplace.ShareState
 	if counts {
-		if !w.Again {
+		if !w.Retry {
 			c.shares.Asked(w.Account, w.Cost)
 		}
 		// Only what may have run, and was charged, goes before others: were it so for each request that found an upstream down, a flood
@@ -201,9 +201,9 @@
 // retryAfter returns when a caller whose account is beyond its share is to come back: once the account is owed the request, if the answer can
 // still be in time then; else as soon as there may be a place again. In a flood that lasts, waiting longer raises no chance, and makes the
 // answer late for sure.
-func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.Work) time.Duration {
+func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.PlacementRequest) time.Duration {
 	wait := c.shares.Wait(w.Account, w.Cost)
-	if wait > time.Duration(maxShareWaitFraction*float64(w.Place.Target)) {
+	if wait > time.Duration(maxShareWaitFraction*float64(w.Request.Target)) {
 		return d.RetryAfter
 	}
 	return max(d.RetryAfter, wait)
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -38,7 +38,7 @@
 	metrics     *pomelometric.Metrics
 	events      chan event
 
-	cursor    cursor
+	cursor         cursor
 	storeRecovered broadcast
 
 	table atomic.Pointer[pomelotable.Table]
@@ -49,26 +49,26 @@
 	inFlight atomic.Int64
 	// readDelay is how long, in nanoseconds, no update must have come until this router reads the store; zero for the first in turn.
 	// updatedAt is the Unix nanosecond at which another router last sent an update.
-	readDelay      atomic.Int64
+	readDelay    atomic.Int64
 	lastUpdateAt atomic.Int64
-	conns     atomic.Int64
-	hostLimits    hostLimits
+	conns        atomic.Int64
+	hostLimits   hostLimits
 	// requestLimit is how many requests the router takes at once; the control goroutine moves it.
 	requestLimit atomic.Int64
 	// nearCapacityAt is the Unix nanosecond at which the router last had nearly what it can take.
 	nearCapacityAt atomic.Int64
 	// lastTickAt is the Unix nanosecond of the control goroutine's last tick, tickLag how late it came.
 	lastTickAt atomic.Int64
-	tickLag  atomic.Int64
+	tickLag    atomic.Int64
 	// lastLateTickAt is the Unix nanosecond of the last tick that came late.
 	lastLateTickAt atomic.Int64
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	closeOnce    sync.Once
-	wg      sync.WaitGroup
-	servers []*http.Server
-	errs    chan error
+	ctx       context.Context
+	cancel    context.CancelFunc
+	closeOnce sync.Once
+	wg        sync.WaitGroup
+	servers   []*http.Server
+	errs      chan error
 }
 
 // eventQueueLength is the length of the control goroutine's queue: several times the requests that a router has at once.
@@ -84,7 +84,7 @@
 	}
 	e := &Entry{
 		cfg:         cfg,
-		hostLimits:      hostLimitsOf(cfg.Settings),
+		hostLimits:  hostLimitsOf(cfg.Settings),
 		incarnation: cfg.Incarnation,
 		metrics:     pomelometric.New(),
 		events:      make(chan event, eventQueueLength),
@@ -103,9 +103,9 @@
 		Wire:       cfg.Wire,
 		Tables:     tables{e},
 		Placement:  placement{e},
-		Stopping:   stopping{e},
+		Shutdown:   stopping{e},
 		Meter:      e.metrics,
-		Left:       e.callerGone,
+		CallerGone: e.callerGone,
 		RetryRatio: cfg.Settings.RetryRatio,
 		RetrySlack: cfg.Settings.RetrySlack,
 	})
@@ -193,8 +193,8 @@
 // stopping implements pomeloforward.Stopping.
 type stopping struct{ e *Entry }
 
-// StopsIn returns the time until the process ends, false when no stop is planned.
-func (s stopping) StopsIn() (time.Duration, bool) {
+// TimeLeft returns the time until the process ends, false when no stop is planned.
+func (s stopping) TimeLeft() (time.Duration, bool) {
 	at := s.e.stopAt.Load()
 	if at == 0 {
 		return 0, false
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -55,7 +55,7 @@
 }
 
 // Place decides on a request.
-func (d Decider) Place(now time.Time, w pomeloforward.Work) pomeloplace.Decision {
+func (d Decider) Place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
 	d.c.shares.Tick(now)
 	return d.c.place(now, w)
 }
--- a/pomeloentry/follow.go
+++ b/pomeloentry/follow.go
@@ -12,7 +12,7 @@
 	// minRetryPause and followMost bound the pause after a failed call to the store: it answers in 4 ms when it is well, and after an
 	// outage a router should have its answer well within the time to a configuration's being in force.
 	minRetryPause = 100 * time.Millisecond
-	maxRetryPause  = 400 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
 	// maxPassiveRetryPause bounds the pause of what waits for the store to answer this router's reader again.
 	maxPassiveRetryPause = 5 * time.Second
 )
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -25,21 +25,21 @@
 	// minRequests keeps a host of unknown size at work.
 	minRequests = 64
 	// connMemoryBytes is what an idle connection takes: a stack, two buffers of 4 KB and net/http's own; and connsShare the part of the memory that connections may take.
-	connMemoryBytes = 20 << 10
+	connMemoryBytes    = 20 << 10
 	connMemoryFraction = 0.3
 	// reservedFDs are the descriptors that the platform keeps for files, and fdsShare the part of the others that callers may take; each
 	// running request has a second one to its upstream.
-	reservedFDs = 200
-	connFDFraction  = 0.5
+	reservedFDs    = 200
+	connFDFraction = 0.5
 	// nearCapacityFraction is the part of a bound from which a router asks for less: it is not ready, and callers' connections end with their
 	// answers. It does so until pressedFor after.
 	nearCapacityFraction = 0.85
-	nearCapacityHold   = 2500 * time.Millisecond
+	nearCapacityHold     = 2500 * time.Millisecond
 	// The limit of requests at once follows the processor: each tick that comes lagLook late takes limitDown of it off, each in time that
 	// finds it used adds limitUp. What a stream costs differs by how often its upstream sends events: a fixed limit would keep some
 	// hosts late for seconds, and make others refuse beside a free processor.
 	limitDecrease = 0.9
-	limitIncrease   = 1.02
+	limitIncrease = 1.02
 	// fullRouterRetryAfter is the Retry-After of a full router: another one takes them at once.
 	fullRouterRetryAfter = 10 * time.Millisecond
 )
@@ -144,7 +144,7 @@
 // nothing, the others get its share, and its shortage does not show. Where the control goroutine has more than it can take, the
 // request is not counted: the router must not wait for it.
 func (e *Entry) countRefused(r *http.Request) {
-	account, cost := e.forward.Asks(r)
+	account, cost := e.forward.EstimateCost(r)
 	if cost <= 0 {
 		return
 	}
@@ -204,7 +204,7 @@
 	}
 	err := pomelorelay.NewError(pomelorelay.CodeRouterFull, "", nil)
 	err.RetryAfter = fullRouterRetryAfter
-	pomeloforward.Refuse(w, err)
+	pomeloforward.WriteError(w, err)
 	e.metrics.Answered("None", "full", 0, 0)
 	e.countRefused(r)
 	e.log(pomelorelay.EventRouterFull, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()), field("Most", e.requestLimit.Load()), field("LagMS", e.lag().Milliseconds()))
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -30,7 +30,7 @@
 	fullyReported bool
 	// incarnation and seq are of the last report that was taken.
 	incarnation pomelorelay.Incarnation
-	lastSeq         uint64
+	lastSeq     uint64
 }
 
 // relayEligible reports whether the router is there to relay.
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -20,7 +20,7 @@
 	now := time.Now()
 	flood := func(again, charged bool) pomeloplace.Reason {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Account: "flood", Cost: 1000, Again: again, Charged: charged, Place: pomeloplace.Request{
+		return d.Place(now, pomeloforward.PlacementRequest{Account: "flood", Cost: 1000, Retry: again, Charged: charged, Request: pomeloplace.Request{
 			Service: "s", Prompt: 100, Output: 100, Target: time.Second, Left: 10 * time.Second,
 		}}).Reason
 	}
@@ -73,7 +73,7 @@
 	now := time.Now()
 	other := func() pomeloplace.ShareState {
 		now = now.Add(500 * time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Account: "other", Cost: 5000, Place: pomeloplace.Request{
+		return d.Place(now, pomeloforward.PlacementRequest{Account: "other", Cost: 5000, Request: pomeloplace.Request{
 			Service: "s", Prompt: 100, Output: 10, Target: time.Second, Left: 10 * time.Second,
 		}}).Share
 	}
@@ -99,7 +99,7 @@
 	now := time.Now()
 	running := func() int {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Place: pomeloplace.Request{Service: "s", Prompt: 100, Target: time.Nanosecond, Left: time.Nanosecond}}).Running
+		return d.Place(now, pomeloforward.PlacementRequest{Request: pomeloplace.Request{Service: "s", Prompt: 100, Target: time.Nanosecond, Left: time.Nanosecond}}).Running
 	}
 	report := func(seq uint64, runs uint32, served pomelorelay.Cost) *pomelorelay.LoadReport {
 		return &pomelorelay.LoadReport{
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -18,7 +18,7 @@
 type placement struct{ e *Entry }
 
 // Place returns a ticket or a refusal; it fails when ctx ends first.
-func (p placement) Place(ctx context.Context, w pomeloforward.Work) (pomeloforward.Ticket, pomeloplace.Decision, error) {
+func (p placement) Place(ctx context.Context, w pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
 	asked := &placementRequested{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
 	select {
 	case p.e.events <- asked:
@@ -37,7 +37,7 @@
 // placementRequested is posted by a request that wants a place.
 type placementRequested struct {
 	ctx    context.Context
-	work   pomeloforward.Work
+	work   pomeloforward.PlacementRequest
 	answer chan pomeloplace.Decision
 }
 
@@ -53,14 +53,14 @@
 type reservation struct {
 	e    *Entry
 	run  *pomeloplace.Run
-	work pomeloforward.Work
+	work pomeloforward.PlacementRequest
 }
 
-// Begun notes that the answer began.
-func (t reservation) Begun() { t.e.post(&answerBegan{t.run}) }
+// AnswerBegan notes that the answer began.
+func (t reservation) AnswerBegan() { t.e.post(&answerBegan{t.run}) }
 
-// Ended notes how the run ended.
-func (t reservation) Ended(r pomeloplace.Result) { t.e.post(&runEnded{t.run, t.work, r}) }
+// Done notes how the run ended.
+func (t reservation) Done(r pomeloplace.Result) { t.e.post(&runEnded{t.run, t.work, r}) }
 
 type answerBegan struct{ run *pomeloplace.Run }
 
@@ -68,7 +68,7 @@
 
 type runEnded struct {
 	run    *pomeloplace.Run
-	work   pomeloforward.Work
+	work   pomeloforward.PlacementRequest
 	result pomeloplace.Result
 }
 
--- a/pomeloentry/reader.go
+++ b/pomeloentry/reader.go
@@ -23,7 +23,7 @@
 	watchWaitFraction = 0.2
 	// takeoverFraction is the part of that time without an update after which the second router in turn reads, and turnStep what each further one
 	// waits longer. The reader is silent for its pace and its wait together at most.
-	takeoverFraction = 0.5
+	takeoverFraction     = 0.5
 	takeoverStepFraction = 0.03
 	// takeoverPollInterval is how often a router looks whether its turn has come.
 	takeoverPollInterval = 200 * time.Millisecond
@@ -147,11 +147,11 @@
 
 // storeRead is posted when the store answered this router; back is set when it had not answered before, after from where it was watched.
 type storeRead struct {
-	change pomelorelay.FleetChange
-	after  pomelorelay.Revision
-	stale  bool
-	recovered   bool
-	done   chan struct{}
+	change    pomelorelay.FleetChange
+	after     pomelorelay.Revision
+	stale     bool
+	recovered bool
+	done      chan struct{}
 }
 
 func (a *storeRead) apply(c *control, now time.Time) {
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -30,15 +30,15 @@
 // relayState is what a relay sums up, and whose summary this router uses when it is none.
 type relayState struct {
 	// local is of the routers of the own failure domain, all is of these and of the other domains.
-	local, all *aggregate
-	flushedAt  time.Time
-	fullSummaryAt    time.Time
-	seq        uint64
+	local, all    *aggregate
+	flushedAt     time.Time
+	fullSummaryAt time.Time
+	seq           uint64
 	// relayNode is the relay whose summaries are taken, incarnation and taken the last one's; domains names the relays of other domains whose summaries
 	// this relay takes.
 	relayNode        pomelorelay.NodeID
 	relayIncarnation pomelorelay.Incarnation
-	lastSeq       uint64
+	lastSeq          uint64
 	domainRelays     map[pomelorelay.DomainID]pomelorelay.NodeID
 }
 
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -17,7 +17,7 @@
 
 // stateRequests holds since when this router lacks something that its peers may have, and when it last asked for it.
 type stateRequests struct {
-	since   time.Time
+	since       time.Time
 	requestedAt time.Time
 	// gapRequestedAt is when it last asked because it missed an update.
 	gapRequestedAt time.Time
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -38,11 +38,11 @@
 	// lapsed holds when an upstream whose entry vanished is to be taken as gone.
 	lapsed map[pomelorelay.UpstreamID]time.Time
 	// leaving holds when this router learnt that an upstream drains or has gone.
-	leaving  map[pomelorelay.UpstreamID]time.Time
+	leaving      map[pomelorelay.UpstreamID]time.Time
 	recentLapses []time.Time
 	// storeRecoveredAt is when the store answered again after it had not, listedAt when upstreams were last read from it.
-	storeRecoveredAt   time.Time
-	listedAt time.Time
+	storeRecoveredAt time.Time
+	listedAt         time.Time
 }
 
 func newUpstreams() upstreams {
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -12,10 +12,10 @@
 )
 
 var (
-	errUnsigned = errors.New("a success without its upstream's mark")
-	errEncoded  = errors.New("an answer in an encoding that nobody asked for")
-	errPromise  = errors.New("a status that promises that the request did not run, of an upstream that does not say so")
-	errFailed   = errors.New("the upstream failed the request")
+	errUnsigned    = errors.New("a success without its upstream's mark")
+	errEncoded     = errors.New("an answer in an encoding that nobody asked for")
+	errFalseNotRun = errors.New("a status that promises that the request did not run, of an upstream that does not say so")
+	errFailed      = errors.New("the upstream failed the request")
 )
 
 // checkHead refuses heads that must not reach the caller.
@@ -31,9 +31,9 @@
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		// Passed on, these would promise the caller that its request never ran.
-		return malformed(errPromise)
+		return malformed(errFalseNotRun)
 	}
-	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answering {
+	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answerStarted {
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeUpstreamFailed, errFailed)
 	}
 	return nil
@@ -43,17 +43,17 @@
 	return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerMalformed, cause)
 }
 
-// passPlain passes an answer on. A short one is held until it is whole, so that a cut is seen before the caller gets a status;
+// forwardPlain passes an answer on. A short one is held until it is whole, so that a cut is seen before the caller gets a status;
 // of a long one, a cut closes the caller's connection.
-func (c *call) passPlain(x *pomelolink.Exchange) *pomelolink.Failure {
+func (c *call) forwardPlain(x *pomelolink.Exchange) *pomelolink.Failure {
 	held := c.h.buffers.Body()
 	defer c.h.buffers.PutBody(held)
-	_, err := held.ReadFrom(io.LimitReader(x.Response.Body, bufferAnswer+1))
+	_, err := held.ReadFrom(io.LimitReader(x.Response.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return x.Broken(err)
 	}
-	if held.Len() > bufferAnswer {
-		return c.passLong(x, held)
+	if held.Len() > maxBufferedAnswer {
+		return c.forwardLong(x, held)
 	}
 	x.Whole = true
 	c.writeHead(x.Response, int64(held.Len()))
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (c *call) passLong(x *pomelolink.Exchange, held *bytes.Buffer) *pomelolink.Failure {
+func (c *call) forwardLong(x *pomelolink.Exchange, held *bytes.Buffer) *pomelolink.Failure {
 	c.writeHead(x.Response, x.Response.ContentLength)
 	c.write(held.Bytes())
 	chunk := c.h.buffers.Chunk()
@@ -90,9 +90,9 @@
 	if length >= 0 && resp.StatusCode != http.StatusNoContent && c.r.Method != http.MethodHead {
 		head.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	c.answering = true
+	c.answerStarted = true
 	c.status = resp.StatusCode
-	c.first = c.h.cfg.Clock.Now()
+	c.answerBeganAt = c.h.cfg.Clock.Now()
 	c.w.WriteHeader(resp.StatusCode)
 }
 
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -16,19 +16,19 @@
 
 // run sends the request until it is answered or must not be sent again.
 func (c *call) run() {
-	if err := c.fitsStop(); err != nil {
+	if err := c.checkShutdown(); err != nil {
 		c.refuse(err)
 		return
 	}
-	if c.callerLeft() {
+	if c.callerGone() {
 		c.abandon()
 	}
-	budget := c.h.budget(c.service)
-	budget.Earn(budgetPart * c.h.cfg.RetryRatio)
+	budget := c.h.retryBudget(c.service)
+	budget.Earn(retryBudgetFraction * c.h.cfg.RetryRatio)
 	for {
 		f := c.attempt()
 		if f == nil {
-			c.served()
+			c.logServed()
 			return
 		}
 		if !c.mayRetry(f) || (f.Outcome != pomelolink.OutcomeNotSent && !budget.Spend()) {
@@ -40,31 +40,31 @@
 	}
 }
 
-// callerLeft reports whether the caller is known to have closed its connection.
-func (c *call) callerLeft() bool {
-	left := c.h.cfg.Left
+// callerGone reports whether the caller is known to have closed its connection.
+func (c *call) callerGone() bool {
+	left := c.h.cfg.CallerGone
 	return left != nil && left(c.r)
 }
 
 // abandon ends a request whose caller left before it was sent.
 func (c *call) abandon() {
-	c.note(endingGone, pomelorelay.EventRequestGone)
+	c.logEnding(endingGone, pomelorelay.EventRequestGone)
 	panic(http.ErrAbortHandler)
 }
 
 const (
-	// streamTime is how long most streams take, and plainTime is the same for other requests. One that begins later before a planned stop
+	// typicalStreamTime is how long most streams take, and plainTime is the same for other requests. One that begins later before a planned stop
 	// would be cut by it.
-	streamTime = 5 * time.Second
-	plainTime  = 700 * time.Millisecond
+	typicalStreamTime = 5 * time.Second
+	typicalPlainTime  = 700 * time.Millisecond
 )
 
-// fitsStop refuses a request that the process could not end before it stops.
-func (c *call) fitsStop() error {
-	stopsIn, stopping := c.h.cfg.Stopping.StopsIn()
-	need := plainTime
+// checkShutdown refuses a request that the process could not end before it stops.
+func (c *call) checkShutdown() error {
+	stopsIn, stopping := c.h.cfg.Shutdown.TimeLeft()
+	need := typicalPlainTime
 	if c.route.Kind == pomelorelay.RouteStream {
-		need = streamTime
+		need = typicalStreamTime
 	}
 	if !stopping || stopsIn > need {
 		return nil
@@ -77,7 +77,7 @@
 
 // mayRetry reports whether the request may be sent again after the failure.
 func (c *call) mayRetry(f *pomelolink.Failure) bool {
-	if c.decision.Reason != pomeloplace.ReasonNone || c.r.Context().Err() != nil || c.left() <= 0 {
+	if c.decision.Reason != pomeloplace.ReasonNone || c.r.Context().Err() != nil || c.timeLeft() <= 0 {
 		return false
 	}
 	switch f.Outcome {
@@ -93,23 +93,23 @@
 
 // attempt finds a place for the request and sends it there once.
 func (c *call) attempt() *pomelolink.Failure {
-	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(endSlack))
+	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(answerGrace))
 	defer cancel()
 	ticket, f := c.place(ctx)
 	if f != nil {
 		return f
 	}
 	// Looked at as late as can be: on a processor that does not keep up, a second passes between the reading of a request and its place.
-	if c.callerLeft() {
-		ticket.Ended(pomeloplace.ResultUnsent)
+	if c.callerGone() {
+		ticket.Done(pomeloplace.ResultUnsent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
-	before := c.ran
+	before := c.mayHaveRun
 	// Until the outcome is known the request counts as one that may have run, also when a defect ends this function.
-	c.ran = true
+	c.mayHaveRun = true
 	result := pomeloplace.ResultGone
-	defer func() { ticket.Ended(result) }()
+	defer func() { ticket.Done(result) }()
 	f = c.exchange(ctx, up, ticket)
 	result = resultOf(ctx, f)
 	if f == nil {
@@ -118,18 +118,18 @@
 		}
 		return nil
 	}
-	if result == pomeloplace.ResultUnsent && c.callerLeft() {
-		c.ran = before
+	if result == pomeloplace.ResultUnsent && c.callerGone() {
+		c.mayHaveRun = before
 		c.abandon()
 	}
 	c.avoid = append(c.avoid, up.ID)
 	switch f.Outcome {
 	case pomelolink.OutcomeNotSent:
 		c.unreached++
-		c.ran = before
+		c.mayHaveRun = before
 	case pomelolink.OutcomeRefusedNotRun:
 		c.refused++
-		c.ran = before
+		c.mayHaveRun = before
 	default:
 		c.runs++
 	}
@@ -153,8 +153,8 @@
 	return pomeloplace.ResultFailed
 }
 
-func (c *call) place(ctx context.Context) (Ticket, *pomelolink.Failure) {
-	ticket, d, err := c.h.cfg.Placement.Place(ctx, c.work())
+func (c *call) place(ctx context.Context) (Reservation, *pomelolink.Failure) {
+	ticket, d, err := c.h.cfg.Placement.Place(ctx, c.placementRequest())
 	c.decision = d
 	if err != nil {
 		c.decision.Reason = pomeloplace.ReasonLate
@@ -179,45 +179,45 @@
 	pomeloplace.ReasonEvacuated:  pomelorelay.CodeEvacuated,
 }
 
-// generatedWeight is how much a generated token counts against one that is read, by the platform's word.
-const generatedWeight = 2
+// outputTokenWeight is how much a generated token counts against one that is read, by the platform's word.
+const outputTokenWeight = 2
 
-// outputOf returns how many tokens a request probably makes its engine generate.
-func outputOf(f pomelorelay.CallerFields) pomelorelay.Tokens {
+// expectedOutput returns how many tokens a request probably makes its engine generate.
+func expectedOutput(f pomelorelay.CallerFields) pomelorelay.Tokens {
 	if f.Guess > 0 {
 		return min(max(f.Guess, 1), max(f.Output, 1))
 	}
 	return f.Output
 }
 
-// costOf returns what a request counts towards its account's share.
-func costOf(f pomelorelay.CallerFields) pomelorelay.Cost {
-	return pomelorelay.Cost(f.Prompt + generatedWeight*outputOf(f))
+// requestCost returns what a request counts towards its account's share.
+func requestCost(f pomelorelay.CallerFields) pomelorelay.Cost {
+	return pomelorelay.Cost(f.Prompt + outputTokenWeight*expectedOutput(f))
 }
 
-func (c *call) work() Work {
-	return Work{
+func (c *call) placementRequest() PlacementRequest {
+	return PlacementRequest{
 		ID:      c.fields.ID,
 		Route:   c.route.Name,
 		Account: c.account,
-		Cost:    costOf(c.fields),
-		Again:   len(c.avoid) > 0,
+		Cost:    requestCost(c.fields),
+		Retry:   len(c.avoid) > 0,
 		Charged: c.runs > 0,
-		Place: pomeloplace.Request{
+		Request: pomeloplace.Request{
 			Service: c.service,
 			Prompt:  c.fields.Prompt,
-			Output:  outputOf(c.fields),
+			Output:  expectedOutput(c.fields),
 			Parts:   c.fields.Parts,
 			Target:  c.route.Target,
-			Left:    c.left(),
+			Left:    c.timeLeft(),
 			Avoid:   c.avoid,
 		},
 	}
 }
 
 // exchange sends the request to an upstream and passes its answer on.
-func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, ticket Ticket) *pomelolink.Failure {
-	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.request(up), Size: len(c.bytes()), Wanted: func() bool { return !c.callerLeft() }})
+func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, ticket Reservation) *pomelolink.Failure {
+	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.upstreamRequest(up), Size: len(c.bodyBytes()), Wanted: func() bool { return !c.callerGone() }})
 	if f != nil {
 		return f
 	}
@@ -226,18 +226,18 @@
 		return f
 	}
 	if c.route.Kind == pomelorelay.RouteStream && x.Response.StatusCode == http.StatusOK {
-		return c.passStream(x, ticket)
+		return c.forwardStream(x, ticket)
 	}
-	ticket.Begun()
-	if c.answering {
+	ticket.AnswerBegan()
+	if c.answerStarted {
 		// A stream that was to be taken up again got another answer than events; nothing of it can be passed on.
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeStreamBroken, nil)
 	}
-	return c.passPlain(x)
+	return c.forwardPlain(x)
 }
 
-// request builds the request to an upstream: method, path, query and body as they came.
-func (c *call) request(up pomelorelay.FleetUpstream) *http.Request {
+// upstreamRequest builds the request to an upstream: method, path, query and body as they came.
+func (c *call) upstreamRequest(up pomelorelay.FleetUpstream) *http.Request {
 	head := c.r.Header.Clone()
 	pomelolink.RemoveHopHeaders(head)
 	head.Del("Content-Length")
@@ -247,7 +247,7 @@
 		head["User-Agent"] = []string{""}
 	}
 	c.h.cfg.Wire.WriteUpstream(head, pomelorelay.UpstreamFields{
-		Wait: c.left(), Upstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
+		Wait: c.timeLeft(), Upstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
 	})
 	req := &http.Request{
 		Method:        c.r.Method,
@@ -255,10 +255,10 @@
 		Host:          c.r.Host,
 		Header:        head,
 		Body:          http.NoBody,
-		ContentLength: int64(len(c.bytes())),
+		ContentLength: int64(len(c.bodyBytes())),
 	}
-	if len(c.bytes()) > 0 {
-		req.Body = io.NopCloser(bytes.NewReader(c.bytes()))
+	if len(c.bodyBytes()) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(c.bodyBytes()))
 	}
 	return req
 }
--- a/pomeloforward/bench_test.go
+++ b/pomeloforward/bench_test.go
@@ -27,7 +27,7 @@
 		}
 		write(conn, lastChunk)
 	})
-	w := newWorld(t, u.entry("u"))
+	w := newHarness(t, u.entry("u"))
 	conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
@@ -37,8 +37,8 @@
 	body := strings.Repeat("x", 800)
 	for i := 0; b.Loop(); i++ {
 		w.mu.Lock()
-		w.places = append(w.places, pomeloplace.Decision{Upstream: u.entry("u")})
-		w.works, w.results = w.works[:0], w.results[:0]
+		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u.entry("u")})
+		w.requests, w.results = w.requests[:0], w.results[:0]
 		w.mu.Unlock()
 		fmt.Fprintf(conn, "POST /draft/ HTTP/1.1\r\nHost: h.example\r\n%s: r%d\r\n%s: key\r\n%s: 3000\r\nContent-Length: %d\r\n\r\n%s",
 			pomelofake.FieldRequest, i, pomelofake.FieldKey, pomelofake.FieldWait, len(body), body)
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -26,22 +26,22 @@
 	body    *bytes.Buffer
 	// deadline is the end of the caller's wait or of the route's timeout.
 	deadline time.Time
-	// answering is set once a byte of an answer went to the caller.
-	answering bool
-	// ran is set while and after an attempt whose request may have run.
-	ran bool
+	// answerStarted is set once a byte of an answer went to the caller.
+	answerStarted bool
+	// mayHaveRun is set while and after an attempt whose request may have run.
+	mayHaveRun bool
 	// runs, refused and unreached count the attempts by what became of them.
 	runs, refused, unreached int
 	avoid                    []pomelorelay.UpstreamID
 	// lastEvent is the number of the last event that the caller has.
 	lastEvent    uint64
 	hasLastEvent bool
-	// first is when the answer began; decision is the last placement.
-	first        time.Time
-	lastAt       time.Time
-	longestPause time.Duration
-	decision     pomeloplace.Decision
-	status       int
+	// answerBeganAt is when the answer began; decision is the last placement.
+	answerBeganAt time.Time
+	lastEventAt   time.Time
+	longestPause  time.Duration
+	decision      pomeloplace.Decision
+	status        int
 }
 
 func newCall(h *Handler, w http.ResponseWriter, r *http.Request) *call {
@@ -65,7 +65,7 @@
 	if c.service, ok = c.table.Pick(route, c.fields.ID); !ok {
 		return pomelorelay.NewError(pomelorelay.CodeNoUpstream, "the route has no service", nil)
 	}
-	c.bound()
+	c.setDeadline()
 	c.lastEvent, c.hasLastEvent = c.fields.LastEvent, c.fields.HasLastEvent
 	return c.readBody()
 }
@@ -82,11 +82,11 @@
 	return pomelorelay.NewError(pomelorelay.CodeUnauthorised, "", nil)
 }
 
-// defaultWait bounds a request whose caller and route both say nothing.
-const defaultWait = time.Minute
+// defaultTimeout bounds a request whose caller and route both say nothing.
+const defaultTimeout = time.Minute
 
-func (c *call) bound() {
-	wait := defaultWait
+func (c *call) setDeadline() {
+	wait := defaultTimeout
 	if c.fields.Wait > 0 {
 		wait = min(wait, c.fields.Wait)
 	}
@@ -95,7 +95,7 @@
 	}
 	c.deadline = c.arrived.Add(wait)
 	// A caller that does not read would hold the handler and its buffers for ever.
-	_ = http.NewResponseController(c.w).SetWriteDeadline(c.deadline.Add(writeSlack))
+	_ = http.NewResponseController(c.w).SetWriteDeadline(c.deadline.Add(writeGrace))
 }
 
 func (c *call) readBody() error {
@@ -122,15 +122,15 @@
 	return nil
 }
 
-func (c *call) bytes() []byte {
+func (c *call) bodyBytes() []byte {
 	if c.body == nil {
 		return nil
 	}
 	return c.body.Bytes()
 }
 
-// release gives the body's memory back.
-func (c *call) release() {
+// releaseBody gives the body's memory back.
+func (c *call) releaseBody() {
 	if c.body != nil {
 		c.h.buffers.PutBody(c.body)
 		c.body = nil
@@ -142,4 +142,4 @@
 	return c.route.Kind == pomelorelay.RouteIdempotent || (c.route.Kind == pomelorelay.RouteStream && c.route.Resumable)
 }
 
-func (c *call) left() time.Duration { return c.deadline.Sub(c.h.cfg.Clock.Now()) }
+func (c *call) timeLeft() time.Duration { return c.deadline.Sub(c.h.cfg.Clock.Now()) }
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -15,53 +15,53 @@
 	Clock     pomelorelay.Clock
 	Logger    pomelorelay.Logger
 	Wire      pomelorelay.WireFormat
-	Tables    Tables
+	Tables    TableSource
 	Placement Placement
-	Stopping  Stopping
+	Shutdown  Shutdown
 	Meter     Meter
-	// Left reports whether a request's caller has left, where that can be told sooner than by its context; nil when it cannot.
-	Left func(*http.Request) bool
+	// CallerGone reports whether a request's caller has left, where that can be told sooner than by its context; nil when it cannot.
+	CallerGone func(*http.Request) bool
 	// RetryRatio and RetrySlack bound what the fleet sends again of one service's requests: the ratio of them, and the slack.
 	RetryRatio float64
 	RetrySlack float64
 }
 
-// Tables gives the configuration in force.
-type Tables interface {
+// TableSource gives the configuration in force.
+type TableSource interface {
 	// Current returns the table in force, nil while there is none; it never blocks.
 	Current() *pomelotable.Table
 }
 
-// Work is a request that wants an upstream.
-type Work struct {
+// PlacementRequest is a request that wants an upstream.
+type PlacementRequest struct {
 	ID      string
 	Route   pomelorelay.RouteID
 	Account pomelorelay.AccountID
 	// Cost is what the request counts towards its account's share; zero for plain services.
-	Cost  pomelorelay.Cost
-	Place pomeloplace.Request
-	// Again tells that the request asked for a place before, Charged that an attempt of it may have run and was charged to its account.
-	Again, Charged bool
+	Cost    pomelorelay.Cost
+	Request pomeloplace.Request
+	// Retry tells that the request asked for a place before, Charged that an attempt of it may have run and was charged to its account.
+	Retry, Charged bool
 }
 
 // Placement decides where requests go.
 type Placement interface {
 	// Place returns a ticket or a refusal at once; it fails when ctx ends.
-	Place(ctx context.Context, w Work) (Ticket, pomeloplace.Decision, error)
+	Place(ctx context.Context, w PlacementRequest) (Reservation, pomeloplace.Decision, error)
 }
 
-// Ticket is a request's place at an upstream; Ended must be called exactly once.
-type Ticket interface {
-	// Begun notes that the answer began.
-	Begun()
-	// Ended notes how the run ended.
-	Ended(r pomeloplace.Result)
+// Reservation is a request's place at an upstream; Ended must be called exactly once.
+type Reservation interface {
+	// AnswerBegan notes that the answer began.
+	AnswerBegan()
+	// Done notes how the run ended.
+	Done(r pomeloplace.Result)
 }
 
-// Stopping tells of a planned stop.
-type Stopping interface {
-	// StopsIn returns the time until the process ends, false when no stop is planned.
-	StopsIn() (time.Duration, bool)
+// Shutdown tells of a planned stop.
+type Shutdown interface {
+	// TimeLeft returns the time until the process ends, false when no stop is planned.
+	TimeLeft() (time.Duration, bool)
 }
 
 // Meter counts what callers get.
@@ -73,27 +73,27 @@
 }
 
 const (
-	// refusedRetry is what a refusal tells its caller when nothing better is known.
-	refusedRetry = 500 * time.Millisecond
-	// endSlack is how long after its deadline an upstream's own last word is awaited; it comes over one way between regions.
-	endSlack = 100 * time.Millisecond
+	// defaultRetryAfter is what a refusal tells its caller when nothing better is known.
+	defaultRetryAfter = 500 * time.Millisecond
+	// answerGrace is how long after its deadline an upstream's own last word is awaited; it comes over one way between regions.
+	answerGrace = 100 * time.Millisecond
 	// dialTimeout bounds a connection attempt: the way to another region and back, and a lost packet, which costs 200 ms.
 	dialTimeout = 500 * time.Millisecond
 	// ackTimeout is how long an upstream's host may acknowledge nothing: ten times the way between regions, and two lost packets.
 	ackTimeout = 2 * time.Second
 	// idleTimeout closes connections that nobody uses; upstreams name shorter times themselves.
 	idleTimeout = 10 * time.Second
-	// idleConns bounds the idle connections to one upstream: what an engine runs at once from one router in a burst.
-	idleConns = 64
-	// maxHeader bounds an answer's head.
-	maxHeader = 64 << 10
+	// maxIdleConns bounds the idle connections to one upstream: what an engine runs at once from one router in a burst.
+	maxIdleConns = 64
+	// maxAnswerHeaderBytes bounds an answer's head.
+	maxAnswerHeaderBytes = 64 << 10
 	// maxUnreached bounds the upstreams that are tried for a request without any taking a connection. With a quarter of them down, one
 	// request in 64 would find three in a row.
 	maxUnreached = 6
 	// maxRefused bounds the upstreams that may refuse one request without running it.
 	maxRefused = 2
-	// bufferAnswer is the size up to which a plain answer is held until it is whole.
-	bufferAnswer = 64 << 10
-	// writeSlack is how long after a request's deadline its caller may still take the answer.
-	writeSlack = 2 * time.Second
+	// maxBufferedAnswer is the size up to which a plain answer is held until it is whole.
+	maxBufferedAnswer = 64 << 10
+	// writeGrace is how long after a request's deadline its caller may still take the answer.
+	writeGrace = 2 * time.Second
 )
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -20,9 +20,9 @@
 	endingGone    = "gone"
 )
 
-// served notes a request whose whole answer was passed on.
-func (c *call) served() {
-	c.note(endingServed, pomelorelay.EventRequestServed, pomelorelay.Field{Key: "Status", Value: c.status})
+// logServed notes a request whose whole answer was passed on.
+func (c *call) logServed() {
+	c.logEnding(endingServed, pomelorelay.EventRequestServed, pomelorelay.Field{Key: "Status", Value: c.status})
 }
 
 // fail ends a request that is not sent again. One whose answer began has its connection closed, so that the caller takes what it
@@ -30,15 +30,15 @@
 func (c *call) fail(f *pomelolink.Failure) {
 	fields := codeFields(f)
 	if errors.Is(c.r.Context().Err(), context.Canceled) {
-		c.note(endingGone, pomelorelay.EventRequestGone, fields...)
+		c.logEnding(endingGone, pomelorelay.EventRequestGone, fields...)
 		panic(http.ErrAbortHandler)
 	}
-	if c.answering {
-		c.note(endingCut, pomelorelay.EventRequestCut, fields...)
+	if c.answerStarted {
+		c.logEnding(endingCut, pomelorelay.EventRequestCut, fields...)
 		panic(http.ErrAbortHandler)
 	}
 	e := f.Err
-	if c.ran && e.Ran == pomelorelay.RanNo {
+	if c.mayHaveRun && e.Ran == pomelorelay.RanNo {
 		changed := *e
 		changed.Ran = pomelorelay.RanUnknown
 		e = &changed
@@ -60,14 +60,14 @@
 	if !errors.As(err, &e) {
 		e = pomelorelay.NewError(pomelorelay.CodeInternal, err.Error(), nil)
 	}
-	c.status = Refuse(c.w, e)
-	c.noteRefusal(e, c.status)
+	c.status = WriteError(c.w, e)
+	c.logRefusal(e, c.status)
 }
 
-// Refuse answers with an error and returns the status.
-func Refuse(w http.ResponseWriter, e *pomelorelay.Error) int {
+// WriteError answers with an error and returns the status.
+func WriteError(w http.ResponseWriter, e *pomelorelay.Error) int {
 	p := pomeloproblem.New(e)
-	p.Status = status(p.Status, e.Ran)
+	p.Status = refusalStatus(p.Status, e.Ran)
 	head := w.Header()
 	head.Set("Content-Type", pomeloproblem.ContentType)
 	if p.Status == http.StatusServiceUnavailable {
@@ -79,12 +79,12 @@
 	return p.Status
 }
 
-func (c *call) noteRefusal(e *pomelorelay.Error, status int) {
+func (c *call) logRefusal(e *pomelorelay.Error, status int) {
 	ending, event := endingFailed, pomelorelay.EventRequestFailed
 	if e.Ran == pomelorelay.RanNo {
 		ending, event = endingRefused, pomelorelay.EventRequestRefused
 	}
-	c.note(ending, event,
+	c.logEnding(ending, event,
 		pomelorelay.Field{Key: "Status", Value: status},
 		pomelorelay.Field{Key: "Code", Value: int(e.Code)},
 		pomelorelay.Field{Key: "Failure", Value: e.Error()},
@@ -96,8 +96,8 @@
 	)
 }
 
-// status makes a refusal before anything ran a 503, and keeps a failure after it from any status that would promise that.
-func status(given int, ran pomelorelay.Ran) int {
+// refusalStatus makes a refusal before anything ran a 503, and keeps a failure after it from any status that would promise that.
+func refusalStatus(given int, ran pomelorelay.Ran) int {
 	switch {
 	case ran == pomelorelay.RanNo && given >= http.StatusInternalServerError:
 		return http.StatusServiceUnavailable
@@ -111,17 +111,17 @@
 func retryAfter(e *pomelorelay.Error) string {
 	wait := e.RetryAfter
 	if wait <= 0 {
-		wait = refusedRetry
+		wait = defaultRetryAfter
 	}
 	return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)
 }
 
-// note writes the one line that tells how a request ended and by what it was decided.
-func (c *call) note(ending string, event pomelorelay.EventID, fields ...pomelorelay.Field) {
+// logEnding writes the one line that tells how a request ended and by what it was decided.
+func (c *call) logEnding(ending string, event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	now := c.h.cfg.Clock.Now()
 	first := now.Sub(c.arrived)
-	if !c.first.IsZero() {
-		first = c.first.Sub(c.arrived)
+	if !c.answerBeganAt.IsZero() {
+		first = c.answerBeganAt.Sub(c.arrived)
 	}
 	kind := pomelorelay.RouteKind("None")
 	if c.route != nil {
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -22,21 +22,21 @@
 
 func TestPassesARequestAndItsAnswer(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 201, "made")) })
-	w := newWorld(t, u.entry("u1"))
+	w := newHarness(t, u.entry("u1"))
 	got := w.call("POST", "/book/a%2Fb?x=1", "hello", "Custom", "kept")
-	if got.status != 201 || got.body != "made" || got.head.Get(pomelofake.FieldSigned) != "me" || got.cut != nil {
+	if got.status != 201 || got.body != "made" || got.head.Get(pomelofake.FieldSigned) != "me" || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 	if want := "POST /book/a%2Fb?x=1 Client-Account=acct body=hello"; u.heads[0] != want {
 		t.Errorf("the upstream got %q, want %q", u.heads[0], want)
 	}
-	if w.works[0].Account != "acct" || w.results[0] != pomeloplace.ResultGood {
-		t.Errorf("%+v %v", w.works, w.results)
+	if w.requests[0].Account != "acct" || w.results[0] != pomeloplace.ResultGood {
+		t.Errorf("%+v %v", w.requests, w.results)
 	}
 }
 
 func TestRefusalsBeforeAnything(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	for _, c := range []struct {
 		path, key, body string
 		want            int
@@ -68,7 +68,7 @@
 // twice, and a status that promises that it did not run would make the caller send it again.
 func TestABookingThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
-	w := newWorld(t, u.entry("u1"), u.entry("u2"))
+	w := newHarness(t, u.entry("u1"), u.entry("u2"))
 	got := w.call("POST", "/book/", "x")
 	if got.status != 502 || u.requests() != 1 || got.head.Get("Retry-After") != "" {
 		t.Fatalf("%d after %d sends", got.status, u.requests())
@@ -98,12 +98,12 @@
 		t.Run(name, func(t *testing.T) {
 			bad := newUpstream(t, answer)
 			good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "read")) })
-			w := newWorld(t, bad.entry("bad"), good.entry("good"))
+			w := newHarness(t, bad.entry("bad"), good.entry("good"))
 			if got := w.call("GET", "/read/", ""); got.status != 200 || got.body != "read" {
 				t.Fatalf("%+v", got)
 			}
-			if w.results[0] != pomeloplace.ResultFailed || len(w.works[1].Place.Avoid) != 1 || !w.works[1].Again {
-				t.Errorf("results %v, second try %+v", w.results, w.works[1])
+			if w.results[0] != pomeloplace.ResultFailed || len(w.requests[1].Request.Avoid) != 1 || !w.requests[1].Retry {
+				t.Errorf("results %v, second try %+v", w.results, w.requests[1])
 			}
 		})
 	}
@@ -117,11 +117,11 @@
 			write(conn, head(r, status, "Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 		})
 		good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
-		w := newWorld(t, full.entry("full"), good.entry("good"))
+		w := newHarness(t, full.entry("full"), good.entry("good"))
 		if got := w.call("POST", "/book/", "x"); got.status != 200 || got.body != "booked" {
 			t.Fatalf("%d: %+v", status, got)
 		}
-		w = newWorld(t, full.entry("full"), full.entry("full"), full.entry("full"))
+		w = newHarness(t, full.entry("full"), full.entry("full"), full.entry("full"))
 		if got := w.call("POST", "/book/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
 			t.Errorf("%d from every server: %+v", status, got)
 		}
@@ -132,7 +132,7 @@
 func TestPromisesOfServersAreNotPassedOn(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
-		w := newWorld(t, u.entry("u1"))
+		w := newHarness(t, u.entry("u1"))
 		if got := w.call("POST", "/book/", "x"); got.status != 502 || got.head.Get(pomelofake.FieldSigned) != "" {
 			t.Errorf("%d became %d", status, got.status)
 		}
@@ -141,7 +141,7 @@
 
 func TestAnswersWithoutALengthEndWithTheirConnection(t *testing.T) {
 	whole := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, head(r, 200, "\r\nall of it")); conn.Close() })
-	if got := newWorld(t, whole.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
+	if got := newHarness(t, whole.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
 		t.Fatalf("%+v", got)
 	}
 	broken := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -149,7 +149,7 @@
 		time.Sleep(20 * time.Millisecond)
 		reset(conn)
 	})
-	if got := newWorld(t, broken.entry("u")).call("POST", "/book/", "x"); got.status != 502 {
+	if got := newHarness(t, broken.entry("u")).call("POST", "/book/", "x"); got.status != 502 {
 		t.Errorf("an answer that was reset came as %+v", got)
 	}
 }
@@ -160,7 +160,7 @@
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, plainAnswer(r, 200, "mine")+plainAnswer(r, 200, "extra"))
 	})
-	w := newWorld(t, u.entry("u"), u.entry("u"), u.entry("u"))
+	w := newHarness(t, u.entry("u"), u.entry("u"), u.entry("u"))
 	for i := range 3 {
 		id := "req-" + strconv.Itoa(i)
 		if got := w.call("GET", "/read/", "", pomelofake.FieldRequest, id); got.body != "mine" || got.head.Get(pomelofake.FieldRequest) != id {
@@ -181,8 +181,8 @@
 
 func TestStreamsPassEachEventOnce(t *testing.T) {
 	u := newUpstream(t, stream(1, 2, 2, 3))
-	got := newWorld(t, u.entry("u")).call("POST", "/draft/", "x")
-	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n"; got.body != want || got.cut != nil {
+	got := newHarness(t, u.entry("u")).call("POST", "/draft/", "x")
+	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n"; got.body != want || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -205,8 +205,8 @@
 		},
 	} {
 		u := newUpstream(t, answer)
-		got := newWorld(t, u.entry("u"), u.entry("u")).call("POST", "/draft/", "x")
-		if got.cut == nil || strings.Contains(got.body, "id: 2") || strings.Contains(got.body, "id: 3") || u.requests() != 1 {
+		got := newHarness(t, u.entry("u"), u.entry("u")).call("POST", "/draft/", "x")
+		if got.bodyErr == nil || strings.Contains(got.body, "id: 2") || strings.Contains(got.body, "id: 3") || u.requests() != 1 {
 			t.Errorf("%s: %+v after %d sends", name, got, u.requests())
 		}
 	}
@@ -226,8 +226,8 @@
 		}
 		stream(3, 4)(conn, r)
 	})
-	got := newWorld(t, first.entry("a"), second.entry("b")).call("POST", "/chat/", "x")
-	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"; got.body != want || got.cut != nil {
+	got := newHarness(t, first.entry("a"), second.entry("b")).call("POST", "/chat/", "x")
+	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"; got.body != want || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -240,7 +240,7 @@
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
 	})
-	w := newWorld(t, u.entry("u"))
+	w := newHarness(t, u.entry("u"))
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", w.server.URL+"/draft/", strings.NewReader("x"))
 	if err != nil {
@@ -267,7 +267,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	u := newUpstream(t, func(net.Conn, *http.Request) { <-hold })
-	got := newWorld(t, u.entry("u")).call("POST", "/book/", "x", pomelofake.FieldWait, "200")
+	got := newHarness(t, u.entry("u")).call("POST", "/book/", "x", pomelofake.FieldWait, "200")
 	if got.status != 504 {
 		t.Fatalf("%+v", got)
 	}
@@ -276,7 +276,7 @@
 // The process is about to end. A stream that begins now would be cut by it, and a request that is let in at the last moment too.
 func TestAStoppingRouterTakesOnlyWhatItCanEnd(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
-	w := newWorld(t, u.entry("u"), u.entry("u"))
+	w := newHarness(t, u.entry("u"), u.entry("u"))
 	w.stopping, w.stopsIn = true, 2*time.Second
 	if got := w.call("POST", "/draft/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
 		t.Errorf("a stream: %+v", got)
@@ -294,9 +294,9 @@
 func TestRetriesAreWithinTheBudget(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) })
 	const requests = 60
-	w := newWorld(t)
+	w := newHarness(t)
 	for range 2 * requests {
-		w.places = append(w.places, pomeloplace.Decision{Upstream: u.entry("u")})
+		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u.entry("u")})
 	}
 	for range requests {
 		w.call("GET", "/read/", "")
@@ -323,15 +323,15 @@
 	for i := range 5 {
 		places = append(places, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprint("down-", i)), Service: "s", Addr: addr})
 	}
-	w := newWorld(t, append(places, live.entry("live"))...)
+	w := newHarness(t, append(places, live.entry("live"))...)
 	if got := w.call("POST", "/book/1", "x"); got.status != http.StatusOK || got.body != "ok" {
 		t.Fatalf("%+v", got)
 	}
-	for i, work := range w.works {
-		if work.Again != (i > 0) || work.Charged {
+	for i, work := range w.requests {
+		if work.Retry != (i > 0) || work.Charged {
 			t.Errorf("place %d was asked for with %+v", i, work)
 		}
-		if last := i == len(w.works)-1; w.results[i].NotRun() == last {
+		if last := i == len(w.requests)-1; w.results[i].NotRun() == last {
 			t.Errorf("attempt %d ended as %v", i, w.results[i])
 		}
 	}
@@ -345,13 +345,13 @@
 		runs.Add(1)
 		fmt.Fprint(conn, head(r, 200, "Content-Length: 2\r\n\r\nok"))
 	})
-	w := newWorld(t, up.entry("up"))
+	w := newHarness(t, up.entry("up"))
 	var looks atomic.Int64
 	// The first two looks come before the request has its place and before the connection is opened.
 	w.mu.Lock()
-	w.left = func() bool { return looks.Add(1) > 2 }
+	w.callerGone = func() bool { return looks.Add(1) > 2 }
 	w.mu.Unlock()
-	if got := w.call("POST", "/book/1", "x"); got.cut == nil {
+	if got := w.call("POST", "/book/1", "x"); got.bodyErr == nil {
 		t.Errorf("%+v, though the caller left", got)
 	}
 	if n := runs.Load(); n != 0 {
@@ -379,8 +379,8 @@
 			time.Sleep(c.pause)
 			write(conn, eventChunk(2)+lastChunk)
 		})
-		w := newWorld(t, u.entry("u1"))
-		if got := w.call("POST", "/talk/", "x"); got.status != 200 || got.cut != nil {
+		w := newHarness(t, u.entry("u1"))
+		if got := w.call("POST", "/talk/", "x"); got.status != 200 || got.bodyErr != nil {
 			t.Fatalf("%+v", got)
 		}
 		if got := w.result(0); got != c.want {
@@ -390,14 +390,14 @@
 }
 
 func TestWhatARefusedRequestAsks(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	r := httptest.NewRequest("POST", "http://h.example/talk/", nil)
 	r.Header.Set(pomelofake.FieldTokens, "1000,50")
-	if account, cost := w.handler.Asks(r); account != "" || cost != 0 {
+	if account, cost := w.handler.EstimateCost(r); account != "" || cost != 0 {
 		t.Errorf("without a key: %q asks %.0f", account, cost)
 	}
 	r.Header.Set(pomelofake.FieldKey, "key")
-	if account, cost := w.handler.Asks(r); account != "acct" || cost != 1100 {
+	if account, cost := w.handler.EstimateCost(r); account != "acct" || cost != 1100 {
 		t.Errorf("%q asks %.0f, want acct and 1100", account, cost)
 	}
 }
@@ -417,8 +417,8 @@
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonShare, RetryAfter: time.Second}, pomelorelay.CodeShareSpent, ""},
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonLate, RetryAfter: time.Second}, pomelorelay.CodeUpstreamsBusy, ""},
 	} {
-		w := newWorld(t)
-		w.places = []pomeloplace.Decision{c.decision}
+		w := newHarness(t)
+		w.placements = []pomeloplace.Decision{c.decision}
 		got := w.call("POST", "/book/", "x")
 		if got.status != 503 || got.head.Get("Retry-After") != fmt.Sprintf("%.3f", c.decision.RetryAfter.Seconds()) {
 			t.Errorf("status %d, Retry-After %q", got.status, got.head.Get("Retry-After"))
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -30,9 +30,9 @@
 			NotRun:     func(resp *http.Response) bool { return cfg.Wire.ReadAnswer(resp).NotRun },
 			EndByClose: true,
 		},
-		MaxHeaderBytes: maxHeader,
+		MaxHeaderBytes: maxAnswerHeaderBytes,
 		DialTimeout:    dialTimeout,
-		IdleConns:      idleConns,
+		IdleConns:      maxIdleConns,
 		IdleTimeout:    idleTimeout,
 		AckTimeout:     ackTimeout,
 		Logger:         cfg.Logger,
@@ -44,15 +44,15 @@
 // Close ends the idle connections to upstreams.
 func (h *Handler) Close() { h.links.Close() }
 
-// Opened returns the number of connections to upstreams that were opened.
-func (h *Handler) Opened() uint64 { return h.links.Opened() }
+// OpenedConnections returns the number of connections to upstreams that were opened.
+func (h *Handler) OpenedConnections() uint64 { return h.links.Opened() }
 
 // ServeHTTP answers one caller's request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := newCall(h, w, r)
-	defer c.release()
-	defer c.survive()
-	if _, stopping := h.cfg.Stopping.StopsIn(); stopping {
+	defer c.releaseBody()
+	defer c.recoverPanic()
+	if _, stopping := h.cfg.Shutdown.TimeLeft(); stopping {
 		w.Header().Set("Connection", "close")
 	}
 	if err := c.prepare(); err != nil {
@@ -62,9 +62,9 @@
 	c.run()
 }
 
-// Asks returns the account of a request that is refused before it is read, and what it counts towards the account's share; zero when
+// EstimateCost returns the account of a request that is refused before it is read, and what it counts towards the account's share; zero when
 // it counts nothing.
-func (h *Handler) Asks(r *http.Request) (pomelorelay.AccountID, pomelorelay.Cost) {
+func (h *Handler) EstimateCost(r *http.Request) (pomelorelay.AccountID, pomelorelay.Cost) {
 	table := h.cfg.Tables.Current()
 	if table == nil {
 		return "", 0
@@ -74,11 +74,11 @@
 	if !ok {
 		return "", 0
 	}
-	return account.Name, costOf(fields)
+	return account.Name, requestCost(fields)
 }
 
-// survive turns a defect in the handling of one request into a failure that says nothing of what ran.
-func (c *call) survive() {
+// recoverPanic turns a defect in the handling of one request into a failure that says nothing of what ran.
+func (c *call) recoverPanic() {
 	cause := recover()
 	if cause == nil {
 		return
@@ -87,25 +87,25 @@
 		panic(cause)
 	}
 	c.log(pomelorelay.EventHandlerPanicked, pomelorelay.Field{Key: "Cause", Value: fmt.Sprint(cause)}, pomelorelay.Field{Key: "Stack", Value: string(debug.Stack())})
-	if c.answering {
+	if c.answerStarted {
 		panic(http.ErrAbortHandler)
 	}
 	c.refuse(pomelorelay.NewError(pomelorelay.CodeInternal, "", nil))
 }
 
-// budgetPart is the part of the fleet's bound that is used: routers count apart, and callers are spread unevenly over them.
-const budgetPart = 0.6
+// retryBudgetFraction is the part of the fleet's bound that is used: routers count apart, and callers are spread unevenly over them.
+const retryBudgetFraction = 0.6
 
 // minRouters is the least number of routers among which the slack is shared out.
 const minRouters = 8
 
-// budget returns the retry budget of a service. The fleet's slack is shared out evenly, the ratio holds for each router's own requests.
-func (h *Handler) budget(service pomelorelay.ServiceID) *pomelobudget.Budget {
+// retryBudget returns the retry budget of a service. The fleet's slack is shared out evenly, the ratio holds for each router's own requests.
+func (h *Handler) retryBudget(service pomelorelay.ServiceID) *pomelobudget.Budget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b, ok := h.budgets[service]
 	if !ok {
-		slack := budgetPart * h.cfg.RetrySlack / minRouters
+		slack := retryBudgetFraction * h.cfg.RetrySlack / minRouters
 		b = pomelobudget.New(pomelobudget.Config{Start: slack, Most: slack})
 		h.budgets[service] = b
 	}
--- a/pomeloforward/stream.go
+++ b/pomeloforward/stream.go
@@ -11,8 +11,8 @@
 
 var errPartial = errors.New("the stream ended within an event")
 
-// passStream passes events on as they come, each once, in order and only whole ones.
-func (c *call) passStream(x *pomelolink.Exchange, ticket Ticket) *pomelolink.Failure {
+// forwardStream passes events on as they come, each once, in order and only whole ones.
+func (c *call) forwardStream(x *pomelolink.Exchange, ticket Reservation) *pomelolink.Failure {
 	var events pomelolink.EventReader
 	events.Reset(c.h.buffers.Chunk(), x)
 	defer func() { c.h.buffers.PutChunk(events.Buffer()) }()
@@ -24,19 +24,19 @@
 		}
 		if !begun {
 			begun = true
-			ticket.Begun()
+			ticket.AnswerBegan()
 		}
-		pass, f := c.inOrder(event)
+		pass, f := c.checkSequence(event)
 		if f != nil {
 			return f
 		}
 		if !pass {
 			continue
 		}
-		if !c.answering {
+		if !c.answerStarted {
 			c.writeHead(x.Response, -1)
 		}
-		c.notePause()
+		c.recordPause()
 		c.write(event.Raw)
 		if events.Empty() {
 			c.flush()
@@ -44,18 +44,18 @@
 	}
 }
 
-// notePause keeps the longest time between two events, which decides whether the caller finds the stream late.
-func (c *call) notePause() {
+// recordPause keeps the longest time between two events, which decides whether the caller finds the stream late.
+func (c *call) recordPause() {
 	now := c.h.cfg.Clock.Now()
-	if !c.lastAt.IsZero() {
-		c.longestPause = max(c.longestPause, now.Sub(c.lastAt))
+	if !c.lastEventAt.IsZero() {
+		c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 	}
-	c.lastAt = now
+	c.lastEventAt = now
 }
 
-// inOrder reports whether an event is the next one; one that the caller has already is left out. A gap means that a piece of the
+// checkSequence reports whether an event is the next one; one that the caller has already is left out. A gap means that a piece of the
 // answer is lost: passed on, the caller would take the rest for the whole.
-func (c *call) inOrder(e pomelolink.Event) (bool, *pomelolink.Failure) {
+func (c *call) checkSequence(e pomelolink.Event) (bool, *pomelolink.Failure) {
 	id, ok := e.ID()
 	if !ok {
 		return true, nil
@@ -79,7 +79,7 @@
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerCutShort, errPartial)
 	}
 	x.Whole = true
-	if !c.answering {
+	if !c.answerStarted {
 		c.writeHead(x.Response, -1)
 	}
 	return nil
--- a/pomeloforward/world_test.go
+++ b/pomeloforward/world_test.go
@@ -105,20 +105,20 @@
 	conn.Close()
 }
 
-// world is a handler before upstreams that it is given in order, one for each placement.
-type world struct {
-	t        *testing.T
-	table    *pomelotable.Table
-	places   []pomeloplace.Decision
-	works    []pomeloforward.Work
-	results  []pomeloplace.Result
-	stopsIn  time.Duration
-	stopping bool
-	// left tells whether a caller has left, nil when that is not to be told.
-	left    func() bool
-	mu      sync.Mutex
-	server  *httptest.Server
-	handler *pomeloforward.Handler
+// harness is a handler before upstreams that it is given in order, one for each placement.
+type harness struct {
+	t          *testing.T
+	table      *pomelotable.Table
+	placements []pomeloplace.Decision
+	requests   []pomeloforward.PlacementRequest
+	results    []pomeloplace.Result
+	stopsIn    time.Duration
+	stopping   bool
+	// callerGone tells whether a caller has left, nil when that is not to be told.
+	callerGone func() bool
+	mu         sync.Mutex
+	server     *httptest.Server
+	handler    *pomeloforward.Handler
 }
 
 var routes = []pomelorelay.Route{
@@ -130,11 +130,11 @@
 	{Name: "open", Host: "h.example", Prefix: "/open/", Kind: pomelorelay.RouteIdempotent, Timeout: 2 * time.Second, Attempts: 1, Public: true},
 }
 
-func newWorld(t *testing.T, upstreams ...pomelorelay.FleetUpstream) *world {
+func newHarness(t *testing.T, upstreams ...pomelorelay.FleetUpstream) *harness {
 	t.Helper()
-	w := &world{t: t}
+	w := &harness{t: t}
 	for _, u := range upstreams {
-		w.places = append(w.places, pomeloplace.Decision{Upstream: u})
+		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u})
 	}
 	shared := append([]pomelorelay.Route(nil), routes...)
 	for i := range shared {
@@ -145,8 +145,8 @@
 		Limits: pomelorelay.CallerLimits{BodyBytes: 1000},
 	})
 	h := pomeloforward.New(pomeloforward.Config{
-		Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}, Wire: pomelofake.FleetWire{}, Tables: w, Placement: w, Stopping: w, Meter: w,
-		Left:       w.hasLeft,
+		Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}, Wire: pomelofake.FleetWire{}, Tables: w, Placement: w, Shutdown: w, Meter: w,
+		CallerGone: w.isCallerGone,
 		RetryRatio: 0.2, RetrySlack: 100,
 	})
 	w.handler = h
@@ -158,61 +158,61 @@
 	return w
 }
 
-func (w *world) hasLeft(*http.Request) bool {
+func (w *harness) isCallerGone(*http.Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left != nil && w.left()
+	return w.callerGone != nil && w.callerGone()
 }
 
-func (w *world) Current() *pomelotable.Table {
+func (w *harness) Current() *pomelotable.Table {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table
 }
 
-func (w *world) Place(_ context.Context, work pomeloforward.Work) (pomeloforward.Ticket, pomeloplace.Decision, error) {
+func (w *harness) Place(_ context.Context, work pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.works = append(w.works, work)
-	if len(w.places) == 0 {
+	w.requests = append(w.requests, work)
+	if len(w.placements) == 0 {
 		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonLate, RetryAfter: 250 * time.Millisecond}, nil
 	}
-	d := w.places[0]
-	w.places = w.places[1:]
+	d := w.placements[0]
+	w.placements = w.placements[1:]
 	return w, d, nil
 }
 
-func (w *world) Begun() {}
+func (w *harness) AnswerBegan() {}
 
-func (w *world) Ended(r pomeloplace.Result) {
+func (w *harness) Done(r pomeloplace.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.results = append(w.results, r)
 }
 
-func (w *world) result(i int) pomeloplace.Result {
+func (w *harness) result(i int) pomeloplace.Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.results[i]
 }
 
-func (w *world) StopsIn() (time.Duration, bool) { return w.stopsIn, w.stopping }
+func (w *harness) TimeLeft() (time.Duration, bool) { return w.stopsIn, w.stopping }
 
-func (w *world) Answered(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
+func (w *harness) Answered(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
 
-func (w *world) Retried(pomelorelay.ResultCode) {}
+func (w *harness) Retried(pomelorelay.ResultCode) {}
 
 // answer is what a caller got.
 type answer struct {
 	status int
 	head   http.Header
 	body   string
-	// cut tells that the body did not end as its framing says.
-	cut error
+	// bodyErr tells that the body did not end as its framing says.
+	bodyErr error
 }
 
 // call sends a caller's request on a connection of its own.
-func (w *world) call(method, path, body string, fields ...string) answer {
+func (w *harness) call(method, path, body string, fields ...string) answer {
 	w.t.Helper()
 	req, err := http.NewRequest(method, w.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -228,9 +228,9 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{cut: err}
+		return answer{bodyErr: err}
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, head: resp.Header, body: string(got), cut: err}
+	return answer{status: resp.StatusCode, head: resp.Header, body: string(got), bodyErr: err}
 }
