--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -26,16 +26,16 @@
 }
 
 // Guards against a sum that differs from what each router would reckon by itself from all others' reports: engines would seem full or idle.
-func TestASumHoldsWhatAllOthersReported(t *testing.T) {
+func TestAggregateMatchesReportsOfOthers(t *testing.T) {
 	nodes := []pomelorelay.NodeID{"r0", "r1", "r2", "r3"}
 	upstreams := []pomelorelay.UpstreamID{"u0", "u1", "u2"}
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
-		sum := pomeloentry.NewSum()
+		sum := pomeloentry.NewAggregate()
 		routers := make(map[pomelorelay.NodeID]*reporter)
 		for _, node := range nodes {
 			routers[node] = newReporter(1)
-			sum.Take(now, node, 1, &pomelorelay.LoadReport{Whole: true})
+			sum.Add(now, node, 1, &pomelorelay.LoadReport{Whole: true})
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			node := rapid.SampledFrom(nodes).Draw(rt, "router")
@@ -45,13 +45,13 @@
 				others := r.others
 				*r = *newReporter(r.incarnation + 1)
 				r.others = others
-				sum.Take(now, node, r.incarnation, &pomelorelay.LoadReport{Whole: true})
+				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Whole: true})
 			case 1:
 				whole := &pomelorelay.LoadReport{Whole: true}
 				for _, l := range r.load {
 					whole.Upstreams = append(whole.Upstreams, l)
 				}
-				sum.Take(now, node, r.incarnation, whole)
+				sum.Add(now, node, r.incarnation, whole)
 			default:
 				id := rapid.SampledFrom(upstreams).Draw(rt, "upstream")
 				l := r.load[id]
@@ -59,7 +59,7 @@
 				l.Upstream, l.Running, l.Sent = id, uint32(rapid.IntRange(0, 9).Draw(rt, "running")), l.Sent+more
 				l.Unread, l.Held = pomelorelay.Tokens(l.Running)*100, pomelorelay.Tokens(l.Running)*300
 				r.load[id] = l
-				sum.Take(now, node, r.incarnation, &pomelorelay.LoadReport{Upstreams: []pomelorelay.UpstreamLoad{l}})
+				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Upstreams: []pomelorelay.UpstreamLoad{l}})
 			}
 			if rapid.Bool().Draw(rt, "flush") {
 				deliver(sum, routers, nodes, rapid.Bool().Draw(rt, "whole"))
@@ -72,7 +72,7 @@
 	})
 }
 
-func deliver(sum pomeloentry.Sum, routers map[pomelorelay.NodeID]*reporter, nodes []pomelorelay.NodeID, whole bool) {
+func deliver(sum pomeloentry.Aggregate, routers map[pomelorelay.NodeID]*reporter, nodes []pomelorelay.NodeID, whole bool) {
 	for node, m := range sum.Reports(whole, nodes...) {
 		for _, l := range m.Upstreams {
 			routers[node].others[l.Upstream] = l
@@ -99,9 +99,9 @@
 
 // Guards against a router that is gone and whose requests count for ever, and against a relay that begins to sum up and takes what routers sent in
 // hours for what they sent just now.
-func TestASumForgetsTheSilentAndStartsFromNow(t *testing.T) {
+func TestAggregateRemovesSilentSourcesAndStartsAtBaseline(t *testing.T) {
 	now := time.Unix(1000, 0)
-	sum := pomeloentry.NewSum()
+	sum := pomeloentry.NewAggregate()
 	load := func(running uint32, sent pomelorelay.Tokens) *pomelorelay.LoadReport {
 		return &pomelorelay.LoadReport{
 			Whole:     true,
@@ -109,13 +109,13 @@
 			Accounts:  []pomelorelay.AccountUse{{Account: "a", Asked: 2 * pomelorelay.Cost(sent), Served: pomelorelay.Cost(sent)}},
 		}
 	}
-	sum.Take(now, "old", 1, load(5, 1_000_000))
-	sum.Take(now, "old", 1, load(6, 1_000_700))
+	sum.Add(now, "old", 1, load(5, 1_000_000))
+	sum.Add(now, "old", 1, load(6, 1_000_700))
 	m := sum.Reports(false, "other")["other"]
 	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 6 || m.Upstreams[0].Sent != 700 || m.Accounts[0].Asked != 1400 || m.Accounts[0].Served != 700 {
 		t.Errorf("after a router's first two reports: %s", fmt.Sprint(m.Upstreams, m.Accounts))
 	}
-	sum.ForgetSilent(now.Add(4*time.Second), 3*time.Second)
+	sum.RemoveSilent(now.Add(4*time.Second), 3*time.Second)
 	m = sum.Reports(false, "other")["other"]
 	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 0 || m.Upstreams[0].Sent != 700 {
 		t.Errorf("after it was silent: %v", m.Upstreams)
@@ -123,9 +123,9 @@
 }
 
 // Guards against a relay that keeps to itself which upstreams may have started anew, or that tells a router its own news.
-func TestSumsPassOnStarts(t *testing.T) {
-	s := pomeloentry.NewSum()
-	s.Take(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreached: true}}})
+func TestAggregateForwardsStarts(t *testing.T) {
+	s := pomeloentry.NewAggregate()
+	s.Add(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreached: true}}})
 	reports := s.Reports(false, "r1", "r2")
 	if len(reports["r1"].Starts) != 0 || len(reports["r2"].Starts) != 1 {
 		t.Errorf("%+v to its source, %+v to the other", reports["r1"].Starts, reports["r2"].Starts)
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func TestServesOnceItKnowsRoutesAndUpstreams(t *testing.T) {
+func TestServesOnceRoutesAndUpstreamsAreKnown(t *testing.T) {
 	f := newFleet(t)
 	n := f.start(8 * time.Second)
 	if f.ready(n) {
@@ -32,12 +32,12 @@
 	}
 }
 
-// knowsPeers reports whether a logged list of routers holds any: the first one may be read before the others have registered.
-func knowsPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
+// hasPeers reports whether a logged list of routers holds any: the first one may be read before the others have registered.
+func hasPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
 
 // A router is parted from the store while the operators drop a route. Its neighbours know; without their word its callers would be
 // served by a route that is gone, or refused on a new one, for as long as the cut lasts.
-func TestARouterWithoutTheStoreLearnsFromItsPeers(t *testing.T) {
+func TestRouterWithoutStoreIsUpdatedByPeers(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/old/"))
 	leaving := f.upstream("u1", 0)
@@ -47,7 +47,7 @@
 		f.awaitStatus(n, "/old/", 200)
 	}
 	f.await("the mesh", func() bool {
-		return a.log.hasWith(pomelorelay.EventPeersChanged, knowsPeers) && b.log.hasWith(pomelorelay.EventPeersChanged, knowsPeers)
+		return a.log.hasWith(pomelorelay.EventPeersChanged, hasPeers) && b.log.hasWith(pomelorelay.EventPeersChanged, hasPeers)
 	})
 	b.view.SetCut(true)
 	f.store.Lapse()
@@ -69,7 +69,7 @@
 
 // A router is started anew while the store is away. Its neighbours know the configuration, the upstreams and each other; without their word
 // it refuses every request until the store is back, though the upstreams live.
-func TestARouterThatStartsWithoutTheStoreLearnsFromASeed(t *testing.T) {
+func TestRouterStartingWithoutStoreGetsStateFromSeed(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/old/"))
 	leaving := f.upstream("u1", 0)
@@ -104,7 +104,7 @@
 
 // The store comes back with an older copy, or a peer pushes what it knew before. Going back, a router would accept a key that was
 // taken away.
-func TestConfigurationsNeverGoBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(5, "/new/"))
 	f.upstream("u1", 0)
@@ -120,7 +120,7 @@
 
 // The entries of all upstreams lapse in an outage of the store. They live; taken as gone at once, a whole service would answer nothing
 // until they have registered again.
-func TestLapsedEntriesAreKeptForAWhile(t *testing.T) {
+func TestLapsedEntriesHaveGracePeriod(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	one, two := f.upstream("u1", 0), f.upstream("u2", 0)
@@ -146,7 +146,7 @@
 
 // A planned stop begins while requests run and callers go on using their connections. A request that is cut by the stop, or by the
 // closing of a connection that its caller just used, would be lost.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulStopCutsNoRequest(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 300*time.Millisecond)
@@ -172,7 +172,7 @@
 	}
 	select {
 	case <-stopped:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the stop does not end")
 	}
 	if !n.log.has(pomelorelay.EventStopping) || !n.log.has(pomelorelay.EventStopped) {
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestAStoppedRoutersRegistrationEnds(t *testing.T) {
+func TestStoppedRouterIsDeregistered(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 0)
@@ -201,7 +201,7 @@
 
 // One account's callers all come to one small host. Taken in, they would be answered late, and the process would be killed for its
 // memory with everybody else's requests.
-func TestAFullRouterSendsCallersElsewhere(t *testing.T) {
+func TestFullRouterRefusesRequests(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 400*time.Millisecond)
@@ -235,7 +235,7 @@
 
 // Fourteen routers in one failure domain: each telling all others would take a small host's processor, so one relays. Should the rest
 // not hear through it what runs at an upstream, all would send there at once.
-func TestReportsReachEveryRouterThroughTheRelay(t *testing.T) {
+func TestRelayForwardsUpdatesToEveryRouter(t *testing.T) {
 	const routers = 14
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -8,13 +8,13 @@
 	"github.com/pomelorelay/pomelorelay/pomeloentry"
 )
 
-func evacuates(n *node) bool                 { return n.log.has(pomelorelay.EventDomainEvacuated) }
-func restores(n *node) bool                  { return n.log.has(pomelorelay.EventDomainRestored) }
+func loggedEvacuation(n *node) bool          { return n.log.has(pomelorelay.EventDomainEvacuated) }
+func loggedRestoration(n *node) bool         { return n.log.has(pomelorelay.EventDomainRestored) }
 func inDomainB(u *pomelorelay.FleetUpstream) { u.Domain = "b" }
 
 // Guards against an evacuation that a router cut off from the store, or one that starts in an outage, does not apply, and against one that ends
 // because a router reads everything anew.
-func TestAnEvacuationReachesEveryRouter(t *testing.T) {
+func TestEvacuationReachesEveryRouter(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 0)
@@ -27,14 +27,14 @@
 	}
 	b.view.SetCut(true)
 	f.store.Evacuate("b")
-	f.await("every router evacuates", func() bool { return evacuates(a) && evacuates(b) })
+	f.await("every router evacuates", func() bool { return loggedEvacuation(a) && loggedEvacuation(b) })
 	f.store.Compact()
 	f.store.SetDown(true)
 	late := f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) {
 		two(s)
 		s.Seeds = append(s.Seeds, a.settings.Self.Addr)
 	})
-	f.await("a router that starts in the outage evacuates", func() bool { return evacuates(late) })
+	f.await("a router that starts in the outage evacuates", func() bool { return loggedEvacuation(late) })
 	for range 20 {
 		for _, n := range f.nodes {
 			if status, by := f.call(n, "/a/"); status != 200 || by != "u1" {
@@ -46,19 +46,19 @@
 	f.store.SetDown(false)
 	f.await("the store is back", func() bool { return a.log.has(pomelorelay.EventPlatformBack) })
 	for _, n := range f.nodes {
-		if restores(n) {
+		if loggedRestoration(n) {
 			t.Errorf("%s ended the evacuation by itself", n.settings.Self.Node)
 		}
 	}
 	f.store.Restore("b")
-	f.await("every router takes it back", func() bool { return restores(a) && restores(b) && restores(late) })
+	f.await("every router takes it back", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
 // Guards against an update of the reader that leaves out evacuations, and against a whole state that does not end those that are over.
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
-	f := pomeloentry.NewFollower("a-1", 4*time.Second, peersOf(2, 3))
-	m := f.UpdateOf(pomelorelay.FleetChange{At: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
+	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
+	m := f.UpdateFrom(pomelorelay.FleetChange{At: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
 	if len(m.Evacuated) != 1 || len(m.Restored) != 1 {
 		t.Fatalf("%+v", m)
 	}
@@ -77,10 +77,10 @@
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, At: 12, Restored: []pomelorelay.DomainID{"c"}})
 		}, 1},
 		{"an old state", func() pomelorelay.Revision {
-			return f.TakeState(now, "a-0", &pomelorelay.FleetState{At: 11})
+			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 11})
 		}, 1},
 		{"a newer state without it", func() pomelorelay.Revision {
-			return f.TakeState(now, "a-0", &pomelorelay.FleetState{At: 14})
+			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 14})
 		}, 0},
 	} {
 		at := c.take()
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -11,26 +11,26 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// NewLimited returns a router that does nothing but keep its limit of requests at once.
-func NewLimited(settings pomelorelay.FleetSettings) *Entry {
+// NewRequestLimiter returns a router that does nothing but keep its limit of requests at once.
+func NewRequestLimiter(settings pomelorelay.FleetSettings) *Entry {
 	e := &Entry{hostLimits: hostLimitsOf(settings)}
 	e.requestLimit.Store(e.hostLimits.initialRequests)
 	return e
 }
 
-// TickWith plays a tick of the control goroutine that came late by the lag, with so many requests at once, and returns the new limit.
-func (e *Entry) TickWith(lag time.Duration, running int64) int64 {
+// TickWithLag plays a tick of the control goroutine that came late by the lag, with so many requests at once, and returns the new limit.
+func (e *Entry) TickWithLag(lag time.Duration, running int64) int64 {
 	e.tickLag.Store(int64(lag))
 	e.inFlight.Store(running)
 	e.adaptRequestLimit()
 	return e.requestLimit.Load()
 }
 
-// Decider decides on places as the control goroutine does, without the goroutine.
-type Decider struct{ c *control }
+// PlacementControl decides on places as the control goroutine does, without the goroutine.
+type PlacementControl struct{ c *control }
 
-// NewDecider returns a Decider that knows the configuration's limits and services, and the upstreams.
-func NewDecider(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) Decider {
+// NewPlacementControl returns a Decider that knows the configuration's limits and services, and the upstreams.
+func NewPlacementControl(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) PlacementControl {
 	settings := pomelorelay.FleetSettings{Self: pomelorelay.Peer{Node: "r", Domain: "a", Region: "ra"}, ShareWindow: 4 * time.Second}
 	c := newControl(&Entry{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
 	c.shares.SetCapacity(config.Limits.TokensPerSecond)
@@ -39,7 +39,7 @@
 	for _, u := range upstreams {
 		c.placer.Put(time.Time{}, u)
 	}
-	return Decider{c}
+	return PlacementControl{c}
 }
 
 // UnreportedAfter returns how many routers are taken to send as much as this one, so long after one registered that is never heard.
@@ -50,47 +50,47 @@
 }
 
 // RefusedUnread notes a request that a full router refused.
-func (d Decider) RefusedUnread(now time.Time, account pomelorelay.AccountID, cost pomelorelay.Cost) {
+func (d PlacementControl) RefusedUnread(now time.Time, account pomelorelay.AccountID, cost pomelorelay.Cost) {
 	(&refusedUnread{account, cost}).apply(d.c, now)
 }
 
 // Place decides on a request.
-func (d Decider) Place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
+func (d PlacementControl) Place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
 	d.c.shares.Tick(now)
 	return d.c.place(now, w)
 }
 
 // Report takes another router's report.
-func (d Decider) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+func (d PlacementControl) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	d.c.peers.recordMessage(now, pomelorelay.Peer{Node: from})
 	d.c.receiveReport(now, from, incarnation, m)
 }
 
 // Served returns what an account was served in the window.
-func (d Decider) Served(id pomelorelay.AccountID) pomelorelay.Cost {
+func (d PlacementControl) Served(id pomelorelay.AccountID) pomelorelay.Cost {
 	_, served, _ := d.c.shares.State(id)
 	return served
 }
 
-// LongestPause returns how long a reader may send no update, by the time after which an upstream that leaves must get nothing.
-func LongestPause(drain time.Duration) time.Duration {
+// LongestReadPause returns how long a reader may send no update, by the time after which an upstream that leaves must get nothing.
+func LongestReadPause(drain time.Duration) time.Duration {
 	return time.Duration((readIntervalFraction + watchWaitFraction) * float64(drain))
 }
 
-// Turn returns how long without an update the router waits that is so many places after the first in the order of readers.
-func Turn(drain time.Duration, place int) time.Duration {
+// ReadDelayOf returns how long without an update the router waits that is so many places after the first in the order of readers.
+func ReadDelayOf(drain time.Duration, place int) time.Duration {
 	return time.Duration((takeoverFraction + takeoverStepFraction*float64(place-1)) * float64(drain))
 }
 
-// Look returns how often a router looks whether it has to read the store itself.
-const Look = takeoverPollInterval
+// TakeoverPollInterval returns how often a router looks whether it has to read the store itself.
+const TakeoverPollInterval = takeoverPollInterval
 
-// Follower is the part of a router that takes updates and decides whether it reads the store.
-type Follower struct{ c *control }
+// UpdateControl is the part of a router that takes updates and decides whether it reads the store.
+type UpdateControl struct{ c *control }
 
-// NewFollower returns the router named, one of the peers; all of them were just registered.
-func NewFollower(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) Follower {
-	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: noMesh{}}
+// NewUpdateControl returns the router named, one of the peers; all of them were just registered.
+func NewUpdateControl(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) UpdateControl {
+	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: discardMesh{}}
 	e.cfg.Settings.DrainWait = drain
 	for _, p := range peers {
 		if p.Node == self {
@@ -99,72 +99,74 @@
 	}
 	c := newControl(e)
 	c.applyPeers(time.Now(), &pomelorelay.FleetChange{Peers: peers})
-	return Follower{c}
+	return UpdateControl{c}
 }
 
-// Turn returns how long without an update the router waits until it reads the store itself.
-func (f Follower) Turn(now time.Time) time.Duration {
+// ReadDelay returns how long without an update the router waits until it reads the store itself.
+func (f UpdateControl) ReadDelay(now time.Time) time.Duration {
 	f.c.updateReadDelay(now)
 	return time.Duration(f.c.e.readDelay.Load())
 }
 
 // Receive takes an update, and returns the revision up to which the router has everything.
-func (f Follower) Receive(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) pomelorelay.Revision {
+func (f UpdateControl) Receive(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) pomelorelay.Revision {
 	f.c.receiveUpdate(now, from, m)
 	return f.c.e.cursor.get()
 }
 
 // SetPlatform sets what reads configurations' documents.
-func (f Follower) SetPlatform(p pomelorelay.Platform) { f.c.e.cfg.Platform = p }
+func (f UpdateControl) SetPlatform(p pomelorelay.Platform) { f.c.e.cfg.Platform = p }
 
-// UpdateOf returns the update that the router sends of what it read.
-func (f Follower) UpdateOf(change pomelorelay.FleetChange) *pomelorelay.FleetUpdate {
+// UpdateFrom returns the update that the router sends of what it read.
+func (f UpdateControl) UpdateFrom(change pomelorelay.FleetChange) *pomelorelay.FleetUpdate {
 	return f.c.updateFrom(&storeRead{change: change})
 }
 
 // Version returns the version of the configuration in force.
-func (f Follower) Version() pomelorelay.Generation { return f.c.version() }
+func (f UpdateControl) Version() pomelorelay.Generation { return f.c.version() }
 
-// TakeState takes what a peer has.
-func (f Follower) TakeState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) pomelorelay.Revision {
+// ApplyPeerState takes what a peer has.
+func (f UpdateControl) ApplyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) pomelorelay.Revision {
 	f.c.applyPeerState(now, from, m)
 	return f.c.e.cursor.get()
 }
 
-// TakeSummary takes the sum of the others' reports from the relay of its failure domain, and returns the number of other routers.
-func (f Follower) TakeSummary(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LoadSummary) int {
+// ReceiveSummary takes the sum of the others' reports from the relay of its failure domain, and returns the number of other routers.
+func (f UpdateControl) ReceiveSummary(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LoadSummary) int {
 	f.c.receiveSummary(now, pomelorelay.Envelope{From: from, Incarnation: 1, Message: m}, m)
 	return len(f.c.peers.byNode)
 }
 
 // Upstreams returns the ids of the upstreams that the router has.
-func (f Follower) Upstreams() []pomelorelay.UpstreamID {
+func (f UpdateControl) Upstreams() []pomelorelay.UpstreamID {
 	return slices.Sorted(maps.Keys(f.c.upstreams.present))
 }
 
 // Evacuated returns the failure domains under evacuation.
-func (f Follower) Evacuated() []pomelorelay.DomainID { return slices.Sorted(maps.Keys(f.c.evacuated)) }
+func (f UpdateControl) Evacuated() []pomelorelay.DomainID {
+	return slices.Sorted(maps.Keys(f.c.evacuated))
+}
 
-// noMesh loses every message.
-type noMesh struct{ pomelorelay.Mesh }
+// discardMesh loses every message.
+type discardMesh struct{ pomelorelay.Mesh }
 
-func (noMesh) Send(pomelorelay.NodeID, pomelorelay.Message) error { return nil }
-func (noMesh) SetPeers([]pomelorelay.Peer)                        {}
-func (noMesh) SetGeneration(pomelorelay.Generation)               {}
+func (discardMesh) Send(pomelorelay.NodeID, pomelorelay.Message) error { return nil }
+func (discardMesh) SetPeers([]pomelorelay.Peer)                        {}
+func (discardMesh) SetGeneration(pomelorelay.Generation)               {}
 
-// Sum sums up the reports of several sources as a relay does.
-type Sum struct{ a *aggregate }
+// Aggregate sums up the reports of several sources as a relay does.
+type Aggregate struct{ a *aggregate }
 
-// NewSum returns a Sum of nothing.
-func NewSum() Sum { return Sum{newAggregate()} }
+// NewAggregate returns a Sum of nothing.
+func NewAggregate() Aggregate { return Aggregate{newAggregate()} }
 
-// Take adds a source's report.
-func (s Sum) Take(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+// Add adds a source's report.
+func (s Aggregate) Add(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	s.a.add(now, string(from), from, incarnation, m)
 }
 
 // Reports returns what changed, or everything, for each source, without what that source has.
-func (s Sum) Reports(whole bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
+func (s Aggregate) Reports(whole bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
 	all := make(map[pomelorelay.NodeID]*pomelorelay.LoadReport)
 	for _, from := range sources {
 		all[from] = s.a.report(string(from), whole, 1)
@@ -173,5 +175,5 @@
 	return all
 }
 
-// ForgetSilent forgets the sources that have reported nothing for a time.
-func (s Sum) ForgetSilent(now time.Time, most time.Duration) { s.a.removeSilent(now, most) }
+// RemoveSilent forgets the sources that have reported nothing for a time.
+func (s Aggregate) RemoveSilent(now time.Time, most time.Duration) { s.a.removeSilent(now, most) }
--- a/pomeloentry/load_bench_test.go
+++ b/pomeloentry/load_bench_test.go
@@ -19,12 +19,12 @@
 }
 
 // BenchmarkTakeSummary decodes and takes the sum of the other routers' reports, in which a quarter of the upstreams changed.
-func BenchmarkTakeSummary(b *testing.B) {
+func BenchmarkReceiveSummary(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			now := time.Now()
 			peers := peersOf(6, 50)
-			f := pomeloentry.NewFollower("a-1", 4*time.Second, peers)
+			f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peers)
 			ups := manyUpstreams(n)
 			f.Receive(now, "a-0", &pomelorelay.FleetUpdate{At: 1, Whole: true, Upstreams: ups, Peers: peers})
 			seq := uint64(0)
@@ -46,7 +46,7 @@
 					b.Fatal(err)
 				}
 				now = now.Add(40 * time.Millisecond)
-				f.TakeSummary(now, "a-0", got.(*pomelorelay.LoadSummary))
+				f.ReceiveSummary(now, "a-0", got.(*pomelorelay.LoadSummary))
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 			peers := peersOf(6, 50)
 			ups := manyUpstreams(n)
 			for b.Loop() {
-				f := pomeloentry.NewFollower("a-1", 4*time.Second, peers)
+				f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peers)
 				f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{At: 1, Whole: true, Upstreams: ups, Peers: peers})
 			}
 		})
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -12,8 +12,8 @@
 
 // Many upstreams are down, and one account floods the fleet. Its requests find those that are down and ask for another place; let in
 // there as if they were within its share, the flood takes the engines that live, and other accounts see their requests refused.
-func TestAFloodStaysBeyondItsShareWhenUpstreamsAreDown(t *testing.T) {
-	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
+func TestFloodStaysOverShareWhenUpstreamsAreDown(t *testing.T) {
+	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
@@ -48,7 +48,7 @@
 
 // A router starts while the links to another region are cut, but the store still lists the routers there. Taken to send as much as this one for as
 // long as they are not heard, they would have most of each engine kept free for them, and callers would be refused beside idle engines.
-func TestRoutersThatAreNeverHeardCountForAMomentOnly(t *testing.T) {
+func TestUnreportedRoutersStopCountingAfterTimeout(t *testing.T) {
 	for _, c := range []struct {
 		passed time.Duration
 		want   int
@@ -65,8 +65,8 @@
 
 // The balancer sends most callers of one account to a host that is full. What it refuses unread counts for nobody, and the routers think that
 // the account wants no more than it gets: another account takes twice as much, and the first one's callers go on being refused.
-func TestWhatAFullRouterRefusesCountsAsAsked(t *testing.T) {
-	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
+func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
+	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 64})
@@ -91,8 +91,8 @@
 
 // Two relays hand on the same reports for a moment, one of them later, and a router that was restarted is still told of by its former
 // process. Taken after a newer report, an old one brings back work that has ended: the engine looks full, and requests are refused there.
-func TestLateReportsAreLeftOut(t *testing.T) {
-	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
+func TestLateReportsAreIgnored(t *testing.T) {
+	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
--- a/pomeloentry/reader_test.go
+++ b/pomeloentry/reader_test.go
@@ -11,14 +11,14 @@
 )
 
 // Guards against routers that read the store although the reader only paused, and against a takeover too late for an upstream that leaves.
-func TestATakeoverComesAfterTheReadersLongestPause(t *testing.T) {
+func TestTakeoverWaitsForReadersLongestPause(t *testing.T) {
 	for _, drain := range []time.Duration{2500 * time.Millisecond, 4 * time.Second} {
-		second, pause := pomeloentry.Turn(drain, 1), pomeloentry.LongestPause(drain)
+		second, pause := pomeloentry.ReadDelayOf(drain, 1), pomeloentry.LongestReadPause(drain)
 		if second < pause+drain/20 {
 			t.Errorf("bound %v: the second reader waits %v, the first pauses for %v", drain, second, pause)
 		}
-		if second+pomeloentry.Look > drain*3/4 {
-			t.Errorf("bound %v: a router takes over only after %v", drain, second+pomeloentry.Look)
+		if second+pomeloentry.TakeoverPollInterval > drain*3/4 {
+			t.Errorf("bound %v: a router takes over only after %v", drain, second+pomeloentry.TakeoverPollInterval)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	peers := peersOf(6, 50)
 	var turns []time.Duration
 	for _, p := range peers {
-		turns = append(turns, pomeloentry.NewFollower(p.Node, drain, peers).Turn(time.Now()))
+		turns = append(turns, pomeloentry.NewUpdateControl(p.Node, drain, peers).ReadDelay(time.Now()))
 	}
 	slices.Sort(turns)
 	if turns[0] != 0 || turns[1] == 0 {
@@ -62,7 +62,7 @@
 }
 
 // Guards against a router that goes on with upstreams that left while it missed an update.
-func TestAMissedUpdateIsMadeUpFor(t *testing.T) {
+func TestMissedUpdateIsRecoveredFromPeerState(t *testing.T) {
 	now := time.Now()
 	up := func(ids ...pomelorelay.UpstreamID) []pomelorelay.FleetUpstream {
 		var list []pomelorelay.FleetUpstream
@@ -71,7 +71,7 @@
 		}
 		return list
 	}
-	f := pomeloentry.NewFollower("a-1", 4*time.Second, peersOf(2, 3))
+	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
 	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{At: 10, Whole: true, Upstreams: up("u1", "u2", "u3", "u4")}); at != 10 {
 		t.Fatalf("at %d after everything was read at 10", at)
 	}
@@ -81,7 +81,7 @@
 	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, At: 17, Upstreams: up("u5")}); at != 10 {
 		t.Fatalf("at %d though what changed from 10 to 14 is missing", at)
 	}
-	at := f.TakeState(now, "a-0", &pomelorelay.FleetState{At: 17, Upstreams: up("u2", "u3", "u4", "u5")})
+	at := f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 17, Upstreams: up("u2", "u3", "u4", "u5")})
 	if got := f.Upstreams(); at != 17 || !slices.Equal(got, []pomelorelay.UpstreamID{"u2", "u3", "u4", "u5"}) {
 		t.Errorf("at %d with %v", at, got)
 	}
@@ -92,9 +92,9 @@
 
 // Guards against a configuration that only the reader has read, and that is lost to all others for as long as the reader is dead: they go on from
 // the revision of its last update.
-func TestAnUpdateCarriesTheConfiguration(t *testing.T) {
+func TestUpdateAppliesConfiguration(t *testing.T) {
 	fleet := newFleet(t)
-	f := pomeloentry.NewFollower("a-1", 4*time.Second, peersOf(2, 3))
+	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
 	f.SetPlatform(fleet.store.View())
 	at := f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{At: 10, Whole: true, Document: fleet.config(7, "/a/").Document})
 	if at != 10 || f.Version() != 7 {
@@ -103,18 +103,18 @@
 }
 
 // Guards against an update without the configuration that was read with it.
-func TestTheReaderSendsTheConfigurationItRead(t *testing.T) {
+func TestReaderSendsConfigurationItRead(t *testing.T) {
 	fleet := newFleet(t)
-	f := pomeloentry.NewFollower("a-0", 4*time.Second, peersOf(2, 3))
+	f := pomeloentry.NewUpdateControl("a-0", 4*time.Second, peersOf(2, 3))
 	config := fleet.config(7, "/a/")
-	m := f.UpdateOf(pomelorelay.FleetChange{At: 10, Config: config})
+	m := f.UpdateFrom(pomelorelay.FleetChange{At: 10, Config: config})
 	if string(m.Document) != string(config.Document) || m.At != 10 {
 		t.Errorf("the update at %d holds %q", m.At, m.Document)
 	}
 }
 
 // Guards against calls to the store that grow with the routers while nothing happens, and after the store dropped its history.
-func TestStoreCallsDoNotGrowWithTheRouters(t *testing.T) {
+func TestStoreCallsDoNotGrowWithRouters(t *testing.T) {
 	const routers, beats = 12, 100
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
@@ -156,10 +156,10 @@
 }
 
 // Guards against a router that takes itself for another one when its relay names it as the next.
-func TestAStandbyIsNotItsOwnPeer(t *testing.T) {
+func TestStandbyIsNotItsOwnPeer(t *testing.T) {
 	const routers = 20
-	f := pomeloentry.NewFollower("a-1", 4*time.Second, peersOf(1, routers))
-	got := f.TakeSummary(time.Now(), "a-0", &pomelorelay.LoadSummary{
+	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(1, routers))
+	got := f.ReceiveSummary(time.Now(), "a-0", &pomelorelay.LoadSummary{
 		Report: &pomelorelay.LoadReport{Seq: 1, Whole: true}, Standby: []pomelorelay.NodeID{"a-1", "a-10"},
 	})
 	if got != routers-1 {
--- a/pomeloentry/warmup_test.go
+++ b/pomeloentry/warmup_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a router that sends to an upstream although its entry says that it is cold, and against one that never takes it for warm.
-func TestAColdUpstreamIsLeftOutUntilItIsWarm(t *testing.T) {
+func TestColdUpstreamGetsNoRequestsUntilWarm(t *testing.T) {
 	const left = 2 * time.Second
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
--- a/pomeloentry/world_test.go
+++ b/pomeloentry/world_test.go
@@ -19,15 +19,15 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// patience bounds the wait for something that must happen; a verdict never depends on how long it took.
-const patience = 20 * time.Second
+// testTimeout bounds the wait for something that must happen; a verdict never depends on how long it took.
+const testTimeout = 20 * time.Second
 
 // fleet is a few real routers before stand-ins of the store and of upstreams.
 type fleet struct {
-	t     *testing.T
-	store *pomelofake.FleetStore
-	nodes []*node
-	last  atomic.Uint64
+	t        *testing.T
+	store    *pomelofake.FleetStore
+	nodes    []*node
+	requests atomic.Uint64
 }
 
 type node struct {
@@ -183,7 +183,7 @@
 		f.t.Fatal(err)
 	}
 	req.Host, req.Close = "h.example", true
-	req.Header.Set(pomelofake.FieldRequest, fmt.Sprint("req-", f.last.Add(1)))
+	req.Header.Set(pomelofake.FieldRequest, fmt.Sprint("req-", f.requests.Add(1)))
 	req.Header.Set(pomelofake.FieldKey, "key")
 	req.Header.Set(pomelofake.FieldWait, "4000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
@@ -218,7 +218,7 @@
 
 func (f *fleet) await(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -20,7 +20,7 @@
 
 func write(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) }
 
-func TestPassesARequestAndItsAnswer(t *testing.T) {
+func TestForwardsRequestAndAnswer(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 201, "made")) })
 	w := newHarness(t, u.entry("u1"))
 	got := w.call("POST", "/book/a%2Fb?x=1", "hello", "Custom", "kept")
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestRefusalsBeforeAnything(t *testing.T) {
+func TestRefusalsBeforeSending(t *testing.T) {
 	w := newHarness(t)
 	for _, c := range []struct {
 		path, key, body string
@@ -66,7 +66,7 @@
 
 // An upstream takes a booking and its connection breaks before any answer. The booking may have run: sent again it would be charged
 // twice, and a status that promises that it did not run would make the caller send it again.
-func TestABookingThatMayHaveRunIsNotSentAgain(t *testing.T) {
+func TestBookingThatMayHaveRunIsNotRetried(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	w := newHarness(t, u.entry("u1"), u.entry("u2"))
 	got := w.call("POST", "/book/", "x")
@@ -76,7 +76,7 @@
 }
 
 // The same for a read: it may run twice, and its caller wants the answer.
-func TestAReadIsSentAgain(t *testing.T) {
+func TestReadIsRetried(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request){
 		"reset":  func(conn net.Conn, _ *http.Request) { reset(conn) },
 		"failed": func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) },
@@ -111,7 +111,7 @@
 
 // A server that is full says that it did not run the request; another has the address of one that is gone. Both are safe to send
 // elsewhere, also when the request may run only once.
-func TestWhatSurelyDidNotRunGoesElsewhere(t *testing.T) {
+func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, status := range []int{503, 421} {
 		full := newUpstream(t, func(conn net.Conn, r *http.Request) {
 			write(conn, head(r, status, "Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
@@ -129,7 +129,7 @@
 }
 
 // A server that ran a request answers with a status that would promise that it did not.
-func TestPromisesOfServersAreNotPassedOn(t *testing.T) {
+func TestNotRunStatusWithoutMarkBecomesBadGateway(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
 		w := newHarness(t, u.entry("u1"))
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestAnswersWithoutALengthEndWithTheirConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	whole := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, head(r, 200, "\r\nall of it")); conn.Close() })
 	if got := newHarness(t, whole.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
 		t.Fatalf("%+v", got)
@@ -156,7 +156,7 @@
 
 // A server sends bytes after its answer, or the answer to an earlier request once more. Taken for the next answer on the connection,
 // they would reach another caller.
-func TestExtraBytesReachNobody(t *testing.T) {
+func TestExtraBytesAreNotForwarded(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, plainAnswer(r, 200, "mine")+plainAnswer(r, 200, "extra"))
 	})
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestStreamsPassEachEventOnce(t *testing.T) {
+func TestStreamForwardsEachEventOnce(t *testing.T) {
 	u := newUpstream(t, stream(1, 2, 2, 3))
 	got := newHarness(t, u.entry("u")).call("POST", "/draft/", "x")
 	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n"; got.body != want || got.bodyErr != nil {
@@ -188,7 +188,7 @@
 }
 
 // A stream loses a piece, or stops within one. Ended as if it were whole, the caller would take a part of a draft for all of it.
-func TestBrokenStreamsLookBroken(t *testing.T) {
+func TestBrokenStreamCutsCallerConnection(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request){
 		"gap": stream(1, 3),
 		"reset": func(conn net.Conn, r *http.Request) {
@@ -213,7 +213,7 @@
 }
 
 // A server stops in the middle of a chat that may be taken up again. Its caller should see one stream without a seam.
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherUpstream(t *testing.T) {
 	first := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, streamHead(r)+eventChunk(1)+eventChunk(2)+chunkOf("id: 3\nda"))
 		time.Sleep(20 * time.Millisecond)
@@ -233,7 +233,7 @@
 }
 
 // A caller leaves in the middle of its stream. The server would go on generating for nobody while others wait for it.
-func TestACallerThatLeavesStopsTheServersWork(t *testing.T) {
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	ended := make(chan struct{})
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, streamHead(r)+eventChunk(1))
@@ -263,7 +263,7 @@
 }
 
 // A server takes a request and says nothing. Its caller gets a final answer at the end of its time, and one that promises nothing.
-func TestSilentServersEndWithTheDeadline(t *testing.T) {
+func TestSilentUpstreamFailsAtDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	u := newUpstream(t, func(net.Conn, *http.Request) { <-hold })
@@ -274,7 +274,7 @@
 }
 
 // The process is about to end. A stream that begins now would be cut by it, and a request that is let in at the last moment too.
-func TestAStoppingRouterTakesOnlyWhatItCanEnd(t *testing.T) {
+func TestStoppingRouterAcceptsOnlyRequestsItCanFinish(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
 	w := newHarness(t, u.entry("u"), u.entry("u"))
 	w.stopping, w.stopsIn = true, 2*time.Second
@@ -291,7 +291,7 @@
 }
 
 // A service's upstreams all refuse. Each router sending each request again would bring the load that they cannot take twice.
-func TestRetriesAreWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) })
 	const requests = 60
 	w := newHarness(t)
@@ -309,7 +309,7 @@
 
 // Several upstreams are down at once and the request's first places are all among them. It has not run anywhere, and the next one lives;
 // refused after three, its caller would have to come back for nothing. Its account is charged for one run and asks once.
-func TestARequestOutlivesSeveralUpstreamsThatAreDown(t *testing.T) {
+func TestRequestSurvivesSeveralUnreachableUpstreams(t *testing.T) {
 	live := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		fmt.Fprint(conn, head(r, 200, "Content-Length: 2\r\n\r\nok"))
 	})
@@ -339,7 +339,7 @@
 
 // The processor stands still for a second while the connection to the upstream opens, and the caller gives up meanwhile. Written once the
 // connection is there, its request would run for nobody; the place it holds is given back, and its account is not charged.
-func TestARequestWhoseCallerLeftWhileItsConnectionOpenedIsNotSent(t *testing.T) {
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	var runs atomic.Int64
 	up := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		runs.Add(1)
@@ -366,7 +366,7 @@
 
 // An upstream reads somebody's long prompt, and the streams that it runs beside it pause for longer than their callers accept. Taken for good
 // answers, they would teach nobody that long prompts had better go elsewhere.
-func TestAStreamThatPausesTooLongIsToldApart(t *testing.T) {
+func TestStreamWithLongPauseIsReportedAsPaused(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
 		want  pomeloplace.Result
@@ -389,7 +389,7 @@
 	}
 }
 
-func TestWhatARefusedRequestAsks(t *testing.T) {
+func TestEstimateCost(t *testing.T) {
 	w := newHarness(t)
 	r := httptest.NewRequest("POST", "http://h.example/talk/", nil)
 	r.Header.Set(pomelofake.FieldTokens, "1000,50")
@@ -403,7 +403,7 @@
 }
 
 // Guards against a refused placement that does not name its reason, or that leaves open whether the request ran.
-func TestRefusedPlacementsNameTheirReason(t *testing.T) {
+func TestRefusedPlacementNamesItsReason(t *testing.T) {
 	for _, c := range []struct {
 		decision pomeloplace.Decision
 		code     pomelorelay.ResultCode
