--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -230,9 +230,9 @@
 }
 
 // removeSilent forgets the sources that have reported nothing for a time.
-func (a *aggregate) removeSilent(now time.Time, most time.Duration) {
+func (a *aggregate) removeSilent(now time.Time, timeout time.Duration) {
 	for key, s := range a.sources {
-		if now.Sub(s.reportedAt) > most {
+		if now.Sub(s.reportedAt) > timeout {
 			a.remove(key)
 		}
 	}
@@ -240,14 +240,14 @@
 
 // report returns what changed since the last flush, or everything, without what the source named has reported itself; an empty key leaves out
 // nothing.
-func (a *aggregate) report(key string, whole bool, seq uint64) *pomelorelay.LoadReport {
-	m := &pomelorelay.LoadReport{Seq: seq, Whole: whole}
+func (a *aggregate) report(key string, full bool, seq uint64) *pomelorelay.LoadReport {
+	m := &pomelorelay.LoadReport{Seq: seq, Whole: full}
 	own := a.sources[key]
 	if own == nil {
 		own = &source{}
 	}
 	for id, sum := range a.upstreams {
-		if !sum.changed && !whole {
+		if !sum.changed && !full {
 			continue
 		}
 		l := sum.UpstreamLoad
@@ -262,14 +262,14 @@
 		m.Upstreams = append(m.Upstreams, l)
 	}
 	for id, sum := range a.accounts {
-		if !sum.changed && !whole {
+		if !sum.changed && !full {
 			continue
 		}
 		o := own.accounts[id]
 		m.Accounts = append(m.Accounts, pomelorelay.AccountUse{Account: id, Asked: sum.Asked - o.Asked, Served: sum.Served - o.Served})
 	}
 	for id, sum := range a.speeds {
-		if sum.changed || whole {
+		if sum.changed || full {
 			m.Speeds = append(m.Speeds, adjustSpeeds(sum.SpeedSums, pomelorelay.SpeedSums{}, own.speeds[id]))
 		}
 	}
--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -47,11 +47,11 @@
 				r.others = others
 				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Whole: true})
 			case 1:
-				whole := &pomelorelay.LoadReport{Whole: true}
+				full := &pomelorelay.LoadReport{Whole: true}
 				for _, l := range r.load {
-					whole.Upstreams = append(whole.Upstreams, l)
+					full.Upstreams = append(full.Upstreams, l)
 				}
-				sum.Add(now, node, r.incarnation, whole)
+				sum.Add(now, node, r.incarnation, full)
 			default:
 				id := rapid.SampledFrom(upstreams).Draw(rt, "upstream")
 				l := r.load[id]
@@ -72,8 +72,8 @@
 	})
 }
 
-func deliver(sum pomeloentry.Aggregate, routers map[pomelorelay.NodeID]*reporter, nodes []pomelorelay.NodeID, whole bool) {
-	for node, m := range sum.Reports(whole, nodes...) {
+func deliver(sum pomeloentry.Aggregate, routers map[pomelorelay.NodeID]*reporter, nodes []pomelorelay.NodeID, full bool) {
+	for node, m := range sum.Reports(full, nodes...) {
 		for _, l := range m.Upstreams {
 			routers[node].others[l.Upstream] = l
 		}
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -150,8 +150,8 @@
 
 // logSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
 func (c *control) logSpeed(s pomeloplace.Speed) {
-	told := c.loggedSpeeds[s.Service]
-	if told > 0 && s.Rate < speedLogRatio*told && told < speedLogRatio*s.Rate {
+	logged := c.loggedSpeeds[s.Service]
+	if logged > 0 && s.Rate < speedLogRatio*logged && logged < speedLogRatio*s.Rate {
 		return
 	}
 	c.loggedSpeeds[s.Service] = s.Rate
@@ -161,13 +161,13 @@
 
 // place decides on a request and charges its account.
 func (c *control) place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
-	counts := w.Cost > 0 && w.Account != ""
+	accounted := w.Cost > 0 && w.Account != ""
 	r := w.Request
 	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
 	r.Residency = c.residency.Of(now, w.Route, w.Account)
 	r.Owed = true
 	var share pomeloplace.ShareState
-	if counts {
+	if accounted {
 		if !w.Retry {
 			c.shares.Asked(w.Account, w.Cost)
 		}
@@ -186,7 +186,7 @@
 	}
 	c.e.metrics.Placed(string(d.Reason))
 	switch {
-	case d.Reason == pomeloplace.ReasonNone && counts && !w.Charged:
+	case d.Reason == pomeloplace.ReasonNone && accounted && !w.Charged:
 		c.shares.Served(w.Account, w.Cost)
 	case d.Reason == pomeloplace.ReasonShare:
 		d.RetryAfter = c.retryAfter(&d, &w)
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -166,14 +166,14 @@
 }
 
 // Reports returns what changed, or everything, for each source, without what that source has.
-func (s Aggregate) Reports(whole bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
+func (s Aggregate) Reports(full bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
 	all := make(map[pomelorelay.NodeID]*pomelorelay.LoadReport)
 	for _, from := range sources {
-		all[from] = s.a.report(string(from), whole, 1)
+		all[from] = s.a.report(string(from), full, 1)
 	}
 	s.a.markFlushed()
 	return all
 }
 
 // RemoveSilent forgets the sources that have reported nothing for a time.
-func (s Aggregate) RemoveSilent(now time.Time, most time.Duration) { s.a.removeSilent(now, most) }
+func (s Aggregate) RemoveSilent(now time.Time, timeout time.Duration) { s.a.removeSilent(now, timeout) }
--- a/pomeloentry/follow.go
+++ b/pomeloentry/follow.go
@@ -96,8 +96,8 @@
 
 // wait waits for the signal, at most for the time. The first call that the store answers again wakes the others: each waiting for its
 // own time, a router that starts in an outage would refuse requests for most of a second longer.
-func (b *broadcast) wait(ctx context.Context, most time.Duration) {
-	timer := time.NewTimer(most)
+func (b *broadcast) wait(ctx context.Context, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -94,10 +94,10 @@
 const unreportedTimeout = 3 * time.Second
 
 // unreported returns the number of registered routers that have not reported yet what they have on the upstreams.
-func (p *peers) unreported(now time.Time, summed func(*knownPeer) bool) int {
+func (p *peers) unreported(now time.Time, inSummary func(*knownPeer) bool) int {
 	n := 0
 	for _, known := range p.byNode {
-		if known.registered && !known.fullyReported && now.Sub(known.knownSince) < unreportedTimeout && !summed(known) {
+		if known.registered && !known.fullyReported && now.Sub(known.knownSince) < unreportedTimeout && !inSummary(known) {
 			n++
 		}
 	}
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -19,15 +19,15 @@
 
 // Place returns a ticket or a refusal; it fails when ctx ends first.
 func (p placement) Place(ctx context.Context, w pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
-	asked := &placementRequested{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
+	request := &placementRequested{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
 	select {
-	case p.e.events <- asked:
+	case p.e.events <- request:
 	case <-ctx.Done():
 		return nil, pomeloplace.Decision{}, ctx.Err()
 	}
 	// The control goroutine answers within microseconds, or finds the request gone: waiting for ctx too would leave a run that
 	// nobody ends.
-	d := <-asked.answer
+	d := <-request.answer
 	if d.Run == nil {
 		return nil, d, ctx.Err()
 	}
--- a/pomeloentry/reader.go
+++ b/pomeloentry/reader.go
@@ -50,10 +50,10 @@
 func (w *cursor) hasRead() bool { return w.get() > 0 }
 
 // advance moves on by a change between two revisions; it reports false when the change is old, or when a part before it is missing.
-func (w *cursor) advance(after, at pomelorelay.Revision, whole bool) bool {
+func (w *cursor) advance(after, at pomelorelay.Revision, complete bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at < w.at || (!whole && (w.at == 0 || after != w.at)) {
+	if at < w.at || (!complete && (w.at == 0 || after != w.at)) {
 		return false
 	}
 	w.at = at
@@ -76,7 +76,7 @@
 		if err := e.read(ctx, failed); err != nil {
 			return err
 		}
-		sleep(ctx, e.drainFraction(readIntervalFraction)-time.Since(began))
+		sleep(ctx, e.scaledDrainWait(readIntervalFraction)-time.Since(began))
 		return nil
 	}})
 }
@@ -93,8 +93,8 @@
 
 // shouldRead reports whether it is this router's turn to read the store.
 func (e *Entry) shouldRead() bool {
-	turn := e.readDelay.Load()
-	return turn == 0 || e.cfg.Clock.Now().UnixNano()-e.lastUpdateAt.Load() >= turn
+	delay := e.readDelay.Load()
+	return delay == 0 || e.cfg.Clock.Now().UnixNano()-e.lastUpdateAt.Load() >= delay
 }
 
 // read reads everything at first and after the store dropped its history, and changes otherwise.
@@ -104,7 +104,7 @@
 		// What a stale read lacks comes with the first update.
 		return e.readAll(ctx, "start", !failed)
 	}
-	change, err := e.cfg.Platform.Watch(ctx, after, e.drainFraction(watchWaitFraction))
+	change, err := e.cfg.Platform.Watch(ctx, after, e.scaledDrainWait(watchWaitFraction))
 	e.metrics.StoreCalled("watch", e.readerRole(), pomelorelay.CodeOf(err))
 	if pomelorelay.IsErrCode(err, pomelorelay.CodeStoreCompacted) {
 		return e.readAll(ctx, "compacted", false)
@@ -116,13 +116,13 @@
 	return nil
 }
 
-func (e *Entry) readAll(ctx context.Context, cause string, stale bool) error {
-	change, err := e.cfg.Platform.Read(ctx, stale)
+func (e *Entry) readAll(ctx context.Context, cause string, allowStale bool) error {
+	change, err := e.cfg.Platform.Read(ctx, allowStale)
 	e.metrics.StoreCalled("read", cause, pomelorelay.CodeOf(err))
 	if err != nil {
 		return err
 	}
-	e.postRead(ctx, &storeRead{change: change, stale: stale})
+	e.postRead(ctx, &storeRead{change: change, stale: allowStale})
 	return nil
 }
 
@@ -188,14 +188,14 @@
 }
 
 // applyChange takes in what the store holds; source names the router that read it.
-func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, back bool, source string) {
+func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
 	if change.ConfigFault != nil {
 		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigFault))), field("Fault", change.ConfigFault.Error()))
 	}
 	if change.Config != nil {
 		c.setConfig(now, change.Config, source)
 	}
-	c.applyUpstreams(now, change, back, source)
+	c.applyUpstreams(now, change, recovered, source)
 	c.applyEvacuations(now, change, source)
 	c.applyPeers(now, change)
 }
@@ -266,23 +266,23 @@
 // failure domain, the longer the later a router is in the order of relays, and then of all others by a hash.
 func (c *control) updateReadDelay(now time.Time) {
 	self := c.e.cfg.Settings.Self
-	rank, place := 0, -1
+	rank, position := 0, -1
 	for _, domain := range c.domains() {
 		node, ok := c.relayOf(now, domain)
 		if !ok {
 			continue
 		}
 		if node == self.Node {
-			place = rank
+			position = rank
 		}
 		rank++
 	}
-	if place < 0 {
-		place = rank + int(xxhash.Sum64String(string(self.Node))%uint64(len(c.peers.byNode)+1))
+	if position < 0 {
+		position = rank + int(xxhash.Sum64String(string(self.Node))%uint64(len(c.peers.byNode)+1))
 	}
-	turn := time.Duration(0)
-	if place > 0 {
-		turn = c.e.drainFraction(takeoverFraction + takeoverStepFraction*float64(place-1))
+	delay := time.Duration(0)
+	if position > 0 {
+		delay = c.e.scaledDrainWait(takeoverFraction + takeoverStepFraction*float64(position-1))
 	}
-	c.e.readDelay.Store(int64(turn))
+	c.e.readDelay.Store(int64(delay))
 }
--- a/pomeloentry/reader_test.go
+++ b/pomeloentry/reader_test.go
@@ -38,21 +38,21 @@
 func TestOneRouterReadsTheStore(t *testing.T) {
 	const drain = 4 * time.Second
 	peers := peersOf(6, 50)
-	var turns []time.Duration
+	var delays []time.Duration
 	for _, p := range peers {
-		turns = append(turns, pomeloentry.NewUpdateControl(p.Node, drain, peers).ReadDelay(time.Now()))
+		delays = append(delays, pomeloentry.NewUpdateControl(p.Node, drain, peers).ReadDelay(time.Now()))
 	}
-	slices.Sort(turns)
-	if turns[0] != 0 || turns[1] == 0 {
-		t.Fatalf("the first turns are %v", turns[:3])
+	slices.Sort(delays)
+	if delays[0] != 0 || delays[1] == 0 {
+		t.Fatalf("the first turns are %v", delays[:3])
 	}
 	// The relay of each failure domain takes over in time for an upstream that leaves.
-	if turns[5] > drain*4/5 {
-		t.Errorf("the sixth router waits %v", turns[5])
+	if delays[5] > drain*4/5 {
+		t.Errorf("the sixth router waits %v", delays[5])
 	}
 	soon := 0
-	for _, turn := range turns {
-		if turn < drain+time.Second {
+	for _, delay := range delays {
+		if delay < drain+time.Second {
 			soon++
 		}
 	}
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -190,25 +190,25 @@
 	r := &c.relay
 	r.local.removeSilent(now, pomeloplace.SilentAfter)
 	r.all.removeSilent(now, pomeloplace.SilentAfter)
-	whole := now.Sub(r.fullSummaryAt) >= fullReportInterval
-	if now.Sub(r.flushedAt) < flushInterval || (!whole && !r.all.changed()) {
+	full := now.Sub(r.fullSummaryAt) >= fullReportInterval
+	if now.Sub(r.flushedAt) < flushInterval || (!full && !r.all.changed()) {
 		return
 	}
 	r.flushedAt = now
-	if whole {
+	if full {
 		r.fullSummaryAt = now
 	}
 	r.seq++
 	self := c.e.cfg.Settings.Self
 	for _, domain := range c.domains() {
-		if node, ok := c.relayOf(now, domain); ok && domain != self.Domain && (whole || r.local.changed()) {
-			c.send(node, &pomelorelay.LoadSummary{Report: r.local.report("", whole, r.seq)})
+		if node, ok := c.relayOf(now, domain); ok && domain != self.Domain && (full || r.local.changed()) {
+			c.send(node, &pomelorelay.LoadSummary{Report: r.local.report("", full, r.seq)})
 		}
 	}
 	standby := c.standbys(now)
 	for node, p := range c.peers.byNode {
 		if p.Domain == self.Domain {
-			c.send(node, &pomelorelay.LoadSummary{Report: r.all.report(string(node), whole, r.seq), Standby: standby})
+			c.send(node, &pomelorelay.LoadSummary{Report: r.all.report(string(node), full, r.seq), Standby: standby})
 		}
 	}
 	r.local.markFlushed()
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -25,7 +25,7 @@
 
 // lacksState reports whether the router cannot serve, or stands alone, while the store is silent.
 func (c *control) lacksState(now time.Time) bool {
-	if now.Sub(c.upstreams.listedAt) <= c.e.drainFraction(storeSilenceFraction) {
+	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return false
 	}
 	return c.config == nil || !c.e.cursor.hasRead() || len(c.peers.byNode) == 0
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -23,13 +23,13 @@
 	leavingReportTime = 3 * time.Second
 )
 
-// drainFraction returns a part of the time after which an upstream that said it leaves must get no more requests.
-func (e *Entry) drainFraction(part float64) time.Duration {
+// scaledDrainWait returns a part of the time after which an upstream that said it leaves must get no more requests.
+func (e *Entry) scaledDrainWait(fraction float64) time.Duration {
 	drain := e.cfg.Settings.DrainWait
 	if drain <= 0 {
 		drain = defaultDrainWait
 	}
-	return time.Duration(part * float64(drain))
+	return time.Duration(fraction * float64(drain))
 }
 
 // upstreams are the registered upstreams in this router's view.
@@ -67,8 +67,8 @@
 }
 
 // applyUpstreams takes in what changed among the upstreams; back is set when the store had not answered before.
-func (c *control) applyUpstreams(now time.Time, change *pomelorelay.FleetChange, back bool, source string) {
-	if back || now.Sub(c.upstreams.listedAt) > c.e.drainFraction(storeSilenceFraction) {
+func (c *control) applyUpstreams(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
+	if recovered || now.Sub(c.upstreams.listedAt) > c.e.scaledDrainWait(storeSilenceFraction) {
 		c.upstreams.storeRecoveredAt = now
 	}
 	c.upstreams.listedAt = now
@@ -117,7 +117,7 @@
 	if !known {
 		return
 	}
-	if _, waits := c.upstreams.lapsed[id]; waits {
+	if _, pending := c.upstreams.lapsed[id]; pending {
 		return
 	}
 	if u.Draining {
@@ -132,8 +132,8 @@
 
 func (c *control) removalTime(now time.Time) time.Time {
 	u := &c.upstreams
-	if back := u.storeRecoveredAt.Add(reregisterGrace); now.Before(back) {
-		return back
+	if graceEnd := u.storeRecoveredAt.Add(reregisterGrace); now.Before(graceEnd) {
+		return graceEnd
 	}
 	recent := u.recentLapses[:0]
 	for _, at := range u.recentLapses {
@@ -173,7 +173,7 @@
 // applyLeaving takes the upstreams that a peer reports to leave. A router that cannot reach the store would send new work to an upstream that leaves;
 // one that can has newer entries than its peers' reports.
 func (c *control) applyLeaving(now time.Time, from pomelorelay.NodeID, ids []pomelorelay.UpstreamID) {
-	if now.Sub(c.upstreams.listedAt) <= c.e.drainFraction(storeSilenceFraction) {
+	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return
 	}
 	for _, id := range ids {
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -105,7 +105,7 @@
 		c.abandon()
 	}
 	up := c.decision.Upstream
-	before := c.mayHaveRun
+	ranBefore := c.mayHaveRun
 	// Until the outcome is known the request counts as one that may have run, also when a defect ends this function.
 	c.mayHaveRun = true
 	result := pomeloplace.ResultGone
@@ -119,17 +119,17 @@
 		return nil
 	}
 	if result == pomeloplace.ResultUnsent && c.callerGone() {
-		c.mayHaveRun = before
+		c.mayHaveRun = ranBefore
 		c.abandon()
 	}
 	c.avoid = append(c.avoid, up.ID)
 	switch f.Outcome {
 	case pomelolink.OutcomeNotSent:
 		c.unreached++
-		c.mayHaveRun = before
+		c.mayHaveRun = ranBefore
 	case pomelolink.OutcomeRefusedNotRun:
 		c.refused++
-		c.mayHaveRun = before
+		c.mayHaveRun = ranBefore
 	default:
 		c.runs++
 	}
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -14,16 +14,16 @@
 
 // call is one caller's request on its way through the router.
 type call struct {
-	h       *Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	fields  pomelorelay.CallerFields
-	table   *pomelotable.Table
-	route   *pomelorelay.Route
-	account pomelorelay.AccountID
-	service pomelorelay.ServiceID
-	body    *bytes.Buffer
+	h         *Handler
+	w         http.ResponseWriter
+	r         *http.Request
+	arrivedAt time.Time
+	fields    pomelorelay.CallerFields
+	table     *pomelotable.Table
+	route     *pomelorelay.Route
+	account   pomelorelay.AccountID
+	service   pomelorelay.ServiceID
+	body      *bytes.Buffer
 	// deadline is the end of the caller's wait or of the route's timeout.
 	deadline time.Time
 	// answerStarted is set once a byte of an answer went to the caller.
@@ -45,7 +45,7 @@
 }
 
 func newCall(h *Handler, w http.ResponseWriter, r *http.Request) *call {
-	return &call{h: h, w: w, r: r, arrived: h.cfg.Clock.Now(), fields: h.cfg.Wire.ReadCaller(r.Header)}
+	return &call{h: h, w: w, r: r, arrivedAt: h.cfg.Clock.Now(), fields: h.cfg.Wire.ReadCaller(r.Header)}
 }
 
 // prepare finds out what the request is; it fails with a refusal, and nothing has run then.
@@ -93,7 +93,7 @@
 	if c.route.Timeout > 0 {
 		wait = min(wait, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(wait)
+	c.deadline = c.arrivedAt.Add(wait)
 	// A caller that does not read would hold the handler and its buffers for ever.
 	_ = http.NewResponseController(c.w).SetWriteDeadline(c.deadline.Add(writeGrace))
 }
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -119,20 +119,20 @@
 // logEnding writes the one line that tells how a request ended and by what it was decided.
 func (c *call) logEnding(ending string, event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	now := c.h.cfg.Clock.Now()
-	first := now.Sub(c.arrived)
+	first := now.Sub(c.arrivedAt)
 	if !c.answerBeganAt.IsZero() {
-		first = c.answerBeganAt.Sub(c.arrived)
+		first = c.answerBeganAt.Sub(c.arrivedAt)
 	}
 	kind := pomelorelay.RouteKind("None")
 	if c.route != nil {
 		kind = c.route.Kind
 	}
-	c.h.cfg.Meter.Answered(kind, ending, first, now.Sub(c.arrived))
+	c.h.cfg.Meter.Answered(kind, ending, first, now.Sub(c.arrivedAt))
 	d := c.decision
 	all := append(fields,
 		pomelorelay.Field{Key: "WaitMS", Value: c.fields.Wait.Milliseconds()},
 		pomelorelay.Field{Key: "FirstMS", Value: first.Milliseconds()},
-		pomelorelay.Field{Key: "TotalMS", Value: now.Sub(c.arrived).Milliseconds()},
+		pomelorelay.Field{Key: "TotalMS", Value: now.Sub(c.arrivedAt).Milliseconds()},
 		pomelorelay.Field{Key: "PauseMS", Value: c.longestPause.Milliseconds()},
 		pomelorelay.Field{Key: "ExpectedMS", Value: d.Expected.Milliseconds()},
 		pomelorelay.Field{Key: "BacklogMS", Value: d.Backlog.Milliseconds()},
