--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// aggregate sums up the reports of several sources, so that what a relay sends grows with the upstreams and not with the routers. Gauges are sums
-// of what each source last reported; counters are sums of what each source has added.
+// aggregate sums the load reports of several sources, so that a relay's messages grow with the number of upstreams instead of
+// the number of routers. Gauges are the sum of each source's last report; counters are the sum of each source's increments.
 type aggregate struct {
 	sources   map[string]*source
 	upstreams map[pomelorelay.UpstreamID]*loadSum
@@ -18,7 +18,7 @@
 	leaving   map[pomelorelay.UpstreamID]bool
 }
 
-// sums are loads, uses and speeds by what they belong to.
+// sums holds loads by upstream, use by account and reading speeds by service.
 type sums struct {
 	upstreams map[pomelorelay.UpstreamID]pomelorelay.UpstreamLoad
 	accounts  map[pomelorelay.AccountID]pomelorelay.AccountUse
@@ -33,18 +33,18 @@
 	}
 }
 
-// source is what one router or one failure domain last reported, with its counters from the base on.
+// source holds the last report of one router or failure domain; its counters are relative to the baseline.
 type source struct {
 	node        pomelorelay.NodeID
 	incarnation pomelorelay.Incarnation
 	reportedAt  time.Time
 	sums
-	// baseline holds the counters as they were first reported; settled is set once everything was reported, after which nothing is added to it.
+	// baseline holds the counters of the first report; baselineComplete is set after a full report, when baseline no longer grows.
 	baseline         sums
 	baselineComplete bool
 }
 
-// rebaseLoad returns a report's entry with its counters from the base on.
+// rebaseLoad returns the entry with its counters relative to the source's baseline.
 func (s *source) rebaseLoad(l pomelorelay.UpstreamLoad) pomelorelay.UpstreamLoad {
 	if _, known := s.upstreams[l.Upstream]; !known && !s.baselineComplete {
 		s.baseline.upstreams[l.Upstream] = l
@@ -88,13 +88,13 @@
 	changed bool
 }
 
-// sourcePart is a part of a prompt with the source that placed it.
+// sourcePart is a placed prompt part and the source that placed it.
 type sourcePart struct {
 	source string
 	part   pomelorelay.PartPlaced
 }
 
-// sourceStart is what a source found out of an upstream's start.
+// sourceStart is an upstream start and the source that reported it.
 type sourceStart struct {
 	source string
 	start  pomelorelay.UpstreamStart
@@ -110,7 +110,7 @@
 	}
 }
 
-// add adds a source's report; a report of another router or incarnation replaces what the source had.
+// add merges a source's report. A report with another node or incarnation replaces the gauges of the source.
 func (a *aggregate) add(now time.Time, key string, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	s := a.sources[key]
 	if s != nil && (s.node != node || s.incarnation != incarnation) {
@@ -152,7 +152,7 @@
 	}
 }
 
-// clearGauges takes back the gauges of upstreams that a whole report does not hold.
+// clearGauges sets to zero the gauges of the source's upstreams that a full report omits.
 func (a *aggregate) clearGauges(s *source, m *pomelorelay.LoadReport) {
 	held := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
 	for _, l := range m.Upstreams {
@@ -204,7 +204,7 @@
 	sum.changed = true
 }
 
-// adjustSpeeds returns the sums with more added and less taken off.
+// adjustSpeeds returns s + more - less, field by field.
 func adjustSpeeds(s, more, less pomelorelay.SpeedSums) pomelorelay.SpeedSums {
 	s.Answers += more.Answers - less.Answers
 	s.Weight += more.Weight - less.Weight
@@ -219,7 +219,7 @@
 	return s
 }
 
-// remove takes back a source's gauges; what it added to counters stays.
+// remove drops a source and its gauges; its counter increments remain in the sums.
 func (a *aggregate) remove(key string) {
 	s := a.sources[key]
 	if s == nil {
@@ -229,7 +229,7 @@
 	delete(a.sources, key)
 }
 
-// removeSilent forgets the sources that have reported nothing for a time.
+// removeSilent removes the sources whose last report is older than the timeout.
 func (a *aggregate) removeSilent(now time.Time, timeout time.Duration) {
 	for key, s := range a.sources {
 		if now.Sub(s.reportedAt) > timeout {
@@ -238,8 +238,8 @@
 	}
 }
 
-// report returns what changed since the last flush, or everything, without what the source named has reported itself; an empty key leaves out
-// nothing.
+// report returns the changes since the last flush, or all entries when full is set. It excludes what the source named key
+// reported itself; an empty key excludes nothing.
 func (a *aggregate) report(key string, full bool, seq uint64) *pomelorelay.LoadReport {
 	m := &pomelorelay.LoadReport{Seq: seq, Whole: full}
 	own := a.sources[key]
@@ -289,7 +289,7 @@
 	return m
 }
 
-// changed reports whether anything was reported since the last flush.
+// changed reports whether the sums have changed since the last flush.
 func (a *aggregate) changed() bool {
 	for _, sum := range a.upstreams {
 		if sum.changed {
@@ -304,7 +304,7 @@
 	return len(a.parts)+len(a.starts)+len(a.leaving) > 0
 }
 
-// markFlushed marks everything as reported.
+// markFlushed clears the change marks after a flush.
 func (a *aggregate) markFlushed() {
 	for _, sum := range a.upstreams {
 		sum.changed = false
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// configPullDelay is how long a router waits for its own watch before it asks a peer for a newer configuration: several answers of
-	// the store, and a twentieth of the time within which a configuration is to be in force.
+	// configPullDelay is how long a router waits for its own watch before it requests a newer configuration from a peer. It allows
+	// several store round trips and is a twentieth of the time within which a configuration must be in force.
 	configPullDelay = 100 * time.Millisecond
-	// configPullInterval is the time between two asks.
+	// configPullInterval is the time between two requests to peers.
 	configPullInterval = 300 * time.Millisecond
 )
 
-// pendingPull holds which peer has a newer configuration, and since when.
+// pendingPull is the peer that announced a newer configuration and the time of its first announcement.
 type pendingPull struct {
 	from        pomelorelay.NodeID
 	generation  pomelorelay.Generation
@@ -22,7 +22,7 @@
 	requestedAt time.Time
 }
 
-// recordGeneration takes a peer's generation, which rides on each of its messages.
+// recordGeneration records the configuration generation in the envelope of a peer's message.
 func (c *control) recordGeneration(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation) {
 	if c.config != nil && generation <= c.config.Version {
 		return
@@ -36,8 +36,8 @@
 	c.pendingPull.from, c.pendingPull.generation = from, generation
 }
 
-// requestNewerConfig asks a peer for the newer configuration that this router's own watch did not bring. Without it a router that cannot
-// reach the store would go on with dropped routes and keys; callers would notice by other answers than their neighbours'.
+// requestNewerConfig requests a configuration that this router's own watch did not deliver. A router cut off from the store would
+// otherwise keep serving removed routes and keys, and callers would get different answers from different routers.
 func (c *control) requestNewerConfig(now time.Time) {
 	p := &c.pendingPull
 	if p.generation == 0 || p.generation <= c.version() {
@@ -49,7 +49,7 @@
 	}
 	p.requestedAt = now
 	if err := c.e.mesh.Send(p.from, &pomelorelay.ConfigPull{Above: c.version()}); err != nil {
-		// The peer is gone; another one's message names the generation again.
+		// The peer is gone; the next message of another peer announces the generation again.
 		*p = pendingPull{}
 	}
 }
@@ -61,7 +61,7 @@
 	return c.config.Version
 }
 
-// sendConfig answers a peer that is behind.
+// sendConfig sends the configuration in force to a peer that has an older one.
 func (c *control) sendConfig(to pomelorelay.NodeID, m *pomelorelay.ConfigPull) {
 	if c.config == nil || c.config.Version <= m.Above {
 		return
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// tickInterval is the interval at which timers are looked at, adjustEvery that at which shares and loads are reckoned anew.
+	// tickInterval is the interval of timer checks, adjustInterval that of share and load updates.
 	tickInterval   = 20 * time.Millisecond
 	adjustInterval = 50 * time.Millisecond
-	// directReportInterval and relayedEvery are the intervals of reports to the other routers, sent to each by itself and by way of relays; until the
-	// next one they place by older loads.
+	// directReportInterval and relayedReportInterval are the intervals of load reports, sent to each router directly or through relays.
+	// Until the next report, the other routers place by older loads.
 	directReportInterval  = 100 * time.Millisecond
 	relayedReportInterval = 40 * time.Millisecond
-	// fullReportInterval is the interval of reports that hold everything; a lost one is made up for within it.
+	// fullReportInterval is the interval of full reports, and so the longest time for which a lost report has an effect.
 	fullReportInterval = time.Second
-	// minReportGap is the least time between reports: the round trip between regions takes longer.
+	// minReportGap is the minimum time between reports; a round trip between regions takes longer.
 	minReportGap = 20 * time.Millisecond
-	// gaugeInterval is the interval at which the metrics of the router's state are renewed.
+	// gaugeInterval is the interval at which the state metrics are updated.
 	gaugeInterval = time.Second
 )
 
-// control is the state of the control goroutine; nothing else touches it.
+// control is the state of the control goroutine, which alone accesses it.
 type control struct {
 	e         *Entry
 	placer    *pomeloplace.Placer
@@ -37,7 +37,7 @@
 	residency *pomeloresidency.Policy
 	config    *pomelorelay.FleetConfig
 	upstreams upstreams
-	// evacuated are the failure domains under evacuation; one ends only when the store or a peer's whole state says so.
+	// evacuated holds the failure domains under evacuation; only the store or a peer's full state ends an evacuation.
 	evacuated     map[pomelorelay.DomainID]bool
 	peers         peers
 	pendingPull   pendingPull
@@ -48,9 +48,9 @@
 	reportedAt   time.Time
 	fullReportAt time.Time
 	gaugesAt     time.Time
-	// coldUpstreams are the upstreams that were cold at the last look.
+	// coldUpstreams holds the upstreams that were cold at the last check.
 	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
-	// loggedSpeeds are the reading speeds that were last logged.
+	// loggedSpeeds holds the reading speeds that were last logged.
 	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.Rate
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// run takes in events, messages and ticks until the router ends.
+// run processes events, messages and ticks until the router is closed.
 func (c *control) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -113,7 +113,7 @@
 	}
 }
 
-// adjust looks at everything that follows from time.
+// adjust updates all state that depends on the current time.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
 	c.placer.SetUnreported(c.unreported(now))
@@ -145,10 +145,10 @@
 	}
 }
 
-// speedLogRatio is the change of a reading speed from which it is worth a line.
+// speedLogRatio is the factor by which a reading speed must change to be logged again.
 const speedLogRatio = 1.2
 
-// logSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
+// logSpeed logs a changed speed estimate of a service's engines, because all later placements of the service depend on it.
 func (c *control) logSpeed(s pomeloplace.Speed) {
 	logged := c.loggedSpeeds[s.Service]
 	if logged > 0 && s.Rate < speedLogRatio*logged && logged < speedLogRatio*s.Rate {
@@ -159,11 +159,11 @@
 		field("Pauses", s.Pauses), field("CopyPart", s.CopyPart))
 }
 
-// place decides on a request and charges its account.
+// place selects an upstream for a request and charges the request's account.
 func (c *control) place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
 	accounted := w.Cost > 0 && w.Account != ""
 	r := w.Request
-	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
+	// Use the configuration in force at each attempt: narrower regions also apply to requests that arrived earlier.
 	r.Residency = c.residency.Of(now, w.Route, w.Account)
 	r.Owed = true
 	var share pomeloplace.ShareState
@@ -171,8 +171,8 @@
 		if !w.Retry {
 			c.shares.Asked(w.Account, w.Cost)
 		}
-		// Only what may have run, and was charged, goes before others: were it so for each request that found an upstream down, a flood
-		// would get past its share whenever many are, and other accounts would see their requests refused.
+		// Only retries that may have run and were charged skip the share check. If every retry after an unreachable upstream did, a flood
+		// could exceed its share while many upstreams are down, and requests of other accounts would be refused.
 		r.Owed = w.Charged || c.shares.Owed(w.Account, w.Cost)
 		r.Lead = c.shares.Lead(w.Account)
 		r.Ahead = c.shares.Ahead(w.Account)
@@ -194,13 +194,12 @@
 	return d
 }
 
-// maxShareWaitFraction is the part of the target within which an account's wait for its share is worth the caller's while: the rest of the
-// target is for the answer.
+// maxShareWaitFraction is the longest useful wait for an account's share, as a fraction of the target; the rest is for the answer.
 const maxShareWaitFraction = 0.5
 
-// retryAfter returns when a caller whose account is beyond its share is to come back: once the account is owed the request, if the answer can
-// still be in time then; else as soon as there may be a place again. In a flood that lasts, waiting longer raises no chance, and makes the
-// answer late for sure.
+// retryAfter returns when a caller over its account's share should retry: when the share covers the request, if the answer can still
+// meet the target, otherwise as soon as a slot may be free. In a lasting flood a longer wait does not improve the chance of a slot
+// and makes the answer late.
 func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.PlacementRequest) time.Duration {
 	wait := c.shares.Wait(w.Account, w.Cost)
 	if wait > time.Duration(maxShareWaitFraction*float64(w.Request.Target)) {
@@ -216,7 +215,7 @@
 	return relayedReportInterval
 }
 
-// report sends the other routers what changed here.
+// report sends the other routers the load changes of this router.
 func (c *control) report(now time.Time) {
 	m := &pomelorelay.LoadReport{Whole: now.Sub(c.fullReportAt) >= fullReportInterval}
 	if m.Whole {
@@ -238,13 +237,14 @@
 	}
 }
 
-// receiveReport takes another router's report, whoever brought it. One that is repeated or late is left out: for a moment two relays may hand
-// on the same reports, and taken after a newer one, an old report would bring back work that has ended, and sums that have grown since.
+// receiveReport applies another router's load report, received directly or through a relay. Repeated and late reports are ignored:
+// during a relay change two relays may forward the same reports, and an old report applied after a newer one would restore finished
+// requests and outdated sums.
 func (c *control) receiveReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	if !c.peers.acceptReport(from, incarnation, m.Seq) {
 		return
 	}
-	// A router's first report holds all that it has.
+	// The first report of a router is always complete.
 	if m.Whole || m.Seq == 1 {
 		c.peers.markFullyReported(from)
 	}
@@ -275,7 +275,7 @@
 	}
 }
 
-// setConfig puts a configuration in force, unless one as new is.
+// setConfig activates a configuration unless the one in force has the same or a newer version.
 func (c *control) setConfig(now time.Time, config *pomelorelay.FleetConfig, source string) {
 	if c.config != nil && config.Version <= c.config.Version {
 		return
--- a/pomeloentry/doc.go
+++ b/pomeloentry/doc.go
@@ -1,5 +1,5 @@
-// Package pomeloentry assembles one router on the users' platform: a control
-// goroutine that owns every decision part, the traffic path beside it, the
-// watches of the platform's store, the links to the other routers and the
-// listeners.
+// Package pomeloentry runs one router of the fleet. A single control goroutine
+// owns all decision state (placement, shares, fleet membership). The request path,
+// the store watches, the mesh links to other routers and the HTTP listeners run
+// beside it and exchange events with it.
 package pomeloentry
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -15,7 +15,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// Config holds what an entry router is made of; Mesh is made from the settings when it is nil.
+// Config configures a router. A nil Mesh is created from Settings.
 type Config struct {
 	Settings pomelorelay.FleetSettings
 	Platform pomelorelay.Platform
@@ -23,13 +23,13 @@
 	Mesh     pomelorelay.Mesh
 	Clock    pomelorelay.Clock
 	Logger   pomelorelay.Logger
-	// Without are the mechanisms of placement that are switched off.
+	// Without lists the placement mechanisms that are disabled.
 	Without pomeloplace.Mechanisms
-	// Incarnation marks this start; the clock's nanoseconds when zero.
+	// Incarnation identifies this start of the router; zero selects the clock's Unix nanoseconds.
 	Incarnation pomelorelay.Incarnation
 }
 
-// Entry is one router.
+// Entry is a running router.
 type Entry struct {
 	cfg         Config
 	incarnation pomelorelay.Incarnation
@@ -42,25 +42,25 @@
 	storeRecovered broadcast
 
 	table atomic.Pointer[pomelotable.Table]
-	// upstreams is the number of known upstreams.
+	// upstreams is the number of registered upstreams.
 	upstreams atomic.Int64
-	// stopAt is the Unix nanosecond at which a planned stop ends the process, zero while none is planned.
+	// stopAt is the Unix nanosecond at which a graceful stop ends the process; zero when none is in progress.
 	stopAt   atomic.Int64
 	inFlight atomic.Int64
-	// readDelay is how long, in nanoseconds, no update must have come until this router reads the store; zero for the first in turn.
-	// updatedAt is the Unix nanosecond at which another router last sent an update.
+	// readDelay is how many nanoseconds must pass without an update before this router reads the store; zero for the primary reader.
+	// lastUpdateAt is the Unix nanosecond of the last update from another router.
 	readDelay    atomic.Int64
 	lastUpdateAt atomic.Int64
 	conns        atomic.Int64
 	hostLimits   hostLimits
-	// requestLimit is how many requests the router takes at once; the control goroutine moves it.
+	// requestLimit is the maximum number of concurrent requests; the control goroutine adapts it.
 	requestLimit atomic.Int64
-	// nearCapacityAt is the Unix nanosecond at which the router last had nearly what it can take.
+	// nearCapacityAt is the Unix nanosecond at which the router was last close to its capacity.
 	nearCapacityAt atomic.Int64
-	// lastTickAt is the Unix nanosecond of the control goroutine's last tick, tickLag how late it came.
+	// lastTickAt is the Unix nanosecond of the control goroutine's last tick, tickLag its delay in nanoseconds.
 	lastTickAt atomic.Int64
 	tickLag    atomic.Int64
-	// lastLateTickAt is the Unix nanosecond of the last tick that came late.
+	// lastLateTickAt is the Unix nanosecond of the last late tick.
 	lastLateTickAt atomic.Int64
 
 	ctx       context.Context
@@ -71,10 +71,10 @@
 	errs      chan error
 }
 
-// eventQueueLength is the length of the control goroutine's queue: several times the requests that a router has at once.
+// eventQueueLength is several times the number of concurrent requests of a router.
 const eventQueueLength = 1024
 
-// New makes a router and starts its goroutines; Listen opens its ports. It fails with the mesh's code.
+// New creates a router and starts its goroutines; Listen opens its ports. It returns the error of creating the mesh.
 func New(cfg Config) (*Entry, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = pomelorelay.SystemClock{}
@@ -127,7 +127,7 @@
 	mesh, err := pomelomesh.New(pomelomesh.Config{
 		Self:   pomelomesh.Self{Node: self.Node, Incarnation: e.incarnation, Domain: self.Domain, Region: self.Region},
 		Listen: self.Addr,
-		// The platform gives no certificates; its internal ports are closed to everyone but the fleet's own hosts.
+		// The platform issues no certificates; only the fleet's own hosts can reach its internal ports.
 		Insecure: true,
 		Seed:     uint64(e.incarnation),
 		Logger:   e.cfg.Logger,
@@ -148,7 +148,7 @@
 	}()
 }
 
-// post hands an event to the control goroutine; it reports false when the router has ended.
+// post sends an event to the control goroutine. It returns false when the router is closed.
 func (e *Entry) post(ev event) bool {
 	select {
 	case e.events <- ev:
@@ -166,12 +166,12 @@
 	return pomelorelay.Field{Key: key, Value: value}
 }
 
-// Ready reports whether the router takes requests.
+// Ready reports whether the router accepts requests.
 func (e *Entry) Ready() bool {
 	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.nearCapacity()
 }
 
-// Close ends the router at once; Stop does so gracefully.
+// Close stops the router immediately, without waiting for requests; Stop shuts it down gracefully.
 func (e *Entry) Close() {
 	e.closeOnce.Do(func() {
 		for _, s := range e.servers {
@@ -184,16 +184,16 @@
 	})
 }
 
-// tables implements pomeloforward.Tables.
+// tables implements pomeloforward.TableSource.
 type tables struct{ e *Entry }
 
-// Current returns the table in force.
+// Current returns the route table in force, or nil.
 func (t tables) Current() *pomelotable.Table { return t.e.table.Load() }
 
-// stopping implements pomeloforward.Stopping.
+// stopping implements pomeloforward.Shutdown.
 type stopping struct{ e *Entry }
 
-// TimeLeft returns the time until the process ends, false when no stop is planned.
+// TimeLeft returns the time until the process ends, and false when no stop is in progress.
 func (s stopping) TimeLeft() (time.Duration, bool) {
 	at := s.e.stopAt.Load()
 	if at == 0 {
--- a/pomeloentry/evacuation.go
+++ b/pomeloentry/evacuation.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// applyEvacuations takes in which failure domains are under evacuation; source names the router that read it.
+// applyEvacuations applies the started and ended evacuations of failure domains; source is the router that read them from the store.
 func (c *control) applyEvacuations(now time.Time, change *pomelorelay.FleetChange, source string) {
 	for _, domain := range change.Evacuated {
 		c.setEvacuated(now, domain, true, source)
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// listenerCount is the number of ports that a router serves by HTTP.
+	// listenerCount is the number of HTTP ports of a router.
 	listenerCount = 3
-	// headerTimeout bounds the reading of a request's header; the operators' own bound is 3 s.
+	// headerTimeout bounds the reading of a request's header; the operators' own limit is 3 s.
 	headerTimeout = 10 * time.Second
-	// callerIdleTimeout closes connections that callers leave unused; callers may use one again after four fifths of the operators' bound, 15 s.
+	// callerIdleTimeout closes idle connections of callers. Callers may reuse a connection until four fifths of the operators' limit of
+	// 15 s have passed.
 	callerIdleTimeout = 20 * time.Second
-	// maxHeaderBytes bounds a request's header, above the operators' bound of 16 KiB.
+	// maxHeaderBytes bounds a request's header; the operators' limit is 16 KiB.
 	maxHeaderBytes = 64 << 10
-	// stopPollInterval is how often a graceful stop looks whether the last request has ended.
+	// stopPollInterval is how often a graceful stop checks whether the last connection has closed.
 	stopPollInterval = 20 * time.Millisecond
-	// stopMargin is the time before the process would be killed at which it ends by itself.
+	// stopMargin is how long before the process is killed a graceful stop ends by itself.
 	stopMargin = 700 * time.Millisecond
-	// balancerDrainTime is how long after the signal to stop the balancer may still send new connections: two of its looks, a second apart.
+	// balancerDrainTime is how long after the stop signal the load balancer may send new connections: two readiness checks, 1 s apart.
 	balancerDrainTime = 2500 * time.Millisecond
 )
 
-// Listen opens the ports; it fails with CodeListen when an address cannot be listened on.
+// Listen opens the router's ports and serves them. It fails with CodeListen when an address cannot be bound.
 func (e *Entry) Listen() error {
 	settings := e.cfg.Settings
 	callers := &http.Server{
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Errors returns the channel of listeners' failures.
+// Errors returns the channel of errors from failed listeners.
 func (e *Entry) Errors() <-chan error { return e.errs }
 
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
@@ -107,8 +108,8 @@
 	}
 }
 
-// Stop ends the router gracefully: it is not ready any more, goes on serving the connections that it has, and ends when the last
-// is gone or shortly before the process would be killed. Closing idle connections sooner would cross requests on their way.
+// Stop shuts the router down gracefully. The router reports not ready, keeps serving its open connections and ends when the last one
+// closes or shortly before the process is killed. Closing idle connections earlier could race with requests already sent on them.
 func (e *Entry) Stop() {
 	began := e.cfg.Clock.Now()
 	end := began.Add(e.cfg.Settings.StopWait - stopMargin)
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -11,44 +11,45 @@
 	"github.com/pomelorelay/pomelorelay/pomeloforward"
 )
 
-// The balancer picks a router by the caller, so that one account's flood may come to a single small host. A router that takes all of it
-// answers everybody late, runs out of descriptors and is killed for its memory. So each refuses what is over its bound at once and
-// cheaply, and the caller's next attempt reaches another router.
+// The load balancer selects a router by caller, so a flood of one account may hit a single small host. A router that accepted all of
+// it would answer every request late, run out of file descriptors and be killed for its memory use. Each router therefore refuses
+// excess requests early and cheaply, and the caller's next attempt reaches another router.
 
 const (
-	// requestMemoryBytes is what a request takes while it runs: two connections' buffers, stacks and a body.
+	// requestMemoryBytes is the memory of a running request: the buffers of two connections, stacks and a body.
 	requestMemoryBytes = 64 << 10
-	// requestMemoryFraction is the part of the memory that requests may take.
+	// requestMemoryFraction is the fraction of memory available to requests.
 	requestMemoryFraction = 0.3
-	// initialRequestsPerCore is the number of streams that a core is taken to carry at first.
+	// initialRequestsPerCore is the initial limit of concurrent streams per core.
 	initialRequestsPerCore = 1000
-	// minRequests keeps a host of unknown size at work.
+	// minRequests is the minimum limit, which keeps a host of unknown size in service.
 	minRequests = 64
-	// connMemoryBytes is what an idle connection takes: a stack, two buffers of 4 KB and net/http's own; and connsShare the part of the memory that connections may take.
+	// connMemoryBytes is the memory of an idle connection: a stack, two 4 KB buffers and the state of net/http. connMemoryFraction is
+	// the fraction of memory available to connections.
 	connMemoryBytes    = 20 << 10
 	connMemoryFraction = 0.3
-	// reservedFDs are the descriptors that the platform keeps for files, and fdsShare the part of the others that callers may take; each
-	// running request has a second one to its upstream.
+	// reservedFDs are the file descriptors reserved for files of the platform; connFDFraction is the fraction of the others available to
+	// callers' connections. Each running request uses a second one for its upstream.
 	reservedFDs    = 200
 	connFDFraction = 0.5
-	// nearCapacityFraction is the part of a bound from which a router asks for less: it is not ready, and callers' connections end with their
-	// answers. It does so until pressedFor after.
+	// nearCapacityFraction is the fraction of a limit from which the router sheds load: it reports not ready and closes callers'
+	// connections after their answers. It does so until nearCapacityHold after the load has dropped.
 	nearCapacityFraction = 0.85
 	nearCapacityHold     = 2500 * time.Millisecond
-	// The limit of requests at once follows the processor: each tick that comes lagLook late takes limitDown of it off, each in time that
-	// finds it used adds limitUp. What a stream costs differs by how often its upstream sends events: a fixed limit would keep some
-	// hosts late for seconds, and make others refuse beside a free processor.
+	// The request limit follows the processor: each tick later than lateTickThreshold multiplies it by limitDecrease, each punctual tick
+	// near the limit by limitIncrease. The cost of a stream depends on its event rate, so a fixed limit would keep some hosts late for
+	// seconds and make others refuse requests with idle processors.
 	limitDecrease = 0.9
 	limitIncrease = 1.02
-	// fullRouterRetryAfter is the Retry-After of a full router: another one takes them at once.
+	// fullRouterRetryAfter is the Retry-After of a full router; another router can accept the request immediately.
 	fullRouterRetryAfter = 10 * time.Millisecond
 )
 
-// hostLimits are what a router of its host's size takes.
+// hostLimits are the limits of a router, derived from the size of its host.
 type hostLimits struct {
 	maxRequests int64
 	maxConns    int64
-	// initialRequests is the limit of requests at once with which a router starts; requests bounds it.
+	// initialRequests is the request limit at the start; maxRequests bounds the adapted limit.
 	initialRequests int64
 }
 
@@ -71,24 +72,24 @@
 }
 
 const (
-	// maxLag is how late the control goroutine's ticks may come; beyond, the processor does not keep up and new requests are refused.
-	// A request that waits as long to be read has lost a quarter of its target.
+	// maxLag is the tick delay above which the processor is overloaded and new requests are refused. A request that waits this long to
+	// be read has used a quarter of its target.
 	maxLag = 100 * time.Millisecond
-	// lateTickThreshold is the lateness from which a router looks whether a caller is still there before it sends a request on.
+	// lateTickThreshold is the tick delay from which the router checks that a caller is still connected before forwarding its request.
 	lateTickThreshold = 20 * time.Millisecond
-	// lateTickHold is how long after the last late tick callers are looked for: they wait a second until they give up.
+	// lateTickHold is how long after a late tick these checks continue; callers give up after waiting 1 s.
 	lateTickHold = 1500 * time.Millisecond
-	// connOverloadFactor is how far over their bound connections may go before new ones are closed unread.
+	// connOverloadFactor is the multiple of the connection limit above which new connections are closed unread.
 	connOverloadFactor = 1.3
 )
 
-// lag returns how late the control goroutine is: what waits to run on this processor waits as long.
+// lag returns the delay of the control goroutine, which approximates how long runnable goroutines wait for the processor.
 func (e *Entry) lag() time.Duration {
 	since := time.Duration(e.cfg.Clock.Now().UnixNano() - e.lastTickAt.Load())
 	return max(time.Duration(e.tickLag.Load()), since-tickInterval)
 }
 
-// recordTick notes when the control goroutine ticks.
+// recordTick records a tick of the control goroutine and its delay.
 func (e *Entry) recordTick(now time.Time) {
 	last := e.lastTickAt.Swap(now.UnixNano())
 	lag := max(0, now.UnixNano()-last-int64(tickInterval))
@@ -98,7 +99,7 @@
 	}
 }
 
-// adaptRequestLimit moves the limit of requests at once after a tick.
+// adaptRequestLimit adapts the request limit after a tick.
 func (e *Entry) adaptRequestLimit() {
 	limit, running := float64(e.requestLimit.Load()), float64(e.inFlight.Load())
 	switch {
@@ -110,7 +111,7 @@
 	e.requestLimit.Store(int64(limit))
 }
 
-// recentlyLate reports whether the control goroutine was late a moment ago: what waited meanwhile is only read now.
+// recentlyLate reports whether the control goroutine was late within lateTickHold; requests that waited meanwhile are read only now.
 func (e *Entry) recentlyLate() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	return e.lag() >= lateTickThreshold || now-e.lastLateTickAt.Load() < int64(lateTickHold)
@@ -120,29 +121,28 @@
 	return e.lag() > maxLag || float64(e.conns.Load()) > connOverloadFactor*float64(e.hostLimits.maxConns)
 }
 
-// loadSheddingListener closes connections that come while there are too many or the processor does not keep up, before anything is read of
-// them: their callers try another router, and no goroutine or buffer is spent on them. A small host that read and refused each would stand
-// still, with everything that runs there.
+// loadSheddingListener closes new connections unread while the router is overloaded; callers then try another router. Reading and
+// refusing each request would stall a small host and everything that runs on it.
 type loadSheddingListener struct {
 	net.Listener
 	e *Entry
 }
 
-// Accept returns the next connection that the router has room for.
+// Accept returns the next connection that the router has capacity for.
 func (l loadSheddingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil || !l.e.overloaded() {
 			return conn, err
 		}
-		// A failure to close leaves nothing to do: the connection is gone either way.
+		// The error of closing is ignored: the connection is unusable either way.
 		_ = conn.Close()
 	}
 }
 
-// countRefused counts what a request asked that is refused unread. Left out, an account whose callers come to full routers looks as if it wanted
-// nothing, the others get its share, and its shortage does not show. Where the control goroutine has more than it can take, the
-// request is not counted: the router must not wait for it.
+// countRefused adds the cost of a request refused unread to its account's demand. Otherwise an account whose callers reach full
+// routers would appear idle and its share would go to others. A full event queue drops the count, because request handling must not
+// wait for the control goroutine.
 func (e *Entry) countRefused(r *http.Request) {
 	account, cost := e.forward.EstimateCost(r)
 	if cost <= 0 {
@@ -156,13 +156,13 @@
 
 type connKey struct{}
 
-// withConn keeps a caller's connection with its requests.
+// withConn stores a caller's connection in the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerGone reports whether the caller closed its connection. On a processor that does not keep up, net/http notices that late: requests
-// would be sent on whose callers gave up while nobody read them.
+// callerGone reports whether the caller closed its connection. On an overloaded processor net/http detects this late, and requests
+// would be forwarded whose callers have already given up.
 func (e *Entry) callerGone(r *http.Request) bool {
 	if !e.recentlyLate() {
 		return false
@@ -184,7 +184,7 @@
 	return gone || err != nil
 }
 
-// nearCapacity reports whether the router has nearly what it can take, or had a moment ago.
+// nearCapacity reports whether the router is close to its capacity, or was within nearCapacityHold.
 func (e *Entry) nearCapacity() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	full := e.lag() > maxLag || float64(e.inFlight.Load()) > nearCapacityFraction*float64(e.requestLimit.Load()) || float64(e.conns.Load()) > nearCapacityFraction*float64(e.hostLimits.maxConns)
@@ -194,7 +194,7 @@
 	return full || now-e.nearCapacityAt.Load() < int64(nearCapacityHold)
 }
 
-// admit counts a request in; it reports false, and has answered, when the router is full.
+// admit reports whether the router can accept the request. When it is full, admit answers with CodeRouterFull and returns false.
 func (e *Entry) admit(w http.ResponseWriter, r *http.Request) bool {
 	if e.nearCapacity() {
 		w.Header().Set("Connection", "close")
--- a/pomeloentry/storetask.go
+++ b/pomeloentry/storetask.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// minRetryPause and followMost bound the pause after a failed call to the store: it answers in 4 ms when it is well, and after an
-	// outage a router should have its answer well within the time to a configuration's being in force.
+	// minRetryPause and maxRetryPause bound the pause after a failed store call. A healthy store answers in 4 ms, and after an outage a
+	// router should have its answer well within the time in which a configuration must be in force.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// maxPassiveRetryPause bounds the pause of what waits for the store to answer this router's reader again.
+	// maxPassiveRetryPause bounds the pause of tasks that wait for this router's reader to reach the store again.
 	maxPassiveRetryPause = 5 * time.Second
 )
 
-// maxPauseOf bounds the pause after failures. Only a router's reader goes on trying; its success wakes the rest. The later a router's
-// turn to read the store is, the longer it may pause: a large fleet would spend the store's rate on calls that fail.
+// maxPauseOf returns the longest pause of a task between retries. Only the reader probes an unreachable store; its success wakes the
+// other tasks. The bound grows with the router's read delay, because failing calls of a large fleet would use up the store's rate.
 func (e *Entry) maxPauseOf(f *storeTask) time.Duration {
 	if !f.probesStore {
 		return maxPassiveRetryPause
@@ -26,21 +26,21 @@
 	return min(maxRetryPause+time.Duration(e.readDelay.Load())/readDelayPerPause, maxPassiveRetryPause)
 }
 
-// readDelayPerPause is how many times as long as its turn takes to come a router pauses more between two tries.
+// readDelayPerPause is the read delay that lengthens the longest retry pause by one unit of time.
 const readDelayPerPause = 4
 
-// storeTask is something in the store that is watched.
+// storeTask is a repeated call to the store.
 type storeTask struct {
 	name string
-	// call makes one call; failed tells that the one before failed.
+	// call makes one store call; failed reports whether the previous call failed.
 	call func(failed bool) error
-	// minInterval is the least time between two calls.
+	// minInterval is the minimum time between the starts of two calls.
 	minInterval time.Duration
-	// probesStore tells that it goes on trying while the store is away.
+	// probesStore keeps the task retrying at short intervals while the store is unreachable.
 	probesStore bool
 }
 
-// runStoreTask calls again and again until ctx ends, and pauses longer after each failure in a row.
+// runStoreTask repeats the task until ctx ends and doubles the pause after each consecutive failure, up to a bound.
 func (e *Entry) runStoreTask(ctx context.Context, f storeTask) {
 	pause := minRetryPause
 	failed := false
@@ -69,7 +69,7 @@
 	}
 }
 
-// broadcast wakes all who wait for it; its zero value is ready for use.
+// broadcast wakes all goroutines waiting for it; its zero value is ready to use.
 type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -84,7 +84,7 @@
 	return b.next
 }
 
-// signal wakes everybody who waits now.
+// signal wakes all current waiters.
 func (b *broadcast) signal() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// wait waits for the signal, at most for the time. The first call that the store answers again wakes the others: each waiting for its
-// own time, a router that starts in an outage would refuse requests for most of a second longer.
+// wait returns on the next signal, after the timeout or when ctx ends. The first task to reach the store again wakes the others;
+// with independent pauses, a router starting in an outage would refuse requests for most of a second longer.
 func (b *broadcast) wait(ctx context.Context, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
