--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// reporter is a router whose reports are summed up, and the sum of the others that it received.
+// reporter is a router whose reports are aggregated, with the sum of the other routers' reports that it received.
 type reporter struct {
 	incarnation pomelorelay.Incarnation
 	load        map[pomelorelay.UpstreamID]pomelorelay.UpstreamLoad
@@ -25,7 +25,8 @@
 	}
 }
 
-// Guards against a sum that differs from what each router would reckon by itself from all others' reports: engines would seem full or idle.
+// Guards against an aggregate that differs from the sum that each router would compute from all other routers' reports: engines would
+// appear full or idle.
 func TestAggregateMatchesReportsOfOthers(t *testing.T) {
 	nodes := []pomelorelay.NodeID{"r0", "r1", "r2", "r3"}
 	upstreams := []pomelorelay.UpstreamID{"u0", "u1", "u2"}
@@ -97,8 +98,8 @@
 	}
 }
 
-// Guards against a router that is gone and whose requests count for ever, and against a relay that begins to sum up and takes what routers sent in
-// hours for what they sent just now.
+// Guards against requests of a removed router that stay counted, and against a new relay that counts what routers have sent for hours
+// as sent just now.
 func TestAggregateRemovesSilentSourcesAndStartsAtBaseline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sum := pomeloentry.NewAggregate()
@@ -122,7 +123,7 @@
 	}
 }
 
-// Guards against a relay that keeps to itself which upstreams may have started anew, or that tells a router its own news.
+// Guards against a relay that does not forward upstream starts, or that returns them to their source.
 func TestAggregateForwardsStarts(t *testing.T) {
 	s := pomeloentry.NewAggregate()
 	s.Add(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreached: true}}})
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -32,11 +32,11 @@
 	}
 }
 
-// hasPeers reports whether a logged list of routers holds any: the first one may be read before the others have registered.
+// hasPeers reports whether a logged list of routers is not empty: the first one may be read before the others have registered.
 func hasPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
 
-// A router is parted from the store while the operators drop a route. Its neighbours know; without their word its callers would be
-// served by a route that is gone, or refused on a new one, for as long as the cut lasts.
+// Guards against a router that serves removed routes, refuses new ones or uses a leaving upstream while it is cut off from the store,
+// although its peers could update it.
 func TestRouterWithoutStoreIsUpdatedByPeers(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/old/"))
@@ -67,8 +67,8 @@
 	f.await("the store is back", func() bool { return b.log.has(pomelorelay.EventPlatformBack) })
 }
 
-// A router is started anew while the store is away. Its neighbours know the configuration, the upstreams and each other; without their word
-// it refuses every request until the store is back, though the upstreams live.
+// Guards against a router started in a store outage that refuses every request until the store recovers, although the upstreams are
+// up and its peers know the configuration, the upstreams and each other.
 func TestRouterStartingWithoutStoreGetsStateFromSeed(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/old/"))
@@ -102,8 +102,7 @@
 	}
 }
 
-// The store comes back with an older copy, or a peer pushes what it knew before. Going back, a router would accept a key that was
-// taken away.
+// Guards against an older configuration from a restored store or a peer replacing a newer one: the router would accept a revoked key.
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(5, "/new/"))
@@ -118,8 +117,8 @@
 	}
 }
 
-// The entries of all upstreams lapse in an outage of the store. They live; taken as gone at once, a whole service would answer nothing
-// until they have registered again.
+// Guards against removing all upstreams when their entries lapse in a store outage: live upstreams would get no requests until they
+// have registered again.
 func TestLapsedEntriesHaveGracePeriod(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
@@ -144,8 +143,7 @@
 	}
 }
 
-// A planned stop begins while requests run and callers go on using their connections. A request that is cut by the stop, or by the
-// closing of a connection that its caller just used, would be lost.
+// Guards against a graceful stop that cuts a running request, or closes a connection on which a caller has just sent a request.
 func TestGracefulStopCutsNoRequest(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
@@ -199,8 +197,8 @@
 	})
 }
 
-// One account's callers all come to one small host. Taken in, they would be answered late, and the process would be killed for its
-// memory with everybody else's requests.
+// Guards against a small host that accepts all requests of one account's flood: they would be answered late, and the process would be
+// killed for its memory use with all other requests.
 func TestFullRouterRefusesRequests(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
@@ -220,7 +218,7 @@
 	for range flood {
 		counts[<-got]++
 	}
-	// A router whose processor stood still closes new connections unread, and says how late it was.
+	// A router with a stalled processor closes new connections unread, and logs how late it was.
 	const closesFrom = int64(100) // milliseconds
 	late := n.log.hasWith(pomelorelay.EventRouterFull, func(f pomelorelay.Field) bool {
 		ms, ok := f.Value.(int64)
@@ -233,8 +231,8 @@
 	f.await("it is ready again", func() bool { return f.ready(n) })
 }
 
-// Fourteen routers in one failure domain: each telling all others would take a small host's processor, so one relays. Should the rest
-// not hear through it what runs at an upstream, all would send there at once.
+// Fourteen routers of one failure domain use a relay, because reports from each to all would take too much of a small host's
+// processor. Guards against a relay that does not forward changes: all routers would send to the same upstream at once.
 func TestRelayForwardsUpdatesToEveryRouter(t *testing.T) {
 	const routers = 14
 	f := newFleet(t)
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -12,8 +12,8 @@
 func loggedRestoration(n *node) bool         { return n.log.has(pomelorelay.EventDomainRestored) }
 func inDomainB(u *pomelorelay.FleetUpstream) { u.Domain = "b" }
 
-// Guards against an evacuation that a router cut off from the store, or one that starts in an outage, does not apply, and against one that ends
-// because a router reads everything anew.
+// Guards against an evacuation that a router does not apply because it is cut off from the store or starts in an outage, and against
+// one that ends when a router reads the complete state again.
 func TestEvacuationReachesEveryRouter(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
@@ -54,7 +54,7 @@
 	f.await("every router takes it back", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
-// Guards against an update of the reader that leaves out evacuations, and against a whole state that does not end those that are over.
+// Guards against reader updates without evacuations, and against a full state that does not end evacuations that are over.
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -11,14 +11,14 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// NewRequestLimiter returns a router that does nothing but keep its limit of requests at once.
+// NewRequestLimiter returns a router that only adapts its request limit.
 func NewRequestLimiter(settings pomelorelay.FleetSettings) *Entry {
 	e := &Entry{hostLimits: hostLimitsOf(settings)}
 	e.requestLimit.Store(e.hostLimits.initialRequests)
 	return e
 }
 
-// TickWithLag plays a tick of the control goroutine that came late by the lag, with so many requests at once, and returns the new limit.
+// TickWithLag simulates a control goroutine tick with a delay and a number of concurrent requests, and returns the new request limit.
 func (e *Entry) TickWithLag(lag time.Duration, running int64) int64 {
 	e.tickLag.Store(int64(lag))
 	e.inFlight.Store(running)
@@ -26,10 +26,10 @@
 	return e.requestLimit.Load()
 }
 
-// PlacementControl decides on places as the control goroutine does, without the goroutine.
+// PlacementControl places requests as the control goroutine does, without the goroutine.
 type PlacementControl struct{ c *control }
 
-// NewPlacementControl returns a Decider that knows the configuration's limits and services, and the upstreams.
+// NewPlacementControl returns a PlacementControl with the configuration and the upstreams.
 func NewPlacementControl(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) PlacementControl {
 	settings := pomelorelay.FleetSettings{Self: pomelorelay.Peer{Node: "r", Domain: "a", Region: "ra"}, ShareWindow: 4 * time.Second}
 	c := newControl(&Entry{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
@@ -42,25 +42,25 @@
 	return PlacementControl{c}
 }
 
-// UnreportedAfter returns how many routers are taken to send as much as this one, so long after one registered that is never heard.
+// UnreportedAfter returns how many routers count as unreported at the given time after one registered that never sends a report.
 func UnreportedAfter(passed time.Duration) int {
 	p, now := newPeers(), time.Now()
 	p.register(now, pomelorelay.Peer{Node: "silent", Domain: "b", Region: "rb"})
 	return p.unreported(now.Add(passed), func(*knownPeer) bool { return false })
 }
 
-// RefusedUnread notes a request that a full router refused.
+// RefusedUnread records a request that a full router refused.
 func (d PlacementControl) RefusedUnread(now time.Time, account pomelorelay.AccountID, cost pomelorelay.Cost) {
 	(&refusedUnread{account, cost}).apply(d.c, now)
 }
 
-// Place decides on a request.
+// Place selects an upstream for a request.
 func (d PlacementControl) Place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
 	d.c.shares.Tick(now)
 	return d.c.place(now, w)
 }
 
-// Report takes another router's report.
+// Report applies another router's load report.
 func (d PlacementControl) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	d.c.peers.recordMessage(now, pomelorelay.Peer{Node: from})
 	d.c.receiveReport(now, from, incarnation, m)
@@ -72,23 +72,23 @@
 	return served
 }
 
-// LongestReadPause returns how long a reader may send no update, by the time after which an upstream that leaves must get nothing.
+// LongestReadPause returns the longest time without an update from a live reader, for a drain wait.
 func LongestReadPause(drain time.Duration) time.Duration {
 	return time.Duration((readIntervalFraction + watchWaitFraction) * float64(drain))
 }
 
-// ReadDelayOf returns how long without an update the router waits that is so many places after the first in the order of readers.
+// ReadDelayOf returns the time without updates after which the router at a position in the read order reads the store.
 func ReadDelayOf(drain time.Duration, place int) time.Duration {
 	return time.Duration((takeoverFraction + takeoverStepFraction*float64(place-1)) * float64(drain))
 }
 
-// TakeoverPollInterval returns how often a router looks whether it has to read the store itself.
+// TakeoverPollInterval is how often a router checks whether it must read the store.
 const TakeoverPollInterval = takeoverPollInterval
 
-// UpdateControl is the part of a router that takes updates and decides whether it reads the store.
+// UpdateControl applies updates and computes read delays as the control goroutine does.
 type UpdateControl struct{ c *control }
 
-// NewUpdateControl returns the router named, one of the peers; all of them were just registered.
+// NewUpdateControl returns the UpdateControl of the router named self, which is one of the peers; all were just registered.
 func NewUpdateControl(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) UpdateControl {
 	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: discardMesh{}}
 	e.cfg.Settings.DrainWait = drain
@@ -102,22 +102,22 @@
 	return UpdateControl{c}
 }
 
-// ReadDelay returns how long without an update the router waits until it reads the store itself.
+// ReadDelay returns the time without updates after which the router reads the store.
 func (f UpdateControl) ReadDelay(now time.Time) time.Duration {
 	f.c.updateReadDelay(now)
 	return time.Duration(f.c.e.readDelay.Load())
 }
 
-// Receive takes an update, and returns the revision up to which the router has everything.
+// Receive applies an update and returns the revision of the cursor.
 func (f UpdateControl) Receive(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) pomelorelay.Revision {
 	f.c.receiveUpdate(now, from, m)
 	return f.c.e.cursor.get()
 }
 
-// SetPlatform sets what reads configurations' documents.
+// SetPlatform sets the platform that decodes configuration documents.
 func (f UpdateControl) SetPlatform(p pomelorelay.Platform) { f.c.e.cfg.Platform = p }
 
-// UpdateFrom returns the update that the router sends of what it read.
+// UpdateFrom returns the update that the router sends for a change read from the store.
 func (f UpdateControl) UpdateFrom(change pomelorelay.FleetChange) *pomelorelay.FleetUpdate {
 	return f.c.updateFrom(&storeRead{change: change})
 }
@@ -125,19 +125,19 @@
 // Version returns the version of the configuration in force.
 func (f UpdateControl) Version() pomelorelay.Generation { return f.c.version() }
 
-// ApplyPeerState takes what a peer has.
+// ApplyPeerState applies a peer's state and returns the revision of the cursor.
 func (f UpdateControl) ApplyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) pomelorelay.Revision {
 	f.c.applyPeerState(now, from, m)
 	return f.c.e.cursor.get()
 }
 
-// ReceiveSummary takes the sum of the others' reports from the relay of its failure domain, and returns the number of other routers.
+// ReceiveSummary applies a summary from the relay of the failure domain, and returns the number of other routers.
 func (f UpdateControl) ReceiveSummary(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LoadSummary) int {
 	f.c.receiveSummary(now, pomelorelay.Envelope{From: from, Incarnation: 1, Message: m}, m)
 	return len(f.c.peers.byNode)
 }
 
-// Upstreams returns the ids of the upstreams that the router has.
+// Upstreams returns the ids of the known upstreams.
 func (f UpdateControl) Upstreams() []pomelorelay.UpstreamID {
 	return slices.Sorted(maps.Keys(f.c.upstreams.present))
 }
@@ -147,25 +147,25 @@
 	return slices.Sorted(maps.Keys(f.c.evacuated))
 }
 
-// discardMesh loses every message.
+// discardMesh discards every message.
 type discardMesh struct{ pomelorelay.Mesh }
 
 func (discardMesh) Send(pomelorelay.NodeID, pomelorelay.Message) error { return nil }
 func (discardMesh) SetPeers([]pomelorelay.Peer)                        {}
 func (discardMesh) SetGeneration(pomelorelay.Generation)               {}
 
-// Aggregate sums up the reports of several sources as a relay does.
+// Aggregate sums the reports of several sources as a relay does.
 type Aggregate struct{ a *aggregate }
 
-// NewAggregate returns a Sum of nothing.
+// NewAggregate returns an empty Aggregate.
 func NewAggregate() Aggregate { return Aggregate{newAggregate()} }
 
-// Add adds a source's report.
+// Add merges a source's report.
 func (s Aggregate) Add(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	s.a.add(now, string(from), from, incarnation, m)
 }
 
-// Reports returns what changed, or everything, for each source, without what that source has.
+// Reports returns for each source the changes, or all entries when full is set, without its own contribution.
 func (s Aggregate) Reports(full bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
 	all := make(map[pomelorelay.NodeID]*pomelorelay.LoadReport)
 	for _, from := range sources {
@@ -175,5 +175,5 @@
 	return all
 }
 
-// RemoveSilent forgets the sources that have reported nothing for a time.
+// RemoveSilent removes the sources whose last report is older than the timeout.
 func (s Aggregate) RemoveSilent(now time.Time, timeout time.Duration) { s.a.removeSilent(now, timeout) }
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -19,10 +19,10 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// testTimeout bounds the wait for something that must happen; a verdict never depends on how long it took.
+// testTimeout bounds the wait for an expected event; no result depends on how long it took.
 const testTimeout = 20 * time.Second
 
-// fleet is a few real routers before stand-ins of the store and of upstreams.
+// fleet is a number of real routers with a fake store and fake upstreams.
 type fleet struct {
 	t        *testing.T
 	store    *pomelofake.FleetStore
@@ -37,7 +37,7 @@
 	log      *eventLog
 }
 
-// eventLog keeps what a router logged.
+// eventLog records the events that a router logged.
 type eventLog struct {
 	mu     sync.Mutex
 	events []loggedEvent
@@ -59,7 +59,7 @@
 	return l.hasWith(id, func(pomelorelay.Field) bool { return true })
 }
 
-// hasWith reports whether an event was logged with a field that fits.
+// hasWith reports whether an event was logged with a matching field.
 func (l *eventLog) hasWith(id pomelorelay.EventID, fits func(pomelorelay.Field) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	return false
 }
 
-// print shows what the router logged: a failure seen once must be traceable from the output of its run.
+// print writes the router's log to the test output, so that a rare failure can be analysed from its run.
 func (l *eventLog) print(t *testing.T, node pomelorelay.NodeID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	return f
 }
 
-// config returns a version with the routes named.
+// config returns a configuration version with routes of the given path prefixes.
 func (f *fleet) config(version pomelorelay.Generation, paths ...string) *pomelorelay.FleetConfig {
 	f.t.Helper()
 	c := pomelorelay.FleetConfig{
@@ -118,13 +118,13 @@
 	return decoded
 }
 
-// start starts a router; stopWait is the time between the signal to stop and its end.
+// start starts a router; stopWait is the time from the stop signal until the process is killed.
 func (f *fleet) start(stopWait time.Duration) *node {
 	f.t.Helper()
 	return f.startWith(stopWait, func(*pomelorelay.FleetSettings) {})
 }
 
-// startWith starts a router whose settings are changed first.
+// startWith starts a router with modified settings.
 func (f *fleet) startWith(stopWait time.Duration, change func(*pomelorelay.FleetSettings)) *node {
 	f.t.Helper()
 	n := &node{view: f.store.View(), log: &eventLog{}}
@@ -153,13 +153,13 @@
 	return n
 }
 
-// upstream starts an upstream that answers after a pause, and registers it.
+// upstream starts and registers an upstream that answers after a pause.
 func (f *fleet) upstream(id pomelorelay.UpstreamID, pause time.Duration) pomelorelay.FleetUpstream {
 	f.t.Helper()
 	return f.upstreamWith(id, pause, func(*pomelorelay.FleetUpstream) {})
 }
 
-// upstreamWith starts an upstream whose entry is changed before it is registered.
+// upstreamWith starts an upstream and registers it with a modified entry.
 func (f *fleet) upstreamWith(id pomelorelay.UpstreamID, pause time.Duration, change func(*pomelorelay.FleetUpstream)) pomelorelay.FleetUpstream {
 	f.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +175,7 @@
 	return u
 }
 
-// call sends a request and returns the status and who answered; zero when the connection broke.
+// call sends a request and returns the status and the id of the upstream that answered; the status is 0 when the connection broke.
 func (f *fleet) call(n *node, path string) (int, string) {
 	f.t.Helper()
 	req, err := http.NewRequest("POST", "http://"+n.settings.Callers.String()+path, strings.NewReader("x"))
@@ -234,7 +234,7 @@
 	})
 }
 
-// awaitPeers waits until every router has so many others.
+// awaitPeers waits until every router has count peers.
 func (f *fleet) awaitPeers(count int) {
 	f.t.Helper()
 	f.await("all routers have each other", func() bool {
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -17,8 +17,8 @@
 	listenerCount = 3
 	// headerTimeout bounds the reading of a request's header; the operators' own limit is 3 s.
 	headerTimeout = 10 * time.Second
-	// callerIdleTimeout closes idle connections of callers. Callers may reuse a connection until four fifths of the operators' limit of
-	// 15 s have passed.
+	// callerIdleTimeout closes idle connections of callers. It exceeds the operators' limit of 15 s; callers may reuse a connection that
+	// was idle for up to four fifths of that.
 	callerIdleTimeout = 20 * time.Second
 	// maxHeaderBytes bounds a request's header; the operators' limit is 16 KiB.
 	maxHeaderBytes = 64 << 10
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -121,8 +121,8 @@
 	return e.lag() > maxLag || float64(e.conns.Load()) > connOverloadFactor*float64(e.hostLimits.maxConns)
 }
 
-// loadSheddingListener closes new connections unread while the router is overloaded; callers then try another router. Reading and
-// refusing each request would stall a small host and everything that runs on it.
+// loadSheddingListener closes new connections unread while the router is overloaded, without spending a goroutine or a buffer on
+// them; callers then try another router. Reading and refusing each request would stall a small host and everything that runs on it.
 type loadSheddingListener struct {
 	net.Listener
 	e *Entry
@@ -141,8 +141,8 @@
 }
 
 // countRefused adds the cost of a request refused unread to its account's demand. Otherwise an account whose callers reach full
-// routers would appear idle and its share would go to others. A full event queue drops the count, because request handling must not
-// wait for the control goroutine.
+// routers would appear idle and satisfied, and its share would go to others. A full event queue drops the count, because request
+// handling must not wait for the control goroutine.
 func (e *Entry) countRefused(r *http.Request) {
 	account, cost := e.forward.EstimateCost(r)
 	if cost <= 0 {
--- a/pomeloentry/load_bench_test.go
+++ b/pomeloentry/load_bench_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// BenchmarkTakeSummary decodes and takes the sum of the other routers' reports, in which a quarter of the upstreams changed.
+// BenchmarkReceiveSummary decodes and applies a summary of the other routers' reports in which a quarter of the upstreams changed.
 func BenchmarkReceiveSummary(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkListUpstreams takes the first whole update at a router that starts.
+// BenchmarkListUpstreams applies the first full update to a starting router.
 func BenchmarkListUpstreams(b *testing.B) {
 	for _, n := range []int{60, 600, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pomeloentry/load_test.go
+++ b/pomeloentry/load_test.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloentry"
 )
 
-// A flood of streams comes to a host whose processor carries fewer of them than was thought, or more. Taking too many, its run queue
-// grows to seconds and callers are gone before their requests are sent; taking too few, they are refused beside a free processor.
+// Guards against a request limit above the processor's capacity, where the run queue grows to seconds and callers give up before
+// their requests are sent, and against one below it, where requests are refused beside an idle processor.
 func TestRequestLimitConvergesToProcessorCapacity(t *testing.T) {
 	const (
 		ticks  = 400
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// registrationTTL is how long a router's entry outlives its last renewal; its peers close nothing before their links break.
+	// registrationTTL is how long a router's registration outlives its last renewal. Peers keep their links after it lapses, until the
+	// links break.
 	registrationTTL = 30 * time.Second
-	// renewInterval is the interval of renewals, a third of the time to live.
+	// renewInterval is the interval of renewals, a third of registrationTTL.
 	renewInterval = 10 * time.Second
-	// deregisterTimeout bounds the call that ends the registration at a planned stop.
+	// deregisterTimeout bounds the store call that ends the registration on a graceful stop.
 	deregisterTimeout = 500 * time.Millisecond
 )
 
-// peerSilenceTimeout is how long an unregistered router may be silent until it is taken as gone: a few whole reports.
+// peerSilenceTimeout is how long an unregistered router may send nothing before it is removed: a few intervals of full reports.
 const peerSilenceTimeout = 5 * time.Second
 
-// knownPeer is a router that is registered, or was and still sends messages.
+// knownPeer is a router that is registered, or that was and still sends messages.
 type knownPeer struct {
 	pomelorelay.Peer
 	registered bool
 	seenAt     time.Time
-	// knownSince is when this router first knew it.
+	// knownSince is when this router first learnt of the peer.
 	knownSince time.Time
-	// fullyReported is set once it has reported all that it has on the upstreams.
+	// fullyReported is set after the peer's first full load report.
 	fullyReported bool
-	// incarnation and seq are of the last report that was taken.
+	// incarnation and lastSeq are those of the last applied report.
 	incarnation pomelorelay.Incarnation
 	lastSeq     uint64
 }
 
-// relayEligible reports whether the router is there to relay.
+// relayEligible reports whether the router is alive, or new enough to be presumed alive, and so can be a relay.
 func (p *knownPeer) relayEligible(now time.Time) bool {
 	return now.Sub(p.seenAt) <= relayTimeout || now.Sub(p.knownSince) <= relayGrace
 }
 
-// peers are the other routers. One that cannot reach the store loses its registration; it still gets every message as long as its
-// own messages come, or it would go on with an old configuration beside neighbours that could give it the new one.
+// peers holds the other routers. One that cannot reach the store loses its registration but still gets every message while its own
+// messages arrive; otherwise it would keep an old configuration although its neighbours could send it the new one.
 type peers struct {
 	byNode map[pomelorelay.NodeID]*knownPeer
 }
@@ -61,8 +62,8 @@
 	}
 }
 
-// recordMessage notes a router's message. One that was never seen registered is answered over its own link: it may have been parted from the
-// store before this router could read its entry. What is not known of where it is, the message's sender says.
+// recordMessage records a message from a router. An unregistered sender is answered over its own link: it may have lost the store
+// before this router could read its registration. An unknown location is taken from the message.
 func (p *peers) recordMessage(now time.Time, peer pomelorelay.Peer) {
 	known := p.byNode[peer.Node]
 	if known == nil {
@@ -75,7 +76,7 @@
 	known.seenAt = now
 }
 
-// acceptReport reports whether a report comes after all that were taken from the router, and notes it.
+// acceptReport reports whether a report is newer than all applied reports of the router, and records its number if so.
 func (p *peers) acceptReport(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, seq uint64) bool {
 	known := p.byNode[node]
 	if known == nil || incarnation < known.incarnation || (incarnation == known.incarnation && seq <= known.lastSeq) {
@@ -85,15 +86,15 @@
 	return true
 }
 
-// markFullyReported notes that a router has reported all that it has.
+// markFullyReported records a full report from the router.
 func (p *peers) markFullyReported(node pomelorelay.NodeID) { p.byNode[node].fullyReported = true }
 
-// unreportedTimeout is how long a router without a report yet counts as sending as much as this one: several whole reports. Taken so for longer, a
-// router that starts while other regions are cut off would keep most of the upstreams that it reaches free for them, and refuse its callers
-// beside idle engines until the cut ends.
+// unreportedTimeout is how long a router without a report is assumed to send as much as this one: several intervals of full reports.
+// With a longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for them, and
+// refuse callers beside idle engines until the partition ends.
 const unreportedTimeout = 3 * time.Second
 
-// unreported returns the number of registered routers that have not reported yet what they have on the upstreams.
+// unreported returns the number of registered routers whose loads are not known yet; inSummary reports whether a summary includes them.
 func (p *peers) unreported(now time.Time, inSummary func(*knownPeer) bool) int {
 	n := 0
 	for _, known := range p.byNode {
@@ -104,14 +105,14 @@
 	return n
 }
 
-// unreported leaves out the routers that a relay's summary holds.
+// unreported returns the number of routers without a report, except those that a relay's summary includes.
 func (c *control) unreported(now time.Time) int {
 	return c.peers.unreported(now, func(p *knownPeer) bool {
 		return c.relay.relayNode != "" || c.relay.domainRelays[p.Domain] != ""
 	})
 }
 
-// dropSilent forgets unregistered routers that are silent; it reports whether there were any.
+// dropSilent removes unregistered routers that have sent nothing for peerSilenceTimeout. It reports whether it removed any.
 func (p *peers) dropSilent(now time.Time) bool {
 	dropped := false
 	for node, known := range p.byNode {
@@ -134,7 +135,7 @@
 	return list
 }
 
-// dialable returns the routers that can be dialled.
+// dialable returns the routers with a known address.
 func (p *peers) dialable() []pomelorelay.Peer {
 	list := make([]pomelorelay.Peer, 0, len(p.byNode))
 	for _, known := range p.byNode {
@@ -145,7 +146,7 @@
 	return list
 }
 
-// applyPeers takes in what changed among the registered routers.
+// applyPeers applies a change of the registered routers.
 func (c *control) applyPeers(now time.Time, change *pomelorelay.FleetChange) {
 	if change.Whole {
 		for node := range c.peers.byNode {
@@ -173,7 +174,7 @@
 	c.e.log(pomelorelay.EventPeersChanged, field("Peers", len(list)))
 }
 
-// keepRegistered keeps this router's entry in the store, so that the others find it.
+// keepRegistered registers this router in the store and renews the registration, so that the others find it.
 func (e *Entry) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
 	e.runStoreTask(ctx, storeTask{name: "registration", minInterval: renewInterval, call: func(bool) error {
@@ -195,7 +196,7 @@
 	if lease == 0 {
 		return
 	}
-	// ctx has ended; the entry would lapse by itself, a little later.
+	// ctx has ended. Without this call the registration would lapse a little later.
 	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
 	err := e.cfg.Platform.CloseLease(left, lease)
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Many upstreams are down, and one account floods the fleet. Its requests find those that are down and ask for another place; let in
-// there as if they were within its share, the flood takes the engines that live, and other accounts see their requests refused.
+// Guards against a flooding account whose retries after unreachable upstreams skip the share check: the flood would take the live
+// engines, and requests of other accounts would be refused.
 func TestFloodStaysOverShareWhenUpstreamsAreDown(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
@@ -46,8 +46,8 @@
 	}
 }
 
-// A router starts while the links to another region are cut, but the store still lists the routers there. Taken to send as much as this one for as
-// long as they are not heard, they would have most of each engine kept free for them, and callers would be refused beside idle engines.
+// Guards against a router that, started while another region is cut off, counts the routers there for ever as sending as much as it
+// does: most of each engine would stay reserved for them, and callers would be refused beside idle engines.
 func TestUnreportedRoutersStopCountingAfterTimeout(t *testing.T) {
 	for _, c := range []struct {
 		passed time.Duration
@@ -63,8 +63,8 @@
 	}
 }
 
-// The balancer sends most callers of one account to a host that is full. What it refuses unread counts for nobody, and the routers think that
-// the account wants no more than it gets: another account takes twice as much, and the first one's callers go on being refused.
+// Guards against requests refused unread that do not count as demand. The load balancer sends most callers of one account to a full
+// host; routers would assume that the account is satisfied, and another account would get twice as much while its callers are refused.
 func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
@@ -89,8 +89,8 @@
 	}
 }
 
-// Two relays hand on the same reports for a moment, one of them later, and a router that was restarted is still told of by its former
-// process. Taken after a newer report, an old one brings back work that has ended: the engine looks full, and requests are refused there.
+// Guards against late load reports, as from two relays forwarding the same reports or from the former process of a restarted router.
+// Applied after a newer report, an old one restores finished requests; the engine appears full, and requests are refused.
 func TestLateReportsAreIgnored(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// event is something that the control goroutine takes in.
+// event is an input of the control goroutine.
 type event interface {
 	apply(c *control, now time.Time)
 }
@@ -17,7 +17,7 @@
 // placement implements pomeloforward.Placement by events to the control goroutine.
 type placement struct{ e *Entry }
 
-// Place returns a ticket or a refusal; it fails when ctx ends first.
+// Place returns a reservation or a refusal; it fails when ctx ends first.
 func (p placement) Place(ctx context.Context, w pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
 	request := &placementRequested{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
 	select {
@@ -25,8 +25,7 @@
 	case <-ctx.Done():
 		return nil, pomeloplace.Decision{}, ctx.Err()
 	}
-	// The control goroutine answers within microseconds, or finds the request gone: waiting for ctx too would leave a run that
-	// nobody ends.
+	// The control goroutine answers within microseconds or finds ctx done. Waiting for ctx here could leave a run that is never ended.
 	d := <-request.answer
 	if d.Run == nil {
 		return nil, d, ctx.Err()
@@ -34,7 +33,7 @@
 	return reservation{e: p.e, run: d.Run, work: w}, d, nil
 }
 
-// placementRequested is posted by a request that wants a place.
+// placementRequested is posted by a request that needs an upstream.
 type placementRequested struct {
 	ctx    context.Context
 	work   pomeloforward.PlacementRequest
@@ -49,17 +48,17 @@
 	a.answer <- c.place(now, a.work)
 }
 
-// reservation implements pomeloforward.Ticket.
+// reservation implements pomeloforward.Reservation.
 type reservation struct {
 	e    *Entry
 	run  *pomeloplace.Run
 	work pomeloforward.PlacementRequest
 }
 
-// AnswerBegan notes that the answer began.
+// AnswerBegan records the start of the answer.
 func (t reservation) AnswerBegan() { t.e.post(&answerBegan{t.run}) }
 
-// Done notes how the run ended.
+// Done records the result of the run.
 func (t reservation) Done(r pomeloplace.Result) { t.e.post(&runEnded{t.run, t.work, r}) }
 
 type answerBegan struct{ run *pomeloplace.Run }
@@ -72,8 +71,8 @@
 	result pomeloplace.Result
 }
 
-// apply ends a run. What surely did not run is given back to its account: while upstreams are down, an account whose requests find
-// them first would use up its share by nothing, and see the rest refused.
+// apply ends a run. The cost of a request that did not run is returned to its account: otherwise, while upstreams are down, an
+// account whose requests hit them first would use up its share without service and get its other requests refused.
 func (d *runEnded) apply(c *control, now time.Time) {
 	c.placer.Ended(now, d.run, d.result)
 	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
@@ -81,7 +80,7 @@
 	}
 }
 
-// refusedUnread is posted when a full router refused a request before it was read.
+// refusedUnread is posted when a full router has refused a request before reading it.
 type refusedUnread struct {
 	account pomelorelay.AccountID
 	cost    pomelorelay.Cost
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -8,34 +8,34 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Up to a dozen routers each reports to all others. Beyond, that grows with the square of the routers. One router of each failure domain, its
-// relay, sums up its neighbours' reports, exchanges the sums with the relays of the other domains, and sends each neighbour the sum of all other
-// routers. Which one relays follows from the registrations and from whose messages arrive.
+// In a fleet of up to maxDirectPeers+1 routers, each reports to all others. In a larger one that traffic would grow with the square
+// of the number of routers. One router of each failure domain, its relay, sums the reports of its neighbours, exchanges sums with the
+// relays of the other domains, and sends each neighbour the sum of all other routers. Registrations and liveness determine the relay.
 
 const (
-	// maxDirectPeers is the number of other routers that each reports to by itself.
+	// maxDirectPeers is the maximum number of other routers that each router reports to directly.
 	maxDirectPeers = 12
-	// relayTimeout is how long a silent router goes on counting as one that can relay: it sends something every second.
+	// relayTimeout is how long a silent router still counts as a possible relay; a live one sends something every second.
 	relayTimeout = 1500 * time.Millisecond
-	// relayGrace is how long a router that is new to this one counts as live.
+	// relayGrace is how long a newly known router counts as live.
 	relayGrace = 3 * time.Second
-	// maxStandbys is the number of routers that a relay names to its neighbours as the next ones, and standbyGrace how much longer than the
-	// relay they count as live.
+	// maxStandbys is the number of successors that a relay announces to its neighbours, and standbyGrace how much longer than their
+	// predecessor they count as live.
 	maxStandbys  = 2
 	standbyGrace = 700 * time.Millisecond
-	// flushInterval is the least time between two summaries of a relay.
+	// flushInterval is the minimum time between two summaries of a relay.
 	flushInterval = 40 * time.Millisecond
 )
 
-// relayState is what a relay sums up, and whose summary this router uses when it is none.
+// relayState holds the sums of a relay. On a router that is not a relay, it identifies the relay whose summaries are applied.
 type relayState struct {
-	// local is of the routers of the own failure domain, all is of these and of the other domains.
+	// local sums the routers of this failure domain, all sums these and the other domains.
 	local, all    *aggregate
 	flushedAt     time.Time
 	fullSummaryAt time.Time
 	seq           uint64
-	// relayNode is the relay whose summaries are taken, incarnation and taken the last one's; domains names the relays of other domains whose summaries
-	// this relay takes.
+	// relayNode is the relay whose summaries this router applies; relayIncarnation and lastSeq are those of its last summary. domainRelays
+	// names the relays of other domains whose summaries this router, as a relay, applies.
 	relayNode        pomelorelay.NodeID
 	relayIncarnation pomelorelay.Incarnation
 	lastSeq          uint64
@@ -44,7 +44,7 @@
 
 func (c *control) reportsDirectly() bool { return len(c.peers.byNode) <= maxDirectPeers }
 
-// relayOf returns the router that relays for a failure domain: the strongest that is there, and of equals the first by name.
+// relayOf returns the relay of a failure domain: its most powerful live router, and among equals the first by name.
 func (c *control) relayOf(now time.Time, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	var best pomelorelay.Peer
 	found := false
@@ -66,14 +66,14 @@
 	return a.Node < b.Node
 }
 
-// isRelay reports whether this router relays for its failure domain.
+// isRelay reports whether this router is the relay of its failure domain.
 func (c *control) isRelay(now time.Time) bool {
 	self := c.e.cfg.Settings.Self
 	node, _ := c.relayOf(now, self.Domain)
 	return node == self.Node
 }
 
-// relayOwnReport sends this router's report to its failure domain's relay, or sums it up if that is itself.
+// relayOwnReport sends this router's report to its relay, or adds it to the sums if this router is the relay.
 func (c *control) relayOwnReport(now time.Time, m *pomelorelay.LoadReport) {
 	self := c.e.cfg.Settings.Self
 	node, _ := c.relayOf(now, self.Domain)
@@ -91,7 +91,7 @@
 	c.flushSummaries(now)
 }
 
-// startRelaying makes this router a relay; what its own relay summed up for it is dropped, since the reports come to itself now.
+// startRelaying makes this router a relay. It drops the sums of the previous relay, because this router now gets the reports itself.
 func (c *control) startRelaying() {
 	r := &c.relay
 	if r.local != nil {
@@ -103,13 +103,13 @@
 	*r = relayState{local: newAggregate(), all: newAggregate(), seq: r.seq, domainRelays: make(map[pomelorelay.DomainID]pomelorelay.NodeID)}
 }
 
-// addLocalReport adds the report of a router of the own failure domain.
+// addLocalReport adds the report of a router of this failure domain to the sums.
 func (c *control) addLocalReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	c.relay.local.add(now, string(from), from, incarnation, m)
 	c.relay.all.add(now, string(from), from, incarnation, m)
 }
 
-// addNeighbourReport sums up a neighbour's report.
+// addNeighbourReport adds a neighbour's report to the sums if this router is the relay.
 func (c *control) addNeighbourReport(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	p := c.peers.byNode[m.From]
 	if c.reportsDirectly() || p == nil || p.Domain != c.e.cfg.Settings.Self.Domain || !c.isRelay(now) {
@@ -119,7 +119,7 @@
 	c.addLocalReport(now, m.From, m.Incarnation, report)
 }
 
-// receiveSummary takes the sum of other routers' reports, from the own relay or, if this router relays, from that of another failure domain.
+// receiveSummary applies a summary from this router's relay or, if this router is a relay, from the relay of another failure domain.
 func (c *control) receiveSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
 	p := c.peers.byNode[m.From]
 	if p == nil || c.reportsDirectly() {
@@ -134,7 +134,8 @@
 	}
 }
 
-// applyDomainSummary takes the sum of another failure domain. One of a new relay there replaces that of the one before.
+// applyDomainSummary applies the summary of another failure domain. The first full summary of a new relay replaces the state of the
+// previous one.
 func (c *control) applyDomainSummary(now time.Time, domain pomelorelay.DomainID, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	c.startRelaying()
 	r := &c.relay
@@ -155,7 +156,7 @@
 	c.applyReport(now, m, report)
 }
 
-// applyFleetSummary takes the sum of all other routers. That of a new relay replaces all that was known of others.
+// applyFleetSummary applies the summary of all other routers. The first full summary of a new relay replaces all loads of others.
 func (c *control) applyFleetSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
 	r := &c.relay
 	if r.relayNode != m.From || r.relayIncarnation != m.Incarnation {
@@ -178,14 +179,14 @@
 	c.applyReport(now, m, s.Report)
 }
 
-// applyReport takes a report or a sum of reports for decisions.
+// applyReport applies a report or summary to placement, shares and upstreams.
 func (c *control) applyReport(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	c.placer.TakeReport(now, m.From, m.Incarnation, report)
 	c.shares.TakeReport(m.From, m.Incarnation, report.Accounts)
 	c.applyLeaving(now, m.From, report.Leaving)
 }
 
-// flushSummaries sends what was summed up: the own domain's sum to the other domains' relays, and to each neighbour the sum of all others.
+// flushSummaries sends the sum of this domain to the relays of the other domains, and to each neighbour the sum of all others.
 func (c *control) flushSummaries(now time.Time) {
 	r := &c.relay
 	r.local.removeSilent(now, pomeloplace.SilentAfter)
@@ -215,7 +216,7 @@
 	r.all.markFlushed()
 }
 
-// standbys returns the routers of the own failure domain that relay next.
+// standbys returns the routers of this failure domain next in line as relay.
 func (c *control) standbys(now time.Time) []pomelorelay.NodeID {
 	var live []pomelorelay.Peer
 	for _, p := range c.peers.byNode {
@@ -236,7 +237,7 @@
 	return nodes
 }
 
-// send queues a message; one that the mesh refuses is lost like one on a broken link, and the next whole report makes up for it.
+// send queues a message. One that the mesh refuses counts as lost, as on a broken link; the next full report makes up for it.
 func (c *control) send(to pomelorelay.NodeID, m pomelorelay.Message) {
 	if err := c.e.mesh.Send(to, m); err != nil {
 		c.e.metrics.Missed()
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// stateRequestDelay is how long a router that lacks something waits for the store, which answers in 4 ms when it is well.
+	// stateRequestDelay is how long a router that lacks state waits for the store, which answers in 4 ms when healthy.
 	stateRequestDelay = 300 * time.Millisecond
-	// stateRequestInterval is the time between two asks: an answer from another region takes 25 ms, and holds the whole configuration.
+	// stateRequestInterval is the time between two requests. An answer from another region takes 25 ms and holds the whole configuration.
 	stateRequestInterval = 500 * time.Millisecond
 )
 
-// stateRequests holds since when this router lacks something that its peers may have, and when it last asked for it.
+// stateRequests holds since when this router lacks state that peers may have, and when it last requested it.
 type stateRequests struct {
 	since       time.Time
 	requestedAt time.Time
-	// gapRequestedAt is when it last asked because it missed an update.
+	// gapRequestedAt is when it last requested the full state because it had missed an update.
 	gapRequestedAt time.Time
 }
 
-// lacksState reports whether the router cannot serve, or stands alone, while the store is silent.
+// lacksState reports whether the store is silent and the router cannot serve or has no peers.
 func (c *control) lacksState(now time.Time) bool {
 	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return false
@@ -31,9 +31,9 @@
 	return c.config == nil || !c.e.cursor.hasRead() || len(c.peers.byNode) == 0
 }
 
-// requestMissingState asks a peer, or the seeds while none is known, for what the store does not answer. A router that starts while the store is
-// away would refuse every request until the store is back, beside neighbours that serve; one that is parted from the store before it read
-// the list of routers would go on with dropped routes and keys.
+// requestMissingState requests the missing state from a peer, or from the seeds while no peer is known. Otherwise a router started
+// in a store outage would refuse every request while its neighbours serve, and one cut off before it read the list of routers would
+// keep serving removed routes and keys.
 func (c *control) requestMissingState(now time.Time) {
 	if !c.lacksState(now) {
 		c.stateRequests.since, c.stateRequests.requestedAt = time.Time{}, time.Time{}
@@ -47,7 +47,7 @@
 	}
 	c.stateRequests.requestedAt = now
 	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.hasRead()}
-	// Any peer will do, another one each time: the first may lack as much as this router.
+	// Map order selects another peer each time, since one may lack as much as this router.
 	for node := range c.peers.byNode {
 		c.send(node, m)
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// requestFullState asks the sender of an update for everything, since an update before it was missed.
+// requestFullState requests the full state from the sender of an update that follows a missed one.
 func (c *control) requestFullState(now time.Time, from pomelorelay.NodeID) {
 	if now.Sub(c.stateRequests.gapRequestedAt) < stateRequestInterval {
 		return
@@ -71,7 +71,7 @@
 	c.send(from, &pomelorelay.StateAsk{Above: c.version(), Upstreams: true})
 }
 
-// sendState answers a router that asks. It answers also when it has nothing, so that both have each other's address.
+// sendState answers a state request, even without any state, so that both routers learn each other's address.
 func (c *control) sendState(to pomelorelay.NodeID, ask *pomelorelay.StateAsk) {
 	m := &pomelorelay.FleetState{Peers: append(c.peers.registered(), c.e.cfg.Settings.Self)}
 	if c.config != nil && c.config.Version > ask.Above {
@@ -91,7 +91,7 @@
 	}
 }
 
-// applyPeerState takes what a peer has, in so far as it is newer than what this router has.
+// applyPeerState applies the state of a peer where it is newer than this router's.
 func (c *control) applyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) {
 	if len(m.Document) > 0 {
 		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -11,30 +11,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// One router of the fleet reads the store and sends what changed to the relays of the other failure domains, which forward it to their
-// neighbours. The turn of each router to read follows from the registrations: the relay of the first failure domain reads at once, the others
-// when no update has come for longer, in an order that every router computes alike.
+// One router of the fleet reads the store and sends the changes to the relays of the other failure domains, which forward them to
+// their neighbours. The read order follows from the registrations, so every router computes the same one: the relay of the first
+// failure domain reads continuously, each later router only after a longer time without updates.
 
 const (
-	// readIntervalFraction is the least time between two reads, as a part of the time to the last request of an upstream that leaves: upstreams write
-	// all the time.
+	// readIntervalFraction is the minimum time between two reads, as a fraction of the drain wait (the time after which a leaving upstream
+	// must get no requests). Upstreams write all the time, so a watch without it would return continuously.
 	readIntervalFraction = 0.2
-	// watchWaitFraction is how long a read waits for a change, as a part of the same time.
+	// watchWaitFraction is how long a read waits for a change, as a fraction of the drain wait.
 	watchWaitFraction = 0.2
-	// takeoverFraction is the part of that time without an update after which the second router in turn reads, and turnStep what each further one
-	// waits longer. The reader is silent for its pace and its wait together at most.
+	// takeoverFraction is the time without updates after which the second router in order reads, as a fraction of the drain wait;
+	// takeoverStepFraction is added for each further one. A live reader is silent for at most its read interval plus its watch wait.
 	takeoverFraction     = 0.5
 	takeoverStepFraction = 0.03
-	// takeoverPollInterval is how often a router looks whether its turn has come.
+	// takeoverPollInterval is how often a router checks whether it must read.
 	takeoverPollInterval = 200 * time.Millisecond
-	// startupDelayWork is the work, in seconds of a whole core, after which a router that starts reads by itself if nobody sends it updates. The
-	// strongest routers read first then and spare the others.
+	// startupDelayWork is the base startup delay of a router with the power of one core; the delay is inversely proportional to power.
+	// The most powerful routers thus read first and spare the others the calls.
 	startupDelayWork = 250 * time.Millisecond
-	// maxStartupDelay bounds that time.
+	// maxStartupDelay bounds the startup delay.
 	maxStartupDelay = 3 * time.Second
 )
 
-// cursor is the revision up to which this router has what the store holds.
+// cursor is the store revision up to which this router has all changes.
 type cursor struct {
 	mu sync.Mutex
 	at pomelorelay.Revision
@@ -46,10 +46,10 @@
 	return w.at
 }
 
-// hasRead reports whether the router has read everything once.
+// hasRead reports whether the router has the complete state of some revision.
 func (w *cursor) hasRead() bool { return w.get() > 0 }
 
-// advance moves on by a change between two revisions; it reports false when the change is old, or when a part before it is missing.
+// advance moves the cursor over a change between two revisions. It returns false when the change is old or an earlier one is missing.
 func (w *cursor) advance(after, at pomelorelay.Revision, complete bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,10 +60,10 @@
 	return true
 }
 
-// isBehind reports whether a change shows that something before it is missing.
+// isBehind reports whether the cursor is before the revision, so that a change is missing.
 func (w *cursor) isBehind(at pomelorelay.Revision) bool { return at > w.get() }
 
-// readStoreLoop reads the store whenever it is this router's turn.
+// readStoreLoop reads the store whenever shouldRead reports that this router must.
 func (e *Entry) readStoreLoop(ctx context.Context) {
 	started := time.Now()
 	settle := e.startupDelay()
@@ -81,7 +81,7 @@
 	}})
 }
 
-// startupDelay returns how long after its start the router waits for updates before it reads again.
+// startupDelay returns how long after its start the router waits for updates before its second read.
 func (e *Entry) startupDelay() time.Duration {
 	power := e.cfg.Settings.Self.Power
 	if power <= 0 {
@@ -91,17 +91,17 @@
 	return min(time.Duration(spread/power*float64(startupDelayWork)), maxStartupDelay)
 }
 
-// shouldRead reports whether it is this router's turn to read the store.
+// shouldRead reports whether this router must read the store now.
 func (e *Entry) shouldRead() bool {
 	delay := e.readDelay.Load()
 	return delay == 0 || e.cfg.Clock.Now().UnixNano()-e.lastUpdateAt.Load() >= delay
 }
 
-// read reads everything at first and after the store dropped its history, and changes otherwise.
+// read reads the complete state at first and after the store compacted its history, and changes otherwise.
 func (e *Entry) read(ctx context.Context, failed bool) error {
 	after := e.cursor.get()
 	if after == 0 {
-		// What a stale read lacks comes with the first update.
+		// Changes missing from a stale read arrive with the first update.
 		return e.readAll(ctx, "start", !failed)
 	}
 	change, err := e.cfg.Platform.Watch(ctx, after, e.scaledDrainWait(watchWaitFraction))
@@ -133,7 +133,7 @@
 	return "takeover"
 }
 
-// postRead hands what was read to the control goroutine and waits until it is taken in: the next read goes on from there.
+// postRead sends a read result to the control goroutine and waits until it is applied, because the next read starts after it.
 func (e *Entry) postRead(ctx context.Context, r *storeRead) {
 	r.done = make(chan struct{})
 	if !e.post(r) {
@@ -145,7 +145,8 @@
 	}
 }
 
-// storeRead is posted when the store answered this router; back is set when it had not answered before, after from where it was watched.
+// storeRead is posted for each answer of the store. after is the revision the watch started from; recovered is set for the first
+// answer after a failure.
 type storeRead struct {
 	change    pomelorelay.FleetChange
 	after     pomelorelay.Revision
@@ -157,7 +158,7 @@
 func (a *storeRead) apply(c *control, now time.Time) {
 	defer close(a.done)
 	if !c.e.cursor.advance(a.after, a.change.At, a.change.Whole) {
-		// Another router's update came first; the next read goes on from it.
+		// Another router's update arrived first; the next read starts after that.
 		return
 	}
 	if !a.stale {
@@ -166,11 +167,11 @@
 	c.applyChange(now, &a.change, a.recovered, "store")
 }
 
-// updateFrom returns what of a change the other routers do not have: heartbeats that change nothing are left out.
+// updateFrom returns the parts of a change that the other routers lack; heartbeats that change nothing are left out.
 func (c *control) updateFrom(a *storeRead) *pomelorelay.FleetUpdate {
 	m := &pomelorelay.FleetUpdate{After: a.after, At: a.change.At, Whole: a.change.Whole, GoneUpstreams: a.change.GoneUpstreams, GonePeers: a.change.GonePeers, Evacuated: a.change.Evacuated, Restored: a.change.Restored}
 	if a.change.Config != nil {
-		// The others go on from this revision: should this router die next, the configuration would not be read again.
+		// The others advance to this revision. If this router died next, none of them would read the configuration again.
 		m.Document = a.change.Config.Document
 	}
 	for _, u := range a.change.Upstreams {
@@ -187,7 +188,7 @@
 	return m
 }
 
-// applyChange takes in what the store holds; source names the router that read it.
+// applyChange applies a change of the store; source names the router that read it.
 func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
 	if change.ConfigFault != nil {
 		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigFault))), field("Fault", change.ConfigFault.Error()))
@@ -200,7 +201,7 @@
 	c.applyPeers(now, change)
 }
 
-// sendUpdate sends what was read to the relays of the other failure domains and to the neighbours, directly or by their relay.
+// sendUpdate sends an update to the relays of the other failure domains, and to the neighbours directly or through their relay.
 func (c *control) sendUpdate(now time.Time, m *pomelorelay.FleetUpdate) {
 	self := c.e.cfg.Settings.Self
 	for _, domain := range c.domains() {
@@ -213,7 +214,7 @@
 	}
 }
 
-// forwardUpdate passes an update on to the neighbours.
+// forwardUpdate sends an update to the neighbours.
 func (c *control) forwardUpdate(from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
 	forwarded := *m
 	forwarded.Forwarded = true
@@ -224,7 +225,7 @@
 	}
 }
 
-// receiveUpdate takes what another router read in the store. Where something before it is missing, the router asks for everything.
+// receiveUpdate applies an update from the reader. If an earlier update is missing, the router requests the full state.
 func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
 	taken := c.e.cursor.advance(m.After, m.At, m.Whole)
 	missed := !taken && c.e.cursor.isBehind(m.At)
@@ -250,7 +251,7 @@
 	}
 }
 
-// domains returns the failure domains of this router and of those that it has links to, in an order that is the same everywhere.
+// domains returns the failure domains of this router and of its peers, sorted so that all routers use the same order.
 func (c *control) domains() []pomelorelay.DomainID {
 	all := []pomelorelay.DomainID{c.e.cfg.Settings.Self.Domain}
 	for _, p := range c.peers.byNode {
@@ -262,8 +263,8 @@
 	return all
 }
 
-// updateReadDelay reckons how long without an update this router waits until it reads the store itself: not at all for the relay of the first
-// failure domain, the longer the later a router is in the order of relays, and then of all others by a hash.
+// updateReadDelay computes the time without updates after which this router reads the store. It is zero for the relay of the first
+// failure domain and grows with the position: first the other relays in order, then all other routers in the order of a hash.
 func (c *control) updateReadDelay(now time.Time) {
 	self := c.e.cfg.Settings.Self
 	rank, position := 0, -1
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -10,7 +10,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloentry"
 )
 
-// Guards against routers that read the store although the reader only paused, and against a takeover too late for an upstream that leaves.
+// Guards against routers that read the store during a normal pause of the reader, and against a takeover too late for a leaving
+// upstream.
 func TestTakeoverWaitsForReadersLongestPause(t *testing.T) {
 	for _, drain := range []time.Duration{2500 * time.Millisecond, 4 * time.Second} {
 		second, pause := pomeloentry.ReadDelayOf(drain, 1), pomeloentry.LongestReadPause(drain)
@@ -34,7 +35,7 @@
 	return peers
 }
 
-// Guards against a large fleet whose routers all read the store: one reads at once, the rest take their turns apart from each other.
+// Guards against all routers of a large fleet reading the store: one reads continuously, the others' read delays are spread.
 func TestOneRouterReadsTheStore(t *testing.T) {
 	const drain = 4 * time.Second
 	peers := peersOf(6, 50)
@@ -46,7 +47,7 @@
 	if delays[0] != 0 || delays[1] == 0 {
 		t.Fatalf("the first turns are %v", delays[:3])
 	}
-	// The relay of each failure domain takes over in time for an upstream that leaves.
+	// The relay of each failure domain takes over in time for a leaving upstream.
 	if delays[5] > drain*4/5 {
 		t.Errorf("the sixth router waits %v", delays[5])
 	}
@@ -61,7 +62,7 @@
 	}
 }
 
-// Guards against a router that goes on with upstreams that left while it missed an update.
+// Guards against a router that keeps using upstreams that left in an update it missed.
 func TestMissedUpdateIsRecoveredFromPeerState(t *testing.T) {
 	now := time.Now()
 	up := func(ids ...pomelorelay.UpstreamID) []pomelorelay.FleetUpstream {
@@ -90,8 +91,8 @@
 	}
 }
 
-// Guards against a configuration that only the reader has read, and that is lost to all others for as long as the reader is dead: they go on from
-// the revision of its last update.
+// Guards against a configuration that is lost to all other routers if the reader dies, because they continue from the revision of its
+// last update.
 func TestUpdateAppliesConfiguration(t *testing.T) {
 	fleet := newFleet(t)
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
@@ -113,7 +114,7 @@
 	}
 }
 
-// Guards against calls to the store that grow with the routers while nothing happens, and after the store dropped its history.
+// Guards against store calls that grow with the number of routers, in steady state and after the store compacted its history.
 func TestStoreCallsDoNotGrowWithRouters(t *testing.T) {
 	const routers, beats = 12, 100
 	f := newFleet(t)
@@ -142,7 +143,8 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	after := f.store.Calls()
-	// The reader makes a call each 0.2 s of the bound of a second, and reads everything once; a moment in which two read is allowed for.
+	// The reader makes a call every 0.2 s, a fifth of the drain wait of 1 s, and reads the complete state once. The bound allows for a
+	// moment with two readers.
 	allowed := 2*int(time.Since(began)/(200*time.Millisecond)) + 4
 	if calls := after.Watches + after.Reads - before.Watches - before.Reads; calls > allowed {
 		t.Errorf("%d routers made %d calls in %v, want at most %d: %+v, before %+v", routers, calls, time.Since(began), allowed, after, before)
@@ -155,7 +157,7 @@
 	}
 }
 
-// Guards against a router that takes itself for another one when its relay names it as the next.
+// Guards against a router that adds itself to its peers when its relay names it as a standby.
 func TestStandbyIsNotItsOwnPeer(t *testing.T) {
 	const routers = 20
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(1, routers))
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// defaultDrainWait is the time to the last request of an upstream that leaves where the settings name none.
+	// defaultDrainWait is the drain wait when the settings name none: the time after which a leaving upstream must get no requests.
 	defaultDrainWait = 2500 * time.Millisecond
-	// reregisterGrace is how long after the store came back a vanished entry may be missing: upstreams that live are back within 2 s.
+	// reregisterGrace is how long after a store outage a lapsed entry is kept; live upstreams register again within 2 s.
 	reregisterGrace = 2300 * time.Millisecond
-	// massLapseGrace is how long many entries that vanish at once are kept: they lapsed in an outage that this router did not notice.
-	// With the pace it stays under the time after which an upstream that really left must get nothing.
+	// massLapseGrace is how long entries are kept when many lapse at once, as after a store outage that this router did not notice.
+	// Together with the read interval it is shorter than the drain wait, so an upstream that really left gets no requests too late.
 	massLapseGrace = 1500 * time.Millisecond
-	// massLapseFraction is the part of the upstreams whose entries must vanish within massWait of each other for that.
+	// massLapseFraction is the fraction of upstreams that must lapse within massLapseGrace to count as a mass lapse.
 	massLapseFraction = 0.34
-	// storeSilenceFraction is the time without an answer of the store from which a router relies on its peers and expects lapsed entries: upstreams
-	// write every 1.2 s, so that some do in each pace.
+	// storeSilenceFraction is the time without an answer from the store, as a fraction of the drain wait, after which a router relies on
+	// its peers and expects lapsed entries. Upstreams write every 1.2 s, so each read interval normally brings some changes.
 	storeSilenceFraction = 0.8
-	// leavingReportTime is how long reports name an upstream that leaves.
+	// leavingReportTime is how long load reports name a leaving upstream.
 	leavingReportTime = 3 * time.Second
 )
 
-// scaledDrainWait returns a part of the time after which an upstream that said it leaves must get no more requests.
+// scaledDrainWait returns a fraction of the drain wait.
 func (e *Entry) scaledDrainWait(fraction float64) time.Duration {
 	drain := e.cfg.Settings.DrainWait
 	if drain <= 0 {
@@ -32,15 +32,15 @@
 	return time.Duration(fraction * float64(drain))
 }
 
-// upstreams are the registered upstreams in this router's view.
+// upstreams holds the registered upstreams known to this router.
 type upstreams struct {
 	present map[pomelorelay.UpstreamID]pomelorelay.FleetUpstream
-	// lapsed holds when an upstream whose entry vanished is to be taken as gone.
+	// lapsed holds the time at which an upstream with a missing entry is to be removed.
 	lapsed map[pomelorelay.UpstreamID]time.Time
-	// leaving holds when this router learnt that an upstream drains or has gone.
+	// leaving holds the time at which this router learnt that an upstream drains or has gone.
 	leaving      map[pomelorelay.UpstreamID]time.Time
 	recentLapses []time.Time
-	// storeRecoveredAt is when the store answered again after it had not, listedAt when upstreams were last read from it.
+	// storeRecoveredAt is when the store last answered again after an outage, listedAt when upstreams were last read from it.
 	storeRecoveredAt time.Time
 	listedAt         time.Time
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// reportedLeaving returns the upstreams whose leaving is to be reported.
+// reportedLeaving returns the leaving upstreams to name in a load report.
 func (u *upstreams) reportedLeaving(now time.Time) []pomelorelay.UpstreamID {
 	var ids []pomelorelay.UpstreamID
 	for id, since := range u.leaving {
@@ -66,7 +66,7 @@
 	return ids
 }
 
-// applyUpstreams takes in what changed among the upstreams; back is set when the store had not answered before.
+// applyUpstreams applies a change of the upstreams; recovered is set for the store's first answer after an outage.
 func (c *control) applyUpstreams(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
 	if recovered || now.Sub(c.upstreams.listedAt) > c.e.scaledDrainWait(storeSilenceFraction) {
 		c.upstreams.storeRecoveredAt = now
@@ -110,8 +110,8 @@
 	c.e.log(pomelorelay.EventUpstreamListed, field("Upstream", u.ID), field("Service", u.Service), field("Address", u.Addr.String()), field("Domain", u.Domain), field("Born", u.Born), field("ColdMS", u.ColdFor.Milliseconds()), field("Source", source))
 }
 
-// lapseUpstream takes an entry that is no longer there. After an outage of the store, in which leases lapse, the entries of upstreams that
-// live come back; taken as gone at once, a whole service would be seen to have no upstream for two seconds.
+// lapseUpstream handles an entry that is missing from the store. Leases lapse in a store outage, and live upstreams register again
+// after it; removing them at once would leave a whole service without upstreams for two seconds.
 func (c *control) lapseUpstream(now time.Time, id pomelorelay.UpstreamID) {
 	u, known := c.upstreams.present[id]
 	if !known {
@@ -145,14 +145,14 @@
 	if float64(len(recent)) < massLapseFraction*float64(len(u.present)) {
 		return now
 	}
-	// Those that vanished just before were part of the same lapse.
+	// Entries that lapsed just before belong to the same mass lapse.
 	for id := range u.lapsed {
 		u.lapsed[id] = now.Add(massLapseGrace)
 	}
 	return now.Add(massLapseGrace)
 }
 
-// removeLapsed removes the upstreams whose entries did not come back.
+// removeLapsed removes the upstreams that did not register again in time.
 func (c *control) removeLapsed(now time.Time) {
 	for id, at := range c.upstreams.lapsed {
 		if !now.Before(at) {
@@ -170,8 +170,8 @@
 	c.e.log(pomelorelay.EventUpstreamGone, field("Upstream", id))
 }
 
-// applyLeaving takes the upstreams that a peer reports to leave. A router that cannot reach the store would send new work to an upstream that leaves;
-// one that can has newer entries than its peers' reports.
+// applyLeaving marks the upstreams that a peer reports as leaving. It serves a router cut off from the store, which would otherwise
+// send them new requests; a router with access to the store has newer entries than its peers' reports.
 func (c *control) applyLeaving(now time.Time, from pomelorelay.NodeID, ids []pomelorelay.UpstreamID) {
 	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// logWarmups writes a line for each upstream that was found cold or has become warm since the last look.
+// logWarmups logs each upstream that has become cold or warm since the last check.
 func (c *control) logWarmups(now time.Time) {
 	cold := c.placer.Warmups(now)
 	for id, s := range cold {
--- a/pomeloentry/warmup_test.go
+++ b/pomeloentry/warmup_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Guards against a router that sends to an upstream although its entry says that it is cold, and against one that never takes it for warm.
+// Guards against a router that sends requests to an upstream registered as cold, and against one that never treats it as warm.
 func TestColdUpstreamGetsNoRequestsUntilWarm(t *testing.T) {
 	const left = 2 * time.Second
 	f := newFleet(t)
