--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -12,13 +12,13 @@
 )
 
 var (
-	errUnsigned    = errors.New("a success without its upstream's mark")
-	errEncoded     = errors.New("an answer in an encoding that nobody asked for")
-	errFalseNotRun = errors.New("a status that promises that the request did not run, of an upstream that does not say so")
-	errFailed      = errors.New("the upstream failed the request")
+	errUnsigned    = errors.New("success status without the upstream's signature field")
+	errEncoded     = errors.New("answer has a content encoding that was not requested")
+	errFalseNotRun = errors.New("status states that the request did not run, but the upstream did not confirm it")
+	errFailed      = errors.New("upstream answered with a server error")
 )
 
-// checkHead refuses heads that must not reach the caller.
+// checkHead fails when the head of an answer must not reach the caller.
 func (c *call) checkHead(x *pomelolink.Exchange) *pomelolink.Failure {
 	resp := x.Response
 	answer := c.h.cfg.Wire.ReadAnswer(resp)
@@ -30,7 +30,7 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		// Passed on, these would promise the caller that its request never ran.
+		// Callers take these statuses as a statement that the request never ran.
 		return malformed(errFalseNotRun)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answerStarted {
@@ -43,8 +43,8 @@
 	return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerMalformed, cause)
 }
 
-// forwardPlain passes an answer on. A short one is held until it is whole, so that a cut is seen before the caller gets a status;
-// of a long one, a cut closes the caller's connection.
+// forwardPlain forwards an answer. It buffers a short one completely, so that a cut is detected before the caller gets a status;
+// a cut of a long one closes the caller's connection.
 func (c *call) forwardPlain(x *pomelolink.Exchange) *pomelolink.Failure {
 	held := c.h.buffers.Body()
 	defer c.h.buffers.PutBody(held)
@@ -79,7 +79,7 @@
 	}
 }
 
-// writeHead passes a head on; a length below zero is left to chunks.
+// writeHead forwards the head of an answer; a negative length selects chunked encoding.
 func (c *call) writeHead(resp *http.Response, length int64) {
 	pomelolink.RemoveHopHeaders(resp.Header)
 	head := c.w.Header()
@@ -96,7 +96,7 @@
 	c.w.WriteHeader(resp.StatusCode)
 }
 
-// write passes bytes to the caller. A caller that is gone ends the call's context, which ends the reading.
+// write sends bytes to the caller. A write error is ignored: the loss of the caller ends the call's context, which ends the reading.
 func (c *call) write(p []byte) {
 	if len(p) > 0 {
 		_, _ = c.w.Write(p)
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -14,7 +14,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// run sends the request until it is answered or must not be sent again.
+// run sends the request until it is answered or may not be retried.
 func (c *call) run() {
 	if err := c.checkShutdown(); err != nil {
 		c.refuse(err)
@@ -46,20 +46,20 @@
 	return left != nil && left(c.r)
 }
 
-// abandon ends a request whose caller left before it was sent.
+// abandon ends a request whose caller disconnected before it was sent.
 func (c *call) abandon() {
 	c.logEnding(endingGone, pomelorelay.EventRequestGone)
 	panic(http.ErrAbortHandler)
 }
 
 const (
-	// typicalStreamTime is how long most streams take, and plainTime is the same for other requests. One that begins later before a planned stop
-	// would be cut by it.
+	// typicalStreamTime is the duration of most streams, typicalPlainTime that of other requests. A request that starts with less time
+	// left before a planned stop would probably be cut.
 	typicalStreamTime = 5 * time.Second
 	typicalPlainTime  = 700 * time.Millisecond
 )
 
-// checkShutdown refuses a request that the process could not end before it stops.
+// checkShutdown refuses a request that would probably not end before the process stops.
 func (c *call) checkShutdown() error {
 	stopsIn, stopping := c.h.cfg.Shutdown.TimeLeft()
 	need := typicalPlainTime
@@ -70,7 +70,7 @@
 		return nil
 	}
 	e := pomelorelay.NewError(pomelorelay.CodeStopping, "", nil)
-	// Another router takes it at once.
+	// Another router can accept it immediately.
 	e.RetryAfter = time.Millisecond
 	return e
 }
@@ -91,7 +91,7 @@
 	return false
 }
 
-// attempt finds a place for the request and sends it there once.
+// attempt reserves an upstream for the request and sends it there once.
 func (c *call) attempt() *pomelolink.Failure {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(answerGrace))
 	defer cancel()
@@ -99,14 +99,14 @@
 	if f != nil {
 		return f
 	}
-	// Looked at as late as can be: on a processor that does not keep up, a second passes between the reading of a request and its place.
+	// Checked as late as possible: on an overloaded processor, a second can pass between the reading of a request and its placement.
 	if c.callerGone() {
 		ticket.Done(pomeloplace.ResultUnsent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
 	ranBefore := c.mayHaveRun
-	// Until the outcome is known the request counts as one that may have run, also when a defect ends this function.
+	// Until the outcome is known the request counts as possibly run, even if this function panics.
 	c.mayHaveRun = true
 	result := pomeloplace.ResultGone
 	defer func() { ticket.Done(result) }()
@@ -136,7 +136,7 @@
 	return f
 }
 
-// resultOf tells what an attempt says of its upstream. A caller that left says nothing of it.
+// resultOf returns the result of an attempt for its upstream. A caller's disconnect is not counted against the upstream.
 func resultOf(ctx context.Context, f *pomelolink.Failure) pomeloplace.Result {
 	switch {
 	case f == nil:
@@ -168,7 +168,7 @@
 	return nil, f
 }
 
-// reasonCodes are the codes of the refusals of placements.
+// reasonCodes maps the reasons of refused placements to result codes.
 var reasonCodes = map[pomeloplace.Reason]pomelorelay.ResultCode{
 	pomeloplace.ReasonNoUpstream: pomelorelay.CodeNoUpstream,
 	pomeloplace.ReasonShare:      pomelorelay.CodeShareSpent,
@@ -179,10 +179,10 @@
 	pomeloplace.ReasonEvacuated:  pomelorelay.CodeEvacuated,
 }
 
-// outputTokenWeight is how much a generated token counts against one that is read, by the platform's word.
+// outputTokenWeight is the cost of a generated token relative to a prompt token, as the platform defines it.
 const outputTokenWeight = 2
 
-// expectedOutput returns how many tokens a request probably makes its engine generate.
+// expectedOutput returns the number of tokens that the engine will probably generate for a request.
 func expectedOutput(f pomelorelay.CallerFields) pomelorelay.Tokens {
 	if f.Guess > 0 {
 		return min(max(f.Guess, 1), max(f.Output, 1))
@@ -190,7 +190,7 @@
 	return f.Output
 }
 
-// requestCost returns what a request counts towards its account's share.
+// requestCost returns the cost of a request that counts towards its account's share.
 func requestCost(f pomelorelay.CallerFields) pomelorelay.Cost {
 	return pomelorelay.Cost(f.Prompt + outputTokenWeight*expectedOutput(f))
 }
@@ -215,7 +215,7 @@
 	}
 }
 
-// exchange sends the request to an upstream and passes its answer on.
+// exchange sends the request to an upstream and forwards the answer.
 func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, ticket Reservation) *pomelolink.Failure {
 	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.upstreamRequest(up), Size: len(c.bodyBytes()), Wanted: func() bool { return !c.callerGone() }})
 	if f != nil {
@@ -230,20 +230,20 @@
 	}
 	ticket.AnswerBegan()
 	if c.answerStarted {
-		// A stream that was to be taken up again got another answer than events; nothing of it can be passed on.
+		// The upstream of a resumed stream answered without events, which cannot continue the stream.
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeStreamBroken, nil)
 	}
 	return c.forwardPlain(x)
 }
 
-// upstreamRequest builds the request to an upstream: method, path, query and body as they came.
+// upstreamRequest builds the request to an upstream; method, path, query and body are unchanged.
 func (c *call) upstreamRequest(up pomelorelay.FleetUpstream) *http.Request {
 	head := c.r.Header.Clone()
 	pomelolink.RemoveHopHeaders(head)
 	head.Del("Content-Length")
 	head.Del("Expect")
 	if _, ok := head["User-Agent"]; !ok {
-		// An empty entry keeps net/http from adding a name of its own.
+		// An empty entry keeps net/http from adding its own User-Agent.
 		head["User-Agent"] = []string{""}
 	}
 	c.h.cfg.Wire.WriteUpstream(head, pomelorelay.UpstreamFields{
--- a/pomeloforward/bench_test.go
+++ b/pomeloforward/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// BenchmarkStream sends one stream of 50 events after the other over one connection; what the caller and the upstream of the benchmark
-// take is in it.
+// BenchmarkStream measures streams of 50 events, one after the other over one connection. The results include the time and memory of
+// the benchmark's caller and upstream.
 func BenchmarkStream(b *testing.B) {
 	const events = 50
 	t := &testing.T{}
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// call is one caller's request on its way through the router.
+// call is the state of one caller's request.
 type call struct {
 	h         *Handler
 	w         http.ResponseWriter
@@ -24,19 +24,19 @@
 	account   pomelorelay.AccountID
 	service   pomelorelay.ServiceID
 	body      *bytes.Buffer
-	// deadline is the end of the caller's wait or of the route's timeout.
+	// deadline is the earlier of the caller's deadline and the route's timeout.
 	deadline time.Time
-	// answerStarted is set once a byte of an answer went to the caller.
+	// answerStarted is set once the head of an answer was written to the caller.
 	answerStarted bool
-	// mayHaveRun is set while and after an attempt whose request may have run.
+	// mayHaveRun is set during an attempt and after one whose request may have run.
 	mayHaveRun bool
-	// runs, refused and unreached count the attempts by what became of them.
+	// runs, refused and unreached count the attempts by outcome; runs are those that may have run.
 	runs, refused, unreached int
 	avoid                    []pomelorelay.UpstreamID
-	// lastEvent is the number of the last event that the caller has.
+	// lastEvent is the number of the last stream event that the caller has received.
 	lastEvent    uint64
 	hasLastEvent bool
-	// answerBeganAt is when the answer began; decision is the last placement.
+	// answerBeganAt is when the answer began; decision is the last placement decision.
 	answerBeganAt time.Time
 	lastEventAt   time.Time
 	longestPause  time.Duration
@@ -48,7 +48,7 @@
 	return &call{h: h, w: w, r: r, arrivedAt: h.cfg.Clock.Now(), fields: h.cfg.Wire.ReadCaller(r.Header)}
 }
 
-// prepare finds out what the request is; it fails with a refusal, and nothing has run then.
+// prepare looks up the route, the account and the service and reads the body. On failure nothing has run.
 func (c *call) prepare() error {
 	c.table = c.h.cfg.Tables.Current()
 	if c.table == nil {
@@ -82,7 +82,7 @@
 	return pomelorelay.NewError(pomelorelay.CodeUnauthorised, "", nil)
 }
 
-// defaultTimeout bounds a request whose caller and route both say nothing.
+// defaultTimeout bounds every request, also when neither the caller nor the route sets a timeout.
 const defaultTimeout = time.Minute
 
 func (c *call) setDeadline() {
@@ -94,7 +94,7 @@
 		wait = min(wait, c.route.Timeout)
 	}
 	c.deadline = c.arrivedAt.Add(wait)
-	// A caller that does not read would hold the handler and its buffers for ever.
+	// A caller that does not read would otherwise block the handler and hold its buffers for ever.
 	_ = http.NewResponseController(c.w).SetWriteDeadline(c.deadline.Add(writeGrace))
 }
 
@@ -129,7 +129,7 @@
 	return c.body.Bytes()
 }
 
-// releaseBody gives the body's memory back.
+// releaseBody returns the body's buffer to the pool.
 func (c *call) releaseBody() {
 	if c.body != nil {
 		c.h.buffers.PutBody(c.body)
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// Config holds what a Handler needs.
+// Config configures a Handler.
 type Config struct {
 	Clock     pomelorelay.Clock
 	Logger    pomelorelay.Logger
@@ -19,81 +19,82 @@
 	Placement Placement
 	Shutdown  Shutdown
 	Meter     Meter
-	// CallerGone reports whether a request's caller has left, where that can be told sooner than by its context; nil when it cannot.
+	// CallerGone reports whether a request's caller has disconnected, for servers that can detect this before the request's context
+	// ends; nil otherwise.
 	CallerGone func(*http.Request) bool
-	// RetryRatio and RetrySlack bound what the fleet sends again of one service's requests: the ratio of them, and the slack.
+	// RetryRatio and RetrySlack bound the fleet's retries for a service: the ratio to its requests, plus a constant number.
 	RetryRatio float64
 	RetrySlack float64
 }
 
-// TableSource gives the configuration in force.
+// TableSource provides the route table in force.
 type TableSource interface {
-	// Current returns the table in force, nil while there is none; it never blocks.
+	// Current returns the table, or nil while there is none; it never blocks.
 	Current() *pomelotable.Table
 }
 
-// PlacementRequest is a request that wants an upstream.
+// PlacementRequest is a request that needs an upstream.
 type PlacementRequest struct {
 	ID      string
 	Route   pomelorelay.RouteID
 	Account pomelorelay.AccountID
-	// Cost is what the request counts towards its account's share; zero for plain services.
+	// Cost counts towards the account's share; zero for plain services.
 	Cost    pomelorelay.Cost
 	Request pomeloplace.Request
-	// Retry tells that the request asked for a place before, Charged that an attempt of it may have run and was charged to its account.
+	// Retry marks a request that was placed before. Charged marks one that may have run and whose cost was charged to its account.
 	Retry, Charged bool
 }
 
-// Placement decides where requests go.
+// Placement selects upstreams for requests.
 type Placement interface {
-	// Place returns a ticket or a refusal at once; it fails when ctx ends.
+	// Place returns a reservation or a refusal immediately; it fails when ctx ends.
 	Place(ctx context.Context, w PlacementRequest) (Reservation, pomeloplace.Decision, error)
 }
 
-// Reservation is a request's place at an upstream; Ended must be called exactly once.
+// Reservation is a request's slot at an upstream; Done must be called exactly once.
 type Reservation interface {
-	// AnswerBegan notes that the answer began.
+	// AnswerBegan records the start of the answer.
 	AnswerBegan()
-	// Done notes how the run ended.
+	// Done records the result and releases the slot.
 	Done(r pomeloplace.Result)
 }
 
-// Shutdown tells of a planned stop.
+// Shutdown reports a planned stop of the process.
 type Shutdown interface {
-	// TimeLeft returns the time until the process ends, false when no stop is planned.
+	// TimeLeft returns the time until the process ends, and false when no stop is planned.
 	TimeLeft() (time.Duration, bool)
 }
 
-// Meter counts what callers get.
+// Meter counts answers and retries.
 type Meter interface {
-	// Answered counts an answer: how the request ended, the time to the answer's beginning and to its end.
+	// Answered counts an answer by the request's ending, with the times from its arrival to the answer's beginning and end.
 	Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration)
-	// Retried counts a request that is sent again.
+	// Retried counts a request that is sent again after a failure with the code.
 	Retried(code pomelorelay.ResultCode)
 }
 
 const (
-	// defaultRetryAfter is what a refusal tells its caller when nothing better is known.
+	// defaultRetryAfter is the Retry-After of a refusal that gives no time.
 	defaultRetryAfter = 500 * time.Millisecond
-	// answerGrace is how long after its deadline an upstream's own last word is awaited; it comes over one way between regions.
+	// answerGrace is how long after the deadline the router waits for the upstream's own final answer, which takes one trip between regions.
 	answerGrace = 100 * time.Millisecond
-	// dialTimeout bounds a connection attempt: the way to another region and back, and a lost packet, which costs 200 ms.
+	// dialTimeout bounds a connection attempt: a round trip to another region, and a lost packet, which costs 200 ms.
 	dialTimeout = 500 * time.Millisecond
-	// ackTimeout is how long an upstream's host may acknowledge nothing: ten times the way between regions, and two lost packets.
+	// ackTimeout is how long an upstream's host may leave data unacknowledged: ten trips between regions, and two lost packets.
 	ackTimeout = 2 * time.Second
-	// idleTimeout closes connections that nobody uses; upstreams name shorter times themselves.
+	// idleTimeout closes idle connections; upstreams may announce shorter times.
 	idleTimeout = 10 * time.Second
-	// maxIdleConns bounds the idle connections to one upstream: what an engine runs at once from one router in a burst.
+	// maxIdleConns bounds the idle connections to one upstream: the requests that an engine runs from one router in a burst.
 	maxIdleConns = 64
-	// maxAnswerHeaderBytes bounds an answer's head.
+	// maxAnswerHeaderBytes bounds the head of an answer.
 	maxAnswerHeaderBytes = 64 << 10
-	// maxUnreached bounds the upstreams that are tried for a request without any taking a connection. With a quarter of them down, one
-	// request in 64 would find three in a row.
+	// maxUnreached bounds the unreachable upstreams that are tried for one request. With a quarter of them down, one request in 64 would
+	// find three in a row.
 	maxUnreached = 6
 	// maxRefused bounds the upstreams that may refuse one request without running it.
 	maxRefused = 2
-	// maxBufferedAnswer is the size up to which a plain answer is held until it is whole.
+	// maxBufferedAnswer is the size up to which a plain answer is buffered completely.
 	maxBufferedAnswer = 64 << 10
-	// writeGrace is how long after a request's deadline its caller may still take the answer.
+	// writeGrace is how long after a request's deadline its caller may still read the answer.
 	writeGrace = 2 * time.Second
 )
--- a/pomeloforward/doc.go
+++ b/pomeloforward/doc.go
@@ -1,5 +1,7 @@
-// Package pomeloforward is the traffic path of a router on the users' platform:
-// it finds a request's route and account, asks for an upstream that can begin
-// in time, sends the request there once, and passes a whole answer on. What may
-// be sent again is, within a budget; a refusal that says "not run" is true.
+// Package pomeloforward is the request path of a router: it looks up a request's
+// route and account, requests an upstream that can answer in time, forwards the
+// request there and passes the answer on. An answer that breaks off closes the
+// caller's connection, so that it cannot pass for a complete one. Requests that
+// are safe to repeat are retried within a budget. An answer states that a request
+// did not run only when this is certain.
 package pomeloforward
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloproblem"
 )
 
-// The endings of a request, as they are counted.
+// The endings of a request, as metric labels.
 const (
 	endingServed  = "served"
 	endingRefused = "refused"
@@ -20,13 +20,13 @@
 	endingGone    = "gone"
 )
 
-// logServed notes a request whose whole answer was passed on.
+// logServed logs a request whose complete answer was forwarded.
 func (c *call) logServed() {
 	c.logEnding(endingServed, pomelorelay.EventRequestServed, pomelorelay.Field{Key: "Status", Value: c.status})
 }
 
-// fail ends a request that is not sent again. One whose answer began has its connection closed, so that the caller takes what it
-// has for no whole answer.
+// fail ends a request that is not retried. If its answer has begun, the caller's connection is closed, so that the caller does not
+// treat the answer as complete.
 func (c *call) fail(f *pomelolink.Failure) {
 	fields := codeFields(f)
 	if errors.Is(c.r.Context().Err(), context.Canceled) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// refuse answers with an error. The statuses that promise that a request never ran are used for just those.
+// refuse answers with an error. Statuses that state that a request never ran are used only for such requests.
 func (c *call) refuse(err error) {
 	var e *pomelorelay.Error
 	if !errors.As(err, &e) {
@@ -64,7 +64,7 @@
 	c.logRefusal(e, c.status)
 }
 
-// WriteError answers with an error and returns the status.
+// WriteError answers with an error as a problem document and returns the HTTP status.
 func WriteError(w http.ResponseWriter, e *pomelorelay.Error) int {
 	p := pomeloproblem.New(e)
 	p.Status = refusalStatus(p.Status, e.Ran)
@@ -74,7 +74,7 @@
 		head.Set("Retry-After", retryAfter(e))
 	}
 	w.WriteHeader(p.Status)
-	// A caller that is gone cannot be told; the server closes the connection.
+	// A write error is ignored: the caller has disconnected, and the server closes the connection.
 	_, _ = w.Write(p.Encode())
 	return p.Status
 }
@@ -96,7 +96,7 @@
 	)
 }
 
-// refusalStatus makes a refusal before anything ran a 503, and keeps a failure after it from any status that would promise that.
+// refusalStatus returns 503 for a refusal before the request ran, and replaces 503 by 502 for a request that may have run.
 func refusalStatus(given int, ran pomelorelay.Ran) int {
 	switch {
 	case ran == pomelorelay.RanNo && given >= http.StatusInternalServerError:
@@ -107,7 +107,7 @@
 	return given
 }
 
-// retryAfter returns seconds with a fraction: whole ones would send every caller back a second late.
+// retryAfter returns fractional seconds; rounded up to whole ones, every caller would come back up to a second late.
 func retryAfter(e *pomelorelay.Error) string {
 	wait := e.RetryAfter
 	if wait <= 0 {
@@ -116,7 +116,7 @@
 	return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)
 }
 
-// logEnding writes the one line that tells how a request ended and by what it was decided.
+// logEnding writes the request's final log line, with how it ended and what determined its placement.
 func (c *call) logEnding(ending string, event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	now := c.h.cfg.Clock.Now()
 	first := now.Sub(c.arrivedAt)
@@ -153,7 +153,7 @@
 	c.log(event, all...)
 }
 
-// log writes an event with what identifies the request.
+// log writes an event with the fields that identify the request.
 func (c *call) log(event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	all := []pomelorelay.Field{
 		{Key: "Request", Value: c.fields.ID},
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// An upstream takes a booking and its connection breaks before any answer. The booking may have run: sent again it would be charged
-// twice, and a status that promises that it did not run would make the caller send it again.
+// Guards against retrying a booking whose connection broke before any answer, which might be charged twice, and against a status that
+// states that it did not run, which would make the caller repeat it.
 func TestBookingThatMayHaveRunIsNotRetried(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	w := newHarness(t, u.entry("u1"), u.entry("u2"))
@@ -75,7 +75,7 @@
 	}
 }
 
-// The same for a read: it may run twice, and its caller wants the answer.
+// Guards against failing a read that may run twice and can be answered by another upstream.
 func TestReadIsRetried(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request){
 		"reset":  func(conn net.Conn, _ *http.Request) { reset(conn) },
@@ -109,8 +109,8 @@
 	}
 }
 
-// A server that is full says that it did not run the request; another has the address of one that is gone. Both are safe to send
-// elsewhere, also when the request may run only once.
+// Guards against failing a request that did not run: a full upstream says so with 503, and another upstream at a reused address with
+// 421. Both are safe to retry elsewhere, even when the request may run only once.
 func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, status := range []int{503, 421} {
 		full := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// A server that ran a request answers with a status that would promise that it did not.
+// Guards against forwarding a status that states that the request did not run, from an upstream that ran it.
 func TestNotRunStatusWithoutMarkBecomesBadGateway(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
@@ -154,8 +154,7 @@
 	}
 }
 
-// A server sends bytes after its answer, or the answer to an earlier request once more. Taken for the next answer on the connection,
-// they would reach another caller.
+// Guards against extra bytes or a repeated answer on a connection being taken for the next answer, which would reach another caller.
 func TestExtraBytesAreNotForwarded(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, plainAnswer(r, 200, "mine")+plainAnswer(r, 200, "extra"))
@@ -187,7 +186,7 @@
 	}
 }
 
-// A stream loses a piece, or stops within one. Ended as if it were whole, the caller would take a part of a draft for all of it.
+// Guards against a stream with a gap or a cut that ends as if complete: the caller would take a part for the whole answer.
 func TestBrokenStreamCutsCallerConnection(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request){
 		"gap": stream(1, 3),
@@ -212,7 +211,7 @@
 	}
 }
 
-// A server stops in the middle of a chat that may be taken up again. Its caller should see one stream without a seam.
+// Guards against a resumable stream that fails, or repeats or loses events, when its upstream stops and another one continues it.
 func TestResumableStreamContinuesAtAnotherUpstream(t *testing.T) {
 	first := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, streamHead(r)+eventChunk(1)+eventChunk(2)+chunkOf("id: 3\nda"))
@@ -232,7 +231,7 @@
 	}
 }
 
-// A caller leaves in the middle of its stream. The server would go on generating for nobody while others wait for it.
+// Guards against an upstream that keeps generating for a caller that disconnected in the middle of its stream.
 func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	ended := make(chan struct{})
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -262,7 +261,8 @@
 	}
 }
 
-// A server takes a request and says nothing. Its caller gets a final answer at the end of its time, and one that promises nothing.
+// Guards against a caller waiting past its deadline on an upstream that accepts a request and sends nothing, and against an answer
+// that states that the request did not run.
 func TestSilentUpstreamFailsAtDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -273,7 +273,7 @@
 	}
 }
 
-// The process is about to end. A stream that begins now would be cut by it, and a request that is let in at the last moment too.
+// Guards against a stream or a request accepted too late before the process ends, which would be cut.
 func TestStoppingRouterAcceptsOnlyRequestsItCanFinish(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
 	w := newHarness(t, u.entry("u"), u.entry("u"))
@@ -290,7 +290,7 @@
 	}
 }
 
-// A service's upstreams all refuse. Each router sending each request again would bring the load that they cannot take twice.
+// Guards against retries that double the load while all upstreams of a service fail.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) })
 	const requests = 60
@@ -301,14 +301,14 @@
 	for range requests {
 		w.call("GET", "/read/", "")
 	}
-	// The fleet's slack of 100 gives a router of eight 0.6 x 12.5, and 60 requests 0.6 x 0.2 each.
+	// The slack of 100 divided among eight routers gives 0.6 x 12.5 retries, and 60 requests add 0.6 x 0.2 each.
 	if again := u.requests() - requests; again < 7 || again > 15 {
 		t.Errorf("%d of %d requests were sent again", again, requests)
 	}
 }
 
-// Several upstreams are down at once and the request's first places are all among them. It has not run anywhere, and the next one lives;
-// refused after three, its caller would have to come back for nothing. Its account is charged for one run and asks once.
+// Guards against refusing a request after three unreachable upstreams although it has not run anywhere and the next upstream is up,
+// and against charging its account more than once.
 func TestRequestSurvivesSeveralUnreachableUpstreams(t *testing.T) {
 	live := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		fmt.Fprint(conn, head(r, 200, "Content-Length: 2\r\n\r\nok"))
@@ -337,8 +337,8 @@
 	}
 }
 
-// The processor stands still for a second while the connection to the upstream opens, and the caller gives up meanwhile. Written once the
-// connection is there, its request would run for nobody; the place it holds is given back, and its account is not charged.
+// Guards against sending a request whose caller gave up while the processor stalled and the connection to the upstream was opened.
+// Its reservation must be released and its account not charged.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	var runs atomic.Int64
 	up := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -347,7 +347,7 @@
 	})
 	w := newHarness(t, up.entry("up"))
 	var looks atomic.Int64
-	// The first two looks come before the request has its place and before the connection is opened.
+	// The first two checks come before the placement and before the connection is opened.
 	w.mu.Lock()
 	w.callerGone = func() bool { return looks.Add(1) > 2 }
 	w.mu.Unlock()
@@ -364,8 +364,8 @@
 	}
 }
 
-// An upstream reads somebody's long prompt, and the streams that it runs beside it pause for longer than their callers accept. Taken for good
-// answers, they would teach nobody that long prompts had better go elsewhere.
+// Guards against counting streams that paused too long beside another request's long prompt as good answers: placement would not
+// learn to send long prompts elsewhere.
 func TestStreamWithLongPauseIsReportedAsPaused(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelolink"
 )
 
-// Handler serves callers; it is safe for concurrent use.
+// Handler forwards callers' requests to upstreams; it is safe for concurrent use.
 type Handler struct {
 	cfg     Config
 	links   *pomelolink.Links
@@ -21,7 +21,7 @@
 	budgets map[pomelorelay.ServiceID]*pomelobudget.Budget
 }
 
-// New returns a Handler; Close ends its idle connections.
+// New creates a Handler; Close ends its idle connections.
 func New(cfg Config) *Handler {
 	h := &Handler{cfg: cfg, budgets: make(map[pomelorelay.ServiceID]*pomelobudget.Budget)}
 	h.links = pomelolink.New(pomelolink.Config{
@@ -41,13 +41,13 @@
 	return h
 }
 
-// Close ends the idle connections to upstreams.
+// Close closes the idle connections to upstreams.
 func (h *Handler) Close() { h.links.Close() }
 
-// OpenedConnections returns the number of connections to upstreams that were opened.
+// OpenedConnections returns the number of connections to upstreams opened since the start.
 func (h *Handler) OpenedConnections() uint64 { return h.links.Opened() }
 
-// ServeHTTP answers one caller's request.
+// ServeHTTP answers a caller's request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := newCall(h, w, r)
 	defer c.releaseBody()
@@ -62,8 +62,8 @@
 	c.run()
 }
 
-// EstimateCost returns the account of a request that is refused before it is read, and what it counts towards the account's share; zero when
-// it counts nothing.
+// EstimateCost returns the account and the cost of a request from its header, for requests refused before their body is read. The
+// cost is zero when there is no configuration or no known key.
 func (h *Handler) EstimateCost(r *http.Request) (pomelorelay.AccountID, pomelorelay.Cost) {
 	table := h.cfg.Tables.Current()
 	if table == nil {
@@ -77,7 +77,7 @@
 	return account.Name, requestCost(fields)
 }
 
-// recoverPanic turns a defect in the handling of one request into a failure that says nothing of what ran.
+// recoverPanic turns a panic in the handling of a request into an internal error that leaves open whether the request ran.
 func (c *call) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -93,13 +93,13 @@
 	c.refuse(pomelorelay.NewError(pomelorelay.CodeInternal, "", nil))
 }
 
-// retryBudgetFraction is the part of the fleet's bound that is used: routers count apart, and callers are spread unevenly over them.
+// retryBudgetFraction is the used fraction of the fleet's retry limit: routers count separately, and callers are spread unevenly.
 const retryBudgetFraction = 0.6
 
-// minRouters is the least number of routers among which the slack is shared out.
+// minRouters is the minimum number of routers among which the retry slack is divided.
 const minRouters = 8
 
-// retryBudget returns the retry budget of a service. The fleet's slack is shared out evenly, the ratio holds for each router's own requests.
+// retryBudget returns the retry budget of a service. The fleet's slack is divided evenly; the ratio applies to each router's requests.
 func (h *Handler) retryBudget(service pomelorelay.ServiceID) *pomelobudget.Budget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pomeloforward/harness_test.go
+++ b/pomeloforward/harness_test.go
@@ -21,7 +21,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// upstream is a server that answers as a test says, on raw connections.
+// upstream is a server on raw connections that answers with a test's function.
 type upstream struct {
 	t      *testing.T
 	l      net.Listener
@@ -80,7 +80,7 @@
 	return pomelorelay.FleetUpstream{ID: id, Service: "s", Addr: netip.MustParseAddrPort(u.l.Addr().String())}
 }
 
-// head begins an answer to the request; the caller adds what follows the fields.
+// head returns the head of an answer to the request; the caller adds fields and body.
 func head(r *http.Request, status int, fields string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: me\r\n%s", status, pomelofake.FieldRequest, r.Header.Get(pomelofake.FieldRequest), pomelofake.FieldSigned, fields)
 }
@@ -99,13 +99,13 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// reset closes a connection so that its peer gets a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 }
 
-// harness is a handler before upstreams that it is given in order, one for each placement.
+// harness is a handler with a placement that returns the given upstreams in order.
 type harness struct {
 	t          *testing.T
 	table      *pomelotable.Table
@@ -114,7 +114,7 @@
 	results    []pomeloplace.Result
 	stopsIn    time.Duration
 	stopping   bool
-	// callerGone tells whether a caller has left, nil when that is not to be told.
+	// callerGone reports whether a caller has disconnected; nil means never.
 	callerGone func() bool
 	mu         sync.Mutex
 	server     *httptest.Server
@@ -202,12 +202,12 @@
 
 func (w *harness) Retried(pomelorelay.ResultCode) {}
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	head   http.Header
 	body   string
-	// bodyErr tells that the body did not end as its framing says.
+	// bodyErr is set when the connection broke or the body ended early.
 	bodyErr error
 }
 
--- a/pomeloforward/stream.go
+++ b/pomeloforward/stream.go
@@ -9,9 +9,9 @@
 	"github.com/pomelorelay/pomelorelay/pomelolink"
 )
 
-var errPartial = errors.New("the stream ended within an event")
+var errPartial = errors.New("stream ended within an event")
 
-// forwardStream passes events on as they come, each once, in order and only whole ones.
+// forwardStream forwards complete events as they arrive, each once and in order.
 func (c *call) forwardStream(x *pomelolink.Exchange, ticket Reservation) *pomelolink.Failure {
 	var events pomelolink.EventReader
 	events.Reset(c.h.buffers.Chunk(), x)
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordPause keeps the longest time between two events, which decides whether the caller finds the stream late.
+// recordPause updates the longest pause between two events, by which the stream counts as paused too long.
 func (c *call) recordPause() {
 	now := c.h.cfg.Clock.Now()
 	if !c.lastEventAt.IsZero() {
@@ -53,8 +53,8 @@
 	c.lastEventAt = now
 }
 
-// checkSequence reports whether an event is the next one; one that the caller has already is left out. A gap means that a piece of the
-// answer is lost: passed on, the caller would take the rest for the whole.
+// checkSequence reports whether an event is new to the caller. It fails on a gap: a part of the answer is lost, and the caller would
+// take the rest for the complete answer.
 func (c *call) checkSequence(e pomelolink.Event) (bool, *pomelolink.Failure) {
 	id, ok := e.ID()
 	if !ok {
@@ -64,13 +64,13 @@
 		return false, nil
 	}
 	if c.hasLastEvent && id != c.lastEvent+1 {
-		return false, malformed(fmt.Errorf("event %d came after %d", id, c.lastEvent))
+		return false, malformed(fmt.Errorf("stream event %d follows event %d: events are missing", id, c.lastEvent))
 	}
 	c.lastEvent, c.hasLastEvent = id, true
 	return true, nil
 }
 
-// endStream tells a stream that is whole from one that broke off.
+// endStream ends a complete stream, and returns a failure for one that broke off.
 func (c *call) endStream(x *pomelolink.Exchange, events *pomelolink.EventReader, err error) *pomelolink.Failure {
 	if !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return x.Broken(err)
