--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -18,7 +18,7 @@
 	leaving   map[pomelorelay.UpstreamID]bool
 }
 
-// sums holds loads by upstream, use by account and reading speeds by service.
+// sums holds loads by upstream, use by account and prefill speeds by service.
 type sums struct {
 	upstreams map[pomelorelay.UpstreamID]pomelorelay.UpstreamLoad
 	accounts  map[pomelorelay.AccountID]pomelorelay.AccountUse
@@ -154,12 +154,12 @@
 
 // clearGauges sets to zero the gauges of the source's upstreams that a full report omits.
 func (a *aggregate) clearGauges(s *source, m *pomelorelay.LoadReport) {
-	held := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
+	reported := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
 	for _, l := range m.Upstreams {
-		held[l.Upstream] = true
+		reported[l.Upstream] = true
 	}
 	for id, l := range s.upstreams {
-		if !held[id] && (l.Running != 0 || l.Unread != 0 || l.Held != 0) {
+		if !reported[id] && (l.Running != 0 || l.Unread != 0 || l.Held != 0) {
 			idle := l
 			idle.Running, idle.Unread, idle.Held = 0, 0, 0
 			a.addLoad(l, idle)
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -50,7 +50,7 @@
 	gaugesAt     time.Time
 	// coldUpstreams holds the upstreams that were cold at the last check.
 	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
-	// loggedSpeeds holds the reading speeds that were last logged.
+	// loggedSpeeds holds the prefill speeds that were last logged.
 	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.Rate
 }
 
@@ -145,10 +145,10 @@
 	}
 }
 
-// speedLogRatio is the factor by which a reading speed must change to be logged again.
+// speedLogRatio is the factor by which a prefill speed must change to be logged again.
 const speedLogRatio = 1.2
 
-// logSpeed logs a changed speed estimate of a service's engines, because all later placements of the service depend on it.
+// logSpeed logs a changed prefill speed of a service's engines, because all later placements of the service depend on it.
 func (c *control) logSpeed(s pomeloplace.Speed) {
 	logged := c.loggedSpeeds[s.Service]
 	if logged > 0 && s.Rate < speedLogRatio*logged && logged < speedLogRatio*s.Rate {
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -74,7 +74,8 @@
 // eventQueueLength is several times the number of concurrent requests of a router.
 const eventQueueLength = 1024
 
-// New creates a router and starts its goroutines; Listen opens its ports. It returns the error of creating the mesh.
+// New creates a router and starts its goroutines; Listen opens its ports. It fails with the mesh's result code when the mesh cannot be
+// opened.
 func New(cfg Config) (*Entry, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = pomelorelay.SystemClock{}
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -219,10 +219,10 @@
 		counts[<-got]++
 	}
 	// A router with a stalled processor closes new connections unread, and logs how late it was.
-	const closesFrom = int64(100) // milliseconds
+	const maxLagMS = int64(100) // milliseconds
 	late := n.log.hasWith(pomelorelay.EventRouterFull, func(f pomelorelay.Field) bool {
 		ms, ok := f.Value.(int64)
-		return f.Key == "LagMS" && ok && ms >= closesFrom
+		return f.Key == "LagMS" && ok && ms >= maxLagMS
 	})
 	closed := counts[0]
 	if counts[503] == 0 || counts[200] == 0 || counts[200]+counts[503]+closed != flood || (closed > 0 && !late) {
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -19,8 +19,8 @@
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 0)
 	f.upstreamWith("u2", 0, inDomainB)
-	two := func(s *pomelorelay.FleetSettings) { s.Regions["b"] = "ra" }
-	a, b := f.startWith(8*time.Second, two), f.startWith(8*time.Second, two)
+	withDomainB := func(s *pomelorelay.FleetSettings) { s.Regions["b"] = "ra" }
+	a, b := f.startWith(8*time.Second, withDomainB), f.startWith(8*time.Second, withDomainB)
 	f.awaitPeers(1)
 	for _, n := range f.nodes {
 		f.awaitStatus(n, "/a/", 200)
@@ -31,7 +31,7 @@
 	f.store.Compact()
 	f.store.SetDown(true)
 	late := f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) {
-		two(s)
+		withDomainB(s)
 		s.Seeds = append(s.Seeds, a.settings.Self.Addr)
 	})
 	f.await("a router that starts in the outage evacuates", func() bool { return loggedEvacuation(late) })
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -54,21 +54,21 @@
 }
 
 func hostLimitsOf(s pomelorelay.FleetSettings) hostLimits {
-	b := hostLimits{maxRequests: 1 << 20, maxConns: 1 << 20}
+	l := hostLimits{maxRequests: 1 << 20, maxConns: 1 << 20}
 	if s.Memory > 0 {
-		b.maxRequests = min(b.maxRequests, int64(requestMemoryFraction*float64(s.Memory)/requestMemoryBytes))
-		b.maxConns = min(b.maxConns, int64(connMemoryFraction*float64(s.Memory)/connMemoryBytes))
+		l.maxRequests = min(l.maxRequests, int64(requestMemoryFraction*float64(s.Memory)/requestMemoryBytes))
+		l.maxConns = min(l.maxConns, int64(connMemoryFraction*float64(s.Memory)/connMemoryBytes))
 	}
 	if s.MaxFDs > reservedFDs {
-		b.maxConns = min(b.maxConns, int64(connFDFraction*float64(s.MaxFDs-reservedFDs)))
+		l.maxConns = min(l.maxConns, int64(connFDFraction*float64(s.MaxFDs-reservedFDs)))
 	}
-	b.maxRequests = max(b.maxRequests, minRequests)
-	b.initialRequests = b.maxRequests
+	l.maxRequests = max(l.maxRequests, minRequests)
+	l.initialRequests = l.maxRequests
 	if s.Self.Power > 0 {
-		b.initialRequests = min(b.initialRequests, max(int64(initialRequestsPerCore*s.Self.Power), minRequests))
+		l.initialRequests = min(l.initialRequests, max(int64(initialRequestsPerCore*s.Self.Power), minRequests))
 	}
-	b.maxConns = max(b.maxConns, minRequests)
-	return b
+	l.maxConns = max(l.maxConns, minRequests)
+	return l
 }
 
 const (
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -91,7 +91,7 @@
 
 // unreportedTimeout is how long a router without a report is assumed to send as much as this one: several intervals of full reports.
 // With a longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for them, and
-// refuse callers beside idle engines until the partition ends.
+// refuse requests although engines are idle until the partition ends.
 const unreportedTimeout = 3 * time.Second
 
 // unreported returns the number of registered routers whose loads are not known yet; inSummary reports whether a summary includes them.
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against a router that, started while another region is cut off, counts the routers there for ever as sending as much as it
-// does: most of each engine would stay reserved for them, and callers would be refused beside idle engines.
+// does: most of each engine would stay reserved for them, and requests would be refused although engines are idle.
 func TestUnreportedRoutersStopCountingAfterTimeout(t *testing.T) {
 	for _, c := range []struct {
 		passed time.Duration
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -40,12 +40,12 @@
 	answer chan pomeloplace.Decision
 }
 
-func (a *placementRequested) apply(c *control, now time.Time) {
-	if a.ctx.Err() != nil {
-		a.answer <- pomeloplace.Decision{}
+func (r *placementRequested) apply(c *control, now time.Time) {
+	if r.ctx.Err() != nil {
+		r.answer <- pomeloplace.Decision{}
 		return
 	}
-	a.answer <- c.place(now, a.work)
+	r.answer <- c.place(now, r.work)
 }
 
 // reservation implements pomeloforward.Reservation.
@@ -73,10 +73,10 @@
 
 // apply ends a run. The cost of a request that did not run is returned to its account: otherwise, while upstreams are down, an
 // account whose requests hit them first would use up its share without service and get its other requests refused.
-func (d *runEnded) apply(c *control, now time.Time) {
-	c.placer.Ended(now, d.run, d.result)
-	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
-		c.shares.Returned(d.work.Account, d.work.Cost)
+func (e *runEnded) apply(c *control, now time.Time) {
+	c.placer.Ended(now, e.run, e.result)
+	if e.result.NotRun() && e.work.Cost > 0 && e.work.Account != "" && !e.work.Charged {
+		c.shares.Returned(e.work.Account, e.work.Cost)
 	}
 }
 
@@ -86,4 +86,4 @@
 	cost    pomelorelay.Cost
 }
 
-func (f *refusedUnread) apply(c *control, _ time.Time) { c.shares.Asked(f.account, f.cost) }
+func (r *refusedUnread) apply(c *control, _ time.Time) { c.shares.Asked(r.account, r.cost) }
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -9,8 +9,9 @@
 )
 
 // In a fleet of up to maxDirectPeers+1 routers, each reports to all others. In a larger one that traffic would grow with the square
-// of the number of routers. One router of each failure domain, its relay, sums the reports of its neighbours, exchanges sums with the
-// relays of the other domains, and sends each neighbour the sum of all other routers. Registrations and liveness determine the relay.
+// of the number of routers, so one router of each failure domain is its relay. It sums the reports of its neighbours (the routers of
+// its domain), exchanges sums with the relays of the other domains, and sends each neighbour the sum of all other routers.
+// Registrations and recent messages determine which router is the relay.
 
 const (
 	// maxDirectPeers is the maximum number of other routers that each router reports to directly.
@@ -52,14 +53,14 @@
 		best, found = self, true
 	}
 	for _, p := range c.peers.byNode {
-		if p.Domain == domain && p.registered && p.relayEligible(now) && (!found || stronger(p.Peer, best)) {
+		if p.Domain == domain && p.registered && p.relayEligible(now) && (!found || precedes(p.Peer, best)) {
 			best, found = p.Peer, true
 		}
 	}
 	return best.Node, found
 }
 
-func stronger(a, b pomelorelay.Peer) bool {
+func precedes(a, b pomelorelay.Peer) bool {
 	if a.Power != b.Power {
 		return a.Power > b.Power
 	}
@@ -206,7 +207,7 @@
 			c.send(node, &pomelorelay.LoadSummary{Report: r.local.report("", full, r.seq)})
 		}
 	}
-	standby := c.standbys(now)
+	standby := c.nextRelays(now)
 	for node, p := range c.peers.byNode {
 		if p.Domain == self.Domain {
 			c.send(node, &pomelorelay.LoadSummary{Report: r.all.report(string(node), full, r.seq), Standby: standby})
@@ -216,8 +217,8 @@
 	r.all.markFlushed()
 }
 
-// standbys returns the routers of this failure domain next in line as relay.
-func (c *control) standbys(now time.Time) []pomelorelay.NodeID {
+// nextRelays returns the routers of this failure domain next in line as relay.
+func (c *control) nextRelays(now time.Time) []pomelorelay.NodeID {
 	var live []pomelorelay.Peer
 	for _, p := range c.peers.byNode {
 		if p.Domain == c.e.cfg.Settings.Self.Domain && p.registered && now.Sub(p.seenAt) <= relayTimeout {
@@ -225,7 +226,7 @@
 		}
 	}
 	slices.SortFunc(live, func(a, b pomelorelay.Peer) int {
-		if stronger(a, b) {
+		if precedes(a, b) {
 			return -1
 		}
 		return 1
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -81,7 +81,7 @@
 		m.At = c.e.cursor.get()
 		m.Evacuated = slices.Sorted(maps.Keys(c.evacuated))
 		for id, u := range c.upstreams.present {
-			if _, lapses := c.upstreams.lapsed[id]; !lapses {
+			if _, lapsed := c.upstreams.lapsed[id]; !lapsed {
 				m.Upstreams = append(m.Upstreams, u)
 			}
 		}
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// One router of the fleet reads the store and sends the changes to the relays of the other failure domains, which forward them to
-// their neighbours. The read order follows from the registrations, so every router computes the same one: the relay of the first
-// failure domain reads continuously, each later router only after a longer time without updates.
+// One router of the fleet reads the store and sends the changes to the relays of the other failure domains, which forward them to the
+// other routers of their domains, their neighbours. The read order follows from the registrations, so every router computes the same
+// one: the relay of the first domain reads continuously, each later router only after a longer time without updates.
 
 const (
 	// readIntervalFraction is the minimum time between two reads, as a fraction of the drain wait (the time after which a leaving upstream
@@ -40,35 +40,35 @@
 	at pomelorelay.Revision
 }
 
-func (w *cursor) get() pomelorelay.Revision {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.at
+func (c *cursor) get() pomelorelay.Revision {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.at
 }
 
 // hasRead reports whether the router has the complete state of some revision.
-func (w *cursor) hasRead() bool { return w.get() > 0 }
+func (c *cursor) hasRead() bool { return c.get() > 0 }
 
 // advance moves the cursor over a change between two revisions. It returns false when the change is old or an earlier one is missing.
-func (w *cursor) advance(after, at pomelorelay.Revision, complete bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if at < w.at || (!complete && (w.at == 0 || after != w.at)) {
+func (c *cursor) advance(after, at pomelorelay.Revision, complete bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if at < c.at || (!complete && (c.at == 0 || after != c.at)) {
 		return false
 	}
-	w.at = at
+	c.at = at
 	return true
 }
 
 // isBehind reports whether the cursor is before the revision, so that a change is missing.
-func (w *cursor) isBehind(at pomelorelay.Revision) bool { return at > w.get() }
+func (c *cursor) isBehind(at pomelorelay.Revision) bool { return at > c.get() }
 
 // readStoreLoop reads the store whenever shouldRead reports that this router must.
 func (e *Entry) readStoreLoop(ctx context.Context) {
 	started := time.Now()
-	settle := e.startupDelay()
+	delay := e.startupDelay()
 	e.runStoreTask(ctx, storeTask{name: "store", probesStore: true, call: func(failed bool) error {
-		if e.cursor.hasRead() && (time.Since(started) < settle || !e.shouldRead()) {
+		if e.cursor.hasRead() && (time.Since(started) < delay || !e.shouldRead()) {
 			sleep(ctx, takeoverPollInterval)
 			return nil
 		}
@@ -155,32 +155,32 @@
 	done      chan struct{}
 }
 
-func (a *storeRead) apply(c *control, now time.Time) {
-	defer close(a.done)
-	if !c.e.cursor.advance(a.after, a.change.At, a.change.Whole) {
+func (r *storeRead) apply(c *control, now time.Time) {
+	defer close(r.done)
+	if !c.e.cursor.advance(r.after, r.change.At, r.change.Whole) {
 		// Another router's update arrived first; the next read starts after that.
 		return
 	}
-	if !a.stale {
-		c.sendUpdate(now, c.updateFrom(a))
+	if !r.stale {
+		c.sendUpdate(now, c.updateFrom(r))
 	}
-	c.applyChange(now, &a.change, a.recovered, "store")
+	c.applyChange(now, &r.change, r.recovered, "store")
 }
 
 // updateFrom returns the parts of a change that the other routers lack; heartbeats that change nothing are left out.
-func (c *control) updateFrom(a *storeRead) *pomelorelay.FleetUpdate {
-	m := &pomelorelay.FleetUpdate{After: a.after, At: a.change.At, Whole: a.change.Whole, GoneUpstreams: a.change.GoneUpstreams, GonePeers: a.change.GonePeers, Evacuated: a.change.Evacuated, Restored: a.change.Restored}
-	if a.change.Config != nil {
+func (c *control) updateFrom(r *storeRead) *pomelorelay.FleetUpdate {
+	m := &pomelorelay.FleetUpdate{After: r.after, At: r.change.At, Whole: r.change.Whole, GoneUpstreams: r.change.GoneUpstreams, GonePeers: r.change.GonePeers, Evacuated: r.change.Evacuated, Restored: r.change.Restored}
+	if r.change.Config != nil {
 		// The others advance to this revision. If this router died next, none of them would read the configuration again.
-		m.Document = a.change.Config.Document
+		m.Document = r.change.Config.Document
 	}
-	for _, u := range a.change.Upstreams {
-		_, lapses := c.upstreams.lapsed[u.ID]
-		if m.Whole || lapses || c.upstreams.present[u.ID] != u {
+	for _, u := range r.change.Upstreams {
+		_, lapsed := c.upstreams.lapsed[u.ID]
+		if m.Whole || lapsed || c.upstreams.present[u.ID] != u {
 			m.Upstreams = append(m.Upstreams, u)
 		}
 	}
-	for _, p := range a.change.Peers {
+	for _, p := range r.change.Peers {
 		if known := c.peers.byNode[p.Node]; m.Whole || known == nil || !known.registered || known.Peer != p {
 			m.Peers = append(m.Peers, p)
 		}
@@ -227,9 +227,9 @@
 
 // receiveUpdate applies an update from the reader. If an earlier update is missing, the router requests the full state.
 func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
-	taken := c.e.cursor.advance(m.After, m.At, m.Whole)
-	missed := !taken && c.e.cursor.isBehind(m.At)
-	if taken || missed || m.At == c.e.cursor.get() {
+	applied := c.e.cursor.advance(m.After, m.At, m.Whole)
+	missed := !applied && c.e.cursor.isBehind(m.At)
+	if applied || missed || m.At == c.e.cursor.get() {
 		c.e.lastUpdateAt.Store(now.UnixNano())
 		c.e.storeRecovered.signal()
 	}
@@ -242,7 +242,7 @@
 	if missed {
 		c.requestFullState(now, from)
 	}
-	if taken {
+	if applied {
 		change := pomelorelay.FleetChange{
 			At: m.At, Whole: m.Whole, Upstreams: m.Upstreams, GoneUpstreams: m.GoneUpstreams, Peers: m.Peers, GonePeers: m.GonePeers,
 			Evacuated: m.Evacuated, Restored: m.Restored,
--- a/pomeloentry/storetask.go
+++ b/pomeloentry/storetask.go
@@ -19,15 +19,15 @@
 
 // maxPauseOf returns the longest pause of a task between retries. Only the reader probes an unreachable store; its success wakes the
 // other tasks. The bound grows with the router's read delay, because failing calls of a large fleet would use up the store's rate.
-func (e *Entry) maxPauseOf(f *storeTask) time.Duration {
-	if !f.probesStore {
+func (e *Entry) maxPauseOf(t *storeTask) time.Duration {
+	if !t.probesStore {
 		return maxPassiveRetryPause
 	}
-	return min(maxRetryPause+time.Duration(e.readDelay.Load())/readDelayPerPause, maxPassiveRetryPause)
+	return min(maxRetryPause+time.Duration(e.readDelay.Load())/readDelayDivisor, maxPassiveRetryPause)
 }
 
-// readDelayPerPause is the read delay that lengthens the longest retry pause by one unit of time.
-const readDelayPerPause = 4
+// readDelayDivisor divides the read delay; the quotient extends the longest retry pause.
+const readDelayDivisor = 4
 
 // storeTask is a repeated call to the store.
 type storeTask struct {
@@ -41,31 +41,31 @@
 }
 
 // runStoreTask repeats the task until ctx ends and doubles the pause after each consecutive failure, up to a bound.
-func (e *Entry) runStoreTask(ctx context.Context, f storeTask) {
+func (e *Entry) runStoreTask(ctx context.Context, t storeTask) {
 	pause := minRetryPause
 	failed := false
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := f.call(failed)
+		err := t.call(failed)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
 			if failed {
 				failed = false
-				e.log(pomelorelay.EventPlatformBack, field("What", f.name))
+				e.log(pomelorelay.EventPlatformBack, field("What", t.name))
 				e.storeRecovered.signal()
 			}
 			pause = minRetryPause
-			sleep(ctx, f.minInterval-time.Since(began))
+			sleep(ctx, t.minInterval-time.Since(began))
 			continue
 		}
 		if !failed {
 			failed = true
-			e.log(pomelorelay.EventPlatformLost, field("What", f.name), field("Code", int(pomelorelay.CodeOf(err))), field("Fault", err.Error()))
+			e.log(pomelorelay.EventPlatformLost, field("What", t.name), field("Code", int(pomelorelay.CodeOf(err))), field("Fault", err.Error()))
 		}
 		e.storeRecovered.wait(ctx, pause)
-		pause = min(2*pause, e.maxPauseOf(&f))
+		pause = min(2*pause, e.maxPauseOf(&t))
 	}
 }
 
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -12,7 +12,7 @@
 	// reregisterGrace is how long after a store outage a lapsed entry is kept; live upstreams register again within 2 s.
 	reregisterGrace = 2300 * time.Millisecond
 	// massLapseGrace is how long entries are kept when many lapse at once, as after a store outage that this router did not notice.
-	// Together with the read interval it is shorter than the drain wait, so an upstream that really left gets no requests too late.
+	// Together with the read interval it is shorter than the drain wait, after which an upstream that really left must get no requests.
 	massLapseGrace = 1500 * time.Millisecond
 	// massLapseFraction is the fraction of upstreams that must lapse within massLapseGrace to count as a mass lapse.
 	massLapseFraction = 0.34
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -46,24 +46,24 @@
 // forwardPlain forwards an answer. It buffers a short one completely, so that a cut is detected before the caller gets a status;
 // a cut of a long one closes the caller's connection.
 func (c *call) forwardPlain(x *pomelolink.Exchange) *pomelolink.Failure {
-	held := c.h.buffers.Body()
-	defer c.h.buffers.PutBody(held)
-	_, err := held.ReadFrom(io.LimitReader(x.Response.Body, maxBufferedAnswer+1))
+	buffer := c.h.buffers.Body()
+	defer c.h.buffers.PutBody(buffer)
+	_, err := buffer.ReadFrom(io.LimitReader(x.Response.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return x.Broken(err)
 	}
-	if held.Len() > maxBufferedAnswer {
-		return c.forwardLong(x, held)
+	if buffer.Len() > maxBufferedAnswer {
+		return c.forwardLong(x, buffer)
 	}
 	x.Whole = true
-	c.writeHead(x.Response, int64(held.Len()))
-	c.write(held.Bytes())
+	c.writeHead(x.Response, int64(buffer.Len()))
+	c.write(buffer.Bytes())
 	return nil
 }
 
-func (c *call) forwardLong(x *pomelolink.Exchange, held *bytes.Buffer) *pomelolink.Failure {
+func (c *call) forwardLong(x *pomelolink.Exchange, buffer *bytes.Buffer) *pomelolink.Failure {
 	c.writeHead(x.Response, x.Response.ContentLength)
-	c.write(held.Bytes())
+	c.write(buffer.Bytes())
 	chunk := c.h.buffers.Chunk()
 	defer c.h.buffers.PutChunk(chunk)
 	for {
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -42,8 +42,8 @@
 
 // callerGone reports whether the caller is known to have closed its connection.
 func (c *call) callerGone() bool {
-	left := c.h.cfg.CallerGone
-	return left != nil && left(c.r)
+	gone := c.h.cfg.CallerGone
+	return gone != nil && gone(c.r)
 }
 
 // abandon ends a request whose caller disconnected before it was sent.
@@ -61,12 +61,12 @@
 
 // checkShutdown refuses a request that would probably not end before the process stops.
 func (c *call) checkShutdown() error {
-	stopsIn, stopping := c.h.cfg.Shutdown.TimeLeft()
+	timeLeft, stopping := c.h.cfg.Shutdown.TimeLeft()
 	need := typicalPlainTime
 	if c.route.Kind == pomelorelay.RouteStream {
 		need = typicalStreamTime
 	}
-	if !stopping || stopsIn > need {
+	if !stopping || timeLeft > need {
 		return nil
 	}
 	e := pomelorelay.NewError(pomelorelay.CodeStopping, "", nil)
@@ -95,13 +95,13 @@
 func (c *call) attempt() *pomelolink.Failure {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(answerGrace))
 	defer cancel()
-	ticket, f := c.place(ctx)
+	reservation, f := c.place(ctx)
 	if f != nil {
 		return f
 	}
 	// Checked as late as possible: on an overloaded processor, a second can pass between the reading of a request and its placement.
 	if c.callerGone() {
-		ticket.Done(pomeloplace.ResultUnsent)
+		reservation.Done(pomeloplace.ResultUnsent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
@@ -109,8 +109,8 @@
 	// Until the outcome is known the request counts as possibly run, even if this function panics.
 	c.mayHaveRun = true
 	result := pomeloplace.ResultGone
-	defer func() { ticket.Done(result) }()
-	f = c.exchange(ctx, up, ticket)
+	defer func() { reservation.Done(result) }()
+	f = c.exchange(ctx, up, reservation)
 	result = resultOf(ctx, f)
 	if f == nil {
 		if c.route.Pause > 0 && c.longestPause > c.route.Pause {
@@ -154,14 +154,14 @@
 }
 
 func (c *call) place(ctx context.Context) (Reservation, *pomelolink.Failure) {
-	ticket, d, err := c.h.cfg.Placement.Place(ctx, c.placementRequest())
+	reservation, d, err := c.h.cfg.Placement.Place(ctx, c.placementRequest())
 	c.decision = d
 	if err != nil {
 		c.decision.Reason = pomeloplace.ReasonLate
 		return nil, pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeDeadline, err)
 	}
 	if d.Reason == pomeloplace.ReasonNone {
-		return ticket, nil
+		return reservation, nil
 	}
 	f := pomelolink.NewFailure(pomelolink.OutcomeNotSent, reasonCodes[d.Reason], nil)
 	f.Err.RetryAfter, f.Err.Detail = d.RetryAfter, string(d.Cause)
@@ -216,7 +216,7 @@
 }
 
 // exchange sends the request to an upstream and forwards the answer.
-func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, ticket Reservation) *pomelolink.Failure {
+func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, reservation Reservation) *pomelolink.Failure {
 	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.upstreamRequest(up), Size: len(c.bodyBytes()), Wanted: func() bool { return !c.callerGone() }})
 	if f != nil {
 		return f
@@ -226,9 +226,9 @@
 		return f
 	}
 	if c.route.Kind == pomelorelay.RouteStream && x.Response.StatusCode == http.StatusOK {
-		return c.forwardStream(x, ticket)
+		return c.forwardStream(x, reservation)
 	}
-	ticket.AnswerBegan()
+	reservation.AnswerBegan()
 	if c.answerStarted {
 		// The upstream of a resumed stream answered without events, which cannot continue the stream.
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeStreamBroken, nil)
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -82,7 +82,7 @@
 	return pomelorelay.NewError(pomelorelay.CodeUnauthorised, "", nil)
 }
 
-// defaultTimeout bounds every request, also when neither the caller nor the route sets a timeout.
+// defaultTimeout bounds a request for which neither the caller nor the route sets a shorter timeout.
 const defaultTimeout = time.Minute
 
 func (c *call) setDeadline() {
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -22,7 +22,7 @@
 	// CallerGone reports whether a request's caller has disconnected, for servers that can detect this before the request's context
 	// ends; nil otherwise.
 	CallerGone func(*http.Request) bool
-	// RetryRatio and RetrySlack bound the fleet's retries for a service: the ratio to its requests, plus a constant number.
+	// RetryRatio and RetrySlack bound the fleet's retries for a service: to a ratio of its requests, plus a constant number.
 	RetryRatio float64
 	RetrySlack float64
 }
@@ -48,7 +48,7 @@
 // Placement selects upstreams for requests.
 type Placement interface {
 	// Place returns a reservation or a refusal immediately; it fails when ctx ends.
-	Place(ctx context.Context, w PlacementRequest) (Reservation, pomeloplace.Decision, error)
+	Place(ctx context.Context, r PlacementRequest) (Reservation, pomeloplace.Decision, error)
 }
 
 // Reservation is a request's slot at an upstream; Done must be called exactly once.
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -129,7 +129,7 @@
 }
 
 // Guards against forwarding a status that states that the request did not run, from an upstream that ran it.
-func TestNotRunStatusWithoutMarkBecomesBadGateway(t *testing.T) {
+func TestUnconfirmedNotRunStatusBecomesBadGateway(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
 		w := newHarness(t, u.entry("u1"))
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -93,7 +93,8 @@
 	c.refuse(pomelorelay.NewError(pomelorelay.CodeInternal, "", nil))
 }
 
-// retryBudgetFraction is the used fraction of the fleet's retry limit: routers count separately, and callers are spread unevenly.
+// retryBudgetFraction is the fraction of the fleet's retry limit that routers use: each counts its own requests, and callers are spread
+// unevenly over the routers.
 const retryBudgetFraction = 0.6
 
 // minRouters is the minimum number of routers among which the retry slack is divided.
--- a/pomeloforward/stream.go
+++ b/pomeloforward/stream.go
@@ -12,7 +12,7 @@
 var errPartial = errors.New("stream ended within an event")
 
 // forwardStream forwards complete events as they arrive, each once and in order.
-func (c *call) forwardStream(x *pomelolink.Exchange, ticket Reservation) *pomelolink.Failure {
+func (c *call) forwardStream(x *pomelolink.Exchange, reservation Reservation) *pomelolink.Failure {
 	var events pomelolink.EventReader
 	events.Reset(c.h.buffers.Chunk(), x)
 	defer func() { c.h.buffers.PutChunk(events.Buffer()) }()
@@ -24,13 +24,13 @@
 		}
 		if !begun {
 			begun = true
-			ticket.AnswerBegan()
+			reservation.AnswerBegan()
 		}
-		pass, f := c.checkSequence(event)
+		isNew, f := c.checkSequence(event)
 		if f != nil {
 			return f
 		}
-		if !pass {
+		if !isNew {
 			continue
 		}
 		if !c.answerStarted {
