--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -23,7 +23,7 @@
 	Mesh     pomelorelay.Mesh
 	Clock    pomelorelay.Clock
 	Logger   pomelorelay.Logger
-	// Without lists the placement mechanisms that are disabled.
+	// The placement mechanisms that are disabled.
 	Without pomeloplace.Mechanisms
 	// Incarnation identifies this start of the router; zero selects the clock's Unix nanoseconds.
 	Incarnation pomelorelay.Incarnation
--- a/pomeloentry/load_test.go
+++ b/pomeloentry/load_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a request limit above the processor's capacity, where the run queue grows to seconds and callers give up before
-// their requests are sent, and against one below it, where requests are refused beside an idle processor.
+// their requests are sent, and against one below it, where requests are refused although the processor is idle.
 func TestRequestLimitConvergesToProcessorCapacity(t *testing.T) {
 	const (
 		ticks  = 400
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -14,7 +14,7 @@
 	apply(c *control, now time.Time)
 }
 
-// placement implements pomeloforward.Placement by events to the control goroutine.
+// placement implements pomeloforward.Placement by posting events to the control goroutine.
 type placement struct{ e *Entry }
 
 // Place returns a reservation or a refusal; it fails when ctx ends first.
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -47,7 +47,7 @@
 	}
 	c.stateRequests.requestedAt = now
 	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.hasRead()}
-	// Map order selects another peer each time, since one may lack as much as this router.
+	// Map iteration order varies the peer, because any one may lack the same state.
 	for node := range c.peers.byNode {
 		c.send(node, m)
 		return
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -30,7 +30,7 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		// Callers take these statuses as a statement that the request never ran.
+		// Callers interpret these statuses as proof that the request never ran.
 		return malformed(errFalseNotRun)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answerStarted {
@@ -43,8 +43,8 @@
 	return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerMalformed, cause)
 }
 
-// forwardPlain forwards an answer. It buffers a short one completely, so that a cut is detected before the caller gets a status;
-// a cut of a long one closes the caller's connection.
+// forwardPlain forwards an answer. It buffers a short one completely, so that a cut is detected before the caller gets a status.
+// If a long one is cut, the caller's connection is closed.
 func (c *call) forwardPlain(x *pomelolink.Exchange) *pomelolink.Failure {
 	buffer := c.h.buffers.Body()
 	defer c.h.buffers.PutBody(buffer)
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -88,8 +88,8 @@
 	maxIdleConns = 64
 	// maxAnswerHeaderBytes bounds the head of an answer.
 	maxAnswerHeaderBytes = 64 << 10
-	// maxUnreached bounds the unreachable upstreams that are tried for one request. With a quarter of them down, one request in 64 would
-	// find three in a row.
+	// maxUnreached bounds the unreachable upstreams that are tried for one request. With a quarter of all upstreams down, one request in 64
+	// finds three of them in a row, so a bound of three would be too low.
 	maxUnreached = 6
 	// maxRefused bounds the upstreams that may refuse one request without running it.
 	maxRefused = 2
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// refuse answers with an error. Statuses that state that a request never ran are used only for such requests.
+// refuse answers with an error. Statuses meaning that a request never ran are used only for such requests.
 func (c *call) refuse(err error) {
 	var e *pomelorelay.Error
 	if !errors.As(err, &e) {
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -364,8 +364,8 @@
 	}
 }
 
-// Guards against counting streams that paused too long beside another request's long prompt as good answers: placement would not
-// learn to send long prompts elsewhere.
+// Guards against counting a stream as a good answer although it paused too long while its engine read another long prompt: placement
+// would not learn to send long prompts elsewhere.
 func TestStreamWithLongPauseIsReportedAsPaused(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
