--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -78,8 +78,8 @@
 }
 
 // ReadDelayOf returns the time without updates after which the router at a position in the read order reads the store.
-func ReadDelayOf(drain time.Duration, place int) time.Duration {
-	return time.Duration((takeoverFraction + takeoverStepFraction*float64(place-1)) * float64(drain))
+func ReadDelayOf(drain time.Duration, position int) time.Duration {
+	return time.Duration((takeoverFraction + takeoverStepFraction*float64(position-1)) * float64(drain))
 }
 
 // TakeoverPollInterval is how often a router checks whether it must read the store.
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -60,11 +60,11 @@
 }
 
 // hasWith reports whether an event was logged with a matching field.
-func (l *eventLog) hasWith(id pomelorelay.EventID, fits func(pomelorelay.Field) bool) bool {
+func (l *eventLog) hasWith(id pomelorelay.EventID, matches func(pomelorelay.Field) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.events {
-		if e.id == id && slices.ContainsFunc(e.fields, fits) {
+		if e.id == id && slices.ContainsFunc(e.fields, matches) {
 			return true
 		}
 	}
