--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -51,20 +51,20 @@
 	// coldUpstreams holds the upstreams that were cold at the last check.
 	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
 	// loggedSpeeds holds the prefill speeds that were last logged.
-	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.Rate
+	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
 }
 
 func newControl(e *Entry) *control {
 	s := e.cfg.Settings
 	return &control{
 		e:            e,
-		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, Cold: s.Cold, Without: e.cfg.Without}),
+		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.Without}),
 		shares:       pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
 		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
 		upstreams:    newUpstreams(),
 		evacuated:    make(map[pomelorelay.DomainID]bool),
 		peers:        newPeers(),
-		loggedSpeeds: make(map[pomelorelay.ServiceID]pomelospeed.Rate),
+		loggedSpeeds: make(map[pomelorelay.ServiceID]pomelospeed.PrefillRate),
 	}
 }
 
@@ -116,7 +116,7 @@
 // adjust updates all state that depends on the current time.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
-	c.placer.SetUnreported(c.unreported(now))
+	c.placer.SetUnreportedRouters(c.unreported(now))
 	c.placer.Tick(now)
 	c.removeLapsed(now)
 	c.updateReadDelay(now)
@@ -129,18 +129,18 @@
 
 func (c *control) setGauges() {
 	m := c.e.metrics
-	m.Set("upstreams", float64(len(c.upstreams.present)))
-	m.Set("evacuated_domains", float64(len(c.evacuated)))
-	m.Set("peers", float64(len(c.peers.byNode)))
-	m.Set("requests_in_flight", float64(c.e.inFlight.Load()))
-	m.Set("caller_connections", float64(c.e.conns.Load()))
-	m.Set("upstream_connections_opened", float64(c.e.forward.OpenedConnections()))
+	m.SetGauge("upstreams", float64(len(c.upstreams.present)))
+	m.SetGauge("evacuated_domains", float64(len(c.evacuated)))
+	m.SetGauge("peers", float64(len(c.peers.byNode)))
+	m.SetGauge("requests_in_flight", float64(c.e.inFlight.Load()))
+	m.SetGauge("caller_connections", float64(c.e.conns.Load()))
+	m.SetGauge("upstream_connections_opened", float64(c.e.forward.OpenedConnections()))
 	if c.config != nil {
-		m.Set("generation", float64(c.config.Version))
+		m.SetGauge("generation", float64(c.config.Version))
 	}
 	for _, s := range c.placer.Speeds() {
-		m.Set("read_tokens_per_ms_"+string(s.Service), float64(s.Rate))
-		m.Set("first_token_overhead_ms_"+string(s.Service), float64(s.Overhead.Milliseconds()))
+		m.SetGauge("read_tokens_per_ms_"+string(s.Service), float64(s.PrefillRate))
+		m.SetGauge("first_token_overhead_ms_"+string(s.Service), float64(s.FirstTokenOverhead.Milliseconds()))
 		c.logSpeed(s)
 	}
 }
@@ -151,12 +151,12 @@
 // logSpeed logs a changed prefill speed of a service's engines, because all later placements of the service depend on it.
 func (c *control) logSpeed(s pomeloplace.Speed) {
 	logged := c.loggedSpeeds[s.Service]
-	if logged > 0 && s.Rate < speedLogRatio*logged && logged < speedLogRatio*s.Rate {
+	if logged > 0 && s.PrefillRate < speedLogRatio*logged && logged < speedLogRatio*s.PrefillRate {
 		return
 	}
-	c.loggedSpeeds[s.Service] = s.Rate
-	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.Rate)), field("OverheadMS", s.Overhead.Milliseconds()),
-		field("Pauses", s.Pauses), field("CopyPart", s.CopyPart))
+	c.loggedSpeeds[s.Service] = s.PrefillRate
+	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.PrefillRate)), field("OverheadMS", s.FirstTokenOverhead.Milliseconds()),
+		field("Pauses", s.PauseWeight), field("CopyPart", s.CopyFraction))
 }
 
 // place selects an upstream for a request and charges the request's account.
@@ -164,31 +164,31 @@
 	accounted := w.Cost > 0 && w.Account != ""
 	r := w.Request
 	// Use the configuration in force at each attempt: narrower regions also apply to requests that arrived earlier.
-	r.Residency = c.residency.Of(now, w.Route, w.Account)
-	r.Owed = true
+	r.Residency = c.residency.Residency(now, w.Route, w.Account)
+	r.WithinShare = true
 	var share pomeloplace.ShareState
 	if accounted {
 		if !w.Retry {
-			c.shares.Asked(w.Account, w.Cost)
+			c.shares.RecordRequest(w.Account, w.Cost)
 		}
 		// Only retries that may have run and were charged skip the share check. If every retry after an unreachable upstream did, a flood
 		// could exceed its share while many upstreams are down, and requests of other accounts would be refused.
-		r.Owed = w.Charged || c.shares.Owed(w.Account, w.Cost)
-		r.Lead = c.shares.Lead(w.Account)
-		r.Ahead = c.shares.Ahead(w.Account)
-		share.Cost, share.Owed = w.Cost, r.Owed
-		share.Asked, share.Served, share.Level = c.shares.State(w.Account)
+		r.WithinShare = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
+		r.LeadOverLevel = c.shares.LeadOverLevel(w.Account)
+		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(w.Account)
+		share.Cost, share.WithinShare = w.Cost, r.WithinShare
+		share.Requested, share.Served, share.FairShare = c.shares.Usage(w.Account)
 	}
 	d := c.placer.Place(now, r)
 	d.Share, d.Residency = share, r.Residency
 	if !c.upstreams.listedAt.IsZero() {
 		d.ListAge = now.Sub(c.upstreams.listedAt)
 	}
-	c.e.metrics.Placed(string(d.Reason))
+	c.e.metrics.CountPlacement(string(d.Reason))
 	switch {
 	case d.Reason == pomeloplace.ReasonNone && accounted && !w.Charged:
-		c.shares.Served(w.Account, w.Cost)
-	case d.Reason == pomeloplace.ReasonShare:
+		c.shares.RecordServed(w.Account, w.Cost)
+	case d.Reason == pomeloplace.ReasonOverShare:
 		d.RetryAfter = c.retryAfter(&d, &w)
 	}
 	return d
@@ -201,7 +201,7 @@
 // meet the target, otherwise as soon as a slot may be free. In a lasting flood a longer wait does not improve the chance of a slot
 // and makes the answer late.
 func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.PlacementRequest) time.Duration {
-	wait := c.shares.Wait(w.Account, w.Cost)
+	wait := c.shares.RetryAfter(w.Account, w.Cost)
 	if wait > time.Duration(maxShareWaitFraction*float64(w.Request.Target)) {
 		return d.RetryAfter
 	}
@@ -222,8 +222,8 @@
 		c.fullReportAt = now
 	}
 	c.reportedAt = now
-	c.placer.Report(m)
-	m.Accounts = c.shares.Report(m.Whole, m.Accounts)
+	c.placer.FillReport(m)
+	m.Accounts = c.shares.AppendReport(m.Whole, m.Accounts)
 	m.Leaving = c.upstreams.reportedLeaving(now)
 	if !c.reportsDirectly() {
 		c.relayOwnReport(now, m)
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -37,7 +37,7 @@
 	c.placer.SetConfig(&config)
 	c.residency.SetConfig(time.Time{}, &config)
 	for _, u := range upstreams {
-		c.placer.Put(time.Time{}, u)
+		c.placer.PutUpstream(time.Time{}, u)
 	}
 	return PlacementControl{c}
 }
@@ -68,7 +68,7 @@
 
 // Served returns what an account was served in the window.
 func (d PlacementControl) Served(id pomelorelay.AccountID) pomelorelay.Cost {
-	_, served, _ := d.c.shares.State(id)
+	_, served, _ := d.c.shares.Usage(id)
 	return served
 }
 
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -205,7 +205,7 @@
 	err := pomelorelay.NewError(pomelorelay.CodeRouterFull, "", nil)
 	err.RetryAfter = fullRouterRetryAfter
 	pomeloforward.WriteError(w, err)
-	e.metrics.Answered("None", "full", 0, 0)
+	e.metrics.ObserveAnswer("None", "full", 0, 0)
 	e.countRefused(r)
 	e.log(pomelorelay.EventRouterFull, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()), field("Most", e.requestLimit.Load()), field("LagMS", e.lag().Milliseconds()))
 	return false
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -63,7 +63,7 @@
 
 type answerBegan struct{ run *pomeloplace.Run }
 
-func (b *answerBegan) apply(c *control, now time.Time) { c.placer.Begun(now, b.run) }
+func (b *answerBegan) apply(c *control, now time.Time) { c.placer.RecordAnswerStart(now, b.run) }
 
 type runEnded struct {
 	run    *pomeloplace.Run
@@ -74,9 +74,9 @@
 // apply ends a run. The cost of a request that did not run is returned to its account: otherwise, while upstreams are down, an
 // account whose requests hit them first would use up its share without service and get its other requests refused.
 func (e *runEnded) apply(c *control, now time.Time) {
-	c.placer.Ended(now, e.run, e.result)
+	c.placer.RecordEnd(now, e.run, e.result)
 	if e.result.NotRun() && e.work.Cost > 0 && e.work.Account != "" && !e.work.Charged {
-		c.shares.Returned(e.work.Account, e.work.Cost)
+		c.shares.Refund(e.work.Account, e.work.Cost)
 	}
 }
 
@@ -86,4 +86,4 @@
 	cost    pomelorelay.Cost
 }
 
-func (r *refusedUnread) apply(c *control, _ time.Time) { c.shares.Asked(r.account, r.cost) }
+func (r *refusedUnread) apply(c *control, _ time.Time) { c.shares.RecordRequest(r.account, r.cost) }
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if r.relayNode != "" {
-		c.placer.Forget(r.relayNode)
+		c.placer.ForgetRouter(r.relayNode)
 	}
 	*r = relayState{local: newAggregate(), all: newAggregate(), seq: r.seq, domainRelays: make(map[pomelorelay.DomainID]pomelorelay.NodeID)}
 }
@@ -144,14 +144,14 @@
 		if !report.Whole {
 			return
 		}
-		c.placer.Forget(before)
+		c.placer.ForgetRouter(before)
 		for node, p := range c.peers.byNode {
 			if p.Domain == domain {
-				c.placer.Forget(node)
+				c.placer.ForgetRouter(node)
 			}
 		}
 		r.domainRelays[domain] = m.From
-		c.shares.Mark(m.From, m.Incarnation, report.Accounts)
+		c.shares.SetBaseline(m.From, m.Incarnation, report.Accounts)
 	}
 	r.all.add(now, "/"+string(domain), m.From, m.Incarnation, report)
 	c.applyReport(now, m, report)
@@ -164,9 +164,9 @@
 		if !s.Report.Whole {
 			return
 		}
-		c.placer.ForgetOthers(m.From)
+		c.placer.ForgetRoutersExcept(m.From)
 		r.relayNode, r.relayIncarnation, r.lastSeq = m.From, m.Incarnation, 0
-		c.shares.Mark(m.From, m.Incarnation, s.Report.Accounts)
+		c.shares.SetBaseline(m.From, m.Incarnation, s.Report.Accounts)
 	}
 	if s.Report.Seq <= r.lastSeq {
 		return
@@ -182,16 +182,16 @@
 
 // applyReport applies a report or summary to placement, shares and upstreams.
 func (c *control) applyReport(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
-	c.placer.TakeReport(now, m.From, m.Incarnation, report)
-	c.shares.TakeReport(m.From, m.Incarnation, report.Accounts)
+	c.placer.ApplyReport(now, m.From, m.Incarnation, report)
+	c.shares.MergeReport(m.From, m.Incarnation, report.Accounts)
 	c.applyLeaving(now, m.From, report.Leaving)
 }
 
 // flushSummaries sends the sum of this domain to the relays of the other domains, and to each neighbour the sum of all others.
 func (c *control) flushSummaries(now time.Time) {
 	r := &c.relay
-	r.local.removeSilent(now, pomeloplace.SilentAfter)
-	r.all.removeSilent(now, pomeloplace.SilentAfter)
+	r.local.removeSilent(now, pomeloplace.PeerTimeout)
+	r.all.removeSilent(now, pomeloplace.PeerTimeout)
 	full := now.Sub(r.fullSummaryAt) >= fullReportInterval
 	if now.Sub(r.flushedAt) < flushInterval || (!full && !r.all.changed()) {
 		return
@@ -241,6 +241,6 @@
 // send queues a message. One that the mesh refuses counts as lost, as on a broken link; the next full report makes up for it.
 func (c *control) send(to pomelorelay.NodeID, m pomelorelay.Message) {
 	if err := c.e.mesh.Send(to, m); err != nil {
-		c.e.metrics.Missed()
+		c.e.metrics.CountMissedMessage()
 	}
 }
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -105,7 +105,7 @@
 		return e.readAll(ctx, "start", !failed)
 	}
 	change, err := e.cfg.Platform.Watch(ctx, after, e.scaledDrainWait(watchWaitFraction))
-	e.metrics.StoreCalled("watch", e.readerRole(), pomelorelay.CodeOf(err))
+	e.metrics.CountStoreCall("watch", e.readerRole(), pomelorelay.CodeOf(err))
 	if pomelorelay.IsErrCode(err, pomelorelay.CodeStoreCompacted) {
 		return e.readAll(ctx, "compacted", false)
 	}
@@ -118,7 +118,7 @@
 
 func (e *Entry) readAll(ctx context.Context, cause string, allowStale bool) error {
 	change, err := e.cfg.Platform.Read(ctx, allowStale)
-	e.metrics.StoreCalled("read", cause, pomelorelay.CodeOf(err))
+	e.metrics.CountStoreCall("read", cause, pomelorelay.CodeOf(err))
 	if err != nil {
 		return err
 	}
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -8,12 +8,12 @@
 
 // logWarmups logs each upstream that has become cold or warm since the last check.
 func (c *control) logWarmups(now time.Time) {
-	cold := c.placer.Warmups(now)
+	cold := c.placer.ColdUpstreams(now)
 	for id, s := range cold {
 		if before, known := c.coldUpstreams[id]; known && before.Unreached == s.Unreached {
 			continue
 		}
-		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Left.Milliseconds()), field("Unreached", s.Unreached), field("Holder", s.Holder))
+		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Remaining.Milliseconds()), field("Unreached", s.Unreached), field("Holder", s.Holder))
 	}
 	for id := range c.coldUpstreams {
 		if _, still := cold[id]; !still {
@@ -21,5 +21,5 @@
 		}
 	}
 	c.coldUpstreams = cold
-	c.e.metrics.Set("cold_upstreams", float64(len(cold)))
+	c.e.metrics.SetGauge("cold_upstreams", float64(len(cold)))
 }
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -35,7 +35,7 @@
 			c.fail(f)
 			return
 		}
-		c.h.cfg.Meter.Retried(f.Err.Code)
+		c.h.cfg.Meter.CountRetry(f.Err.Code)
 		c.log(pomelorelay.EventRequestRetried, codeFields(f)...)
 	}
 }
@@ -101,24 +101,24 @@
 	}
 	// Checked as late as possible: on an overloaded processor, a second can pass between the reading of a request and its placement.
 	if c.callerGone() {
-		reservation.Done(pomeloplace.ResultUnsent)
+		reservation.Done(pomeloplace.ResultNotSent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
 	ranBefore := c.mayHaveRun
 	// Until the outcome is known the request counts as possibly run, even if this function panics.
 	c.mayHaveRun = true
-	result := pomeloplace.ResultGone
+	result := pomeloplace.ResultCancelled
 	defer func() { reservation.Done(result) }()
 	f = c.exchange(ctx, up, reservation)
 	result = resultOf(ctx, f)
 	if f == nil {
 		if c.route.Pause > 0 && c.longestPause > c.route.Pause {
-			result = pomeloplace.ResultPaused
+			result = pomeloplace.ResultLongPause
 		}
 		return nil
 	}
-	if result == pomeloplace.ResultUnsent && c.callerGone() {
+	if result == pomeloplace.ResultNotSent && c.callerGone() {
 		c.mayHaveRun = ranBefore
 		c.abandon()
 	}
@@ -140,13 +140,13 @@
 func resultOf(ctx context.Context, f *pomelolink.Failure) pomeloplace.Result {
 	switch {
 	case f == nil:
-		return pomeloplace.ResultGood
+		return pomeloplace.ResultCompleted
 	case f.Outcome == pomelolink.OutcomeNotSent && (f.Err.Code == pomelorelay.CodeCancelled || errors.Is(ctx.Err(), context.Canceled)):
-		return pomeloplace.ResultUnsent
+		return pomeloplace.ResultNotSent
 	case errors.Is(ctx.Err(), context.Canceled):
-		return pomeloplace.ResultGone
+		return pomeloplace.ResultCancelled
 	case f.Outcome == pomelolink.OutcomeNotSent:
-		return pomeloplace.ResultUnreached
+		return pomeloplace.ResultUnreachable
 	case f.Outcome == pomelolink.OutcomeRefusedNotRun:
 		return pomeloplace.ResultRefused
 	}
@@ -157,7 +157,7 @@
 	reservation, d, err := c.h.cfg.Placement.Place(ctx, c.placementRequest())
 	c.decision = d
 	if err != nil {
-		c.decision.Reason = pomeloplace.ReasonLate
+		c.decision.Reason = pomeloplace.ReasonTooLate
 		return nil, pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeDeadline, err)
 	}
 	if d.Reason == pomeloplace.ReasonNone {
@@ -170,13 +170,13 @@
 
 // reasonCodes maps the reasons of refused placements to result codes.
 var reasonCodes = map[pomeloplace.Reason]pomelorelay.ResultCode{
-	pomeloplace.ReasonNoUpstream: pomelorelay.CodeNoUpstream,
-	pomeloplace.ReasonShare:      pomelorelay.CodeShareSpent,
-	pomeloplace.ReasonLate:       pomelorelay.CodeUpstreamsBusy,
-	pomeloplace.ReasonNoRegion:   pomelorelay.CodeNoCommonRegion,
-	pomeloplace.ReasonRegion:     pomelorelay.CodeRegionUnavailable,
-	pomeloplace.ReasonCold:       pomelorelay.CodeUpstreamsCold,
-	pomeloplace.ReasonEvacuated:  pomelorelay.CodeEvacuated,
+	pomeloplace.ReasonNoUpstream:         pomelorelay.CodeNoUpstream,
+	pomeloplace.ReasonOverShare:          pomelorelay.CodeShareSpent,
+	pomeloplace.ReasonTooLate:            pomelorelay.CodeUpstreamsBusy,
+	pomeloplace.ReasonNoAllowedRegion:    pomelorelay.CodeNoCommonRegion,
+	pomeloplace.ReasonNoUpstreamInRegion: pomelorelay.CodeRegionUnavailable,
+	pomeloplace.ReasonCold:               pomelorelay.CodeUpstreamsCold,
+	pomeloplace.ReasonEvacuated:          pomelorelay.CodeEvacuated,
 }
 
 // outputTokenWeight is the cost of a generated token relative to a prompt token, as the platform defines it.
@@ -204,13 +204,13 @@
 		Retry:   len(c.avoid) > 0,
 		Charged: c.runs > 0,
 		Request: pomeloplace.Request{
-			Service: c.service,
-			Prompt:  c.fields.Prompt,
-			Output:  expectedOutput(c.fields),
-			Parts:   c.fields.Parts,
-			Target:  c.route.Target,
-			Left:    c.timeLeft(),
-			Avoid:   c.avoid,
+			Service:      c.service,
+			PromptTokens: c.fields.Prompt,
+			OutputTokens: expectedOutput(c.fields),
+			Parts:        c.fields.Parts,
+			Target:       c.route.Target,
+			MaxWait:      c.timeLeft(),
+			Avoid:        c.avoid,
 		},
 	}
 }
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -67,10 +67,10 @@
 
 // Meter counts answers and retries.
 type Meter interface {
-	// Answered counts an answer by the request's ending, with the times from its arrival to the answer's beginning and end.
-	Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration)
-	// Retried counts a request that is sent again after a failure with the code.
-	Retried(code pomelorelay.ResultCode)
+	// ObserveAnswer counts an answer by the request's ending, with the times from its arrival to the answer's beginning and end.
+	ObserveAnswer(kind pomelorelay.RouteKind, ending string, first, total time.Duration)
+	// CountRetry counts a request that is sent again after a failure with the code.
+	CountRetry(code pomelorelay.ResultCode)
 }
 
 const (
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -107,7 +107,7 @@
 	b, ok := h.budgets[service]
 	if !ok {
 		slack := retryBudgetFraction * h.cfg.RetrySlack / minRouters
-		b = pomelobudget.New(pomelobudget.Config{Start: slack, Most: slack})
+		b = pomelobudget.New(pomelobudget.Config{Initial: slack, Max: slack})
 		h.budgets[service] = b
 	}
 	return b
--- a/pomeloforward/harness_test.go
+++ b/pomeloforward/harness_test.go
@@ -175,7 +175,7 @@
 	defer w.mu.Unlock()
 	w.requests = append(w.requests, work)
 	if len(w.placements) == 0 {
-		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonLate, RetryAfter: 250 * time.Millisecond}, nil
+		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: 250 * time.Millisecond}, nil
 	}
 	d := w.placements[0]
 	w.placements = w.placements[1:]
@@ -198,9 +198,9 @@
 
 func (w *harness) TimeLeft() (time.Duration, bool) { return w.stopsIn, w.stopping }
 
-func (w *harness) Answered(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
+func (w *harness) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
 
-func (w *harness) Retried(pomelorelay.ResultCode) {}
+func (w *harness) CountRetry(pomelorelay.ResultCode) {}
 
 // answer is what a caller received.
 type answer struct {
