--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// aggregate sums up the reports of several sources, so that what a relay sends grows with the upstreams and not with the routers. Gauges are sums
-// of what each source last reported; counters are sums of what each source has added.
+// aggregate sums the load reports of several sources, so that a relay's messages grow with the number of upstreams instead of
+// the number of routers. Gauges are the sum of each source's last report; counters are the sum of each source's increments.
 type aggregate struct {
 	sources   map[string]*source
 	upstreams map[pomelorelay.UpstreamID]*loadSum
@@ -18,7 +18,7 @@
 	leaving   map[pomelorelay.UpstreamID]bool
 }
 
-// sums are loads, uses and speeds by what they belong to.
+// sums holds loads by upstream, use by account and prefill speeds by service.
 type sums struct {
 	upstreams map[pomelorelay.UpstreamID]pomelorelay.UpstreamLoad
 	accounts  map[pomelorelay.AccountID]pomelorelay.AccountUse
@@ -33,44 +33,44 @@
 	}
 }
 
-// source is what one router or one failure domain last reported, with its counters from the base on.
+// source holds the last report of one router or failure domain; its counters are relative to the baseline.
 type source struct {
 	node        pomelorelay.NodeID
 	incarnation pomelorelay.Incarnation
 	reportedAt  time.Time
 	sums
-	// base holds the counters as they were first reported; settled is set once everything was reported, after which nothing is added to it.
-	base    sums
-	settled bool
+	// baseline holds the counters of the first report; baselineComplete is set after a full report, when baseline no longer grows.
+	baseline         sums
+	baselineComplete bool
 }
 
-// load returns a report's entry with its counters from the base on.
-func (s *source) load(l pomelorelay.UpstreamLoad) pomelorelay.UpstreamLoad {
-	if _, known := s.upstreams[l.Upstream]; !known && !s.settled {
-		s.base.upstreams[l.Upstream] = l
+// rebaseLoad returns the entry with its counters relative to the source's baseline.
+func (s *source) rebaseLoad(l pomelorelay.UpstreamLoad) pomelorelay.UpstreamLoad {
+	if _, known := s.upstreams[l.Upstream]; !known && !s.baselineComplete {
+		s.baseline.upstreams[l.Upstream] = l
 	}
-	base := s.base.upstreams[l.Upstream]
+	base := s.baseline.upstreams[l.Upstream]
 	l.Sent -= base.Sent
 	l.Expected -= base.Expected
 	l.Took -= base.Took
 	return l
 }
 
-func (s *source) use(u pomelorelay.AccountUse) pomelorelay.AccountUse {
-	if _, known := s.accounts[u.Account]; !known && !s.settled {
-		s.base.accounts[u.Account] = u
+func (s *source) rebaseUse(u pomelorelay.AccountUse) pomelorelay.AccountUse {
+	if _, known := s.accounts[u.Account]; !known && !s.baselineComplete {
+		s.baseline.accounts[u.Account] = u
 	}
-	base := s.base.accounts[u.Account]
+	base := s.baseline.accounts[u.Account]
 	u.Asked -= base.Asked
 	u.Served -= base.Served
 	return u
 }
 
-func (s *source) speed(v pomelorelay.SpeedSums) pomelorelay.SpeedSums {
-	if _, known := s.speeds[v.Service]; !known && !s.settled {
-		s.base.speeds[v.Service] = v
+func (s *source) rebaseSpeed(v pomelorelay.SpeedSums) pomelorelay.SpeedSums {
+	if _, known := s.speeds[v.Service]; !known && !s.baselineComplete {
+		s.baseline.speeds[v.Service] = v
 	}
-	return plusSpeeds(v, pomelorelay.SpeedSums{}, s.base.speeds[v.Service])
+	return adjustSpeeds(v, pomelorelay.SpeedSums{}, s.baseline.speeds[v.Service])
 }
 
 type loadSum struct {
@@ -88,13 +88,13 @@
 	changed bool
 }
 
-// sourcePart is a part of a prompt with the source that placed it.
+// sourcePart is a placed prompt part and the source that placed it.
 type sourcePart struct {
 	source string
 	part   pomelorelay.PartPlaced
 }
 
-// sourceStart is what a source found out of an upstream's start.
+// sourceStart is an upstream start and the source that reported it.
 type sourceStart struct {
 	source string
 	start  pomelorelay.UpstreamStart
@@ -110,37 +110,37 @@
 	}
 }
 
-// take adds a source's report; a report of another router or incarnation replaces what the source had.
-func (a *aggregate) take(now time.Time, key string, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+// add merges a source's report. A report with another node or incarnation replaces the gauges of the source.
+func (a *aggregate) add(now time.Time, key string, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	s := a.sources[key]
 	if s != nil && (s.node != node || s.incarnation != incarnation) {
-		a.forget(key)
+		a.remove(key)
 		s = nil
 	}
 	if s == nil {
-		s = &source{node: node, incarnation: incarnation, sums: newSums(), base: newSums()}
+		s = &source{node: node, incarnation: incarnation, sums: newSums(), baseline: newSums()}
 		a.sources[key] = s
 	}
 	s.reportedAt = now
 	if m.Whole {
-		a.clear(s, m)
+		a.clearGauges(s, m)
 	}
 	for _, l := range m.Upstreams {
-		l = s.load(l)
+		l = s.rebaseLoad(l)
 		a.addLoad(s.upstreams[l.Upstream], l)
 		s.upstreams[l.Upstream] = l
 	}
 	for _, u := range m.Accounts {
-		u = s.use(u)
+		u = s.rebaseUse(u)
 		a.addUse(s.accounts[u.Account], u)
 		s.accounts[u.Account] = u
 	}
 	for _, v := range m.Speeds {
-		v = s.speed(v)
+		v = s.rebaseSpeed(v)
 		a.addSpeed(s.speeds[v.Service], v)
 		s.speeds[v.Service] = v
 	}
-	s.settled = s.settled || m.Whole
+	s.baselineComplete = s.baselineComplete || m.Whole
 	for _, p := range m.Parts {
 		a.parts = append(a.parts, sourcePart{key, p})
 	}
@@ -152,14 +152,14 @@
 	}
 }
 
-// clear takes back the gauges of upstreams that a whole report does not hold.
-func (a *aggregate) clear(s *source, m *pomelorelay.LoadReport) {
-	held := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
+// clearGauges sets to zero the gauges of the source's upstreams that a full report omits.
+func (a *aggregate) clearGauges(s *source, m *pomelorelay.LoadReport) {
+	reported := make(map[pomelorelay.UpstreamID]bool, len(m.Upstreams))
 	for _, l := range m.Upstreams {
-		held[l.Upstream] = true
+		reported[l.Upstream] = true
 	}
 	for id, l := range s.upstreams {
-		if !held[id] && (l.Running != 0 || l.Unread != 0 || l.Held != 0) {
+		if !reported[id] && (l.Running != 0 || l.Unread != 0 || l.Held != 0) {
 			idle := l
 			idle.Running, idle.Unread, idle.Held = 0, 0, 0
 			a.addLoad(l, idle)
@@ -200,12 +200,12 @@
 		sum = &speedSum{SpeedSums: pomelorelay.SpeedSums{Service: v.Service}}
 		a.speeds[v.Service] = sum
 	}
-	sum.SpeedSums = plusSpeeds(sum.SpeedSums, v, before)
+	sum.SpeedSums = adjustSpeeds(sum.SpeedSums, v, before)
 	sum.changed = true
 }
 
-// plusSpeeds returns the sums with more added and less taken off.
-func plusSpeeds(s, more, less pomelorelay.SpeedSums) pomelorelay.SpeedSums {
+// adjustSpeeds returns s + more - less, field by field.
+func adjustSpeeds(s, more, less pomelorelay.SpeedSums) pomelorelay.SpeedSums {
 	s.Answers += more.Answers - less.Answers
 	s.Weight += more.Weight - less.Weight
 	s.Read += more.Read - less.Read
@@ -219,35 +219,35 @@
 	return s
 }
 
-// forget takes back a source's gauges; what it added to counters stays.
-func (a *aggregate) forget(key string) {
+// remove drops a source and its gauges; its counter increments remain in the sums.
+func (a *aggregate) remove(key string) {
 	s := a.sources[key]
 	if s == nil {
 		return
 	}
-	a.clear(s, &pomelorelay.LoadReport{})
+	a.clearGauges(s, &pomelorelay.LoadReport{})
 	delete(a.sources, key)
 }
 
-// forgetSilent forgets the sources that have reported nothing for a time.
-func (a *aggregate) forgetSilent(now time.Time, most time.Duration) {
+// removeSilent removes the sources whose last report is older than the timeout.
+func (a *aggregate) removeSilent(now time.Time, timeout time.Duration) {
 	for key, s := range a.sources {
-		if now.Sub(s.reportedAt) > most {
-			a.forget(key)
+		if now.Sub(s.reportedAt) > timeout {
+			a.remove(key)
 		}
 	}
 }
 
-// report returns what changed since the last flush, or everything, without what the source named has reported itself; an empty key leaves out
-// nothing.
-func (a *aggregate) report(key string, whole bool, seq uint64) *pomelorelay.LoadReport {
-	m := &pomelorelay.LoadReport{Seq: seq, Whole: whole}
+// report returns the changes since the last flush, or all entries when full is set. It excludes what the source named key
+// reported itself; an empty key excludes nothing.
+func (a *aggregate) report(key string, full bool, seq uint64) *pomelorelay.LoadReport {
+	m := &pomelorelay.LoadReport{Seq: seq, Whole: full}
 	own := a.sources[key]
 	if own == nil {
 		own = &source{}
 	}
 	for id, sum := range a.upstreams {
-		if !sum.changed && !whole {
+		if !sum.changed && !full {
 			continue
 		}
 		l := sum.UpstreamLoad
@@ -262,15 +262,15 @@
 		m.Upstreams = append(m.Upstreams, l)
 	}
 	for id, sum := range a.accounts {
-		if !sum.changed && !whole {
+		if !sum.changed && !full {
 			continue
 		}
 		o := own.accounts[id]
 		m.Accounts = append(m.Accounts, pomelorelay.AccountUse{Account: id, Asked: sum.Asked - o.Asked, Served: sum.Served - o.Served})
 	}
 	for id, sum := range a.speeds {
-		if sum.changed || whole {
-			m.Speeds = append(m.Speeds, plusSpeeds(sum.SpeedSums, pomelorelay.SpeedSums{}, own.speeds[id]))
+		if sum.changed || full {
+			m.Speeds = append(m.Speeds, adjustSpeeds(sum.SpeedSums, pomelorelay.SpeedSums{}, own.speeds[id]))
 		}
 	}
 	for _, p := range a.parts {
@@ -289,7 +289,7 @@
 	return m
 }
 
-// changed reports whether anything was reported since the last flush.
+// changed reports whether the sums have changed since the last flush.
 func (a *aggregate) changed() bool {
 	for _, sum := range a.upstreams {
 		if sum.changed {
@@ -304,8 +304,8 @@
 	return len(a.parts)+len(a.starts)+len(a.leaving) > 0
 }
 
-// flushed marks everything as reported.
-func (a *aggregate) flushed() {
+// markFlushed clears the change marks after a flush.
+func (a *aggregate) markFlushed() {
 	for _, sum := range a.upstreams {
 		sum.changed = false
 	}
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// tickEvery is the interval at which timers are looked at, adjustEvery that at which shares and loads are reckoned anew.
-	tickEvery   = 20 * time.Millisecond
-	adjustEvery = 50 * time.Millisecond
-	// directEvery and relayedEvery are the intervals of reports to the other routers, sent to each by itself and by way of relays; until the
-	// next one they place by older loads.
-	directEvery  = 100 * time.Millisecond
-	relayedEvery = 40 * time.Millisecond
-	// wholeEvery is the interval of reports that hold everything; a lost one is made up for within it.
-	wholeEvery = time.Second
-	// urgentGap is the least time between reports: the round trip between regions takes longer.
-	urgentGap = 20 * time.Millisecond
-	// gaugesEvery is the interval at which the metrics of the router's state are renewed.
-	gaugesEvery = time.Second
+	// tickInterval is the interval of timer checks, adjustInterval that of share and load updates.
+	tickInterval   = 20 * time.Millisecond
+	adjustInterval = 50 * time.Millisecond
+	// directReportInterval and relayedReportInterval are the intervals of load reports, sent to each router directly or through relays.
+	// Until the next report, the other routers place by older loads.
+	directReportInterval  = 100 * time.Millisecond
+	relayedReportInterval = 40 * time.Millisecond
+	// fullReportInterval is the interval of full reports, and so the longest time for which a lost report has an effect.
+	fullReportInterval = time.Second
+	// minReportGap is the minimum time between reports; a round trip between regions takes longer.
+	minReportGap = 20 * time.Millisecond
+	// gaugeInterval is the interval at which the state metrics are updated.
+	gaugeInterval = time.Second
 )
 
-// control is the state of the control goroutine; nothing else touches it.
+// control is the state of the control goroutine, which alone accesses it.
 type control struct {
 	e         *Entry
 	placer    *pomeloplace.Placer
@@ -37,40 +37,40 @@
 	residency *pomeloresidency.Policy
 	config    *pomelorelay.FleetConfig
 	upstreams upstreams
-	// evacuated are the failure domains under evacuation; one ends only when the store or a peer's whole state says so.
-	evacuated map[pomelorelay.DomainID]bool
-	peers     peers
-	pulls     pulls
-	asks      asks
-	relayed   relays
+	// evacuated holds the failure domains under evacuation; only the store or a peer's full state ends an evacuation.
+	evacuated     map[pomelorelay.DomainID]bool
+	peers         peers
+	pendingPull   pendingPull
+	stateRequests stateRequests
+	relay         relayState
 
-	adjustedAt time.Time
-	reportedAt time.Time
-	wholeAt    time.Time
-	gaugesAt   time.Time
-	// cold are the upstreams that were cold at the last look.
-	cold map[pomelorelay.UpstreamID]pomelowarmup.Status
-	// speeds are the reading speeds that were last logged.
-	speeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
+	adjustedAt   time.Time
+	reportedAt   time.Time
+	fullReportAt time.Time
+	gaugesAt     time.Time
+	// coldUpstreams holds the upstreams that were cold at the last check.
+	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
+	// loggedSpeeds holds the prefill speeds that were last logged.
+	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
 }
 
 func newControl(e *Entry) *control {
 	s := e.cfg.Settings
 	return &control{
-		e:         e,
-		placer:    pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.Without}),
-		shares:    pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
-		residency: pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
-		upstreams: newUpstreams(),
-		evacuated: make(map[pomelorelay.DomainID]bool),
-		peers:     newPeers(),
-		speeds:    make(map[pomelorelay.ServiceID]pomelospeed.PrefillRate),
+		e:            e,
+		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.Without}),
+		shares:       pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
+		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
+		upstreams:    newUpstreams(),
+		evacuated:    make(map[pomelorelay.DomainID]bool),
+		peers:        newPeers(),
+		loggedSpeeds: make(map[pomelorelay.ServiceID]pomelospeed.PrefillRate),
 	}
 }
 
-// run takes in events, messages and ticks until the router ends.
+// run processes events, messages and ticks until the router is closed.
 func (c *control) run() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -79,15 +79,15 @@
 		case ev := <-c.e.events:
 			now := c.now()
 			ev.apply(c, now)
-			if c.placer.Urgent() && now.Sub(c.reportedAt) >= urgentGap {
+			if c.placer.Urgent() && now.Sub(c.reportedAt) >= minReportGap {
 				c.report(now)
 			}
 		case m := <-c.e.mesh.Receive():
 			c.receive(c.now(), m)
 		case <-ticker.C:
 			now := c.now()
-			c.e.noteTick(now)
-			c.e.adapt()
+			c.e.recordTick(now)
+			c.e.adaptRequestLimit()
 			c.tick(now)
 		}
 	}
@@ -96,33 +96,33 @@
 func (c *control) now() time.Time { return c.e.cfg.Clock.Now() }
 
 func (c *control) tick(now time.Time) {
-	if now.Sub(c.adjustedAt) >= adjustEvery {
+	if now.Sub(c.adjustedAt) >= adjustInterval {
 		c.adjustedAt = now
 		c.adjust(now)
 	}
-	if now.Sub(c.reportedAt) >= c.reportEvery()-tickEvery/2 {
+	if now.Sub(c.reportedAt) >= c.reportInterval()-tickInterval/2 {
 		c.report(now)
 	}
-	if c.relayed.local != nil {
-		c.flush(now)
+	if c.relay.local != nil {
+		c.flushSummaries(now)
 	}
-	if now.Sub(c.gaugesAt) >= gaugesEvery {
+	if now.Sub(c.gaugesAt) >= gaugeInterval {
 		c.gaugesAt = now
 		c.setGauges()
-		c.noteWarmups(now)
+		c.logWarmups(now)
 	}
 }
 
-// adjust looks at everything that follows from time.
+// adjust updates all state that depends on the current time.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
 	c.placer.SetUnreportedRouters(c.unreported(now))
 	c.placer.Tick(now)
-	c.dropLapsed(now)
-	c.takeTurn(now)
-	c.pullBehind(now)
-	c.askForState(now)
-	if c.peers.drop(now) {
+	c.removeLapsed(now)
+	c.updateReadDelay(now)
+	c.requestNewerConfig(now)
+	c.requestMissingState(now)
+	if c.peers.dropSilent(now) {
 		c.setPeers()
 	}
 }
@@ -131,48 +131,48 @@
 	m := c.e.metrics
 	m.SetGauge("upstreams", float64(len(c.upstreams.present)))
 	m.SetGauge("evacuated_domains", float64(len(c.evacuated)))
-	m.SetGauge("peers", float64(len(c.peers.present)))
+	m.SetGauge("peers", float64(len(c.peers.byNode)))
 	m.SetGauge("requests_in_flight", float64(c.e.inFlight.Load()))
 	m.SetGauge("caller_connections", float64(c.e.conns.Load()))
-	m.SetGauge("upstream_connections_opened", float64(c.e.forward.Opened()))
+	m.SetGauge("upstream_connections_opened", float64(c.e.forward.OpenedConnections()))
 	if c.config != nil {
 		m.SetGauge("generation", float64(c.config.Version))
 	}
 	for _, s := range c.placer.Speeds() {
 		m.SetGauge("read_tokens_per_ms_"+string(s.Service), float64(s.PrefillRate))
 		m.SetGauge("first_token_overhead_ms_"+string(s.Service), float64(s.FirstTokenOverhead.Milliseconds()))
-		c.noteSpeed(s)
+		c.logSpeed(s)
 	}
 }
 
-// speedNews is the change of a reading speed from which it is worth a line.
-const speedNews = 1.2
+// speedLogRatio is the factor by which a prefill speed must change to be logged again.
+const speedLogRatio = 1.2
 
-// noteSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
-func (c *control) noteSpeed(s pomeloplace.Speed) {
-	told := c.speeds[s.Service]
-	if told > 0 && s.PrefillRate < speedNews*told && told < speedNews*s.PrefillRate {
+// logSpeed logs a changed prefill speed of a service's engines, because all later placements of the service depend on it.
+func (c *control) logSpeed(s pomeloplace.Speed) {
+	logged := c.loggedSpeeds[s.Service]
+	if logged > 0 && s.PrefillRate < speedLogRatio*logged && logged < speedLogRatio*s.PrefillRate {
 		return
 	}
-	c.speeds[s.Service] = s.PrefillRate
+	c.loggedSpeeds[s.Service] = s.PrefillRate
 	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.PrefillRate)), field("OverheadMS", s.FirstTokenOverhead.Milliseconds()),
 		field("Pauses", s.PauseWeight), field("CopyPart", s.CopyFraction))
 }
 
-// place decides on a request and charges its account.
-func (c *control) place(now time.Time, w pomeloforward.Work) pomeloplace.Decision {
-	counts := w.Cost > 0 && w.Account != ""
-	r := w.Place
-	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
+// place selects an upstream for a request and charges the request's account.
+func (c *control) place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
+	accounted := w.Cost > 0 && w.Account != ""
+	r := w.Request
+	// Use the configuration in force at each attempt: narrower regions also apply to requests that arrived earlier.
 	r.Residency = c.residency.Residency(now, w.Route, w.Account)
 	r.WithinShare = true
 	var share pomeloplace.ShareState
-	if counts {
-		if !w.Again {
+	if accounted {
+		if !w.Retry {
 			c.shares.RecordRequest(w.Account, w.Cost)
 		}
-		// Only what may have run, and was charged, goes before others: were it so for each request that found an upstream down, a flood
-		// would get past its share whenever many are, and other accounts would see their requests refused.
+		// Only retries that may have run and were charged skip the share check. If every retry after an unreachable upstream did, a flood
+		// could exceed its share while many upstreams are down, and requests of other accounts would be refused.
 		r.WithinShare = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
 		r.LeadOverLevel = c.shares.LeadOverLevel(w.Account)
 		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(w.Account)
@@ -186,96 +186,96 @@
 	}
 	c.e.metrics.CountPlacement(string(d.Reason))
 	switch {
-	case d.Reason == pomeloplace.ReasonNone && counts && !w.Charged:
+	case d.Reason == pomeloplace.ReasonNone && accounted && !w.Charged:
 		c.shares.RecordServed(w.Account, w.Cost)
 	case d.Reason == pomeloplace.ReasonOverShare:
-		d.RetryAfter = c.returnAfter(&d, &w)
+		d.RetryAfter = c.retryAfter(&d, &w)
 	}
 	return d
 }
 
-// worthWaiting is the part of the target within which an account's wait for its share is worth the caller's while: the rest of the
-// target is for the answer.
-const worthWaiting = 0.5
+// maxShareWaitFraction is the longest useful wait for an account's share, as a fraction of the target; the rest is for the answer.
+const maxShareWaitFraction = 0.5
 
-// returnAfter returns when a caller whose account is beyond its share is to come back: once the account is owed the request, if the answer can
-// still be in time then; else as soon as there may be a place again. In a flood that lasts, waiting longer raises no chance, and makes the
-// answer late for sure.
-func (c *control) returnAfter(d *pomeloplace.Decision, w *pomeloforward.Work) time.Duration {
+// retryAfter returns when a caller over its account's share should retry: when the share covers the request, if the answer can still
+// meet the target, otherwise as soon as a slot may be free. In a lasting flood a longer wait does not improve the chance of a slot
+// and makes the answer late.
+func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.PlacementRequest) time.Duration {
 	wait := c.shares.RetryAfter(w.Account, w.Cost)
-	if wait > time.Duration(worthWaiting*float64(w.Place.Target)) {
+	if wait > time.Duration(maxShareWaitFraction*float64(w.Request.Target)) {
 		return d.RetryAfter
 	}
 	return max(d.RetryAfter, wait)
 }
 
-func (c *control) reportEvery() time.Duration {
-	if c.direct() {
-		return directEvery
+func (c *control) reportInterval() time.Duration {
+	if c.reportsDirectly() {
+		return directReportInterval
 	}
-	return relayedEvery
+	return relayedReportInterval
 }
 
-// report sends the other routers what changed here.
+// report sends the other routers the load changes of this router.
 func (c *control) report(now time.Time) {
-	m := &pomelorelay.LoadReport{Whole: now.Sub(c.wholeAt) >= wholeEvery}
+	m := &pomelorelay.LoadReport{Whole: now.Sub(c.fullReportAt) >= fullReportInterval}
 	if m.Whole {
-		c.wholeAt = now
+		c.fullReportAt = now
 	}
 	c.reportedAt = now
 	c.placer.FillReport(m)
 	m.Accounts = c.shares.AppendReport(m.Whole, m.Accounts)
-	m.Leaving = c.upstreams.announced(now)
-	if !c.direct() {
-		c.relayOwn(now, m)
+	m.Leaving = c.upstreams.reportedLeaving(now)
+	if !c.reportsDirectly() {
+		c.relayOwnReport(now, m)
 		return
 	}
 	if m.Empty() {
 		return
 	}
-	for node := range c.peers.present {
+	for node := range c.peers.byNode {
 		c.send(node, m)
 	}
 }
 
-// takeReport takes another router's report, whoever brought it. One that is repeated or late is left out: for a moment two relays may hand
-// on the same reports, and taken after a newer one, an old report would bring back work that has ended, and sums that have grown since.
-func (c *control) takeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	if !c.peers.newer(from, incarnation, m.Seq) {
+// receiveReport applies another router's load report, received directly or through a relay. Repeated and late reports are ignored:
+// during a relay change two relays may forward the same reports, and an old report applied after a newer one would restore finished
+// requests and outdated sums.
+func (c *control) receiveReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+	if !c.peers.acceptReport(from, incarnation, m.Seq) {
 		return
 	}
-	// A router's first report holds all that it has.
+	// The first report of a router is always complete.
 	if m.Whole || m.Seq == 1 {
-		c.peers.noteWhole(from)
+		c.peers.markFullyReported(from)
 	}
-	c.apply(now, pomelorelay.Envelope{From: from, Incarnation: incarnation}, m)
+	c.applyReport(now, pomelorelay.Envelope{From: from, Incarnation: incarnation}, m)
 }
 
 func (c *control) receive(now time.Time, m pomelorelay.Envelope) {
-	c.peers.noteMessage(now, pomelorelay.Peer{Node: m.From, Domain: m.Domain, Region: m.Region})
-	c.noteGeneration(now, m.From, m.Generation)
+	c.peers.recordMessage(now, pomelorelay.Peer{Node: m.From, Domain: m.Domain, Region: m.Region})
+	c.recordGeneration(now, m.From, m.Generation)
 	switch msg := m.Message.(type) {
 	case *pomelorelay.LoadReport:
-		if c.direct() || c.relaysHere(now) {
-			c.takeReport(now, m.From, m.Incarnation, msg)
-			c.collect(now, m, msg)
+		if c.reportsDirectly() || c.isRelay(now) {
+			c.receiveReport(now, m.From, m.Incarnation, msg)
+			c.addNeighbourReport(now, m, msg)
 		}
 	case *pomelorelay.LoadSummary:
-		c.takeSummary(now, m, msg)
+		c.receiveSummary(now, m, msg)
 	case *pomelorelay.FleetUpdate:
 		c.receiveUpdate(now, m.From, msg)
 	case *pomelorelay.ConfigPull:
-		c.push(m.From, msg)
+		c.sendConfig(m.From, msg)
 	case *pomelorelay.ConfigPush:
-		c.takePush(now, m.From, msg)
+		c.applyPushedConfig(now, m.From, msg)
 	case *pomelorelay.StateAsk:
 		c.sendState(m.From, msg)
 	case *pomelorelay.FleetState:
-		c.takeState(now, m.From, msg)
+		c.applyPeerState(now, m.From, msg)
 	}
 }
 
-// setConfig puts a configuration in force, unless one as new is.
+// setConfig activates a configuration unless the one in force has the same or a newer version.
 func (c *control) setConfig(now time.Time, config *pomelorelay.FleetConfig, source string) {
 	if c.config != nil && config.Version <= c.config.Version {
 		return
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -15,7 +15,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// Config holds what an entry router is made of; Mesh is made from the settings when it is nil.
+// Config configures a router. A nil Mesh is created from Settings.
 type Config struct {
 	Settings pomelorelay.FleetSettings
 	Platform pomelorelay.Platform
@@ -23,13 +23,13 @@
 	Mesh     pomelorelay.Mesh
 	Clock    pomelorelay.Clock
 	Logger   pomelorelay.Logger
-	// Without are the mechanisms of placement that are switched off.
+	// The placement mechanisms that are disabled.
 	Without pomeloplace.Mechanisms
-	// Incarnation marks this start; the clock's nanoseconds when zero.
+	// Incarnation identifies this start of the router; zero selects the clock's Unix nanoseconds.
 	Incarnation pomelorelay.Incarnation
 }
 
-// Entry is one router.
+// Entry is a running router.
 type Entry struct {
 	cfg         Config
 	incarnation pomelorelay.Incarnation
@@ -38,43 +38,44 @@
 	metrics     *pomelometric.Metrics
 	events      chan event
 
-	cursor    cursor
-	storeBack bell
+	cursor         cursor
+	storeRecovered broadcast
 
 	table atomic.Pointer[pomelotable.Table]
-	// upstreams is the number of known upstreams.
+	// upstreams is the number of registered upstreams.
 	upstreams atomic.Int64
-	// stopAt is the Unix nanosecond at which a planned stop ends the process, zero while none is planned.
+	// stopAt is the Unix nanosecond at which a graceful stop ends the process; zero when none is in progress.
 	stopAt   atomic.Int64
 	inFlight atomic.Int64
-	// turn is how long, in nanoseconds, no update must have come until this router reads the store; zero for the first in turn.
-	// updatedAt is the Unix nanosecond at which another router last sent an update.
-	turn      atomic.Int64
-	updatedAt atomic.Int64
-	conns     atomic.Int64
-	bounds    bounds
-	// limit is how many requests the router takes at once; the control goroutine moves it.
-	limit atomic.Int64
-	// pressedAt is the Unix nanosecond at which the router last had nearly what it can take.
-	pressedAt atomic.Int64
-	// tickedAt is the Unix nanosecond of the control goroutine's last tick, tickLag how late it came.
-	tickedAt atomic.Int64
-	tickLag  atomic.Int64
-	// laggedAt is the Unix nanosecond of the last tick that came late.
-	laggedAt atomic.Int64
-
-	ctx     context.Context
-	cancel  context.CancelFunc
-	once    sync.Once
-	wg      sync.WaitGroup
-	servers []*http.Server
-	errs    chan error
+	// readDelay is how many nanoseconds must pass without an update before this router reads the store; zero for the primary reader.
+	// lastUpdateAt is the Unix nanosecond of the last update from another router.
+	readDelay    atomic.Int64
+	lastUpdateAt atomic.Int64
+	conns        atomic.Int64
+	hostLimits   hostLimits
+	// requestLimit is the maximum number of concurrent requests; the control goroutine adapts it.
+	requestLimit atomic.Int64
+	// nearCapacityAt is the Unix nanosecond at which the router was last close to its capacity.
+	nearCapacityAt atomic.Int64
+	// lastTickAt is the Unix nanosecond of the control goroutine's last tick, tickLag its delay in nanoseconds.
+	lastTickAt atomic.Int64
+	tickLag    atomic.Int64
+	// lastLateTickAt is the Unix nanosecond of the last late tick.
+	lastLateTickAt atomic.Int64
+
+	ctx       context.Context
+	cancel    context.CancelFunc
+	closeOnce sync.Once
+	wg        sync.WaitGroup
+	servers   []*http.Server
+	errs      chan error
 }
 
-// eventQueue is the length of the control goroutine's queue: several times the requests that a router has at once.
-const eventQueue = 1024
+// eventQueueLength is several times the number of concurrent requests of a router.
+const eventQueueLength = 1024
 
-// New makes a router and starts its goroutines; Listen opens its ports. It fails with the mesh's code.
+// New creates a router and starts its goroutines; Listen opens its ports. It fails with the mesh's result code when the mesh cannot be
+// opened.
 func New(cfg Config) (*Entry, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = pomelorelay.SystemClock{}
@@ -84,11 +85,11 @@
 	}
 	e := &Entry{
 		cfg:         cfg,
-		bounds:      boundsOf(cfg.Settings),
+		hostLimits:  hostLimitsOf(cfg.Settings),
 		incarnation: cfg.Incarnation,
 		metrics:     pomelometric.New(),
-		events:      make(chan event, eventQueue),
-		errs:        make(chan error, listeners),
+		events:      make(chan event, eventQueueLength),
+		errs:        make(chan error, listenerCount),
 	}
 	if e.incarnation == 0 {
 		e.incarnation = pomelorelay.Incarnation(cfg.Clock.Now().UnixNano())
@@ -103,17 +104,17 @@
 		Wire:       cfg.Wire,
 		Tables:     tables{e},
 		Placement:  placement{e},
-		Stopping:   stopping{e},
+		Shutdown:   stopping{e},
 		Meter:      e.metrics,
-		Left:       e.left,
+		CallerGone: e.callerGone,
 		RetryRatio: cfg.Settings.RetryRatio,
 		RetrySlack: cfg.Settings.RetrySlack,
 	})
-	e.limit.Store(e.bounds.first)
-	e.tickedAt.Store(cfg.Clock.Now().UnixNano())
+	e.requestLimit.Store(e.hostLimits.initialRequests)
+	e.lastTickAt.Store(cfg.Clock.Now().UnixNano())
 	c := newControl(e)
 	e.start(func(context.Context) { c.run() })
-	e.start(e.followStore)
+	e.start(e.readStoreLoop)
 	e.start(e.keepRegistered)
 	return e, nil
 }
@@ -127,7 +128,7 @@
 	mesh, err := pomelomesh.New(pomelomesh.Config{
 		Self:   pomelomesh.Self{Node: self.Node, Incarnation: e.incarnation, Domain: self.Domain, Region: self.Region},
 		Listen: self.Addr,
-		// The platform gives no certificates; its internal ports are closed to everyone but the fleet's own hosts.
+		// The platform issues no certificates; only the fleet's own hosts can reach its internal ports.
 		Insecure: true,
 		Seed:     uint64(e.incarnation),
 		Logger:   e.cfg.Logger,
@@ -148,7 +149,7 @@
 	}()
 }
 
-// post hands an event to the control goroutine; it reports false when the router has ended.
+// post sends an event to the control goroutine. It returns false when the router is closed.
 func (e *Entry) post(ev event) bool {
 	select {
 	case e.events <- ev:
@@ -166,14 +167,14 @@
 	return pomelorelay.Field{Key: key, Value: value}
 }
 
-// Ready reports whether the router takes requests.
+// Ready reports whether the router accepts requests.
 func (e *Entry) Ready() bool {
-	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.pressed()
+	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.nearCapacity()
 }
 
-// Close ends the router at once; Stop does so gracefully.
+// Close stops the router immediately, without waiting for requests; Stop shuts it down gracefully.
 func (e *Entry) Close() {
-	e.once.Do(func() {
+	e.closeOnce.Do(func() {
 		for _, s := range e.servers {
 			s.Close()
 		}
@@ -184,17 +185,17 @@
 	})
 }
 
-// tables implements pomeloforward.Tables.
+// tables implements pomeloforward.TableSource.
 type tables struct{ e *Entry }
 
-// Current returns the table in force.
+// Current returns the route table in force, or nil.
 func (t tables) Current() *pomelotable.Table { return t.e.table.Load() }
 
-// stopping implements pomeloforward.Stopping.
+// stopping implements pomeloforward.Shutdown.
 type stopping struct{ e *Entry }
 
-// StopsIn returns the time until the process ends, false when no stop is planned.
-func (s stopping) StopsIn() (time.Duration, bool) {
+// TimeLeft returns the time until the process ends, and false when no stop is in progress.
+func (s stopping) TimeLeft() (time.Duration, bool) {
 	at := s.e.stopAt.Load()
 	if at == 0 {
 		return 0, false
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func TestServesOnceItKnowsRoutesAndUpstreams(t *testing.T) {
+func TestServesOnceRoutesAndUpstreamsAreKnown(t *testing.T) {
 	f := newFleet(t)
 	n := f.start(8 * time.Second)
 	if f.ready(n) {
@@ -32,12 +32,12 @@
 	}
 }
 
-// knowsPeers reports whether a logged list of routers holds any: the first one may be read before the others have registered.
-func knowsPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
+// hasPeers reports whether a logged list of routers is not empty: the first one may be read before the others have registered.
+func hasPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
 
-// A router is parted from the store while the operators drop a route. Its neighbours know; without their word its callers would be
-// served by a route that is gone, or refused on a new one, for as long as the cut lasts.
-func TestARouterWithoutTheStoreLearnsFromItsPeers(t *testing.T) {
+// Guards against a router that serves removed routes, refuses new ones or uses a leaving upstream while it is cut off from the store,
+// although its peers could update it.
+func TestRouterWithoutStoreIsUpdatedByPeers(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/old/"))
 	leaving := f.upstream("u1", 0)
@@ -47,7 +47,7 @@
 		f.awaitStatus(n, "/old/", 200)
 	}
 	f.await("the mesh", func() bool {
-		return a.log.hasWith(pomelorelay.EventPeersChanged, knowsPeers) && b.log.hasWith(pomelorelay.EventPeersChanged, knowsPeers)
+		return a.log.hasWith(pomelorelay.EventPeersChanged, hasPeers) && b.log.hasWith(pomelorelay.EventPeersChanged, hasPeers)
 	})
 	b.view.SetCut(true)
 	f.store.Lapse()
@@ -67,9 +67,9 @@
 	f.await("the store is back", func() bool { return b.log.has(pomelorelay.EventPlatformBack) })
 }
 
-// A router is started anew while the store is away. Its neighbours know the configuration, the upstreams and each other; without their word
-// it refuses every request until the store is back, though the upstreams live.
-func TestARouterThatStartsWithoutTheStoreLearnsFromASeed(t *testing.T) {
+// Guards against a router started in a store outage that refuses every request until the store recovers, although the upstreams are
+// up and its peers know the configuration, the upstreams and each other.
+func TestRouterStartingWithoutStoreGetsStateFromSeed(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/old/"))
 	leaving := f.upstream("u1", 0)
@@ -102,9 +102,8 @@
 	}
 }
 
-// The store comes back with an older copy, or a peer pushes what it knew before. Going back, a router would accept a key that was
-// taken away.
-func TestConfigurationsNeverGoBack(t *testing.T) {
+// Guards against an older configuration from a restored store or a peer replacing a newer one: the router would accept a revoked key.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(5, "/new/"))
 	f.upstream("u1", 0)
@@ -118,9 +117,9 @@
 	}
 }
 
-// The entries of all upstreams lapse in an outage of the store. They live; taken as gone at once, a whole service would answer nothing
-// until they have registered again.
-func TestLapsedEntriesAreKeptForAWhile(t *testing.T) {
+// Guards against removing all upstreams when their entries lapse in a store outage: live upstreams would get no requests until they
+// have registered again.
+func TestLapsedEntriesHaveGracePeriod(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	one, two := f.upstream("u1", 0), f.upstream("u2", 0)
@@ -144,9 +143,8 @@
 	}
 }
 
-// A planned stop begins while requests run and callers go on using their connections. A request that is cut by the stop, or by the
-// closing of a connection that its caller just used, would be lost.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+// Guards against a graceful stop that cuts a running request, or closes a connection on which a caller has just sent a request.
+func TestGracefulStopCutsNoRequest(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 300*time.Millisecond)
@@ -172,7 +170,7 @@
 	}
 	select {
 	case <-stopped:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the stop does not end")
 	}
 	if !n.log.has(pomelorelay.EventStopping) || !n.log.has(pomelorelay.EventStopped) {
@@ -180,7 +178,7 @@
 	}
 }
 
-func TestAStoppedRoutersRegistrationEnds(t *testing.T) {
+func TestStoppedRouterIsDeregistered(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 0)
@@ -199,9 +197,9 @@
 	})
 }
 
-// One account's callers all come to one small host. Taken in, they would be answered late, and the process would be killed for its
-// memory with everybody else's requests.
-func TestAFullRouterSendsCallersElsewhere(t *testing.T) {
+// Guards against a small host that accepts all requests of one account's flood: they would be answered late, and the process would be
+// killed for its memory use with all other requests.
+func TestFullRouterRefusesRequests(t *testing.T) {
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 400*time.Millisecond)
@@ -220,11 +218,11 @@
 	for range flood {
 		counts[<-got]++
 	}
-	// A router whose processor stood still closes new connections unread, and says how late it was.
-	const closesFrom = int64(100) // milliseconds
+	// A router with a stalled processor closes new connections unread, and logs how late it was.
+	const maxLagMS = int64(100) // milliseconds
 	late := n.log.hasWith(pomelorelay.EventRouterFull, func(f pomelorelay.Field) bool {
 		ms, ok := f.Value.(int64)
-		return f.Key == "LagMS" && ok && ms >= closesFrom
+		return f.Key == "LagMS" && ok && ms >= maxLagMS
 	})
 	closed := counts[0]
 	if counts[503] == 0 || counts[200] == 0 || counts[200]+counts[503]+closed != flood || (closed > 0 && !late) {
@@ -233,9 +231,9 @@
 	f.await("it is ready again", func() bool { return f.ready(n) })
 }
 
-// Fourteen routers in one failure domain: each telling all others would take a small host's processor, so one relays. Should the rest
-// not hear through it what runs at an upstream, all would send there at once.
-func TestReportsReachEveryRouterThroughTheRelay(t *testing.T) {
+// Fourteen routers of one failure domain use a relay, because reports from each to all would take too much of a small host's
+// processor. Guards against a relay that does not forward changes: all routers would send to the same upstream at once.
+func TestRelayForwardsUpdatesToEveryRouter(t *testing.T) {
 	const routers = 14
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -11,26 +11,26 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// NewLimited returns a router that does nothing but keep its limit of requests at once.
-func NewLimited(settings pomelorelay.FleetSettings) *Entry {
-	e := &Entry{bounds: boundsOf(settings)}
-	e.limit.Store(e.bounds.first)
+// NewRequestLimiter returns a router that only adapts its request limit.
+func NewRequestLimiter(settings pomelorelay.FleetSettings) *Entry {
+	e := &Entry{hostLimits: hostLimitsOf(settings)}
+	e.requestLimit.Store(e.hostLimits.initialRequests)
 	return e
 }
 
-// TickWith plays a tick of the control goroutine that came late by the lag, with so many requests at once, and returns the new limit.
-func (e *Entry) TickWith(lag time.Duration, running int64) int64 {
+// TickWithLag simulates a control goroutine tick with a delay and a number of concurrent requests, and returns the new request limit.
+func (e *Entry) TickWithLag(lag time.Duration, running int64) int64 {
 	e.tickLag.Store(int64(lag))
 	e.inFlight.Store(running)
-	e.adapt()
-	return e.limit.Load()
+	e.adaptRequestLimit()
+	return e.requestLimit.Load()
 }
 
-// Decider decides on places as the control goroutine does, without the goroutine.
-type Decider struct{ c *control }
+// PlacementControl places requests as the control goroutine does, without the goroutine.
+type PlacementControl struct{ c *control }
 
-// NewDecider returns a Decider that knows the configuration's limits and services, and the upstreams.
-func NewDecider(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) Decider {
+// NewPlacementControl returns a PlacementControl with the configuration and the upstreams.
+func NewPlacementControl(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) PlacementControl {
 	settings := pomelorelay.FleetSettings{Self: pomelorelay.Peer{Node: "r", Domain: "a", Region: "ra"}, ShareWindow: 4 * time.Second}
 	c := newControl(&Entry{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
 	c.shares.SetCapacity(config.Limits.TokensPerSecond)
@@ -39,58 +39,58 @@
 	for _, u := range upstreams {
 		c.placer.PutUpstream(time.Time{}, u)
 	}
-	return Decider{c}
+	return PlacementControl{c}
 }
 
-// UnreportedAfter returns how many routers are taken to send as much as this one, so long after one registered that is never heard.
+// UnreportedAfter returns how many routers count as unreported at the given time after one registered that never sends a report.
 func UnreportedAfter(passed time.Duration) int {
 	p, now := newPeers(), time.Now()
-	p.put(now, pomelorelay.Peer{Node: "silent", Domain: "b", Region: "rb"})
+	p.register(now, pomelorelay.Peer{Node: "silent", Domain: "b", Region: "rb"})
 	return p.unreported(now.Add(passed), func(*knownPeer) bool { return false })
 }
 
-// RefusedUnread notes a request that a full router refused.
-func (d Decider) RefusedUnread(now time.Time, account pomelorelay.AccountID, cost pomelorelay.Cost) {
+// RefusedUnread records a request that a full router refused.
+func (d PlacementControl) RefusedUnread(now time.Time, account pomelorelay.AccountID, cost pomelorelay.Cost) {
 	(&refusedUnread{account, cost}).apply(d.c, now)
 }
 
-// Place decides on a request.
-func (d Decider) Place(now time.Time, w pomeloforward.Work) pomeloplace.Decision {
+// Place selects an upstream for a request.
+func (d PlacementControl) Place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
 	d.c.shares.Tick(now)
 	return d.c.place(now, w)
 }
 
-// Report takes another router's report.
-func (d Decider) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	d.c.peers.noteMessage(now, pomelorelay.Peer{Node: from})
-	d.c.takeReport(now, from, incarnation, m)
+// Report applies another router's load report.
+func (d PlacementControl) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+	d.c.peers.recordMessage(now, pomelorelay.Peer{Node: from})
+	d.c.receiveReport(now, from, incarnation, m)
 }
 
 // Served returns what an account was served in the window.
-func (d Decider) Served(id pomelorelay.AccountID) pomelorelay.Cost {
+func (d PlacementControl) Served(id pomelorelay.AccountID) pomelorelay.Cost {
 	_, served, _ := d.c.shares.Usage(id)
 	return served
 }
 
-// LongestPause returns how long a reader may send no update, by the time after which an upstream that leaves must get nothing.
-func LongestPause(drain time.Duration) time.Duration {
-	return time.Duration((pacePart + waitPart) * float64(drain))
+// LongestReadPause returns the longest time without an update from a live reader, for a drain wait.
+func LongestReadPause(drain time.Duration) time.Duration {
+	return time.Duration((readIntervalFraction + watchWaitFraction) * float64(drain))
 }
 
-// Turn returns how long without an update the router waits that is so many places after the first in the order of readers.
-func Turn(drain time.Duration, place int) time.Duration {
-	return time.Duration((turnPart + turnStep*float64(place-1)) * float64(drain))
+// ReadDelayOf returns the time without updates after which the router at a position in the read order reads the store.
+func ReadDelayOf(drain time.Duration, position int) time.Duration {
+	return time.Duration((takeoverFraction + takeoverStepFraction*float64(position-1)) * float64(drain))
 }
 
-// Look returns how often a router looks whether it has to read the store itself.
-const Look = turnLook
+// TakeoverPollInterval is how often a router checks whether it must read the store.
+const TakeoverPollInterval = takeoverPollInterval
 
-// Follower is the part of a router that takes updates and decides whether it reads the store.
-type Follower struct{ c *control }
+// UpdateControl applies updates and computes read delays as the control goroutine does.
+type UpdateControl struct{ c *control }
 
-// NewFollower returns the router named, one of the peers; all of them were just registered.
-func NewFollower(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) Follower {
-	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: noMesh{}}
+// NewUpdateControl returns the UpdateControl of the router named self, which is one of the peers; all were just registered.
+func NewUpdateControl(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) UpdateControl {
+	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: discardMesh{}}
 	e.cfg.Settings.DrainWait = drain
 	for _, p := range peers {
 		if p.Node == self {
@@ -99,79 +99,81 @@
 	}
 	c := newControl(e)
 	c.applyPeers(time.Now(), &pomelorelay.FleetChange{Peers: peers})
-	return Follower{c}
+	return UpdateControl{c}
 }
 
-// Turn returns how long without an update the router waits until it reads the store itself.
-func (f Follower) Turn(now time.Time) time.Duration {
-	f.c.takeTurn(now)
-	return time.Duration(f.c.e.turn.Load())
+// ReadDelay returns the time without updates after which the router reads the store.
+func (f UpdateControl) ReadDelay(now time.Time) time.Duration {
+	f.c.updateReadDelay(now)
+	return time.Duration(f.c.e.readDelay.Load())
 }
 
-// Receive takes an update, and returns the revision up to which the router has everything.
-func (f Follower) Receive(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) pomelorelay.Revision {
+// Receive applies an update and returns the revision of the cursor.
+func (f UpdateControl) Receive(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) pomelorelay.Revision {
 	f.c.receiveUpdate(now, from, m)
 	return f.c.e.cursor.get()
 }
 
-// SetPlatform sets what reads configurations' documents.
-func (f Follower) SetPlatform(p pomelorelay.Platform) { f.c.e.cfg.Platform = p }
+// SetPlatform sets the platform that decodes configuration documents.
+func (f UpdateControl) SetPlatform(p pomelorelay.Platform) { f.c.e.cfg.Platform = p }
 
-// UpdateOf returns the update that the router sends of what it read.
-func (f Follower) UpdateOf(change pomelorelay.FleetChange) *pomelorelay.FleetUpdate {
-	return f.c.updateOf(&storeRead{change: change})
+// UpdateFrom returns the update that the router sends for a change read from the store.
+func (f UpdateControl) UpdateFrom(change pomelorelay.FleetChange) *pomelorelay.FleetUpdate {
+	return f.c.updateFrom(&storeRead{change: change})
 }
 
 // Version returns the version of the configuration in force.
-func (f Follower) Version() pomelorelay.Generation { return f.c.version() }
+func (f UpdateControl) Version() pomelorelay.Generation { return f.c.version() }
 
-// TakeState takes what a peer has.
-func (f Follower) TakeState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) pomelorelay.Revision {
-	f.c.takeState(now, from, m)
+// ApplyPeerState applies a peer's state and returns the revision of the cursor.
+func (f UpdateControl) ApplyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) pomelorelay.Revision {
+	f.c.applyPeerState(now, from, m)
 	return f.c.e.cursor.get()
 }
 
-// TakeSummary takes the sum of the others' reports from the relay of its failure domain, and returns the number of other routers.
-func (f Follower) TakeSummary(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LoadSummary) int {
-	f.c.takeSummary(now, pomelorelay.Envelope{From: from, Incarnation: 1, Message: m}, m)
-	return len(f.c.peers.present)
+// ReceiveSummary applies a summary from the relay of the failure domain, and returns the number of other routers.
+func (f UpdateControl) ReceiveSummary(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LoadSummary) int {
+	f.c.receiveSummary(now, pomelorelay.Envelope{From: from, Incarnation: 1, Message: m}, m)
+	return len(f.c.peers.byNode)
 }
 
-// Upstreams returns the ids of the upstreams that the router has.
-func (f Follower) Upstreams() []pomelorelay.UpstreamID {
+// Upstreams returns the ids of the known upstreams.
+func (f UpdateControl) Upstreams() []pomelorelay.UpstreamID {
 	return slices.Sorted(maps.Keys(f.c.upstreams.present))
 }
 
 // Evacuated returns the failure domains under evacuation.
-func (f Follower) Evacuated() []pomelorelay.DomainID { return slices.Sorted(maps.Keys(f.c.evacuated)) }
+func (f UpdateControl) Evacuated() []pomelorelay.DomainID {
+	return slices.Sorted(maps.Keys(f.c.evacuated))
+}
 
-// noMesh loses every message.
-type noMesh struct{ pomelorelay.Mesh }
+// discardMesh discards every message.
+type discardMesh struct{ pomelorelay.Mesh }
 
-func (noMesh) Send(pomelorelay.NodeID, pomelorelay.Message) error { return nil }
-func (noMesh) SetPeers([]pomelorelay.Peer)                        {}
-func (noMesh) SetGeneration(pomelorelay.Generation)               {}
+func (discardMesh) Send(pomelorelay.NodeID, pomelorelay.Message) error { return nil }
+func (discardMesh) SetPeers([]pomelorelay.Peer)                        {}
+func (discardMesh) SetGeneration(pomelorelay.Generation)               {}
 
-// Sum sums up the reports of several sources as a relay does.
-type Sum struct{ a *aggregate }
+// Aggregate sums the reports of several sources as a relay does.
+type Aggregate struct{ a *aggregate }
 
-// NewSum returns a Sum of nothing.
-func NewSum() Sum { return Sum{newAggregate()} }
+// NewAggregate returns an empty Aggregate.
+func NewAggregate() Aggregate { return Aggregate{newAggregate()} }
 
-// Take adds a source's report.
-func (s Sum) Take(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
-	s.a.take(now, string(from), from, incarnation, m)
+// Add merges a source's report.
+func (s Aggregate) Add(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+	s.a.add(now, string(from), from, incarnation, m)
 }
 
-// Reports returns what changed, or everything, for each source, without what that source has.
-func (s Sum) Reports(whole bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
+// Reports returns for each source the changes, or all entries when full is set, without its own contribution.
+func (s Aggregate) Reports(full bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
 	all := make(map[pomelorelay.NodeID]*pomelorelay.LoadReport)
 	for _, from := range sources {
-		all[from] = s.a.report(string(from), whole, 1)
+		all[from] = s.a.report(string(from), full, 1)
 	}
-	s.a.flushed()
+	s.a.markFlushed()
 	return all
 }
 
-// ForgetSilent forgets the sources that have reported nothing for a time.
-func (s Sum) ForgetSilent(now time.Time, most time.Duration) { s.a.forgetSilent(now, most) }
+// RemoveSilent removes the sources whose last report is older than the timeout.
+func (s Aggregate) RemoveSilent(now time.Time, timeout time.Duration) { s.a.removeSilent(now, timeout) }
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// listeners is the number of ports that a router serves by HTTP.
-	listeners = 3
-	// headerWait bounds the reading of a request's header; the operators' own bound is 3 s.
-	headerWait = 10 * time.Second
-	// idleWait closes connections that callers leave unused; callers may use one again after four fifths of the operators' bound, 15 s.
-	idleWait = 20 * time.Second
-	// maxHeaderBytes bounds a request's header, above the operators' bound of 16 KiB.
+	// listenerCount is the number of HTTP ports of a router.
+	listenerCount = 3
+	// headerTimeout bounds the reading of a request's header; the operators' own limit is 3 s.
+	headerTimeout = 10 * time.Second
+	// callerIdleTimeout closes idle connections of callers. It exceeds the operators' limit of 15 s; callers may reuse a connection that
+	// was idle for up to four fifths of that.
+	callerIdleTimeout = 20 * time.Second
+	// maxHeaderBytes bounds a request's header; the operators' limit is 16 KiB.
 	maxHeaderBytes = 64 << 10
-	// stopPoll is how often a graceful stop looks whether the last request has ended.
-	stopPoll = 20 * time.Millisecond
-	// stopMargin is the time before the process would be killed at which it ends by itself.
+	// stopPollInterval is how often a graceful stop checks whether the last connection has closed.
+	stopPollInterval = 20 * time.Millisecond
+	// stopMargin is how long before the process is killed a graceful stop ends by itself.
 	stopMargin = 700 * time.Millisecond
-	// quietAfter is how long after the signal to stop the balancer may still send new connections: two of its looks, a second apart.
-	quietAfter = 2500 * time.Millisecond
+	// balancerDrainTime is how long after the stop signal the load balancer may send new connections: two readiness checks, 1 s apart.
+	balancerDrainTime = 2500 * time.Millisecond
 )
 
-// Listen opens the ports; it fails with CodeListen when an address cannot be listened on.
+// Listen opens the router's ports and serves them. It fails with CodeListen when an address cannot be bound.
 func (e *Entry) Listen() error {
 	settings := e.cfg.Settings
 	callers := &http.Server{
 		Handler:                      http.HandlerFunc(e.serveCaller),
-		ReadHeaderTimeout:            headerWait,
-		IdleTimeout:                  idleWait,
+		ReadHeaderTimeout:            headerTimeout,
+		IdleTimeout:                  callerIdleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
 		ConnState:                    e.countConn,
-		ConnContext:                  keepConn,
+		ConnContext:                  withConn,
 		DisableGeneralOptionsHandler: true,
 	}
 	ready := mux.NewRouter()
@@ -49,8 +50,8 @@
 		addr   netip.AddrPort
 		server *http.Server
 	}{
-		{settings.Metrics, &http.Server{Handler: metrics, ReadHeaderTimeout: headerWait}},
-		{settings.Readiness, &http.Server{Handler: ready, ReadHeaderTimeout: headerWait}},
+		{settings.Metrics, &http.Server{Handler: metrics, ReadHeaderTimeout: headerTimeout}},
+		{settings.Readiness, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}},
 		{settings.Callers, callers},
 	} {
 		if err := e.serve(l.server, l.addr); err != nil {
@@ -68,7 +69,7 @@
 	}
 	e.servers = append(e.servers, s)
 	if s.ConnState != nil {
-		l = boundListener{Listener: l, e: e}
+		l = loadSheddingListener{Listener: l, e: e}
 	}
 	e.start(func(context.Context) {
 		if err := s.Serve(l); err != http.ErrServerClosed {
@@ -78,13 +79,13 @@
 	return nil
 }
 
-// Errors returns the channel of listeners' failures.
+// Errors returns the channel of errors from failed listeners.
 func (e *Entry) Errors() <-chan error { return e.errs }
 
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	if !e.takes(w, r) {
+	if !e.admit(w, r) {
 		return
 	}
 	e.forward.ServeHTTP(w, r)
@@ -107,8 +108,8 @@
 	}
 }
 
-// Stop ends the router gracefully: it is not ready any more, goes on serving the connections that it has, and ends when the last
-// is gone or shortly before the process would be killed. Closing idle connections sooner would cross requests on their way.
+// Stop shuts the router down gracefully. The router reports not ready, keeps serving its open connections and ends when the last one
+// closes or shortly before the process is killed. Closing idle connections earlier could race with requests already sent on them.
 func (e *Entry) Stop() {
 	began := e.cfg.Clock.Now()
 	end := began.Add(e.cfg.Settings.StopWait - stopMargin)
@@ -116,10 +117,10 @@
 	e.log(pomelorelay.EventStopping, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()))
 	for {
 		now := e.cfg.Clock.Now()
-		if now.After(end) || (now.Sub(began) > quietAfter && e.conns.Load() == 0) {
+		if now.After(end) || (now.Sub(began) > balancerDrainTime && e.conns.Load() == 0) {
 			break
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	e.log(pomelorelay.EventStopped, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()))
 	e.Close()
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -8,66 +8,67 @@
 )
 
 const (
-	// registrationTTL is how long a router's entry outlives its last renewal; its peers close nothing before their links break.
+	// registrationTTL is how long a router's registration outlives its last renewal. Peers keep their links after it lapses, until the
+	// links break.
 	registrationTTL = 30 * time.Second
-	// renewEvery is the interval of renewals, a third of the time to live.
-	renewEvery = 10 * time.Second
-	// leaveWait bounds the call that ends the registration at a planned stop.
-	leaveWait = 500 * time.Millisecond
+	// renewInterval is the interval of renewals, a third of registrationTTL.
+	renewInterval = 10 * time.Second
+	// deregisterTimeout bounds the store call that ends the registration on a graceful stop.
+	deregisterTimeout = 500 * time.Millisecond
 )
 
-// silentAfter is how long an unregistered router may be silent until it is taken as gone: a few whole reports.
-const silentAfter = 5 * time.Second
+// peerSilenceTimeout is how long an unregistered router may send nothing before it is removed: a few intervals of full reports.
+const peerSilenceTimeout = 5 * time.Second
 
-// knownPeer is a router that is registered, or was and still sends messages.
+// knownPeer is a router that is registered, or that was and still sends messages.
 type knownPeer struct {
 	pomelorelay.Peer
 	registered bool
 	seenAt     time.Time
-	// since is when this router first knew it.
-	since time.Time
-	// whole is set once it has reported all that it has on the upstreams.
-	whole bool
-	// incarnation and seq are of the last report that was taken.
+	// knownSince is when this router first learnt of the peer.
+	knownSince time.Time
+	// fullyReported is set after the peer's first full load report.
+	fullyReported bool
+	// incarnation and lastSeq are those of the last applied report.
 	incarnation pomelorelay.Incarnation
-	seq         uint64
+	lastSeq     uint64
 }
 
-// relays reports whether the router is there to relay.
-func (p *knownPeer) relays(now time.Time) bool {
-	return now.Sub(p.seenAt) <= relayTimeout || now.Sub(p.since) <= relayGrace
+// relayEligible reports whether the router is alive, or new enough to be presumed alive, and so can be a relay.
+func (p *knownPeer) relayEligible(now time.Time) bool {
+	return now.Sub(p.seenAt) <= relayTimeout || now.Sub(p.knownSince) <= relayGrace
 }
 
-// peers are the other routers. One that cannot reach the store loses its registration; it still gets every message as long as its
-// own messages come, or it would go on with an old configuration beside neighbours that could give it the new one.
+// peers holds the other routers. One that cannot reach the store loses its registration but still gets every message while its own
+// messages arrive; otherwise it would keep an old configuration although its neighbours could send it the new one.
 type peers struct {
-	present map[pomelorelay.NodeID]*knownPeer
+	byNode map[pomelorelay.NodeID]*knownPeer
 }
 
-func newPeers() peers { return peers{present: make(map[pomelorelay.NodeID]*knownPeer)} }
+func newPeers() peers { return peers{byNode: make(map[pomelorelay.NodeID]*knownPeer)} }
 
-func (p *peers) put(now time.Time, peer pomelorelay.Peer) {
-	known := p.present[peer.Node]
+func (p *peers) register(now time.Time, peer pomelorelay.Peer) {
+	known := p.byNode[peer.Node]
 	if known == nil {
-		known = &knownPeer{since: now}
-		p.present[peer.Node] = known
+		known = &knownPeer{knownSince: now}
+		p.byNode[peer.Node] = known
 	}
 	known.Peer, known.registered = peer, true
 }
 
 func (p *peers) unregister(node pomelorelay.NodeID) {
-	if known := p.present[node]; known != nil {
+	if known := p.byNode[node]; known != nil {
 		known.registered = false
 	}
 }
 
-// noteMessage notes a router's message. One that was never seen registered is answered over its own link: it may have been parted from the
-// store before this router could read its entry. What is not known of where it is, the message's sender says.
-func (p *peers) noteMessage(now time.Time, peer pomelorelay.Peer) {
-	known := p.present[peer.Node]
+// recordMessage records a message from a router. An unregistered sender is answered over its own link: it may have lost the store
+// before this router could read its registration. An unknown location is taken from the message.
+func (p *peers) recordMessage(now time.Time, peer pomelorelay.Peer) {
+	known := p.byNode[peer.Node]
 	if known == nil {
-		known = &knownPeer{Peer: peer, since: now}
-		p.present[peer.Node] = known
+		known = &knownPeer{Peer: peer, knownSince: now}
+		p.byNode[peer.Node] = known
 	}
 	if known.Domain == "" {
 		known.Domain, known.Region = peer.Domain, peer.Region
@@ -75,48 +76,48 @@
 	known.seenAt = now
 }
 
-// newer reports whether a report comes after all that were taken from the router, and notes it.
-func (p *peers) newer(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, seq uint64) bool {
-	known := p.present[node]
-	if known == nil || incarnation < known.incarnation || (incarnation == known.incarnation && seq <= known.seq) {
+// acceptReport reports whether a report is newer than all applied reports of the router, and records its number if so.
+func (p *peers) acceptReport(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, seq uint64) bool {
+	known := p.byNode[node]
+	if known == nil || incarnation < known.incarnation || (incarnation == known.incarnation && seq <= known.lastSeq) {
 		return false
 	}
-	known.incarnation, known.seq = incarnation, seq
+	known.incarnation, known.lastSeq = incarnation, seq
 	return true
 }
 
-// noteWhole notes that a router has reported all that it has.
-func (p *peers) noteWhole(node pomelorelay.NodeID) { p.present[node].whole = true }
+// markFullyReported records a full report from the router.
+func (p *peers) markFullyReported(node pomelorelay.NodeID) { p.byNode[node].fullyReported = true }
 
-// unreportedFor is how long a router without a report yet counts as sending as much as this one: several whole reports. Taken so for longer, a
-// router that starts while other regions are cut off would keep most of the upstreams that it reaches free for them, and refuse its callers
-// beside idle engines until the cut ends.
-const unreportedFor = 3 * time.Second
+// unreportedTimeout is how long a router without a report is assumed to send as much as this one: several intervals of full reports.
+// With a longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for them, and
+// refuse requests although engines are idle until the partition ends.
+const unreportedTimeout = 3 * time.Second
 
-// unreported returns the number of registered routers that have not reported yet what they have on the upstreams.
-func (p *peers) unreported(now time.Time, summed func(*knownPeer) bool) int {
+// unreported returns the number of registered routers whose loads are not known yet; inSummary reports whether a summary includes them.
+func (p *peers) unreported(now time.Time, inSummary func(*knownPeer) bool) int {
 	n := 0
-	for _, known := range p.present {
-		if known.registered && !known.whole && now.Sub(known.since) < unreportedFor && !summed(known) {
+	for _, known := range p.byNode {
+		if known.registered && !known.fullyReported && now.Sub(known.knownSince) < unreportedTimeout && !inSummary(known) {
 			n++
 		}
 	}
 	return n
 }
 
-// unreported leaves out the routers that a relay's summary holds.
+// unreported returns the number of routers without a report, except those that a relay's summary includes.
 func (c *control) unreported(now time.Time) int {
 	return c.peers.unreported(now, func(p *knownPeer) bool {
-		return c.relayed.from != "" || c.relayed.domains[p.Domain] != ""
+		return c.relay.relayNode != "" || c.relay.domainRelays[p.Domain] != ""
 	})
 }
 
-// drop forgets unregistered routers that are silent; it reports whether there were any.
-func (p *peers) drop(now time.Time) bool {
+// dropSilent removes unregistered routers that have sent nothing for peerSilenceTimeout. It reports whether it removed any.
+func (p *peers) dropSilent(now time.Time) bool {
 	dropped := false
-	for node, known := range p.present {
-		if !known.registered && now.Sub(known.seenAt) > silentAfter {
-			delete(p.present, node)
+	for node, known := range p.byNode {
+		if !known.registered && now.Sub(known.seenAt) > peerSilenceTimeout {
+			delete(p.byNode, node)
 			dropped = true
 		}
 	}
@@ -125,8 +126,8 @@
 
 // registered returns the registered routers.
 func (p *peers) registered() []pomelorelay.Peer {
-	list := make([]pomelorelay.Peer, 0, len(p.present)+1)
-	for _, known := range p.present {
+	list := make([]pomelorelay.Peer, 0, len(p.byNode)+1)
+	for _, known := range p.byNode {
 		if known.registered {
 			list = append(list, known.Peer)
 		}
@@ -134,10 +135,10 @@
 	return list
 }
 
-// list returns the routers that can be dialled.
-func (p *peers) list() []pomelorelay.Peer {
-	list := make([]pomelorelay.Peer, 0, len(p.present))
-	for _, known := range p.present {
+// dialable returns the routers with a known address.
+func (p *peers) dialable() []pomelorelay.Peer {
+	list := make([]pomelorelay.Peer, 0, len(p.byNode))
+	for _, known := range p.byNode {
 		if known.Addr.IsValid() {
 			list = append(list, known.Peer)
 		}
@@ -145,38 +146,38 @@
 	return list
 }
 
-// applyPeers takes in what changed among the registered routers.
+// applyPeers applies a change of the registered routers.
 func (c *control) applyPeers(now time.Time, change *pomelorelay.FleetChange) {
 	if change.Whole {
-		for node := range c.peers.present {
+		for node := range c.peers.byNode {
 			c.peers.unregister(node)
 		}
 	}
 	for _, p := range change.Peers {
 		if p.Node != c.e.cfg.Settings.Self.Node {
-			c.peers.put(now, p)
+			c.peers.register(now, p)
 		}
 	}
 	for _, node := range change.GonePeers {
 		c.peers.unregister(node)
 	}
-	dropped := c.peers.drop(now)
+	dropped := c.peers.dropSilent(now)
 	if dropped || change.Whole || len(change.Peers)+len(change.GonePeers) > 0 {
 		c.setPeers()
 	}
 }
 
 func (c *control) setPeers() {
-	list := c.peers.list()
+	list := c.peers.dialable()
 	c.e.mesh.SetPeers(list)
 	c.placer.SetRouters(c.peers.registered())
 	c.e.log(pomelorelay.EventPeersChanged, field("Peers", len(list)))
 }
 
-// keepRegistered keeps this router's entry in the store, so that the others find it.
+// keepRegistered registers this router in the store and renews the registration, so that the others find it.
 func (e *Entry) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
-	e.follow(ctx, followed{name: "registration", pace: renewEvery, call: func(bool) error {
+	e.runStoreTask(ctx, storeTask{name: "registration", minInterval: renewInterval, call: func(bool) error {
 		if lease == 0 {
 			opened, err := e.cfg.Platform.Announce(ctx, e.cfg.Settings.Self, registrationTTL)
 			e.metrics.CountStoreCall("announce", "registration", pomelorelay.CodeOf(err))
@@ -195,8 +196,8 @@
 	if lease == 0 {
 		return
 	}
-	// ctx has ended; the entry would lapse by itself, a little later.
-	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveWait)
+	// ctx has ended. Without this call the registration would lapse a little later.
+	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
 	err := e.cfg.Platform.CloseLease(left, lease)
 	e.metrics.CountStoreCall("close", "registration", pomelorelay.CodeOf(err))
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -10,17 +10,17 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Many upstreams are down, and one account floods the fleet. Its requests find those that are down and ask for another place; let in
-// there as if they were within its share, the flood takes the engines that live, and other accounts see their requests refused.
-func TestAFloodStaysBeyondItsShareWhenUpstreamsAreDown(t *testing.T) {
-	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
+// Guards against a flooding account whose retries after unreachable upstreams skip the share check: the flood would take the live
+// engines, and requests of other accounts would be refused.
+func TestFloodStaysOverShareWhenUpstreamsAreDown(t *testing.T) {
+	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
 	flood := func(again, charged bool) pomeloplace.Reason {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Account: "flood", Cost: 1000, Again: again, Charged: charged, Place: pomeloplace.Request{
+		return d.Place(now, pomeloforward.PlacementRequest{Account: "flood", Cost: 1000, Retry: again, Charged: charged, Request: pomeloplace.Request{
 			Service: "s", PromptTokens: 100, OutputTokens: 100, Target: time.Second, MaxWait: 10 * time.Second,
 		}}).Reason
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// A router starts while the links to another region are cut, but the store still lists the routers there. Taken to send as much as this one for as
-// long as they are not heard, they would have most of each engine kept free for them, and callers would be refused beside idle engines.
-func TestRoutersThatAreNeverHeardCountForAMomentOnly(t *testing.T) {
+// Guards against a router that, started while another region is cut off, counts the routers there for ever as sending as much as it
+// does: most of each engine would stay reserved for them, and requests would be refused although engines are idle.
+func TestUnreportedRoutersStopCountingAfterTimeout(t *testing.T) {
 	for _, c := range []struct {
 		passed time.Duration
 		want   int
@@ -63,17 +63,17 @@
 	}
 }
 
-// The balancer sends most callers of one account to a host that is full. What it refuses unread counts for nobody, and the routers think that
-// the account wants no more than it gets: another account takes twice as much, and the first one's callers go on being refused.
-func TestWhatAFullRouterRefusesCountsAsAsked(t *testing.T) {
-	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
+// Guards against requests refused unread that do not count as demand. The load balancer sends most callers of one account to a full
+// host; routers would assume that the account is satisfied, and another account would get twice as much while its callers are refused.
+func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
+	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 64})
 	now := time.Now()
 	other := func() pomeloplace.ShareState {
 		now = now.Add(500 * time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Account: "other", Cost: 5000, Place: pomeloplace.Request{
+		return d.Place(now, pomeloforward.PlacementRequest{Account: "other", Cost: 5000, Request: pomeloplace.Request{
 			Service: "s", PromptTokens: 100, OutputTokens: 10, Target: time.Second, MaxWait: 10 * time.Second,
 		}}).Share
 	}
@@ -89,17 +89,17 @@
 	}
 }
 
-// Two relays hand on the same reports for a moment, one of them later, and a router that was restarted is still told of by its former
-// process. Taken after a newer report, an old one brings back work that has ended: the engine looks full, and requests are refused there.
-func TestLateReportsAreLeftOut(t *testing.T) {
-	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
+// Guards against late load reports, as from two relays forwarding the same reports or from the former process of a restarted router.
+// Applied after a newer report, an old one restores finished requests; the engine appears full, and requests are refused.
+func TestLateReportsAreIgnored(t *testing.T) {
+	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
 	running := func() int {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Place: pomeloplace.Request{Service: "s", PromptTokens: 100, Target: time.Nanosecond, MaxWait: time.Nanosecond}}).Running
+		return d.Place(now, pomeloforward.PlacementRequest{Request: pomeloplace.Request{Service: "s", PromptTokens: 100, Target: time.Nanosecond, MaxWait: time.Nanosecond}}).Running
 	}
 	report := func(seq uint64, runs uint32, served pomelorelay.Cost) *pomelorelay.LoadReport {
 		return &pomelorelay.LoadReport{
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -9,82 +9,81 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// event is something that the control goroutine takes in.
+// event is an input of the control goroutine.
 type event interface {
 	apply(c *control, now time.Time)
 }
 
-// placement implements pomeloforward.Placement by events to the control goroutine.
+// placement implements pomeloforward.Placement by posting events to the control goroutine.
 type placement struct{ e *Entry }
 
-// Place returns a ticket or a refusal; it fails when ctx ends first.
-func (p placement) Place(ctx context.Context, w pomeloforward.Work) (pomeloforward.Ticket, pomeloplace.Decision, error) {
-	asked := &placeAsked{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
+// Place returns a reservation or a refusal; it fails when ctx ends first.
+func (p placement) Place(ctx context.Context, w pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
+	request := &placementRequested{ctx: ctx, work: w, answer: make(chan pomeloplace.Decision, 1)}
 	select {
-	case p.e.events <- asked:
+	case p.e.events <- request:
 	case <-ctx.Done():
 		return nil, pomeloplace.Decision{}, ctx.Err()
 	}
-	// The control goroutine answers within microseconds, or finds the request gone: waiting for ctx too would leave a run that
-	// nobody ends.
-	d := <-asked.answer
+	// The control goroutine answers within microseconds or finds ctx done. Waiting for ctx here could leave a run that is never ended.
+	d := <-request.answer
 	if d.Run == nil {
 		return nil, d, ctx.Err()
 	}
-	return ticket{e: p.e, run: d.Run, work: w}, d, nil
+	return reservation{e: p.e, run: d.Run, work: w}, d, nil
 }
 
-// placeAsked is posted by a request that wants a place.
-type placeAsked struct {
+// placementRequested is posted by a request that needs an upstream.
+type placementRequested struct {
 	ctx    context.Context
-	work   pomeloforward.Work
+	work   pomeloforward.PlacementRequest
 	answer chan pomeloplace.Decision
 }
 
-func (a *placeAsked) apply(c *control, now time.Time) {
-	if a.ctx.Err() != nil {
-		a.answer <- pomeloplace.Decision{}
+func (r *placementRequested) apply(c *control, now time.Time) {
+	if r.ctx.Err() != nil {
+		r.answer <- pomeloplace.Decision{}
 		return
 	}
-	a.answer <- c.place(now, a.work)
+	r.answer <- c.place(now, r.work)
 }
 
-// ticket implements pomeloforward.Ticket.
-type ticket struct {
+// reservation implements pomeloforward.Reservation.
+type reservation struct {
 	e    *Entry
 	run  *pomeloplace.Run
-	work pomeloforward.Work
+	work pomeloforward.PlacementRequest
 }
 
-// Begun notes that the answer began.
-func (t ticket) Begun() { t.e.post(&begun{t.run}) }
+// AnswerBegan records the start of the answer.
+func (t reservation) AnswerBegan() { t.e.post(&answerBegan{t.run}) }
 
-// Ended notes how the run ended.
-func (t ticket) Ended(r pomeloplace.Result) { t.e.post(&ended{t.run, t.work, r}) }
+// Done records the result of the run.
+func (t reservation) Done(r pomeloplace.Result) { t.e.post(&runEnded{t.run, t.work, r}) }
 
-type begun struct{ run *pomeloplace.Run }
+type answerBegan struct{ run *pomeloplace.Run }
 
-func (b *begun) apply(c *control, now time.Time) { c.placer.RecordAnswerStart(now, b.run) }
+func (b *answerBegan) apply(c *control, now time.Time) { c.placer.RecordAnswerStart(now, b.run) }
 
-type ended struct {
+type runEnded struct {
 	run    *pomeloplace.Run
-	work   pomeloforward.Work
+	work   pomeloforward.PlacementRequest
 	result pomeloplace.Result
 }
 
-// apply ends a run. What surely did not run is given back to its account: while upstreams are down, an account whose requests find
-// them first would use up its share by nothing, and see the rest refused.
-func (d *ended) apply(c *control, now time.Time) {
-	c.placer.RecordEnd(now, d.run, d.result)
-	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
-		c.shares.Refund(d.work.Account, d.work.Cost)
+// apply ends a run. The cost of a request that did not run is returned to its account: otherwise, while upstreams are down, an
+// account whose requests hit them first would use up its share without service and get its other requests refused.
+func (e *runEnded) apply(c *control, now time.Time) {
+	c.placer.RecordEnd(now, e.run, e.result)
+	if e.result.NotRun() && e.work.Cost > 0 && e.work.Account != "" && !e.work.Charged {
+		c.shares.Refund(e.work.Account, e.work.Cost)
 	}
 }
 
-// refusedUnread is posted when a full router refused a request before it was read.
+// refusedUnread is posted when a full router has refused a request before reading it.
 type refusedUnread struct {
 	account pomelorelay.AccountID
 	cost    pomelorelay.Cost
 }
 
-func (f *refusedUnread) apply(c *control, _ time.Time) { c.shares.RecordRequest(f.account, f.cost) }
+func (r *refusedUnread) apply(c *control, _ time.Time) { c.shares.RecordRequest(r.account, r.cost) }
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// askAfter is how long a router that lacks something waits for the store, which answers in 4 ms when it is well.
-	askAfter = 300 * time.Millisecond
-	// askEvery is the time between two asks: an answer from another region takes 25 ms, and holds the whole configuration.
-	askEvery = 500 * time.Millisecond
+	// stateRequestDelay is how long a router that lacks state waits for the store, which answers in 4 ms when healthy.
+	stateRequestDelay = 300 * time.Millisecond
+	// stateRequestInterval is the time between two requests. An answer from another region takes 25 ms and holds the whole configuration.
+	stateRequestInterval = 500 * time.Millisecond
 )
 
-// asks holds since when this router lacks something that its peers may have, and when it last asked for it.
-type asks struct {
-	since   time.Time
-	askedAt time.Time
-	// missedAt is when it last asked because it missed an update.
-	missedAt time.Time
+// stateRequests holds since when this router lacks state that peers may have, and when it last requested it.
+type stateRequests struct {
+	since       time.Time
+	requestedAt time.Time
+	// gapRequestedAt is when it last requested the full state because it had missed an update.
+	gapRequestedAt time.Time
 }
 
-// lacks reports whether the router cannot serve, or stands alone, while the store is silent.
-func (c *control) lacks(now time.Time) bool {
-	if now.Sub(c.upstreams.listedAt) <= c.e.ofDrain(silentPart) {
+// lacksState reports whether the store is silent and the router cannot serve or has no peers.
+func (c *control) lacksState(now time.Time) bool {
+	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return false
 	}
-	return c.config == nil || !c.e.cursor.begun() || len(c.peers.present) == 0
+	return c.config == nil || !c.e.cursor.hasRead() || len(c.peers.byNode) == 0
 }
 
-// askForState asks a peer, or the seeds while none is known, for what the store does not answer. A router that starts while the store is
-// away would refuse every request until the store is back, beside neighbours that serve; one that is parted from the store before it read
-// the list of routers would go on with dropped routes and keys.
-func (c *control) askForState(now time.Time) {
-	if !c.lacks(now) {
-		c.asks.since, c.asks.askedAt = time.Time{}, time.Time{}
+// requestMissingState requests the missing state from a peer, or from the seeds while no peer is known. Otherwise a router started
+// in a store outage would refuse every request while its neighbours serve, and one cut off before it read the list of routers would
+// keep serving removed routes and keys.
+func (c *control) requestMissingState(now time.Time) {
+	if !c.lacksState(now) {
+		c.stateRequests.since, c.stateRequests.requestedAt = time.Time{}, time.Time{}
 		return
 	}
-	if c.asks.since.IsZero() {
-		c.asks.since = now
+	if c.stateRequests.since.IsZero() {
+		c.stateRequests.since = now
 	}
-	if now.Sub(c.asks.since) < askAfter || now.Sub(c.asks.askedAt) < askEvery {
+	if now.Sub(c.stateRequests.since) < stateRequestDelay || now.Sub(c.stateRequests.requestedAt) < stateRequestInterval {
 		return
 	}
-	c.asks.askedAt = now
-	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.begun()}
-	// Any peer will do, another one each time: the first may lack as much as this router.
-	for node := range c.peers.present {
+	c.stateRequests.requestedAt = now
+	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.hasRead()}
+	// Map iteration order varies the peer, because any one may lack the same state.
+	for node := range c.peers.byNode {
 		c.send(node, m)
 		return
 	}
@@ -62,16 +62,16 @@
 	}
 }
 
-// askState asks the sender of an update for everything, since an update before it was missed.
-func (c *control) askState(now time.Time, from pomelorelay.NodeID) {
-	if now.Sub(c.asks.missedAt) < askEvery {
+// requestFullState requests the full state from the sender of an update that follows a missed one.
+func (c *control) requestFullState(now time.Time, from pomelorelay.NodeID) {
+	if now.Sub(c.stateRequests.gapRequestedAt) < stateRequestInterval {
 		return
 	}
-	c.asks.missedAt = now
+	c.stateRequests.gapRequestedAt = now
 	c.send(from, &pomelorelay.StateAsk{Above: c.version(), Upstreams: true})
 }
 
-// sendState answers a router that asks. It answers also when it has nothing, so that both have each other's address.
+// sendState answers a state request, even without any state, so that both routers learn each other's address.
 func (c *control) sendState(to pomelorelay.NodeID, ask *pomelorelay.StateAsk) {
 	m := &pomelorelay.FleetState{Peers: append(c.peers.registered(), c.e.cfg.Settings.Self)}
 	if c.config != nil && c.config.Version > ask.Above {
@@ -81,7 +81,7 @@
 		m.At = c.e.cursor.get()
 		m.Evacuated = slices.Sorted(maps.Keys(c.evacuated))
 		for id, u := range c.upstreams.present {
-			if _, lapses := c.upstreams.lapsed[id]; !lapses {
+			if _, lapsed := c.upstreams.lapsed[id]; !lapsed {
 				m.Upstreams = append(m.Upstreams, u)
 			}
 		}
@@ -91,10 +91,10 @@
 	}
 }
 
-// takeState takes what a peer has, in so far as it is newer than what this router has.
-func (c *control) takeState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) {
+// applyPeerState applies the state of a peer where it is newer than this router's.
+func (c *control) applyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) {
 	if len(m.Document) > 0 {
-		c.takePush(now, from, &pomelorelay.ConfigPush{Root: m.Document})
+		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
 	}
 	change := pomelorelay.FleetChange{At: m.At, Whole: m.At > 0, Upstreams: m.Upstreams, Peers: m.Peers, Evacuated: m.Evacuated}
 	switch {
@@ -102,7 +102,7 @@
 		c.applyUpstreams(now, &change, false, string(from))
 		c.applyEvacuations(now, &change, string(from))
 		c.applyPeers(now, &change)
-	case !c.e.cursor.begun():
+	case !c.e.cursor.hasRead():
 		c.applyPeers(now, &change)
 	}
 	c.e.log(pomelorelay.EventStateFromPeer, field("Node", from), field("Generation", uint64(c.version())), field("Revision", uint64(m.At)), field("Upstreams", len(m.Upstreams)), field("Peers", len(m.Peers)))
--- /dev/null
+++ b/pomeloentry/storereader.go
@@ -0,0 +1,289 @@
+package pomeloentry
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/pomelorelay/pomelorelay"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// One router of the fleet reads the store and sends the changes to the relays of the other failure domains, which forward them to the
+// other routers of their domains, their neighbours. The read order follows from the registrations, so every router computes the same
+// one: the relay of the first domain reads continuously, each later router only after a longer time without updates.
+
+const (
+	// readIntervalFraction is the minimum time between two reads, as a fraction of the drain wait (the time after which a leaving upstream
+	// must get no requests). Upstreams write all the time, so a watch without it would return continuously.
+	readIntervalFraction = 0.2
+	// watchWaitFraction is how long a read waits for a change, as a fraction of the drain wait.
+	watchWaitFraction = 0.2
+	// takeoverFraction is the time without updates after which the second router in order reads, as a fraction of the drain wait;
+	// takeoverStepFraction is added for each further one. A live reader is silent for at most its read interval plus its watch wait.
+	takeoverFraction     = 0.5
+	takeoverStepFraction = 0.03
+	// takeoverPollInterval is how often a router checks whether it must read.
+	takeoverPollInterval = 200 * time.Millisecond
+	// startupDelayWork is the base startup delay of a router with the power of one core; the delay is inversely proportional to power.
+	// The most powerful routers thus read first and spare the others the calls.
+	startupDelayWork = 250 * time.Millisecond
+	// maxStartupDelay bounds the startup delay.
+	maxStartupDelay = 3 * time.Second
+)
+
+// cursor is the store revision up to which this router has all changes.
+type cursor struct {
+	mu sync.Mutex
+	at pomelorelay.Revision
+}
+
+func (c *cursor) get() pomelorelay.Revision {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.at
+}
+
+// hasRead reports whether the router has the complete state of some revision.
+func (c *cursor) hasRead() bool { return c.get() > 0 }
+
+// advance moves the cursor over a change between two revisions. It returns false when the change is old or an earlier one is missing.
+func (c *cursor) advance(after, at pomelorelay.Revision, complete bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if at < c.at || (!complete && (c.at == 0 || after != c.at)) {
+		return false
+	}
+	c.at = at
+	return true
+}
+
+// isBehind reports whether the cursor is before the revision, so that a change is missing.
+func (c *cursor) isBehind(at pomelorelay.Revision) bool { return at > c.get() }
+
+// readStoreLoop reads the store whenever shouldRead reports that this router must.
+func (e *Entry) readStoreLoop(ctx context.Context) {
+	started := time.Now()
+	delay := e.startupDelay()
+	e.runStoreTask(ctx, storeTask{name: "store", probesStore: true, call: func(failed bool) error {
+		if e.cursor.hasRead() && (time.Since(started) < delay || !e.shouldRead()) {
+			sleep(ctx, takeoverPollInterval)
+			return nil
+		}
+		began := time.Now()
+		if err := e.read(ctx, failed); err != nil {
+			return err
+		}
+		sleep(ctx, e.scaledDrainWait(readIntervalFraction)-time.Since(began))
+		return nil
+	}})
+}
+
+// startupDelay returns how long after its start the router waits for updates before its second read.
+func (e *Entry) startupDelay() time.Duration {
+	power := e.cfg.Settings.Self.Power
+	if power <= 0 {
+		return 0
+	}
+	spread := 1 + float64(xxhash.Sum64String(string(e.cfg.Settings.Self.Node))>>11)/(1<<53)
+	return min(time.Duration(spread/power*float64(startupDelayWork)), maxStartupDelay)
+}
+
+// shouldRead reports whether this router must read the store now.
+func (e *Entry) shouldRead() bool {
+	delay := e.readDelay.Load()
+	return delay == 0 || e.cfg.Clock.Now().UnixNano()-e.lastUpdateAt.Load() >= delay
+}
+
+// read reads the complete state at first and after the store compacted its history, and changes otherwise.
+func (e *Entry) read(ctx context.Context, failed bool) error {
+	after := e.cursor.get()
+	if after == 0 {
+		// Changes missing from a stale read arrive with the first update.
+		return e.readAll(ctx, "start", !failed)
+	}
+	change, err := e.cfg.Platform.Watch(ctx, after, e.scaledDrainWait(watchWaitFraction))
+	e.metrics.CountStoreCall("watch", e.readerRole(), pomelorelay.CodeOf(err))
+	if pomelorelay.IsErrCode(err, pomelorelay.CodeStoreCompacted) {
+		return e.readAll(ctx, "compacted", false)
+	}
+	if err != nil {
+		return err
+	}
+	e.postRead(ctx, &storeRead{change: change, after: after, recovered: failed})
+	return nil
+}
+
+func (e *Entry) readAll(ctx context.Context, cause string, allowStale bool) error {
+	change, err := e.cfg.Platform.Read(ctx, allowStale)
+	e.metrics.CountStoreCall("read", cause, pomelorelay.CodeOf(err))
+	if err != nil {
+		return err
+	}
+	e.postRead(ctx, &storeRead{change: change, stale: allowStale})
+	return nil
+}
+
+func (e *Entry) readerRole() string {
+	if e.readDelay.Load() == 0 {
+		return "first"
+	}
+	return "takeover"
+}
+
+// postRead sends a read result to the control goroutine and waits until it is applied, because the next read starts after it.
+func (e *Entry) postRead(ctx context.Context, r *storeRead) {
+	r.done = make(chan struct{})
+	if !e.post(r) {
+		return
+	}
+	select {
+	case <-r.done:
+	case <-ctx.Done():
+	}
+}
+
+// storeRead is posted for each answer of the store. after is the revision the watch started from; recovered is set for the first
+// answer after a failure.
+type storeRead struct {
+	change    pomelorelay.FleetChange
+	after     pomelorelay.Revision
+	stale     bool
+	recovered bool
+	done      chan struct{}
+}
+
+func (r *storeRead) apply(c *control, now time.Time) {
+	defer close(r.done)
+	if !c.e.cursor.advance(r.after, r.change.At, r.change.Whole) {
+		// Another router's update arrived first; the next read starts after that.
+		return
+	}
+	if !r.stale {
+		c.sendUpdate(now, c.updateFrom(r))
+	}
+	c.applyChange(now, &r.change, r.recovered, "store")
+}
+
+// updateFrom returns the parts of a change that the other routers lack; heartbeats that change nothing are left out.
+func (c *control) updateFrom(r *storeRead) *pomelorelay.FleetUpdate {
+	m := &pomelorelay.FleetUpdate{After: r.after, At: r.change.At, Whole: r.change.Whole, GoneUpstreams: r.change.GoneUpstreams, GonePeers: r.change.GonePeers, Evacuated: r.change.Evacuated, Restored: r.change.Restored}
+	if r.change.Config != nil {
+		// The others advance to this revision. If this router died next, none of them would read the configuration again.
+		m.Document = r.change.Config.Document
+	}
+	for _, u := range r.change.Upstreams {
+		_, lapsed := c.upstreams.lapsed[u.ID]
+		if m.Whole || lapsed || c.upstreams.present[u.ID] != u {
+			m.Upstreams = append(m.Upstreams, u)
+		}
+	}
+	for _, p := range r.change.Peers {
+		if known := c.peers.byNode[p.Node]; m.Whole || known == nil || !known.registered || known.Peer != p {
+			m.Peers = append(m.Peers, p)
+		}
+	}
+	return m
+}
+
+// applyChange applies a change of the store; source names the router that read it.
+func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
+	if change.ConfigFault != nil {
+		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigFault))), field("Fault", change.ConfigFault.Error()))
+	}
+	if change.Config != nil {
+		c.setConfig(now, change.Config, source)
+	}
+	c.applyUpstreams(now, change, recovered, source)
+	c.applyEvacuations(now, change, source)
+	c.applyPeers(now, change)
+}
+
+// sendUpdate sends an update to the relays of the other failure domains, and to the neighbours directly or through their relay.
+func (c *control) sendUpdate(now time.Time, m *pomelorelay.FleetUpdate) {
+	self := c.e.cfg.Settings.Self
+	for _, domain := range c.domains() {
+		if node, ok := c.relayOf(now, domain); ok && node != self.Node {
+			c.send(node, m)
+		}
+	}
+	if c.isRelay(now) {
+		c.forwardUpdate(self.Node, m)
+	}
+}
+
+// forwardUpdate sends an update to the neighbours.
+func (c *control) forwardUpdate(from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
+	forwarded := *m
+	forwarded.Forwarded = true
+	for node, p := range c.peers.byNode {
+		if p.Domain == c.e.cfg.Settings.Self.Domain && node != from {
+			c.send(node, &forwarded)
+		}
+	}
+}
+
+// receiveUpdate applies an update from the reader. If an earlier update is missing, the router requests the full state.
+func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
+	applied := c.e.cursor.advance(m.After, m.At, m.Whole)
+	missed := !applied && c.e.cursor.isBehind(m.At)
+	if applied || missed || m.At == c.e.cursor.get() {
+		c.e.lastUpdateAt.Store(now.UnixNano())
+		c.e.storeRecovered.signal()
+	}
+	if !m.Forwarded && c.isRelay(now) {
+		c.forwardUpdate(from, m)
+	}
+	if len(m.Document) > 0 {
+		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
+	}
+	if missed {
+		c.requestFullState(now, from)
+	}
+	if applied {
+		change := pomelorelay.FleetChange{
+			At: m.At, Whole: m.Whole, Upstreams: m.Upstreams, GoneUpstreams: m.GoneUpstreams, Peers: m.Peers, GonePeers: m.GonePeers,
+			Evacuated: m.Evacuated, Restored: m.Restored,
+		}
+		c.applyChange(now, &change, false, string(from))
+	}
+}
+
+// domains returns the failure domains of this router and of its peers, sorted so that all routers use the same order.
+func (c *control) domains() []pomelorelay.DomainID {
+	all := []pomelorelay.DomainID{c.e.cfg.Settings.Self.Domain}
+	for _, p := range c.peers.byNode {
+		if p.Domain != "" && !slices.Contains(all, p.Domain) {
+			all = append(all, p.Domain)
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+// updateReadDelay computes the time without updates after which this router reads the store. It is zero for the relay of the first
+// failure domain and grows with the position: first the other relays in order, then all other routers in the order of a hash.
+func (c *control) updateReadDelay(now time.Time) {
+	self := c.e.cfg.Settings.Self
+	rank, position := 0, -1
+	for _, domain := range c.domains() {
+		node, ok := c.relayOf(now, domain)
+		if !ok {
+			continue
+		}
+		if node == self.Node {
+			position = rank
+		}
+		rank++
+	}
+	if position < 0 {
+		position = rank + int(xxhash.Sum64String(string(self.Node))%uint64(len(c.peers.byNode)+1))
+	}
+	delay := time.Duration(0)
+	if position > 0 {
+		delay = c.e.scaledDrainWait(takeoverFraction + takeoverStepFraction*float64(position-1))
+	}
+	c.e.readDelay.Store(int64(delay))
+}
--- a/pomeloentry/warmup_test.go
+++ b/pomeloentry/warmup_test.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Guards against a router that sends to an upstream although its entry says that it is cold, and against one that never takes it for warm.
-func TestAColdUpstreamIsLeftOutUntilItIsWarm(t *testing.T) {
+// Guards against a router that sends requests to an upstream registered as cold, and against one that never treats it as warm.
+func TestColdUpstreamGetsNoRequestsUntilWarm(t *testing.T) {
 	const left = 2 * time.Second
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -12,13 +12,13 @@
 )
 
 var (
-	errUnsigned = errors.New("a success without its upstream's mark")
-	errEncoded  = errors.New("an answer in an encoding that nobody asked for")
-	errPromise  = errors.New("a status that promises that the request did not run, of an upstream that does not say so")
-	errFailed   = errors.New("the upstream failed the request")
+	errUnsigned    = errors.New("success status without the upstream's signature field")
+	errEncoded     = errors.New("answer has a content encoding that was not requested")
+	errFalseNotRun = errors.New("status states that the request did not run, but the upstream did not confirm it")
+	errFailed      = errors.New("upstream answered with a server error")
 )
 
-// checkHead refuses heads that must not reach the caller.
+// checkHead fails when the head of an answer must not reach the caller.
 func (c *call) checkHead(x *pomelolink.Exchange) *pomelolink.Failure {
 	resp := x.Response
 	answer := c.h.cfg.Wire.ReadAnswer(resp)
@@ -30,10 +30,10 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		// Passed on, these would promise the caller that its request never ran.
-		return malformed(errPromise)
+		// Callers interpret these statuses as proof that the request never ran.
+		return malformed(errFalseNotRun)
 	}
-	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answering {
+	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answerStarted {
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeUpstreamFailed, errFailed)
 	}
 	return nil
@@ -43,27 +43,27 @@
 	return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerMalformed, cause)
 }
 
-// passPlain passes an answer on. A short one is held until it is whole, so that a cut is seen before the caller gets a status;
-// of a long one, a cut closes the caller's connection.
-func (c *call) passPlain(x *pomelolink.Exchange) *pomelolink.Failure {
-	held := c.h.buffers.Body()
-	defer c.h.buffers.PutBody(held)
-	_, err := held.ReadFrom(io.LimitReader(x.Response.Body, bufferAnswer+1))
+// forwardPlain forwards an answer. It buffers a short one completely, so that a cut is detected before the caller gets a status.
+// If a long one is cut, the caller's connection is closed.
+func (c *call) forwardPlain(x *pomelolink.Exchange) *pomelolink.Failure {
+	buffer := c.h.buffers.Body()
+	defer c.h.buffers.PutBody(buffer)
+	_, err := buffer.ReadFrom(io.LimitReader(x.Response.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return x.Broken(err)
 	}
-	if held.Len() > bufferAnswer {
-		return c.passLong(x, held)
+	if buffer.Len() > maxBufferedAnswer {
+		return c.forwardLong(x, buffer)
 	}
 	x.Whole = true
-	c.writeHead(x.Response, int64(held.Len()))
-	c.write(held.Bytes())
+	c.writeHead(x.Response, int64(buffer.Len()))
+	c.write(buffer.Bytes())
 	return nil
 }
 
-func (c *call) passLong(x *pomelolink.Exchange, held *bytes.Buffer) *pomelolink.Failure {
+func (c *call) forwardLong(x *pomelolink.Exchange, buffer *bytes.Buffer) *pomelolink.Failure {
 	c.writeHead(x.Response, x.Response.ContentLength)
-	c.write(held.Bytes())
+	c.write(buffer.Bytes())
 	chunk := c.h.buffers.Chunk()
 	defer c.h.buffers.PutChunk(chunk)
 	for {
@@ -79,7 +79,7 @@
 	}
 }
 
-// writeHead passes a head on; a length below zero is left to chunks.
+// writeHead forwards the head of an answer; a negative length selects chunked encoding.
 func (c *call) writeHead(resp *http.Response, length int64) {
 	pomelolink.RemoveHopHeaders(resp.Header)
 	head := c.w.Header()
@@ -90,13 +90,13 @@
 	if length >= 0 && resp.StatusCode != http.StatusNoContent && c.r.Method != http.MethodHead {
 		head.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	c.answering = true
+	c.answerStarted = true
 	c.status = resp.StatusCode
-	c.first = c.h.cfg.Clock.Now()
+	c.answerBeganAt = c.h.cfg.Clock.Now()
 	c.w.WriteHeader(resp.StatusCode)
 }
 
-// write passes bytes to the caller. A caller that is gone ends the call's context, which ends the reading.
+// write sends bytes to the caller. A write error is ignored: the loss of the caller ends the call's context, which ends the reading.
 func (c *call) write(p []byte) {
 	if len(p) > 0 {
 		_, _ = c.w.Write(p)
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -14,21 +14,21 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// run sends the request until it is answered or must not be sent again.
+// run sends the request until it is answered or may not be retried.
 func (c *call) run() {
-	if err := c.fitsStop(); err != nil {
+	if err := c.checkShutdown(); err != nil {
 		c.refuse(err)
 		return
 	}
-	if c.callerLeft() {
+	if c.callerGone() {
 		c.abandon()
 	}
-	budget := c.h.budget(c.service)
-	budget.Earn(budgetPart * c.h.cfg.RetryRatio)
+	budget := c.h.retryBudget(c.service)
+	budget.Earn(retryBudgetFraction * c.h.cfg.RetryRatio)
 	for {
 		f := c.attempt()
 		if f == nil {
-			c.served()
+			c.logServed()
 			return
 		}
 		if !c.mayRetry(f) || (f.Outcome != pomelolink.OutcomeNotSent && !budget.Spend()) {
@@ -40,44 +40,44 @@
 	}
 }
 
-// callerLeft reports whether the caller is known to have closed its connection.
-func (c *call) callerLeft() bool {
-	left := c.h.cfg.Left
-	return left != nil && left(c.r)
+// callerGone reports whether the caller is known to have closed its connection.
+func (c *call) callerGone() bool {
+	gone := c.h.cfg.CallerGone
+	return gone != nil && gone(c.r)
 }
 
-// abandon ends a request whose caller left before it was sent.
+// abandon ends a request whose caller disconnected before it was sent.
 func (c *call) abandon() {
-	c.note(endingGone, pomelorelay.EventRequestGone)
+	c.logEnding(endingGone, pomelorelay.EventRequestGone)
 	panic(http.ErrAbortHandler)
 }
 
 const (
-	// streamTime is how long most streams take, and plainTime is the same for other requests. One that begins later before a planned stop
-	// would be cut by it.
-	streamTime = 5 * time.Second
-	plainTime  = 700 * time.Millisecond
+	// typicalStreamTime is the duration of most streams, typicalPlainTime that of other requests. A request that starts with less time
+	// left before a planned stop would probably be cut.
+	typicalStreamTime = 5 * time.Second
+	typicalPlainTime  = 700 * time.Millisecond
 )
 
-// fitsStop refuses a request that the process could not end before it stops.
-func (c *call) fitsStop() error {
-	stopsIn, stopping := c.h.cfg.Stopping.StopsIn()
-	need := plainTime
+// checkShutdown refuses a request that would probably not end before the process stops.
+func (c *call) checkShutdown() error {
+	timeLeft, stopping := c.h.cfg.Shutdown.TimeLeft()
+	need := typicalPlainTime
 	if c.route.Kind == pomelorelay.RouteStream {
-		need = streamTime
+		need = typicalStreamTime
 	}
-	if !stopping || stopsIn > need {
+	if !stopping || timeLeft > need {
 		return nil
 	}
 	e := pomelorelay.NewError(pomelorelay.CodeStopping, "", nil)
-	// Another router takes it at once.
+	// Another router can accept it immediately.
 	e.RetryAfter = time.Millisecond
 	return e
 }
 
 // mayRetry reports whether the request may be sent again after the failure.
 func (c *call) mayRetry(f *pomelolink.Failure) bool {
-	if c.decision.Reason != pomeloplace.ReasonNone || c.r.Context().Err() != nil || c.left() <= 0 {
+	if c.decision.Reason != pomeloplace.ReasonNone || c.r.Context().Err() != nil || c.timeLeft() <= 0 {
 		return false
 	}
 	switch f.Outcome {
@@ -91,26 +91,26 @@
 	return false
 }
 
-// attempt finds a place for the request and sends it there once.
+// attempt reserves an upstream for the request and sends it there once.
 func (c *call) attempt() *pomelolink.Failure {
-	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(endSlack))
+	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(answerGrace))
 	defer cancel()
-	ticket, f := c.place(ctx)
+	reservation, f := c.place(ctx)
 	if f != nil {
 		return f
 	}
-	// Looked at as late as can be: on a processor that does not keep up, a second passes between the reading of a request and its place.
-	if c.callerLeft() {
-		ticket.Ended(pomeloplace.ResultNotSent)
+	// Checked as late as possible: on an overloaded processor, a second can pass between the reading of a request and its placement.
+	if c.callerGone() {
+		reservation.Done(pomeloplace.ResultNotSent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
-	before := c.ran
-	// Until the outcome is known the request counts as one that may have run, also when a defect ends this function.
-	c.ran = true
+	ranBefore := c.mayHaveRun
+	// Until the outcome is known the request counts as possibly run, even if this function panics.
+	c.mayHaveRun = true
 	result := pomeloplace.ResultCancelled
-	defer func() { ticket.Ended(result) }()
-	f = c.exchange(ctx, up, ticket)
+	defer func() { reservation.Done(result) }()
+	f = c.exchange(ctx, up, reservation)
 	result = resultOf(ctx, f)
 	if f == nil {
 		if c.route.Pause > 0 && c.longestPause > c.route.Pause {
@@ -118,25 +118,25 @@
 		}
 		return nil
 	}
-	if result == pomeloplace.ResultNotSent && c.callerLeft() {
-		c.ran = before
+	if result == pomeloplace.ResultNotSent && c.callerGone() {
+		c.mayHaveRun = ranBefore
 		c.abandon()
 	}
 	c.avoid = append(c.avoid, up.ID)
 	switch f.Outcome {
 	case pomelolink.OutcomeNotSent:
 		c.unreached++
-		c.ran = before
+		c.mayHaveRun = ranBefore
 	case pomelolink.OutcomeRefusedNotRun:
 		c.refused++
-		c.ran = before
+		c.mayHaveRun = ranBefore
 	default:
 		c.runs++
 	}
 	return f
 }
 
-// resultOf tells what an attempt says of its upstream. A caller that left says nothing of it.
+// resultOf returns the result of an attempt for its upstream. A caller's disconnect is not counted against the upstream.
 func resultOf(ctx context.Context, f *pomelolink.Failure) pomeloplace.Result {
 	switch {
 	case f == nil:
@@ -153,22 +153,22 @@
 	return pomeloplace.ResultFailed
 }
 
-func (c *call) place(ctx context.Context) (Ticket, *pomelolink.Failure) {
-	ticket, d, err := c.h.cfg.Placement.Place(ctx, c.work())
+func (c *call) place(ctx context.Context) (Reservation, *pomelolink.Failure) {
+	reservation, d, err := c.h.cfg.Placement.Place(ctx, c.placementRequest())
 	c.decision = d
 	if err != nil {
 		c.decision.Reason = pomeloplace.ReasonTooLate
 		return nil, pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeDeadline, err)
 	}
 	if d.Reason == pomeloplace.ReasonNone {
-		return ticket, nil
+		return reservation, nil
 	}
 	f := pomelolink.NewFailure(pomelolink.OutcomeNotSent, reasonCodes[d.Reason], nil)
 	f.Err.RetryAfter, f.Err.Detail = d.RetryAfter, string(d.Cause)
 	return nil, f
 }
 
-// reasonCodes are the codes of the refusals of placements.
+// reasonCodes maps the reasons of refused placements to result codes.
 var reasonCodes = map[pomeloplace.Reason]pomelorelay.ResultCode{
 	pomeloplace.ReasonNoUpstream:         pomelorelay.CodeNoUpstream,
 	pomeloplace.ReasonOverShare:          pomelorelay.CodeShareSpent,
@@ -179,45 +179,45 @@
 	pomeloplace.ReasonEvacuated:          pomelorelay.CodeEvacuated,
 }
 
-// generatedWeight is how much a generated token counts against one that is read, by the platform's word.
-const generatedWeight = 2
+// outputTokenWeight is the cost of a generated token relative to a prompt token, as the platform defines it.
+const outputTokenWeight = 2
 
-// outputOf returns how many tokens a request probably makes its engine generate.
-func outputOf(f pomelorelay.CallerFields) pomelorelay.Tokens {
+// expectedOutput returns the number of tokens that the engine will probably generate for a request.
+func expectedOutput(f pomelorelay.CallerFields) pomelorelay.Tokens {
 	if f.Guess > 0 {
 		return min(max(f.Guess, 1), max(f.Output, 1))
 	}
 	return f.Output
 }
 
-// costOf returns what a request counts towards its account's share.
-func costOf(f pomelorelay.CallerFields) pomelorelay.Cost {
-	return pomelorelay.Cost(f.Prompt + generatedWeight*outputOf(f))
+// requestCost returns the cost of a request that counts towards its account's share.
+func requestCost(f pomelorelay.CallerFields) pomelorelay.Cost {
+	return pomelorelay.Cost(f.Prompt + outputTokenWeight*expectedOutput(f))
 }
 
-func (c *call) work() Work {
-	return Work{
+func (c *call) placementRequest() PlacementRequest {
+	return PlacementRequest{
 		ID:      c.fields.ID,
 		Route:   c.route.Name,
 		Account: c.account,
-		Cost:    costOf(c.fields),
-		Again:   len(c.avoid) > 0,
+		Cost:    requestCost(c.fields),
+		Retry:   len(c.avoid) > 0,
 		Charged: c.runs > 0,
-		Place: pomeloplace.Request{
+		Request: pomeloplace.Request{
 			Service:      c.service,
 			PromptTokens: c.fields.Prompt,
-			OutputTokens: outputOf(c.fields),
+			OutputTokens: expectedOutput(c.fields),
 			Parts:        c.fields.Parts,
 			Target:       c.route.Target,
-			MaxWait:      c.left(),
+			MaxWait:      c.timeLeft(),
 			Avoid:        c.avoid,
 		},
 	}
 }
 
-// exchange sends the request to an upstream and passes its answer on.
-func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, ticket Ticket) *pomelolink.Failure {
-	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.request(up), Size: len(c.bytes()), Wanted: func() bool { return !c.callerLeft() }})
+// exchange sends the request to an upstream and forwards the answer.
+func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, reservation Reservation) *pomelolink.Failure {
+	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.upstreamRequest(up), Size: len(c.bodyBytes()), Wanted: func() bool { return !c.callerGone() }})
 	if f != nil {
 		return f
 	}
@@ -226,28 +226,28 @@
 		return f
 	}
 	if c.route.Kind == pomelorelay.RouteStream && x.Response.StatusCode == http.StatusOK {
-		return c.passStream(x, ticket)
+		return c.forwardStream(x, reservation)
 	}
-	ticket.Begun()
-	if c.answering {
-		// A stream that was to be taken up again got another answer than events; nothing of it can be passed on.
+	reservation.AnswerBegan()
+	if c.answerStarted {
+		// The upstream of a resumed stream answered without events, which cannot continue the stream.
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeStreamBroken, nil)
 	}
-	return c.passPlain(x)
+	return c.forwardPlain(x)
 }
 
-// request builds the request to an upstream: method, path, query and body as they came.
-func (c *call) request(up pomelorelay.FleetUpstream) *http.Request {
+// upstreamRequest builds the request to an upstream; method, path, query and body are unchanged.
+func (c *call) upstreamRequest(up pomelorelay.FleetUpstream) *http.Request {
 	head := c.r.Header.Clone()
 	pomelolink.RemoveHopHeaders(head)
 	head.Del("Content-Length")
 	head.Del("Expect")
 	if _, ok := head["User-Agent"]; !ok {
-		// An empty entry keeps net/http from adding a name of its own.
+		// An empty entry keeps net/http from adding its own User-Agent.
 		head["User-Agent"] = []string{""}
 	}
 	c.h.cfg.Wire.WriteUpstream(head, pomelorelay.UpstreamFields{
-		Wait: c.left(), Upstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
+		Wait: c.timeLeft(), Upstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
 	})
 	req := &http.Request{
 		Method:        c.r.Method,
@@ -255,10 +255,10 @@
 		Host:          c.r.Host,
 		Header:        head,
 		Body:          http.NoBody,
-		ContentLength: int64(len(c.bytes())),
+		ContentLength: int64(len(c.bodyBytes())),
 	}
-	if len(c.bytes()) > 0 {
-		req.Body = io.NopCloser(bytes.NewReader(c.bytes()))
+	if len(c.bodyBytes()) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(c.bodyBytes()))
 	}
 	return req
 }
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -12,43 +12,43 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// call is one caller's request on its way through the router.
+// call is the state of one caller's request.
 type call struct {
-	h       *Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	fields  pomelorelay.CallerFields
-	table   *pomelotable.Table
-	route   *pomelorelay.Route
-	account pomelorelay.AccountID
-	service pomelorelay.ServiceID
-	body    *bytes.Buffer
-	// deadline is the end of the caller's wait or of the route's timeout.
+	h         *Handler
+	w         http.ResponseWriter
+	r         *http.Request
+	arrivedAt time.Time
+	fields    pomelorelay.CallerFields
+	table     *pomelotable.Table
+	route     *pomelorelay.Route
+	account   pomelorelay.AccountID
+	service   pomelorelay.ServiceID
+	body      *bytes.Buffer
+	// deadline is the earlier of the caller's deadline and the route's timeout.
 	deadline time.Time
-	// answering is set once a byte of an answer went to the caller.
-	answering bool
-	// ran is set while and after an attempt whose request may have run.
-	ran bool
-	// runs, refused and unreached count the attempts by what became of them.
+	// answerStarted is set once the head of an answer was written to the caller.
+	answerStarted bool
+	// mayHaveRun is set during an attempt and after one whose request may have run.
+	mayHaveRun bool
+	// runs, refused and unreached count the attempts by outcome; runs are those that may have run.
 	runs, refused, unreached int
 	avoid                    []pomelorelay.UpstreamID
-	// lastEvent is the number of the last event that the caller has.
+	// lastEvent is the number of the last stream event that the caller has received.
 	lastEvent    uint64
 	hasLastEvent bool
-	// first is when the answer began; decision is the last placement.
-	first        time.Time
-	lastAt       time.Time
-	longestPause time.Duration
-	decision     pomeloplace.Decision
-	status       int
+	// answerBeganAt is when the answer began; decision is the last placement decision.
+	answerBeganAt time.Time
+	lastEventAt   time.Time
+	longestPause  time.Duration
+	decision      pomeloplace.Decision
+	status        int
 }
 
 func newCall(h *Handler, w http.ResponseWriter, r *http.Request) *call {
-	return &call{h: h, w: w, r: r, arrived: h.cfg.Clock.Now(), fields: h.cfg.Wire.ReadCaller(r.Header)}
+	return &call{h: h, w: w, r: r, arrivedAt: h.cfg.Clock.Now(), fields: h.cfg.Wire.ReadCaller(r.Header)}
 }
 
-// prepare finds out what the request is; it fails with a refusal, and nothing has run then.
+// prepare looks up the route, the account and the service and reads the body. On failure nothing has run.
 func (c *call) prepare() error {
 	c.table = c.h.cfg.Tables.Current()
 	if c.table == nil {
@@ -65,7 +65,7 @@
 	if c.service, ok = c.table.PickService(route, c.fields.ID); !ok {
 		return pomelorelay.NewError(pomelorelay.CodeNoUpstream, "the route has no service", nil)
 	}
-	c.bound()
+	c.setDeadline()
 	c.lastEvent, c.hasLastEvent = c.fields.LastEvent, c.fields.HasLastEvent
 	return c.readBody()
 }
@@ -82,20 +82,20 @@
 	return pomelorelay.NewError(pomelorelay.CodeUnauthorised, "", nil)
 }
 
-// defaultWait bounds a request whose caller and route both say nothing.
-const defaultWait = time.Minute
+// defaultTimeout bounds a request for which neither the caller nor the route sets a shorter timeout.
+const defaultTimeout = time.Minute
 
-func (c *call) bound() {
-	wait := defaultWait
+func (c *call) setDeadline() {
+	wait := defaultTimeout
 	if c.fields.Wait > 0 {
 		wait = min(wait, c.fields.Wait)
 	}
 	if c.route.Timeout > 0 {
 		wait = min(wait, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(wait)
-	// A caller that does not read would hold the handler and its buffers for ever.
-	_ = http.NewResponseController(c.w).SetWriteDeadline(c.deadline.Add(writeSlack))
+	c.deadline = c.arrivedAt.Add(wait)
+	// A caller that does not read would otherwise block the handler and hold its buffers for ever.
+	_ = http.NewResponseController(c.w).SetWriteDeadline(c.deadline.Add(writeGrace))
 }
 
 func (c *call) readBody() error {
@@ -122,15 +122,15 @@
 	return nil
 }
 
-func (c *call) bytes() []byte {
+func (c *call) bodyBytes() []byte {
 	if c.body == nil {
 		return nil
 	}
 	return c.body.Bytes()
 }
 
-// release gives the body's memory back.
-func (c *call) release() {
+// releaseBody returns the body's buffer to the pool.
+func (c *call) releaseBody() {
 	if c.body != nil {
 		c.h.buffers.PutBody(c.body)
 		c.body = nil
@@ -142,4 +142,4 @@
 	return c.route.Kind == pomelorelay.RouteIdempotent || (c.route.Kind == pomelorelay.RouteStream && c.route.Resumable)
 }
 
-func (c *call) left() time.Duration { return c.deadline.Sub(c.h.cfg.Clock.Now()) }
+func (c *call) timeLeft() time.Duration { return c.deadline.Sub(c.h.cfg.Clock.Now()) }
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloproblem"
 )
 
-// The endings of a request, as they are counted.
+// The endings of a request, as metric labels.
 const (
 	endingServed  = "served"
 	endingRefused = "refused"
@@ -20,25 +20,25 @@
 	endingGone    = "gone"
 )
 
-// served notes a request whose whole answer was passed on.
-func (c *call) served() {
-	c.note(endingServed, pomelorelay.EventRequestServed, pomelorelay.Field{Key: "Status", Value: c.status})
+// logServed logs a request whose complete answer was forwarded.
+func (c *call) logServed() {
+	c.logEnding(endingServed, pomelorelay.EventRequestServed, pomelorelay.Field{Key: "Status", Value: c.status})
 }
 
-// fail ends a request that is not sent again. One whose answer began has its connection closed, so that the caller takes what it
-// has for no whole answer.
+// fail ends a request that is not retried. If its answer has begun, the caller's connection is closed, so that the caller does not
+// treat the answer as complete.
 func (c *call) fail(f *pomelolink.Failure) {
 	fields := codeFields(f)
 	if errors.Is(c.r.Context().Err(), context.Canceled) {
-		c.note(endingGone, pomelorelay.EventRequestGone, fields...)
+		c.logEnding(endingGone, pomelorelay.EventRequestGone, fields...)
 		panic(http.ErrAbortHandler)
 	}
-	if c.answering {
-		c.note(endingCut, pomelorelay.EventRequestCut, fields...)
+	if c.answerStarted {
+		c.logEnding(endingCut, pomelorelay.EventRequestCut, fields...)
 		panic(http.ErrAbortHandler)
 	}
 	e := f.Err
-	if c.ran && e.Ran == pomelorelay.RanNo {
+	if c.mayHaveRun && e.Ran == pomelorelay.RanNo {
 		changed := *e
 		changed.Ran = pomelorelay.RanUnknown
 		e = &changed
@@ -54,37 +54,37 @@
 	}
 }
 
-// refuse answers with an error. The statuses that promise that a request never ran are used for just those.
+// refuse answers with an error. Statuses meaning that a request never ran are used only for such requests.
 func (c *call) refuse(err error) {
 	var e *pomelorelay.Error
 	if !errors.As(err, &e) {
 		e = pomelorelay.NewError(pomelorelay.CodeInternal, err.Error(), nil)
 	}
-	c.status = Refuse(c.w, e)
-	c.noteRefusal(e, c.status)
+	c.status = WriteError(c.w, e)
+	c.logRefusal(e, c.status)
 }
 
-// Refuse answers with an error and returns the status.
-func Refuse(w http.ResponseWriter, e *pomelorelay.Error) int {
+// WriteError answers with an error as a problem document and returns the HTTP status.
+func WriteError(w http.ResponseWriter, e *pomelorelay.Error) int {
 	p := pomeloproblem.New(e)
-	p.Status = status(p.Status, e.Ran)
+	p.Status = refusalStatus(p.Status, e.Ran)
 	head := w.Header()
 	head.Set("Content-Type", pomeloproblem.ContentType)
 	if p.Status == http.StatusServiceUnavailable {
 		head.Set("Retry-After", retryAfter(e))
 	}
 	w.WriteHeader(p.Status)
-	// A caller that is gone cannot be told; the server closes the connection.
+	// A write error is ignored: the caller has disconnected, and the server closes the connection.
 	_, _ = w.Write(p.Encode())
 	return p.Status
 }
 
-func (c *call) noteRefusal(e *pomelorelay.Error, status int) {
+func (c *call) logRefusal(e *pomelorelay.Error, status int) {
 	ending, event := endingFailed, pomelorelay.EventRequestFailed
 	if e.Ran == pomelorelay.RanNo {
 		ending, event = endingRefused, pomelorelay.EventRequestRefused
 	}
-	c.note(ending, event,
+	c.logEnding(ending, event,
 		pomelorelay.Field{Key: "Status", Value: status},
 		pomelorelay.Field{Key: "Code", Value: int(e.Code)},
 		pomelorelay.Field{Key: "Failure", Value: e.Error()},
@@ -96,8 +96,8 @@
 	)
 }
 
-// status makes a refusal before anything ran a 503, and keeps a failure after it from any status that would promise that.
-func status(given int, ran pomelorelay.Ran) int {
+// refusalStatus returns 503 for a refusal before the request ran, and replaces 503 by 502 for a request that may have run.
+func refusalStatus(given int, ran pomelorelay.Ran) int {
 	switch {
 	case ran == pomelorelay.RanNo && given >= http.StatusInternalServerError:
 		return http.StatusServiceUnavailable
@@ -107,32 +107,32 @@
 	return given
 }
 
-// retryAfter returns seconds with a fraction: whole ones would send every caller back a second late.
+// retryAfter returns fractional seconds; rounded up to whole ones, every caller would come back up to a second late.
 func retryAfter(e *pomelorelay.Error) string {
 	wait := e.RetryAfter
 	if wait <= 0 {
-		wait = refusedRetry
+		wait = defaultRetryAfter
 	}
 	return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)
 }
 
-// note writes the one line that tells how a request ended and by what it was decided.
-func (c *call) note(ending string, event pomelorelay.EventID, fields ...pomelorelay.Field) {
+// logEnding writes the request's final log line, with how it ended and what determined its placement.
+func (c *call) logEnding(ending string, event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	now := c.h.cfg.Clock.Now()
-	first := now.Sub(c.arrived)
-	if !c.first.IsZero() {
-		first = c.first.Sub(c.arrived)
+	first := now.Sub(c.arrivedAt)
+	if !c.answerBeganAt.IsZero() {
+		first = c.answerBeganAt.Sub(c.arrivedAt)
 	}
 	kind := pomelorelay.RouteKind("None")
 	if c.route != nil {
 		kind = c.route.Kind
 	}
-	c.h.cfg.Meter.ObserveAnswer(kind, ending, first, now.Sub(c.arrived))
+	c.h.cfg.Meter.ObserveAnswer(kind, ending, first, now.Sub(c.arrivedAt))
 	d := c.decision
 	all := append(fields,
 		pomelorelay.Field{Key: "WaitMS", Value: c.fields.Wait.Milliseconds()},
 		pomelorelay.Field{Key: "FirstMS", Value: first.Milliseconds()},
-		pomelorelay.Field{Key: "TotalMS", Value: now.Sub(c.arrived).Milliseconds()},
+		pomelorelay.Field{Key: "TotalMS", Value: now.Sub(c.arrivedAt).Milliseconds()},
 		pomelorelay.Field{Key: "PauseMS", Value: c.longestPause.Milliseconds()},
 		pomelorelay.Field{Key: "ExpectedMS", Value: d.ExpectedLatency.Milliseconds()},
 		pomelorelay.Field{Key: "BacklogMS", Value: d.QueueDelay.Milliseconds()},
@@ -153,7 +153,7 @@
 	c.log(event, all...)
 }
 
-// log writes an event with what identifies the request.
+// log writes an event with the fields that identify the request.
 func (c *call) log(event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	all := []pomelorelay.Field{
 		{Key: "Request", Value: c.fields.ID},
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -20,23 +20,23 @@
 
 func write(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) }
 
-func TestPassesARequestAndItsAnswer(t *testing.T) {
+func TestForwardsRequestAndAnswer(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 201, "made")) })
-	w := newWorld(t, u.entry("u1"))
+	w := newHarness(t, u.entry("u1"))
 	got := w.call("POST", "/book/a%2Fb?x=1", "hello", "Custom", "kept")
-	if got.status != 201 || got.body != "made" || got.head.Get(pomelofake.FieldSigned) != "me" || got.cut != nil {
+	if got.status != 201 || got.body != "made" || got.head.Get(pomelofake.FieldSigned) != "me" || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 	if want := "POST /book/a%2Fb?x=1 Client-Account=acct body=hello"; u.heads[0] != want {
 		t.Errorf("the upstream got %q, want %q", u.heads[0], want)
 	}
-	if w.works[0].Account != "acct" || w.results[0] != pomeloplace.ResultCompleted {
-		t.Errorf("%+v %v", w.works, w.results)
+	if w.requests[0].Account != "acct" || w.results[0] != pomeloplace.ResultCompleted {
+		t.Errorf("%+v %v", w.requests, w.results)
 	}
 }
 
-func TestRefusalsBeforeAnything(t *testing.T) {
-	w := newWorld(t)
+func TestRefusalsBeforeSending(t *testing.T) {
+	w := newHarness(t)
 	for _, c := range []struct {
 		path, key, body string
 		want            int
@@ -64,19 +64,19 @@
 	}
 }
 
-// An upstream takes a booking and its connection breaks before any answer. The booking may have run: sent again it would be charged
-// twice, and a status that promises that it did not run would make the caller send it again.
-func TestABookingThatMayHaveRunIsNotSentAgain(t *testing.T) {
+// Guards against retrying a booking whose connection broke before any answer, which might be charged twice, and against a status that
+// states that it did not run, which would make the caller repeat it.
+func TestBookingThatMayHaveRunIsNotRetried(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
-	w := newWorld(t, u.entry("u1"), u.entry("u2"))
+	w := newHarness(t, u.entry("u1"), u.entry("u2"))
 	got := w.call("POST", "/book/", "x")
 	if got.status != 502 || u.requests() != 1 || got.head.Get("Retry-After") != "" {
 		t.Fatalf("%d after %d sends", got.status, u.requests())
 	}
 }
 
-// The same for a read: it may run twice, and its caller wants the answer.
-func TestAReadIsSentAgain(t *testing.T) {
+// Guards against failing a read that may run twice and can be answered by another upstream.
+func TestReadIsRetried(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request){
 		"reset":  func(conn net.Conn, _ *http.Request) { reset(conn) },
 		"failed": func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) },
@@ -98,50 +98,50 @@
 		t.Run(name, func(t *testing.T) {
 			bad := newUpstream(t, answer)
 			good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "read")) })
-			w := newWorld(t, bad.entry("bad"), good.entry("good"))
+			w := newHarness(t, bad.entry("bad"), good.entry("good"))
 			if got := w.call("GET", "/read/", ""); got.status != 200 || got.body != "read" {
 				t.Fatalf("%+v", got)
 			}
-			if w.results[0] != pomeloplace.ResultFailed || len(w.works[1].Place.Avoid) != 1 || !w.works[1].Again {
-				t.Errorf("results %v, second try %+v", w.results, w.works[1])
+			if w.results[0] != pomeloplace.ResultFailed || len(w.requests[1].Request.Avoid) != 1 || !w.requests[1].Retry {
+				t.Errorf("results %v, second try %+v", w.results, w.requests[1])
 			}
 		})
 	}
 }
 
-// A server that is full says that it did not run the request; another has the address of one that is gone. Both are safe to send
-// elsewhere, also when the request may run only once.
-func TestWhatSurelyDidNotRunGoesElsewhere(t *testing.T) {
+// Guards against failing a request that did not run: a full upstream says so with 503, and another upstream at a reused address with
+// 421. Both are safe to retry elsewhere, even when the request may run only once.
+func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, status := range []int{503, 421} {
 		full := newUpstream(t, func(conn net.Conn, r *http.Request) {
 			write(conn, head(r, status, "Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 		})
 		good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
-		w := newWorld(t, full.entry("full"), good.entry("good"))
+		w := newHarness(t, full.entry("full"), good.entry("good"))
 		if got := w.call("POST", "/book/", "x"); got.status != 200 || got.body != "booked" {
 			t.Fatalf("%d: %+v", status, got)
 		}
-		w = newWorld(t, full.entry("full"), full.entry("full"), full.entry("full"))
+		w = newHarness(t, full.entry("full"), full.entry("full"), full.entry("full"))
 		if got := w.call("POST", "/book/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
 			t.Errorf("%d from every server: %+v", status, got)
 		}
 	}
 }
 
-// A server that ran a request answers with a status that would promise that it did not.
-func TestPromisesOfServersAreNotPassedOn(t *testing.T) {
+// Guards against forwarding a status that states that the request did not run, from an upstream that ran it.
+func TestUnconfirmedNotRunStatusBecomesBadGateway(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
-		w := newWorld(t, u.entry("u1"))
+		w := newHarness(t, u.entry("u1"))
 		if got := w.call("POST", "/book/", "x"); got.status != 502 || got.head.Get(pomelofake.FieldSigned) != "" {
 			t.Errorf("%d became %d", status, got.status)
 		}
 	}
 }
 
-func TestAnswersWithoutALengthEndWithTheirConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	whole := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, head(r, 200, "\r\nall of it")); conn.Close() })
-	if got := newWorld(t, whole.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
+	if got := newHarness(t, whole.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
 		t.Fatalf("%+v", got)
 	}
 	broken := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -149,18 +149,17 @@
 		time.Sleep(20 * time.Millisecond)
 		reset(conn)
 	})
-	if got := newWorld(t, broken.entry("u")).call("POST", "/book/", "x"); got.status != 502 {
+	if got := newHarness(t, broken.entry("u")).call("POST", "/book/", "x"); got.status != 502 {
 		t.Errorf("an answer that was reset came as %+v", got)
 	}
 }
 
-// A server sends bytes after its answer, or the answer to an earlier request once more. Taken for the next answer on the connection,
-// they would reach another caller.
-func TestExtraBytesReachNobody(t *testing.T) {
+// Guards against extra bytes or a repeated answer on a connection being taken for the next answer, which would reach another caller.
+func TestExtraBytesAreNotForwarded(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, plainAnswer(r, 200, "mine")+plainAnswer(r, 200, "extra"))
 	})
-	w := newWorld(t, u.entry("u"), u.entry("u"), u.entry("u"))
+	w := newHarness(t, u.entry("u"), u.entry("u"), u.entry("u"))
 	for i := range 3 {
 		id := "req-" + strconv.Itoa(i)
 		if got := w.call("GET", "/read/", "", pomelofake.FieldRequest, id); got.body != "mine" || got.head.Get(pomelofake.FieldRequest) != id {
@@ -179,16 +178,16 @@
 	}
 }
 
-func TestStreamsPassEachEventOnce(t *testing.T) {
+func TestStreamForwardsEachEventOnce(t *testing.T) {
 	u := newUpstream(t, stream(1, 2, 2, 3))
-	got := newWorld(t, u.entry("u")).call("POST", "/draft/", "x")
-	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n"; got.body != want || got.cut != nil {
+	got := newHarness(t, u.entry("u")).call("POST", "/draft/", "x")
+	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n"; got.body != want || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// A stream loses a piece, or stops within one. Ended as if it were whole, the caller would take a part of a draft for all of it.
-func TestBrokenStreamsLookBroken(t *testing.T) {
+// Guards against a stream with a gap or a cut that ends as if complete: the caller would take a part for the whole answer.
+func TestBrokenStreamCutsCallerConnection(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request){
 		"gap": stream(1, 3),
 		"reset": func(conn net.Conn, r *http.Request) {
@@ -205,15 +204,15 @@
 		},
 	} {
 		u := newUpstream(t, answer)
-		got := newWorld(t, u.entry("u"), u.entry("u")).call("POST", "/draft/", "x")
-		if got.cut == nil || strings.Contains(got.body, "id: 2") || strings.Contains(got.body, "id: 3") || u.requests() != 1 {
+		got := newHarness(t, u.entry("u"), u.entry("u")).call("POST", "/draft/", "x")
+		if got.bodyErr == nil || strings.Contains(got.body, "id: 2") || strings.Contains(got.body, "id: 3") || u.requests() != 1 {
 			t.Errorf("%s: %+v after %d sends", name, got, u.requests())
 		}
 	}
 }
 
-// A server stops in the middle of a chat that may be taken up again. Its caller should see one stream without a seam.
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+// Guards against a resumable stream that fails, or repeats or loses events, when its upstream stops and another one continues it.
+func TestResumableStreamContinuesAtAnotherUpstream(t *testing.T) {
 	first := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, streamHead(r)+eventChunk(1)+eventChunk(2)+chunkOf("id: 3\nda"))
 		time.Sleep(20 * time.Millisecond)
@@ -226,21 +225,21 @@
 		}
 		stream(3, 4)(conn, r)
 	})
-	got := newWorld(t, first.entry("a"), second.entry("b")).call("POST", "/chat/", "x")
-	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"; got.body != want || got.cut != nil {
+	got := newHarness(t, first.entry("a"), second.entry("b")).call("POST", "/chat/", "x")
+	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"; got.body != want || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// A caller leaves in the middle of its stream. The server would go on generating for nobody while others wait for it.
-func TestACallerThatLeavesStopsTheServersWork(t *testing.T) {
+// Guards against an upstream that keeps generating for a caller that disconnected in the middle of its stream.
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	ended := make(chan struct{})
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, streamHead(r)+eventChunk(1))
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
 	})
-	w := newWorld(t, u.entry("u"))
+	w := newHarness(t, u.entry("u"))
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", w.server.URL+"/draft/", strings.NewReader("x"))
 	if err != nil {
@@ -262,21 +261,22 @@
 	}
 }
 
-// A server takes a request and says nothing. Its caller gets a final answer at the end of its time, and one that promises nothing.
-func TestSilentServersEndWithTheDeadline(t *testing.T) {
+// Guards against a caller waiting past its deadline on an upstream that accepts a request and sends nothing, and against an answer
+// that states that the request did not run.
+func TestSilentUpstreamFailsAtDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	u := newUpstream(t, func(net.Conn, *http.Request) { <-hold })
-	got := newWorld(t, u.entry("u")).call("POST", "/book/", "x", pomelofake.FieldWait, "200")
+	got := newHarness(t, u.entry("u")).call("POST", "/book/", "x", pomelofake.FieldWait, "200")
 	if got.status != 504 {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// The process is about to end. A stream that begins now would be cut by it, and a request that is let in at the last moment too.
-func TestAStoppingRouterTakesOnlyWhatItCanEnd(t *testing.T) {
+// Guards against a stream or a request accepted too late before the process ends, which would be cut.
+func TestStoppingRouterAcceptsOnlyRequestsItCanFinish(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
-	w := newWorld(t, u.entry("u"), u.entry("u"))
+	w := newHarness(t, u.entry("u"), u.entry("u"))
 	w.stopping, w.stopsIn = true, 2*time.Second
 	if got := w.call("POST", "/draft/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
 		t.Errorf("a stream: %+v", got)
@@ -290,26 +290,26 @@
 	}
 }
 
-// A service's upstreams all refuse. Each router sending each request again would bring the load that they cannot take twice.
-func TestRetriesAreWithinTheBudget(t *testing.T) {
+// Guards against retries that double the load while all upstreams of a service fail.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) })
 	const requests = 60
-	w := newWorld(t)
+	w := newHarness(t)
 	for range 2 * requests {
-		w.places = append(w.places, pomeloplace.Decision{Upstream: u.entry("u")})
+		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u.entry("u")})
 	}
 	for range requests {
 		w.call("GET", "/read/", "")
 	}
-	// The fleet's slack of 100 gives a router of eight 0.6 x 12.5, and 60 requests 0.6 x 0.2 each.
+	// The slack of 100 divided among eight routers gives 0.6 x 12.5 retries, and 60 requests add 0.6 x 0.2 each.
 	if again := u.requests() - requests; again < 7 || again > 15 {
 		t.Errorf("%d of %d requests were sent again", again, requests)
 	}
 }
 
-// Several upstreams are down at once and the request's first places are all among them. It has not run anywhere, and the next one lives;
-// refused after three, its caller would have to come back for nothing. Its account is charged for one run and asks once.
-func TestARequestOutlivesSeveralUpstreamsThatAreDown(t *testing.T) {
+// Guards against refusing a request after three unreachable upstreams although it has not run anywhere and the next upstream is up,
+// and against charging its account more than once.
+func TestRequestSurvivesSeveralUnreachableUpstreams(t *testing.T) {
 	live := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		fmt.Fprint(conn, head(r, 200, "Content-Length: 2\r\n\r\nok"))
 	})
@@ -323,35 +323,35 @@
 	for i := range 5 {
 		places = append(places, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprint("down-", i)), Service: "s", Addr: addr})
 	}
-	w := newWorld(t, append(places, live.entry("live"))...)
+	w := newHarness(t, append(places, live.entry("live"))...)
 	if got := w.call("POST", "/book/1", "x"); got.status != http.StatusOK || got.body != "ok" {
 		t.Fatalf("%+v", got)
 	}
-	for i, work := range w.works {
-		if work.Again != (i > 0) || work.Charged {
+	for i, work := range w.requests {
+		if work.Retry != (i > 0) || work.Charged {
 			t.Errorf("place %d was asked for with %+v", i, work)
 		}
-		if last := i == len(w.works)-1; w.results[i].NotRun() == last {
+		if last := i == len(w.requests)-1; w.results[i].NotRun() == last {
 			t.Errorf("attempt %d ended as %v", i, w.results[i])
 		}
 	}
 }
 
-// The processor stands still for a second while the connection to the upstream opens, and the caller gives up meanwhile. Written once the
-// connection is there, its request would run for nobody; the place it holds is given back, and its account is not charged.
-func TestARequestWhoseCallerLeftWhileItsConnectionOpenedIsNotSent(t *testing.T) {
+// Guards against sending a request whose caller gave up while the processor stalled and the connection to the upstream was opened.
+// Its reservation must be released and its account not charged.
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	var runs atomic.Int64
 	up := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		runs.Add(1)
 		fmt.Fprint(conn, head(r, 200, "Content-Length: 2\r\n\r\nok"))
 	})
-	w := newWorld(t, up.entry("up"))
+	w := newHarness(t, up.entry("up"))
 	var looks atomic.Int64
-	// The first two looks come before the request has its place and before the connection is opened.
+	// The first two checks come before the placement and before the connection is opened.
 	w.mu.Lock()
-	w.left = func() bool { return looks.Add(1) > 2 }
+	w.callerGone = func() bool { return looks.Add(1) > 2 }
 	w.mu.Unlock()
-	if got := w.call("POST", "/book/1", "x"); got.cut == nil {
+	if got := w.call("POST", "/book/1", "x"); got.bodyErr == nil {
 		t.Errorf("%+v, though the caller left", got)
 	}
 	if n := runs.Load(); n != 0 {
@@ -364,9 +364,9 @@
 	}
 }
 
-// An upstream reads somebody's long prompt, and the streams that it runs beside it pause for longer than their callers accept. Taken for good
-// answers, they would teach nobody that long prompts had better go elsewhere.
-func TestAStreamThatPausesTooLongIsToldApart(t *testing.T) {
+// Guards against counting a stream as a good answer although it paused too long while its engine read another long prompt: placement
+// would not learn to send long prompts elsewhere.
+func TestStreamWithLongPauseIsReportedAsPaused(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
 		want  pomeloplace.Result
@@ -379,8 +379,8 @@
 			time.Sleep(c.pause)
 			write(conn, eventChunk(2)+lastChunk)
 		})
-		w := newWorld(t, u.entry("u1"))
-		if got := w.call("POST", "/talk/", "x"); got.status != 200 || got.cut != nil {
+		w := newHarness(t, u.entry("u1"))
+		if got := w.call("POST", "/talk/", "x"); got.status != 200 || got.bodyErr != nil {
 			t.Fatalf("%+v", got)
 		}
 		if got := w.result(0); got != c.want {
@@ -389,21 +389,21 @@
 	}
 }
 
-func TestWhatARefusedRequestAsks(t *testing.T) {
-	w := newWorld(t)
+func TestEstimateCost(t *testing.T) {
+	w := newHarness(t)
 	r := httptest.NewRequest("POST", "http://h.example/talk/", nil)
 	r.Header.Set(pomelofake.FieldTokens, "1000,50")
-	if account, cost := w.handler.Asks(r); account != "" || cost != 0 {
+	if account, cost := w.handler.EstimateCost(r); account != "" || cost != 0 {
 		t.Errorf("without a key: %q asks %.0f", account, cost)
 	}
 	r.Header.Set(pomelofake.FieldKey, "key")
-	if account, cost := w.handler.Asks(r); account != "acct" || cost != 1100 {
+	if account, cost := w.handler.EstimateCost(r); account != "acct" || cost != 1100 {
 		t.Errorf("%q asks %.0f, want acct and 1100", account, cost)
 	}
 }
 
 // Guards against a refused placement that does not name its reason, or that leaves open whether the request ran.
-func TestRefusedPlacementsNameTheirReason(t *testing.T) {
+func TestRefusedPlacementNamesItsReason(t *testing.T) {
 	for _, c := range []struct {
 		decision pomeloplace.Decision
 		code     pomelorelay.ResultCode
@@ -417,8 +417,8 @@
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonOverShare, RetryAfter: time.Second}, pomelorelay.CodeShareSpent, ""},
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: time.Second}, pomelorelay.CodeUpstreamsBusy, ""},
 	} {
-		w := newWorld(t)
-		w.places = []pomeloplace.Decision{c.decision}
+		w := newHarness(t)
+		w.placements = []pomeloplace.Decision{c.decision}
 		got := w.call("POST", "/book/", "x")
 		if got.status != 503 || got.head.Get("Retry-After") != fmt.Sprintf("%.3f", c.decision.RetryAfter.Seconds()) {
 			t.Errorf("status %d, Retry-After %q", got.status, got.head.Get("Retry-After"))
--- a/pomeloforward/world_test.go
+++ b/pomeloforward/harness_test.go
@@ -21,7 +21,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelotable"
 )
 
-// upstream is a server that answers as a test says, on raw connections.
+// upstream is a server on raw connections that answers with a test's function.
 type upstream struct {
 	t      *testing.T
 	l      net.Listener
@@ -80,7 +80,7 @@
 	return pomelorelay.FleetUpstream{ID: id, Service: "s", Addr: netip.MustParseAddrPort(u.l.Addr().String())}
 }
 
-// head begins an answer to the request; the caller adds what follows the fields.
+// head returns the head of an answer to the request; the caller adds fields and body.
 func head(r *http.Request, status int, fields string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: me\r\n%s", status, pomelofake.FieldRequest, r.Header.Get(pomelofake.FieldRequest), pomelofake.FieldSigned, fields)
 }
@@ -99,26 +99,26 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// reset closes a connection so that its peer gets a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 }
 
-// world is a handler before upstreams that it is given in order, one for each placement.
-type world struct {
-	t        *testing.T
-	table    *pomelotable.Table
-	places   []pomeloplace.Decision
-	works    []pomeloforward.Work
-	results  []pomeloplace.Result
-	stopsIn  time.Duration
-	stopping bool
-	// left tells whether a caller has left, nil when that is not to be told.
-	left    func() bool
-	mu      sync.Mutex
-	server  *httptest.Server
-	handler *pomeloforward.Handler
+// harness is a handler with a placement that returns the given upstreams in order.
+type harness struct {
+	t          *testing.T
+	table      *pomelotable.Table
+	placements []pomeloplace.Decision
+	requests   []pomeloforward.PlacementRequest
+	results    []pomeloplace.Result
+	stopsIn    time.Duration
+	stopping   bool
+	// callerGone reports whether a caller has disconnected; nil means never.
+	callerGone func() bool
+	mu         sync.Mutex
+	server     *httptest.Server
+	handler    *pomeloforward.Handler
 }
 
 var routes = []pomelorelay.Route{
@@ -130,11 +130,11 @@
 	{Name: "open", Host: "h.example", Prefix: "/open/", Kind: pomelorelay.RouteIdempotent, Timeout: 2 * time.Second, Attempts: 1, Public: true},
 }
 
-func newWorld(t *testing.T, upstreams ...pomelorelay.FleetUpstream) *world {
+func newHarness(t *testing.T, upstreams ...pomelorelay.FleetUpstream) *harness {
 	t.Helper()
-	w := &world{t: t}
+	w := &harness{t: t}
 	for _, u := range upstreams {
-		w.places = append(w.places, pomeloplace.Decision{Upstream: u})
+		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u})
 	}
 	shared := append([]pomelorelay.Route(nil), routes...)
 	for i := range shared {
@@ -145,8 +145,8 @@
 		Limits: pomelorelay.CallerLimits{BodyBytes: 1000},
 	})
 	h := pomeloforward.New(pomeloforward.Config{
-		Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}, Wire: pomelofake.FleetWire{}, Tables: w, Placement: w, Stopping: w, Meter: w,
-		Left:       w.hasLeft,
+		Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}, Wire: pomelofake.FleetWire{}, Tables: w, Placement: w, Shutdown: w, Meter: w,
+		CallerGone: w.isCallerGone,
 		RetryRatio: 0.2, RetrySlack: 100,
 	})
 	w.handler = h
@@ -158,61 +158,61 @@
 	return w
 }
 
-func (w *world) hasLeft(*http.Request) bool {
+func (w *harness) isCallerGone(*http.Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left != nil && w.left()
+	return w.callerGone != nil && w.callerGone()
 }
 
-func (w *world) Current() *pomelotable.Table {
+func (w *harness) Current() *pomelotable.Table {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table
 }
 
-func (w *world) Place(_ context.Context, work pomeloforward.Work) (pomeloforward.Ticket, pomeloplace.Decision, error) {
+func (w *harness) Place(_ context.Context, work pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.works = append(w.works, work)
-	if len(w.places) == 0 {
+	w.requests = append(w.requests, work)
+	if len(w.placements) == 0 {
 		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: 250 * time.Millisecond}, nil
 	}
-	d := w.places[0]
-	w.places = w.places[1:]
+	d := w.placements[0]
+	w.placements = w.placements[1:]
 	return w, d, nil
 }
 
-func (w *world) Begun() {}
+func (w *harness) AnswerBegan() {}
 
-func (w *world) Ended(r pomeloplace.Result) {
+func (w *harness) Done(r pomeloplace.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.results = append(w.results, r)
 }
 
-func (w *world) result(i int) pomeloplace.Result {
+func (w *harness) result(i int) pomeloplace.Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.results[i]
 }
 
-func (w *world) StopsIn() (time.Duration, bool) { return w.stopsIn, w.stopping }
+func (w *harness) TimeLeft() (time.Duration, bool) { return w.stopsIn, w.stopping }
 
-func (w *world) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
+func (w *harness) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
 
-func (w *world) CountRetry(pomelorelay.ResultCode) {}
+func (w *harness) CountRetry(pomelorelay.ResultCode) {}
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	head   http.Header
 	body   string
-	// cut tells that the body did not end as its framing says.
-	cut error
+	// bodyErr is set when the connection broke or the body ended early.
+	bodyErr error
 }
 
 // call sends a caller's request on a connection of its own.
-func (w *world) call(method, path, body string, fields ...string) answer {
+func (w *harness) call(method, path, body string, fields ...string) answer {
 	w.t.Helper()
 	req, err := http.NewRequest(method, w.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -228,9 +228,9 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{cut: err}
+		return answer{bodyErr: err}
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, head: resp.Header, body: string(got), cut: err}
+	return answer{status: resp.StatusCode, head: resp.Header, body: string(got), bodyErr: err}
 }
--- a/pomeloforward/stream.go
+++ b/pomeloforward/stream.go
@@ -9,10 +9,10 @@
 	"github.com/pomelorelay/pomelorelay/pomelolink"
 )
 
-var errPartial = errors.New("the stream ended within an event")
+var errPartial = errors.New("stream ended within an event")
 
-// passStream passes events on as they come, each once, in order and only whole ones.
-func (c *call) passStream(x *pomelolink.Exchange, ticket Ticket) *pomelolink.Failure {
+// forwardStream forwards complete events as they arrive, each once and in order.
+func (c *call) forwardStream(x *pomelolink.Exchange, reservation Reservation) *pomelolink.Failure {
 	var events pomelolink.EventReader
 	events.Reset(c.h.buffers.Chunk(), x)
 	defer func() { c.h.buffers.PutChunk(events.Buffer()) }()
@@ -24,19 +24,19 @@
 		}
 		if !begun {
 			begun = true
-			ticket.Begun()
+			reservation.AnswerBegan()
 		}
-		pass, f := c.inOrder(event)
+		isNew, f := c.checkSequence(event)
 		if f != nil {
 			return f
 		}
-		if !pass {
+		if !isNew {
 			continue
 		}
-		if !c.answering {
+		if !c.answerStarted {
 			c.writeHead(x.Response, -1)
 		}
-		c.notePause()
+		c.recordPause()
 		c.write(event.Raw)
 		if events.Empty() {
 			c.flush()
@@ -44,18 +44,18 @@
 	}
 }
 
-// notePause keeps the longest time between two events, which decides whether the caller finds the stream late.
-func (c *call) notePause() {
+// recordPause updates the longest pause between two events, by which the stream counts as paused too long.
+func (c *call) recordPause() {
 	now := c.h.cfg.Clock.Now()
-	if !c.lastAt.IsZero() {
-		c.longestPause = max(c.longestPause, now.Sub(c.lastAt))
+	if !c.lastEventAt.IsZero() {
+		c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 	}
-	c.lastAt = now
+	c.lastEventAt = now
 }
 
-// inOrder reports whether an event is the next one; one that the caller has already is left out. A gap means that a piece of the
-// answer is lost: passed on, the caller would take the rest for the whole.
-func (c *call) inOrder(e pomelolink.Event) (bool, *pomelolink.Failure) {
+// checkSequence reports whether an event is new to the caller. It fails on a gap: a part of the answer is lost, and the caller would
+// take the rest for the complete answer.
+func (c *call) checkSequence(e pomelolink.Event) (bool, *pomelolink.Failure) {
 	id, ok := e.ID()
 	if !ok {
 		return true, nil
@@ -64,13 +64,13 @@
 		return false, nil
 	}
 	if c.hasLastEvent && id != c.lastEvent+1 {
-		return false, malformed(fmt.Errorf("event %d came after %d", id, c.lastEvent))
+		return false, malformed(fmt.Errorf("stream event %d follows event %d: events are missing", id, c.lastEvent))
 	}
 	c.lastEvent, c.hasLastEvent = id, true
 	return true, nil
 }
 
-// endStream tells a stream that is whole from one that broke off.
+// endStream ends a complete stream, and returns a failure for one that broke off.
 func (c *call) endStream(x *pomelolink.Exchange, events *pomelolink.EventReader, err error) *pomelolink.Failure {
 	if !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return x.Broken(err)
@@ -79,7 +79,7 @@
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerCutShort, errPartial)
 	}
 	x.Whole = true
-	if !c.answering {
+	if !c.answerStarted {
 		c.writeHead(x.Response, -1)
 	}
 	return nil
