--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -31,7 +31,7 @@
 
 // control is the state of the control goroutine, which alone accesses it.
 type control struct {
-	e         *Entry
+	e         *Router
 	placer    *pomeloplace.Placer
 	shares    *pomeloshare.Shares
 	residency *pomeloresidency.Policy
@@ -54,11 +54,11 @@
 	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
 }
 
-func newControl(e *Entry) *control {
+func newControl(e *Router) *control {
 	s := e.cfg.Settings
 	return &control{
 		e:            e,
-		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.Without}),
+		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.DisabledMechanisms}),
 		shares:       pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
 		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
 		upstreams:    newUpstreams(),
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -24,13 +24,13 @@
 	Clock    pomelorelay.Clock
 	Logger   pomelorelay.Logger
 	// The placement mechanisms that are disabled.
-	Without pomeloplace.Mechanisms
+	DisabledMechanisms pomeloplace.Mechanisms
 	// Incarnation identifies this start of the router; zero selects the clock's Unix nanoseconds.
 	Incarnation pomelorelay.Incarnation
 }
 
-// Entry is a running router.
-type Entry struct {
+// Router is a running router.
+type Router struct {
 	cfg         Config
 	incarnation pomelorelay.Incarnation
 	mesh        pomelorelay.Mesh
@@ -76,14 +76,14 @@
 
 // New creates a router and starts its goroutines; Listen opens its ports. It fails with the mesh's result code when the mesh cannot be
 // opened.
-func New(cfg Config) (*Entry, error) {
+func New(cfg Config) (*Router, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = pomelorelay.SystemClock{}
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
 	}
-	e := &Entry{
+	e := &Router{
 		cfg:         cfg,
 		hostLimits:  hostLimitsOf(cfg.Settings),
 		incarnation: cfg.Incarnation,
@@ -119,7 +119,7 @@
 	return e, nil
 }
 
-func (e *Entry) openMesh() error {
+func (e *Router) openMesh() error {
 	if e.cfg.Mesh != nil {
 		e.mesh = e.cfg.Mesh
 		return nil
@@ -141,7 +141,7 @@
 }
 
 // start runs f in a goroutine that Close waits for.
-func (e *Entry) start(f func(ctx context.Context)) {
+func (e *Router) start(f func(ctx context.Context)) {
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -150,7 +150,7 @@
 }
 
 // post sends an event to the control goroutine. It returns false when the router is closed.
-func (e *Entry) post(ev event) bool {
+func (e *Router) post(ev event) bool {
 	select {
 	case e.events <- ev:
 		return true
@@ -159,7 +159,7 @@
 	}
 }
 
-func (e *Entry) log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
+func (e *Router) log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
 	e.cfg.Logger.Log(id, fields...)
 }
 
@@ -168,12 +168,12 @@
 }
 
 // Ready reports whether the router accepts requests.
-func (e *Entry) Ready() bool {
+func (e *Router) Ready() bool {
 	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.nearCapacity()
 }
 
 // Close stops the router immediately, without waiting for requests; Stop shuts it down gracefully.
-func (e *Entry) Close() {
+func (e *Router) Close() {
 	e.closeOnce.Do(func() {
 		for _, s := range e.servers {
 			s.Close()
@@ -186,13 +186,13 @@
 }
 
 // tables implements pomeloforward.TableSource.
-type tables struct{ e *Entry }
+type tables struct{ e *Router }
 
 // Current returns the route table in force, or nil.
 func (t tables) Current() *pomelotable.Table { return t.e.table.Load() }
 
 // stopping implements pomeloforward.Shutdown.
-type stopping struct{ e *Entry }
+type stopping struct{ e *Router }
 
 // TimeLeft returns the time until the process ends, and false when no stop is in progress.
 func (s stopping) TimeLeft() (time.Duration, bool) {
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -12,14 +12,14 @@
 )
 
 // NewRequestLimiter returns a router that only adapts its request limit.
-func NewRequestLimiter(settings pomelorelay.FleetSettings) *Entry {
-	e := &Entry{hostLimits: hostLimitsOf(settings)}
+func NewRequestLimiter(settings pomelorelay.FleetSettings) *Router {
+	e := &Router{hostLimits: hostLimitsOf(settings)}
 	e.requestLimit.Store(e.hostLimits.initialRequests)
 	return e
 }
 
 // TickWithLag simulates a control goroutine tick with a delay and a number of concurrent requests, and returns the new request limit.
-func (e *Entry) TickWithLag(lag time.Duration, running int64) int64 {
+func (e *Router) TickWithLag(lag time.Duration, running int64) int64 {
 	e.tickLag.Store(int64(lag))
 	e.inFlight.Store(running)
 	e.adaptRequestLimit()
@@ -32,7 +32,7 @@
 // NewPlacementControl returns a PlacementControl with the configuration and the upstreams.
 func NewPlacementControl(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) PlacementControl {
 	settings := pomelorelay.FleetSettings{Self: pomelorelay.Peer{Node: "r", Domain: "a", Region: "ra"}, ShareWindow: 4 * time.Second}
-	c := newControl(&Entry{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
+	c := newControl(&Router{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
 	c.shares.SetCapacity(config.Limits.TokensPerSecond)
 	c.placer.SetConfig(&config)
 	c.residency.SetConfig(time.Time{}, &config)
@@ -90,7 +90,7 @@
 
 // NewUpdateControl returns the UpdateControl of the router named self, which is one of the peers; all were just registered.
 func NewUpdateControl(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) UpdateControl {
-	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: discardMesh{}}
+	e := &Router{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: discardMesh{}}
 	e.cfg.Settings.DrainWait = drain
 	for _, p := range peers {
 		if p.Node == self {
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -31,7 +31,7 @@
 )
 
 // Listen opens the router's ports and serves them. It fails with CodeListen when an address cannot be bound.
-func (e *Entry) Listen() error {
+func (e *Router) Listen() error {
 	settings := e.cfg.Settings
 	callers := &http.Server{
 		Handler:                      http.HandlerFunc(e.serveCaller),
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (e *Entry) serve(s *http.Server, addr netip.AddrPort) error {
+func (e *Router) serve(s *http.Server, addr netip.AddrPort) error {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return pomelorelay.NewError(pomelorelay.CodeListen, addr.String(), err)
@@ -80,9 +80,9 @@
 }
 
 // Errors returns the channel of errors from failed listeners.
-func (e *Entry) Errors() <-chan error { return e.errs }
+func (e *Router) Errors() <-chan error { return e.errs }
 
-func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
+func (e *Router) serveCaller(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	if !e.admit(w, r) {
@@ -91,7 +91,7 @@
 	e.forward.ServeHTTP(w, r)
 }
 
-func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (e *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !e.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -99,7 +99,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (e *Entry) countConn(_ net.Conn, state http.ConnState) {
+func (e *Router) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		e.conns.Add(1)
@@ -110,7 +110,7 @@
 
 // Stop shuts the router down gracefully. The router reports not ready, keeps serving its open connections and ends when the last one
 // closes or shortly before the process is killed. Closing idle connections earlier could race with requests already sent on them.
-func (e *Entry) Stop() {
+func (e *Router) Stop() {
 	began := e.cfg.Clock.Now()
 	end := began.Add(e.cfg.Settings.StopWait - stopMargin)
 	e.stopAt.Store(end.UnixNano())
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -84,13 +84,13 @@
 )
 
 // lag returns the delay of the control goroutine, which approximates how long runnable goroutines wait for the processor.
-func (e *Entry) lag() time.Duration {
+func (e *Router) lag() time.Duration {
 	since := time.Duration(e.cfg.Clock.Now().UnixNano() - e.lastTickAt.Load())
 	return max(time.Duration(e.tickLag.Load()), since-tickInterval)
 }
 
 // recordTick records a tick of the control goroutine and its delay.
-func (e *Entry) recordTick(now time.Time) {
+func (e *Router) recordTick(now time.Time) {
 	last := e.lastTickAt.Swap(now.UnixNano())
 	lag := max(0, now.UnixNano()-last-int64(tickInterval))
 	e.tickLag.Store(lag)
@@ -100,7 +100,7 @@
 }
 
 // adaptRequestLimit adapts the request limit after a tick.
-func (e *Entry) adaptRequestLimit() {
+func (e *Router) adaptRequestLimit() {
 	limit, running := float64(e.requestLimit.Load()), float64(e.inFlight.Load())
 	switch {
 	case e.tickLag.Load() >= int64(lateTickThreshold):
@@ -112,12 +112,12 @@
 }
 
 // recentlyLate reports whether the control goroutine was late within lateTickHold; requests that waited meanwhile are read only now.
-func (e *Entry) recentlyLate() bool {
+func (e *Router) recentlyLate() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	return e.lag() >= lateTickThreshold || now-e.lastLateTickAt.Load() < int64(lateTickHold)
 }
 
-func (e *Entry) overloaded() bool {
+func (e *Router) overloaded() bool {
 	return e.lag() > maxLag || float64(e.conns.Load()) > connOverloadFactor*float64(e.hostLimits.maxConns)
 }
 
@@ -125,7 +125,7 @@
 // them; callers then try another router. Reading and refusing each request would stall a small host and everything that runs on it.
 type loadSheddingListener struct {
 	net.Listener
-	e *Entry
+	e *Router
 }
 
 // Accept returns the next connection that the router has capacity for.
@@ -143,7 +143,7 @@
 // countRefused adds the cost of a request refused unread to its account's demand. Otherwise an account whose callers reach full
 // routers would appear idle and satisfied, and its share would go to others. A full event queue drops the count, because request
 // handling must not wait for the control goroutine.
-func (e *Entry) countRefused(r *http.Request) {
+func (e *Router) countRefused(r *http.Request) {
 	account, cost := e.forward.EstimateCost(r)
 	if cost <= 0 {
 		return
@@ -163,7 +163,7 @@
 
 // callerGone reports whether the caller closed its connection. On an overloaded processor net/http detects this late, and requests
 // would be forwarded whose callers have already given up.
-func (e *Entry) callerGone(r *http.Request) bool {
+func (e *Router) callerGone(r *http.Request) bool {
 	if !e.recentlyLate() {
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 // nearCapacity reports whether the router is close to its capacity, or was within nearCapacityHold.
-func (e *Entry) nearCapacity() bool {
+func (e *Router) nearCapacity() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	full := e.lag() > maxLag || float64(e.inFlight.Load()) > nearCapacityFraction*float64(e.requestLimit.Load()) || float64(e.conns.Load()) > nearCapacityFraction*float64(e.hostLimits.maxConns)
 	if full {
@@ -195,7 +195,7 @@
 }
 
 // admit reports whether the router can accept the request. When it is full, admit answers with CodeRouterFull and returns false.
-func (e *Entry) admit(w http.ResponseWriter, r *http.Request) bool {
+func (e *Router) admit(w http.ResponseWriter, r *http.Request) bool {
 	if e.nearCapacity() {
 		w.Header().Set("Connection", "close")
 	}
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -175,7 +175,7 @@
 }
 
 // keepRegistered registers this router in the store and renews the registration, so that the others find it.
-func (e *Entry) keepRegistered(ctx context.Context) {
+func (e *Router) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
 	e.runStoreTask(ctx, storeTask{name: "registration", minInterval: renewInterval, call: func(bool) error {
 		if lease == 0 {
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -15,7 +15,7 @@
 }
 
 // placement implements pomeloforward.Placement by posting events to the control goroutine.
-type placement struct{ e *Entry }
+type placement struct{ e *Router }
 
 // Place returns a reservation or a refusal; it fails when ctx ends first.
 func (p placement) Place(ctx context.Context, w pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
@@ -50,7 +50,7 @@
 
 // reservation implements pomeloforward.Reservation.
 type reservation struct {
-	e    *Entry
+	e    *Router
 	run  *pomeloplace.Run
 	work pomeloforward.PlacementRequest
 }
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -64,7 +64,7 @@
 func (c *cursor) isBehind(at pomelorelay.Revision) bool { return at > c.get() }
 
 // readStoreLoop reads the store whenever shouldRead reports that this router must.
-func (e *Entry) readStoreLoop(ctx context.Context) {
+func (e *Router) readStoreLoop(ctx context.Context) {
 	started := time.Now()
 	delay := e.startupDelay()
 	e.runStoreTask(ctx, storeTask{name: "store", probesStore: true, call: func(failed bool) error {
@@ -82,7 +82,7 @@
 }
 
 // startupDelay returns how long after its start the router waits for updates before its second read.
-func (e *Entry) startupDelay() time.Duration {
+func (e *Router) startupDelay() time.Duration {
 	power := e.cfg.Settings.Self.Power
 	if power <= 0 {
 		return 0
@@ -92,13 +92,13 @@
 }
 
 // shouldRead reports whether this router must read the store now.
-func (e *Entry) shouldRead() bool {
+func (e *Router) shouldRead() bool {
 	delay := e.readDelay.Load()
 	return delay == 0 || e.cfg.Clock.Now().UnixNano()-e.lastUpdateAt.Load() >= delay
 }
 
 // read reads the complete state at first and after the store compacted its history, and changes otherwise.
-func (e *Entry) read(ctx context.Context, failed bool) error {
+func (e *Router) read(ctx context.Context, failed bool) error {
 	after := e.cursor.get()
 	if after == 0 {
 		// Changes missing from a stale read arrive with the first update.
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (e *Entry) readAll(ctx context.Context, cause string, allowStale bool) error {
+func (e *Router) readAll(ctx context.Context, cause string, allowStale bool) error {
 	change, err := e.cfg.Platform.Read(ctx, allowStale)
 	e.metrics.CountStoreCall("read", cause, pomelorelay.CodeOf(err))
 	if err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (e *Entry) readerRole() string {
+func (e *Router) readerRole() string {
 	if e.readDelay.Load() == 0 {
 		return "first"
 	}
@@ -134,7 +134,7 @@
 }
 
 // postRead sends a read result to the control goroutine and waits until it is applied, because the next read starts after it.
-func (e *Entry) postRead(ctx context.Context, r *storeRead) {
+func (e *Router) postRead(ctx context.Context, r *storeRead) {
 	r.done = make(chan struct{})
 	if !e.post(r) {
 		return
--- a/pomeloentry/storetask.go
+++ b/pomeloentry/storetask.go
@@ -19,7 +19,7 @@
 
 // maxPauseOf returns the longest pause of a task between retries. Only the reader probes an unreachable store; its success wakes the
 // other tasks. The bound grows with the router's read delay, because failing calls of a large fleet would use up the store's rate.
-func (e *Entry) maxPauseOf(t *storeTask) time.Duration {
+func (e *Router) maxPauseOf(t *storeTask) time.Duration {
 	if !t.probesStore {
 		return maxPassiveRetryPause
 	}
@@ -41,7 +41,7 @@
 }
 
 // runStoreTask repeats the task until ctx ends and doubles the pause after each consecutive failure, up to a bound.
-func (e *Entry) runStoreTask(ctx context.Context, t storeTask) {
+func (e *Router) runStoreTask(ctx context.Context, t storeTask) {
 	pause := minRetryPause
 	failed := false
 	for ctx.Err() == nil {
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -24,7 +24,7 @@
 )
 
 // scaledDrainWait returns a fraction of the drain wait.
-func (e *Entry) scaledDrainWait(fraction float64) time.Duration {
+func (e *Router) scaledDrainWait(fraction float64) time.Duration {
 	drain := e.cfg.Settings.DrainWait
 	if drain <= 0 {
 		drain = defaultDrainWait
