--- a/pomelomesh/bench_test.go
+++ b/pomelomesh/bench_test.go
@@ -46,14 +46,14 @@
 
 // BenchmarkJourney sends one message at a time and waits for it, both ends in this process.
 func BenchmarkJourney(b *testing.B) {
-	b.Run("Plain", func(b *testing.B) { journey(b, config("r1", 1), config("r2", 1)) })
+	b.Run("Plain", func(b *testing.B) { benchmarkDelivery(b, config("r1", 1), config("r2", 1)) })
 	b.Run("TLS", func(b *testing.B) {
 		ca := newAuthority(b)
-		journey(b, secure("r1", ca.issue(b, b.TempDir(), "r1")), secure("r2", ca.issue(b, b.TempDir(), "r2")))
+		benchmarkDelivery(b, secure("r1", ca.issue(b, b.TempDir(), "r1")), secure("r2", ca.issue(b, b.TempDir(), "r2")))
 	})
 }
 
-func journey(b *testing.B, nearConfig, farConfig pomelomesh.Config) {
+func benchmarkDelivery(b *testing.B, nearConfig, farConfig pomelomesh.Config) {
 	near, err := pomelomesh.New(nearConfig)
 	if err != nil {
 		b.Fatal(err)
@@ -81,7 +81,7 @@
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 59
 	for b.Loop() {
-		before := memory()
+		before := memoryInUse()
 		hub, err := pomelomesh.New(config("hub", 1))
 		if err != nil {
 			b.Fatal(err)
@@ -103,7 +103,7 @@
 			}
 			<-far[i].Receive()
 		}
-		b.ReportMetric(float64(memory()-before)/links/1024, "KiB/link-both-ends")
+		b.ReportMetric(float64(memoryInUse()-before)/links/1024, "KiB/link-both-ends")
 		hub.Close()
 		for _, m := range far {
 			m.Close()
@@ -111,7 +111,7 @@
 	}
 }
 
-func memory() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -8,17 +8,17 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// burst is the time whose bytes a link class may save up.
-const burst = time.Second
+// burstDuration is the time whose bytes a link class may save up.
+const burstDuration = time.Second
 
-// laterShare is the part of the saved up bytes that only messages of UrgencySoon and above may use.
-const laterShare = 0.25
+// soonReservedFraction is the part of the saved up bytes that only messages of UrgencySoon and above may use.
+const soonReservedFraction = 0.25
 
 // leanShare is the part of the rate that less urgent messages may use when the urgent ones have spent it all, leanBatch what one
 // peer gets of it at once.
 const (
-	leanShare = 0.25
-	leanBatch = 512
+	guaranteedFraction = 0.25
+	guaranteedBatch = 512
 )
 
 // budget is the token bucket of one link class. It counts what was queued to the transport and what the
@@ -32,12 +32,12 @@
 	queued  int64
 	spent   int64
 	level   float64
-	lean    float64
+	guaranteed    float64
 	updated time.Time
 }
 
 func newBudget(rate pomelorelay.Bytes, now time.Time) *budget {
-	return &budget{rate: float64(rate), level: float64(rate) * burst.Seconds(), updated: now}
+	return &budget{rate: float64(rate), level: float64(rate) * burstDuration.Seconds(), updated: now}
 }
 
 // charge notes bytes handed to the transport.
@@ -54,31 +54,31 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.update(now)
+	b.refill(now)
 	room := b.level
 	if urgency == pomelorelay.UrgencyLater {
-		room -= laterShare * b.rate * burst.Seconds()
+		room -= soonReservedFraction * b.rate * burstDuration.Seconds()
 	}
 	if room > 0 {
 		return room
 	}
-	return b.takeLean()
+	return b.takeGuaranteed()
 }
 
-// takeLean gives a little room although the budget is spent. Messages of UrgencyNow always leave and may alone use more than the
+// takeGuaranteed gives a little room although the budget is spent. Messages of UrgencyNow always leave and may alone use more than the
 // budget; without this share no digest would leave then, routers would take each other for dead and totals would grow stale, seen as
 // a fleet that falls apart under load.
-func (b *budget) takeLean() float64 {
-	room := min(b.lean, leanBatch)
-	if room < leanBatch {
+func (b *budget) takeGuaranteed() float64 {
+	room := min(b.guaranteed, guaranteedBatch)
+	if room < guaranteedBatch {
 		return 0
 	}
-	b.lean -= room
+	b.guaranteed -= room
 	return room
 }
 
-func (b *budget) update(now time.Time) {
-	full := b.rate * burst.Seconds()
+func (b *budget) refill(now time.Time) {
+	full := b.rate * burstDuration.Seconds()
 	passed := now.Sub(b.updated).Seconds()
 	b.level += b.rate * passed
 	b.updated = now
@@ -86,5 +86,5 @@
 	b.level -= float64(spent - b.spent)
 	b.spent = spent
 	b.level = min(b.level, full)
-	b.lean = min(b.lean+leanShare*b.rate*passed, max(full, leanBatch))
+	b.guaranteed = min(b.guaranteed+guaranteedFraction*b.rate*passed, max(full, guaranteedBatch))
 }
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -19,7 +19,7 @@
 
 const (
 	maxFrameBytes  = maxItemBytes + 1<<16
-	maxFrameFields = 3 * maxList
+	maxFrameFields = 3 * maxListLength
 	frameItems     = protowire.Number(3)
 )
 
@@ -66,14 +66,14 @@
 // millions of empty entries, two bytes each, grows to hundreds of megabytes when decoded; the router is then
 // killed for its memory.
 func checkCounts(data []byte, depth int) error {
-	left := maxFrameFields
-	return countFields(data, depth, &left)
+	remaining := maxFrameFields
+	return countFields(data, depth, &remaining)
 }
 
-func countFields(data []byte, depth int, left *int) error {
+func countFields(data []byte, depth int, remaining *int) error {
 	for len(data) > 0 {
-		*left--
-		if *left < 0 {
+		*remaining--
+		if *remaining < 0 {
 			return malformed("too many fields")
 		}
 		_, kind, n := protowire.ConsumeTag(data)
@@ -90,8 +90,8 @@
 		}
 		if kind == protowire.BytesType && depth > 1 {
 			inner, _ := protowire.ConsumeBytes(data)
-			countNested(inner, depth-1, left)
-			if *left < 0 {
+			countNested(inner, depth-1, remaining)
+			if *remaining < 0 {
 				return malformed("too many fields")
 			}
 		}
@@ -101,6 +101,6 @@
 }
 
 // countNested counts within a field that may be a message; text and hashes seldom parse as one and then cost little.
-func countNested(data []byte, depth int, left *int) {
-	_ = countFields(data, depth, left)
+func countNested(data []byte, depth int, remaining *int) {
+	_ = countFields(data, depth, remaining)
 }
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestEveryKindSurvivesTheJourney(t *testing.T) {
+func TestEveryKindRoundTrips(t *testing.T) {
 	kinds := (&pomelowire.Item{}).ProtoReflect().Descriptor().Fields().Len()
 	if len(samples()) != kinds {
 		t.Fatalf("%d samples of %d kinds", len(samples()), kinds)
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsOutOfBounds(t *testing.T) {
+func TestDecodeRejectsOutOfRangeValues(t *testing.T) {
 	// A faulty or hostile peer sends values that no router makes; taken in, they would poison totals for good or fill memory.
 	entry := func(e *pomelowire.LedgerEntry) *pomelowire.Item {
 		return &pomelowire.Item{Kind: &pomelowire.Item_LedgerReport{LedgerReport: &pomelowire.LedgerReport{Names: []string{"p"}, Entries: []*pomelowire.LedgerEntry{e}}}}
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestEmptyEntriesCannotFillMemory(t *testing.T) {
+func TestManyEmptyEntriesAreRejectedBeforeDecoding(t *testing.T) {
 	// Two million empty entries take four megabytes on the way and several hundred when decoded; the router would be killed.
 	entries := bytes.Repeat([]byte{5<<3 | 2, 0}, 2_000_000)
 	data := protowire.AppendBytes(protowire.AppendTag(nil, 6, protowire.BytesType), entries)
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestDigestTakesTheOwnersNameFromItsSender(t *testing.T) {
+func TestDigestOmitsTheSendersName(t *testing.T) {
 	digest := func(owner pomelorelay.NodeID) *pomelorelay.Digest {
 		return &pomelorelay.Digest{
 			Members: []pomelorelay.MemberState{{Node: "a-router-with-a-name", Incarnation: 5, Status: pomelorelay.MemberAlive}},
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -24,25 +24,25 @@
 
 // QueueBounds bounds what waits for one peer.
 type QueueBounds struct {
-	// Messages is the largest count; 4096 when zero.
-	Messages int
-	// Bytes is the largest encoded size; 8 MiB when zero.
-	Bytes pomelorelay.Bytes
+	// MaxMessages is the largest count; 4096 when zero.
+	MaxMessages int
+	// MaxBytes is the largest encoded size; 8 MiB when zero.
+	MaxBytes pomelorelay.Bytes
 }
 
 // Timing holds the intervals of links; a zero field takes the default that its comment gives.
 type Timing struct {
-	// Connect bounds dial and handshake; 1.5 s.
-	Connect time.Duration
-	// Acknowledge is how long a receiver with nothing to send waits before it shows that it is there; 1.2 s,
+	// ConnectTimeout bounds dial and handshake; 1.5 s.
+	ConnectTimeout time.Duration
+	// AckDelay is how long a receiver with nothing to send waits before it shows that it is there; 1.2 s,
 	// longer than the interval of digests, so that within a failure domain it is seldom needed.
-	Acknowledge time.Duration
-	// Silent is how long after a send a link without a sign of the peer counts as broken; 2 s.
-	Silent time.Duration
-	// Ping is the interval of signs of life on an idle link; 10 s.
-	Ping time.Duration
-	// Idle is how long a link to another failure domain is kept without messages; 30 s.
-	Idle time.Duration
+	AckDelay time.Duration
+	// AckTimeout is how long after a send a link without a sign of the peer counts as broken; 2 s.
+	AckTimeout time.Duration
+	// PingInterval is the interval of signs of life on an idle link; 10 s.
+	PingInterval time.Duration
+	// IdleTimeout is how long a link to another failure domain is kept without messages; 30 s.
+	IdleTimeout time.Duration
 	// BackoffMin and BackoffMax bound the jittered wait between attempts to connect; 100 ms and 5 s.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
@@ -73,11 +73,11 @@
 )
 
 func (c Config) withDefaults() Config {
-	if c.Queue.Messages == 0 {
-		c.Queue.Messages = defaultQueueMessages
+	if c.Queue.MaxMessages == 0 {
+		c.Queue.MaxMessages = defaultQueueMessages
 	}
-	if c.Queue.Bytes == 0 {
-		c.Queue.Bytes = defaultQueueBytes
+	if c.Queue.MaxBytes == 0 {
+		c.Queue.MaxBytes = defaultQueueBytes
 	}
 	if c.Inbox == 0 {
 		c.Inbox = defaultInbox
@@ -90,11 +90,11 @@
 }
 
 func (t Timing) withDefaults() Timing {
-	setDefault(&t.Connect, 1500*time.Millisecond)
-	setDefault(&t.Acknowledge, 1200*time.Millisecond)
-	setDefault(&t.Silent, 2*time.Second)
-	setDefault(&t.Ping, 10*time.Second)
-	setDefault(&t.Idle, 30*time.Second)
+	setDefault(&t.ConnectTimeout, 1500*time.Millisecond)
+	setDefault(&t.AckDelay, 1200*time.Millisecond)
+	setDefault(&t.AckTimeout, 2*time.Second)
+	setDefault(&t.PingInterval, 10*time.Second)
+	setDefault(&t.IdleTimeout, 30*time.Second)
 	setDefault(&t.BackoffMin, 100*time.Millisecond)
 	setDefault(&t.BackoffMax, 5*time.Second)
 	return t
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -19,12 +19,12 @@
 	class   atomic.Int32
 	onClose func()
 	closing sync.Once
-	// greeted is set once a hello arrived; failure is why the handshake failed.
-	greeted atomic.Bool
+	// identified is set once a hello arrived; failure is why the handshake failed.
+	identified atomic.Bool
 	failure atomic.Pointer[string]
 }
 
-func (m *Mesh) countConn(conn net.Conn, class pomelorelay.LinkClass, onClose func()) *countedConn {
+func (m *Mesh) newCountedConn(conn net.Conn, class pomelorelay.LinkClass, onClose func()) *countedConn {
 	c := &countedConn{Conn: conn, m: m, onClose: onClose}
 	c.class.Store(int32(class))
 	return c
@@ -82,21 +82,21 @@
 	if len(l.conns) >= maxConns {
 		return nil
 	}
-	counted := l.m.countConn(conn, pomelorelay.LinkDomain, nil)
+	counted := l.m.newCountedConn(conn, pomelorelay.LinkDomain, nil)
 	counted.onClose = func() {
 		l.remove(remote)
-		l.m.noteStranger(counted, time.Now())
+		l.m.recordUnidentified(counted, time.Now())
 	}
 	l.conns[remote] = counted
 	return counted
 }
 
-// greeted marks the connection of a caller that said hello.
-func (l *countedListener) greeted(remote string) {
+// setIdentified marks the connection of a caller that said hello.
+func (l *countedListener) setIdentified(remote string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if conn, ok := l.conns[remote]; ok {
-		conn.greeted.Store(true)
+		conn.identified.Store(true)
 	}
 }
 
--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -16,18 +16,18 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.closed || m.contacting[addr] {
+	if m.closed || m.contactsInProgress[addr] {
 		return nil
 	}
-	m.contacting[addr] = true
-	m.running.Go(func() { m.contact(addr, &queued{data: data, key: message.CoalesceKey(), urgency: message.Urgency()}) })
+	m.contactsInProgress[addr] = true
+	m.running.Go(func() { m.contact(addr, &queuedMessage{data: data, key: message.CoalesceKey(), urgency: message.Urgency()}) })
 	return nil
 }
 
-func (m *Mesh) contact(addr netip.AddrPort, item *queued) {
+func (m *Mesh) contact(addr netip.AddrPort, item *queuedMessage) {
 	l, err := m.open(pomelorelay.Peer{Addr: addr})
 	if err == nil {
-		m.kinds.note(item.data)
+		m.kinds.record(item.data)
 		err = l.peer.send(item)
 	}
 	if err != nil {
@@ -35,5 +35,5 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.contacting, addr)
+	delete(m.contactsInProgress, addr)
 }
--- a/pomelomesh/contact_test.go
+++ b/pomelomesh/contact_test.go
@@ -11,7 +11,7 @@
 
 // A router that starts without the store knows addresses only. What it sends reaches whoever listens there, and the answer comes back over
 // the same link, though neither lists the other.
-func TestARouterIsReachedByItsAddressAlone(t *testing.T) {
+func TestContactReachesRouterByAddress(t *testing.T) {
 	a, b := start(t, config("r1", 11)), start(t, config("r2", 22))
 	if err := a.Contact(b.Addr(), &pomelorelay.StateAsk{Above: 3}); err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 }
 
 // Seeds may be gone or be the router itself. Neither may keep a link or a goroutine: a router asks again and again while the store is away.
-func TestContactsThatFailLeaveNothingBehind(t *testing.T) {
+func TestFailedContactsLeaveNoLinks(t *testing.T) {
 	a := start(t, config("r1", 11))
 	for _, addr := range []netip.AddrPort{pomelofake.FreeAddr(), a.Addr()} {
 		for range 3 {
--- a/pomelomesh/counters.go
+++ b/pomelomesh/counters.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// overBudgetEvery bounds how often the log says that the byte budget is spent.
-const overBudgetEvery = 10 * time.Second
+// overBudgetLogInterval bounds how often the log says that the byte budget is spent.
+const overBudgetLogInterval = 10 * time.Second
 
 // Counters counts what the mesh did since its start.
 type Counters struct {
@@ -37,7 +37,7 @@
 }
 
 type counters struct {
-	coalesced, delayed, queueFull, unknownKinds, malformed, stale, lost, broken, dialled, strangers atomic.Uint64
+	coalesced, delayed, queueFull, unknownKinds, malformed, stale, lost, broken, dialled, unidentified atomic.Uint64
 	links                                                                                           atomic.Int64
 }
 
@@ -46,14 +46,14 @@
 	c := &m.counters
 	return Counters{
 		Coalesced: c.coalesced.Load(), Delayed: c.delayed.Load(), QueueFull: c.queueFull.Load(), UnknownKinds: c.unknownKinds.Load(),
-		Malformed: c.malformed.Load(), Stale: c.stale.Load(), Lost: c.lost.Load(), Broken: c.broken.Load(), Dialled: c.dialled.Load(), Strangers: c.strangers.Load(),
+		Malformed: c.malformed.Load(), Stale: c.stale.Load(), Lost: c.lost.Load(), Broken: c.broken.Load(), Dialled: c.dialled.Load(), Strangers: c.unidentified.Load(),
 		Links: int(c.links.Load()),
 	}
 }
 
-func (m *Mesh) noteOverBudget(now time.Time) {
-	last := m.overBudget.Load()
-	if now.UnixNano()-last < int64(overBudgetEvery) || !m.overBudget.CompareAndSwap(last, now.UnixNano()) {
+func (m *Mesh) logOverBudget(now time.Time) {
+	last := m.lastOverBudgetLog.Load()
+	if now.UnixNano()-last < int64(overBudgetLogInterval) || !m.lastOverBudgetLog.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
 	m.cfg.Logger.Log(pomelorelay.EventMeshOverBudget, pomelorelay.Field{Key: "Delayed", Value: m.counters.delayed.Load()})
--- a/pomelomesh/decode.go
+++ b/pomelomesh/decode.go
@@ -14,7 +14,7 @@
 const (
 	maxItemBytes  = 4 << 20
 	maxNameBytes  = 256
-	maxList       = 8192
+	maxListLength       = 8192
 	maxPrefixes   = 256
 	maxValueBytes = 2 << 20
 )
@@ -37,7 +37,7 @@
 
 func decodeItem(item *pomelowire.Item) (pomelorelay.Message, error) {
 	var d decoder
-	m := d.item(item)
+	m := d.message(item)
 	if d.err != nil {
 		return nil, d.err
 	}
@@ -69,8 +69,8 @@
 	return text
 }
 
-func (d *decoder) count(n, most int) int {
-	if n > most {
+func (d *decoder) count(n, limit int) int {
+	if n > limit {
 		d.fail("list too long")
 		return 0
 	}
@@ -100,21 +100,21 @@
 	return time.Duration(value)
 }
 
-func (d *decoder) state(value, least, most int32) int32 {
-	if value < least || value > most {
+func (d *decoder) enumValue(value, low, high int32) int32 {
+	if value < low || value > high {
 		d.fail("state unknown")
 	}
 	return value
 }
 
-func (d *decoder) bytes(value []byte, most int) []byte {
-	if len(value) > most {
+func (d *decoder) bytes(value []byte, limit int) []byte {
+	if len(value) > limit {
 		d.fail("value too large")
 	}
 	return value
 }
 
-func (d *decoder) fixed(to, value []byte) {
+func (d *decoder) copyFixed(to, value []byte) {
 	if len(value) != len(to) {
 		d.fail("hash of wrong length")
 		return
@@ -122,7 +122,7 @@
 	copy(to, value)
 }
 
-func (d *decoder) at(names []string, index uint32) string {
+func (d *decoder) nameAt(names []string, index uint32) string {
 	if uint64(index) >= uint64(len(names)) {
 		d.fail("name not in the table")
 		return ""
--- a/pomelomesh/decode_claim.go
+++ b/pomelomesh/decode_claim.go
@@ -6,15 +6,15 @@
 )
 
 func (d *decoder) configPull(m *pomelowire.ConfigPull) pomelorelay.Message {
-	parts := make([]pomelorelay.Hash, d.count(len(m.GetParts()), maxList))
+	parts := make([]pomelorelay.Hash, d.count(len(m.GetParts()), maxListLength))
 	for i := range parts {
-		d.fixed(parts[i][:], m.GetParts()[i])
+		d.copyFixed(parts[i][:], m.GetParts()[i])
 	}
 	return &pomelorelay.ConfigPull{Above: pomelorelay.Generation(m.GetAbove()), Parts: parts}
 }
 
 func (d *decoder) configPush(m *pomelowire.ConfigPush) pomelorelay.Message {
-	d.count(len(m.GetParts()), maxList)
+	d.count(len(m.GetParts()), maxListLength)
 	for _, part := range m.GetParts() {
 		d.bytes(part, maxValueBytes)
 	}
@@ -23,15 +23,15 @@
 
 func (d *decoder) claimAsk(m *pomelowire.ClaimAsk) pomelorelay.Message {
 	ask := &pomelorelay.ClaimAsk{Shard: pomelorelay.ShardID(m.GetShard()), Content: pomelorelay.Fingerprint(m.GetContent())}
-	d.fixed(ask.Key[:], m.GetKey())
-	d.fixed(ask.Nonce[:], m.GetNonce())
+	d.copyFixed(ask.Key[:], m.GetKey())
+	d.copyFixed(ask.Nonce[:], m.GetNonce())
 	return ask
 }
 
 func (d *decoder) claimAnswer(m *pomelowire.ClaimAnswer) pomelorelay.Message {
 	answer := &pomelorelay.ClaimAnswer{Shard: pomelorelay.ShardID(m.GetShard()), State: d.claimState(m.GetState()), Outcome: d.outcome(m.GetOutcome())}
-	d.fixed(answer.Key[:], m.GetKey())
-	d.fixed(answer.Nonce[:], m.GetNonce())
+	d.copyFixed(answer.Key[:], m.GetKey())
+	d.copyFixed(answer.Nonce[:], m.GetNonce())
 	return answer
 }
 
@@ -39,20 +39,20 @@
 	settle := &pomelorelay.ClaimSettle{
 		Shard: pomelorelay.ShardID(m.GetShard()), Released: m.GetReleased(), State: d.claimState(m.GetState()), Outcome: d.outcome(m.GetOutcome()),
 	}
-	d.fixed(settle.Key[:], m.GetKey())
-	d.fixed(settle.Nonce[:], m.GetNonce())
+	d.copyFixed(settle.Key[:], m.GetKey())
+	d.copyFixed(settle.Nonce[:], m.GetNonce())
 	return settle
 }
 
 func (d *decoder) claimSettled(m *pomelowire.ClaimSettled) pomelorelay.Message {
 	settled := &pomelorelay.ClaimSettled{Shard: pomelorelay.ShardID(m.GetShard())}
-	d.fixed(settled.Key[:], m.GetKey())
-	d.fixed(settled.Nonce[:], m.GetNonce())
+	d.copyFixed(settled.Key[:], m.GetKey())
+	d.copyFixed(settled.Nonce[:], m.GetNonce())
 	return settled
 }
 
 func (d *decoder) claimState(state int32) pomelorelay.ClaimState {
-	return pomelorelay.ClaimState(d.state(state, 0, int32(pomelorelay.ClaimConflict)))
+	return pomelorelay.ClaimState(d.enumValue(state, 0, int32(pomelorelay.ClaimConflict)))
 }
 
 func (d *decoder) outcome(m *pomelowire.ClaimOutcome) pomelorelay.ClaimOutcome {
--- a/pomelomesh/decode_kinds.go
+++ b/pomelomesh/decode_kinds.go
@@ -5,7 +5,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh/pomelowire"
 )
 
-func (d *decoder) item(item *pomelowire.Item) pomelorelay.Message {
+func (d *decoder) message(item *pomelowire.Item) pomelorelay.Message {
 	switch kind := item.GetKind().(type) {
 	case *pomelowire.Item_Demand:
 		return d.demand(kind.Demand)
@@ -36,10 +36,10 @@
 	case *pomelowire.Item_Farewell:
 		return &pomelorelay.Farewell{Incarnation: pomelorelay.Incarnation(kind.Farewell.GetIncarnation())}
 	}
-	return d.otherItem(item)
+	return d.otherMessage(item)
 }
 
-func (d *decoder) otherItem(item *pomelowire.Item) pomelorelay.Message {
+func (d *decoder) otherMessage(item *pomelowire.Item) pomelorelay.Message {
 	switch kind := item.GetKind().(type) {
 	case *pomelowire.Item_ConfigPull:
 		return d.configPull(kind.ConfigPull)
@@ -117,13 +117,13 @@
 func (d *decoder) grantReply(m *pomelowire.GrantReply) pomelorelay.Message {
 	return &pomelorelay.GrantReply{
 		ID: pomelorelay.GrantID(m.GetId()), Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())),
-		State: pomelorelay.GrantState(d.state(m.GetState(), 0, int32(pomelorelay.GrantUnreached))), Seq: m.GetSeq(), Head: d.tag(m.GetHead()), Waiting: m.GetWaiting(),
+		State: pomelorelay.GrantState(d.enumValue(m.GetState(), 0, int32(pomelorelay.GrantUnreached))), Seq: m.GetSeq(), Head: d.tag(m.GetHead()), Waiting: m.GetWaiting(),
 		FirstToken: d.duration(m.GetFirstToken()), TokenGap: d.duration(m.GetTokenGap()),
 	}
 }
 
 func (d *decoder) runningReport(m *pomelowire.RunningReport) pomelorelay.Message {
-	grants := make([]pomelorelay.GrantID, d.count(len(m.GetGrants()), maxList))
+	grants := make([]pomelorelay.GrantID, d.count(len(m.GetGrants()), maxListLength))
 	for i := range grants {
 		grants[i] = pomelorelay.GrantID(m.GetGrants()[i])
 	}
@@ -132,23 +132,23 @@
 
 func (d *decoder) digest(m *pomelowire.Digest) pomelorelay.Message {
 	digest := &pomelorelay.Digest{Seq: m.GetSeq()}
-	digest.Members = make([]pomelorelay.MemberState, d.count(len(m.GetMembers()), maxList))
+	digest.Members = make([]pomelorelay.MemberState, d.count(len(m.GetMembers()), maxListLength))
 	for i := range digest.Members {
 		state := m.GetMembers()[i]
 		digest.Members[i] = pomelorelay.MemberState{
 			Node: pomelorelay.NodeID(d.name(state.GetNode())), Incarnation: pomelorelay.Incarnation(state.GetIncarnation()),
-			Status: pomelorelay.MemberStatus(d.state(state.GetStatus(), int32(pomelorelay.MemberAlive), int32(pomelorelay.MemberDead))),
+			Status: pomelorelay.MemberStatus(d.enumValue(state.GetStatus(), int32(pomelorelay.MemberAlive), int32(pomelorelay.MemberDead))),
 		}
 	}
 	names := m.GetNames()
 	if len(digest.Members) > 0 {
 		names = append([]string{string(digest.Members[0].Node)}, names...)
 	}
-	digest.Slots = make([]pomelorelay.SlotDigest, d.count(len(m.GetSlots()), maxList))
+	digest.Slots = make([]pomelorelay.SlotDigest, d.count(len(m.GetSlots()), maxListLength))
 	for i := range digest.Slots {
 		digest.Slots[i] = d.slot(m.GetSlots()[i], names)
 	}
-	digest.Reached = make([]pomelorelay.DomainID, d.count(len(m.GetReached()), maxList))
+	digest.Reached = make([]pomelorelay.DomainID, d.count(len(m.GetReached()), maxListLength))
 	for i := range digest.Reached {
 		digest.Reached[i] = pomelorelay.DomainID(d.name(m.GetReached()[i]))
 	}
@@ -157,16 +157,16 @@
 
 func (d *decoder) slot(m *pomelowire.SlotDigest, names []string) pomelorelay.SlotDigest {
 	return pomelorelay.SlotDigest{
-		Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Pool: pomelorelay.PoolID(d.at(names, m.GetPool())),
-		Owner: pomelorelay.NodeID(d.at(names, m.GetOwner())), Domain: pomelorelay.DomainID(d.at(names, m.GetDomain())),
+		Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Pool: pomelorelay.PoolID(d.nameAt(names, m.GetPool())),
+		Owner: pomelorelay.NodeID(d.nameAt(names, m.GetOwner())), Domain: pomelorelay.DomainID(d.nameAt(names, m.GetDomain())),
 		LastTag: d.tag(m.GetLastTag()), Idle: pomelorelay.Slots(m.GetIdle()), Limit: pomelorelay.Slots(m.GetLimit()), Leaving: m.GetLeaving(),
 	}
 }
 
 func (d *decoder) suspectNotice(m *pomelowire.SuspectNotice) pomelorelay.Message {
-	prints := make([]pomelorelay.Fingerprint, d.count(len(m.GetFingerprints()), maxList))
-	for i := range prints {
-		prints[i] = pomelorelay.Fingerprint(m.GetFingerprints()[i])
+	fingerprints := make([]pomelorelay.Fingerprint, d.count(len(m.GetFingerprints()), maxListLength))
+	for i := range fingerprints {
+		fingerprints[i] = pomelorelay.Fingerprint(m.GetFingerprints()[i])
 	}
-	return &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Crash: m.GetCrash(), Fingerprints: prints}
+	return &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Crash: m.GetCrash(), Fingerprints: fingerprints}
 }
--- a/pomelomesh/dial.go
+++ b/pomelomesh/dial.go
@@ -25,12 +25,12 @@
 	l, err := p.m.open(info)
 	if err != nil {
 		p.m.cfg.Logger.Log(pomelorelay.EventMeshLinkDown, pomelorelay.Field{Key: "Node", Value: p.node}, pomelorelay.Field{Key: "Error", Value: err.Error()})
-		p.delay(time.Now())
+		p.backOff(time.Now())
 		return
 	}
 	p.mu.Lock()
-	if p.sending == nil {
-		p.sending = l
+	if p.sendLink == nil {
+		p.sendLink = l
 	}
 	p.mu.Unlock()
 }
@@ -42,8 +42,8 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
-	timer := time.AfterFunc(m.cfg.Timing.Connect, cancel)
-	l, err := m.greet(ctx, conn, info)
+	timer := time.AfterFunc(m.cfg.Timing.ConnectTimeout, cancel)
+	l, err := m.openLink(ctx, conn, info)
 	if err == nil && !timer.Stop() {
 		l.cancel()
 	}
@@ -55,12 +55,12 @@
 	m.running.Go(func() {
 		defer conn.Close()
 		defer cancel()
-		_ = m.follow(l)
+		_ = m.serveJoined(l)
 	})
 	return l, nil
 }
 
-func (m *Mesh) greet(ctx context.Context, conn *grpc.ClientConn, info pomelorelay.Peer) (*link, error) {
+func (m *Mesh) openLink(ctx context.Context, conn *grpc.ClientConn, info pomelorelay.Peer) (*link, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	stream, err := pomelowire.NewMeshClient(conn).Link(ctx, grpc.ForceCodecV2(frameCodec{}))
 	if err != nil {
@@ -70,14 +70,14 @@
 	l := m.newLink(ctx, stream)
 	l.cancel = cancel
 	l.ctx = ctx
-	if err := l.greet(info.Node); err != nil {
+	if err := l.exchangeHellos(info.Node); err != nil {
 		cancel()
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *link) greet(node pomelorelay.NodeID) error {
+func (l *link) exchangeHellos(node pomelorelay.NodeID) error {
 	if err := l.stream.SendMsg(l.m.hello()); err != nil {
 		return err
 	}
@@ -86,17 +86,17 @@
 		return err
 	}
 	hello := frame.GetHello()
-	if hello.GetNode() == "" || hello.GetNode() == string(l.m.cfg.Self.Node) || tooLong(hello) {
-		return l.m.refused(hello.GetNode(), "name")
+	if hello.GetNode() == "" || hello.GetNode() == string(l.m.cfg.Self.Node) || hasLongName(hello) {
+		return l.m.refuseLink(hello.GetNode(), "name")
 	}
 	if node != "" && hello.GetNode() != string(node) {
-		return l.m.refused(hello.GetNode(), "another router answers at the address")
+		return l.m.refuseLink(hello.GetNode(), "another router answers at the address")
 	}
 	return l.m.join(l, hello)
 }
 
 func (m *Mesh) dialOptions(info pomelorelay.Peer) []grpc.DialOption {
-	class := m.classOf(info)
+	class := m.linkClass(info)
 	dialer := net.Dialer{LocalAddr: m.localAddr()}
 	options := []grpc.DialOption{
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
@@ -104,13 +104,13 @@
 			if err != nil {
 				return nil, err
 			}
-			return m.countConn(conn, class, func() {}), nil
+			return m.newCountedConn(conn, class, func() {}), nil
 		}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxFrameBytes)),
 		grpc.WithReadBufferSize(connBuffer),
 		grpc.WithWriteBufferSize(connBuffer),
-		grpc.WithInitialWindowSize(flowWindow),
-		grpc.WithInitialConnWindowSize(flowWindow),
+		grpc.WithInitialWindowSize(flowControlWindow),
+		grpc.WithInitialConnWindowSize(flowControlWindow),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithDisableRetry(),
 		grpc.WithNoProxy(),
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -103,7 +103,7 @@
 	if len(m.Members) > 0 {
 		names.index(string(m.Members[0].Node))
 	}
-	known := len(names.list)
+	implied := len(names.list)
 	d := &pomelowire.Digest{Seq: m.Seq}
 	for _, state := range m.Members {
 		d.Members = append(d.Members, &pomelowire.MemberState{Node: string(state.Node), Incarnation: uint64(state.Incarnation), Status: int32(state.Status)})
@@ -117,7 +117,7 @@
 	for _, domain := range m.Reached {
 		d.Reached = append(d.Reached, string(domain))
 	}
-	d.Names = names.list[known:]
+	d.Names = names.list[implied:]
 	return d
 }
 
@@ -171,12 +171,12 @@
 func encodeSuspect(m pomelorelay.Message) *pomelowire.Item {
 	switch m := m.(type) {
 	case *pomelorelay.SuspectNotice:
-		prints := make([]uint64, len(m.Fingerprints))
-		for i, print := range m.Fingerprints {
-			prints[i] = uint64(print)
+		fingerprints := make([]uint64, len(m.Fingerprints))
+		for i, fingerprint := range m.Fingerprints {
+			fingerprints[i] = uint64(fingerprint)
 		}
 		return &pomelowire.Item{Kind: &pomelowire.Item_SuspectNotice{SuspectNotice: &pomelowire.SuspectNotice{
-			Upstream: string(m.Upstream), Crash: m.Crash, Fingerprints: prints,
+			Upstream: string(m.Upstream), Crash: m.Crash, Fingerprints: fingerprints,
 		}}}
 	case *pomelorelay.SuspectAsk:
 		return &pomelowire.Item{Kind: &pomelowire.Item_SuspectAsk{SuspectAsk: &pomelowire.SuspectAsk{
--- a/pomelomesh/encode_ledger.go
+++ b/pomelomesh/encode_ledger.go
@@ -8,18 +8,18 @@
 // nameTable numbers names in the order of their first use, so that a message holds each once.
 type nameTable struct {
 	list    []string
-	numbers map[string]uint32
+	indexes map[string]uint32
 }
 
 func (t *nameTable) index(name string) uint32 {
-	if n, ok := t.numbers[name]; ok {
+	if n, ok := t.indexes[name]; ok {
 		return n
 	}
-	if t.numbers == nil {
-		t.numbers = make(map[string]uint32)
+	if t.indexes == nil {
+		t.indexes = make(map[string]uint32)
 	}
 	n := uint32(len(t.list))
-	t.numbers[name] = n
+	t.indexes[name] = n
 	t.list = append(t.list, name)
 	return n
 }
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -21,23 +21,23 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh"
 )
 
-// relay passes connections on until it swallows what it is given, without closing anything.
-type relay struct {
+// tcpProxy passes connections on until it swallows what it is given, without closing anything.
+type tcpProxy struct {
 	net.Listener
 	target  netip.AddrPort
-	swallow atomic.Bool
+	discard atomic.Bool
 	slow    atomic.Bool
 	mu      sync.Mutex
 	conns   []net.Conn
 }
 
-func startRelay(t *testing.T, target netip.AddrPort) *relay {
+func startProxy(t *testing.T, target netip.AddrPort) *tcpProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{Listener: listener, target: target}
+	r := &tcpProxy{Listener: listener, target: target}
 	t.Cleanup(r.close)
 	go func() {
 		for {
@@ -45,15 +45,15 @@
 			if err != nil {
 				return
 			}
-			r.pass(conn)
+			r.forward(conn)
 		}
 	}()
 	return r
 }
 
-func (r *relay) addr() netip.AddrPort { return netip.MustParseAddrPort(r.Addr().String()) }
+func (r *tcpProxy) addr() netip.AddrPort { return netip.MustParseAddrPort(r.Addr().String()) }
 
-func (r *relay) pass(conn net.Conn) {
+func (r *tcpProxy) forward(conn net.Conn) {
 	far, err := net.Dial("tcp", r.target.String())
 	if err != nil {
 		conn.Close()
@@ -66,11 +66,11 @@
 	go func() { r.copy(conn, far) }()
 }
 
-func (r *relay) copy(to, from net.Conn) {
+func (r *tcpProxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
-		if err != nil && !r.swallow.Load() {
+		if err != nil && !r.discard.Load() {
 			to.Close()
 			return
 		}
@@ -80,13 +80,13 @@
 		if r.slow.Load() {
 			time.Sleep(16 * time.Millisecond)
 		}
-		if !r.swallow.Load() {
+		if !r.discard.Load() {
 			_, _ = to.Write(buffer[:n])
 		}
 	}
 }
 
-func (r *relay) close() {
+func (r *tcpProxy) close() {
 	r.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,20 +95,20 @@
 	}
 }
 
-func TestHalfOpenLinkIsNoticed(t *testing.T) {
+func TestHalfOpenLinkIsDetected(t *testing.T) {
 	// A switch dies and swallows every packet while both ends keep the connection open. Writes succeed for minutes; callers wait for grants that never arrive.
 	b := start(t, config("r2", 1))
-	r := startRelay(t, b.Addr())
+	r := startProxy(t, b.Addr())
 	cfg := config("r1", 1)
-	cfg.Timing = pomelomesh.Timing{Silent: 300 * time.Millisecond, Acknowledge: 50 * time.Millisecond, BackoffMax: 200 * time.Millisecond}
+	cfg.Timing = pomelomesh.Timing{AckTimeout: 300 * time.Millisecond, AckDelay: 50 * time.Millisecond, BackoffMax: 200 * time.Millisecond}
 	a := start(t, cfg)
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", r.addr())})
 	send(t, a, "r2", &pomelorelay.Probe{Seq: 1})
 	receive(t, b)
-	r.swallow.Store(true)
+	r.discard.Store(true)
 	send(t, a, "r2", &pomelorelay.Probe{Seq: 2})
 	eventually(t, "broken link", func() bool { return a.Counters().Broken == 1 })
-	r.swallow.Store(false)
+	r.discard.Store(false)
 	eventually(t, "message over a new link", func() bool {
 		_ = a.Send("r2", &pomelorelay.Probe{Seq: 3})
 		return len(b.Receive()) > 0
@@ -118,13 +118,13 @@
 	}
 }
 
-func TestLargePartOnASlowLinkArrives(t *testing.T) {
+func TestLargeMessageArrivesOnSlowLink(t *testing.T) {
 	// A part of the configuration takes longer on a slow link than silence is allowed to last. If the link were broken for it, the router behind would never get the part.
 	b := start(t, config("r2", 1))
-	r := startRelay(t, b.Addr())
+	r := startProxy(t, b.Addr())
 	r.slow.Store(true)
 	cfg := config("r1", 1)
-	cfg.Timing.Silent = 300 * time.Millisecond
+	cfg.Timing.AckTimeout = 300 * time.Millisecond
 	a := start(t, cfg)
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", r.addr())})
 	send(t, a, "r2", &pomelorelay.ConfigPush{Parts: [][]byte{make([]byte, 256<<10)}})
@@ -136,9 +136,9 @@
 	}
 }
 
-func TestQuietLinkStaysOpen(t *testing.T) {
+func TestIdleLinkWithinDomainStaysOpen(t *testing.T) {
 	a, b := config("r1", 1), config("r2", 1)
-	a.Timing = pomelomesh.Timing{Silent: 200 * time.Millisecond, Ping: 20 * time.Millisecond, Acknowledge: time.Millisecond}
+	a.Timing = pomelomesh.Timing{AckTimeout: 200 * time.Millisecond, PingInterval: 20 * time.Millisecond, AckDelay: time.Millisecond}
 	b.Timing = a.Timing
 	near, far := start(t, a), start(t, b)
 	near.SetPeers([]pomelorelay.Peer{peerOf("r2", far.Addr())})
@@ -156,7 +156,7 @@
 	b.Self.Domain = "b"
 	far := start(t, b)
 	cfg := config("r1", 1)
-	cfg.Timing.Idle = 300 * time.Millisecond
+	cfg.Timing.IdleTimeout = 300 * time.Millisecond
 	near := start(t, cfg)
 	near.SetPeers([]pomelorelay.Peer{{Node: "r2", Addr: far.Addr(), Domain: "b", Region: "north"}})
 	send(t, near, "r2", &pomelorelay.Probe{})
@@ -241,7 +241,7 @@
 	return cfg
 }
 
-func TestCertificateOfAnotherNameIsRefused(t *testing.T) {
+func TestCertificateForAnotherNameIsRefused(t *testing.T) {
 	// A settings file is copied to a second host with the wrong Node in it; the fleet must not take its reports for the first one's.
 	ca := newAuthority(t)
 	b := start(t, secure("r2", ca.issue(t, t.TempDir(), "r2")))
--- a/pomelomesh/fields_test.go
+++ b/pomelomesh/fields_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestEveryFieldSurvivesTheJourney(t *testing.T) {
+func TestEveryFieldRoundTrips(t *testing.T) {
 	// A part gives a message a new field and the codec is forgotten. Routers then act on its zero: a suspect that ended clean
 	// would arrive as one that did not, and stay held everywhere.
 	for _, m := range everyMessage {
--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -25,13 +25,13 @@
 func (s *service) Link(stream grpc.BidiStreamingServer[pomelowire.Frame, pomelowire.Frame]) error {
 	l := s.m.newLink(stream.Context(), stream)
 	defer l.cancel()
-	greeted := make(chan struct{})
+	joined := make(chan struct{})
 	ended := make(chan error, 1)
-	s.m.running.Go(func() { ended <- s.m.serveLink(stream.Context(), l, greeted) })
-	timer := time.NewTimer(s.m.cfg.Timing.Connect)
+	s.m.running.Go(func() { ended <- s.m.serveLink(stream.Context(), l, joined) })
+	timer := time.NewTimer(s.m.cfg.Timing.ConnectTimeout)
 	defer timer.Stop()
 	select {
-	case <-greeted:
+	case <-joined:
 	case err := <-ended:
 		return err
 	case <-timer.C:
@@ -47,14 +47,14 @@
 	}
 }
 
-func (m *Mesh) serveLink(ctx context.Context, l *link, greeted chan<- struct{}) error {
+func (m *Mesh) serveLink(ctx context.Context, l *link, joined chan<- struct{}) error {
 	frame := new(pomelowire.Frame)
 	if err := l.stream.RecvMsg(frame); err != nil {
 		return err
 	}
 	remote, known := grpcpeer.FromContext(ctx)
 	if known {
-		m.listener.greeted(remote.Addr.String())
+		m.listener.setIdentified(remote.Addr.String())
 	}
 	hello := frame.GetHello()
 	if err := m.checkHello(ctx, hello); err != nil {
@@ -69,12 +69,12 @@
 	if known {
 		m.listener.setClass(remote.Addr.String(), l.class)
 	}
-	close(greeted)
-	return m.follow(l)
+	close(joined)
+	return m.serveJoined(l)
 }
 
-// follow reads a joined link to its end.
-func (m *Mesh) follow(l *link) error {
+// serveJoined reads a joined link to its end.
+func (m *Mesh) serveJoined(l *link) error {
 	node := pomelorelay.Field{Key: "Node", Value: l.peer.node}
 	m.cfg.Logger.Log(pomelorelay.EventMeshLinkUp, node)
 	err := l.read()
@@ -95,20 +95,20 @@
 // checkHello verifies a caller's name. Without it a router with a certificate of its own, or with a copied settings
 // file, could report service and take grants in another's name; two routers would then seem one that flaps.
 func (m *Mesh) checkHello(ctx context.Context, hello *pomelowire.Hello) error {
-	if hello.GetNode() == "" || hello.GetNode() == string(m.cfg.Self.Node) || tooLong(hello) {
-		return m.refused(hello.GetNode(), "name")
+	if hello.GetNode() == "" || hello.GetNode() == string(m.cfg.Self.Node) || hasLongName(hello) {
+		return m.refuseLink(hello.GetNode(), "name")
 	}
 	if m.keys == nil {
 		return nil
 	}
 	certificate := callerCertificate(ctx)
 	if certificate == nil || certificate.VerifyHostname(hello.GetNode()) != nil {
-		return m.refused(hello.GetNode(), "certificate is of another name")
+		return m.refuseLink(hello.GetNode(), "certificate is of another name")
 	}
 	return nil
 }
 
-func tooLong(hello *pomelowire.Hello) bool {
+func hasLongName(hello *pomelowire.Hello) bool {
 	return max(len(hello.GetNode()), len(hello.GetDomain()), len(hello.GetRegion())) > maxNameBytes
 }
 
@@ -124,7 +124,7 @@
 	return info.State.PeerCertificates[0]
 }
 
-func (m *Mesh) refused(node, reason string) error {
+func (m *Mesh) refuseLink(node, reason string) error {
 	m.cfg.Logger.Log(pomelorelay.EventMeshRefused, pomelorelay.Field{Key: "Node", Value: node}, pomelorelay.Field{Key: "Reason", Value: reason})
 	return status.Error(codes.PermissionDenied, reason)
 }
@@ -133,34 +133,34 @@
 func (m *Mesh) join(l *link, hello *pomelowire.Hello) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.peerLocked(pomelorelay.NodeID(hello.GetNode()))
+	p := m.peerOrNewLocked(pomelorelay.NodeID(hello.GetNode()))
 	if p == nil {
-		return m.refused(hello.GetNode(), "too many routers or closing")
+		return m.refuseLink(hello.GetNode(), "too many routers or closing")
 	}
 	l.peer = p
 	l.incarnation = pomelorelay.Incarnation(hello.GetIncarnation())
 	l.domain = pomelorelay.DomainID(hello.GetDomain())
 	l.region = pomelorelay.RegionID(hello.GetRegion())
-	l.class = p.meet(hello)
+	l.class = p.classify(hello)
 	if !p.attach(l, l.incarnation) {
 		m.counters.stale.Add(1)
-		return m.refused(hello.GetNode(), "a later incarnation is known")
+		return m.refuseLink(hello.GetNode(), "a later incarnation is known")
 	}
 	return nil
 }
 
-// meet notes where an unlisted router says that it is, and returns the link class.
-func (p *peer) meet(hello *pomelowire.Hello) pomelorelay.LinkClass {
+// classify notes where an unlisted router says that it is, and returns the link class.
+func (p *peer) classify(hello *pomelowire.Hello) pomelorelay.LinkClass {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.listed {
 		p.info.Domain = pomelorelay.DomainID(hello.GetDomain())
 		p.info.Region = pomelorelay.RegionID(hello.GetRegion())
 	}
-	return p.m.classOf(p.info)
+	return p.m.linkClass(p.info)
 }
 
-func (m *Mesh) classOf(info pomelorelay.Peer) pomelorelay.LinkClass {
+func (m *Mesh) linkClass(info pomelorelay.Peer) pomelorelay.LinkClass {
 	switch {
 	case info.Domain == m.cfg.Self.Domain:
 		return pomelorelay.LinkDomain
--- a/pomelomesh/keys.go
+++ b/pomelomesh/keys.go
@@ -16,56 +16,56 @@
 	logger pomelorelay.Logger
 
 	mu          sync.Mutex
-	stamps      [3]time.Time
+	modTimes      [3]time.Time
 	certificate tls.Certificate
 	authority   *x509.CertPool
-	// looked is when the files were last looked at without a handshake, and warned when the log last told of their end.
-	looked time.Time
-	warned time.Time
+	// polledAt is when the files were last looked at without a handshake, and warned when the log last told of their end.
+	polledAt time.Time
+	warnedAt time.Time
 }
 
 const (
-	// lookEvery is how often the files are looked at without a handshake.
-	lookEvery = time.Minute
-	// warnEvery is how often the log tells that the certificate ends.
-	warnEvery = time.Hour
-	// lastPart of a certificate's life is when its end is told.
-	lastPart = 5
+	// pollInterval is how often the files are looked at without a handshake.
+	pollInterval = time.Minute
+	// expiryWarnInterval is how often the log tells that the certificate ends.
+	expiryWarnInterval = time.Hour
+	// expiryWarnDivisor of a certificate's life is when its end is told.
+	expiryWarnDivisor = 5
 )
 
-// look reads changed files, and tells of a certificate near its end. Routers keep their links for weeks: without it a mistake in
+// poll reads changed files, and tells of a certificate near its end. Routers keep their links for weeks: without it a mistake in
 // new files, or a certificate that nobody replaced, would be seen only when links break and none can be opened.
-func (k *keys) look(now time.Time) {
+func (k *keys) poll(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Sub(k.looked) < lookEvery {
+	if now.Sub(k.polledAt) < pollInterval {
 		return
 	}
-	k.looked = now
+	k.polledAt = now
 	k.refresh()
 	leaf := k.certificate.Leaf
 	life := leaf.NotAfter.Sub(leaf.NotBefore)
-	if leaf.NotAfter.Sub(now) > life/lastPart || now.Sub(k.warned) < warnEvery {
+	if leaf.NotAfter.Sub(now) > life/expiryWarnDivisor || now.Sub(k.warnedAt) < expiryWarnInterval {
 		return
 	}
-	k.warned = now
+	k.warnedAt = now
 	k.logger.Log(pomelorelay.EventMeshKeysEnding, pomelorelay.Field{Key: "End", Value: leaf.NotAfter.UTC().Format(time.RFC3339)})
 }
 
 func loadKeys(files TLSFiles, logger pomelorelay.Logger) (*keys, error) {
 	k := &keys{files: files, logger: logger}
-	stamps, err := k.stat()
+	stamps, err := k.statFiles()
 	if err != nil {
 		return nil, err
 	}
 	if err := k.load(); err != nil {
 		return nil, err
 	}
-	k.stamps = stamps
+	k.modTimes = stamps
 	return k, nil
 }
 
-func (k *keys) stat() ([3]time.Time, error) {
+func (k *keys) statFiles() ([3]time.Time, error) {
 	var stamps [3]time.Time
 	for i, name := range []string{k.files.Certificate, k.files.Key, k.files.Authority} {
 		info, err := os.Stat(name)
@@ -97,8 +97,8 @@
 // refresh reads the files again when they changed. Files that are half written or do not fit together leave the
 // former keys in use and are tried again at the next handshake.
 func (k *keys) refresh() {
-	stamps, err := k.stat()
-	if err == nil && stamps == k.stamps {
+	stamps, err := k.statFiles()
+	if err == nil && stamps == k.modTimes {
 		return
 	}
 	if err == nil {
@@ -108,7 +108,7 @@
 		k.logger.Log(pomelorelay.EventMeshKeysBad, pomelorelay.Field{Key: "Error", Value: err.Error()})
 		return
 	}
-	k.stamps = stamps
+	k.modTimes = stamps
 	k.logger.Log(pomelorelay.EventMeshKeysChanged)
 }
 
--- a/pomelomesh/kinds.go
+++ b/pomelomesh/kinds.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// maxKind is above the number of every kind of message.
-const maxKind = 64
+// kindLimit is above the number of every kind of message.
+const kindLimit = 64
 
 // KindCount counts the messages of one kind that were sent, and their encoded bytes without framing.
 type KindCount struct {
@@ -18,12 +18,12 @@
 	Bytes    uint64
 }
 
-type kindCounters [maxKind]struct{ messages, bytes atomic.Uint64 }
+type kindCounters [kindLimit]struct{ messages, bytes atomic.Uint64 }
 
-// note counts an encoded item; its first field number is its kind.
-func (k *kindCounters) note(data []byte) {
+// record counts an encoded item; its first field number is its kind.
+func (k *kindCounters) record(data []byte) {
 	kind, _, n := protowire.ConsumeTag(data)
-	if n < 0 || kind >= maxKind {
+	if n < 0 || kind >= kindLimit {
 		return
 	}
 	k[kind].messages.Add(1)
--- a/pomelomesh/link.go
+++ b/pomelomesh/link.go
@@ -14,8 +14,8 @@
 // frameOverhead is what grpc, HTTP/2 and TLS add to a frame, as BenchmarkJourney counts it.
 const frameOverhead = 56
 
-// slowestRate is the bytes a second that a link carries at least.
-const slowestRate = 128 << 10
+// minLinkRate is the bytes a second that a link carries at least.
+const minLinkRate = 128 << 10
 
 // frameStream is what both ends of a grpc stream have in common.
 type frameStream interface {
@@ -37,24 +37,24 @@
 	superseded  bool // guarded by the peer's mutex
 
 	// Unix nanoseconds; zero when there is none.
-	unanswered atomic.Int64 // the first frame sent since the last one received
-	owed       atomic.Int64 // the first frame received since the last one sent
-	heard      atomic.Int64 // the last frame received
-	busy       atomic.Int64 // the last message sent or received
-	stuck      atomic.Bool  // the reader waits for room in the inbox
+	ackAwaitedSince atomic.Int64 // the first frame sent since the last one received
+	ackOwedSince       atomic.Int64 // the first frame received since the last one sent
+	lastReceived      atomic.Int64 // the last frame received
+	lastMessage       atomic.Int64 // the last message sent or received
+	inboxBlocked      atomic.Bool  // the reader waits for room in the inbox
 }
 
 func (m *Mesh) newLink(ctx context.Context, stream frameStream) *link {
 	l := &link{m: m, stream: stream}
 	l.ctx, l.cancel = context.WithCancel(ctx)
 	now := time.Now().UnixNano()
-	l.heard.Store(now)
-	l.busy.Store(now)
+	l.lastReceived.Store(now)
+	l.lastMessage.Store(now)
 	return l
 }
 
-// header returns the start of every frame: the configuration generation.
-func (m *Mesh) header() []byte {
+// frameHeader returns the start of every frame: the configuration generation.
+func (m *Mesh) frameHeader() []byte {
 	generation := m.generation.Load()
 	if generation == 0 {
 		return nil
@@ -65,10 +65,10 @@
 // write sends a frame and ends the link when that fails. Only the peer's goroutine calls it.
 func (l *link) write(frame []byte, expectsAnswer bool) bool {
 	now := time.Now().UnixNano()
-	l.owed.Store(0)
+	l.ackOwedSince.Store(0)
 	if expectsAnswer {
-		l.await(now, len(frame))
-		l.busy.Store(now)
+		l.awaitAck(now, len(frame))
+		l.lastMessage.Store(now)
 	}
 	if err := l.stream.SendMsg(rawFrame(frame)); err != nil {
 		l.cancel()
@@ -77,48 +77,48 @@
 	return true
 }
 
-// await starts or prolongs the wait for an answer. A far end answers only once it has the whole frame; without the time
+// awaitAck starts or prolongs the wait for an answer. A far end answers only once it has the whole frame; without the time
 // for its bytes a configuration part on a slow link would break the link, again and again.
-func (l *link) await(now int64, size int) {
-	transfer := int64(size) * int64(time.Second) / slowestRate
+func (l *link) awaitAck(now int64, size int) {
+	transfer := int64(size) * int64(time.Second) / minLinkRate
 	for {
-		since := l.unanswered.Load()
+		since := l.ackAwaitedSince.Load()
 		start := since + transfer
 		if since == 0 {
 			start = now + transfer
 		}
-		if l.unanswered.CompareAndSwap(since, start) {
+		if l.ackAwaitedSince.CompareAndSwap(since, start) {
 			return
 		}
 	}
 }
 
-// owes reports whether the far end waits for a sign of life, or must be asked for one.
-func (l *link) owes(now time.Time) bool { return l.owesSign(now) || l.owesPing(now) }
+// keepaliveDue reports whether the far end waits for a sign of life, or must be asked for one.
+func (l *link) keepaliveDue(now time.Time) bool { return l.ackDue(now) || l.pingDue(now) }
 
-func (l *link) owesSign(now time.Time) bool {
-	since := l.owed.Load()
-	return since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.Acknowledge)
+func (l *link) ackDue(now time.Time) bool {
+	since := l.ackOwedSince.Load()
+	return since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.AckDelay)
 }
 
-func (l *link) owesPing(now time.Time) bool {
-	return l.unanswered.Load() == 0 && now.UnixNano()-l.heard.Load() >= int64(l.m.cfg.Timing.Ping)
+func (l *link) pingDue(now time.Time) bool {
+	return l.ackAwaitedSince.Load() == 0 && now.UnixNano()-l.lastReceived.Load() >= int64(l.m.cfg.Timing.PingInterval)
 }
 
-func (l *link) sign(now time.Time) {
-	if l.owesPing(now) {
-		l.unanswered.CompareAndSwap(0, now.UnixNano())
-		ping := protowire.AppendVarint(protowire.AppendTag(l.m.header(), 4, protowire.VarintType), 1)
+func (l *link) sendKeepalive(now time.Time) {
+	if l.pingDue(now) {
+		l.ackAwaitedSince.CompareAndSwap(0, now.UnixNano())
+		ping := protowire.AppendVarint(protowire.AppendTag(l.m.frameHeader(), 4, protowire.VarintType), 1)
 		l.charge(ping)
 		l.write(ping, false)
 		return
 	}
-	if l.owesSign(now) {
-		frame := l.m.header()
+	if l.ackDue(now) {
+		frame := l.m.frameHeader()
 		l.charge(frame)
 		l.write(frame, false)
-		if l.stuck.Load() {
-			l.owed.Store(now.UnixNano())
+		if l.inboxBlocked.Load() {
+			l.ackOwedSince.Store(now.UnixNano())
 		}
 	}
 }
@@ -128,11 +128,11 @@
 // expired reports whether the link must end. A half-open connection accepts writes for minutes; callers would wait for
 // grants that never arrive. The far end answers every frame within Acknowledge, so silence after a send shows it.
 func (l *link) expired(now time.Time, keep bool) bool {
-	since := l.unanswered.Load()
-	if since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.Silent) {
+	since := l.ackAwaitedSince.Load()
+	if since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.AckTimeout) {
 		return true
 	}
-	return !keep && now.UnixNano()-l.busy.Load() >= int64(l.m.cfg.Timing.Idle)
+	return !keep && now.UnixNano()-l.lastMessage.Load() >= int64(l.m.cfg.Timing.IdleTimeout)
 }
 
 // read delivers what arrives until the stream ends.
@@ -142,7 +142,7 @@
 		if err := l.stream.RecvMsg(frame); err != nil {
 			return err
 		}
-		l.noteRead(frame)
+		l.recordFrame(frame)
 		for _, item := range frame.GetItems() {
 			if !l.deliver(frame.GetGeneration(), item) {
 				return context.Canceled
@@ -151,15 +151,15 @@
 	}
 }
 
-func (l *link) noteRead(frame *pomelowire.Frame) {
+func (l *link) recordFrame(frame *pomelowire.Frame) {
 	now := time.Now().UnixNano()
-	l.heard.Store(now)
-	l.unanswered.Store(0)
+	l.lastReceived.Store(now)
+	l.ackAwaitedSince.Store(0)
 	if len(frame.GetItems()) > 0 {
-		l.busy.Store(now)
+		l.lastMessage.Store(now)
 	}
 	if len(frame.GetItems()) > 0 || frame.GetPing() {
-		l.owed.CompareAndSwap(0, now)
+		l.ackOwedSince.CompareAndSwap(0, now)
 	}
 }
 
@@ -167,7 +167,7 @@
 func (l *link) deliver(generation uint64, item *pomelowire.Item) bool {
 	message, err := decodeItem(item)
 	if err != nil {
-		l.refuse(err)
+		l.recordUndecodable(err)
 		return true
 	}
 	if !l.peer.accept(l) {
@@ -182,9 +182,9 @@
 		return true
 	default:
 	}
-	l.stuck.Store(true)
-	defer l.stuck.Store(false)
-	l.owed.CompareAndSwap(0, time.Now().UnixNano())
+	l.inboxBlocked.Store(true)
+	defer l.inboxBlocked.Store(false)
+	l.ackOwedSince.CompareAndSwap(0, time.Now().UnixNano())
 	select {
 	case l.m.inbox <- envelope:
 		return true
@@ -193,7 +193,7 @@
 	}
 }
 
-func (l *link) refuse(err error) {
+func (l *link) recordUndecodable(err error) {
 	if pomelorelay.IsErrCode(err, pomelorelay.CodeMeshUnknownKind) {
 		l.m.counters.unknownKinds.Add(1)
 		return
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// watchEvery is the interval at which links are checked for silence, idleness and owed signs of life.
-const watchEvery = 100 * time.Millisecond
+// linkCheckInterval is the interval at which links are checked for silence, idleness and owed signs of life.
+const linkCheckInterval = 100 * time.Millisecond
 
 // maxPeers bounds the routers that are known at once, unlisted ones included.
 const maxPeers = 4096
@@ -33,10 +33,10 @@
 	generation atomic.Uint64
 	counters   counters
 	kinds      kindCounters
-	overBudget atomic.Int64 // Unix nanoseconds of the last notice
+	lastOverBudgetLog atomic.Int64 // Unix nanoseconds of the last notice
 
-	strangersMu sync.Mutex
-	strangers   map[netip.Addr]time.Time
+	unidentifiedMu sync.Mutex
+	unidentifiedLogged   map[netip.Addr]time.Time
 
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -45,8 +45,8 @@
 	mu     sync.Mutex
 	peers  map[pomelorelay.NodeID]*peer
 	closed bool
-	// contacting holds the addresses that are being dialled without knowing who answers there.
-	contacting map[netip.AddrPort]bool
+	// contactsInProgress holds the addresses that are being dialled without knowing who answers there.
+	contactsInProgress map[netip.AddrPort]bool
 }
 
 var _ pomelorelay.Mesh = (*Mesh)(nil)
@@ -55,7 +55,7 @@
 // the address cannot be listened on.
 func New(cfg Config) (*Mesh, error) {
 	cfg = cfg.withDefaults()
-	m := &Mesh{cfg: cfg, inbox: make(chan pomelorelay.Envelope, cfg.Inbox), peers: make(map[pomelorelay.NodeID]*peer), strangers: make(map[netip.Addr]time.Time), contacting: make(map[netip.AddrPort]bool)}
+	m := &Mesh{cfg: cfg, inbox: make(chan pomelorelay.Envelope, cfg.Inbox), peers: make(map[pomelorelay.NodeID]*peer), unidentifiedLogged: make(map[netip.Addr]time.Time), contactsInProgress: make(map[netip.AddrPort]bool)}
 	if err := m.loadKeys(); err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	m.server = grpc.NewServer(m.serverOptions()...)
 	pomelowire.RegisterMeshServer(m.server, &service{m: m})
 	m.running.Go(func() { _ = m.server.Serve(m.listener) })
-	m.running.Go(func() { m.watch() })
+	m.running.Go(func() { m.checkLoop() })
 	return m, nil
 }
 
@@ -92,11 +92,11 @@
 		grpc.ForceServerCodecV2(frameCodec{}),
 		grpc.MaxRecvMsgSize(maxFrameBytes),
 		grpc.MaxConcurrentStreams(1),
-		grpc.ConnectionTimeout(m.cfg.Timing.Connect),
+		grpc.ConnectionTimeout(m.cfg.Timing.ConnectTimeout),
 		grpc.ReadBufferSize(connBuffer),
 		grpc.WriteBufferSize(connBuffer),
-		grpc.InitialWindowSize(flowWindow),
-		grpc.InitialConnWindowSize(flowWindow),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.WaitForHandlers(true),
 	}
 	if m.keys == nil {
@@ -121,19 +121,19 @@
 			continue
 		}
 		listed[info.Node] = true
-		if p := m.peerLocked(info.Node); p != nil {
-			p.list(info)
+		if p := m.peerOrNewLocked(info.Node); p != nil {
+			p.setListed(info)
 		}
 	}
 	for node, p := range m.peers {
 		if !listed[node] {
-			p.unlist()
+			p.setUnlisted()
 		}
 	}
 }
 
-// peerLocked returns the peer's state and makes it when there is none; nil when the mesh is closed or the bound is reached.
-func (m *Mesh) peerLocked(node pomelorelay.NodeID) *peer {
+// peerOrNewLocked returns the peer's state and makes it when there is none; nil when the mesh is closed or the bound is reached.
+func (m *Mesh) peerOrNewLocked(node pomelorelay.NodeID) *peer {
 	if p, ok := m.peers[node]; ok {
 		return p
 	}
@@ -162,8 +162,8 @@
 	if p == nil {
 		return pomelorelay.NewError(pomelorelay.CodeMeshUnknownPeer, string(to), nil)
 	}
-	m.kinds.note(data)
-	return p.send(&queued{data: data, key: message.CoalesceKey(), urgency: message.Urgency()})
+	m.kinds.record(data)
+	return p.send(&queuedMessage{data: data, key: message.CoalesceKey(), urgency: message.Urgency()})
 }
 
 // Receive returns the channel of messages that arrived.
@@ -194,9 +194,9 @@
 	return nil
 }
 
-// watch checks every link until the mesh closes.
-func (m *Mesh) watch() {
-	ticker := time.NewTicker(watchEvery)
+// checkLoop checks every link until the mesh closes.
+func (m *Mesh) checkLoop() {
+	ticker := time.NewTicker(linkCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -205,7 +205,7 @@
 		case now := <-ticker.C:
 			m.check(now)
 			if m.keys != nil {
-				m.keys.look(now)
+				m.keys.poll(now)
 			}
 		}
 	}
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// patience bounds a wait for something that must happen; it decides no verdict of its own.
-const patience = 20 * time.Second
+// testTimeout bounds a wait for something that must happen; it decides no verdict of its own.
+const testTimeout = 20 * time.Second
 
 func config(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelomesh.Config {
 	return pomelomesh.Config{
@@ -46,7 +46,7 @@
 	select {
 	case e := <-m.Receive():
 		return e
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("nothing arrived; %+v", m.Counters())
 		return pomelorelay.Envelope{}
 	}
@@ -54,7 +54,7 @@
 
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !reached(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !reached(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("not reached: " + what)
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestMessagesArriveInOrderWithTheirEnvelope(t *testing.T) {
+func TestMessagesArriveInOrderWithEnvelope(t *testing.T) {
 	a, b := start(t, config("r1", 11)), start(t, config("r2", 22))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	a.SetGeneration(5)
@@ -114,7 +114,7 @@
 	return stream
 }
 
-func TestNewerKindIsSkipped(t *testing.T) {
+func TestUnknownKindIsSkipped(t *testing.T) {
 	// During an update some routers already send a kind that the others do not know; that must cost neither the link nor what travels beside it.
 	m := start(t, config("r1", 1))
 	stream := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 1, Domain: "a", Region: "north"})
@@ -159,7 +159,7 @@
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
 	// A peer stops reading, as a paused host does. Callers of Send are the control thread: it must go on, told that the queue is full.
 	a := config("r1", 1)
-	a.Queue = pomelomesh.QueueBounds{Messages: 100}
+	a.Queue = pomelomesh.QueueBounds{MaxMessages: 100}
 	b := config("r2", 1)
 	b.Inbox = 1
 	sender, stalled := start(t, a), start(t, b)
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestOverBudgetTheUrgentLeaveAndTheRestCoalesce(t *testing.T) {
+func TestOverBudgetUrgentMessagesLeaveAndOthersCoalesce(t *testing.T) {
 	// Every account becomes active at once and digests outgrow what a link may carry; grants must not wait behind them.
 	cfg := config("r1", 1)
 	cfg.Budget[pomelorelay.LinkDomain] = 4000
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestDialsFromItsOwnAddress(t *testing.T) {
+func TestDialsFromTheListenAddress(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestUrgentMessagesOverBudgetDoNotSilenceTheRest(t *testing.T) {
+func TestUrgentMessagesOverBudgetDoNotStarveDigests(t *testing.T) {
 	// A loaded router's grants alone use more than its byte budget. If no digest left then, the others would take it for dead and
 	// take over its jobs, again and again, while it works.
 	cfg := config("r1", 1)
--- a/pomelomesh/peer.go
+++ b/pomelomesh/peer.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// retryBudget is the wait before messages that the byte budget held back are tried again.
-const retryBudget = 50 * time.Millisecond
+// budgetRetryDelay is the wait before messages that the byte budget held back are tried again.
+const budgetRetryDelay = 50 * time.Millisecond
 
 // peer is one other router: its queue and its links. One goroutine dials and writes, so that Send never blocks.
 type peer struct {
@@ -25,8 +25,8 @@
 	incarnation pomelorelay.Incarnation
 	queue       queue
 	links       []*link
-	sending     *link
-	receiving   *link
+	sendLink     *link
+	receiveLink   *link
 	backoff     time.Duration
 	dialAfter   time.Time
 	jitter      *rand.Rand
@@ -42,7 +42,7 @@
 	return p
 }
 
-func (p *peer) list(info pomelorelay.Peer) {
+func (p *peer) setListed(info pomelorelay.Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listed && p.info.Addr != info.Addr {
@@ -53,13 +53,13 @@
 	p.listed = true
 }
 
-func (p *peer) unlist() {
+func (p *peer) setUnlisted() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed = false
 }
 
-func (p *peer) send(item *queued) error {
+func (p *peer) send(item *queuedMessage) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.listed && len(p.links) == 0 {
@@ -73,11 +73,11 @@
 	if coalesced {
 		p.m.counters.coalesced.Add(1)
 	}
-	p.signal()
+	p.wakeWriter()
 	return nil
 }
 
-func (p *peer) signal() {
+func (p *peer) wakeWriter() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -103,8 +103,8 @@
 
 // serve does what is due and returns the wait until it must be called again.
 func (p *peer) serve(now time.Time) time.Duration {
-	p.signs(now)
-	l, wait := p.pick(now)
+	p.sendKeepalives(now)
+	l, wait := p.pickLink(now)
 	if wait > 0 {
 		return wait
 	}
@@ -115,29 +115,29 @@
 	return p.flush(l)
 }
 
-// signs writes the pings and signs of life that links owe.
-func (p *peer) signs(now time.Time) {
+// sendKeepalives writes the pings and signs of life that links owe.
+func (p *peer) sendKeepalives(now time.Time) {
 	p.mu.Lock()
 	links := slices.Clone(p.links)
 	p.mu.Unlock()
 	for _, l := range links {
-		l.sign(now)
+		l.sendKeepalive(now)
 	}
 }
 
-// pick returns the link to write on, nil to dial, or a wait when nothing can be done now. A peer keeps to the link
+// pickLink returns the link to write on, nil to dial, or a wait when nothing can be done now. A peer keeps to the link
 // that it began with, so that messages do not overtake each other on two.
-func (p *peer) pick(now time.Time) (*link, time.Duration) {
+func (p *peer) pickLink(now time.Time) (*link, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.queue.count == 0 {
 		return nil, time.Hour
 	}
-	if p.sending == nil && len(p.links) > 0 {
-		p.sending = p.links[0]
+	if p.sendLink == nil && len(p.links) > 0 {
+		p.sendLink = p.links[0]
 	}
-	if p.sending != nil {
-		return p.sending, 0
+	if p.sendLink != nil {
+		return p.sendLink, 0
 	}
 	if !p.listed {
 		p.m.counters.lost.Add(uint64(p.queue.clear()))
@@ -155,26 +155,26 @@
 	for {
 		now := time.Now()
 		p.mu.Lock()
-		frame := p.queue.batch(p.m.header(), func(u pomelorelay.Urgency) float64 { return class.room(now, u) })
+		frame := p.queue.appendBatch(p.m.frameHeader(), func(u pomelorelay.Urgency) float64 { return class.room(now, u) })
 		left := p.queue.count
 		p.mu.Unlock()
-		if len(frame) == len(p.m.header()) {
-			return p.held(left)
+		if len(frame) == len(p.m.frameHeader()) {
+			return p.waitAfterFlush(left)
 		}
 		class.charge(len(frame) + frameOverhead)
 		if !l.write(frame, true) {
-			return retryBudget
+			return budgetRetryDelay
 		}
 	}
 }
 
-func (p *peer) held(left int) time.Duration {
+func (p *peer) waitAfterFlush(left int) time.Duration {
 	if left == 0 {
 		return time.Hour
 	}
 	p.m.counters.delayed.Add(1)
-	p.m.noteOverBudget(time.Now())
-	return retryBudget
+	p.m.logOverBudget(time.Now())
+	return budgetRetryDelay
 }
 
 // attach takes a link whose far end said who it is; it reports false when that router has started anew since.
@@ -194,7 +194,7 @@
 	p.backoff = 0
 	p.dialAfter = time.Time{}
 	p.m.counters.links.Add(1)
-	p.signal()
+	p.wakeWriter()
 	return true
 }
 
@@ -208,11 +208,11 @@
 	}
 	p.links = slices.Delete(p.links, at, at+1)
 	p.m.counters.links.Add(-1)
-	if p.receiving == l {
-		p.receiving = nil
+	if p.receiveLink == l {
+		p.receiveLink = nil
 	}
-	if p.sending == l {
-		p.sending = nil
+	if p.sendLink == l {
+		p.sendLink = nil
 		p.m.counters.lost.Add(uint64(p.queue.clear()))
 	}
 }
@@ -225,11 +225,11 @@
 	if l.superseded || l.incarnation < p.incarnation {
 		return false
 	}
-	if p.receiving != l {
-		if p.receiving != nil {
-			p.receiving.superseded = true
+	if p.receiveLink != l {
+		if p.receiveLink != nil {
+			p.receiveLink.superseded = true
 		}
-		p.receiving = l
+		p.receiveLink = l
 	}
 	return true
 }
@@ -239,11 +239,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
-		if l.expired(now, l.class == pomelorelay.LinkDomain && (l == p.sending || len(p.links) == 1)) {
+		if l.expired(now, l.class == pomelorelay.LinkDomain && (l == p.sendLink || len(p.links) == 1)) {
 			l.cancel()
 		}
-		if l.owes(now) {
-			p.signal()
+		if l.keepaliveDue(now) {
+			p.wakeWriter()
 		}
 	}
 	if p.listed || len(p.links) > 0 {
@@ -253,8 +253,8 @@
 	return true
 }
 
-// delay sets the jittered wait before the next attempt to connect.
-func (p *peer) delay(now time.Time) {
+// backOff sets the jittered wait before the next attempt to connect.
+func (p *peer) backOff(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.m.cfg.Timing
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -2,13 +2,13 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-const urgencies = int(pomelorelay.UrgencyLater) + 1
+const numUrgencies = int(pomelorelay.UrgencyLater) + 1
 
 // maxBatchBytes is the size at which a frame is closed; one larger message has a frame of its own.
 const maxBatchBytes = 32 << 10
 
-// queued is an encoded message that waits for one peer.
-type queued struct {
+// queuedMessage is an encoded message that waits for one peer.
+type queuedMessage struct {
 	data    []byte
 	key     string
 	urgency pomelorelay.Urgency
@@ -17,37 +17,37 @@
 // queue holds what waits for one peer, in order within each urgency.
 type queue struct {
 	bounds QueueBounds
-	lanes  [urgencies][]*queued
-	keyed  map[string]*queued
+	lanes  [numUrgencies][]*queuedMessage
+	byKey  map[string]*queuedMessage
 	count  int
 	bytes  pomelorelay.Bytes
 }
 
 // add queues a message, or puts it in the place of a waiting one of the same key; it reports whether there was room.
-func (q *queue) add(item *queued) (coalesced, ok bool) {
-	if waiting, found := q.keyed[item.key]; found && item.key != "" && waiting.urgency == item.urgency {
+func (q *queue) add(item *queuedMessage) (coalesced, ok bool) {
+	if waiting, found := q.byKey[item.key]; found && item.key != "" && waiting.urgency == item.urgency {
 		q.bytes += pomelorelay.Bytes(len(item.data) - len(waiting.data))
 		waiting.data = item.data
 		return true, true
 	}
-	if q.count >= q.bounds.Messages || q.bytes+pomelorelay.Bytes(len(item.data)) > q.bounds.Bytes {
+	if q.count >= q.bounds.MaxMessages || q.bytes+pomelorelay.Bytes(len(item.data)) > q.bounds.MaxBytes {
 		return false, false
 	}
 	q.lanes[item.urgency] = append(q.lanes[item.urgency], item)
 	q.count++
 	q.bytes += pomelorelay.Bytes(len(item.data))
 	if item.key != "" {
-		if q.keyed == nil {
-			q.keyed = make(map[string]*queued)
+		if q.byKey == nil {
+			q.byKey = make(map[string]*queuedMessage)
 		}
-		q.keyed[item.key] = item
+		q.byKey[item.key] = item
 	}
 	return false, true
 }
 
-// batch appends the most urgent messages that may leave to a frame; it stops at the batch's size, or with the message
+// appendBatch appends the most urgent messages that may leave to a frame; it stops at the batch's size, or with the message
 // that uses up the room of its urgency.
-func (q *queue) batch(frame []byte, room func(pomelorelay.Urgency) float64) []byte {
+func (q *queue) appendBatch(frame []byte, room func(pomelorelay.Urgency) float64) []byte {
 	start := len(frame)
 	for urgency, lane := range q.lanes {
 		if len(lane) == 0 {
@@ -61,10 +61,10 @@
 				break
 			}
 			frame = appendItem(frame, item.data)
-			q.forget(item)
+			q.remove(item)
 			taken++
 		}
-		q.lanes[urgency] = rest(lane, taken)
+		q.lanes[urgency] = remaining(lane, taken)
 		if taken < len(lane) {
 			return frame
 		}
@@ -72,26 +72,26 @@
 	return frame
 }
 
-func rest(lane []*queued, taken int) []*queued {
+func remaining(lane []*queuedMessage, taken int) []*queuedMessage {
 	if taken == len(lane) {
 		return lane[:0]
 	}
 	return lane[taken:]
 }
 
-func (q *queue) forget(item *queued) {
+func (q *queue) remove(item *queuedMessage) {
 	q.count--
 	q.bytes -= pomelorelay.Bytes(len(item.data))
-	if q.keyed[item.key] == item {
-		delete(q.keyed, item.key)
+	if q.byKey[item.key] == item {
+		delete(q.byKey, item.key)
 	}
 }
 
 // clear empties the queue and returns how many messages were in it.
 func (q *queue) clear() int {
 	lost := q.count
-	q.lanes = [urgencies][]*queued{}
-	q.keyed = nil
+	q.lanes = [numUrgencies][]*queuedMessage{}
+	q.byKey = nil
 	q.count = 0
 	q.bytes = 0
 	return lost
--- a/pomelomesh/stranger.go
+++ b/pomelomesh/unidentified.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// strangerEvery bounds how often the log tells of callers at one address that say no hello.
-	strangerEvery = 10 * time.Second
-	// maxStrangers bounds the addresses that are remembered for it.
-	maxStrangers = 1024
-	noHello      = "the connection ended without a hello"
+	// unidentifiedLogInterval bounds how often the log tells of callers at one address that say no hello.
+	unidentifiedLogInterval = 10 * time.Second
+	// maxUnidentifiedAddrs bounds the addresses that are remembered for it.
+	maxUnidentifiedAddrs = 1024
+	reasonNoHello      = "the connection ended without a hello"
 )
 
 // serverCredentials keeps why a handshake failed, which grpc tells nobody. Without it a router whose certificate comes from
@@ -39,33 +39,33 @@
 	return serverCredentials{c.TransportCredentials.Clone()}
 }
 
-// noteStranger logs a caller whose connection ended before its hello: a router with the wrong keys, or no router at all.
-func (m *Mesh) noteStranger(c *countedConn, now time.Time) {
-	if c.greeted.Load() || m.ctx.Err() != nil {
+// recordUnidentified logs a caller whose connection ended before its hello: a router with the wrong keys, or no router at all.
+func (m *Mesh) recordUnidentified(c *countedConn, now time.Time) {
+	if c.identified.Load() || m.ctx.Err() != nil {
 		return
 	}
-	m.counters.strangers.Add(1)
+	m.counters.unidentified.Add(1)
 	remote, err := netip.ParseAddrPort(c.RemoteAddr().String())
-	if err != nil || !m.strangerDue(remote.Addr(), now) {
+	if err != nil || !m.unidentifiedLogDue(remote.Addr(), now) {
 		return
 	}
-	reason := noHello
+	reason := reasonNoHello
 	if failure := c.failure.Load(); failure != nil {
 		reason = *failure
 	}
 	m.cfg.Logger.Log(pomelorelay.EventMeshRefused, pomelorelay.Field{Key: "Remote", Value: remote.String()}, pomelorelay.Field{Key: "Reason", Value: reason})
 }
 
-// strangerDue reports whether the log may tell of the address again.
-func (m *Mesh) strangerDue(addr netip.Addr, now time.Time) bool {
-	m.strangersMu.Lock()
-	defer m.strangersMu.Unlock()
-	if last, ok := m.strangers[addr]; ok && now.Sub(last) < strangerEvery {
+// unidentifiedLogDue reports whether the log may tell of the address again.
+func (m *Mesh) unidentifiedLogDue(addr netip.Addr, now time.Time) bool {
+	m.unidentifiedMu.Lock()
+	defer m.unidentifiedMu.Unlock()
+	if last, ok := m.unidentifiedLogged[addr]; ok && now.Sub(last) < unidentifiedLogInterval {
 		return false
 	}
-	if len(m.strangers) >= maxStrangers {
-		clear(m.strangers)
+	if len(m.unidentifiedLogged) >= maxUnidentifiedAddrs {
+		clear(m.unidentifiedLogged)
 	}
-	m.strangers[addr] = now
+	m.unidentifiedLogged[addr] = now
 	return true
 }
