--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -18,7 +18,7 @@
 // peer gets of it at once.
 const (
 	guaranteedFraction = 0.25
-	guaranteedBatch = 512
+	guaranteedBatch    = 512
 )
 
 // budget is the token bucket of one link class. It counts what was queued to the transport and what the
@@ -28,12 +28,12 @@
 	written atomic.Int64
 	read    atomic.Int64
 
-	mu      sync.Mutex
-	queued  int64
-	spent   int64
-	level   float64
-	guaranteed    float64
-	updated time.Time
+	mu         sync.Mutex
+	queued     int64
+	charged      int64
+	level      float64
+	guaranteed float64
+	updated    time.Time
 }
 
 func newBudget(rate pomelorelay.Bytes, now time.Time) *budget {
@@ -78,13 +78,13 @@
 }
 
 func (b *budget) refill(now time.Time) {
-	full := b.rate * burstDuration.Seconds()
-	passed := now.Sub(b.updated).Seconds()
-	b.level += b.rate * passed
+	capacity := b.rate * burstDuration.Seconds()
+	elapsed := now.Sub(b.updated).Seconds()
+	b.level += b.rate * elapsed
 	b.updated = now
 	spent := max(b.queued, b.written.Load())
-	b.level -= float64(spent - b.spent)
-	b.spent = spent
-	b.level = min(b.level, full)
-	b.guaranteed = min(b.guaranteed+guaranteedFraction*b.rate*passed, max(full, guaranteedBatch))
+	b.level -= float64(spent - b.charged)
+	b.charged = spent
+	b.level = min(b.level, capacity)
+	b.guaranteed = min(b.guaranteed+guaranteedFraction*b.rate*elapsed, max(capacity, guaranteedBatch))
 }
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -56,16 +56,16 @@
 	if !ok {
 		return fmt.Errorf("no decoding into %T", v)
 	}
-	if err := checkCounts(encoded, frameDepth); err != nil {
+	if err := checkFieldCount(encoded, frameDepth); err != nil {
 		return err
 	}
 	return proto.Unmarshal(encoded, frame)
 }
 
-// checkCounts walks the encoded fields before anything is allocated for them. Without it a frame of
+// checkFieldCount walks the encoded fields before anything is allocated for them. Without it a frame of
 // millions of empty entries, two bytes each, grows to hundreds of megabytes when decoded; the router is then
 // killed for its memory.
-func checkCounts(data []byte, depth int) error {
+func checkFieldCount(data []byte, depth int) error {
 	remaining := maxFrameFields
 	return countFields(data, depth, &remaining)
 }
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -22,8 +22,8 @@
 	Authority   string
 }
 
-// QueueBounds bounds what waits for one peer.
-type QueueBounds struct {
+// QueueLimits bounds what waits for one peer.
+type QueueLimits struct {
 	// MaxMessages is the largest count; 4096 when zero.
 	MaxMessages int
 	// MaxBytes is the largest encoded size; 8 MiB when zero.
@@ -57,10 +57,10 @@
 	Insecure bool
 	// Budget bounds bytes sent per second by link class; zero means unbounded.
 	Budget [pomelorelay.LinkClasses]pomelorelay.Bytes
-	Queue  QueueBounds
+	Queue  QueueLimits
 	Timing Timing
-	// Inbox is the length of the channel of arrived messages; 1024 when zero.
-	Inbox int
+	// InboxSize is the length of the channel of arrived messages; 1024 when zero.
+	InboxSize int
 	// Seed feeds the jitter of reconnects.
 	Seed   uint64
 	Logger pomelorelay.Logger
@@ -69,7 +69,7 @@
 const (
 	defaultQueueMessages = 4096
 	defaultQueueBytes    = 8 << 20
-	defaultInbox         = 1024
+	defaultInboxSize         = 1024
 )
 
 func (c Config) withDefaults() Config {
@@ -79,8 +79,8 @@
 	if c.Queue.MaxBytes == 0 {
 		c.Queue.MaxBytes = defaultQueueBytes
 	}
-	if c.Inbox == 0 {
-		c.Inbox = defaultInbox
+	if c.InboxSize == 0 {
+		c.InboxSize = defaultInboxSize
 	}
 	if c.Logger == nil {
 		c.Logger = pomelorelay.NopLogger{}
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -21,7 +21,7 @@
 	closing sync.Once
 	// identified is set once a hello arrived; failure is why the handshake failed.
 	identified atomic.Bool
-	failure atomic.Pointer[string]
+	handshakeError    atomic.Pointer[string]
 }
 
 func (m *Mesh) newCountedConn(conn net.Conn, class pomelorelay.LinkClass, onClose func()) *countedConn {
--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -20,7 +20,9 @@
 		return nil
 	}
 	m.contactsInProgress[addr] = true
-	m.running.Go(func() { m.contact(addr, &queuedMessage{data: data, key: message.CoalesceKey(), urgency: message.Urgency()}) })
+	m.running.Go(func() {
+		m.contact(addr, &queuedMessage{data: data, key: message.CoalesceKey(), urgency: message.Urgency()})
+	})
 	return nil
 }
 
--- a/pomelomesh/counters.go
+++ b/pomelomesh/counters.go
@@ -38,7 +38,7 @@
 
 type counters struct {
 	coalesced, delayed, queueFull, unknownKinds, malformed, stale, lost, broken, dialled, unidentified atomic.Uint64
-	links                                                                                           atomic.Int64
+	links                                                                                              atomic.Int64
 }
 
 // Counters returns what the mesh did since its start.
--- a/pomelomesh/decode.go
+++ b/pomelomesh/decode.go
@@ -14,7 +14,7 @@
 const (
 	maxItemBytes  = 4 << 20
 	maxNameBytes  = 256
-	maxListLength       = 8192
+	maxListLength = 8192
 	maxPrefixes   = 256
 	maxValueBytes = 2 << 20
 )
@@ -25,7 +25,7 @@
 	if len(data) > maxItemBytes {
 		return nil, malformed("message too large")
 	}
-	if err := checkCounts(data, itemDepth); err != nil {
+	if err := checkFieldCount(data, itemDepth); err != nil {
 		return nil, err
 	}
 	var item pomelowire.Item
--- a/pomelomesh/dial.go
+++ b/pomelomesh/dial.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// connBuffer is the size of a connection's read and write buffers; control messages are small and links are many.
-const connBuffer = 4 << 10
+// connBufferSize is the size of a connection's read and write buffers; control messages are small and links are many.
+const connBufferSize = 4 << 10
 
 // dial opens a link and waits until both ends said hello.
 func (p *peer) dial() {
@@ -107,8 +107,8 @@
 			return m.newCountedConn(conn, class, func() {}), nil
 		}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxFrameBytes)),
-		grpc.WithReadBufferSize(connBuffer),
-		grpc.WithWriteBufferSize(connBuffer),
+		grpc.WithReadBufferSize(connBufferSize),
+		grpc.WithWriteBufferSize(connBufferSize),
 		grpc.WithInitialWindowSize(flowControlWindow),
 		grpc.WithInitialConnWindowSize(flowControlWindow),
 		grpc.WithDisableServiceConfig(),
@@ -119,7 +119,7 @@
 	if m.keys == nil {
 		return append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	}
-	return append(options, grpc.WithTransportCredentials(credentials.NewTLS(m.keys.client(info.Node))))
+	return append(options, grpc.WithTransportCredentials(credentials.NewTLS(m.keys.clientConfig(info.Node))))
 }
 
 // localAddr binds outgoing connections to the address that the mesh listens on, so that the far end and what is
--- a/pomelomesh/keys.go
+++ b/pomelomesh/keys.go
@@ -16,7 +16,7 @@
 	logger pomelorelay.Logger
 
 	mu          sync.Mutex
-	modTimes      [3]time.Time
+	modTimes    [3]time.Time
 	certificate tls.Certificate
 	authority   *x509.CertPool
 	// polledAt is when the files were last looked at without a handshake, and warned when the log last told of their end.
@@ -44,8 +44,8 @@
 	k.polledAt = now
 	k.refresh()
 	leaf := k.certificate.Leaf
-	life := leaf.NotAfter.Sub(leaf.NotBefore)
-	if leaf.NotAfter.Sub(now) > life/expiryWarnDivisor || now.Sub(k.warnedAt) < expiryWarnInterval {
+	lifetime := leaf.NotAfter.Sub(leaf.NotBefore)
+	if leaf.NotAfter.Sub(now) > lifetime/expiryWarnDivisor || now.Sub(k.warnedAt) < expiryWarnInterval {
 		return
 	}
 	k.warnedAt = now
@@ -112,14 +112,14 @@
 	k.logger.Log(pomelorelay.EventMeshKeysChanged)
 }
 
-func (k *keys) client(node pomelorelay.NodeID) *tls.Config {
+func (k *keys) clientConfig(node pomelorelay.NodeID) *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.refresh()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: string(node), RootCAs: k.authority, Certificates: []tls.Certificate{k.certificate}}
 }
 
-func (k *keys) server() *tls.Config {
+func (k *keys) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
--- a/pomelomesh/link.go
+++ b/pomelomesh/link.go
@@ -38,10 +38,10 @@
 
 	// Unix nanoseconds; zero when there is none.
 	ackAwaitedSince atomic.Int64 // the first frame sent since the last one received
-	ackOwedSince       atomic.Int64 // the first frame received since the last one sent
-	lastReceived      atomic.Int64 // the last frame received
-	lastMessage       atomic.Int64 // the last message sent or received
-	inboxBlocked      atomic.Bool  // the reader waits for room in the inbox
+	ackOwedSince    atomic.Int64 // the first frame received since the last one sent
+	lastReceived    atomic.Int64 // the last frame received
+	lastMessage     atomic.Int64 // the last message sent or received
+	inboxBlocked    atomic.Bool  // the reader waits for room in the inbox
 }
 
 func (m *Mesh) newLink(ctx context.Context, stream frameStream) *link {
@@ -62,11 +62,11 @@
 	return protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), generation)
 }
 
-// write sends a frame and ends the link when that fails. Only the peer's goroutine calls it.
-func (l *link) write(frame []byte, expectsAnswer bool) bool {
+// writeFrame sends a frame and ends the link when that fails. Only the peer's goroutine calls it.
+func (l *link) writeFrame(frame []byte, expectsAck bool) bool {
 	now := time.Now().UnixNano()
 	l.ackOwedSince.Store(0)
-	if expectsAnswer {
+	if expectsAck {
 		l.awaitAck(now, len(frame))
 		l.lastMessage.Store(now)
 	}
@@ -109,30 +109,30 @@
 	if l.pingDue(now) {
 		l.ackAwaitedSince.CompareAndSwap(0, now.UnixNano())
 		ping := protowire.AppendVarint(protowire.AppendTag(l.m.frameHeader(), 4, protowire.VarintType), 1)
-		l.charge(ping)
-		l.write(ping, false)
+		l.chargeFrame(ping)
+		l.writeFrame(ping, false)
 		return
 	}
 	if l.ackDue(now) {
 		frame := l.m.frameHeader()
-		l.charge(frame)
-		l.write(frame, false)
+		l.chargeFrame(frame)
+		l.writeFrame(frame, false)
 		if l.inboxBlocked.Load() {
 			l.ackOwedSince.Store(now.UnixNano())
 		}
 	}
 }
 
-func (l *link) charge(frame []byte) { l.m.budgets[l.class].charge(len(frame) + frameOverhead) }
+func (l *link) chargeFrame(frame []byte) { l.m.budgets[l.class].charge(len(frame) + frameOverhead) }
 
 // expired reports whether the link must end. A half-open connection accepts writes for minutes; callers would wait for
 // grants that never arrive. The far end answers every frame within Acknowledge, so silence after a send shows it.
-func (l *link) expired(now time.Time, keep bool) bool {
+func (l *link) expired(now time.Time, keepIdle bool) bool {
 	since := l.ackAwaitedSince.Load()
 	if since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.AckTimeout) {
 		return true
 	}
-	return !keep && now.UnixNano()-l.lastMessage.Load() >= int64(l.m.cfg.Timing.IdleTimeout)
+	return !keepIdle && now.UnixNano()-l.lastMessage.Load() >= int64(l.m.cfg.Timing.IdleTimeout)
 }
 
 // read delivers what arrives until the stream ends.
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -24,19 +24,19 @@
 
 // Mesh implements pomelorelay.Mesh over grpc.
 type Mesh struct {
-	cfg        Config
-	keys       *keys
-	listener   *countedListener
-	server     *grpc.Server
-	inbox      chan pomelorelay.Envelope
-	budgets    [pomelorelay.LinkClasses]*budget
-	generation atomic.Uint64
-	counters   counters
-	kinds      kindCounters
+	cfg               Config
+	keys              *keys
+	listener          *countedListener
+	server            *grpc.Server
+	inbox             chan pomelorelay.Envelope
+	budgets           [pomelorelay.LinkClasses]*budget
+	generation        atomic.Uint64
+	counters          counters
+	kinds             kindCounters
 	lastOverBudgetLog atomic.Int64 // Unix nanoseconds of the last notice
 
-	unidentifiedMu sync.Mutex
-	unidentifiedLogged   map[netip.Addr]time.Time
+	unidentifiedMu     sync.Mutex
+	unidentifiedLogged map[netip.Addr]time.Time
 
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -55,7 +55,7 @@
 // the address cannot be listened on.
 func New(cfg Config) (*Mesh, error) {
 	cfg = cfg.withDefaults()
-	m := &Mesh{cfg: cfg, inbox: make(chan pomelorelay.Envelope, cfg.Inbox), peers: make(map[pomelorelay.NodeID]*peer), unidentifiedLogged: make(map[netip.Addr]time.Time), contactsInProgress: make(map[netip.AddrPort]bool)}
+	m := &Mesh{cfg: cfg, inbox: make(chan pomelorelay.Envelope, cfg.InboxSize), peers: make(map[pomelorelay.NodeID]*peer), unidentifiedLogged: make(map[netip.Addr]time.Time), contactsInProgress: make(map[netip.AddrPort]bool)}
 	if err := m.loadKeys(); err != nil {
 		return nil, err
 	}
@@ -93,8 +93,8 @@
 		grpc.MaxRecvMsgSize(maxFrameBytes),
 		grpc.MaxConcurrentStreams(1),
 		grpc.ConnectionTimeout(m.cfg.Timing.ConnectTimeout),
-		grpc.ReadBufferSize(connBuffer),
-		grpc.WriteBufferSize(connBuffer),
+		grpc.ReadBufferSize(connBufferSize),
+		grpc.WriteBufferSize(connBufferSize),
 		grpc.InitialWindowSize(flowControlWindow),
 		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.WaitForHandlers(true),
@@ -102,7 +102,7 @@
 	if m.keys == nil {
 		return append(options, grpc.Creds(insecure.NewCredentials()))
 	}
-	return append(options, grpc.Creds(serverCredentials{credentials.NewTLS(m.keys.server())}))
+	return append(options, grpc.Creds(serverCredentials{credentials.NewTLS(m.keys.serverConfig())}))
 }
 
 // Addr returns the address that the mesh listens on.
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -159,9 +159,9 @@
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
 	// A peer stops reading, as a paused host does. Callers of Send are the control thread: it must go on, told that the queue is full.
 	a := config("r1", 1)
-	a.Queue = pomelomesh.QueueBounds{MaxMessages: 100}
+	a.Queue = pomelomesh.QueueLimits{MaxMessages: 100}
 	b := config("r2", 1)
-	b.Inbox = 1
+	b.InboxSize = 1
 	sender, stalled := start(t, a), start(t, b)
 	sender.SetPeers([]pomelorelay.Peer{peerOf("r2", stalled.Addr())})
 	refused := 0
--- a/pomelomesh/peer.go
+++ b/pomelomesh/peer.go
@@ -25,8 +25,8 @@
 	incarnation pomelorelay.Incarnation
 	queue       queue
 	links       []*link
-	sendLink     *link
-	receiveLink   *link
+	sendLink    *link
+	receiveLink *link
 	backoff     time.Duration
 	dialAfter   time.Time
 	jitter      *rand.Rand
@@ -35,7 +35,7 @@
 func newPeer(m *Mesh, node pomelorelay.NodeID) *peer {
 	p := &peer{m: m, node: node, wake: make(chan struct{}, 1), stop: make(chan struct{})}
 	p.info.Node = node
-	p.queue.bounds = m.cfg.Queue
+	p.queue.limits = m.cfg.Queue
 	seed := m.cfg.Seed ^ uint64(m.cfg.Self.Incarnation)
 	p.jitter = rand.New(rand.NewPCG(seed, uint64(len(m.peers))))
 	m.running.Go(func() { p.run() })
@@ -162,7 +162,7 @@
 			return p.waitAfterFlush(left)
 		}
 		class.charge(len(frame) + frameOverhead)
-		if !l.write(frame, true) {
+		if !l.writeFrame(frame, true) {
 			return budgetRetryDelay
 		}
 	}
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -16,7 +16,7 @@
 
 // queue holds what waits for one peer, in order within each urgency.
 type queue struct {
-	bounds QueueBounds
+	limits QueueLimits
 	lanes  [numUrgencies][]*queuedMessage
 	byKey  map[string]*queuedMessage
 	count  int
@@ -30,7 +30,7 @@
 		waiting.data = item.data
 		return true, true
 	}
-	if q.count >= q.bounds.MaxMessages || q.bytes+pomelorelay.Bytes(len(item.data)) > q.bounds.MaxBytes {
+	if q.count >= q.limits.MaxMessages || q.bytes+pomelorelay.Bytes(len(item.data)) > q.limits.MaxBytes {
 		return false, false
 	}
 	q.lanes[item.urgency] = append(q.lanes[item.urgency], item)
@@ -64,7 +64,7 @@
 			q.remove(item)
 			taken++
 		}
-		q.lanes[urgency] = remaining(lane, taken)
+		q.lanes[urgency] = dropFirst(lane, taken)
 		if taken < len(lane) {
 			return frame
 		}
@@ -72,7 +72,7 @@
 	return frame
 }
 
-func remaining(lane []*queuedMessage, taken int) []*queuedMessage {
+func dropFirst(lane []*queuedMessage, taken int) []*queuedMessage {
 	if taken == len(lane) {
 		return lane[:0]
 	}
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -15,7 +15,7 @@
 	unidentifiedLogInterval = 10 * time.Second
 	// maxUnidentifiedAddrs bounds the addresses that are remembered for it.
 	maxUnidentifiedAddrs = 1024
-	reasonNoHello      = "the connection ended without a hello"
+	reasonNoHello        = "the connection ended without a hello"
 )
 
 // serverCredentials keeps why a handshake failed, which grpc tells nobody. Without it a router whose certificate comes from
@@ -29,7 +29,7 @@
 	secured, info, err := c.TransportCredentials.ServerHandshake(conn)
 	if counted, ok := conn.(*countedConn); ok && err != nil {
 		reason := err.Error()
-		counted.failure.Store(&reason)
+		counted.handshakeError.Store(&reason)
 	}
 	return secured, info, err
 }
@@ -50,8 +50,8 @@
 		return
 	}
 	reason := reasonNoHello
-	if failure := c.failure.Load(); failure != nil {
-		reason = *failure
+	if handshakeError := c.handshakeError.Load(); handshakeError != nil {
+		reason = *handshakeError
 	}
 	m.cfg.Logger.Log(pomelorelay.EventMeshRefused, pomelorelay.Field{Key: "Remote", Value: remote.String()}, pomelorelay.Field{Key: "Reason", Value: reason})
 }
