--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -8,21 +8,21 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// burstDuration is the time whose bytes a link class may save up.
+// burstDuration is the time over which a link class may accumulate unused budget.
 const burstDuration = time.Second
 
-// soonReservedFraction is the part of the saved up bytes that only messages of UrgencySoon and above may use.
+// soonReservedFraction is the fraction of the burst that is closed to messages of UrgencyLater.
 const soonReservedFraction = 0.25
 
-// leanShare is the part of the rate that less urgent messages may use when the urgent ones have spent it all, leanBatch what one
-// peer gets of it at once.
+// guaranteedFraction is the fraction of the rate left to less urgent messages once urgent ones have exhausted the budget;
+// guaranteedBatch is the number of bytes that one peer gets of it at once.
 const (
 	guaranteedFraction = 0.25
 	guaranteedBatch    = 512
 )
 
-// budget is the token bucket of one link class. It counts what was queued to the transport and what the
-// connections wrote, whichever is more, because the transport writes later and adds framing, handshakes and TLS.
+// budget is the token bucket of one link class. It charges the larger of the bytes queued to the transport and the bytes
+// written by the connections, because the transport writes later and adds framing, handshakes and TLS.
 type budget struct {
 	rate    float64
 	written atomic.Int64
@@ -30,7 +30,7 @@
 
 	mu         sync.Mutex
 	queued     int64
-	charged      int64
+	charged    int64
 	level      float64
 	guaranteed float64
 	updated    time.Time
@@ -40,14 +40,14 @@
 	return &budget{rate: float64(rate), level: float64(rate) * burstDuration.Seconds(), updated: now}
 }
 
-// charge notes bytes handed to the transport.
+// charge adds bytes queued to the transport.
 func (b *budget) charge(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.queued += int64(n)
 }
 
-// room returns how many bytes of messages of the urgency may leave now; not above zero means none.
+// room returns how many bytes of messages of the urgency may be sent now; zero or less means none.
 func (b *budget) room(now time.Time, urgency pomelorelay.Urgency) float64 {
 	if urgency == pomelorelay.UrgencyNow || b.rate == 0 {
 		return maxBatchBytes
@@ -65,9 +65,9 @@
 	return b.takeGuaranteed()
 }
 
-// takeGuaranteed gives a little room although the budget is spent. Messages of UrgencyNow always leave and may alone use more than the
-// budget; without this share no digest would leave then, routers would take each other for dead and totals would grow stale, seen as
-// a fleet that falls apart under load.
+// takeGuaranteed returns a batch of the guaranteed bytes, or zero. Messages of UrgencyNow are always sent and can exceed
+// the budget alone; without a guarantee no digest would be sent then, so that under load routers would declare each
+// other dead and totals would go stale.
 func (b *budget) takeGuaranteed() float64 {
 	room := min(b.guaranteed, guaranteedBatch)
 	if room < guaranteedBatch {
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The depths at which repeated fields nest: frame, item, kind, list.
+// The nesting levels whose fields are counted: frame, item and message of a frame, item and message of an item.
 const (
 	frameDepth = 3
 	itemDepth  = 2
@@ -23,7 +23,7 @@
 	frameItems     = protowire.Number(3)
 )
 
-// rawFrame is a frame whose items were encoded when they were queued.
+// rawFrame is an encoded frame; its items were encoded when they were queued.
 type rawFrame []byte
 
 func appendItem(frame, item []byte) []byte {
@@ -31,13 +31,13 @@
 	return protowire.AppendBytes(frame, item)
 }
 
-// frameCodec writes frames of items already encoded and bounds what it reads.
+// frameCodec is a gRPC codec that sends encoded frames unchanged and bounds the size of received ones.
 type frameCodec struct{}
 
-// Name returns the codec's content subtype.
+// Name returns the gRPC content subtype of the codec.
 func (frameCodec) Name() string { return "proto" }
 
-// Marshal returns a raw frame as it is and encodes any other message.
+// Marshal returns a raw frame unchanged and encodes any other protobuf message.
 func (frameCodec) Marshal(v any) (mem.BufferSlice, error) {
 	switch v := v.(type) {
 	case rawFrame:
@@ -46,15 +46,15 @@
 		data, err := proto.Marshal(v)
 		return mem.BufferSlice{mem.SliceBuffer(data)}, err
 	}
-	return nil, fmt.Errorf("no encoding for %T", v)
+	return nil, fmt.Errorf("cannot encode %T: want a frame or protobuf message", v)
 }
 
-// Unmarshal reads a frame within the bounds.
+// Unmarshal decodes a frame; it fails when the frame has too many fields.
 func (frameCodec) Unmarshal(data mem.BufferSlice, v any) error {
 	encoded := data.Materialize()
 	frame, ok := v.(*pomelowire.Frame)
 	if !ok {
-		return fmt.Errorf("no decoding into %T", v)
+		return fmt.Errorf("cannot decode into %T: want *pomelowire.Frame", v)
 	}
 	if err := checkFieldCount(encoded, frameDepth); err != nil {
 		return err
@@ -62,9 +62,8 @@
 	return proto.Unmarshal(encoded, frame)
 }
 
-// checkFieldCount walks the encoded fields before anything is allocated for them. Without it a frame of
-// millions of empty entries, two bytes each, grows to hundreds of megabytes when decoded; the router is then
-// killed for its memory.
+// checkFieldCount rejects a message of too many fields before anything is allocated for them. A frame of millions of
+// empty entries, two bytes each, would decode to hundreds of megabytes and get the router killed for its memory use.
 func checkFieldCount(data []byte, depth int) error {
 	remaining := maxFrameFields
 	return countFields(data, depth, &remaining)
@@ -74,25 +73,25 @@
 	for len(data) > 0 {
 		*remaining--
 		if *remaining < 0 {
-			return malformed("too many fields")
+			return malformed("more fields than allowed")
 		}
 		_, kind, n := protowire.ConsumeTag(data)
 		if n < 0 {
-			return pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "tag", protowire.ParseError(n))
+			return pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "invalid field tag", protowire.ParseError(n))
 		}
 		data = data[n:]
 		size := protowire.ConsumeFieldValue(1, kind, data)
 		if kind == protowire.EndGroupType {
-			return malformed("group")
+			return malformed("unexpected group")
 		}
 		if size < 0 {
-			return pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "field", protowire.ParseError(size))
+			return pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "invalid field value", protowire.ParseError(size))
 		}
 		if kind == protowire.BytesType && depth > 1 {
 			inner, _ := protowire.ConsumeBytes(data)
 			countNested(inner, depth-1, remaining)
 			if *remaining < 0 {
-				return malformed("too many fields")
+				return malformed("more fields than allowed")
 			}
 		}
 		data = data[size:]
@@ -100,7 +99,8 @@
 	return nil
 }
 
-// countNested counts within a field that may be a message; text and hashes seldom parse as one and then cost little.
+// countNested counts the fields of a value that may be a message, ignoring parse errors; strings and hashes rarely
+// parse as one and then cost little.
 func countNested(data []byte, depth int, remaining *int) {
 	_ = countFields(data, depth, remaining)
 }
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Self tells who this router is.
+// Self identifies this router in the hello that opens a link.
 type Self struct {
 	Node        pomelorelay.NodeID
 	Incarnation pomelorelay.Incarnation
@@ -15,53 +15,53 @@
 	Region      pomelorelay.RegionID
 }
 
-// TLSFiles names the PEM files of mutual TLS; the certificate's DNS name is the router's NodeID.
+// TLSFiles holds the paths of the PEM files for mutual TLS; the certificate's DNS name is the router's NodeID.
 type TLSFiles struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// QueueLimits bounds what waits for one peer.
+// QueueLimits bounds the messages queued for one peer.
 type QueueLimits struct {
-	// MaxMessages is the largest count; 4096 when zero.
+	// MaxMessages bounds the number of messages; 4096 when zero.
 	MaxMessages int
-	// MaxBytes is the largest encoded size; 8 MiB when zero.
+	// MaxBytes bounds their encoded size; 8 MiB when zero.
 	MaxBytes pomelorelay.Bytes
 }
 
-// Timing holds the intervals of links; a zero field takes the default that its comment gives.
+// Timing holds the timeouts and intervals of links; a zero field takes the default named in its comment.
 type Timing struct {
-	// ConnectTimeout bounds dial and handshake; 1.5 s.
+	// ConnectTimeout bounds dialling, the TLS handshake and the exchange of hellos; 1.5 s.
 	ConnectTimeout time.Duration
-	// AckDelay is how long a receiver with nothing to send waits before it shows that it is there; 1.2 s,
-	// longer than the interval of digests, so that within a failure domain it is seldom needed.
+	// AckDelay is how long a receiver with nothing to send waits before it sends an empty frame as acknowledgement;
+	// 1.2 s, longer than the digest interval, so that acknowledgements are rarely needed within a failure domain.
 	AckDelay time.Duration
-	// AckTimeout is how long after a send a link without a sign of the peer counts as broken; 2 s.
+	// AckTimeout is how long after a send without any frame from the peer a link is considered broken; 2 s.
 	AckTimeout time.Duration
-	// PingInterval is the interval of signs of life on an idle link; 10 s.
+	// PingInterval is the time without a received frame after which a link is pinged; 10 s.
 	PingInterval time.Duration
-	// IdleTimeout is how long a link to another failure domain is kept without messages; 30 s.
+	// IdleTimeout is how long a link to another failure domain is kept open without messages; 30 s.
 	IdleTimeout time.Duration
-	// BackoffMin and BackoffMax bound the jittered wait between attempts to connect; 100 ms and 5 s.
+	// BackoffMin and BackoffMax bound the backoff, before jitter, between connection attempts; 100 ms and 5 s.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
 }
 
-// Config holds what a Mesh needs.
+// Config configures a Mesh.
 type Config struct {
 	Self   Self
 	Listen netip.AddrPort
-	// TLS names the key files; Insecure must be set when they are empty.
+	// TLS holds the paths of the key files; without them Insecure must be set.
 	TLS      TLSFiles
 	Insecure bool
-	// Budget bounds bytes sent per second by link class; zero means unbounded.
+	// Budget bounds the bytes sent per second, by link class; zero means unlimited.
 	Budget [pomelorelay.LinkClasses]pomelorelay.Bytes
 	Queue  QueueLimits
 	Timing Timing
-	// InboxSize is the length of the channel of arrived messages; 1024 when zero.
+	// InboxSize is the capacity of the channel of received messages; 1024 when zero.
 	InboxSize int
-	// Seed feeds the jitter of reconnects.
+	// Seed seeds the jitter of the reconnect backoff.
 	Seed   uint64
 	Logger pomelorelay.Logger
 }
@@ -69,7 +69,7 @@
 const (
 	defaultQueueMessages = 4096
 	defaultQueueBytes    = 8 << 20
-	defaultInboxSize         = 1024
+	defaultInboxSize     = 1024
 )
 
 func (c Config) withDefaults() Config {
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -9,19 +9,19 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxConns bounds the connections accepted at once, well above a fleet's routers.
+// maxConns bounds the accepted connections; it is well above the number of routers in a fleet.
 const maxConns = 4096
 
-// countedConn counts its bytes for a link class, below TLS.
+// countedConn counts the bytes of a connection by link class, below TLS.
 type countedConn struct {
 	net.Conn
 	m       *Mesh
 	class   atomic.Int32
 	onClose func()
 	closing sync.Once
-	// identified is set once a hello arrived; failure is why the handshake failed.
-	identified atomic.Bool
-	handshakeError    atomic.Pointer[string]
+	// identified is set when a hello arrives; handshakeError is the error of a failed TLS handshake.
+	identified     atomic.Bool
+	handshakeError atomic.Pointer[string]
 }
 
 func (m *Mesh) newCountedConn(conn net.Conn, class pomelorelay.LinkClass, onClose func()) *countedConn {
@@ -30,30 +30,30 @@
 	return c
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.m.budgets[c.class.Load()].read.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.m.budgets[c.class.Load()].written.Add(int64(n))
 	return n, err
 }
 
-// Close closes the connection once.
+// Close closes the connection; onClose runs at the first call only.
 func (c *countedConn) Close() error {
 	c.closing.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-// setClass counts later bytes for another class; those of the handshake stay with the nearest.
+// setClass sets the link class of later bytes; those of the handshake remain counted for LinkDomain.
 func (c *countedConn) setClass(class pomelorelay.LinkClass) { c.class.Store(int32(class)) }
 
-// countedListener hands out counted connections and finds them again by their remote address.
+// countedListener returns counted connections and keeps them by remote address.
 type countedListener struct {
 	net.Listener
 	m     *Mesh
@@ -61,7 +61,7 @@
 	conns map[string]*countedConn
 }
 
-// Accept waits for a connection and drops those over the bound.
+// Accept returns the next connection, closing those beyond maxConns.
 func (l *countedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -91,7 +91,7 @@
 	return counted
 }
 
-// setIdentified marks the connection of a caller that said hello.
+// setIdentified marks the connection as one on which a hello arrived.
 func (l *countedListener) setIdentified(remote string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -6,9 +6,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Contact sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged, and
-// a message to an address that is being dialled already is dropped. It fails with CodeMeshMalformed. A mesh with certificates refuses
-// routers whose names it does not know.
+// Contact sends a message to whichever router answers at the address, without waiting for it; it fails with
+// CodeMeshMalformed. An unreachable router is logged, and a message to an address that is already being contacted is
+// dropped. With mutual TLS, routers whose node names are unknown are refused.
 func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
 	data, err := EncodeMessage(message)
 	if err != nil {
--- a/pomelomesh/counters.go
+++ b/pomelomesh/counters.go
@@ -7,32 +7,32 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// overBudgetLogInterval bounds how often the log says that the byte budget is spent.
+// overBudgetLogInterval is the minimum time between log entries about an exhausted byte budget.
 const overBudgetLogInterval = 10 * time.Second
 
-// Counters counts what the mesh did since its start.
+// Counters holds the mesh's event counts since its start and its number of open links.
 type Counters struct {
-	// Coalesced counts messages replaced by a later one while they waited.
+	// Coalesced counts queued messages replaced by a later one.
 	Coalesced uint64
-	// Delayed counts the times that the byte budget left less urgent messages waiting.
+	// Delayed counts the flushes after which messages remained queued because the byte budget was exhausted.
 	Delayed uint64
-	// QueueFull counts messages refused because the peer's queue was full.
+	// QueueFull counts messages rejected because the peer's queue was full.
 	QueueFull uint64
-	// UnknownKinds counts messages of kinds that this version does not know.
+	// UnknownKinds counts received messages of kinds that this version does not support.
 	UnknownKinds uint64
-	// Malformed counts messages that could not be decoded.
+	// Malformed counts received messages that could not be decoded.
 	Malformed uint64
-	// Stale counts links and messages refused for a lower incarnation or a superseded link.
+	// Stale counts links and messages rejected because of a lower incarnation or a superseded link.
 	Stale uint64
 	// Lost counts messages dropped because their link broke or could not be opened.
 	Lost uint64
-	// Broken counts links that broke.
+	// Broken counts links that ended for any reason.
 	Broken uint64
-	// Dialled counts attempts to connect.
+	// Dialled counts attempts to connect to listed peers.
 	Dialled uint64
-	// Strangers counts connections that ended without a hello.
+	// Strangers counts accepted connections that closed before a hello.
 	Strangers uint64
-	// Links is the number of links now open.
+	// Links is the number of open links.
 	Links int
 }
 
@@ -41,7 +41,7 @@
 	links                                                                                              atomic.Int64
 }
 
-// Counters returns what the mesh did since its start.
+// Counters returns the current counts.
 func (m *Mesh) Counters() Counters {
 	c := &m.counters
 	return Counters{
--- a/pomelomesh/decode.go
+++ b/pomelomesh/decode.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The bounds of one message. They are far above what the fleet needs and keep a faulty peer from filling memory.
+// Limits of one message. They are far above what a fleet needs and keep a faulty peer from exhausting memory.
 const (
 	maxItemBytes  = 4 << 20
 	maxNameBytes  = 256
@@ -19,18 +19,18 @@
 	maxValueBytes = 2 << 20
 )
 
-// DecodeMessage reads a message as it travelled; it fails with CodeMeshMalformed, or with CodeMeshUnknownKind for a
-// kind that a newer version added.
+// DecodeMessage decodes and validates the wire encoding of a message; it fails with CodeMeshMalformed, or with
+// CodeMeshUnknownKind for a kind added by a newer version.
 func DecodeMessage(data []byte) (pomelorelay.Message, error) {
 	if len(data) > maxItemBytes {
-		return nil, malformed("message too large")
+		return nil, malformed("message is too large")
 	}
 	if err := checkFieldCount(data, itemDepth); err != nil {
 		return nil, err
 	}
 	var item pomelowire.Item
 	if err := proto.Unmarshal(data, &item); err != nil {
-		return nil, pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "decode", err)
+		return nil, pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "cannot decode message", err)
 	}
 	return decodeItem(&item)
 }
@@ -51,7 +51,7 @@
 	return pomelorelay.NewError(pomelorelay.CodeMeshMalformed, detail, nil)
 }
 
-// decoder checks values while they are read and keeps the first fault.
+// decoder validates values as it converts them and keeps the first error.
 type decoder struct {
 	err error
 }
@@ -64,14 +64,14 @@
 
 func (d *decoder) name(text string) string {
 	if len(text) > maxNameBytes {
-		d.fail("name too long")
+		d.fail("name is too long")
 	}
 	return text
 }
 
 func (d *decoder) count(n, limit int) int {
 	if n > limit {
-		d.fail("list too long")
+		d.fail("list is too long")
 		return 0
 	}
 	return n
@@ -79,14 +79,14 @@
 
 func (d *decoder) finite(value float64) float64 {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
-		d.fail("number not finite")
+		d.fail("number is not finite")
 	}
 	return value
 }
 
 func (d *decoder) cost(value float64) pomelorelay.Cost {
 	if value < 0 {
-		d.fail("cost below zero")
+		d.fail("cost is negative")
 	}
 	return pomelorelay.Cost(d.finite(value))
 }
@@ -95,28 +95,28 @@
 
 func (d *decoder) duration(value int64) time.Duration {
 	if value < 0 {
-		d.fail("duration below zero")
+		d.fail("duration is negative")
 	}
 	return time.Duration(value)
 }
 
 func (d *decoder) enumValue(value, low, high int32) int32 {
 	if value < low || value > high {
-		d.fail("state unknown")
+		d.fail("unknown enum value")
 	}
 	return value
 }
 
 func (d *decoder) bytes(value []byte, limit int) []byte {
 	if len(value) > limit {
-		d.fail("value too large")
+		d.fail("value is too large")
 	}
 	return value
 }
 
 func (d *decoder) copyFixed(to, value []byte) {
 	if len(value) != len(to) {
-		d.fail("hash of wrong length")
+		d.fail("hash, key or nonce has the wrong length")
 		return
 	}
 	copy(to, value)
@@ -124,7 +124,7 @@
 
 func (d *decoder) nameAt(names []string, index uint32) string {
 	if uint64(index) >= uint64(len(names)) {
-		d.fail("name not in the table")
+		d.fail("name index is out of range")
 		return ""
 	}
 	return d.name(names[index])
--- a/pomelomesh/decode_load.go
+++ b/pomelomesh/decode_load.go
@@ -62,7 +62,7 @@
 
 func (d *decoder) tokens(value int64) pomelorelay.Tokens {
 	if value < 0 {
-		d.fail("tokens below zero")
+		d.fail("token count is negative")
 		return 0
 	}
 	return pomelorelay.Tokens(value)
@@ -70,7 +70,7 @@
 
 func (d *decoder) milliseconds(value int64) time.Duration {
 	if value > math.MaxInt64/int64(time.Millisecond) {
-		d.fail("duration too long")
+		d.fail("duration is too long")
 		return 0
 	}
 	return d.duration(value * int64(time.Millisecond))
@@ -117,7 +117,7 @@
 func (d *decoder) addr(text string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		d.fail("address")
+		d.fail("address is not IP:port")
 	}
 	return addr
 }
--- a/pomelomesh/dial.go
+++ b/pomelomesh/dial.go
@@ -13,10 +13,11 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// connBufferSize is the size of a connection's read and write buffers; control messages are small and links are many.
+// connBufferSize is the size of a connection's read and write buffers; it is small because there are many links and
+// control messages are short.
 const connBufferSize = 4 << 10
 
-// dial opens a link and waits until both ends said hello.
+// dial opens a link and waits for the exchange of hellos.
 func (p *peer) dial() {
 	p.m.counters.dialled.Add(1)
 	p.mu.Lock()
@@ -35,7 +36,7 @@
 	p.mu.Unlock()
 }
 
-// open connects to a peer, exchanges hellos and starts the reader.
+// open connects to a peer, exchanges hellos and starts reading; it fails after ConnectTimeout.
 func (m *Mesh) open(info pomelorelay.Peer) (*link, error) {
 	conn, err := grpc.NewClient("passthrough:///"+info.Addr.String(), m.dialOptions(info)...)
 	if err != nil {
@@ -87,10 +88,10 @@
 	}
 	hello := frame.GetHello()
 	if hello.GetNode() == "" || hello.GetNode() == string(l.m.cfg.Self.Node) || hasLongName(hello) {
-		return l.m.refuseLink(hello.GetNode(), "name")
+		return l.m.refuseLink(hello.GetNode(), "node name is empty, too long or this router's own")
 	}
 	if node != "" && hello.GetNode() != string(node) {
-		return l.m.refuseLink(hello.GetNode(), "another router answers at the address")
+		return l.m.refuseLink(hello.GetNode(), "unexpected node name: another router answers at the address")
 	}
 	return l.m.join(l, hello)
 }
@@ -122,8 +123,8 @@
 	return append(options, grpc.WithTransportCredentials(credentials.NewTLS(m.keys.clientConfig(info.Node))))
 }
 
-// localAddr binds outgoing connections to the address that the mesh listens on, so that the far end and what is
-// between see which router calls; nil when it listens on all.
+// localAddr returns the local address for outgoing connections: the listen address, so that peers and middleboxes see
+// which router connects, or nil when the mesh listens on all addresses.
 func (m *Mesh) localAddr() net.Addr {
 	if m.cfg.Listen.Addr().IsUnspecified() {
 		return nil
--- a/pomelomesh/doc.go
+++ b/pomelomesh/doc.go
@@ -1,6 +1,7 @@
-// Package pomelomesh carries control messages between routers over grpc
-// streams with mutual TLS. It counts bytes by link class and keeps them within
-// a budget: messages of UrgencyNow always leave, the others wait and coalesce.
+// Package pomelomesh carries control messages between routers over gRPC
+// streams with mutual TLS. It counts bytes by link class and keeps the send
+// rate of each class within a byte budget: messages of UrgencyNow are always
+// sent, the others wait and coalesce.
 //
-// Messages to one peer keep their order within one urgency.
+// Messages of the same urgency to the same peer keep their order.
 package pomelomesh
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// EncodeMessage returns a message as it travels; it fails with CodeMeshMalformed when a receiver would refuse it.
+// EncodeMessage returns the wire encoding of a message; it fails with CodeMeshMalformed if receivers would reject it.
 func EncodeMessage(m pomelorelay.Message) ([]byte, error) {
 	item := encodeItem(m)
 	if item == nil {
-		return nil, malformed(fmt.Sprintf("no encoding for %T", m))
+		return nil, malformed(fmt.Sprintf("no encoding for message type %T", m))
 	}
 	if err := checkItem(item); err != nil {
 		return nil, err
 	}
 	data, err := proto.Marshal(item)
 	if err != nil {
-		return nil, pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "encode", err)
+		return nil, pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "cannot encode message", err)
 	}
 	if len(data) > maxItemBytes {
-		return nil, malformed("message too large")
+		return nil, malformed("message is too large")
 	}
 	return data, nil
 }
@@ -98,7 +98,7 @@
 }
 
 func encodeDigest(m *pomelorelay.Digest) *pomelowire.Digest {
-	// The first member is the sender, who owns most of the slots: its name is taken from there and not sent again.
+	// The first member is the sender, which owns most of the slots: its name is index 0 of the table and not sent again.
 	var names nameTable
 	if len(m.Members) > 0 {
 		names.index(string(m.Members[0].Node))
--- a/pomelomesh/encode_ledger.go
+++ b/pomelomesh/encode_ledger.go
@@ -5,7 +5,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh/pomelowire"
 )
 
-// nameTable numbers names in the order of their first use, so that a message holds each once.
+// nameTable assigns indexes to names in the order of first use, so that a message contains each name once.
 type nameTable struct {
 	list    []string
 	indexes map[string]uint32
--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -15,13 +15,13 @@
 	"google.golang.org/grpc/status"
 )
 
-// service takes the links that other routers open.
+// service implements the gRPC service that accepts links from other routers.
 type service struct {
 	pomelowire.UnimplementedMeshServer
 	m *Mesh
 }
 
-// Link serves one link until it ends.
+// Link serves one link until it ends; it fails when no hello arrives within ConnectTimeout.
 func (s *service) Link(stream grpc.BidiStreamingServer[pomelowire.Frame, pomelowire.Frame]) error {
 	l := s.m.newLink(stream.Context(), stream)
 	defer l.cancel()
@@ -35,15 +35,15 @@
 	case err := <-ended:
 		return err
 	case <-timer.C:
-		return status.Error(codes.DeadlineExceeded, "no hello")
+		return status.Error(codes.DeadlineExceeded, "timed out waiting for a hello")
 	}
 	select {
 	case err := <-ended:
 		return err
 	case <-l.ctx.Done():
-		return status.Error(codes.Unavailable, "link ended")
+		return status.Error(codes.Unavailable, "link closed")
 	case <-s.m.ctx.Done():
-		return status.Error(codes.Unavailable, "closing")
+		return status.Error(codes.Unavailable, "mesh is closing")
 	}
 }
 
@@ -73,7 +73,7 @@
 	return m.serveJoined(l)
 }
 
-// serveJoined reads a joined link to its end.
+// serveJoined reads from a joined link until it ends, then detaches it.
 func (m *Mesh) serveJoined(l *link) error {
 	node := pomelorelay.Field{Key: "Node", Value: l.peer.node}
 	m.cfg.Logger.Log(pomelorelay.EventMeshLinkUp, node)
@@ -92,18 +92,19 @@
 	}}
 }
 
-// checkHello verifies a caller's name. Without it a router with a certificate of its own, or with a copied settings
-// file, could report service and take grants in another's name; two routers would then seem one that flaps.
+// checkHello verifies that the caller's certificate is valid for the node name in its hello. Otherwise a router with a
+// certificate of its own or a copied settings file could report service and receive grants under another router's
+// name, and the two would appear as one flapping router.
 func (m *Mesh) checkHello(ctx context.Context, hello *pomelowire.Hello) error {
 	if hello.GetNode() == "" || hello.GetNode() == string(m.cfg.Self.Node) || hasLongName(hello) {
-		return m.refuseLink(hello.GetNode(), "name")
+		return m.refuseLink(hello.GetNode(), "node name is empty, too long or this router's own")
 	}
 	if m.keys == nil {
 		return nil
 	}
 	certificate := callerCertificate(ctx)
 	if certificate == nil || certificate.VerifyHostname(hello.GetNode()) != nil {
-		return m.refuseLink(hello.GetNode(), "certificate is of another name")
+		return m.refuseLink(hello.GetNode(), "certificate is not valid for the node name")
 	}
 	return nil
 }
@@ -129,13 +130,13 @@
 	return status.Error(codes.PermissionDenied, reason)
 }
 
-// join attaches a link to the peer that said hello on it.
+// join attaches a link to the peer named in the hello.
 func (m *Mesh) join(l *link, hello *pomelowire.Hello) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peerOrNewLocked(pomelorelay.NodeID(hello.GetNode()))
 	if p == nil {
-		return m.refuseLink(hello.GetNode(), "too many routers or closing")
+		return m.refuseLink(hello.GetNode(), "too many peers, or the mesh is closing")
 	}
 	l.peer = p
 	l.incarnation = pomelorelay.Incarnation(hello.GetIncarnation())
@@ -144,12 +145,12 @@
 	l.class = p.classify(hello)
 	if !p.attach(l, l.incarnation) {
 		m.counters.stale.Add(1)
-		return m.refuseLink(hello.GetNode(), "a later incarnation is known")
+		return m.refuseLink(hello.GetNode(), "stale incarnation: a later one is known")
 	}
 	return nil
 }
 
-// classify notes where an unlisted router says that it is, and returns the link class.
+// classify returns the link class; for an unlisted peer it takes the domain and region from the hello.
 func (p *peer) classify(hello *pomelowire.Hello) pomelorelay.LinkClass {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pomelomesh/keys.go
+++ b/pomelomesh/keys.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// keys holds the key pair and authority of mutual TLS and reads changed files again at the next handshake.
+// keys holds the key pair and the authority for mutual TLS; changed files are reloaded at the next handshake or poll.
 type keys struct {
 	files  TLSFiles
 	logger pomelorelay.Logger
@@ -19,22 +19,22 @@
 	modTimes    [3]time.Time
 	certificate tls.Certificate
 	authority   *x509.CertPool
-	// polledAt is when the files were last looked at without a handshake, and warned when the log last told of their end.
+	// polledAt is the time of the last poll, warnedAt that of the last log entry about the certificate's expiry.
 	polledAt time.Time
 	warnedAt time.Time
 }
 
 const (
-	// pollInterval is how often the files are looked at without a handshake.
+	// pollInterval is how often the files are checked independently of handshakes.
 	pollInterval = time.Minute
-	// expiryWarnInterval is how often the log tells that the certificate ends.
+	// expiryWarnInterval is the minimum time between log entries about the certificate's expiry.
 	expiryWarnInterval = time.Hour
-	// expiryWarnDivisor of a certificate's life is when its end is told.
+	// expiryWarnDivisor makes the expiry logged in the last fifth of the certificate's lifetime.
 	expiryWarnDivisor = 5
 )
 
-// poll reads changed files, and tells of a certificate near its end. Routers keep their links for weeks: without it a mistake in
-// new files, or a certificate that nobody replaced, would be seen only when links break and none can be opened.
+// poll reloads changed files and logs a certificate that is about to expire. Links stay open for weeks, so without it a
+// fault in new files or a certificate that was not renewed would show only when links break and none can be opened.
 func (k *keys) poll(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -70,7 +70,7 @@
 	for i, name := range []string{k.files.Certificate, k.files.Key, k.files.Authority} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamps, pomelorelay.NewError(pomelorelay.CodeMeshTLS, "key file", err)
+			return stamps, pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot stat key file", err)
 		}
 		stamps[i] = info.ModTime()
 	}
@@ -80,11 +80,11 @@
 func (k *keys) load() error {
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "key pair", err)
+		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot load key pair", err)
 	}
 	pem, err := os.ReadFile(k.files.Authority)
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "authority", err)
+		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot read authority file", err)
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(pem) {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// refresh reads the files again when they changed. Files that are half written or do not fit together leave the
-// former keys in use and are tried again at the next handshake.
+// refresh reloads the files if they changed. When they are incomplete or do not match, the former keys stay in use and
+// the files are retried at the next handshake or poll.
 func (k *keys) refresh() {
 	stamps, err := k.statFiles()
 	if err == nil && stamps == k.modTimes {
--- a/pomelomesh/kinds.go
+++ b/pomelomesh/kinds.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// kindLimit is above the number of every kind of message.
+// kindLimit is above the field number of every kind of message.
 const kindLimit = 64
 
-// KindCount counts the messages of one kind that were sent, and their encoded bytes without framing.
+// KindCount holds the number of sent messages of one kind and their encoded bytes without framing.
 type KindCount struct {
 	Messages uint64
 	Bytes    uint64
@@ -20,7 +20,7 @@
 
 type kindCounters [kindLimit]struct{ messages, bytes atomic.Uint64 }
 
-// record counts an encoded item; its first field number is its kind.
+// record counts an encoded item, whose first field number is its kind.
 func (k *kindCounters) record(data []byte) {
 	kind, _, n := protowire.ConsumeTag(data)
 	if n < 0 || kind >= kindLimit {
@@ -30,7 +30,7 @@
 	k[kind].bytes.Add(uint64(len(data)))
 }
 
-// Kinds returns what was sent since the start by kind of message; operators see by it what the byte budget goes on.
+// Kinds returns the messages sent since the start, by kind; it shows operators what uses the byte budget.
 func (m *Mesh) Kinds() map[string]KindCount {
 	fields := (&pomelowire.Item{}).ProtoReflect().Descriptor().Fields()
 	kinds := make(map[string]KindCount)
--- a/pomelomesh/link.go
+++ b/pomelomesh/link.go
@@ -11,19 +11,19 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// frameOverhead is what grpc, HTTP/2 and TLS add to a frame, as BenchmarkJourney counts it.
+// frameOverhead is the measured number of bytes that gRPC, HTTP/2 and TLS add to a frame.
 const frameOverhead = 56
 
-// minLinkRate is the bytes a second that a link carries at least.
+// minLinkRate is the lowest throughput assumed for a link, in bytes per second.
 const minLinkRate = 128 << 10
 
-// frameStream is what both ends of a grpc stream have in common.
+// frameStream is the common interface of the client and server ends of a gRPC stream.
 type frameStream interface {
 	SendMsg(m any) error
 	RecvMsg(m any) error
 }
 
-// link is one stream to a peer, whichever end dialled it.
+// link is a stream to a peer, opened by either end.
 type link struct {
 	m           *Mesh
 	peer        *peer
@@ -36,12 +36,12 @@
 	cancel      context.CancelFunc
 	superseded  bool // guarded by the peer's mutex
 
-	// Unix nanoseconds; zero when there is none.
-	ackAwaitedSince atomic.Int64 // the first frame sent since the last one received
-	ackOwedSince    atomic.Int64 // the first frame received since the last one sent
-	lastReceived    atomic.Int64 // the last frame received
-	lastMessage     atomic.Int64 // the last message sent or received
-	inboxBlocked    atomic.Bool  // the reader waits for room in the inbox
+	// Times in Unix nanoseconds; zero means none.
+	ackAwaitedSince atomic.Int64 // first frame sent since the last one received, plus transfer time
+	ackOwedSince    atomic.Int64 // first frame received since the last one sent
+	lastReceived    atomic.Int64 // last frame received
+	lastMessage     atomic.Int64 // last message sent or received
+	inboxBlocked    atomic.Bool  // the reader is waiting for space in the inbox
 }
 
 func (m *Mesh) newLink(ctx context.Context, stream frameStream) *link {
@@ -53,7 +53,7 @@
 	return l
 }
 
-// frameHeader returns the start of every frame: the configuration generation.
+// frameHeader returns the encoded configuration generation with which every frame begins.
 func (m *Mesh) frameHeader() []byte {
 	generation := m.generation.Load()
 	if generation == 0 {
@@ -62,7 +62,7 @@
 	return protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), generation)
 }
 
-// writeFrame sends a frame and ends the link when that fails. Only the peer's goroutine calls it.
+// writeFrame sends a frame and ends the link on failure. Only the peer's goroutine calls it.
 func (l *link) writeFrame(frame []byte, expectsAck bool) bool {
 	now := time.Now().UnixNano()
 	l.ackOwedSince.Store(0)
@@ -77,8 +77,9 @@
 	return true
 }
 
-// awaitAck starts or prolongs the wait for an answer. A far end answers only once it has the whole frame; without the time
-// for its bytes a configuration part on a slow link would break the link, again and again.
+// awaitAck starts or extends the wait for an acknowledgement by the frame's transfer time at minLinkRate. The peer
+// acknowledges a frame only after receiving all of it, so without this a large configuration part would repeatedly
+// break a slow link.
 func (l *link) awaitAck(now int64, size int) {
 	transfer := int64(size) * int64(time.Second) / minLinkRate
 	for {
@@ -93,7 +94,7 @@
 	}
 }
 
-// keepaliveDue reports whether the far end waits for a sign of life, or must be asked for one.
+// keepaliveDue reports whether an acknowledgement or a ping must be sent.
 func (l *link) keepaliveDue(now time.Time) bool { return l.ackDue(now) || l.pingDue(now) }
 
 func (l *link) ackDue(now time.Time) bool {
@@ -125,8 +126,9 @@
 
 func (l *link) chargeFrame(frame []byte) { l.m.budgets[l.class].charge(len(frame) + frameOverhead) }
 
-// expired reports whether the link must end. A half-open connection accepts writes for minutes; callers would wait for
-// grants that never arrive. The far end answers every frame within Acknowledge, so silence after a send shows it.
+// expired reports whether the link must be closed. A half-open connection accepts writes for minutes while callers wait
+// for grants that never arrive; since the peer acknowledges every frame within AckDelay, a missing acknowledgement
+// reveals it.
 func (l *link) expired(now time.Time, keepIdle bool) bool {
 	since := l.ackAwaitedSince.Load()
 	if since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.AckTimeout) {
@@ -135,7 +137,7 @@
 	return !keepIdle && now.UnixNano()-l.lastMessage.Load() >= int64(l.m.cfg.Timing.IdleTimeout)
 }
 
-// read delivers what arrives until the stream ends.
+// read delivers received messages until the stream ends.
 func (l *link) read() error {
 	for {
 		frame := new(pomelowire.Frame)
@@ -163,7 +165,7 @@
 	}
 }
 
-// deliver hands one message on; it waits while the inbox is full, which holds the sender back through flow control.
+// deliver passes one message to the inbox. It blocks while the inbox is full, which slows the sender by flow control.
 func (l *link) deliver(generation uint64, item *pomelowire.Item) bool {
 	message, err := decodeItem(item)
 	if err != nil {
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -16,10 +16,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// linkCheckInterval is the interval at which links are checked for silence, idleness and owed signs of life.
+// linkCheckInterval is how often links are checked for missing acknowledgements, idleness and due keepalives.
 const linkCheckInterval = 100 * time.Millisecond
 
-// maxPeers bounds the routers that are known at once, unlisted ones included.
+// maxPeers bounds the number of known peers, including those that are not on the peer list.
 const maxPeers = 4096
 
 // Mesh implements pomelorelay.Mesh over grpc.
@@ -33,7 +33,7 @@
 	generation        atomic.Uint64
 	counters          counters
 	kinds             kindCounters
-	lastOverBudgetLog atomic.Int64 // Unix nanoseconds of the last notice
+	lastOverBudgetLog atomic.Int64 // Unix nanoseconds of the last log entry
 
 	unidentifiedMu     sync.Mutex
 	unidentifiedLogged map[netip.Addr]time.Time
@@ -45,14 +45,14 @@
 	mu     sync.Mutex
 	peers  map[pomelorelay.NodeID]*peer
 	closed bool
-	// contactsInProgress holds the addresses that are being dialled without knowing who answers there.
+	// contactsInProgress holds the addresses that Contact is dialling.
 	contactsInProgress map[netip.AddrPort]bool
 }
 
 var _ pomelorelay.Mesh = (*Mesh)(nil)
 
-// New listens and returns a Mesh; it fails with CodeMeshTLS when the keys cannot be used and with CodeMeshListen when
-// the address cannot be listened on.
+// New starts a Mesh that listens on cfg.Listen. It fails with CodeMeshTLS when the key files cannot be used and with
+// CodeMeshListen when it cannot listen on the address.
 func New(cfg Config) (*Mesh, error) {
 	cfg = cfg.withDefaults()
 	m := &Mesh{cfg: cfg, inbox: make(chan pomelorelay.Envelope, cfg.InboxSize), peers: make(map[pomelorelay.NodeID]*peer), unidentifiedLogged: make(map[netip.Addr]time.Time), contactsInProgress: make(map[netip.AddrPort]bool)}
@@ -80,7 +80,7 @@
 		if m.cfg.Insecure {
 			return nil
 		}
-		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "no key files and not set to Insecure", nil)
+		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "no key files are configured and Insecure is not set", nil)
 	}
 	keys, err := loadKeys(m.cfg.TLS, m.cfg.Logger)
 	m.keys = keys
@@ -110,8 +110,8 @@
 	return m.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// SetPeers replaces the peers that the mesh may connect to. A router that is no longer among them is not dialled, but
-// a link that it opens itself is taken and may be answered: the host list lags.
+// SetPeers replaces the list of peers that the mesh dials. A link opened by a router that is not listed is still
+// accepted and used for replies, because the host list lags.
 func (m *Mesh) SetPeers(peers []pomelorelay.Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +132,7 @@
 	}
 }
 
-// peerOrNewLocked returns the peer's state and makes it when there is none; nil when the mesh is closed or the bound is reached.
+// peerOrNewLocked returns the peer, creating it if necessary; nil when the mesh is closed or at maxPeers.
 func (m *Mesh) peerOrNewLocked(node pomelorelay.NodeID) *peer {
 	if p, ok := m.peers[node]; ok {
 		return p
@@ -145,12 +145,12 @@
 	return p
 }
 
-// SetGeneration sets the configuration generation that rides on every envelope.
+// SetGeneration sets the configuration generation that is sent in every frame.
 func (m *Mesh) SetGeneration(generation pomelorelay.Generation) {
 	m.generation.Store(uint64(generation))
 }
 
-// Send queues a message and never blocks; it fails with CodeMeshUnknownPeer, CodeMeshQueueFull or CodeMeshMalformed.
+// Send queues a message without blocking; it fails with CodeMeshUnknownPeer, CodeMeshQueueFull or CodeMeshMalformed.
 func (m *Mesh) Send(to pomelorelay.NodeID, message pomelorelay.Message) error {
 	data, err := EncodeMessage(message)
 	if err != nil {
@@ -166,10 +166,10 @@
 	return p.send(&queuedMessage{data: data, key: message.CoalesceKey(), urgency: message.Urgency()})
 }
 
-// Receive returns the channel of messages that arrived.
+// Receive returns the channel of received messages.
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
-// Traffic returns the bytes counted by link class since the start.
+// Traffic returns the bytes sent and received since the start, by link class.
 func (m *Mesh) Traffic() [pomelorelay.LinkClasses]pomelorelay.LinkBytes {
 	var traffic [pomelorelay.LinkClasses]pomelorelay.LinkBytes
 	for class, b := range m.budgets {
@@ -179,7 +179,7 @@
 	return traffic
 }
 
-// Close ends every connection.
+// Close closes every connection and waits for the mesh's goroutines.
 func (m *Mesh) Close() error {
 	m.mu.Lock()
 	if m.closed {
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// checkLoop checks every link until the mesh closes.
+// checkLoop checks links and key files until the mesh is closed.
 func (m *Mesh) checkLoop() {
 	ticker := time.NewTicker(linkCheckInterval)
 	defer ticker.Stop()
--- a/pomelomesh/peer.go
+++ b/pomelomesh/peer.go
@@ -9,10 +9,10 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// budgetRetryDelay is the wait before messages that the byte budget held back are tried again.
+// budgetRetryDelay is the wait before messages delayed by the byte budget are retried.
 const budgetRetryDelay = 50 * time.Millisecond
 
-// peer is one other router: its queue and its links. One goroutine dials and writes, so that Send never blocks.
+// peer holds the queue and the links of another router. A single goroutine dials and writes, so that Send never blocks.
 type peer struct {
 	m    *Mesh
 	node pomelorelay.NodeID
@@ -84,7 +84,7 @@
 	}
 }
 
-// run writes what is queued and dials when there is no link, until the peer is dropped.
+// run writes queued messages, dialling when there is no link, until the peer is removed.
 func (p *peer) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -101,7 +101,7 @@
 	}
 }
 
-// serve does what is due and returns the wait until it must be called again.
+// serve sends what is due and returns how long to wait before the next call.
 func (p *peer) serve(now time.Time) time.Duration {
 	p.sendKeepalives(now)
 	l, wait := p.pickLink(now)
@@ -115,7 +115,7 @@
 	return p.flush(l)
 }
 
-// sendKeepalives writes the pings and signs of life that links owe.
+// sendKeepalives sends the pings and acknowledgements that are due.
 func (p *peer) sendKeepalives(now time.Time) {
 	p.mu.Lock()
 	links := slices.Clone(p.links)
@@ -125,8 +125,8 @@
 	}
 }
 
-// pickLink returns the link to write on, nil to dial, or a wait when nothing can be done now. A peer keeps to the link
-// that it began with, so that messages do not overtake each other on two.
+// pickLink returns the link to write on, nil if one must be dialled, or how long to wait when neither is possible. It
+// keeps using the same link while that is open, because messages sent on two links could be reordered.
 func (p *peer) pickLink(now time.Time) (*link, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +149,7 @@
 	return nil, 0
 }
 
-// flush writes batches until the queue is empty or the budget is spent.
+// flush writes batches until the queue is empty or the byte budget is exhausted, and returns the time until the next flush.
 func (p *peer) flush(l *link) time.Duration {
 	class := p.m.budgets[l.class]
 	for {
@@ -177,7 +177,7 @@
 	return budgetRetryDelay
 }
 
-// attach takes a link whose far end said who it is; it reports false when that router has started anew since.
+// attach adds a link after the exchange of hellos; it returns false if a later incarnation of the router is known.
 func (p *peer) attach(l *link, incarnation pomelorelay.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +198,7 @@
 	return true
 }
 
-// detach drops a link that ended; what was queued for it is lost.
+// detach removes a closed link; if messages were being sent on it, the queue is dropped.
 func (p *peer) detach(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,8 +217,8 @@
 	}
 }
 
-// accept reports whether messages on the link are still wanted. A peer leaves a link only when it is broken at its
-// end, so what arrives on the former one after the first message on the next is late and would overtake.
+// accept reports whether a message received on the link may be delivered. A peer switches links only after the former
+// one broke at its end, so a message that arrives on the former link after the first one on the next is out of order.
 func (p *peer) accept(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,7 +234,7 @@
 	return true
 }
 
-// check wakes the writer for signs that are due, ends silent and idle links, and reports whether the peer can be dropped.
+// check closes expired links, wakes the writer for due keepalives and reports whether the peer can be removed.
 func (p *peer) check(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,7 +253,7 @@
 	return true
 }
 
-// backOff sets the jittered wait before the next attempt to connect.
+// backOff doubles the jittered delay before the next connection attempt and drops the queued messages.
 func (p *peer) backOff(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pomelomesh/pomelowire/doc.go
+++ b/pomelomesh/pomelowire/doc.go
@@ -1,2 +1,2 @@
-// Package pomelowire holds the generated protobuf messages of the links between routers.
+// Package pomelowire contains the generated protobuf messages and gRPC service of the links between routers.
 package pomelowire
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -4,17 +4,17 @@
 
 const numUrgencies = int(pomelorelay.UrgencyLater) + 1
 
-// maxBatchBytes is the size at which a frame is closed; one larger message has a frame of its own.
+// maxBatchBytes bounds the messages batched into one frame; a larger message gets a frame of its own.
 const maxBatchBytes = 32 << 10
 
-// queuedMessage is an encoded message that waits for one peer.
+// queuedMessage is an encoded message waiting to be sent to a peer.
 type queuedMessage struct {
 	data    []byte
 	key     string
 	urgency pomelorelay.Urgency
 }
 
-// queue holds what waits for one peer, in order within each urgency.
+// queue holds the messages waiting for one peer, in order within each urgency.
 type queue struct {
 	limits QueueLimits
 	lanes  [numUrgencies][]*queuedMessage
@@ -23,7 +23,7 @@
 	bytes  pomelorelay.Bytes
 }
 
-// add queues a message, or puts it in the place of a waiting one of the same key; it reports whether there was room.
+// add queues a message, or replaces a waiting one of the same key and urgency; ok is false when the queue is full.
 func (q *queue) add(item *queuedMessage) (coalesced, ok bool) {
 	if waiting, found := q.byKey[item.key]; found && item.key != "" && waiting.urgency == item.urgency {
 		q.bytes += pomelorelay.Bytes(len(item.data) - len(waiting.data))
@@ -45,8 +45,8 @@
 	return false, true
 }
 
-// appendBatch appends the most urgent messages that may leave to a frame; it stops at the batch's size, or with the message
-// that uses up the room of its urgency.
+// appendBatch moves the most urgent messages from the queue to the frame, until the next would exceed maxBatchBytes or
+// the bytes that room allows for its urgency are used up.
 func (q *queue) appendBatch(frame []byte, room func(pomelorelay.Urgency) float64) []byte {
 	start := len(frame)
 	for urgency, lane := range q.lanes {
@@ -87,7 +87,7 @@
 	}
 }
 
-// clear empties the queue and returns how many messages were in it.
+// clear empties the queue and returns the number of dropped messages.
 func (q *queue) clear() int {
 	lost := q.count
 	q.lanes = [numUrgencies][]*queuedMessage{}
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// unidentifiedLogInterval bounds how often the log tells of callers at one address that say no hello.
+	// unidentifiedLogInterval is the minimum time between log entries about one remote address.
 	unidentifiedLogInterval = 10 * time.Second
-	// maxUnidentifiedAddrs bounds the addresses that are remembered for it.
+	// maxUnidentifiedAddrs bounds the addresses remembered for that.
 	maxUnidentifiedAddrs = 1024
-	reasonNoHello        = "the connection ended without a hello"
+	reasonNoHello        = "connection closed before a hello"
 )
 
-// serverCredentials keeps why a handshake failed, which grpc tells nobody. Without it a router whose certificate comes from
-// another authority is kept out in silence, and its operators look for the fault in the network.
+// serverCredentials records why a TLS handshake failed, which gRPC does not report. Without it a router whose
+// certificate is from another authority is rejected without a log entry, and operators look for a network fault.
 type serverCredentials struct {
 	credentials.TransportCredentials
 }
 
-// ServerHandshake authenticates a caller.
+// ServerHandshake performs the TLS handshake and records its error on the connection.
 func (c serverCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	secured, info, err := c.TransportCredentials.ServerHandshake(conn)
 	if counted, ok := conn.(*countedConn); ok && err != nil {
@@ -34,12 +34,13 @@
 	return secured, info, err
 }
 
-// Clone returns a copy.
+// Clone returns a copy of the credentials.
 func (c serverCredentials) Clone() credentials.TransportCredentials {
 	return serverCredentials{c.TransportCredentials.Clone()}
 }
 
-// recordUnidentified logs a caller whose connection ended before its hello: a router with the wrong keys, or no router at all.
+// recordUnidentified counts and logs a connection that closed before its hello: its caller is a router with invalid
+// keys, or not a router.
 func (m *Mesh) recordUnidentified(c *countedConn, now time.Time) {
 	if c.identified.Load() || m.ctx.Err() != nil {
 		return
@@ -56,7 +57,7 @@
 	m.cfg.Logger.Log(pomelorelay.EventMeshRefused, pomelorelay.Field{Key: "Remote", Value: remote.String()}, pomelorelay.Field{Key: "Reason", Value: reason})
 }
 
-// unidentifiedLogDue reports whether the log may tell of the address again.
+// unidentifiedLogDue reports whether the address may be logged again.
 func (m *Mesh) unidentifiedLogDue(addr netip.Addr, now time.Time) bool {
 	m.unidentifiedMu.Lock()
 	defer m.unidentifiedMu.Unlock()
