--- a/pomelomesh/bench_test.go
+++ b/pomelomesh/bench_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkJourney sends one message at a time and waits for it, both ends in this process.
+// BenchmarkJourney measures the delivery of one message at a time between two meshes in this process.
 func BenchmarkJourney(b *testing.B) {
 	b.Run("Plain", func(b *testing.B) { benchmarkDelivery(b, config("r1", 1), config("r2", 1)) })
 	b.Run("TLS", func(b *testing.B) {
@@ -77,7 +77,7 @@
 	b.ReportMetric(float64(near.Traffic()[pomelorelay.LinkDomain].Sent)/float64(n), "wire-B/message")
 }
 
-// BenchmarkLinkMemory opens 59 links from one router and reports what a link takes at both ends together.
+// BenchmarkLinkMemory opens 59 links from one router and reports the memory per link, both ends together.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 59
 	for b.Loop() {
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -11,7 +11,7 @@
 // burstDuration is the time over which a link class may accumulate unused budget.
 const burstDuration = time.Second
 
-// soonReservedFraction is the fraction of the burst that is closed to messages of UrgencyLater.
+// soonReservedFraction is the fraction of the burst reserved for messages of UrgencySoon or more urgent ones.
 const soonReservedFraction = 0.25
 
 // guaranteedFraction is the fraction of the rate left to less urgent messages once urgent ones have exhausted the budget;
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -31,7 +31,7 @@
 	return protowire.AppendBytes(frame, item)
 }
 
-// frameCodec is a gRPC codec that sends encoded frames unchanged and bounds the size of received ones.
+// frameCodec is a gRPC codec that sends encoded frames unchanged and bounds the number of fields of received ones.
 type frameCodec struct{}
 
 // Name returns the gRPC content subtype of the codec.
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -88,7 +88,7 @@
 func TestEveryKindRoundTrips(t *testing.T) {
 	kinds := (&pomelowire.Item{}).ProtoReflect().Descriptor().Fields().Len()
 	if len(samples()) != kinds {
-		t.Fatalf("%d samples of %d kinds", len(samples()), kinds)
+		t.Fatalf("%d samples for %d kinds", len(samples()), kinds)
 	}
 	for _, sent := range samples() {
 		data, err := pomelomesh.EncodeMessage(sent)
@@ -100,13 +100,14 @@
 			t.Fatalf("%T: %v", sent, err)
 		}
 		if !reflect.DeepEqual(sent, arrived) {
-			t.Errorf("sent %+v, arrived %+v", sent, arrived)
+			t.Errorf("sent %+v, decoded %+v", sent, arrived)
 		}
 	}
 }
 
 func TestDecodeRejectsOutOfRangeValues(t *testing.T) {
-	// A faulty or hostile peer sends values that no router makes; taken in, they would poison totals for good or fill memory.
+	// A faulty or hostile peer may send values that no router produces; if accepted, they would corrupt totals permanently
+	// or exhaust memory.
 	entry := func(e *pomelowire.LedgerEntry) *pomelowire.Item {
 		return &pomelowire.Item{Kind: &pomelowire.Item_LedgerReport{LedgerReport: &pomelowire.LedgerReport{Names: []string{"p"}, Entries: []*pomelowire.LedgerEntry{e}}}}
 	}
@@ -115,16 +116,16 @@
 		many[i] = &pomelowire.LedgerEntry{}
 	}
 	cases := map[string]*pomelowire.Item{
-		"infinite cost":   entry(&pomelowire.LedgerEntry{Served: math.Inf(1)}),
-		"no number":       entry(&pomelowire.LedgerEntry{Lift: math.NaN()}),
-		"negative cost":   entry(&pomelowire.LedgerEntry{Served: -1}),
-		"name index":      entry(&pomelowire.LedgerEntry{Pool: 1}),
-		"long name":       entry(&pomelowire.LedgerEntry{Account: strings.Repeat("a", 257)}),
-		"short hash":      {Kind: &pomelowire.Item_ClaimAsk{ClaimAsk: &pomelowire.ClaimAsk{Key: []byte{1}, Nonce: make([]byte, 16)}}},
-		"unknown state":   {Kind: &pomelowire.Item_Digest{Digest: &pomelowire.Digest{Members: []*pomelowire.MemberState{{Node: "r", Status: 9}}}}},
-		"negative period": {Kind: &pomelowire.Item_Grant{Grant: &pomelowire.Grant{Ttl: -1}}},
-		"too many":        {Kind: &pomelowire.Item_LedgerReport{LedgerReport: &pomelowire.LedgerReport{Names: []string{"p"}, Entries: many}}},
-		"large value":     {Kind: &pomelowire.Item_ConfigPush{ConfigPush: &pomelowire.ConfigPush{Root: make([]byte, 2<<20+1)}}},
+		"infinite cost":     entry(&pomelowire.LedgerEntry{Served: math.Inf(1)}),
+		"not a number":      entry(&pomelowire.LedgerEntry{Lift: math.NaN()}),
+		"negative cost":     entry(&pomelowire.LedgerEntry{Served: -1}),
+		"name index":        entry(&pomelowire.LedgerEntry{Pool: 1}),
+		"long name":         entry(&pomelowire.LedgerEntry{Account: strings.Repeat("a", 257)}),
+		"short hash":        {Kind: &pomelowire.Item_ClaimAsk{ClaimAsk: &pomelowire.ClaimAsk{Key: []byte{1}, Nonce: make([]byte, 16)}}},
+		"unknown state":     {Kind: &pomelowire.Item_Digest{Digest: &pomelowire.Digest{Members: []*pomelowire.MemberState{{Node: "r", Status: 9}}}}},
+		"negative duration": {Kind: &pomelowire.Item_Grant{Grant: &pomelowire.Grant{Ttl: -1}}},
+		"too many entries":  {Kind: &pomelowire.Item_LedgerReport{LedgerReport: &pomelowire.LedgerReport{Names: []string{"p"}, Entries: many}}},
+		"large value":       {Kind: &pomelowire.Item_ConfigPush{ConfigPush: &pomelowire.ConfigPush{Root: make([]byte, 2<<20+1)}}},
 	}
 	for name, item := range cases {
 		data, err := proto.Marshal(item)
@@ -138,16 +139,17 @@
 }
 
 func TestManyEmptyEntriesAreRejectedBeforeDecoding(t *testing.T) {
-	// Two million empty entries take four megabytes on the way and several hundred when decoded; the router would be killed.
+	// Two million empty entries take four megabytes on the wire and several hundred when decoded, for which the router
+	// would be killed.
 	entries := bytes.Repeat([]byte{5<<3 | 2, 0}, 2_000_000)
 	data := protowire.AppendBytes(protowire.AppendTag(nil, 6, protowire.BytesType), entries)
 	allocated := testing.AllocsPerRun(1, func() {
 		if _, err := pomelomesh.DecodeMessage(data); !pomelorelay.IsErrCode(err, pomelorelay.CodeMeshMalformed) {
-			t.Errorf("accepted: %v", err)
+			t.Errorf("got %v, want CodeMeshMalformed", err)
 		}
 	})
 	if allocated > 100 {
-		t.Errorf("%v allocations before the refusal", allocated)
+		t.Errorf("%v allocations before the rejection", allocated)
 	}
 }
 
@@ -163,13 +165,13 @@
 		m, err := pomelomesh.DecodeMessage(data)
 		if err != nil {
 			if code := pomelorelay.CodeOf(err); code != pomelorelay.CodeMeshMalformed && code != pomelorelay.CodeMeshUnknownKind {
-				t.Fatalf("code %d", code)
+				t.Fatalf("unexpected code %d", code)
 			}
 			return
 		}
 		again, err := pomelomesh.EncodeMessage(m)
 		if err != nil {
-			t.Fatalf("cannot encode what was decoded: %v", err)
+			t.Fatalf("cannot encode the decoded message: %v", err)
 		}
 		second, err := pomelomesh.DecodeMessage(again)
 		if err != nil {
@@ -177,7 +179,7 @@
 		}
 		third, err := pomelomesh.EncodeMessage(second)
 		if err != nil || !bytes.Equal(again, third) {
-			t.Fatalf("not stable: %x %x %v", again, third, err)
+			t.Fatalf("re-encoding differs: %x %x %v", again, third, err)
 		}
 	})
 }
@@ -198,7 +200,7 @@
 		}
 		lengths[owner] = len(data)
 		if got, err := pomelomesh.DecodeMessage(data); err != nil || !reflect.DeepEqual(got, digest(owner)) {
-			t.Errorf("%q: arrived as %+v, %v", owner, got, err)
+			t.Errorf("%q: decoded as %+v, %v", owner, got, err)
 		}
 	}
 	if lengths["a-router-with-a-name"] >= lengths["b-router-with-a-name"] {
--- a/pomelomesh/contact_test.go
+++ b/pomelomesh/contact_test.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// A router that starts without the store knows addresses only. What it sends reaches whoever listens there, and the answer comes back over
-// the same link, though neither lists the other.
+// A router that starts while the store is unavailable knows only addresses. Its message must reach the router that
+// listens there, and the reply must return over the same link although neither router has the other on its peer list.
 func TestContactReachesRouterByAddress(t *testing.T) {
 	a, b := start(t, config("r1", 11)), start(t, config("r2", 22))
 	if err := a.Contact(b.Addr(), &pomelorelay.StateAsk{Above: 3}); err != nil {
@@ -26,7 +26,8 @@
 	}
 }
 
-// Seeds may be gone or be the router itself. Neither may keep a link or a goroutine: a router asks again and again while the store is away.
+// Seed addresses may be unreachable or the router's own. A failed contact must not leave a link or a goroutine, because
+// a router repeats it for as long as the store is unavailable.
 func TestFailedContactsLeaveNoLinks(t *testing.T) {
 	a := start(t, config("r1", 11))
 	for _, addr := range []netip.AddrPort{pomelofake.FreeAddr(), a.Addr()} {
@@ -38,7 +39,7 @@
 	}
 	select {
 	case e := <-a.Receive():
-		t.Errorf("the router got its own message: %+v", e)
+		t.Errorf("router received its own message: %+v", e)
 	case <-time.After(300 * time.Millisecond):
 	}
 	eventually(t, "no link is left", func() bool { return a.Counters().Links == 0 })
--- a/pomelomesh/dial.go
+++ b/pomelomesh/dial.go
@@ -88,7 +88,7 @@
 	}
 	hello := frame.GetHello()
 	if hello.GetNode() == "" || hello.GetNode() == string(l.m.cfg.Self.Node) || hasLongName(hello) {
-		return l.m.refuseLink(hello.GetNode(), "node name is empty, too long or this router's own")
+		return l.m.refuseLink(hello.GetNode(), "node name is empty or this router's own, or a name is too long")
 	}
 	if node != "" && hello.GetNode() != string(node) {
 		return l.m.refuseLink(hello.GetNode(), "unexpected node name: another router answers at the address")
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -21,7 +21,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh"
 )
 
-// tcpProxy passes connections on until it swallows what it is given, without closing anything.
+// tcpProxy forwards connections to target. With discard set it drops what it reads without closing either side; with
+// slow set it delays each read by 16 ms.
 type tcpProxy struct {
 	net.Listener
 	target  netip.AddrPort
@@ -96,7 +97,8 @@
 }
 
 func TestHalfOpenLinkIsDetected(t *testing.T) {
-	// A switch dies and swallows every packet while both ends keep the connection open. Writes succeed for minutes; callers wait for grants that never arrive.
+	// A failed switch drops every packet while both ends keep the connection open. Writes succeed for minutes while callers
+	// wait for grants that never arrive.
 	b := start(t, config("r2", 1))
 	r := startProxy(t, b.Addr())
 	cfg := config("r1", 1)
@@ -119,7 +121,8 @@
 }
 
 func TestLargeMessageArrivesOnSlowLink(t *testing.T) {
-	// A part of the configuration takes longer on a slow link than silence is allowed to last. If the link were broken for it, the router behind would never get the part.
+	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If that broke the link, the router
+	// behind it would never receive the part.
 	b := start(t, config("r2", 1))
 	r := startProxy(t, b.Addr())
 	r.slow.Store(true)
@@ -195,7 +198,7 @@
 	return &authority{certificate, key}
 }
 
-// issue writes key files for a name.
+// issue writes the key files of a new certificate for the name.
 func (a *authority) issue(t testing.TB, dir, name string) pomelomesh.TLSFiles {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -242,7 +245,8 @@
 }
 
 func TestCertificateForAnotherNameIsRefused(t *testing.T) {
-	// A settings file is copied to a second host with the wrong Node in it; the fleet must not take its reports for the first one's.
+	// A settings file copied to a second host names the wrong Node; the fleet must not accept that host's reports as those
+	// of the first.
 	ca := newAuthority(t)
 	b := start(t, secure("r2", ca.issue(t, t.TempDir(), "r2")))
 	impostor := start(t, secure("r1", ca.issue(t, t.TempDir(), "r9")))
@@ -252,7 +256,7 @@
 		eventually(t, "attempt", func() bool { return impostor.Counters().Dialled > dialled && impostor.Counters().Lost > dialled })
 	}
 	if b.Counters().Links != 0 || len(b.Receive()) != 0 {
-		t.Errorf("taken: %+v", b.Counters())
+		t.Errorf("link accepted: %+v", b.Counters())
 	}
 	if _, err := pomelomesh.New(pomelomesh.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0")}); !pomelorelay.IsErrCode(err, pomelorelay.CodeMeshTLS) {
 		t.Errorf("started without keys: %v", err)
@@ -260,7 +264,8 @@
 }
 
 func TestChangedKeysAreUsedWithoutRestart(t *testing.T) {
-	// Operators replace authority and certificates while the routers run; new links must use the new files, or the fleet falls apart as the old ones end.
+	// Operators replace authority and certificates while the routers run; new links must use the new files, or the fleet
+	// loses its links as the old certificates expire.
 	first, second := newAuthority(t), newAuthority(t)
 	dirA, dirB := t.TempDir(), t.TempDir()
 	b := start(t, secure("r2", first.issue(t, dirB, "r2")))
--- a/pomelomesh/fields_test.go
+++ b/pomelomesh/fields_test.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh"
 )
 
-// everyMessage has one message of each kind, to be filled.
-var everyMessage = []pomelorelay.Message{
+// emptyMessages holds the messages whose fields are filled before the round trip.
+var emptyMessages = []pomelorelay.Message{
 	&pomelorelay.Demand{}, &pomelorelay.Grant{}, &pomelorelay.GrantReply{}, &pomelorelay.RunningQuery{}, &pomelorelay.RunningReport{},
 	&pomelorelay.LedgerReport{}, &pomelorelay.LedgerTotals{}, &pomelorelay.LedgerQuery{}, &pomelorelay.LedgerComponent{},
 	&pomelorelay.LedgerComponentQuery{}, &pomelorelay.Digest{}, &pomelorelay.Probe{}, &pomelorelay.ProbeAck{}, &pomelorelay.ConfigPull{},
@@ -19,7 +19,7 @@
 	&pomelorelay.SuspectCleared{}, &pomelorelay.QuarantineNotice{}, &pomelorelay.LeavingNotice{}, &pomelorelay.Farewell{},
 }
 
-// fill sets every field below v to something that is not its zero.
+// fill sets every field below v to a non-zero value.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -52,9 +52,9 @@
 }
 
 func TestEveryFieldRoundTrips(t *testing.T) {
-	// A part gives a message a new field and the codec is forgotten. Routers then act on its zero: a suspect that ended clean
-	// would arrive as one that did not, and stay held everywhere.
-	for _, m := range everyMessage {
+	// Guards against a message field that the codec omits. Receivers would act on its zero value: a suspect request that
+	// completed cleanly would arrive as one that did not, and stay held on every router.
+	for _, m := range emptyMessages {
 		fill(reflect.ValueOf(m).Elem())
 		data, err := pomelomesh.EncodeMessage(m)
 		if err != nil {
@@ -67,7 +67,7 @@
 			continue
 		}
 		if !reflect.DeepEqual(got, m) {
-			t.Errorf("%T arrived as %+v instead of %+v", m, got, m)
+			t.Errorf("%T decoded as %+v, want %+v", m, got, m)
 		}
 	}
 }
--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -97,7 +97,7 @@
 // name, and the two would appear as one flapping router.
 func (m *Mesh) checkHello(ctx context.Context, hello *pomelowire.Hello) error {
 	if hello.GetNode() == "" || hello.GetNode() == string(m.cfg.Self.Node) || hasLongName(hello) {
-		return m.refuseLink(hello.GetNode(), "node name is empty, too long or this router's own")
+		return m.refuseLink(hello.GetNode(), "node name is empty or this router's own, or a name is too long")
 	}
 	if m.keys == nil {
 		return nil
--- a/pomelomesh/integer_test.go
+++ b/pomelomesh/integer_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// appendPrefixed writes an integer in the format of the paper that docs/design/codec.md weighs: the trailing ones of
-// the first byte tell how many bytes follow.
+// appendPrefixed appends an integer in the prefix encoding that docs/design/codec.md compares with varints: the number
+// of trailing ones in the first byte is the number of bytes that follow.
 func appendPrefixed(data []byte, value uint64) []byte {
 	var word [9]byte
 	size := max(1, (bits.Len64(value)+6)/7)
@@ -23,7 +23,7 @@
 	return append(data, word[:size]...)
 }
 
-// consumePrefixed reads such an integer without a loop; data has nine bytes or more.
+// consumePrefixed decodes such an integer without a loop; data must have at least nine bytes.
 func consumePrefixed(data []byte) (uint64, int) {
 	size := bits.TrailingZeros8(^data[0]) + 1
 	if size == 9 {
@@ -33,19 +33,20 @@
 	return word << (64 - 8*size) >> (64 - 7*size), size
 }
 
-// integers are those of a digest, a ledger report and a grant: indexes, counts, sequence numbers, an incarnation and a period.
+// integers are values as in a digest, a ledger report and a grant: indexes, counts, sequence numbers, an incarnation and
+// a duration in nanoseconds.
 var integers = []uint64{1234, 1_800_000_000_000_000_000, 1, 0, 1, 2, 1, 8, 3, 4711, 1, 1, 1, 0, 1, 1, 93_512, 5_000_000_000}
 
 func TestPrefixedIntegers(t *testing.T) {
 	if got := appendPrefixed(nil, 65535); string(got) != "\xfb\xff\x07" {
-		t.Fatalf("65535 is % x", got)
+		t.Fatalf("65535 encoded as % x", got)
 	}
 	values := append([]uint64{1<<56 - 1, 1 << 56, 1<<63 - 1, 1 << 63, math.MaxUint64}, integers...)
 	for _, value := range values {
 		data := appendPrefixed(nil, value)
 		got, n := consumePrefixed(append(data, make([]byte, 9)...))
 		if got != value || n != len(data) {
-			t.Errorf("%d came back as %d in %d of %d bytes", value, got, n, len(data))
+			t.Errorf("%d decoded as %d from %d of %d bytes", value, got, n, len(data))
 		}
 	}
 }
--- a/pomelomesh/keys.go
+++ b/pomelomesh/keys.go
@@ -29,7 +29,7 @@
 	pollInterval = time.Minute
 	// expiryWarnInterval is the minimum time between log entries about the certificate's expiry.
 	expiryWarnInterval = time.Hour
-	// expiryWarnDivisor makes the expiry logged in the last fifth of the certificate's lifetime.
+	// expiryWarnDivisor starts the warnings in the last fifth of the certificate's lifetime.
 	expiryWarnDivisor = 5
 )
 
@@ -54,27 +54,27 @@
 
 func loadKeys(files TLSFiles, logger pomelorelay.Logger) (*keys, error) {
 	k := &keys{files: files, logger: logger}
-	stamps, err := k.statFiles()
+	modTimes, err := k.statFiles()
 	if err != nil {
 		return nil, err
 	}
 	if err := k.load(); err != nil {
 		return nil, err
 	}
-	k.modTimes = stamps
+	k.modTimes = modTimes
 	return k, nil
 }
 
 func (k *keys) statFiles() ([3]time.Time, error) {
-	var stamps [3]time.Time
+	var modTimes [3]time.Time
 	for i, name := range []string{k.files.Certificate, k.files.Key, k.files.Authority} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamps, pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot stat key file", err)
+			return modTimes, pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot stat key file", err)
 		}
-		stamps[i] = info.ModTime()
+		modTimes[i] = info.ModTime()
 	}
-	return stamps, nil
+	return modTimes, nil
 }
 
 func (k *keys) load() error {
@@ -97,8 +97,8 @@
 // refresh reloads the files if they changed. When they are incomplete or do not match, the former keys stay in use and
 // the files are retried at the next handshake or poll.
 func (k *keys) refresh() {
-	stamps, err := k.statFiles()
-	if err == nil && stamps == k.modTimes {
+	modTimes, err := k.statFiles()
+	if err == nil && modTimes == k.modTimes {
 		return
 	}
 	if err == nil {
@@ -108,7 +108,7 @@
 		k.logger.Log(pomelorelay.EventMeshKeysBad, pomelorelay.Field{Key: "Error", Value: err.Error()})
 		return
 	}
-	k.modTimes = stamps
+	k.modTimes = modTimes
 	k.logger.Log(pomelorelay.EventMeshKeysChanged)
 }
 
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -22,7 +22,7 @@
 // maxPeers bounds the number of known peers, including those that are not on the peer list.
 const maxPeers = 4096
 
-// Mesh implements pomelorelay.Mesh over grpc.
+// Mesh implements pomelorelay.Mesh over gRPC streams.
 type Mesh struct {
 	cfg               Config
 	keys              *keys
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// testTimeout bounds a wait for something that must happen; it decides no verdict of its own.
+// testTimeout bounds the wait for an event that must happen; no assertion depends on its value.
 const testTimeout = 20 * time.Second
 
 func config(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) pomelomesh.Config {
@@ -47,7 +47,7 @@
 	case e := <-m.Receive():
 		return e
 	case <-time.After(testTimeout):
-		t.Fatalf("nothing arrived; %+v", m.Counters())
+		t.Fatalf("no message received; %+v", m.Counters())
 		return pomelorelay.Envelope{}
 	}
 }
@@ -56,7 +56,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !reached(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not reached: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
@@ -84,17 +84,17 @@
 	}
 	send(t, b, "r1", &pomelorelay.ProbeAck{Seq: 1})
 	if e := receive(t, a); e.From != "r2" || e.Incarnation != 22 {
-		t.Fatalf("answer: %+v", e)
+		t.Fatalf("reply: %+v", e)
 	}
 	if dialled := b.Counters().Dialled; dialled != 0 {
-		t.Errorf("the answer took %d links of its own", dialled)
+		t.Errorf("the reply opened %d links", dialled)
 	}
 	if a.Traffic()[pomelorelay.LinkDomain].Sent == 0 || b.Traffic()[pomelorelay.LinkDomain].Received != a.Traffic()[pomelorelay.LinkDomain].Sent {
 		t.Errorf("bytes: %+v %+v", a.Traffic(), b.Traffic())
 	}
 }
 
-// dialRaw links to a mesh as a router of another version may.
+// dialRaw opens a link to a mesh as a router of another version may.
 func dialRaw(t *testing.T, m *pomelomesh.Mesh, hello *pomelowire.Hello) grpc.BidiStreamingClient[pomelowire.Frame, pomelowire.Frame] {
 	t.Helper()
 	conn, err := grpc.NewClient(m.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -115,7 +115,8 @@
 }
 
 func TestUnknownKindIsSkipped(t *testing.T) {
-	// During an update some routers already send a kind that the others do not know; that must cost neither the link nor what travels beside it.
+	// During an update some routers already send a kind that others do not know. Neither the link nor the other messages of
+	// the frame may be lost.
 	m := start(t, config("r1", 1))
 	stream := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 1, Domain: "a", Region: "north"})
 	newer := &pomelowire.Item{}
@@ -134,10 +135,11 @@
 }
 
 func TestLowerIncarnationIsRefused(t *testing.T) {
-	// A router is replaced while a connection of the former process lingers behind a stalled switch; its old totals and grants must not come in later.
+	// A router is replaced while a connection of the former process survives behind a stalled switch; the former totals and
+	// grants must not be accepted afterwards.
 	m := start(t, config("r1", 1))
 	old := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 10, Domain: "a", Region: "north"})
-	eventually(t, "first link", func() bool { return m.Counters().Links == 1 })
+	eventually(t, "the first link", func() bool { return m.Counters().Links == 1 })
 	dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 11, Domain: "a", Region: "north"})
 	for {
 		if _, err := old.Recv(); err != nil {
@@ -150,14 +152,15 @@
 			break
 		}
 	}
-	eventually(t, "one link left", func() bool { return m.Counters().Links == 1 })
+	eventually(t, "a single link", func() bool { return m.Counters().Links == 1 })
 	if c := m.Counters(); c.Stale != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
-	// A peer stops reading, as a paused host does. Callers of Send are the control thread: it must go on, told that the queue is full.
+	// A peer stops reading, as a paused host does. Send is called by the control thread, which must not block but be told
+	// that the queue is full.
 	a := config("r1", 1)
 	a.Queue = pomelomesh.QueueLimits{MaxMessages: 100}
 	b := config("r2", 1)
@@ -172,7 +175,7 @@
 		}
 	}
 	if refused == 0 || sender.Counters().QueueFull == 0 {
-		t.Errorf("never refused: %+v", sender.Counters())
+		t.Errorf("no message was rejected: %+v", sender.Counters())
 	}
 	if err := sender.Send("r9", &pomelorelay.Probe{}); !pomelorelay.IsErrCode(err, pomelorelay.CodeMeshUnknownPeer) {
 		t.Errorf("unknown peer: %v", err)
@@ -180,7 +183,7 @@
 }
 
 func TestOverBudgetUrgentMessagesLeaveAndOthersCoalesce(t *testing.T) {
-	// Every account becomes active at once and digests outgrow what a link may carry; grants must not wait behind them.
+	// Every account becomes active at once and digests exceed the byte budget of a link; grants must not wait behind them.
 	cfg := config("r1", 1)
 	cfg.Budget[pomelorelay.LinkDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
@@ -207,7 +210,7 @@
 		}
 	}
 	if seenTotals >= totals {
-		t.Errorf("all %d totals left before the grants", seenTotals)
+		t.Errorf("all %d totals were sent before the grants", seenTotals)
 	}
 	if c := a.Counters(); c.Coalesced == 0 || c.Delayed == 0 {
 		t.Errorf("%+v", c)
@@ -236,8 +239,8 @@
 }
 
 func TestUrgentMessagesOverBudgetDoNotStarveDigests(t *testing.T) {
-	// A loaded router's grants alone use more than its byte budget. If no digest left then, the others would take it for dead and
-	// take over its jobs, again and again, while it works.
+	// A loaded router's grants alone exceed its byte budget. If no digest were sent then, the other routers would repeatedly
+	// declare it dead and take over its jobs while it works.
 	cfg := config("r1", 1)
 	cfg.Budget[pomelorelay.LinkDomain] = 8000
 	a, b := start(t, cfg), start(t, config("r2", 1))
@@ -253,7 +256,7 @@
 	for seq := range uint64(3) {
 		send(t, a, "r2", &pomelorelay.Digest{Seq: seq})
 		if m, ok := receive(t, b).Message.(*pomelorelay.Digest); !ok || m.Seq != seq {
-			t.Fatalf("%+v arrived in place of digest %d", m, seq)
+			t.Fatalf("received %+v, want digest %d", m, seq)
 		}
 	}
 }
