--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -55,7 +55,7 @@
 	// TLS holds the paths of the key files; without them Insecure must be set.
 	TLS      TLSFiles
 	Insecure bool
-	// Budget bounds the bytes sent per second, by link class; zero means unlimited.
+	// Budget bounds the send rate of each link class; zero means unlimited.
 	Budget [pomelorelay.LinkClasses]pomelorelay.Bytes
 	Queue  QueueLimits
 	Timing Timing
--- a/pomelomesh/decode.go
+++ b/pomelomesh/decode.go
@@ -69,7 +69,7 @@
 	return text
 }
 
-func (d *decoder) count(n, limit int) int {
+func (d *decoder) listLength(n, limit int) int {
 	if n > limit {
 		d.fail("list is too long")
 		return 0
--- a/pomelomesh/decode_claim.go
+++ b/pomelomesh/decode_claim.go
@@ -6,7 +6,7 @@
 )
 
 func (d *decoder) configPull(m *pomelowire.ConfigPull) pomelorelay.Message {
-	parts := make([]pomelorelay.Hash, d.count(len(m.GetParts()), maxListLength))
+	parts := make([]pomelorelay.Hash, d.listLength(len(m.GetParts()), maxListLength))
 	for i := range parts {
 		d.copyFixed(parts[i][:], m.GetParts()[i])
 	}
@@ -14,7 +14,7 @@
 }
 
 func (d *decoder) configPush(m *pomelowire.ConfigPush) pomelorelay.Message {
-	d.count(len(m.GetParts()), maxListLength)
+	d.listLength(len(m.GetParts()), maxListLength)
 	for _, part := range m.GetParts() {
 		d.bytes(part, maxValueBytes)
 	}
--- a/pomelomesh/decode_kinds.go
+++ b/pomelomesh/decode_kinds.go
@@ -100,7 +100,7 @@
 }
 
 func (d *decoder) demand(m *pomelowire.Demand) pomelorelay.Message {
-	d.count(len(m.GetPrefixes()), maxPrefixes)
+	d.listLength(len(m.GetPrefixes()), maxPrefixes)
 	return &pomelorelay.Demand{
 		Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Pool: pomelorelay.PoolID(d.name(m.GetPool())),
 		Seq: m.GetSeq(), Head: d.tag(m.GetHead()), Waiting: m.GetWaiting(), Prefixes: m.GetPrefixes(),
@@ -123,7 +123,7 @@
 }
 
 func (d *decoder) runningReport(m *pomelowire.RunningReport) pomelorelay.Message {
-	grants := make([]pomelorelay.GrantID, d.count(len(m.GetGrants()), maxListLength))
+	grants := make([]pomelorelay.GrantID, d.listLength(len(m.GetGrants()), maxListLength))
 	for i := range grants {
 		grants[i] = pomelorelay.GrantID(m.GetGrants()[i])
 	}
@@ -132,7 +132,7 @@
 
 func (d *decoder) digest(m *pomelowire.Digest) pomelorelay.Message {
 	digest := &pomelorelay.Digest{Seq: m.GetSeq()}
-	digest.Members = make([]pomelorelay.MemberState, d.count(len(m.GetMembers()), maxListLength))
+	digest.Members = make([]pomelorelay.MemberState, d.listLength(len(m.GetMembers()), maxListLength))
 	for i := range digest.Members {
 		state := m.GetMembers()[i]
 		digest.Members[i] = pomelorelay.MemberState{
@@ -144,11 +144,11 @@
 	if len(digest.Members) > 0 {
 		names = append([]string{string(digest.Members[0].Node)}, names...)
 	}
-	digest.Slots = make([]pomelorelay.SlotDigest, d.count(len(m.GetSlots()), maxListLength))
+	digest.Slots = make([]pomelorelay.SlotDigest, d.listLength(len(m.GetSlots()), maxListLength))
 	for i := range digest.Slots {
 		digest.Slots[i] = d.slot(m.GetSlots()[i], names)
 	}
-	digest.Reached = make([]pomelorelay.DomainID, d.count(len(m.GetReached()), maxListLength))
+	digest.Reached = make([]pomelorelay.DomainID, d.listLength(len(m.GetReached()), maxListLength))
 	for i := range digest.Reached {
 		digest.Reached[i] = pomelorelay.DomainID(d.name(m.GetReached()[i]))
 	}
@@ -164,7 +164,7 @@
 }
 
 func (d *decoder) suspectNotice(m *pomelowire.SuspectNotice) pomelorelay.Message {
-	fingerprints := make([]pomelorelay.Fingerprint, d.count(len(m.GetFingerprints()), maxListLength))
+	fingerprints := make([]pomelorelay.Fingerprint, d.listLength(len(m.GetFingerprints()), maxListLength))
 	for i := range fingerprints {
 		fingerprints[i] = pomelorelay.Fingerprint(m.GetFingerprints()[i])
 	}
--- a/pomelomesh/decode_ledger.go
+++ b/pomelomesh/decode_ledger.go
@@ -7,7 +7,7 @@
 
 func (d *decoder) ledgerReport(m *pomelowire.LedgerReport) pomelorelay.Message {
 	r := &pomelorelay.LedgerReport{Shard: pomelorelay.ShardID(m.GetShard()), Seq: m.GetSeq(), Full: m.GetFull(), Entries: d.entries(m.GetEntries(), m.GetNames()), Round: m.GetRound()}
-	r.Interest = make([]pomelorelay.LedgerKey, d.count(len(m.GetInterest()), maxListLength))
+	r.Interest = make([]pomelorelay.LedgerKey, d.listLength(len(m.GetInterest()), maxListLength))
 	for i := range r.Interest {
 		key := m.GetInterest()[i]
 		r.Interest[i] = pomelorelay.LedgerKey{Pool: pomelorelay.PoolID(d.nameAt(m.GetNames(), key.GetPool())), Account: pomelorelay.AccountID(d.name(key.GetAccount()))}
@@ -22,7 +22,7 @@
 }
 
 func (d *decoder) entries(encoded []*pomelowire.LedgerEntry, names []string) []pomelorelay.LedgerEntry {
-	entries := make([]pomelorelay.LedgerEntry, d.count(len(encoded), maxListLength))
+	entries := make([]pomelorelay.LedgerEntry, d.listLength(len(encoded), maxListLength))
 	for i := range entries {
 		e := encoded[i]
 		entries[i] = pomelorelay.LedgerEntry{
@@ -35,7 +35,7 @@
 
 func (d *decoder) ledgerComponent(m *pomelowire.LedgerComponent) pomelorelay.Message {
 	c := &pomelorelay.LedgerComponent{Shard: pomelorelay.ShardID(m.GetShard()), Domain: pomelorelay.DomainID(d.name(m.GetDomain())), Full: m.GetFull()}
-	c.Entries = make([]pomelorelay.LedgerComponentEntry, d.count(len(m.GetEntries()), maxListLength))
+	c.Entries = make([]pomelorelay.LedgerComponentEntry, d.listLength(len(m.GetEntries()), maxListLength))
 	for i := range c.Entries {
 		e := m.GetEntries()[i]
 		c.Entries[i] = pomelorelay.LedgerComponentEntry{
--- a/pomelomesh/decode_load.go
+++ b/pomelomesh/decode_load.go
@@ -11,7 +11,7 @@
 
 func (d *decoder) loadReport(m *pomelowire.LoadReport) *pomelorelay.LoadReport {
 	r := &pomelorelay.LoadReport{Seq: m.GetSeq(), Whole: m.GetWhole()}
-	r.Upstreams = make([]pomelorelay.UpstreamLoad, d.count(len(m.GetUpstreams()), maxListLength))
+	r.Upstreams = make([]pomelorelay.UpstreamLoad, d.listLength(len(m.GetUpstreams()), maxListLength))
 	for i := range r.Upstreams {
 		u := m.GetUpstreams()[i]
 		r.Upstreams[i] = pomelorelay.UpstreamLoad{
@@ -20,23 +20,23 @@
 			Expected: d.milliseconds(u.GetExpected()), Took: d.milliseconds(u.GetTook()),
 		}
 	}
-	r.Accounts = make([]pomelorelay.AccountUse, d.count(len(m.GetAccounts()), maxListLength))
+	r.Accounts = make([]pomelorelay.AccountUse, d.listLength(len(m.GetAccounts()), maxListLength))
 	for i := range r.Accounts {
 		a := m.GetAccounts()[i]
 		r.Accounts[i] = pomelorelay.AccountUse{
 			Account: pomelorelay.AccountID(d.name(a.GetAccount())), Asked: pomelorelay.Cost(a.GetAsked()), Served: pomelorelay.Cost(a.GetServed()),
 		}
 	}
-	r.Parts = make([]pomelorelay.PartPlaced, d.count(len(m.GetParts()), maxListLength))
+	r.Parts = make([]pomelorelay.PartPlaced, d.listLength(len(m.GetParts()), maxListLength))
 	for i := range r.Parts {
 		p := m.GetParts()[i]
 		r.Parts[i] = pomelorelay.PartPlaced{Upstream: pomelorelay.UpstreamID(d.name(p.GetUpstream())), Hash: p.GetHash(), Tokens: d.tokens(p.GetTokens())}
 	}
-	r.Leaving = make([]pomelorelay.UpstreamID, d.count(len(m.GetLeaving()), maxListLength))
+	r.Leaving = make([]pomelorelay.UpstreamID, d.listLength(len(m.GetLeaving()), maxListLength))
 	for i := range r.Leaving {
 		r.Leaving[i] = pomelorelay.UpstreamID(d.name(m.GetLeaving()[i]))
 	}
-	r.Speeds = make([]pomelorelay.SpeedSums, d.count(len(m.GetSpeeds()), maxListLength))
+	r.Speeds = make([]pomelorelay.SpeedSums, d.listLength(len(m.GetSpeeds()), maxListLength))
 	for i := range r.Speeds {
 		s := m.GetSpeeds()[i]
 		r.Speeds[i] = pomelorelay.SpeedSums{
@@ -45,7 +45,7 @@
 			Copied: d.finite(s.GetCopied()), CopyTook: d.finite(s.GetCopyTook()),
 		}
 	}
-	r.Starts = make([]pomelorelay.UpstreamStart, d.count(len(m.GetStarts()), maxListLength))
+	r.Starts = make([]pomelorelay.UpstreamStart, d.listLength(len(m.GetStarts()), maxListLength))
 	for i := range r.Starts {
 		s := m.GetStarts()[i]
 		r.Starts[i] = pomelorelay.UpstreamStart{Upstream: pomelorelay.UpstreamID(d.name(s.GetUpstream())), Unreached: s.GetUnreached(), ColdFor: d.milliseconds(s.GetCold())}
@@ -78,7 +78,7 @@
 
 func (d *decoder) loadSummary(m *pomelowire.LoadSummary) pomelorelay.Message {
 	s := &pomelorelay.LoadSummary{Report: d.loadReport(m.GetReport())}
-	s.Standby = make([]pomelorelay.NodeID, d.count(len(m.GetStandby()), maxListLength))
+	s.Standby = make([]pomelorelay.NodeID, d.listLength(len(m.GetStandby()), maxListLength))
 	for i := range s.Standby {
 		s.Standby[i] = pomelorelay.NodeID(d.name(m.GetStandby()[i]))
 	}
@@ -91,11 +91,11 @@
 		Upstreams: d.upstreams(m.GetUpstreams()), Peers: d.routers(m.GetRouters()),
 		Evacuated: d.domains(m.GetEvacuated()), Restored: d.domains(m.GetRestored()),
 	}
-	u.GoneUpstreams = make([]pomelorelay.UpstreamID, d.count(len(m.GetGoneUpstreams()), maxListLength))
+	u.GoneUpstreams = make([]pomelorelay.UpstreamID, d.listLength(len(m.GetGoneUpstreams()), maxListLength))
 	for i := range u.GoneUpstreams {
 		u.GoneUpstreams[i] = pomelorelay.UpstreamID(d.name(m.GetGoneUpstreams()[i]))
 	}
-	u.GonePeers = make([]pomelorelay.NodeID, d.count(len(m.GetGoneRouters()), maxListLength))
+	u.GonePeers = make([]pomelorelay.NodeID, d.listLength(len(m.GetGoneRouters()), maxListLength))
 	for i := range u.GonePeers {
 		u.GonePeers[i] = pomelorelay.NodeID(d.name(m.GetGoneRouters()[i]))
 	}
@@ -103,7 +103,7 @@
 }
 
 func (d *decoder) upstreams(list []*pomelowire.Upstream) []pomelorelay.FleetUpstream {
-	upstreams := make([]pomelorelay.FleetUpstream, d.count(len(list), maxListLength))
+	upstreams := make([]pomelorelay.FleetUpstream, d.listLength(len(list), maxListLength))
 	for i := range upstreams {
 		u := list[i]
 		upstreams[i] = pomelorelay.FleetUpstream{
@@ -130,7 +130,7 @@
 }
 
 func (d *decoder) domains(list []string) []pomelorelay.DomainID {
-	domains := make([]pomelorelay.DomainID, d.count(len(list), maxListLength))
+	domains := make([]pomelorelay.DomainID, d.listLength(len(list), maxListLength))
 	for i := range domains {
 		domains[i] = pomelorelay.DomainID(d.name(list[i]))
 	}
@@ -138,7 +138,7 @@
 }
 
 func (d *decoder) routers(list []*pomelowire.Router) []pomelorelay.Peer {
-	peers := make([]pomelorelay.Peer, d.count(len(list), maxListLength))
+	peers := make([]pomelorelay.Peer, d.listLength(len(list), maxListLength))
 	for i := range peers {
 		p := list[i]
 		peers[i] = pomelorelay.Peer{
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -38,60 +38,60 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &tcpProxy{Listener: listener, target: target}
-	t.Cleanup(r.close)
+	p := &tcpProxy{Listener: listener, target: target}
+	t.Cleanup(p.close)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r.forward(conn)
+			p.forward(conn)
 		}
 	}()
-	return r
+	return p
 }
 
-func (r *tcpProxy) addr() netip.AddrPort { return netip.MustParseAddrPort(r.Addr().String()) }
+func (p *tcpProxy) addr() netip.AddrPort { return netip.MustParseAddrPort(p.Addr().String()) }
 
-func (r *tcpProxy) forward(conn net.Conn) {
-	far, err := net.Dial("tcp", r.target.String())
+func (p *tcpProxy) forward(conn net.Conn) {
+	far, err := net.Dial("tcp", p.target.String())
 	if err != nil {
 		conn.Close()
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.conns = append(r.conns, conn, far)
-	go func() { r.copy(far, conn) }()
-	go func() { r.copy(conn, far) }()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns = append(p.conns, conn, far)
+	go func() { p.copy(far, conn) }()
+	go func() { p.copy(conn, far) }()
 }
 
-func (r *tcpProxy) copy(to, from net.Conn) {
+func (p *tcpProxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
-		if err != nil && !r.discard.Load() {
+		if err != nil && !p.discard.Load() {
 			to.Close()
 			return
 		}
 		if err != nil {
 			return
 		}
-		if r.slow.Load() {
+		if p.slow.Load() {
 			time.Sleep(16 * time.Millisecond)
 		}
-		if !r.discard.Load() {
+		if !p.discard.Load() {
 			_, _ = to.Write(buffer[:n])
 		}
 	}
 }
 
-func (r *tcpProxy) close() {
-	r.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, conn := range r.conns {
+func (p *tcpProxy) close() {
+	p.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.conns {
 		conn.Close()
 	}
 }
@@ -100,17 +100,17 @@
 	// A failed switch drops every packet while both ends keep the connection open. Writes succeed for minutes while callers
 	// wait for grants that never arrive.
 	b := start(t, config("r2", 1))
-	r := startProxy(t, b.Addr())
+	p := startProxy(t, b.Addr())
 	cfg := config("r1", 1)
 	cfg.Timing = pomelomesh.Timing{AckTimeout: 300 * time.Millisecond, AckDelay: 50 * time.Millisecond, BackoffMax: 200 * time.Millisecond}
 	a := start(t, cfg)
-	a.SetPeers([]pomelorelay.Peer{peerOf("r2", r.addr())})
+	a.SetPeers([]pomelorelay.Peer{peerOf("r2", p.addr())})
 	send(t, a, "r2", &pomelorelay.Probe{Seq: 1})
 	receive(t, b)
-	r.discard.Store(true)
+	p.discard.Store(true)
 	send(t, a, "r2", &pomelorelay.Probe{Seq: 2})
 	eventually(t, "broken link", func() bool { return a.Counters().Broken == 1 })
-	r.discard.Store(false)
+	p.discard.Store(false)
 	eventually(t, "message over a new link", func() bool {
 		_ = a.Send("r2", &pomelorelay.Probe{Seq: 3})
 		return len(b.Receive()) > 0
@@ -124,12 +124,12 @@
 	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If that broke the link, the router
 	// behind it would never receive the part.
 	b := start(t, config("r2", 1))
-	r := startProxy(t, b.Addr())
-	r.slow.Store(true)
+	p := startProxy(t, b.Addr())
+	p.slow.Store(true)
 	cfg := config("r1", 1)
 	cfg.Timing.AckTimeout = 300 * time.Millisecond
 	a := start(t, cfg)
-	a.SetPeers([]pomelorelay.Peer{peerOf("r2", r.addr())})
+	a.SetPeers([]pomelorelay.Peer{peerOf("r2", p.addr())})
 	send(t, a, "r2", &pomelorelay.ConfigPush{Parts: [][]byte{make([]byte, 256<<10)}})
 	if part := receive(t, b).Message.(*pomelorelay.ConfigPush).Parts[0]; len(part) != 256<<10 {
 		t.Errorf("%d bytes arrived", len(part))
