--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -35,15 +35,15 @@
 	case err := <-ended:
 		return err
 	case <-timer.C:
-		return status.Error(codes.DeadlineExceeded, "timed out waiting for a hello")
+		return status.Error(codes.DeadlineExceeded, "no hello")
 	}
 	select {
 	case err := <-ended:
 		return err
 	case <-l.ctx.Done():
-		return status.Error(codes.Unavailable, "link closed")
+		return status.Error(codes.Unavailable, "link ended")
 	case <-s.m.ctx.Done():
-		return status.Error(codes.Unavailable, "mesh is closing")
+		return status.Error(codes.Unavailable, "closing")
 	}
 }
 
@@ -97,14 +97,14 @@
 // name, and the two would appear as one flapping router.
 func (m *Mesh) checkHello(ctx context.Context, hello *pomelowire.Hello) error {
 	if hello.GetNode() == "" || hello.GetNode() == string(m.cfg.Self.Node) || hasLongName(hello) {
-		return m.refuseLink(hello.GetNode(), "node name is empty or this router's own, or a name is too long")
+		return m.refuseLink(hello.GetNode(), "name")
 	}
 	if m.keys == nil {
 		return nil
 	}
 	certificate := callerCertificate(ctx)
 	if certificate == nil || certificate.VerifyHostname(hello.GetNode()) != nil {
-		return m.refuseLink(hello.GetNode(), "certificate is not valid for the node name")
+		return m.refuseLink(hello.GetNode(), "certificate is of another name")
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 	defer m.mu.Unlock()
 	p := m.peerOrNewLocked(pomelorelay.NodeID(hello.GetNode()))
 	if p == nil {
-		return m.refuseLink(hello.GetNode(), "too many peers, or the mesh is closing")
+		return m.refuseLink(hello.GetNode(), "too many routers or closing")
 	}
 	l.peer = p
 	l.incarnation = pomelorelay.Incarnation(hello.GetIncarnation())
@@ -145,7 +145,7 @@
 	l.class = p.classify(hello)
 	if !p.attach(l, l.incarnation) {
 		m.counters.stale.Add(1)
-		return m.refuseLink(hello.GetNode(), "stale incarnation: a later one is known")
+		return m.refuseLink(hello.GetNode(), "a later incarnation is known")
 	}
 	return nil
 }
