--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -6,9 +6,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Contact sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged, and
-// a message to an address that is being dialled already is dropped. It fails with CodeMeshMalformed. A mesh with certificates refuses
-// routers whose names it does not know.
+// Contact sends a message to whichever router answers at the address, without waiting for it; it fails with
+// CodeMeshMalformed. An unreachable router is logged, and a message to an address that is already being contacted is
+// dropped. With mutual TLS, routers whose node names are unknown are refused.
 func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
 	data, err := EncodeMessage(message)
 	if err != nil {
@@ -16,18 +16,20 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.closed || m.contacting[addr] {
+	if m.closed || m.contactsInProgress[addr] {
 		return nil
 	}
-	m.contacting[addr] = true
-	m.running.Go(func() { m.contact(addr, &queued{data: data, key: message.CoalesceKey(), urgency: message.Urgency()}) })
+	m.contactsInProgress[addr] = true
+	m.running.Go(func() {
+		m.contact(addr, &queuedMessage{data: data, key: message.CoalesceKey(), urgency: message.Urgency()})
+	})
 	return nil
 }
 
-func (m *Mesh) contact(addr netip.AddrPort, item *queued) {
+func (m *Mesh) contact(addr netip.AddrPort, item *queuedMessage) {
 	l, err := m.open(pomelorelay.Peer{Addr: addr})
 	if err == nil {
-		m.kinds.note(item.data)
+		m.kinds.record(item.data)
 		err = l.peer.send(item)
 	}
 	if err != nil {
@@ -35,5 +37,5 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.contacting, addr)
+	delete(m.contactsInProgress, addr)
 }
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// EncodeMessage returns a message as it travels; it fails with CodeMeshMalformed when a receiver would refuse it.
+// EncodeMessage returns the wire encoding of a message; it fails with CodeMeshMalformed if receivers would reject it.
 func EncodeMessage(m pomelorelay.Message) ([]byte, error) {
 	item := encodeItem(m)
 	if item == nil {
-		return nil, malformed(fmt.Sprintf("no encoding for %T", m))
+		return nil, malformed(fmt.Sprintf("no encoding for message type %T", m))
 	}
 	if err := checkItem(item); err != nil {
 		return nil, err
 	}
 	data, err := proto.Marshal(item)
 	if err != nil {
-		return nil, pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "encode", err)
+		return nil, pomelorelay.NewError(pomelorelay.CodeMeshMalformed, "cannot encode message", err)
 	}
 	if len(data) > maxItemBytes {
-		return nil, malformed("message too large")
+		return nil, malformed("message is too large")
 	}
 	return data, nil
 }
@@ -98,12 +98,12 @@
 }
 
 func encodeDigest(m *pomelorelay.Digest) *pomelowire.Digest {
-	// The first member is the sender, who owns most of the slots: its name is taken from there and not sent again.
+	// The first member is the sender, which owns most of the slots: its name is index 0 of the table and not sent again.
 	var names nameTable
 	if len(m.Members) > 0 {
 		names.index(string(m.Members[0].Node))
 	}
-	known := len(names.list)
+	implied := len(names.list)
 	d := &pomelowire.Digest{Seq: m.Seq}
 	for _, state := range m.Members {
 		d.Members = append(d.Members, &pomelowire.MemberState{Node: string(state.Node), Incarnation: uint64(state.Incarnation), Status: int32(state.Status)})
@@ -117,7 +117,7 @@
 	for _, domain := range m.Reached {
 		d.Reached = append(d.Reached, string(domain))
 	}
-	d.Names = names.list[known:]
+	d.Names = names.list[implied:]
 	return d
 }
 
@@ -171,12 +171,12 @@
 func encodeSuspect(m pomelorelay.Message) *pomelowire.Item {
 	switch m := m.(type) {
 	case *pomelorelay.SuspectNotice:
-		prints := make([]uint64, len(m.Fingerprints))
-		for i, print := range m.Fingerprints {
-			prints[i] = uint64(print)
+		fingerprints := make([]uint64, len(m.Fingerprints))
+		for i, fingerprint := range m.Fingerprints {
+			fingerprints[i] = uint64(fingerprint)
 		}
 		return &pomelowire.Item{Kind: &pomelowire.Item_SuspectNotice{SuspectNotice: &pomelowire.SuspectNotice{
-			Upstream: string(m.Upstream), Crash: m.Crash, Fingerprints: prints,
+			Upstream: string(m.Upstream), Crash: m.Crash, Fingerprints: fingerprints,
 		}}}
 	case *pomelorelay.SuspectAsk:
 		return &pomelowire.Item{Kind: &pomelowire.Item_SuspectAsk{SuspectAsk: &pomelowire.SuspectAsk{
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -21,94 +21,96 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh"
 )
 
-// relay passes connections on until it swallows what it is given, without closing anything.
-type relay struct {
+// tcpProxy forwards connections to target. With discard set it drops what it reads without closing either side; with
+// slow set it delays each read by 16 ms.
+type tcpProxy struct {
 	net.Listener
 	target  netip.AddrPort
-	swallow atomic.Bool
+	discard atomic.Bool
 	slow    atomic.Bool
 	mu      sync.Mutex
 	conns   []net.Conn
 }
 
-func startRelay(t *testing.T, target netip.AddrPort) *relay {
+func startProxy(t *testing.T, target netip.AddrPort) *tcpProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{Listener: listener, target: target}
-	t.Cleanup(r.close)
+	p := &tcpProxy{Listener: listener, target: target}
+	t.Cleanup(p.close)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r.pass(conn)
+			p.forward(conn)
 		}
 	}()
-	return r
+	return p
 }
 
-func (r *relay) addr() netip.AddrPort { return netip.MustParseAddrPort(r.Addr().String()) }
+func (p *tcpProxy) addr() netip.AddrPort { return netip.MustParseAddrPort(p.Addr().String()) }
 
-func (r *relay) pass(conn net.Conn) {
-	far, err := net.Dial("tcp", r.target.String())
+func (p *tcpProxy) forward(conn net.Conn) {
+	far, err := net.Dial("tcp", p.target.String())
 	if err != nil {
 		conn.Close()
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.conns = append(r.conns, conn, far)
-	go func() { r.copy(far, conn) }()
-	go func() { r.copy(conn, far) }()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns = append(p.conns, conn, far)
+	go func() { p.copy(far, conn) }()
+	go func() { p.copy(conn, far) }()
 }
 
-func (r *relay) copy(to, from net.Conn) {
+func (p *tcpProxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
-		if err != nil && !r.swallow.Load() {
+		if err != nil && !p.discard.Load() {
 			to.Close()
 			return
 		}
 		if err != nil {
 			return
 		}
-		if r.slow.Load() {
+		if p.slow.Load() {
 			time.Sleep(16 * time.Millisecond)
 		}
-		if !r.swallow.Load() {
+		if !p.discard.Load() {
 			_, _ = to.Write(buffer[:n])
 		}
 	}
 }
 
-func (r *relay) close() {
-	r.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, conn := range r.conns {
+func (p *tcpProxy) close() {
+	p.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.conns {
 		conn.Close()
 	}
 }
 
-func TestHalfOpenLinkIsNoticed(t *testing.T) {
-	// A switch dies and swallows every packet while both ends keep the connection open. Writes succeed for minutes; callers wait for grants that never arrive.
+func TestHalfOpenLinkIsDetected(t *testing.T) {
+	// A failed switch drops every packet while both ends keep the connection open. Writes succeed for minutes while callers
+	// wait for grants that never arrive.
 	b := start(t, config("r2", 1))
-	r := startRelay(t, b.Addr())
+	p := startProxy(t, b.Addr())
 	cfg := config("r1", 1)
-	cfg.Timing = pomelomesh.Timing{Silent: 300 * time.Millisecond, Acknowledge: 50 * time.Millisecond, BackoffMax: 200 * time.Millisecond}
+	cfg.Timing = pomelomesh.Timing{AckTimeout: 300 * time.Millisecond, AckDelay: 50 * time.Millisecond, BackoffMax: 200 * time.Millisecond}
 	a := start(t, cfg)
-	a.SetPeers([]pomelorelay.Peer{peerOf("r2", r.addr())})
+	a.SetPeers([]pomelorelay.Peer{peerOf("r2", p.addr())})
 	send(t, a, "r2", &pomelorelay.Probe{Seq: 1})
 	receive(t, b)
-	r.swallow.Store(true)
+	p.discard.Store(true)
 	send(t, a, "r2", &pomelorelay.Probe{Seq: 2})
 	eventually(t, "broken link", func() bool { return a.Counters().Broken == 1 })
-	r.swallow.Store(false)
+	p.discard.Store(false)
 	eventually(t, "message over a new link", func() bool {
 		_ = a.Send("r2", &pomelorelay.Probe{Seq: 3})
 		return len(b.Receive()) > 0
@@ -118,15 +120,16 @@
 	}
 }
 
-func TestLargePartOnASlowLinkArrives(t *testing.T) {
-	// A part of the configuration takes longer on a slow link than silence is allowed to last. If the link were broken for it, the router behind would never get the part.
+func TestLargeMessageArrivesOnSlowLink(t *testing.T) {
+	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If that broke the link, the router
+	// behind it would never receive the part.
 	b := start(t, config("r2", 1))
-	r := startRelay(t, b.Addr())
-	r.slow.Store(true)
+	p := startProxy(t, b.Addr())
+	p.slow.Store(true)
 	cfg := config("r1", 1)
-	cfg.Timing.Silent = 300 * time.Millisecond
+	cfg.Timing.AckTimeout = 300 * time.Millisecond
 	a := start(t, cfg)
-	a.SetPeers([]pomelorelay.Peer{peerOf("r2", r.addr())})
+	a.SetPeers([]pomelorelay.Peer{peerOf("r2", p.addr())})
 	send(t, a, "r2", &pomelorelay.ConfigPush{Parts: [][]byte{make([]byte, 256<<10)}})
 	if part := receive(t, b).Message.(*pomelorelay.ConfigPush).Parts[0]; len(part) != 256<<10 {
 		t.Errorf("%d bytes arrived", len(part))
@@ -136,9 +139,9 @@
 	}
 }
 
-func TestQuietLinkStaysOpen(t *testing.T) {
+func TestIdleLinkWithinDomainStaysOpen(t *testing.T) {
 	a, b := config("r1", 1), config("r2", 1)
-	a.Timing = pomelomesh.Timing{Silent: 200 * time.Millisecond, Ping: 20 * time.Millisecond, Acknowledge: time.Millisecond}
+	a.Timing = pomelomesh.Timing{AckTimeout: 200 * time.Millisecond, PingInterval: 20 * time.Millisecond, AckDelay: time.Millisecond}
 	b.Timing = a.Timing
 	near, far := start(t, a), start(t, b)
 	near.SetPeers([]pomelorelay.Peer{peerOf("r2", far.Addr())})
@@ -156,7 +159,7 @@
 	b.Self.Domain = "b"
 	far := start(t, b)
 	cfg := config("r1", 1)
-	cfg.Timing.Idle = 300 * time.Millisecond
+	cfg.Timing.IdleTimeout = 300 * time.Millisecond
 	near := start(t, cfg)
 	near.SetPeers([]pomelorelay.Peer{{Node: "r2", Addr: far.Addr(), Domain: "b", Region: "north"}})
 	send(t, near, "r2", &pomelorelay.Probe{})
@@ -195,7 +198,7 @@
 	return &authority{certificate, key}
 }
 
-// issue writes key files for a name.
+// issue writes the key files of a new certificate for the name.
 func (a *authority) issue(t testing.TB, dir, name string) pomelomesh.TLSFiles {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -241,8 +244,9 @@
 	return cfg
 }
 
-func TestCertificateOfAnotherNameIsRefused(t *testing.T) {
-	// A settings file is copied to a second host with the wrong Node in it; the fleet must not take its reports for the first one's.
+func TestCertificateForAnotherNameIsRefused(t *testing.T) {
+	// A settings file copied to a second host names the wrong Node; the fleet must not accept that host's reports as those
+	// of the first.
 	ca := newAuthority(t)
 	b := start(t, secure("r2", ca.issue(t, t.TempDir(), "r2")))
 	impostor := start(t, secure("r1", ca.issue(t, t.TempDir(), "r9")))
@@ -252,7 +256,7 @@
 		eventually(t, "attempt", func() bool { return impostor.Counters().Dialled > dialled && impostor.Counters().Lost > dialled })
 	}
 	if b.Counters().Links != 0 || len(b.Receive()) != 0 {
-		t.Errorf("taken: %+v", b.Counters())
+		t.Errorf("link accepted: %+v", b.Counters())
 	}
 	if _, err := pomelomesh.New(pomelomesh.Config{Listen: netip.MustParseAddrPort("127.0.0.1:0")}); !pomelorelay.IsErrCode(err, pomelorelay.CodeMeshTLS) {
 		t.Errorf("started without keys: %v", err)
@@ -260,7 +264,8 @@
 }
 
 func TestChangedKeysAreUsedWithoutRestart(t *testing.T) {
-	// Operators replace authority and certificates while the routers run; new links must use the new files, or the fleet falls apart as the old ones end.
+	// Operators replace authority and certificates while the routers run; new links must use the new files, or the fleet
+	// loses its links as the old certificates expire.
 	first, second := newAuthority(t), newAuthority(t)
 	dirA, dirB := t.TempDir(), t.TempDir()
 	b := start(t, secure("r2", first.issue(t, dirB, "r2")))
--- a/pomelomesh/keys.go
+++ b/pomelomesh/keys.go
@@ -10,81 +10,81 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// keys holds the key pair and authority of mutual TLS and reads changed files again at the next handshake.
+// keys holds the key pair and the authority for mutual TLS; changed files are reloaded at the next handshake or poll.
 type keys struct {
 	files  TLSFiles
 	logger pomelorelay.Logger
 
 	mu          sync.Mutex
-	stamps      [3]time.Time
+	modTimes    [3]time.Time
 	certificate tls.Certificate
 	authority   *x509.CertPool
-	// looked is when the files were last looked at without a handshake, and warned when the log last told of their end.
-	looked time.Time
-	warned time.Time
+	// polledAt is the time of the last poll, warnedAt that of the last log entry about the certificate's expiry.
+	polledAt time.Time
+	warnedAt time.Time
 }
 
 const (
-	// lookEvery is how often the files are looked at without a handshake.
-	lookEvery = time.Minute
-	// warnEvery is how often the log tells that the certificate ends.
-	warnEvery = time.Hour
-	// lastPart of a certificate's life is when its end is told.
-	lastPart = 5
+	// pollInterval is how often the files are checked independently of handshakes.
+	pollInterval = time.Minute
+	// expiryWarnInterval is the minimum time between log entries about the certificate's expiry.
+	expiryWarnInterval = time.Hour
+	// expiryWarnDivisor starts the warnings in the last fifth of the certificate's lifetime.
+	expiryWarnDivisor = 5
 )
 
-// look reads changed files, and tells of a certificate near its end. Routers keep their links for weeks: without it a mistake in
-// new files, or a certificate that nobody replaced, would be seen only when links break and none can be opened.
-func (k *keys) look(now time.Time) {
+// poll reloads changed files and logs a certificate that is about to expire. Links stay open for weeks, so without it a
+// fault in new files or a certificate that was not renewed would show only when links break and none can be opened.
+func (k *keys) poll(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Sub(k.looked) < lookEvery {
+	if now.Sub(k.polledAt) < pollInterval {
 		return
 	}
-	k.looked = now
+	k.polledAt = now
 	k.refresh()
 	leaf := k.certificate.Leaf
-	life := leaf.NotAfter.Sub(leaf.NotBefore)
-	if leaf.NotAfter.Sub(now) > life/lastPart || now.Sub(k.warned) < warnEvery {
+	lifetime := leaf.NotAfter.Sub(leaf.NotBefore)
+	if leaf.NotAfter.Sub(now) > lifetime/expiryWarnDivisor || now.Sub(k.warnedAt) < expiryWarnInterval {
 		return
 	}
-	k.warned = now
+	k.warnedAt = now
 	k.logger.Log(pomelorelay.EventMeshKeysEnding, pomelorelay.Field{Key: "End", Value: leaf.NotAfter.UTC().Format(time.RFC3339)})
 }
 
 func loadKeys(files TLSFiles, logger pomelorelay.Logger) (*keys, error) {
 	k := &keys{files: files, logger: logger}
-	stamps, err := k.stat()
+	modTimes, err := k.statFiles()
 	if err != nil {
 		return nil, err
 	}
 	if err := k.load(); err != nil {
 		return nil, err
 	}
-	k.stamps = stamps
+	k.modTimes = modTimes
 	return k, nil
 }
 
-func (k *keys) stat() ([3]time.Time, error) {
-	var stamps [3]time.Time
+func (k *keys) statFiles() ([3]time.Time, error) {
+	var modTimes [3]time.Time
 	for i, name := range []string{k.files.Certificate, k.files.Key, k.files.Authority} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamps, pomelorelay.NewError(pomelorelay.CodeMeshTLS, "key file", err)
+			return modTimes, pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot stat key file", err)
 		}
-		stamps[i] = info.ModTime()
+		modTimes[i] = info.ModTime()
 	}
-	return stamps, nil
+	return modTimes, nil
 }
 
 func (k *keys) load() error {
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "key pair", err)
+		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot load key pair", err)
 	}
 	pem, err := os.ReadFile(k.files.Authority)
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "authority", err)
+		return pomelorelay.NewError(pomelorelay.CodeMeshTLS, "cannot read authority file", err)
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(pem) {
@@ -94,11 +94,11 @@
 	return nil
 }
 
-// refresh reads the files again when they changed. Files that are half written or do not fit together leave the
-// former keys in use and are tried again at the next handshake.
+// refresh reloads the files if they changed. When they are incomplete or do not match, the former keys stay in use and
+// the files are retried at the next handshake or poll.
 func (k *keys) refresh() {
-	stamps, err := k.stat()
-	if err == nil && stamps == k.stamps {
+	modTimes, err := k.statFiles()
+	if err == nil && modTimes == k.modTimes {
 		return
 	}
 	if err == nil {
@@ -108,18 +108,18 @@
 		k.logger.Log(pomelorelay.EventMeshKeysBad, pomelorelay.Field{Key: "Error", Value: err.Error()})
 		return
 	}
-	k.stamps = stamps
+	k.modTimes = modTimes
 	k.logger.Log(pomelorelay.EventMeshKeysChanged)
 }
 
-func (k *keys) client(node pomelorelay.NodeID) *tls.Config {
+func (k *keys) clientConfig(node pomelorelay.NodeID) *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.refresh()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: string(node), RootCAs: k.authority, Certificates: []tls.Certificate{k.certificate}}
 }
 
-func (k *keys) server() *tls.Config {
+func (k *keys) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
--- a/pomelomesh/kinds.go
+++ b/pomelomesh/kinds.go
@@ -9,28 +9,28 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// maxKind is above the number of every kind of message.
-const maxKind = 64
+// kindLimit is above the field number of every kind of message.
+const kindLimit = 64
 
-// KindCount counts the messages of one kind that were sent, and their encoded bytes without framing.
+// KindCount holds the number of sent messages of one kind and their encoded bytes without framing.
 type KindCount struct {
 	Messages uint64
 	Bytes    uint64
 }
 
-type kindCounters [maxKind]struct{ messages, bytes atomic.Uint64 }
+type kindCounters [kindLimit]struct{ messages, bytes atomic.Uint64 }
 
-// note counts an encoded item; its first field number is its kind.
-func (k *kindCounters) note(data []byte) {
+// record counts an encoded item, whose first field number is its kind.
+func (k *kindCounters) record(data []byte) {
 	kind, _, n := protowire.ConsumeTag(data)
-	if n < 0 || kind >= maxKind {
+	if n < 0 || kind >= kindLimit {
 		return
 	}
 	k[kind].messages.Add(1)
 	k[kind].bytes.Add(uint64(len(data)))
 }
 
-// Kinds returns what was sent since the start by kind of message; operators see by it what the byte budget goes on.
+// Kinds returns the messages sent since the start, by kind; it shows operators what uses the byte budget.
 func (m *Mesh) Kinds() map[string]KindCount {
 	fields := (&pomelowire.Item{}).ProtoReflect().Descriptor().Fields()
 	kinds := make(map[string]KindCount)
