--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -55,10 +55,10 @@
 	// TLS holds the paths of the key files; without them Insecure must be set.
 	TLS      TLSFiles
 	Insecure bool
-	// Budget bounds the send rate of each link class; zero means unlimited.
-	Budget [pomelorelay.LinkClasses]pomelorelay.Bytes
-	Queue  QueueLimits
-	Timing Timing
+	// BytesPerSecond bounds the send rate of each link class; zero means unlimited.
+	BytesPerSecond [pomelorelay.LinkClasses]pomelorelay.Bytes
+	Queue          QueueLimits
+	Timing         Timing
 	// InboxSize is the capacity of the channel of received messages; 1024 when zero.
 	InboxSize int
 	// Seed seeds the jitter of the reconnect backoff.
--- a/pomelomesh/kinds.go
+++ b/pomelomesh/kinds.go
@@ -30,8 +30,8 @@
 	k[kind].bytes.Add(uint64(len(data)))
 }
 
-// Kinds returns the messages sent since the start, by kind; it shows operators what uses the byte budget.
-func (m *Mesh) Kinds() map[string]KindCount {
+// SentByKind returns the messages sent since the start, by kind; it shows operators what uses the byte budget.
+func (m *Mesh) SentByKind() map[string]KindCount {
 	fields := (&pomelowire.Item{}).ProtoReflect().Descriptor().Fields()
 	kinds := make(map[string]KindCount)
 	for i := range fields.Len() {
