--- a/clock.go
+++ b/clock.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Clock tells the time to parts that run goroutines of their own; decision parts take the time as an argument.
+// Clock supplies the time to packages that run their own goroutines; packages of pure decision logic take the time as an argument.
 type Clock interface {
-	// Now returns the current time.
+	// Now returns the time of this clock.
 	Now() time.Time
 }
 
-// SystemClock is the machine's clock.
+// SystemClock is the Clock of the operating system.
 type SystemClock struct{}
 
-// Now returns the current time of the machine.
+// Now returns the current system time.
 func (SystemClock) Now() time.Time { return time.Now() }
--- a/codes.go
+++ b/codes.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// ResultCode numbers an outcome that a caller, an operator or a log reader may meet; docs/RESULTCODES.md lists them.
+// ResultCode is the number of an outcome reported to callers, operators or the log; docs/RESULTCODES.md lists them all.
 type ResultCode int
 
-// Ran tells whether a refused or failed request ran on an upstream.
+// Ran states whether a refused or failed request ran on an upstream.
 type Ran string
 
-// The three answers to whether a request ran.
+// Values of Ran.
 const (
 	RanNo      Ran = "No"
 	RanYes     Ran = "Yes"
 	RanUnknown Ran = "Unknown"
 )
 
-// CodeInfo describes a result code for the table in the docs and for answers.
+// CodeInfo describes a result code, both for the table in the documentation and for error responses.
 type CodeInfo struct {
 	Code       ResultCode
 	Name       string
@@ -29,7 +29,7 @@
 	Advice     string
 }
 
-// Error is a failure with a numbered result code.
+// Error is an error with a result code.
 type Error struct {
 	Code       ResultCode
 	Ran        Ran
@@ -38,7 +38,7 @@
 	Cause      error
 }
 
-// Error returns the code, its name, the detail and the cause in one line.
+// Error returns the code, its name, the detail and the cause on one line.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%d %s", e.Code, e.Code.Info().Name)
 	if e.Detail != "" {
@@ -53,12 +53,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// NewError returns an Error whose Ran is the one that the code's table row gives.
+// NewError returns an Error that takes its Ran value from the code's CodeInfo.
 func NewError(code ResultCode, detail string, cause error) *Error {
 	return &Error{Code: code, Ran: code.Info().Ran, Detail: detail, Cause: cause}
 }
 
-// CodeOf returns the result code that err carries, CodeInternal for another error and zero for nil.
+// CodeOf returns the result code of the first Error in err's chain, CodeInternal if there is none, and zero for a nil err.
 func CodeOf(err error) ResultCode {
 	if err == nil {
 		return 0
@@ -70,10 +70,10 @@
 	return CodeInternal
 }
 
-// IsErrCode reports whether err carries the result code.
+// IsErrCode reports whether err is not nil and CodeOf(err) is code.
 func IsErrCode(err error, code ResultCode) bool { return err != nil && CodeOf(err) == code }
 
-// Codes returns every result code in rising order.
+// Codes returns all result codes in ascending order.
 func Codes() []CodeInfo {
 	tables := [][]CodeInfo{generalCodes, fairCodes, routeCodes, claimCodes, quarantineCodes, configCodes, storeCodes, meshCodes, benchCodes}
 	var all []CodeInfo
@@ -83,7 +83,7 @@
 	return all
 }
 
-// Info returns the code's row of the table, or one that says unknown.
+// Info returns the description of the code; an undefined code is described as Unknown, with HTTP status 500.
 func (c ResultCode) Info() CodeInfo {
 	if info, ok := codeIndex[c]; ok {
 		return info
--- a/codes_bench.go
+++ b/codes_bench.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of the bench, 3000 to 3099.
+// Result codes of the benchmark tool, 3000 to 3099.
 const (
 	CodeBenchPlan     ResultCode = 3000
 	CodeBenchViolated ResultCode = 3001
--- a/codes_config.go
+++ b/codes_config.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of settings, answers and the configuration, 2000 to 2099.
+// Result codes of router settings, questionnaire answers and the configuration, 2000 to 2099.
 const (
 	CodeConfigSyntax        ResultCode = 2000
 	CodeConfigUnknownField  ResultCode = 2001
--- a/codes_fair.go
+++ b/codes_fair.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of fair queues and slots, 1100 to 1199.
+// Result codes of fair queueing and slots, 1100 to 1199.
 const (
 	CodeQueueCount      ResultCode = 1100
 	CodeQueueBytes      ResultCode = 1101
--- a/codes_mesh.go
+++ b/codes_mesh.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of the links between routers, 2200 to 2299.
+// Result codes of the router mesh, 2200 to 2299.
 const (
 	CodeMeshUnknownPeer ResultCode = 2200
 	CodeMeshQueueFull   ResultCode = 2201
--- a/codes_quarantine.go
+++ b/codes_quarantine.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of crash suspects, 1400 to 1499.
+// Result codes of crash suspects and quarantine, 1400 to 1499.
 const (
 	CodeQuarantined ResultCode = 1400
 	CodeSuspectHeld ResultCode = 1401
--- a/codes_route.go
+++ b/codes_route.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of the traffic path, 1200 to 1299.
+// Result codes of request routing and forwarding, 1200 to 1299.
 const (
 	CodeUpstreamUnreached ResultCode = 1200
 	CodeUpstreamRefused   ResultCode = 1201
--- a/codes_store.go
+++ b/codes_store.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Result codes of the platform's store and host list, 2100 to 2199.
+// Result codes of the platform's key-value store and host list, 2100 to 2199.
 const (
 	CodeStoreUnavailable ResultCode = 2100
 	CodeStoreConflict    ResultCode = 2101
--- a/doc.go
+++ b/doc.go
@@ -1,4 +1,4 @@
-// Package pomelorelay declares what the parts of the router fleet share: ids,
-// units, messages between routers, result codes, log events and the interfaces
-// that implementations in the packages below it fulfil.
+// Package pomelorelay declares the types shared by all packages of the router:
+// identifiers, units, messages between routers, result codes, log events, and
+// the interfaces that the other packages implement.
 package pomelorelay
--- a/events.go
+++ b/events.go
@@ -1,12 +1,12 @@
 package pomelorelay
 
-// EventID numbers a log line's kind; docs/EVENTS.md is the catalogue.
+// EventID is the number of a log event; docs/EVENTS.md lists them all.
 type EventID int
 
 // Level is the severity of an event.
 type Level string
 
-// The levels of events.
+// Values of Level, least severe first.
 const (
 	LevelDebug Level = "debug"
 	LevelInfo  Level = "info"
@@ -14,7 +14,7 @@
 	LevelError Level = "error"
 )
 
-// EventInfo describes an event for the catalogue.
+// EventInfo describes a log event, both for the table in the documentation and for log lines.
 type EventInfo struct {
 	ID      EventID
 	Name    string
@@ -23,25 +23,25 @@
 	Action  string
 }
 
-// Field is one named value of a log line.
+// Field is a key and value of a log line.
 type Field struct {
 	Key   string
 	Value any
 }
 
-// Logger writes numbered events; it never blocks its caller.
+// Logger writes log events without blocking its caller.
 type Logger interface {
-	// Log writes an event with its fields.
+	// Log writes an event with the given fields.
 	Log(id EventID, fields ...Field)
 }
 
-// NopLogger drops every event.
+// NopLogger is a Logger that discards all events.
 type NopLogger struct{}
 
-// Log does nothing.
+// Log discards the event.
 func (NopLogger) Log(EventID, ...Field) {}
 
-// Events returns every event in rising order.
+// Events returns all log events in ascending order.
 func Events() []EventInfo {
 	tables := [][]EventInfo{nodeEvents, fairEvents, memberEvents, ledgerEvents, routeEvents, claimEvents, quarantineEvents, configEvents, storeEvents, meshEvents, benchEvents}
 	var all []EventInfo
@@ -51,7 +51,7 @@
 	return all
 }
 
-// Info returns the event's row of the catalogue, or one that says unknown.
+// Info returns the description of the event; an undefined event is described as Unknown, at LevelError.
 func (id EventID) Info() EventInfo {
 	if info, ok := eventIndex[id]; ok {
 		return info
--- a/events_bench.go
+++ b/events_bench.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the bench and its stand-ins, 1100 to 1199.
+// Events of the benchmark tool and its stand-in servers, 1100 to 1199.
 const (
 	EventStandInStarted EventID = 1100
 	EventStandInStopped EventID = 1101
--- a/events_config.go
+++ b/events_config.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the configuration, 800 to 899.
+// Events of configuration distribution, 800 to 899.
 const (
 	EventConfigInForce    EventID = 800
 	EventConfigRefused    EventID = 801
--- a/events_ledger.go
+++ b/events_ledger.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the ledger, 400 to 499.
+// Events of the service ledger, 400 to 499.
 const (
 	EventLedgerHosted       EventID = 400
 	EventLedgerReady        EventID = 401
--- a/events_member.go
+++ b/events_member.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of membership, 300 to 399.
+// Events of fleet membership, 300 to 399.
 const (
 	EventMemberUp          EventID = 300
 	EventMemberDead        EventID = 301
--- a/events_mesh.go
+++ b/events_mesh.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the links between routers, 1000 to 1099.
+// Events of the router mesh, 1000 to 1099.
 const (
 	EventMeshLinkUp      EventID = 1000
 	EventMeshLinkDown    EventID = 1001
--- a/events_node.go
+++ b/events_node.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the router as a whole, 100 to 199.
+// Events of the router process, 100 to 199.
 const (
 	EventStarted          EventID = 100
 	EventReady            EventID = 101
--- a/events_quarantine.go
+++ b/events_quarantine.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of crash suspects, 700 to 799.
+// Events of crash suspects and quarantine, 700 to 799.
 const (
 	EventSuspects    EventID = 700
 	EventQuarantined EventID = 701
--- a/events_route.go
+++ b/events_route.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the traffic path, 500 to 599.
+// Events of request routing and forwarding, 500 to 599.
 const (
 	EventAnswerCrossed   EventID = 500
 	EventUpstreamCrashed EventID = 501
--- a/fleet.go
+++ b/fleet.go
@@ -6,169 +6,170 @@
 	"time"
 )
 
-// RouteKind tells what may be repeated on a route.
+// RouteKind states whether the requests of a route may be repeated and whether their responses are streams.
 type RouteKind string
 
-// The kinds of route.
+// Values of RouteKind.
 const (
 	// RouteIdempotent requests may run more than once.
 	RouteIdempotent RouteKind = "Idempotent"
 	// RouteOnce requests run at most once.
 	RouteOnce RouteKind = "Once"
-	// RouteStream requests are answered by events; they run at most once unless the route is resumable.
+	// RouteStream requests are answered with an event stream; they run at most once unless the route is resumable.
 	RouteStream RouteKind = "Stream"
 )
 
-// RouteShare gives a part of a route's requests to a service.
+// RouteShare assigns a weighted share of a route's requests to a service.
 type RouteShare struct {
 	Service ServiceID
 	Weight  float64
 }
 
-// Route leads requests of a host name and path prefix to services.
+// Route directs the requests for a host name and path prefix to one or more services.
 type Route struct {
 	Name   RouteID
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout bounds the time for which a caller waits.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, that callers expect.
+	// Target is the latency that callers expect, up to the response or to a stream's first event.
 	Target time.Duration
-	// Pause is the longest pause between events that callers expect; zero where nothing is said.
+	// Pause is the longest gap between events that callers expect; zero when unspecified.
 	Pause time.Duration
-	// Priority is the rank, 0 the highest.
+	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
 	Shares   []RouteShare
-	// Attempts bounds the upstreams that one request is sent to.
+	// Attempts is the maximum number of upstreams that one request is sent to.
 	Attempts int
-	// Public routes need no key.
+	// Public routes accept requests without an API key.
 	Public bool
-	// Resumable streams may be taken up at another upstream after their last event.
+	// Resumable streams may continue at another upstream after the last event delivered.
 	Resumable bool
-	// Prompts tells that requests name the parts of their prompts.
+	// Prompts states that requests list the hashed parts of their prompts, for prefix caching.
 	Prompts bool
-	// Regions are those in which the route's requests may be served; all are when it is empty.
+	// Regions are the regions in which the route's requests may be served; empty allows all regions.
 	Regions []RegionID
 }
 
-// EngineSpec is what the configuration says of a service's model engines.
+// EngineSpec is the configuration of a service's model engines.
 type EngineSpec struct {
-	// Slots is the number of requests that an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots Slots
-	// Memory is the number of tokens that running requests and kept prompts share.
+	// Memory is the capacity of an engine's KV cache, which running requests and cached prompts share.
 	Memory Tokens
-	// EventTokens is the number of generated tokens in one event.
+	// EventTokens is the number of generated tokens in one stream event.
 	EventTokens Tokens
 }
 
-// ServiceSpec is a service as the platform's configuration has it.
+// ServiceSpec is the configuration of a service.
 type ServiceSpec struct {
 	Name ServiceID
-	// MaxConns bounds the connections of all callers to one upstream; zero means no bound.
+	// MaxConns is the maximum number of connections to one upstream for all callers together; zero means unlimited.
 	MaxConns int
-	// ColdFor is how long an upstream is cold after a start; zero where upstreams are not.
+	// ColdFor is the time for which an upstream stays cold after a start; zero disables cold starts.
 	ColdFor time.Duration
-	// ColdRate is the number of requests a second that a cold upstream accepts.
+	// ColdRate is the number of requests per second that a cold upstream accepts.
 	ColdRate float64
 	// Engine is nil for plain services.
 	Engine *EngineSpec
 }
 
-// AccountSpec is a client account and the keys that its callers use.
+// AccountSpec is the configuration of a client account, with the API keys that its callers use.
 type AccountSpec struct {
 	Name AccountID
 	Keys []string
-	// Priority goes before the routes' where it is set.
+	// Priority, if set, overrides the priority of routes.
 	Priority *int
-	// Regions are those in which the account's requests may be served; all are when it is empty.
+	// Regions are the regions in which the account's requests may be served; empty allows all regions.
 	Regions []RegionID
 }
 
-// CallerLimits bound what callers may send.
+// CallerLimits holds the limits on callers' connections and requests, and the capacity of the engines.
 type CallerLimits struct {
 	HeaderBytes   Bytes
 	BodyBytes     Bytes
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// TokensPerSecond is about what all engines together produce, each read token once and each generated one twice; zero when unknown.
+	// TokensPerSecond is the approximate throughput of all engines together, with generated tokens counted twice; zero when unknown.
 	TokensPerSecond Cost
 }
 
-// FleetConfig is one version of the operators' configuration, immutable once made.
+// FleetConfig is one version of the operators' configuration; it is immutable.
 type FleetConfig struct {
 	Version  Generation
 	Routes   []Route
 	Services []ServiceSpec
 	Accounts []AccountSpec
 	Limits   CallerLimits
-	// Document is the configuration as it was published, for routers that cannot reach the store.
+	// Document is the published form of the configuration, which is passed on to routers that cannot reach the store.
 	Document []byte
 }
 
-// ColdUnknown stands for an upstream that does not say whether it is cold.
+// ColdUnknown is the remaining cold time of an upstream that does not report whether it is cold.
 const ColdUnknown time.Duration = -1
 
-// ColdBounds bound what the whole fleet sends to a cold upstream in any second: the ratio of the rate that it accepts, and a slack.
+// ColdBounds limits the requests that the fleet sends to a cold upstream in any second, as a multiple of the rate that the upstream
+// accepts plus a constant.
 type ColdBounds struct {
 	Ratio float64
 	Slack float64
 }
 
-// Most returns the most requests in any second to a cold upstream that accepts the rate.
+// Most returns the maximum number of requests in any second to a cold upstream that accepts rate requests per second.
 func (b ColdBounds) Most(rate float64) float64 {
 	return rate*max(b.Ratio, 1) + max(b.Slack, 0)
 }
 
-// FleetUpstream is an upstream as it registered itself.
+// FleetUpstream is an upstream as registered in the platform's store.
 type FleetUpstream struct {
 	ID      UpstreamID
 	Service ServiceID
 	Addr    netip.AddrPort
 	Domain  DomainID
 	Slots   Slots
-	// Draining upstreams get nothing new.
+	// Draining upstreams get no new requests.
 	Draining bool
-	// ColdFor is how much longer it says that it is cold; ColdUnknown when it does not say.
+	// ColdFor is the remaining time for which the upstream reports to be cold; ColdUnknown if it does not report it.
 	ColdFor time.Duration
-	// Born is when this incarnation started, Unix milliseconds; zero when it does not say.
+	// Born is the start time of the upstream's process in Unix milliseconds; zero if the upstream does not report it.
 	Born int64
 }
 
-// FleetChange is what the platform's store holds for routers, or what changed in it.
+// FleetChange is the content of the platform's store that concerns routers, or a change of it.
 type FleetChange struct {
-	// At is the store's revision up to which the change holds.
+	// At is the store revision that the change leads to.
 	At Revision
-	// Whole tells that the lists are complete, so that what they lack is gone.
+	// Whole states that the lists are complete: entries missing from them have been removed.
 	Whole bool
-	// Config is the operators' configuration; nil when it did not change.
+	// Config is the operators' configuration; nil if unchanged.
 	Config *FleetConfig
-	// ConfigFault tells why the newest configuration cannot be used; Config is nil then.
+	// ConfigFault is the error that makes the newest configuration unusable; Config is nil then.
 	ConfigFault   error
 	Upstreams     []FleetUpstream
 	GoneUpstreams []UpstreamID
 	Peers         []Peer
 	GonePeers     []NodeID
-	// Evacuated are failure domains whose upstreams get nothing new, Restored those of which the operators took that back.
+	// Evacuated are failure domains whose upstreams get no new requests; Restored are those whose evacuation has ended.
 	Evacuated []DomainID
 	Restored  []DomainID
-	// Faults tell of upstreams' entries that cannot be read; their ids are among GoneUpstreams.
+	// Faults holds an error for each upstream entry that cannot be decoded; the ids of these upstreams are in GoneUpstreams.
 	Faults []error
 }
 
-// Platform is what a router learns from the platform around it. All calls fail with the store's codes.
+// Platform gives a router access to the platform's store; its errors have the result codes of the store.
 type Platform interface {
-	// Read returns everything. A stale read may lag by seconds; it costs the store a tenth of another.
+	// Read returns the full content. A stale read may lag by seconds and costs the store a tenth of a current one.
 	Read(ctx context.Context, stale bool) (FleetChange, error)
-	// Watch returns what changed after a revision as soon as something did, or an empty change after the wait. It fails with
-	// CodeStoreCompacted when the store has dropped the history since the revision.
+	// Watch blocks until something has changed since the revision and returns the change, or an empty one once wait has
+	// passed. It fails with CodeStoreCompacted if the store has compacted the history since the revision.
 	Watch(ctx context.Context, after Revision, wait time.Duration) (FleetChange, error)
-	// ReadConfig reads a configuration's document that a peer gave.
+	// ReadConfig decodes a configuration document received from a peer.
 	ReadConfig(document []byte) (*FleetConfig, error)
-	// Announce registers this router under a lease of the time to live.
+	// Announce registers this router under a new lease that expires after ttl unless renewed.
 	Announce(ctx context.Context, self Peer, ttl time.Duration) (LeaseID, error)
-	// RenewLease renews the lease; it fails with CodeStoreLeaseLapsed when it has ended.
+	// RenewLease renews the lease; it fails with CodeStoreLeaseLapsed if the lease has expired.
 	RenewLease(ctx context.Context, lease LeaseID) error
-	// CloseLease ends the lease and with it the registration.
+	// CloseLease revokes the lease, which removes the registration.
 	CloseLease(ctx context.Context, lease LeaseID) error
 }
--- a/ids.go
+++ b/ids.go
@@ -1,54 +1,54 @@
 package pomelorelay
 
-// AccountID names a client account.
+// AccountID is the name of a client account.
 type AccountID string
 
-// ServiceID names a service that client accounts call.
+// ServiceID is the name of a service that client accounts call.
 type ServiceID string
 
-// ModelID names a model that a model engine serves; plain services have none.
+// ModelID is the name of a model served by model engines; plain services have no model.
 type ModelID string
 
-// PoolID names the upstreams that can do the same work: a service, or a service and a model.
+// PoolID identifies a pool of interchangeable upstreams: those of a service, or of a service and model.
 type PoolID string
 
-// RouteID names a route of the configuration.
+// RouteID is the name of a route in the configuration.
 type RouteID string
 
-// UpstreamID names one upstream server.
+// UpstreamID is the name of an upstream server.
 type UpstreamID string
 
-// NodeID names one router by the host name that its settings give.
+// NodeID identifies a router by the host name in its settings.
 type NodeID string
 
-// DomainID names a failure domain.
+// DomainID is the name of a failure domain.
 type DomainID string
 
-// RegionID names a region, a group of failure domains.
+// RegionID is the name of a region, which is a group of failure domains.
 type RegionID string
 
-// Incarnation tells one start of a router from the next: Unix nanoseconds at the start, raised to refute a suspicion.
+// Incarnation distinguishes successive processes of a router: the start time in Unix nanoseconds, incremented to refute suspicions.
 type Incarnation uint64
 
-// Generation numbers accepted configurations; it only rises.
+// Generation is the number of an accepted configuration; it never decreases.
 type Generation uint64
 
-// RequestID numbers a caller's request within one router incarnation.
+// RequestID is the number of a caller's request, unique within one router incarnation.
 type RequestID uint64
 
-// GrantID numbers a grant within one slot owner's incarnation.
+// GrantID is the number of a grant, unique within one incarnation of the slot owner.
 type GrantID uint64
 
-// ShardID numbers a shard of the ledger or of the claims.
+// ShardID is the number of a shard of the ledger or of the claims.
 type ShardID uint32
 
-// Fingerprint identifies a request's content: a 64-bit hash of account, service and body.
+// Fingerprint is a 64-bit hash of a request's account, service and body.
 type Fingerprint uint64
 
-// Hash is a SHA-256 digest of content.
+// Hash is a SHA-256 digest.
 type Hash [32]byte
 
-// Pool returns the pool of a service and, when it is not empty, a model.
+// Pool returns the id of the pool for a service and model; model is empty for plain services.
 func Pool(service ServiceID, model ModelID) PoolID {
 	if model == "" {
 		return PoolID(service)
--- a/interfaces.go
+++ b/interfaces.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// StoreKey names a record in the platform's key-value service.
+// StoreKey is the key of a record in the platform's key-value store.
 type StoreKey string
 
-// Revision numbers the writes of a record; zero means that the record does not exist.
+// Revision is the version number of a record or of the store; zero means that the record does not exist.
 type Revision uint64
 
-// LeaseID names a lease in the platform's key-value service; zero means none.
+// LeaseID identifies a lease in the platform's key-value store; zero means no lease.
 type LeaseID uint64
 
-// Record is a value in the platform's key-value service.
+// Record is a key and value of the platform's key-value store, with its revision.
 type Record struct {
 	Key      StoreKey
 	Value    []byte
 	Revision Revision
 }
 
-// Store is the platform's key-value service; every call counts against its rates.
+// Store is the platform's key-value store; every call counts against its rate limits.
 type Store interface {
-	// Get returns the record, or one of revision zero when there is none; it fails with CodeStoreUnavailable.
+	// Get returns the record, with revision zero if there is none; it fails with CodeStoreUnavailable.
 	Get(ctx context.Context, key StoreKey) (Record, error)
-	// CompareAndSwap writes the value if the record is at revision old and returns the new revision.
-	// It fails with CodeStoreConflict when it is not, with CodeStoreUnavailable when the write surely did
-	// not take effect, and with CodeStoreUnknown when it may have.
+	// CompareAndSwap writes the value if the record is at revision old, and returns the new revision.
+	// It fails with CodeStoreConflict if the record is at another revision, with CodeStoreUnavailable if
+	// the write certainly had no effect, and with CodeStoreUnknown if it may have had one.
 	CompareAndSwap(ctx context.Context, key StoreKey, value []byte, old Revision, lease LeaseID) (Revision, error)
-	// Watch waits until the record's revision differs from after and returns it; it fails when ctx ends.
+	// Watch blocks until the record's revision differs from after and returns the record; it fails when ctx ends.
 	Watch(ctx context.Context, key StoreKey, after Revision) (Record, error)
-	// OpenLease opens a lease that lapses when it is not renewed within the time to live.
+	// OpenLease opens a lease that expires unless it is renewed within ttl.
 	OpenLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// RenewLease renews a lease; it fails with CodeStoreLeaseLapsed when it has lapsed.
+	// RenewLease renews a lease; it fails with CodeStoreLeaseLapsed if the lease has expired.
 	RenewLease(ctx context.Context, lease LeaseID) error
-	// CloseLease ends a lease and removes the records written under it.
+	// CloseLease revokes a lease and removes the records written under it.
 	CloseLease(ctx context.Context, lease LeaseID) error
 }
 
-// HostKind tells what a host on the host list does.
+// HostKind is the role of a host on the host list.
 type HostKind string
 
-// The kinds of host.
+// Values of HostKind.
 const (
 	HostRouter   HostKind = "Router"
 	HostUpstream HostKind = "Upstream"
@@ -59,60 +59,60 @@
 	Leaving bool
 }
 
-// HostList is the platform's list of live and leaving hosts, which lags.
+// HostList is the platform's list of live and leaving hosts, which may be out of date.
 type HostList interface {
-	// Hosts returns the list as it is now known; it fails with CodeStoreUnavailable.
+	// Hosts returns the current list; it fails with CodeStoreUnavailable.
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Peer is a router to which a mesh may connect.
+// Peer is a router that the mesh may connect to.
 type Peer struct {
 	Node   NodeID
 	Addr   netip.AddrPort
 	Domain DomainID
 	Region RegionID
-	// Power is the router's processor relative to others; zero when it is not known. The strongest relay for their failure domain.
+	// Power is the router's CPU speed relative to other routers, by which the relays of a failure domain are chosen; zero when unknown.
 	Power float64
 }
 
-// LinkClass tells how far a peer is, for the byte budget.
+// LinkClass is the network distance of a peer, by which byte budgets are set.
 type LinkClass int
 
-// The link classes, nearest first.
+// Values of LinkClass, nearest first.
 const (
-	LinkDomain LinkClass = iota
-	LinkRegion
-	LinkCross
-	LinkClasses // the number of classes
+	LinkDomain  LinkClass = iota // same failure domain
+	LinkRegion                   // same region, another failure domain
+	LinkCross                    // another region
+	LinkClasses                  // number of link classes
 )
 
-// LinkBytes counts bytes sent and received on the links of a class, TLS and framing included.
+// LinkBytes counts the bytes sent and received on the links of one class, including TLS and framing.
 type LinkBytes struct {
 	Sent     Bytes
 	Received Bytes
 }
 
-// Mesh carries messages between routers. Messages to one peer arrive in order or are lost; a connection that breaks loses what was queued.
+// Mesh carries messages between routers. Messages to one peer arrive in order or are lost; a broken connection loses its queue.
 type Mesh interface {
-	// SetPeers replaces the peers that the mesh may connect to.
+	// SetPeers replaces the set of peers that the mesh may connect to.
 	SetPeers(peers []Peer)
-	// Contact sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged. It
-	// fails with CodeMeshMalformed.
+	// Contact sends a message to the router at an address without blocking, whatever its name; an unreachable address is logged.
+	// It fails with CodeMeshMalformed.
 	Contact(addr netip.AddrPort, m Message) error
-	// SetGeneration sets the configuration generation that rides on every envelope.
+	// SetGeneration sets the configuration generation that is sent with every message.
 	SetGeneration(generation Generation)
-	// Send queues a message and never blocks; it fails with CodeMeshUnknownPeer or CodeMeshQueueFull.
+	// Send queues a message without blocking; it fails with CodeMeshUnknownPeer or CodeMeshQueueFull.
 	Send(to NodeID, m Message) error
-	// Receive returns the channel of messages that arrived.
+	// Receive returns the channel of received messages.
 	Receive() <-chan Envelope
-	// Traffic returns the bytes counted by link class since the start.
+	// Traffic returns the bytes sent and received since the start, by link class.
 	Traffic() [LinkClasses]LinkBytes
-	// Close ends every connection.
+	// Close closes all connections.
 	Close() error
 }
 
-// Weights gives the share of an account in a pool; implementations are immutable snapshots.
+// Weights holds the weights of accounts in pools; implementations are immutable snapshots.
 type Weights interface {
-	// Weight returns the account's weight in the pool; an unknown account gets the smallest configured one.
+	// Weight returns the account's weight in the pool; an unknown account has the smallest weight configured.
 	Weight(pool PoolID, account AccountID) Weight
 }
--- a/messages.go
+++ b/messages.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Urgency orders messages when a node is over its control byte budget; the least urgent wait and coalesce.
+// Urgency is the priority class of a message; when the byte budget of a link class is exhausted, less urgent messages wait and coalesce.
 type Urgency int
 
-// The urgencies, most urgent first.
+// Values of Urgency, most urgent first.
 const (
-	UrgencyNow   Urgency = iota // grants, claims, leaving, quarantine
-	UrgencySoon                 // demand, configuration, membership changes
-	UrgencyLater                // totals and digests
+	UrgencyNow   Urgency = iota // grants, claims, load, probes, departures, quarantine
+	UrgencySoon                 // demand, configuration, queries of the ledger
+	UrgencyLater                // ledger reports and totals, digests
 )
 
-// Message is what one router sends another; every implementation is in this package.
+// Message is a message between routers; all implementations are in this package.
 type Message interface {
-	// Urgency returns how soon the message must leave.
+	// Urgency returns the priority class of the message.
 	Urgency() Urgency
-	// CoalesceKey returns the key under which a later message replaces one still queued for the same peer; empty when none may.
+	// CoalesceKey returns a key; a later message with the same key replaces one still queued for the same peer. An empty key
+	// disables coalescing.
 	CoalesceKey() string
 }
 
-// Outgoing is a message that a decision part wants sent.
+// Outgoing is a message to be sent to a router.
 type Outgoing struct {
 	To      NodeID
 	Message Message
 }
 
-// Envelope is a message as it arrived.
+// Envelope is a received message with its sender.
 type Envelope struct {
 	From        NodeID
 	Incarnation Incarnation
-	// Domain and Region are where the router said it is when its link was opened.
+	// Domain and Region are the location that the sender declared when the link was opened.
 	Domain     DomainID
 	Region     RegionID
 	Generation Generation
 	Message    Message
 }
 
-// Demand registers at a slot owner what a router has waiting for one upstream; a higher Seq replaces a lower one.
+// Demand registers with a slot owner the requests that a router has queued for an upstream; a higher Seq supersedes a lower one.
 type Demand struct {
 	Upstream UpstreamID
 	Pool     PoolID
 	Seq      uint64
 	Head     Tag
 	Waiting  uint32
-	// Prefixes holds hashes of the prompt prefixes at the head, for cache affinity.
+	// Prefixes holds hashes of the prompt prefixes of the request at the head of the queue, for cache affinity.
 	Prefixes []uint64
 }
 
-// Grant lets a router send one request to an upstream before TTL has passed since its arrival.
+// Grant allows a router to send one request to an upstream within TTL after the grant arrives.
 type Grant struct {
 	ID       GrantID
 	Upstream UpstreamID
@@ -57,10 +58,10 @@
 	LastTag  Tag
 }
 
-// GrantState is what became of a grant.
+// GrantState is the outcome of a grant.
 type GrantState int
 
-// The states of a grant.
+// Values of GrantState.
 const (
 	GrantUsed GrantState = iota + 1
 	GrantReturned
@@ -69,7 +70,7 @@
 	GrantUnreached
 )
 
-// GrantReply tells a slot owner what became of a grant and the router's fresh demand.
+// GrantReply reports to a slot owner the outcome of a grant and the router's current demand.
 type GrantReply struct {
 	ID       GrantID
 	Upstream UpstreamID
@@ -77,24 +78,24 @@
 	Seq      uint64
 	Head     Tag
 	Waiting  uint32
-	// FirstToken and TokenGap are measured latencies, zero when there are none.
+	// FirstToken and TokenGap are the measured times to the first token and between tokens; zero if not measured.
 	FirstToken time.Duration
 	TokenGap   time.Duration
 }
 
-// RunningQuery asks every router what it runs on an upstream; a new slot owner sends it first.
+// RunningQuery asks a router what it runs on an upstream; a new slot owner sends it to all routers before it grants slots.
 type RunningQuery struct {
 	Upstream UpstreamID
 }
 
-// RunningReport tells a slot owner which grants a router holds on an upstream and how many requests it runs there.
+// RunningReport reports to a slot owner the grants that a router holds for an upstream and the number of requests it runs there.
 type RunningReport struct {
 	Upstream UpstreamID
 	Grants   []GrantID
 	Running  uint32
 }
 
-// SlotDigest is what an owner publishes of one upstream.
+// SlotDigest is the state of an upstream's slots as published by their owner.
 type SlotDigest struct {
 	Upstream UpstreamID
 	Pool     PoolID
@@ -106,53 +107,53 @@
 	Leaving  bool
 }
 
-// LedgerEntry is the service of one account in one pool.
+// LedgerEntry is the service received by one account in one pool.
 type LedgerEntry struct {
 	Pool    PoolID
 	Account AccountID
-	// Served is cumulative; a report holds the origin's own, totals hold the fleet's.
+	// Served is the cumulative cost: that of the sending router in a report, that of the fleet in totals.
 	Served Cost
-	// Lift is the normalised service granted to an account that came back from idleness; it merges by maximum.
+	// Lift is the normalised service credited to an account on its return from idleness; entries merge by maximum.
 	Lift Tag
-	// Waiting tells whether the account is backlogged at the origin, or anywhere in totals.
+	// Waiting states whether the account is backlogged: at the sending router in a report, at any router in totals.
 	Waiting bool
 }
 
-// LedgerReport carries a router's cumulative service to a shard's host.
+// LedgerReport reports a router's cumulative service per account to the host of a ledger shard.
 type LedgerReport struct {
 	Shard   ShardID
 	Seq     uint64
 	Full    bool
 	Entries []LedgerEntry
-	// Interest lists the accounts whose fleet totals the router wants back.
+	// Interest lists the accounts whose fleet totals the router requests.
 	Interest []LedgerKey
-	// Round is that of the query which a full report answers.
+	// Round is the Round of the LedgerQuery that a full report answers.
 	Round uint64
 }
 
-// LedgerKey names an account in a pool.
+// LedgerKey identifies an account in a pool.
 type LedgerKey struct {
 	Pool    PoolID
 	Account AccountID
 }
 
-// LedgerTotals answers a report with fleet totals; Ready is false while the host is still rebuilding.
+// LedgerTotals answers a LedgerReport with fleet totals; Ready is false while the host rebuilds the shard.
 type LedgerTotals struct {
 	Shard   ShardID
 	Ready   bool
 	Entries []LedgerEntry
-	// Seq is that of the report which this answers.
+	// Seq is the Seq of the report answered.
 	Seq uint64
 }
 
-// LedgerQuery asks a router for a full report; a new host of a shard sends it.
+// LedgerQuery asks a router for a full report; it is sent by the new host of a ledger shard.
 type LedgerQuery struct {
 	Shard ShardID
-	// Round tells answers to this query from those to an earlier one.
+	// Round distinguishes answers to this query from those to earlier ones.
 	Round uint64
 }
 
-// LedgerComponent carries one failure domain's part of a shard to another domain's host of it.
+// LedgerComponent carries one failure domain's part of a ledger shard to the shard's host in another domain.
 type LedgerComponent struct {
 	Shard   ShardID
 	Domain  DomainID
@@ -160,7 +161,7 @@
 	Entries []LedgerComponentEntry
 }
 
-// LedgerComponentEntry is one domain's cumulative service of an account; Departed is the part of Sum that came from routers now gone.
+// LedgerComponentEntry is the cumulative service of an account in one domain; Departed is the part of Sum from routers that are gone.
 type LedgerComponentEntry struct {
 	Pool     PoolID
 	Account  AccountID
@@ -170,15 +171,15 @@
 	Waiting  bool
 }
 
-// LedgerComponentQuery asks another domain's host of a shard for every component it knows.
+// LedgerComponentQuery asks the host of a ledger shard in another domain for all components that it has.
 type LedgerComponentQuery struct {
 	Shard ShardID
 }
 
-// MemberStatus is what a router believes of another.
+// MemberStatus is the status of a router in the membership protocol.
 type MemberStatus int
 
-// The member statuses, in the order in which one overrides another of the same incarnation.
+// Values of MemberStatus; a later one overrides an earlier one of the same incarnation.
 const (
 	MemberAlive MemberStatus = iota + 1
 	MemberSuspect
@@ -186,82 +187,82 @@
 	MemberDead
 )
 
-// MemberState is a belief about a router that spreads by digests.
+// MemberState is the status of one incarnation of a router, which digests disseminate.
 type MemberState struct {
 	Node        NodeID
 	Incarnation Incarnation
 	Status      MemberStatus
 }
 
-// Digest is the periodic message between routers: liveness, membership changes, slots.
+// Digest is the periodic heartbeat between routers, with membership changes and slot states.
 type Digest struct {
 	Seq     uint64
 	Members []MemberState
 	Slots   []SlotDigest
-	// Reached lists the other failure domains that the sender heard lately.
+	// Reached lists the other failure domains from which the sender recently received messages.
 	Reached []DomainID
 }
 
-// Probe asks a router to answer, or through Target asks it to probe another.
+// Probe asks a router for a ProbeAck or, if Target is set, asks it to probe Target.
 type Probe struct {
 	Seq    uint64
 	Target NodeID
 }
 
-// ProbeAck answers a probe; Target is the router that was heard when it was probed for another.
+// ProbeAck answers a Probe; for an indirect probe, Target is the router that answered.
 type ProbeAck struct {
 	Seq    uint64
 	Target NodeID
 }
 
-// ConfigPull asks a peer for a newer root and for parts by hash.
+// ConfigPull asks a peer for a configuration root newer than Above, and for parts by hash.
 type ConfigPull struct {
 	Above Generation
 	Parts []Hash
 }
 
-// ConfigPush carries the root and parts of the configuration; the receiver checks every hash.
+// ConfigPush carries the root and parts of the configuration; the receiver verifies all hashes.
 type ConfigPush struct {
 	Root  []byte
 	Parts [][]byte
 }
 
-// ConfigApplied tells the peers which generation a router has in force and the code that kept it from a newer one.
+// ConfigApplied announces the generation in force at a router and, if it refused a newer one, that generation and the result code.
 type ConfigApplied struct {
 	Generation Generation
 	Refused    Generation
 	Code       ResultCode
 }
 
-// ClaimState is what is known of a non-idempotent request.
+// ClaimState is the state of the claim to run a non-idempotent request.
 type ClaimState int
 
-// The states of a claim.
+// Values of ClaimState.
 const (
-	ClaimFresh    ClaimState = iota + 1 // the asker holds it and may send once
-	ClaimRunning                        // another holds it and may have sent
-	ClaimDone                           // it ran and its outcome is kept
-	ClaimUnknown                        // it may have run and its outcome is not known
-	ClaimRefused                        // it could not be made durable; nothing was sent
-	ClaimConflict                       // the same key was used with another request body
+	ClaimFresh    ClaimState = iota + 1 // the requesting router holds the claim and may send the request once
+	ClaimRunning                        // another router holds the claim and may have sent the request
+	ClaimDone                           // the request ran and its outcome is stored
+	ClaimUnknown                        // the request may have run; its outcome is unknown
+	ClaimRefused                        // the claim could not be made durable; the request was not sent
+	ClaimConflict                       // the key was used before with another request body
 )
 
-// ClaimKey identifies a non-idempotent request: SHA-256 of account, service and idempotency key.
+// ClaimKey identifies a non-idempotent request: the SHA-256 of account, service and idempotency key.
 type ClaimKey Hash
 
-// ClaimNonce marks one attempt to claim, so that it is recognised when read back.
+// ClaimNonce identifies one attempt to claim, so that the attempt is recognised when the stored claim is read back.
 type ClaimNonce [16]byte
 
-// ClaimOutcome is the answer kept for repeats of a request.
+// ClaimOutcome is the stored response to a request, returned when the request is repeated.
 type ClaimOutcome struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Truncated tells that the body was over the bound and is not kept.
+	// Truncated states that the body exceeded the size limit and was not stored.
 	Truncated bool
 }
 
-// ClaimAsk asks a shard's keeper for a durable claim.
+// ClaimAsk asks the router in charge of a claim shard for a durable claim.
 type ClaimAsk struct {
 	Shard   ShardID
 	Key     ClaimKey
@@ -278,7 +279,8 @@
 	Outcome ClaimOutcome
 }
 
-// ClaimSettle tells a shard's keeper how a claimed request ended: released when it surely never left, done, or unknown.
+// ClaimSettle reports how a claimed request ended; Released states that the request was never sent, otherwise State is ClaimDone or
+// ClaimUnknown.
 type ClaimSettle struct {
 	Shard    ShardID
 	Key      ClaimKey
@@ -288,21 +290,22 @@
 	Outcome  ClaimOutcome
 }
 
-// ClaimSettled acknowledges a ClaimSettle that the store holds.
+// ClaimSettled acknowledges a ClaimSettle once it is stored.
 type ClaimSettled struct {
 	Shard ShardID
 	Key   ClaimKey
 	Nonce ClaimNonce
 }
 
-// SuspectNotice tells that an upstream crashed while the fingerprints ran on it.
+// SuspectNotice reports that an upstream crashed while requests with the fingerprints ran on it.
 type SuspectNotice struct {
 	Upstream     UpstreamID
 	Crash        uint64
 	Fingerprints []Fingerprint
 }
 
-// SuspectAsk asks the suspects' arbiter whether a suspect may run on an upstream now, or with Running tells that it runs there already.
+// SuspectAsk asks the arbiter of a crash suspect whether the request may run on an upstream; with Running, it reports that the
+// request already runs there.
 type SuspectAsk struct {
 	Request     RequestID
 	Fingerprint Fingerprint
@@ -320,15 +323,15 @@
 	Upstream    UpstreamID
 }
 
-// SuspectCleared tells that a suspect runs no more; Clean tells that its answer was whole and its upstream lived.
+// SuspectCleared reports that a crash suspect has finished; Clean states that its response was complete and its upstream did not crash.
 type SuspectCleared struct {
 	Fingerprint Fingerprint
 	Upstream    UpstreamID
 	Clean       bool
 }
 
-// QuarantineNotice spreads a fingerprint that crashes upstreams; For is zero when it is lifted. Upstream is the one
-// whose crash named it, so that what else ran there is cleared.
+// QuarantineNotice announces a quarantined fingerprint, or the end of its quarantine if For is zero. Upstream is the one whose crash
+// identified the fingerprint; other suspects of that crash are cleared.
 type QuarantineNotice struct {
 	Fingerprint Fingerprint
 	Seq         uint64
@@ -336,12 +339,12 @@
 	Upstream    UpstreamID
 }
 
-// LeavingNotice tells that an upstream leaves and must get nothing new.
+// LeavingNotice announces that an upstream is draining and must get no new requests.
 type LeavingNotice struct {
 	Upstream UpstreamID
 }
 
-// Farewell tells that a router stops; its shared jobs are taken over at once.
+// Farewell announces that a router is stopping; the other routers take over its shared jobs at once.
 type Farewell struct {
 	Incarnation Incarnation
 }
--- a/messages_load.go
+++ b/messages_load.go
@@ -2,86 +2,88 @@
 
 import "time"
 
-// UpstreamLoad is what one router has on one upstream.
+// UpstreamLoad is the load that one router has placed on one upstream.
 type UpstreamLoad struct {
 	Upstream UpstreamID
 	Running  uint32
-	// Unread are the prompt tokens that were sent and whose answers have not begun.
+	// Unread is the number of prompt tokens sent whose responses have not begun, so that their prefill is pending.
 	Unread Tokens
-	// Held are the tokens of memory that its running requests take there.
+	// Held is the number of KV cache tokens that the router's running requests occupy.
 	Held Tokens
-	// Sent is the sum of all prompt tokens sent there since the router's start.
+	// Sent is the total of prompt tokens sent since the router's start.
 	Sent Tokens
-	// Expected and Took are the sums of the times to first tokens, as they were expected and as they were, since the router's start.
+	// Expected and Took are the totals of the expected and the measured times to first token since the router's start.
 	Expected, Took time.Duration
 }
 
-// AccountUse is one router's sums of an account since its start.
+// AccountUse is the total cost requested by and served to an account at one router since the router's start.
 type AccountUse struct {
 	Account AccountID
 	Asked   Cost
 	Served  Cost
 }
 
-// PartPlaced tells that an upstream was sent a part of a prompt, which it keeps for a while.
+// PartPlaced reports that a part of a prompt was sent to an upstream, which caches it for a while.
 type PartPlaced struct {
 	Upstream UpstreamID
 	Hash     uint64
 	Tokens   Tokens
 }
 
-// LoadReport tells the other routers what one has on the upstreams. It holds what changed since the last report, or with Whole
-// everything, so that a lost report is made up for.
+// LoadReport reports the load that a router has placed on upstreams. It holds the changes since the last report or, if Whole is
+// set, the full state, which compensates for lost reports.
 type LoadReport struct {
 	Seq       uint64
 	Whole     bool
 	Upstreams []UpstreamLoad
 	Accounts  []AccountUse
 	Parts     []PartPlaced
-	// Leaving are upstreams that the router knows to drain or to be gone.
+	// Leaving are upstreams that the router knows to be draining or gone.
 	Leaving []UpstreamID
-	// Speeds tell how fast the engines read.
+	// Speeds are the measured prefill speeds of the engines.
 	Speeds []SpeedSums
-	// Starts tell which upstreams may have started anew.
+	// Starts are upstreams that may have restarted.
 	Starts []UpstreamStart
 }
 
-// UpstreamStart tells that an upstream took no connection, so that it is cold once it is back, or that it answers again and may be cold.
+// UpstreamStart reports that an upstream refused connections and will be cold once it is back (Unreached), or that it answers again
+// and may be cold.
 type UpstreamStart struct {
 	Upstream  UpstreamID
 	Unreached bool
-	// ColdFor is how much longer it may be cold; zero with Unreached.
+	// ColdFor is the remaining time for which it may be cold; zero if Unreached is set.
 	ColdFor time.Duration
 }
 
-// Empty reports whether the report tells nothing; a whole one always tells that its router is there.
+// Empty reports whether the report has no content; a report of the full state is never empty, since it shows that its router is alive.
 func (r *LoadReport) Empty() bool {
 	return !r.Whole && len(r.Upstreams)+len(r.Accounts)+len(r.Parts)+len(r.Leaving)+len(r.Speeds)+len(r.Starts) == 0
 }
 
-// Urgency is that of placements: others place by them.
+// Urgency implements Message; load is urgent because other routers place requests by it.
 func (*LoadReport) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey is empty: a report holds only what changed, and each counts.
+// CoalesceKey returns an empty key: a report holds only changes, so none may be replaced.
 func (*LoadReport) CoalesceKey() string { return "" }
 
-// LoadSummary is the sum of what several routers reported, sent by the relay of a failure domain: to its neighbours about all other routers, to
-// the relays of other domains about its own.
+// LoadSummary is the sum of the load reports of several routers. The relay of a failure domain sends it to the domain's routers,
+// covering all other routers, and to the relays of other domains, covering its own domain.
 type LoadSummary struct {
 	Report *LoadReport
-	// Standby are the routers that relay next, should this one fall silent.
+	// Standby are the routers that take over as relay, in order, if the sender fails.
 	Standby []NodeID
 }
 
-// Urgency is that of placements: others place by them.
+// Urgency implements Message; load is urgent because other routers place requests by it.
 func (*LoadSummary) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey is empty: a summary holds only what changed, and each counts.
+// CoalesceKey returns an empty key: a summary holds only changes, so none may be replaced.
 func (*LoadSummary) CoalesceKey() string { return "" }
 
-// FleetUpdate carries what one router read in the store to the others, so that not each must read it. It holds what changed since After.
+// FleetUpdate distributes the changes that one router read from the platform's store, so that the others need not read them. It holds
+// the changes since revision After.
 type FleetUpdate struct {
-	// After is the revision of the sender's previous update; zero when everything was read.
+	// After is the revision of the sender's previous update; zero if the update holds the full content.
 	After         Revision
 	At            Revision
 	Whole         bool
@@ -91,28 +93,31 @@
 	GonePeers     []NodeID
 	Evacuated     []DomainID
 	Restored      []DomainID
-	// Document is the operators' configuration; empty when it did not change.
+	// Document is the operators' configuration; empty if unchanged.
 	Document []byte
-	// Forwarded tells that the relay of a failure domain passed the update on to its neighbours.
+	// Forwarded states that the relay of a failure domain forwarded the update to the domain's routers.
 	Forwarded bool
 }
 
-// Urgency is that of upstreams that leave.
+// Urgency implements Message; updates are urgent because they announce upstreams that leave.
 func (*FleetUpdate) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey is empty: an update holds only what changed, and each counts.
+// CoalesceKey returns an empty key: an update holds only changes, so none may be replaced.
 func (*FleetUpdate) CoalesceKey() string { return "" }
 
-// SpeedSums are one router's sums, since its start, over the first tokens of a service's answers. Each answer counts by a weight of
-// its own; times are in milliseconds, reading in tokens.
+// SpeedSums holds one router's sums for a linear regression of the time to first token, in milliseconds, on the prompt tokens read,
+// over a service's weighted responses since the router's start.
 type SpeedSums struct {
 	Service ServiceID
-	// Answers is the number of answers.
+	// Answers is the number of responses.
 	Answers float64
-	// Weight sums up the weights, Read and Took the tokens read and the times taken, ReadRead and ReadTook their products, all weighted.
+	// Weight is the sum of the weights; Read and Took are the weighted sums of tokens read and times taken, ReadRead and ReadTook
+	// those of their products.
 	Weight, Read, Took, ReadRead, ReadTook float64
-	// Beside is the number of streams that ran while their engine read for long, Paused those among them that paused for too long.
+	// Beside is the number of streams that ran during a long prefill on their engine; Paused is the number of these that paused for
+	// longer than their callers accept.
 	Beside, Paused float64
-	// Copied are the prompt tokens that were copied from another engine instead of read, CopyTook the tokens that could have been read meanwhile.
+	// Copied is the number of prompt tokens copied from another engine instead of read; CopyTook is the number of tokens that could
+	// have been read in the same time.
 	Copied, CopyTook float64
 }
--- a/messages_state.go
+++ b/messages_state.go
@@ -1,33 +1,34 @@
 package pomelorelay
 
-// StateAsk asks a router for what it has from the platform's store: the asker cannot reach the store, or missed an update.
+// StateAsk asks a router for its copy of the platform store's content; it is sent by a router that cannot reach the store or that
+// missed an update.
 type StateAsk struct {
-	// Above is the configuration that the asker has; it wants newer ones only.
+	// Above is the generation of the sender's configuration; only a newer one is requested.
 	Above Generation
-	// Upstreams tells that it wants the registered upstreams too.
+	// Upstreams states that the registered upstreams are requested too.
 	Upstreams bool
 }
 
-// Urgency is that of configurations.
+// Urgency implements Message; it equals that of configuration messages.
 func (*StateAsk) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey names the kind: a later ask replaces an earlier one.
+// CoalesceKey returns the same key for all: a later query replaces an earlier one.
 func (*StateAsk) CoalesceKey() string { return "StateAsk" }
 
-// FleetState is what a router knows of the fleet from the platform's store; what was not asked for is left out.
+// FleetState answers a StateAsk with a router's copy of the platform store's content; what was not requested is omitted.
 type FleetState struct {
-	// Document is the configuration as it was published.
+	// Document is the published form of the configuration.
 	Document []byte
-	// At is the store's revision at which Upstreams were registered; zero when they and Evacuated are left out.
+	// At is the store revision of Upstreams and Evacuated; zero if they are omitted.
 	At        Revision
 	Upstreams []FleetUpstream
 	Peers     []Peer
-	// Evacuated are the failure domains that were under evacuation at At.
+	// Evacuated are the failure domains under evacuation at that revision.
 	Evacuated []DomainID
 }
 
-// Urgency is that of configurations.
+// Urgency implements Message; it equals that of configuration messages.
 func (*FleetState) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey names the kind: a later state replaces an earlier one.
+// CoalesceKey returns the same key for all: a later state replaces an earlier one.
 func (*FleetState) CoalesceKey() string { return "FleetState" }
--- a/messages_urgency.go
+++ b/messages_urgency.go
@@ -1,163 +1,163 @@
 package pomelorelay
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*Grant) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*Grant) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*GrantReply) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*GrantReply) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*ClaimAsk) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ClaimAsk) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*ClaimAnswer) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ClaimAnswer) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*ClaimSettle) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ClaimSettle) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*ClaimSettled) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ClaimSettled) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*SuspectNotice) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*SuspectNotice) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*SuspectAsk) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*SuspectAsk) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*SuspectAnswer) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*SuspectAnswer) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*SuspectCleared) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*SuspectCleared) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*QuarantineNotice) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*QuarantineNotice) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*LeavingNotice) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*LeavingNotice) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*Farewell) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*Farewell) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*RunningQuery) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*RunningQuery) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*RunningReport) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns a key of the message's kind and subject.
+// CoalesceKey returns a key for the message type and upstream.
 func (m *RunningReport) CoalesceKey() string { return "RunningReport/" + string(m.Upstream) }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*Probe) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*Probe) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyNow.
+// Urgency implements Message.
 func (*ProbeAck) Urgency() Urgency { return UrgencyNow }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ProbeAck) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencySoon.
+// Urgency implements Message.
 func (*Demand) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey returns a key of the message's kind and subject.
+// CoalesceKey returns a key for the message type and upstream.
 func (m *Demand) CoalesceKey() string { return "Demand/" + string(m.Upstream) }
 
-// Urgency returns UrgencySoon.
+// Urgency implements Message.
 func (*ConfigPull) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ConfigPull) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencySoon.
+// Urgency implements Message.
 func (*ConfigPush) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*ConfigPush) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencySoon.
+// Urgency implements Message.
 func (*ConfigApplied) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey returns a key of the message's kind and subject.
+// CoalesceKey returns the same key for all: a later message replaces an earlier one.
 func (*ConfigApplied) CoalesceKey() string { return "ConfigApplied" }
 
-// Urgency returns UrgencySoon.
+// Urgency implements Message.
 func (*LedgerQuery) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*LedgerQuery) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencySoon.
+// Urgency implements Message.
 func (*LedgerComponentQuery) Urgency() Urgency { return UrgencySoon }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*LedgerComponentQuery) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyLater.
+// Urgency implements Message.
 func (*LedgerReport) Urgency() Urgency { return UrgencyLater }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*LedgerReport) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyLater.
+// Urgency implements Message.
 func (*LedgerTotals) Urgency() Urgency { return UrgencyLater }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*LedgerTotals) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyLater.
+// Urgency implements Message.
 func (*LedgerComponent) Urgency() Urgency { return UrgencyLater }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*LedgerComponent) CoalesceKey() string { return "" }
 
-// Urgency returns UrgencyLater.
+// Urgency implements Message.
 func (*Digest) Urgency() Urgency { return UrgencyLater }
 
-// CoalesceKey returns the empty key: no later message may replace this one.
+// CoalesceKey returns an empty key, which disables coalescing.
 func (*Digest) CoalesceKey() string { return "" }
--- a/pomelolog/doc.go
+++ b/pomelolog/doc.go
@@ -1,3 +1,3 @@
-// Package pomelolog writes numbered events as JSON lines through an
-// asynchronous writer, so that a slow log never holds traffic or control.
+// Package pomelolog writes log events as JSON lines through an asynchronous
+// writer, so that slow log output never blocks requests or the control loop.
 package pomelolog
--- a/pomelolog/bound.go
+++ b/pomelolog/limiter.go
@@ -9,11 +9,11 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// defaultPerSecond is the number of lines of one event that are written in a second: more than the requests that a small host serves.
+// defaultPerSecond is the default number of lines per second of one event: more than the requests per second that a small host serves.
 const defaultPerSecond = 300
 
-// bound keeps the lines of each event within a number a second and counts those that are left out. Without it a flood of requests is
-// also a flood of lines, and the processor goes to writing them; every event keeps its own first lines, so that one cannot hide another.
+// bound limits the lines per second of each event and counts the suppressed ones. Without it a flood of requests would cause a flood
+// of lines and use up the CPU. Limits are per event, so that a frequent event does not suppress the lines of others.
 type bound struct {
 	perSecond int
 	mu        sync.Mutex
@@ -29,13 +29,13 @@
 	return &bound{perSecond: perSecond, written: make(map[pomelorelay.EventID]int), leftOut: make(map[pomelorelay.EventID]int)}
 }
 
-// left is how many lines of an event were left out in a second.
+// left is the number of lines of an event that were suppressed within one second.
 type left struct {
 	event pomelorelay.EventID
 	lines int
 }
 
-// take reports whether a line of the event may be written now; with the first line of a second it returns what was left out before.
+// take reports whether a line of the event may be written now. The first call in a second also returns the lines suppressed before.
 func (b *bound) take(now time.Time, id pomelorelay.EventID) (bool, []left) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pomelolog/logger.go
+++ b/pomelolog/logger.go
@@ -11,33 +11,33 @@
 	"github.com/phuslu/log"
 )
 
-// queueLength is the number of lines that may wait for a slow writer; further ones are dropped.
+// queueLength is the number of lines queued for a slow writer; further lines are dropped.
 const queueLength = 4096
 
-// Config holds what a Logger needs.
+// Config configures a Logger.
 type Config struct {
 	Node  pomelorelay.NodeID
 	Level pomelorelay.Level
-	// Writer takes the lines.
+	// Writer is the destination of the lines.
 	Writer io.Writer
-	// PerSecond bounds the lines of each event in a second; 300 when zero.
+	// PerSecond limits the lines per second of each event; zero means 300.
 	PerSecond int
-	// Clock tells the time to the bound; the machine's clock when nil.
+	// Clock is the clock of the rate limit; nil means the system clock.
 	Clock pomelorelay.Clock
 }
 
-// Logger implements pomelorelay.Logger.
+// Logger implements pomelorelay.Logger with JSON lines.
 type Logger struct {
 	logger log.Logger
 	async  *log.AsyncWriter
 	bound  *bound
 	clock  pomelorelay.Clock
-	// lost counts the lines that a slow writer had no room for.
+	// lost counts the lines dropped because the queue was full, told those already logged as EventLinesLost.
 	lost atomic.Uint64
 	told atomic.Uint64
 }
 
-// New returns a Logger; Close flushes it.
+// New returns a Logger; Close flushes and stops it.
 func New(cfg Config) *Logger {
 	async := &log.AsyncWriter{
 		ChannelSize:   queueLength,
@@ -58,7 +58,7 @@
 	return l
 }
 
-// queue hands a line to the writer's goroutine; it never waits for it.
+// queue passes a line to the writer's goroutine without blocking.
 func (l *Logger) queue(e *log.Entry) (int, error) {
 	n, err := l.async.WriteEntry(e)
 	if err != nil {
@@ -67,10 +67,10 @@
 	return n, err
 }
 
-// Lost returns the number of lines that a slow writer had no room for.
+// Lost returns the number of lines dropped because the queue was full.
 func (l *Logger) Lost() uint64 { return l.lost.Load() }
 
-// Log writes an event with its fields, unless its lines of this second are spent; it never blocks.
+// Log queues an event with its fields, unless the event's rate limit is exceeded; it never blocks.
 func (l *Logger) Log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
 	ok, before := l.bound.take(l.clock.Now(), id)
 	for _, b := range before {
@@ -97,10 +97,10 @@
 	entry.Msg("")
 }
 
-// closeWait bounds the wait for a writer that takes nothing; a process that ends must not hang on its log.
+// closeWait bounds the wait for a blocked writer, so that log output cannot keep a process from exiting.
 const closeWait = 500 * time.Millisecond
 
-// Close writes what waits, unless the writer is stuck.
+// Close writes the queued lines; it gives up after closeWait if the writer blocks.
 func (l *Logger) Close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- l.async.Close() }()
--- a/pomelolog/logger_test.go
+++ b/pomelolog/logger_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelolog"
 )
 
-// lines keeps what was written.
+// lines is a writer that collects log lines in memory.
 type lines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -40,7 +40,7 @@
 	}
 }
 
-// clock stands still until it is moved.
+// clock is a manually advanced clock.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -58,7 +58,7 @@
 	c.now = c.now.Add(d)
 }
 
-// A flood of requests would write as many lines, and the few that tell of a failure would drown in them.
+// Guards against a flood of one event suppressing the few lines of another, such as those that report failures.
 func TestEachEventIsBoundedByItself(t *testing.T) {
 	out, at := &lines{}, &clock{now: time.Unix(1000, 0)}
 	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: out, PerSecond: 10, Clock: at})
@@ -79,7 +79,7 @@
 	}
 }
 
-// Whoever reads the output stops reading. A log that waited for it would hold every request of the router.
+// The reader of the log output stops reading. A Logger that waited for it would block every request of the router.
 func TestAStalledReaderHoldsNobody(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
@@ -94,17 +94,17 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a line waits for the reader")
+		t.Fatal("Log blocked on a stalled reader")
 	}
 	if l.Lost() == 0 {
-		t.Error("no lost line was counted")
+		t.Error("no dropped line was counted")
 	}
 	if err := l.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// BenchmarkLine writes a line of the size of those that tell how a request ended.
+// BenchmarkLine writes a line of the size of those that report the end of a request.
 func BenchmarkLine(b *testing.B) {
 	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: io.Discard, PerSecond: 1 << 30})
 	fields := []pomelorelay.Field{
--- a/residency.go
+++ b/residency.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Residency says in which regions a request may be served, kept and copied; the zero value allows every region.
+// Residency is the set of regions in which a request may be served, cached and copied; the zero value allows all regions.
 type Residency struct {
-	// Limited tells that only Regions are allowed; without any, none is.
+	// Limited restricts the request to Regions; if Regions is empty, no region is allowed.
 	Limited bool
 	Regions []RegionID
 }
 
-// NewResidency returns the residency of a list of allowed regions, where an empty list allows every region.
+// NewResidency returns the Residency for a list of allowed regions; an empty list allows all regions.
 func NewResidency(regions []RegionID) Residency {
 	if len(regions) == 0 {
 		return Residency{}
@@ -20,12 +20,12 @@
 	return Residency{Limited: true, Regions: slices.Clone(regions)}
 }
 
-// Allows reports whether the region is allowed; a limited residency does not allow the empty name of an unknown region.
+// Allows reports whether the region is allowed; a limited Residency does not allow the empty name, which stands for an unknown region.
 func (r Residency) Allows(region RegionID) bool {
 	return !r.Limited || (region != "" && slices.Contains(r.Regions, region))
 }
 
-// And returns the residency under which both hold.
+// And returns the intersection of two residencies.
 func (r Residency) And(o Residency) Residency {
 	if !r.Limited {
 		return o
@@ -42,7 +42,7 @@
 	return both
 }
 
-// String returns the allowed regions for a log line, empty where all are allowed.
+// String returns the allowed regions separated by spaces, for log lines; it is empty if all regions are allowed.
 func (r Residency) String() string {
 	names := make([]string, 0, len(r.Regions))
 	for _, region := range r.Regions {
--- a/settings_fleet.go
+++ b/settings_fleet.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// FleetSettings is what a process of the fleet learns at its start from the platform it runs on.
+// FleetSettings holds the settings that a router process reads from the platform at its start.
 type FleetSettings struct {
-	// Self is this router; its address is where other routers reach it.
+	// Self is this router; its address is the one that other routers connect to.
 	Self    Peer
 	Regions map[DomainID]RegionID
-	// Seeds are addresses of routers, perhaps of some that are gone or of this one.
+	// Seeds are addresses of routers to contact first; they may include routers that are gone, and this one.
 	Seeds []netip.AddrPort
-	// Callers, Readiness and Metrics are the addresses to listen on.
+	// Callers, Readiness and Metrics are the listen addresses for callers' requests, readiness checks and metrics.
 	Callers   netip.AddrPort
 	Readiness netip.AddrPort
 	Metrics   netip.AddrPort
 	// Store is the address of the platform's store.
 	Store netip.AddrPort
-	// Memory is the most that the process may use.
+	// Memory is the memory limit of the process.
 	Memory Bytes
-	// MaxFDs is the most file descriptors that the process may have.
+	// MaxFDs is the maximum number of open file descriptors of the process.
 	MaxFDs int
-	// StopWait is the time from the signal to stop until the process is killed.
+	// StopWait is the time between the stop signal and the killing of the process.
 	StopWait time.Duration
-	// DrainWait is the time after which an upstream that said it leaves must get no more requests.
+	// DrainWait is the time after which an upstream that announced its departure must get no more requests.
 	DrainWait time.Duration
-	// ConfigWait is the time within which a configuration is in force on every router.
+	// ConfigWait is the time within which a new configuration must be in force on all routers.
 	ConfigWait time.Duration
-	// RetryRatio and RetrySlack bound what the whole fleet sends again of one service's requests: a ratio of them, and a slack.
+	// RetryRatio and RetrySlack limit the fleet's retries of a service's requests, to a fraction of the requests plus a constant.
 	RetryRatio float64
 	RetrySlack float64
-	// Cold bounds what the whole fleet sends to cold upstreams.
+	// Cold limits the requests that the fleet sends to cold upstreams.
 	Cold ColdBounds
-	// ShareWindow is the time over which accounts' shares of the engines are reckoned.
+	// ShareWindow is the time window over which accounts' shares of the engines are computed.
 	ShareWindow time.Duration
 }
--- a/tables_test.go
+++ b/tables_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// updateVariable makes the tests write the tables into the docs instead of comparing.
+// updateVariable is the environment variable that makes TestTablesMatchDocs write the tables to the documentation instead of comparing them.
 const updateVariable = "POMELORELAY_UPDATE_DOCS"
 
 func codesPage() string {
@@ -66,11 +66,11 @@
 func checkRow(t *testing.T, names map[string]bool, last *int, number int, name, meaning string) {
 	t.Helper()
 	if number <= *last {
-		t.Errorf("%d %s does not rise above %d", number, name, *last)
+		t.Errorf("%d %s: number is not greater than the previous one, %d", number, name, *last)
 	}
 	*last = number
 	if names[name] {
-		t.Errorf("%d: the name %s stands twice", number, name)
+		t.Errorf("%d: duplicate name %s", number, name)
 	}
 	names[name] = true
 	if meaning == "" {
--- a/units.go
+++ b/units.go
@@ -1,24 +1,24 @@
 package pomelorelay
 
-// Cost is the amount of service that a request used: weighted tokens for a model engine, slot seconds for a plain service.
+// Cost is an amount of service: weighted tokens for a model engine, slot seconds for a plain service.
 type Cost float64
 
-// Weight is the share that an account is owed relative to other accounts of a pool; it is above zero.
+// Weight is an account's share of a pool relative to the pool's other accounts; it is positive.
 type Weight float64
 
-// Tag is normalised service: cost divided by weight, the order in which waiting accounts are served.
+// Tag is normalised service, which is cost divided by weight; backlogged accounts are served in ascending order of it.
 type Tag float64
 
-// Bytes counts bytes.
+// Bytes is a size in bytes.
 type Bytes int64
 
-// Tokens counts tokens that an engine reads, keeps or generates.
+// Tokens is a number of tokens that an engine reads, caches or generates.
 type Tokens int64
 
-// Slots counts requests that an upstream runs at once.
+// Slots is a number of requests that an upstream runs concurrently.
 type Slots int32
 
-// Normalise returns the cost divided by the weight; a weight that is not above zero counts as one.
+// Normalise returns the cost divided by the weight; a weight that is not positive counts as one.
 func (c Cost) Normalise(w Weight) Tag {
 	if w <= 0 {
 		return Tag(c)
--- a/wire.go
+++ b/wire.go
@@ -6,70 +6,71 @@
 	"time"
 )
 
-// PromptPart is a part of a prompt that other requests may share.
+// PromptPart is a segment of a prompt that other requests may share, identified by its hash.
 type PromptPart struct {
 	Hash   uint64
 	Tokens Tokens
 }
 
-// CallerFields is what a caller's header fields say of its request.
+// CallerFields holds the values of a caller's request headers.
 type CallerFields struct {
-	// ID marks one attempt of a caller; upstreams repeat it in their answers.
+	// ID identifies one attempt of a caller; upstreams echo it in their responses.
 	ID string
-	// Wait is how long the caller waits; zero when it does not say.
+	// Wait is the caller's timeout; zero if unspecified.
 	Wait time.Duration
-	// Key is the caller's key; empty when there is none.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// Prompt and Output are the tokens of the prompt and the most that are generated; zero when it does not say.
+	// Prompt is the number of prompt tokens and Output the maximum number of generated tokens; zero if unspecified.
 	Prompt Tokens
 	Output Tokens
-	// Guess is the caller's estimate of the generated tokens; zero when there is none.
+	// Guess is the caller's estimate of the number of generated tokens; zero if unspecified.
 	Guess Tokens
-	// Parts are the prompt's parts in order; the last one is the request's or its session's own.
+	// Parts are the prompt's parts in order; the last one is specific to the request or its session.
 	Parts []PromptPart
-	// LastEvent is the number of the last event that the caller has of an earlier answer.
+	// LastEvent is the number of the last event that the caller received of an earlier response, if HasLastEvent is set.
 	LastEvent    uint64
 	HasLastEvent bool
 }
 
-// UpstreamFields is what a router tells an upstream of a request.
+// UpstreamFields holds the values of the request headers that a router sends to an upstream.
 type UpstreamFields struct {
-	// Wait is how much of the caller's time is left.
+	// Wait is the time left of the caller's timeout.
 	Wait time.Duration
-	// Upstream must be who answers; any other refuses without running the request.
+	// Upstream is the upstream meant; any other refuses the request without running it.
 	Upstream UpstreamID
-	// Account is whose request it is; empty on public routes.
+	// Account is the client account of the request; empty on public routes.
 	Account AccountID
-	// CopyFrom is another upstream that keeps more of the prompt, which is copied from there instead of read; not valid when there is none.
+	// CopyFrom is the address of an upstream that has more of the prompt cached, from which it is copied instead of read; invalid if none.
 	CopyFrom netip.AddrPort
-	// LastEvent is the number of the last event that was passed on when a stream is taken up again.
+	// LastEvent is the number of the last event forwarded to the caller, if a stream is resumed (HasLastEvent).
 	LastEvent    uint64
 	HasLastEvent bool
 }
 
-// AnswerFields is what an answer's head says of itself.
+// AnswerFields holds what the status and headers of an upstream's response state.
 type AnswerFields struct {
-	// NotRun tells that the upstream did not run the request.
+	// NotRun states that the upstream did not run the request.
 	NotRun bool
-	// Misdirected tells that another upstream than the expected one has the address.
+	// Misdirected states that the address belongs to another upstream than the expected one.
 	Misdirected bool
-	// Signed tells that the answer is an upstream's own.
+	// Signed states that the response was produced by an upstream.
 	Signed bool
-	// Load is what the upstream says of its load; HasLoad tells that it does.
+	// Running and Waiting are the upstream's numbers of running and queued requests, if HasLoad is set.
 	Running, Waiting int
 	HasLoad          bool
 }
 
-// WireFormat reads and writes the header fields of a deployment.
+// WireFormat reads and writes the HTTP header fields that a deployment uses.
 type WireFormat interface {
-	// ReadyPath is the path under which the balancer asks whether a router takes requests.
+	// ReadyPath returns the path of the readiness check for the load balancer.
 	ReadyPath() string
-	// IDField names the field of a request's id.
+	// IDField returns the name of the header field for the request id.
 	IDField() string
-	// ReadCaller reads a caller's fields; what cannot be read counts as not said.
+	// ReadCaller parses the headers of a caller's request; a value that cannot be parsed counts as unspecified.
 	ReadCaller(head http.Header) CallerFields
-	// WriteUpstream makes a caller's fields those of the request to an upstream: the key and what callers may not set are dropped.
+	// WriteUpstream turns a caller's headers into those of the request to an upstream; it drops the API key and the fields that callers
+	// must not set.
 	WriteUpstream(head http.Header, f UpstreamFields)
-	// ReadAnswer reads the head of an answer.
+	// ReadAnswer parses the status and headers of an upstream's response.
 	ReadAnswer(resp *http.Response) AnswerFields
 }
