--- a/pomelolog/logger.go
+++ b/pomelolog/logger.go
@@ -20,21 +20,21 @@
 	Level pomelorelay.Level
 	// Writer is the destination of the lines.
 	Writer io.Writer
-	// PerSecond limits the lines per second of each event; zero means 300.
-	PerSecond int
+	// MaxPerSecond limits the lines per second of each event; zero means 300.
+	MaxPerSecond int
 	// Clock is the clock of the rate limit; nil means the system clock.
 	Clock pomelorelay.Clock
 }
 
 // Logger implements pomelorelay.Logger with JSON lines.
 type Logger struct {
-	logger log.Logger
-	async  *log.AsyncWriter
-	bound  *bound
-	clock  pomelorelay.Clock
-	// lost counts the lines dropped because the queue was full, told those already logged as EventLinesLost.
-	lost atomic.Uint64
-	told atomic.Uint64
+	logger  log.Logger
+	async   *log.AsyncWriter
+	limiter *limiter
+	clock   pomelorelay.Clock
+	// dropped counts the lines dropped because the queue was full, told those already logged as EventLinesLost.
+	dropped       atomic.Uint64
+	droppedLogged atomic.Uint64
 }
 
 // New returns a Logger; Close flushes and stops it.
@@ -44,7 +44,7 @@
 		DiscardOnFull: true,
 		Writer:        log.IOWriter{Writer: cfg.Writer},
 	}
-	l := &Logger{async: async, bound: newBound(cfg.PerSecond), clock: cfg.Clock}
+	l := &Logger{async: async, limiter: newLimiter(cfg.MaxPerSecond), clock: cfg.Clock}
 	if l.clock == nil {
 		l.clock = pomelorelay.SystemClock{}
 	}
@@ -53,31 +53,31 @@
 		TimeField:  "Time",
 		TimeFormat: time.RFC3339Nano,
 		Context:    log.NewContext(nil).Str("Node", string(cfg.Node)).Value(),
-		Writer:     log.WriterFunc(l.queue),
+		Writer:     log.WriterFunc(l.enqueue),
 	}
 	return l
 }
 
-// queue passes a line to the writer's goroutine without blocking.
-func (l *Logger) queue(e *log.Entry) (int, error) {
+// enqueue passes a line to the writer's goroutine without blocking.
+func (l *Logger) enqueue(e *log.Entry) (int, error) {
 	n, err := l.async.WriteEntry(e)
 	if err != nil {
-		l.lost.Add(1)
+		l.dropped.Add(1)
 	}
 	return n, err
 }
 
-// Lost returns the number of lines dropped because the queue was full.
-func (l *Logger) Lost() uint64 { return l.lost.Load() }
+// DroppedLines returns the number of lines dropped because the queue was full.
+func (l *Logger) DroppedLines() uint64 { return l.dropped.Load() }
 
 // Log queues an event with its fields, unless the event's rate limit is exceeded; it never blocks.
 func (l *Logger) Log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
-	ok, before := l.bound.take(l.clock.Now(), id)
-	for _, b := range before {
-		l.write(pomelorelay.EventLinesLeftOut, pomelorelay.Field{Key: "Of", Value: int(b.event)}, pomelorelay.Field{Key: "Lines", Value: b.lines})
+	ok, suppressed := l.limiter.allow(l.clock.Now(), id)
+	for _, s := range suppressed {
+		l.write(pomelorelay.EventLinesLeftOut, pomelorelay.Field{Key: "Of", Value: int(s.event)}, pomelorelay.Field{Key: "Lines", Value: s.count})
 	}
-	if lost := l.lost.Load(); lost != l.told.Load() && l.told.Swap(lost) != lost {
-		l.write(pomelorelay.EventLinesLost, pomelorelay.Field{Key: "Lines", Value: lost})
+	if dropped := l.dropped.Load(); dropped != l.droppedLogged.Load() && l.droppedLogged.Swap(dropped) != dropped {
+		l.write(pomelorelay.EventLinesLost, pomelorelay.Field{Key: "Lines", Value: dropped})
 	}
 	if ok {
 		l.write(id, fields...)
@@ -97,8 +97,8 @@
 	entry.Msg("")
 }
 
-// closeWait bounds the wait for a blocked writer, so that log output cannot keep a process from exiting.
-const closeWait = 500 * time.Millisecond
+// closeTimeout bounds the wait for a blocked writer, so that log output cannot keep a process from exiting.
+const closeTimeout = 500 * time.Millisecond
 
 // Close writes the queued lines; it gives up after closeWait if the writer blocks.
 func (l *Logger) Close() error {
@@ -107,7 +107,7 @@
 	select {
 	case err := <-closed:
 		return err
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 		return nil
 	}
 }
--- a/pomelolog/logger_test.go
+++ b/pomelolog/logger_test.go
@@ -12,19 +12,19 @@
 	"github.com/pomelorelay/pomelorelay/pomelolog"
 )
 
-// lines is a writer that collects log lines in memory.
-type lines struct {
+// lineBuffer is a writer that collects log lines in memory.
+type lineBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lineBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) count(t *testing.T) map[pomelorelay.EventID]int {
+func (l *lineBuffer) countByEvent(t *testing.T) map[pomelorelay.EventID]int {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,50 +40,50 @@
 	}
 }
 
-// clock is a manually advanced clock.
-type clock struct {
+// fakeClock is a manually advanced clock.
+type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *clock) Now() time.Time {
+func (c *fakeClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *fakeClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
 // Guards against a flood of one event suppressing the few lines of another, such as those that report failures.
-func TestEachEventIsBoundedByItself(t *testing.T) {
-	out, at := &lines{}, &clock{now: time.Unix(1000, 0)}
-	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: out, PerSecond: 10, Clock: at})
+func TestRateLimitIsPerEvent(t *testing.T) {
+	out, clock := &lineBuffer{}, &fakeClock{now: time.Unix(1000, 0)}
+	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: out, MaxPerSecond: 10, Clock: clock})
 	for range 1000 {
 		l.Log(pomelorelay.EventRequestServed)
 	}
 	for range 5 {
 		l.Log(pomelorelay.EventRequestFailed)
 	}
-	at.move(time.Second)
+	clock.advance(time.Second)
 	l.Log(pomelorelay.EventRequestServed)
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	got := out.count(t)
+	got := out.countByEvent(t)
 	if got[pomelorelay.EventRequestServed] != 11 || got[pomelorelay.EventRequestFailed] != 5 || got[pomelorelay.EventLinesLeftOut] != 1 {
 		t.Errorf("%v", got)
 	}
 }
 
 // The reader of the log output stops reading. A Logger that waited for it would block every request of the router.
-func TestAStalledReaderHoldsNobody(t *testing.T) {
+func TestLogDoesNotBlockOnStalledReader(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
-	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: w, PerSecond: 1 << 30})
+	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: w, MaxPerSecond: 1 << 30})
 	done := make(chan struct{})
 	go func() {
 		for range 20_000 {
@@ -96,7 +96,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("Log blocked on a stalled reader")
 	}
-	if l.Lost() == 0 {
+	if l.DroppedLines() == 0 {
 		t.Error("no dropped line was counted")
 	}
 	if err := l.Close(); err != nil {
@@ -106,7 +106,7 @@
 
 // BenchmarkLine writes a line of the size of those that report the end of a request.
 func BenchmarkLine(b *testing.B) {
-	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: io.Discard, PerSecond: 1 << 30})
+	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: io.Discard, MaxPerSecond: 1 << 30})
 	fields := []pomelorelay.Field{
 		{Key: "Request", Value: "9c41d07be2a35f68"}, {Key: "Account", Value: "goje490"}, {Key: "Upstream", Value: "i-7f3a91c2"},
 		{Key: "Route", Value: "r-vat8hsf"}, {Key: "Failure", Value: "1213 ShareSpent"}, {Key: "Reason", Value: "Share"}, {Key: "Owed", Value: true},
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -23,10 +23,10 @@
 	DigestEvery time.Duration
 	// DigestsPerSecond bounds the digests to the failure domain: past it the interval grows with the domain's routers; 60.
 	DigestsPerSecond int
-	// EarlyDigest is the shortest wait before a digest that carries a new belief; 200 ms.
-	EarlyDigest time.Duration
-	// ProbeEvery is the interval of probes, each of one router of the failure domain; 300 ms.
-	ProbeEvery time.Duration
+	// MinDigestInterval is the shortest wait before a digest that carries a new belief; 200 ms.
+	MinDigestInterval time.Duration
+	// ProbeInterval is the interval of probes, each of one router of the failure domain; 300 ms.
+	ProbeInterval time.Duration
 	// ProbeWait is the wait for an answer before others are asked to probe, and again before the router is suspected; 300 ms.
 	ProbeWait time.Duration
 	// SuspectFor is how long a suspected router may refute before it counts as dead; 1 s.
@@ -35,38 +35,38 @@
 	Helpers int
 	// Gateways is the number of routers of a failure domain that keep a link to each other domain; 2.
 	Gateways int
-	// SyncEvery is the interval at which everything known is sent to one router; 10 s.
-	SyncEvery time.Duration
-	// Repeats is the number of digests that carry a changed belief; 3.
-	Repeats int
+	// SyncInterval is the interval at which everything known is sent to one router; 10 s.
+	SyncInterval time.Duration
+	// Retransmits is the number of digests that carry a changed belief; 3.
+	Retransmits int
 	// DomainSilent is how long a failure domain may be silent before it counts as unreachable; 5 s.
 	DomainSilent time.Duration
-	// JoinEvery is the interval at which routers not yet heard are asked; 1 s.
-	JoinEvery time.Duration
-	// ForgetAfter is how long a dead router is remembered once it has left the host list; 10 min.
-	ForgetAfter time.Duration
-	// RelayedSlots bounds the slots of other failure domains that a gateway passes on in every fourth digest; 8.
-	RelayedSlots int
-	// OutwardSlots bounds the slots of this failure domain that a gateway tells another; 16.
-	OutwardSlots int
+	// JoinInterval is the interval at which routers not yet heard are asked; 1 s.
+	JoinInterval time.Duration
+	// DeadRetention is how long a dead router is remembered once it has left the host list; 10 min.
+	DeadRetention time.Duration
+	// MaxRelayedSlots bounds the slots of other failure domains that a gateway passes on in every fourth digest; 8.
+	MaxRelayedSlots int
+	// MaxAdvertisedSlots bounds the slots of this failure domain that a gateway tells another; 16.
+	MaxAdvertisedSlots int
 }
 
 func (o Options) withDefaults() Options {
 	setDuration(&o.DigestEvery, time.Second)
 	setCount(&o.DigestsPerSecond, 60)
-	setDuration(&o.EarlyDigest, 200*time.Millisecond)
-	setDuration(&o.ProbeEvery, 300*time.Millisecond)
+	setDuration(&o.MinDigestInterval, 200*time.Millisecond)
+	setDuration(&o.ProbeInterval, 300*time.Millisecond)
 	setDuration(&o.ProbeWait, 300*time.Millisecond)
 	setDuration(&o.SuspectFor, time.Second)
 	setCount(&o.Helpers, 3)
 	setCount(&o.Gateways, 2)
-	setDuration(&o.SyncEvery, 10*time.Second)
-	setCount(&o.Repeats, 3)
+	setDuration(&o.SyncInterval, 10*time.Second)
+	setCount(&o.Retransmits, 3)
 	setDuration(&o.DomainSilent, 5*time.Second)
-	setDuration(&o.JoinEvery, time.Second)
-	setDuration(&o.ForgetAfter, 10*time.Minute)
-	setCount(&o.RelayedSlots, 8)
-	setCount(&o.OutwardSlots, 16)
+	setDuration(&o.JoinInterval, time.Second)
+	setDuration(&o.DeadRetention, 10*time.Minute)
+	setCount(&o.MaxRelayedSlots, 8)
+	setCount(&o.MaxAdvertisedSlots, 16)
 	return o
 }
 
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -9,60 +9,60 @@
 // maxReached bounds the failure domains that one digest names.
 const maxReached = 64
 
-// relayEach is the number of digests of which one carries slots of other failure domains: they go to every router of
+// relayInterval is the number of digests of which one carries slots of other failure domains: they go to every router of
 // the domain, so they are most of what a gateway sends.
-const relayEach = 4
+const relayInterval = 4
 
 // joinsEach is the number of routers not heard that are asked at each JoinEvery; a cold router asks more.
 const (
-	joinsEach = 3
-	joinsCold = 16
+	joinFanout     = 3
+	coldJoinFanout = 16
 )
 
 // Digest takes a router's digest.
 func (v *View) Digest(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, d *pomelorelay.Digest, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	known := v.lookup(from)
-	news := known == nil || known.started < incarnation
+	newProcess := known == nil || known.processIncarnation < incarnation
 	v.Heard(now, from, incarnation)
 	for _, state := range d.Members {
 		v.merge(now, state)
 	}
 	sender := v.lookup(from)
-	if sender == nil || !sender.located {
+	if sender == nil || !sender.addressKnown {
 		return v.acknowledge(now, sender, out)
 	}
-	v.slots.take(now, sender.peer.Domain, d.Slots)
+	v.slots.record(now, sender.peer.Domain, d.Slots)
 	if sender.peer.Domain == v.cfg.Self.Domain {
-		v.takeReached(now, d.Reached)
+		v.recordReached(now, d.Reached)
 	}
-	if news && v.greets(from) {
-		out = append(out, pomelorelay.Outgoing{To: from, Message: v.full()})
+	if newProcess && v.isGreeterFor(from) {
+		out = append(out, pomelorelay.Outgoing{To: from, Message: v.fullDigest()})
 	}
-	return v.correct(now, sender, out)
+	return v.sendCorrection(now, sender, out)
 }
 
 // acknowledge shows a router without a known address that it is heard. Only routers named by the settings are known
 // while there is no host list; without this they would hear the others and seem dead to them.
 func (v *View) acknowledge(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if m == nil || now.Sub(m.told) < v.digestEvery()/2 {
+	if m == nil || now.Sub(m.lastNotified) < v.digestInterval()/2 {
 		return out
 	}
-	m.told = now
+	m.lastNotified = now
 	v.digestSeq++
 	return append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Digest{Seq: v.digestSeq, Members: []pomelorelay.MemberState{v.selfState(), m.state()}}})
 }
 
-// takeReached notes which failure domains a router of this one heard.
-func (v *View) takeReached(now time.Time, domains []pomelorelay.DomainID) {
+// recordReached notes which failure domains a router of this one heard.
+func (v *View) recordReached(now time.Time, domains []pomelorelay.DomainID) {
 	for _, domain := range domains[:min(len(domains), maxReached)] {
 		if domain != v.cfg.Self.Domain {
-			v.reached[domain] = now
+			v.domainSeen[domain] = now
 		}
 	}
 }
 
-// greets reports whether this router is among the few that tell a newcomer everything.
-func (v *View) greets(node pomelorelay.NodeID) bool {
+// isGreeterFor reports whether this router is among the few that tell a newcomer everything.
+func (v *View) isGreeterFor(node pomelorelay.NodeID) bool {
 	ranked := Rank("greet/"+string(node), v.domainMembers(v.cfg.Self.Domain))
 	for _, greeter := range ranked[:min(len(ranked), v.cfg.Options.Helpers)] {
 		if greeter == v.cfg.Self.Node {
@@ -72,13 +72,13 @@
 	return false
 }
 
-// correct tells a router that is heard what is believed of it when that is not alive, so that it can refute; without
+// sendCorrection tells a router that is heard what is believed of it when that is not alive, so that it can refute; without
 // it two sides of a healed partition would keep each other for dead.
-func (v *View) correct(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberLeaving || now.Sub(m.told) < v.cfg.Options.EarlyDigest {
+func (v *View) sendCorrection(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	if m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberLeaving || now.Sub(m.lastNotified) < v.cfg.Options.MinDigestInterval {
 		return out
 	}
-	m.told = now
+	m.lastNotified = now
 	v.digestSeq++
 	return append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Digest{Seq: v.digestSeq, Members: []pomelorelay.MemberState{v.selfState(), m.state()}}})
 }
@@ -93,13 +93,13 @@
 	if s.Incarnation < m.incarnation || s.Incarnation == m.incarnation && s.Status <= m.status {
 		return
 	}
-	if s.Status == pomelorelay.MemberDead && m.live() && now.Sub(m.heard) < v.cfg.Options.EarlyDigest {
+	if s.Status == pomelorelay.MemberDead && m.live() && now.Sub(m.lastSeen) < v.cfg.Options.MinDigestInterval {
 		s.Status = pomelorelay.MemberSuspect
 		if s.Incarnation == m.incarnation && m.status == pomelorelay.MemberSuspect {
 			return
 		}
 	}
-	v.believe(now, m, s.Incarnation, s.Status)
+	v.setStatus(now, m, s.Incarnation, s.Status)
 }
 
 // refute raises this router's incarnation above a belief that it is not alive. After a restart with a clock that ran
@@ -109,7 +109,7 @@
 		return
 	}
 	v.incarnation = s.Incarnation + 1
-	v.early = true
+	v.digestPending = true
 }
 
 func (v *View) selfState() pomelorelay.MemberState {
@@ -120,66 +120,66 @@
 	return pomelorelay.MemberState{Node: v.cfg.Self.Node, Incarnation: v.incarnation, Status: status}
 }
 
-// digests sends this router's digest to its failure domain and, from gateways, to the others, when it is due.
-func (v *View) digests(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// sendDigests sends this router's digest to its failure domain and, from gateways, to the others, when it is due.
+func (v *View) sendDigests(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	due := !now.Before(v.nextDigest)
-	early := v.early && now.Sub(v.lastDigest) >= v.cfg.Options.EarlyDigest
-	if !due && !early {
+	immediate := v.digestPending && now.Sub(v.lastDigest) >= v.cfg.Options.MinDigestInterval
+	if !due && !immediate {
 		return out
 	}
 	v.lastDigest = now
-	v.early = false
+	v.digestPending = false
 	if due {
-		every := v.digestEvery()
-		v.nextDigest = now.Add(every - v.jitter(every/8))
+		interval := v.digestInterval()
+		v.nextDigest = now.Add(interval - v.jitter(interval/8))
 	}
-	news := v.news()
-	out = v.domainDigests(now, news, out)
-	out = v.gatewayDigestsWith(now, news, out)
+	states := v.changedStates()
+	out = v.sendDomainDigests(now, states, out)
+	out = v.sendGatewayStates(now, states, out)
 	return out
 }
 
-// digestEvery is the interval of digests. It grows with the failure domain: at a fixed one, 60 routers that each tell 59 others
+// digestInterval is the interval of digests. It grows with the failure domain: at a fixed one, 60 routers that each tell 59 others
 // four times a second would be seen to spend twice a node's control budget on digests.
-func (v *View) digestEvery() time.Duration {
+func (v *View) digestInterval() time.Duration {
 	routers := len(v.domainMembers(v.cfg.Self.Domain))
 	return max(v.cfg.Options.DigestEvery, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.DigestsPerSecond))
 }
 
-// news returns this router's own state and the beliefs that changed lately.
-func (v *View) news() []pomelorelay.MemberState {
+// changedStates returns this router's own state and the beliefs that changed lately.
+func (v *View) changedStates() []pomelorelay.MemberState {
 	states := []pomelorelay.MemberState{v.selfState()}
 	for _, m := range v.members {
-		if m.repeats > 0 {
-			m.repeats--
+		if m.retransmits > 0 {
+			m.retransmits--
 			states = append(states, m.state())
 		}
 	}
 	return states
 }
 
-func (v *View) domainDigests(now time.Time, news []pomelorelay.MemberState, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (v *View) sendDomainDigests(now time.Time, states []pomelorelay.MemberState, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.digestSeq++
-	digest := &pomelorelay.Digest{Seq: v.digestSeq, Members: news, Reached: v.heardDomains(now)}
-	digest.Slots = v.slots.own(digest.Slots)
+	digest := &pomelorelay.Digest{Seq: v.digestSeq, Members: states, Reached: v.recentlySeenDomains(now)}
+	digest.Slots = v.slots.appendOwned(digest.Slots)
 	v.domainDigestCount++
-	if v.domainDigestCount%relayEach == 0 {
-		digest.Slots = v.slots.useful(v.cfg.Self.Domain, false, v.cfg.Options.RelayedSlots, digest.Slots)
+	if v.domainDigestCount%relayInterval == 0 {
+		digest.Slots = v.slots.appendBest(v.cfg.Self.Domain, false, v.cfg.Options.MaxRelayedSlots, digest.Slots)
 	}
 	for _, m := range v.members {
-		if m.peer.Domain == v.cfg.Self.Domain && m.listens(now, v.cfg.Options.DomainSilent) {
+		if m.peer.Domain == v.cfg.Self.Domain && m.receivesDigests(now, v.cfg.Options.DomainSilent) {
 			out = append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: digest})
 		}
 	}
 	return out
 }
 
-// heardDomains returns the other failure domains from which a message came here lately.
-func (v *View) heardDomains(now time.Time) []pomelorelay.DomainID {
+// recentlySeenDomains returns the other failure domains from which a message came here lately.
+func (v *View) recentlySeenDomains(now time.Time) []pomelorelay.DomainID {
 	var domains []pomelorelay.DomainID
-	lately := 2 * v.digestEvery()
+	maxAge := 2 * v.digestInterval()
 	for _, m := range v.members {
-		if !m.located || m.peer.Domain == v.cfg.Self.Domain || now.Sub(m.heard) >= lately || m.heard.IsZero() {
+		if !m.addressKnown || m.peer.Domain == v.cfg.Self.Domain || now.Sub(m.lastSeen) >= maxAge || m.lastSeen.IsZero() {
 			continue
 		}
 		if !containsDomain(domains, m.peer.Domain) {
@@ -204,17 +204,17 @@
 	if now.Before(v.nextJoin) {
 		return out
 	}
-	v.nextJoin = now.Add(v.cfg.Options.JoinEvery)
+	v.nextJoin = now.Add(v.cfg.Options.JoinInterval)
 	var absent []*member
 	for _, m := range v.members {
-		if m.located && m.listed && !m.live() && m.peer.Domain == v.cfg.Self.Domain {
+		if m.addressKnown && m.listed && !m.live() && m.peer.Domain == v.cfg.Self.Domain {
 			absent = append(absent, m)
 		}
 	}
 	v.random.Shuffle(len(absent), func(i, j int) { absent[i], absent[j] = absent[j], absent[i] })
-	limit := joinsEach
+	limit := joinFanout
 	if len(v.domainMembers(v.cfg.Self.Domain)) == 1 {
-		limit = joinsCold
+		limit = coldJoinFanout
 	}
 	for _, m := range absent[:min(limit, len(absent))] {
 		v.digestSeq++
@@ -232,15 +232,15 @@
 	if now.Before(v.nextSync) {
 		return out
 	}
-	v.nextSync = now.Add(v.cfg.Options.SyncEvery)
+	v.nextSync = now.Add(v.cfg.Options.SyncInterval)
 	nodes := v.shuffledDomain()
 	if len(nodes) == 0 {
 		return out
 	}
-	return append(out, pomelorelay.Outgoing{To: nodes[0], Message: v.full()})
+	return append(out, pomelorelay.Outgoing{To: nodes[0], Message: v.fullDigest()})
 }
 
-func (v *View) full() *pomelorelay.Digest {
+func (v *View) fullDigest() *pomelorelay.Digest {
 	v.digestSeq++
 	digest := &pomelorelay.Digest{Seq: v.digestSeq, Members: []pomelorelay.MemberState{v.selfState()}}
 	for _, m := range v.members {
--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -22,12 +22,12 @@
 
 // delivery is a message on its way in virtual time.
 type delivery struct {
-	at    time.Time
-	seq   int
-	from  *router
-	to    pomelorelay.NodeID
-	inc   pomelorelay.Incarnation
-	value pomelorelay.Message
+	at          time.Time
+	seq         int
+	from        *router
+	to          pomelorelay.NodeID
+	incarnation pomelorelay.Incarnation
+	value       pomelorelay.Message
 }
 
 type deliveries []delivery
@@ -45,39 +45,39 @@
 }
 
 type router struct {
-	peer   pomelorelay.Peer
-	view   *pomelomember.View
-	inc    pomelorelay.Incarnation
-	up     bool
-	paused time.Time
-	sent   int
+	peer        pomelorelay.Peer
+	view        *pomelomember.View
+	incarnation pomelorelay.Incarnation
+	up          bool
+	pausedUntil time.Time
+	sentBytes   int
 }
 
 // fleet runs views on virtual time with a seed.
 type fleet struct {
-	t       *testing.T
-	now     time.Time
-	random  *rand.Rand
-	routers []*router
-	byName  map[pomelorelay.NodeID]*router
-	flying  deliveries
-	seq     int
-	loss    float64
-	cut     func(from, to pomelorelay.Peer) bool
-	deaths  map[pomelorelay.NodeID]time.Time // the first time that a router was declared dead
-	options pomelomember.Options
+	t        *testing.T
+	now      time.Time
+	random   *rand.Rand
+	routers  []*router
+	byName   map[pomelorelay.NodeID]*router
+	inFlight deliveries
+	seq      int
+	loss     float64
+	blocked  func(from, to pomelorelay.Peer) bool
+	deaths   map[pomelorelay.NodeID]time.Time // the first time that a router was declared dead
+	options  pomelomember.Options
 
-	suspicions int // digests that called a router suspect
-	foreign    int // slots of another failure domain in digests that routers got from their own
+	suspicions   int // digests that called a router suspect
+	foreignSlots int // slots of another failure domain in digests that routers got from their own
 
 	measured     pomelorelay.Message
 	measuredSize int
 }
 
-func newFleet(t *testing.T, domains, each int, seed uint64) *fleet {
+func newFleet(t *testing.T, domains, perDomain int, seed uint64) *fleet {
 	f := &fleet{t: t, now: epoch, random: rand.New(rand.NewPCG(seed, 1)), byName: make(map[pomelorelay.NodeID]*router), deaths: make(map[pomelorelay.NodeID]time.Time)}
 	for d := range domains {
-		for i := range each {
+		for i := range perDomain {
 			peer := pomelorelay.Peer{
 				Node: pomelorelay.NodeID(fmt.Sprintf("r%d-%02d", d, i)), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(d), 0, byte(i)}), 7000),
 				Domain: pomelorelay.DomainID(fmt.Sprintf("domain-%d", d)), Region: pomelorelay.RegionID(fmt.Sprintf("region-%d", d%2)),
@@ -100,9 +100,9 @@
 
 // start gives a router a fresh process; seeds stand in for the host list when it is gone.
 func (f *fleet) start(r *router, hosts []pomelorelay.Host, seeds ...pomelorelay.Peer) {
-	r.inc = pomelorelay.Incarnation(f.now.UnixNano())
+	r.incarnation = pomelorelay.Incarnation(f.now.UnixNano())
 	r.up = true
-	r.view = pomelomember.New(pomelomember.Config{Self: r.peer, Incarnation: r.inc, Seeds: seeds, Seed: f.random.Uint64(), Options: f.options})
+	r.view = pomelomember.New(pomelomember.Config{Self: r.peer, Incarnation: r.incarnation, Seeds: seeds, Seed: f.random.Uint64(), Options: f.options})
 	f.send(r, r.view.Hosts(f.now, hosts, nil))
 }
 
@@ -114,9 +114,9 @@
 
 func (f *fleet) send(r *router, out []pomelorelay.Outgoing) {
 	for _, o := range out {
-		r.sent += f.size(o.Message)
+		r.sentBytes += f.size(o.Message)
 		to, ok := f.byName[o.To]
-		if !ok || f.random.Float64() < f.loss || f.cut != nil && f.cut(r.peer, to.peer) {
+		if !ok || f.random.Float64() < f.loss || f.blocked != nil && f.blocked(r.peer, to.peer) {
 			continue
 		}
 		latency := 500 * time.Microsecond
@@ -124,7 +124,7 @@
 			latency = 12 * time.Millisecond
 		}
 		f.seq++
-		heap.Push(&f.flying, delivery{at: f.now.Add(latency), seq: f.seq, from: r, to: o.To, inc: r.inc, value: o.Message})
+		heap.Push(&f.inFlight, delivery{at: f.now.Add(latency), seq: f.seq, from: r, to: o.To, incarnation: r.incarnation, value: o.Message})
 	}
 }
 
@@ -144,22 +144,22 @@
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		next := f.now.Add(tick)
-		for len(f.flying) > 0 && !f.flying[0].at.After(next) {
-			m := heap.Pop(&f.flying).(delivery)
+		for len(f.inFlight) > 0 && !f.inFlight[0].at.After(next) {
+			m := heap.Pop(&f.inFlight).(delivery)
 			f.now = m.at
 			f.deliver(m)
 		}
 		f.now = next
 		for _, r := range f.routers {
-			if r.up && !f.now.Before(r.paused) {
+			if r.up && !f.now.Before(r.pausedUntil) {
 				f.send(r, r.view.Tick(f.now, nil))
-				f.watch(r)
+				f.recordDeaths(r)
 			}
 		}
 	}
 }
 
-func (f *fleet) watch(r *router) {
+func (f *fleet) recordDeaths(r *router) {
 	for _, c := range r.view.Changes(nil) {
 		if _, known := f.deaths[c.Peer.Node]; c.Status == pomelorelay.MemberDead && !known {
 			f.deaths[c.Peer.Node] = f.now
@@ -172,27 +172,27 @@
 	if !r.up {
 		return
 	}
-	if f.now.Before(r.paused) {
-		m.at = r.paused
-		heap.Push(&f.flying, m)
+	if f.now.Before(r.pausedUntil) {
+		m.at = r.pausedUntil
+		heap.Push(&f.inFlight, m)
 		return
 	}
 	from := m.from.peer.Node
 	switch value := m.value.(type) {
 	case *pomelorelay.Digest:
-		f.count(m.from.peer.Domain, r.peer.Domain, value)
-		f.send(r, r.view.Digest(f.now, from, m.inc, value, nil))
+		f.countDigest(m.from.peer.Domain, r.peer.Domain, value)
+		f.send(r, r.view.Digest(f.now, from, m.incarnation, value, nil))
 	case *pomelorelay.Probe:
-		f.send(r, r.view.Probe(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.Probe(f.now, from, m.incarnation, value, nil))
 	case *pomelorelay.ProbeAck:
-		f.send(r, r.view.ProbeAck(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.ProbeAck(f.now, from, m.incarnation, value, nil))
 	case *pomelorelay.Farewell:
-		f.send(r, r.view.Farewell(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.Farewell(f.now, from, m.incarnation, value, nil))
 	}
-	f.watch(r)
+	f.recordDeaths(r)
 }
 
-func (f *fleet) count(from, to pomelorelay.DomainID, d *pomelorelay.Digest) {
+func (f *fleet) countDigest(from, to pomelorelay.DomainID, d *pomelorelay.Digest) {
 	for _, state := range d.Members {
 		if state.Status == pomelorelay.MemberSuspect {
 			f.suspicions++
@@ -200,13 +200,13 @@
 	}
 	for i := range d.Slots {
 		if from == to && d.Slots[i].Domain != to {
-			f.foreign++
+			f.foreignSlots++
 		}
 	}
 }
 
-// agreed returns whether every running router of a domain sees just the running ones of the observed domain.
-func (f *fleet) agreed(viewers, observed pomelorelay.DomainID) bool {
+// viewsAgree returns whether every running router of a domain sees just the running ones of the observed domain.
+func (f *fleet) viewsAgree(viewers, observed pomelorelay.DomainID) bool {
 	var up []pomelorelay.NodeID
 	for _, r := range f.routers {
 		if r.up && r.peer.Domain == observed {
@@ -221,10 +221,10 @@
 	return true
 }
 
-func (f *fleet) allAgreed() bool {
+func (f *fleet) allViewsAgree() bool {
 	for _, viewer := range f.routers {
 		for _, observed := range f.routers {
-			if observed.peer.Node[3:] == "00" && viewer.peer.Node[3:] == "00" && !f.agreed(viewer.peer.Domain, observed.peer.Domain) {
+			if observed.peer.Node[3:] == "00" && viewer.peer.Node[3:] == "00" && !f.viewsAgree(viewer.peer.Domain, observed.peer.Domain) {
 				return false
 			}
 		}
@@ -232,23 +232,23 @@
 	return true
 }
 
-// settle runs until all agree and returns how long that took.
-func (f *fleet) settle(limit time.Duration) time.Duration {
+// converge runs until all agree and returns how long that took.
+func (f *fleet) converge(limit time.Duration) time.Duration {
 	f.t.Helper()
-	begin := f.now
-	for !f.allAgreed() {
-		if f.now.Sub(begin) > limit {
+	start := f.now
+	for !f.allViewsAgree() {
+		if f.now.Sub(start) > limit {
 			f.t.Fatalf("views differ after %v", limit)
 		}
 		f.run(tick)
 	}
-	return f.now.Sub(begin)
+	return f.now.Sub(start)
 }
 
-func TestDigestsKeepToTheirRateInALargeDomain(t *testing.T) {
+func TestDigestRateIsBoundedInLargeDomain(t *testing.T) {
 	// A failure domain of 60 routers is set to a digest each 250 ms. Were that kept, each router would send 236 digests a second, more
 	// than a node's whole control budget in bytes.
-	for _, c := range []struct{ routers, least, most int }{{8, 28, 36}, {60, 59, 72}} {
+	for _, c := range []struct{ routers, minRate, maxRate int }{{8, 28, 36}, {60, 59, 72}} {
 		f := newFleet(t, 1, c.routers, 1)
 		f.options.DigestEvery = 250 * time.Millisecond
 		f.startAll()
@@ -264,11 +264,11 @@
 				}
 			}
 			for _, other := range f.routers[1:] {
-				r.view.Heard(f.now, other.peer.Node, other.inc)
+				r.view.Heard(f.now, other.peer.Node, other.incarnation)
 			}
 		}
-		if rate := digests / span; rate < c.least || rate > c.most {
-			t.Errorf("%d routers: %d digests a second, want %d to %d", c.routers, rate, c.least, c.most)
+		if rate := digests / span; rate < c.minRate || rate > c.maxRate {
+			t.Errorf("%d routers: %d digests a second, want %d to %d", c.routers, rate, c.minRate, c.maxRate)
 		}
 	}
 }
--- a/pomelomember/member.go
+++ b/pomelomember/member.go
@@ -10,18 +10,18 @@
 
 // member is what is believed of one router.
 type member struct {
-	peer        pomelorelay.Peer
-	incarnation pomelorelay.Incarnation // of the belief, raised by refutations
-	started     pomelorelay.Incarnation // of the process, as on its envelopes
-	status      pomelorelay.MemberStatus
-	located     bool // domain and address are known
-	listed      bool // on the last host list or among the seeds
-	draining    bool // leaving by the host list
-	heard       time.Time
-	suspected   time.Time
-	died        time.Time
-	told        time.Time // when it was last told what is believed of it
-	repeats     int       // digests that still carry the belief
+	peer               pomelorelay.Peer
+	incarnation        pomelorelay.Incarnation // of the belief, raised by refutations
+	processIncarnation pomelorelay.Incarnation // of the process, as on its envelopes
+	status             pomelorelay.MemberStatus
+	addressKnown       bool // domain and address are known
+	listed             bool // on the last host list or among the seeds
+	draining           bool // leaving by the host list
+	lastSeen           time.Time
+	suspectedAt        time.Time
+	goneAt             time.Time
+	lastNotified       time.Time // when it was last told what is believed of it
+	retransmits        int       // digests that still carry the belief
 }
 
 // live reports whether the router is believed to work; a suspected one is until the suspicion is confirmed.
@@ -29,15 +29,15 @@
 	return m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberSuspect
 }
 
-// listens reports whether the router takes digests: one that stops does until it has ended, which shows as silence. It still has
+// receivesDigests reports whether the router takes digests: one that stops does until it has ended, which shows as silence. It still has
 // claims to settle and must know with whom; without digests it would turn to routers that have gone, and its stop would not end.
-func (m *member) listens(now time.Time, silence time.Duration) bool {
-	stops := m.status == pomelorelay.MemberLeaving && now.Sub(m.heard) < silence
-	return m.located && (m.live() || stops)
+func (m *member) receivesDigests(now time.Time, maxSilence time.Duration) bool {
+	stopping := m.status == pomelorelay.MemberLeaving && now.Sub(m.lastSeen) < maxSilence
+	return m.addressKnown && (m.live() || stopping)
 }
 
-// placed reports whether shared jobs may be given to the router.
-func (m *member) placed() bool { return m.located && m.live() && !m.draining }
+// assignable reports whether shared jobs may be given to the router.
+func (m *member) assignable() bool { return m.addressKnown && m.live() && !m.draining }
 
 func (m *member) state() pomelorelay.MemberState {
 	return pomelorelay.MemberState{Node: m.peer.Node, Incarnation: m.incarnation, Status: m.status}
@@ -60,27 +60,27 @@
 // lookup returns the record of a router, or nil when there is none.
 func (v *View) lookup(node pomelorelay.NodeID) *member { return v.byNode[node] }
 
-// believe sets a member's status and notes the change for digests, for Changes and for the next Snapshot.
-func (v *View) believe(now time.Time, m *member, incarnation pomelorelay.Incarnation, status pomelorelay.MemberStatus) {
-	restarted := incarnation > m.incarnation && m.started != 0 && incarnation > m.started+maxRefutations
-	before := m.live()
+// setStatus sets a member's status and notes the change for digests, for Changes and for the next Snapshot.
+func (v *View) setStatus(now time.Time, m *member, incarnation pomelorelay.Incarnation, status pomelorelay.MemberStatus) {
+	restarted := incarnation > m.incarnation && m.processIncarnation != 0 && incarnation > m.processIncarnation+maxRefutations
+	wasLive := m.live()
 	m.incarnation = incarnation
 	m.status = status
-	m.repeats = v.cfg.Options.Repeats
+	m.retransmits = v.cfg.Options.Retransmits
 	switch status {
 	case pomelorelay.MemberSuspect:
-		m.suspected = now
+		m.suspectedAt = now
 	case pomelorelay.MemberDead, pomelorelay.MemberLeaving:
-		m.died = now
+		m.goneAt = now
 	}
 	if restarted {
-		m.started = 0
+		m.processIncarnation = 0
 	}
-	if before != m.live() || restarted {
+	if wasLive != m.live() || restarted {
 		v.changes = append(v.changes, Change{Peer: m.peer, Incarnation: incarnation, Status: status})
 	}
 	v.snapshot = nil
-	v.early = true
+	v.digestPending = true
 }
 
 // maxRefutations separates an incarnation raised by refutations from that of a new process: starts are nanoseconds apart by far more.
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -8,22 +8,22 @@
 
 // probe is a question that waits for an answer.
 type probe struct {
-	node   pomelorelay.NodeID
-	seq    uint64
-	sent   time.Time
-	helped bool
+	node     pomelorelay.NodeID
+	seq      uint64
+	sentAt   time.Time
+	indirect bool
 }
 
 // relayedProbe is a question asked for another router.
 type relayedProbe struct {
-	seq     uint64
-	forNode pomelorelay.NodeID
-	forSeq  uint64
-	sent    time.Time
+	seq          uint64
+	requester    pomelorelay.NodeID
+	requesterSeq uint64
+	sentAt       time.Time
 }
 
-// maxRelayed bounds the questions asked for others at once.
-const maxRelayed = 256
+// maxRelayedProbes bounds the questions asked for others at once.
+const maxRelayedProbes = 256
 
 // Probe answers a probe or passes it on.
 func (v *View) Probe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
@@ -31,11 +31,11 @@
 	if p.Target == "" || p.Target == v.cfg.Self.Node {
 		return append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ProbeAck{Seq: p.Seq}})
 	}
-	if len(v.relayed) >= maxRelayed {
+	if len(v.relayedProbes) >= maxRelayedProbes {
 		return out
 	}
 	v.probeSeq++
-	v.relayed = append(v.relayed, relayedProbe{seq: v.probeSeq, forNode: from, forSeq: p.Seq, sent: now})
+	v.relayedProbes = append(v.relayedProbes, relayedProbe{seq: v.probeSeq, requester: from, requesterSeq: p.Seq, sentAt: now})
 	return append(out, pomelorelay.Outgoing{To: p.Target, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
@@ -43,28 +43,28 @@
 func (v *View) ProbeAck(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, a *pomelorelay.ProbeAck, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.Heard(now, from, incarnation)
 	if a.Target != "" {
-		v.vouched(now, a)
+		v.recordIndirectAck(now, a)
 		return out
 	}
-	for i, r := range v.relayed {
+	for i, r := range v.relayedProbes {
 		if r.seq != a.Seq {
 			continue
 		}
-		v.relayed = append(v.relayed[:i], v.relayed[i+1:]...)
-		return append(out, pomelorelay.Outgoing{To: r.forNode, Message: &pomelorelay.ProbeAck{Seq: r.forSeq, Target: from}})
+		v.relayedProbes = append(v.relayedProbes[:i], v.relayedProbes[i+1:]...)
+		return append(out, pomelorelay.Outgoing{To: r.requester, Message: &pomelorelay.ProbeAck{Seq: r.requesterSeq, Target: from}})
 	}
 	return out
 }
 
-// vouched takes another router's word that a probed one answered it. So a path that is cut in one direction only does
+// recordIndirectAck takes another router's word that a probed one answered it. So a path that is cut in one direction only does
 // not make a working router dead.
-func (v *View) vouched(now time.Time, a *pomelorelay.ProbeAck) {
-	for _, p := range v.probes {
+func (v *View) recordIndirectAck(now time.Time, a *pomelorelay.ProbeAck) {
+	for _, p := range v.pendingProbes {
 		if p.seq != a.Seq || p.node != a.Target {
 			continue
 		}
 		if m := v.lookup(a.Target); m != nil {
-			m.heard = now
+			m.lastSeen = now
 		}
 	}
 }
@@ -74,16 +74,16 @@
 	if now.Before(v.nextProbe) {
 		return out
 	}
-	v.nextProbe = now.Add(v.cfg.Options.ProbeEvery)
+	v.nextProbe = now.Add(v.cfg.Options.ProbeInterval)
 	for range 2 {
-		if len(v.round) == 0 {
-			v.round = v.shuffledDomain()
+		if len(v.probeOrder) == 0 {
+			v.probeOrder = v.shuffledDomain()
 		}
-		for len(v.round) > 0 {
-			node := v.round[0]
-			v.round = v.round[1:]
-			if m := v.lookup(node); m != nil && m.located && m.live() {
-				return v.ask(now, node, out)
+		for len(v.probeOrder) > 0 {
+			node := v.probeOrder[0]
+			v.probeOrder = v.probeOrder[1:]
+			if m := v.lookup(node); m != nil && m.addressKnown && m.live() {
+				return v.sendProbe(now, node, out)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 func (v *View) shuffledDomain() []pomelorelay.NodeID {
 	var nodes []pomelorelay.NodeID
 	for _, m := range v.members {
-		if m.located && m.live() && m.peer.Domain == v.cfg.Self.Domain {
+		if m.addressKnown && m.live() && m.peer.Domain == v.cfg.Self.Domain {
 			nodes = append(nodes, m.peer.Node)
 		}
 	}
@@ -101,77 +101,77 @@
 	return nodes
 }
 
-func (v *View) ask(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	for _, p := range v.probes {
+func (v *View) sendProbe(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	for _, p := range v.pendingProbes {
 		if p.node == node {
 			return out
 		}
 	}
 	v.probeSeq++
-	v.probes = append(v.probes, probe{node: node, seq: v.probeSeq, sent: now})
+	v.pendingProbes = append(v.pendingProbes, probe{node: node, seq: v.probeSeq, sentAt: now})
 	return append(out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
 // checkProbes asks others to probe a router that did not answer, and suspects it when they get no answer either.
 func (v *View) checkProbes(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	kept := v.probes[:0]
-	for _, p := range v.probes {
+	kept := v.pendingProbes[:0]
+	for _, p := range v.pendingProbes {
 		m := v.lookup(p.node)
-		wait := now.Sub(p.sent)
+		wait := now.Sub(p.sentAt)
 		switch {
-		case m == nil || !m.live() || !m.heard.Before(p.sent):
+		case m == nil || !m.live() || !m.lastSeen.Before(p.sentAt):
 			continue
 		case wait >= 2*v.cfg.Options.ProbeWait:
 			if m.status == pomelorelay.MemberAlive {
-				v.believe(now, m, m.incarnation, pomelorelay.MemberSuspect)
+				v.setStatus(now, m, m.incarnation, pomelorelay.MemberSuspect)
 			}
 			continue
-		case wait >= v.cfg.Options.ProbeWait && !p.helped:
-			p.helped = true
-			out = v.askHelpers(p, out)
+		case wait >= v.cfg.Options.ProbeWait && !p.indirect:
+			p.indirect = true
+			out = v.sendIndirectProbes(p, out)
 		}
 		kept = append(kept, p)
 	}
-	v.probes = kept
+	v.pendingProbes = kept
 	v.expireRelayed(now)
 	return out
 }
 
-func (v *View) askHelpers(p probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	asked := 0
+func (v *View) sendIndirectProbes(p probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	sent := 0
 	for _, node := range v.shuffledDomain() {
-		if asked == v.cfg.Options.Helpers {
+		if sent == v.cfg.Options.Helpers {
 			break
 		}
 		if node == p.node {
 			continue
 		}
-		asked++
+		sent++
 		out = append(out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.Probe{Seq: p.seq, Target: p.node}})
 	}
 	return out
 }
 
 func (v *View) expireRelayed(now time.Time) {
-	kept := v.relayed[:0]
-	for _, r := range v.relayed {
-		if now.Sub(r.sent) < 4*v.cfg.Options.ProbeWait {
+	kept := v.relayedProbes[:0]
+	for _, r := range v.relayedProbes {
+		if now.Sub(r.sentAt) < 4*v.cfg.Options.ProbeWait {
 			kept = append(kept, r)
 		}
 	}
-	v.relayed = kept
+	v.relayedProbes = kept
 }
 
 // confirmSuspects declares suspected routers dead that neither refuted nor were heard here since.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
-		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspected) < v.cfg.Options.SuspectFor {
+		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspectFor {
 			continue
 		}
-		if m.heard.After(m.suspected) {
+		if m.lastSeen.After(m.suspectedAt) {
 			m.status = pomelorelay.MemberAlive
 			continue
 		}
-		v.believe(now, m, m.incarnation, pomelorelay.MemberDead)
+		v.setStatus(now, m, m.incarnation, pomelorelay.MemberDead)
 	}
 }
--- a/pomelomember/snapshot.go
+++ b/pomelomember/snapshot.go
@@ -55,10 +55,10 @@
 		s.add(v.cfg.Self)
 	}
 	for _, m := range v.members {
-		if m.located && m.live() {
+		if m.addressKnown && m.live() {
 			s.byNode[m.peer.Node] = m.peer
 		}
-		if m.placed() {
+		if m.assignable() {
 			s.add(m.peer)
 		}
 	}
@@ -84,7 +84,7 @@
 // Reachable appends the failure domains that were heard lately, this router's own included, in the order of their names.
 func (v *View) Reachable(now time.Time, out []pomelorelay.DomainID) []pomelorelay.DomainID {
 	for _, domain := range v.Snapshot().domains {
-		if v.domainReached(now, domain.ID) {
+		if v.domainReachable(now, domain.ID) {
 			out = append(out, domain.ID)
 		}
 	}
--- a/pomelomember/view.go
+++ b/pomelomember/view.go
@@ -18,21 +18,21 @@
 	snapshot    *Snapshot
 	random      *rand.Rand
 
-	started           time.Time
+	startedAt         time.Time
 	lastTick          time.Time
 	nextDigest        time.Time
 	lastDigest        time.Time
 	nextProbe         time.Time
 	nextSync          time.Time
 	nextJoin          time.Time
-	early             bool
+	digestPending     bool
 	digestSeq         uint64
 	domainDigestCount int
 	probeSeq          uint64
-	probes            []probe
-	relayed           []relayedProbe
-	round             []pomelorelay.NodeID
-	reached           map[pomelorelay.DomainID]time.Time
+	pendingProbes     []probe
+	relayedProbes     []relayedProbe
+	probeOrder        []pomelorelay.NodeID
+	domainSeen        map[pomelorelay.DomainID]time.Time
 	slots             slotTable
 }
 
@@ -46,7 +46,7 @@
 // New returns a View that knows itself and its seeds.
 func New(cfg Config) *View {
 	cfg.Options = cfg.Options.withDefaults()
-	v := &View{cfg: cfg, incarnation: cfg.Incarnation, byNode: make(map[pomelorelay.NodeID]*member), reached: make(map[pomelorelay.DomainID]time.Time)}
+	v := &View{cfg: cfg, incarnation: cfg.Incarnation, byNode: make(map[pomelorelay.NodeID]*member), domainSeen: make(map[pomelorelay.DomainID]time.Time)}
 	v.random = rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Incarnation)))
 	v.slots.init()
 	for _, seed := range cfg.Seeds {
@@ -55,7 +55,7 @@
 		}
 		m := v.member(seed.Node)
 		m.peer = seed
-		m.located = true
+		m.addressKnown = true
 		m.listed = true
 	}
 	return v
@@ -71,7 +71,7 @@
 			continue
 		}
 		listed[node] = true
-		v.locate(node, &hosts[i])
+		v.setLocation(node, &hosts[i])
 	}
 	if len(listed) == 0 {
 		return out
@@ -85,21 +85,21 @@
 // Located reports whether a router's address is known from the host list or the seeds.
 func (v *View) Located(node pomelorelay.NodeID) bool {
 	m := v.lookup(node)
-	return node == v.cfg.Self.Node || m != nil && m.located
+	return node == v.cfg.Self.Node || m != nil && m.addressKnown
 }
 
-func (v *View) locate(node pomelorelay.NodeID, host *pomelorelay.Host) {
+func (v *View) setLocation(node pomelorelay.NodeID, host *pomelorelay.Host) {
 	m := v.member(node)
 	peer := pomelorelay.Peer{Node: node, Addr: host.Addr, Domain: host.Domain, Region: host.Region}
-	if m.peer == peer && m.located && m.draining == host.Leaving {
+	if m.peer == peer && m.addressKnown && m.draining == host.Leaving {
 		return
 	}
-	arrives := !m.located && m.live()
+	joined := !m.addressKnown && m.live()
 	m.peer = peer
-	m.located = true
+	m.addressKnown = true
 	m.draining = host.Leaving
 	v.snapshot = nil
-	if arrives {
+	if joined {
 		v.changes = append(v.changes, Change{Peer: peer, Incarnation: m.incarnation, Status: m.status})
 	}
 }
@@ -110,18 +110,18 @@
 		return
 	}
 	m := v.member(from)
-	if incarnation < m.started || m.started == 0 && incarnation+maxRefutations < m.incarnation {
+	if incarnation < m.processIncarnation || m.processIncarnation == 0 && incarnation+maxRefutations < m.incarnation {
 		return
 	}
-	if incarnation > m.started {
-		m.started = incarnation
+	if incarnation > m.processIncarnation {
+		m.processIncarnation = incarnation
 	}
-	m.heard = now
-	if m.located && m.peer.Domain != v.cfg.Self.Domain {
-		v.reached[m.peer.Domain] = now
+	m.lastSeen = now
+	if m.addressKnown && m.peer.Domain != v.cfg.Self.Domain {
+		v.domainSeen[m.peer.Domain] = now
 	}
 	if incarnation > m.incarnation || m.status == 0 {
-		v.believe(now, m, max(incarnation, m.incarnation), pomelorelay.MemberAlive)
+		v.setStatus(now, m, max(incarnation, m.incarnation), pomelorelay.MemberAlive)
 	}
 }
 
@@ -137,52 +137,52 @@
 	v.leaving = true
 	v.snapshot = nil
 	for _, m := range v.members {
-		if m.located && m.live() && m.peer.Domain == v.cfg.Self.Domain {
+		if m.addressKnown && m.live() && m.peer.Domain == v.cfg.Self.Domain {
 			out = append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Farewell{Incarnation: v.incarnation}})
 		}
 	}
-	return v.gatewayDigests(now, out)
+	return v.sendGatewayDigests(now, out)
 }
 
 // Tick sends what is due; call it every 100 ms or more often.
 func (v *View) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if v.started.IsZero() {
-		v.begin(now)
+	if v.startedAt.IsZero() {
+		v.startTimers(now)
 	}
-	v.forgivePause(now)
+	v.resetAfterPause(now)
 	v.lastTick = now
 	out = v.checkProbes(now, out)
 	v.confirmSuspects(now)
-	v.forget(now)
+	v.purgeDead(now)
 	out = v.probeNext(now, out)
 	if !v.leaving {
 		out = v.join(now, out)
 	}
-	out = v.digests(now, out)
+	out = v.sendDigests(now, out)
 	return v.sync(now, out)
 }
 
-func (v *View) begin(now time.Time) {
-	v.started = now
+func (v *View) startTimers(now time.Time) {
+	v.startedAt = now
 	v.lastTick = now
 	v.nextDigest = now
-	v.nextProbe = now.Add(v.jitter(v.cfg.Options.ProbeEvery))
-	v.nextSync = now.Add(v.jitter(v.cfg.Options.SyncEvery))
+	v.nextProbe = now.Add(v.jitter(v.cfg.Options.ProbeInterval))
+	v.nextSync = now.Add(v.jitter(v.cfg.Options.SyncInterval))
 	v.nextJoin = now
 }
 
 func (v *View) jitter(d time.Duration) time.Duration { return time.Duration(v.random.Int64N(int64(d))) }
 
-// forgivePause starts waits anew when this router itself was paused. Without it a router that stood still for seconds
+// resetAfterPause starts waits anew when this router itself was paused. Without it a router that stood still for seconds
 // finds all its probes unanswered when it goes on, and tells the fleet that everybody is suspect.
-func (v *View) forgivePause(now time.Time) {
+func (v *View) resetAfterPause(now time.Time) {
 	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeWait {
 		return
 	}
-	v.probes = v.probes[:0]
+	v.pendingProbes = v.pendingProbes[:0]
 	for _, m := range v.members {
 		if m.status == pomelorelay.MemberSuspect {
-			m.suspected = now
+			m.suspectedAt = now
 		}
 	}
 }
@@ -198,7 +198,7 @@
 func (v *View) Alive(out []pomelorelay.Peer) []pomelorelay.Peer {
 	out = append(out, v.cfg.Self)
 	for _, m := range v.members {
-		if m.located && m.live() {
+		if m.addressKnown && m.live() {
 			out = append(out, m.peer)
 		}
 	}
@@ -208,17 +208,17 @@
 // Peers appends every router to which the mesh may connect: those with a known address that are listed or alive.
 func (v *View) Peers(out []pomelorelay.Peer) []pomelorelay.Peer {
 	for _, m := range v.members {
-		if m.located && (m.listed || m.live()) {
+		if m.addressKnown && (m.listed || m.live()) {
 			out = append(out, m.peer)
 		}
 	}
 	return out
 }
 
-func (v *View) forget(now time.Time) {
+func (v *View) purgeDead(now time.Time) {
 	kept := v.members[:0]
 	for _, m := range v.members {
-		if m.listed || m.live() || m.status == 0 || now.Sub(m.died) < v.cfg.Options.ForgetAfter {
+		if m.listed || m.live() || m.status == 0 || now.Sub(m.goneAt) < v.cfg.Options.DeadRetention {
 			kept = append(kept, m)
 			continue
 		}
--- a/tables_test.go
+++ b/tables_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestNumbersRiseAndNamesAreUnique(t *testing.T) {
+func TestNumbersAscendAndNamesAreUnique(t *testing.T) {
 	names := make(map[string]bool)
 	last := 0
 	for _, c := range pomelorelay.Codes() {
