--- a/pomelolog/limiter.go
+++ b/pomelolog/limiter.go
@@ -12,7 +12,7 @@
 // defaultPerSecond is the default number of lines per second of one event: more than the requests per second that a small host serves.
 const defaultPerSecond = 300
 
-// limiter limits the lines per second of each event and counts the suppressed ones. Without it a flood of requests would cause a flood
+// limiter bounds the lines per second of each event and counts the suppressed ones. Without it a flood of requests would cause a flood
 // of lines and use up the CPU. Limits are per event, so that a frequent event does not suppress the lines of others.
 type limiter struct {
 	limit      int
@@ -29,13 +29,14 @@
 	return &limiter{limit: perSecond, written: make(map[pomelorelay.EventID]int), suppressed: make(map[pomelorelay.EventID]int)}
 }
 
-// suppressedLines is the number of lines of an event that were suppressed within one second.
+// suppressedLines is an event with the number of its lines that were suppressed within one second.
 type suppressedLines struct {
 	event pomelorelay.EventID
 	count int
 }
 
-// allow reports whether a line of the event may be written now. The first call in a second also returns the lines suppressed before.
+// allow reports whether a line of the event may be written now. The first call in a second also returns the numbers of lines suppressed
+// before.
 func (l *limiter) allow(now time.Time, id pomelorelay.EventID) (bool, []suppressedLines) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pomelolog/logger.go
+++ b/pomelolog/logger.go
@@ -32,7 +32,7 @@
 	async   *log.AsyncWriter
 	limiter *limiter
 	clock   pomelorelay.Clock
-	// dropped counts the lines dropped because the queue was full, told those already logged as EventLinesLost.
+	// dropped is the number of lines dropped because the queue was full, droppedLogged the number last reported by EventLinesLost.
 	dropped       atomic.Uint64
 	droppedLogged atomic.Uint64
 }
--- a/pomelolog/logger_test.go
+++ b/pomelolog/logger_test.go
@@ -75,7 +75,7 @@
 	}
 	got := out.countByEvent(t)
 	if got[pomelorelay.EventRequestServed] != 11 || got[pomelorelay.EventRequestFailed] != 5 || got[pomelorelay.EventLinesLeftOut] != 1 {
-		t.Errorf("%v", got)
+		t.Errorf("lines by event: %v", got)
 	}
 }
 
--- a/pomelomember/bench_test.go
+++ b/pomelomember/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// BenchmarkSecond runs one second of a router among 360: its ticks and the digests that it gets.
+// BenchmarkSecond measures one second of a router in a fleet of 360: its ticks and the digests that it receives.
 func BenchmarkSecond(b *testing.B) {
 	f := newFleet(nil, 6, 60, 1)
 	f.startAll()
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -6,48 +6,49 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config holds what a View needs.
+// Config configures a View.
 type Config struct {
 	Self        pomelorelay.Peer
 	Incarnation pomelorelay.Incarnation
-	// Seeds are routers known from the settings, asked first when there is no host list.
+	// Seeds are routers named in the settings, which are contacted first while there is no host list.
 	Seeds []pomelorelay.Peer
-	// Seed feeds the choice of whom to probe.
+	// Seed is the seed of the random choices, such as the order of probes.
 	Seed    uint64
 	Options Options
 }
 
-// Options holds the intervals and bounds of a View; a zero field takes the default that its comment gives.
+// Options holds the intervals and limits of a View; a zero field means the default stated in its comment.
 type Options struct {
-	// DigestEvery is the interval of digests to every router of the failure domain; 1 s.
+	// DigestEvery is the minimum interval between periodic digests to the routers of the failure domain; default 1 s.
 	DigestEvery time.Duration
-	// DigestsPerSecond bounds the digests to the failure domain: past it the interval grows with the domain's routers; 60.
+	// DigestsPerSecond limits the rate of periodic digests to the failure domain; in larger domains the interval grows; default 60.
 	DigestsPerSecond int
-	// MinDigestInterval is the shortest wait before a digest that carries a new belief; 200 ms.
+	// MinDigestInterval is the minimum time between the last digest and an early one that carries a status change; default 200 ms.
 	MinDigestInterval time.Duration
-	// ProbeInterval is the interval of probes, each of one router of the failure domain; 300 ms.
+	// ProbeInterval is the time between probes, each of which goes to one router of the failure domain; default 300 ms.
 	ProbeInterval time.Duration
-	// ProbeWait is the wait for an answer before others are asked to probe, and again before the router is suspected; 300 ms.
+	// ProbeWait is the timeout of a probe, after which indirect probes are sent, and of these, after which the router is suspected;
+	// default 300 ms.
 	ProbeWait time.Duration
-	// SuspectFor is how long a suspected router may refute before it counts as dead; 1 s.
+	// SuspectFor is the time that a suspected router has to refute before it is declared dead; default 1 s.
 	SuspectFor time.Duration
-	// Helpers is the number of routers asked to probe another; 3.
+	// Helpers is the number of routers that probe an unresponsive router indirectly, and that send the full state to a new one; default 3.
 	Helpers int
-	// Gateways is the number of routers of a failure domain that keep a link to each other domain; 2.
+	// Gateways is the number of routers of a failure domain that send digests to each other domain; default 2.
 	Gateways int
-	// SyncInterval is the interval at which everything known is sent to one router; 10 s.
+	// SyncInterval is the time between full digests, each of which goes to one router; default 10 s.
 	SyncInterval time.Duration
-	// Retransmits is the number of digests that carry a changed belief; 3.
+	// Retransmits is the number of digests that carry a status change; default 3.
 	Retransmits int
-	// DomainSilent is how long a failure domain may be silent before it counts as unreachable; 5 s.
+	// DomainSilent is the time without messages after which a failure domain counts as unreachable; default 5 s.
 	DomainSilent time.Duration
-	// JoinInterval is the interval at which routers not yet heard are asked; 1 s.
+	// JoinInterval is the time between attempts to contact listed routers that are not known to be alive; default 1 s.
 	JoinInterval time.Duration
-	// DeadRetention is how long a dead router is remembered once it has left the host list; 10 min.
+	// DeadRetention is the time for which the record of a dead router is kept once it is not on the host list; default 10 min.
 	DeadRetention time.Duration
-	// MaxRelayedSlots bounds the slots of other failure domains that a gateway passes on in every fourth digest; 8.
+	// MaxRelayedSlots limits the slots of other failure domains that a gateway relays in every fourth digest; default 8.
 	MaxRelayedSlots int
-	// MaxAdvertisedSlots bounds the slots of this failure domain that a gateway tells another; 16.
+	// MaxAdvertisedSlots limits the slots of this failure domain that a gateway sends to another domain; default 16.
 	MaxAdvertisedSlots int
 }
 
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -6,20 +6,20 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxReached bounds the failure domains that one digest names.
-const maxReached = 64
+// maxReachedDomains limits the reached failure domains that are accepted from one digest.
+const maxReachedDomains = 64
 
-// relayInterval is the number of digests of which one carries slots of other failure domains: they go to every router of
-// the domain, so they are most of what a gateway sends.
+// relayInterval is the number of digests of which one carries slots of other failure domains. These slots go to every router
+// of the domain, so they make up most of a gateway's traffic.
 const relayInterval = 4
 
-// joinsEach is the number of routers not heard that are asked at each JoinEvery; a cold router asks more.
+// joinFanout is the number of absent routers contacted per JoinInterval, coldJoinFanout that for a router that knows no live router yet.
 const (
 	joinFanout     = 3
 	coldJoinFanout = 16
 )
 
-// Digest takes a router's digest.
+// Digest processes a digest received from a router and appends the replies.
 func (v *View) Digest(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, d *pomelorelay.Digest, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	known := v.lookup(from)
 	newProcess := known == nil || known.processIncarnation < incarnation
@@ -41,8 +41,8 @@
 	return v.sendCorrection(now, sender, out)
 }
 
-// acknowledge shows a router without a known address that it is heard. Only routers named by the settings are known
-// while there is no host list; without this they would hear the others and seem dead to them.
+// acknowledge replies to a router without a known address. Without a host list only the routers named in the settings are known;
+// if they did not reply, they would receive digests from the others and still be declared dead by them.
 func (v *View) acknowledge(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m == nil || now.Sub(m.lastNotified) < v.digestInterval()/2 {
 		return out
@@ -52,16 +52,16 @@
 	return append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Digest{Seq: v.digestSeq, Members: []pomelorelay.MemberState{v.selfState(), m.state()}}})
 }
 
-// recordReached notes which failure domains a router of this one heard.
+// recordReached records the failure domains that another router of this domain recently received messages from.
 func (v *View) recordReached(now time.Time, domains []pomelorelay.DomainID) {
-	for _, domain := range domains[:min(len(domains), maxReached)] {
+	for _, domain := range domains[:min(len(domains), maxReachedDomains)] {
 		if domain != v.cfg.Self.Domain {
 			v.domainSeen[domain] = now
 		}
 	}
 }
 
-// isGreeterFor reports whether this router is among the few that tell a newcomer everything.
+// isGreeterFor reports whether this router is one of the few that send the full state to a new router.
 func (v *View) isGreeterFor(node pomelorelay.NodeID) bool {
 	ranked := Rank("greet/"+string(node), v.domainMembers(v.cfg.Self.Domain))
 	for _, greeter := range ranked[:min(len(ranked), v.cfg.Options.Helpers)] {
@@ -72,8 +72,8 @@
 	return false
 }
 
-// sendCorrection tells a router that is heard what is believed of it when that is not alive, so that it can refute; without
-// it two sides of a healed partition would keep each other for dead.
+// sendCorrection informs a router that messages still arrive from of its status here if that is not alive, so that it can refute.
+// Without it, the two sides of a healed partition would keep considering each other dead.
 func (v *View) sendCorrection(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberLeaving || now.Sub(m.lastNotified) < v.cfg.Options.MinDigestInterval {
 		return out
@@ -83,7 +83,8 @@
 	return append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Digest{Seq: v.digestSeq, Members: []pomelorelay.MemberState{v.selfState(), m.state()}}})
 }
 
-// merge takes another router's belief: the higher incarnation wins, then the worse status.
+// merge applies a status received from another router: the higher incarnation wins, then the later status in the order of
+// MemberStatus. A router seen within MinDigestInterval becomes suspect instead of dead.
 func (v *View) merge(now time.Time, s pomelorelay.MemberState) {
 	if s.Node == v.cfg.Self.Node {
 		v.refute(s)
@@ -102,8 +103,8 @@
 	v.setStatus(now, m, s.Incarnation, s.Status)
 }
 
-// refute raises this router's incarnation above a belief that it is not alive. After a restart with a clock that ran
-// back, it also lifts it above that of its former process.
+// refute raises this router's incarnation above that of a status other than alive. After a restart with a clock set back, it
+// also raises it above the incarnation of the former process.
 func (v *View) refute(s pomelorelay.MemberState) {
 	if s.Incarnation < v.incarnation || s.Incarnation == v.incarnation && s.Status == pomelorelay.MemberAlive || v.leaving {
 		return
@@ -120,7 +121,7 @@
 	return pomelorelay.MemberState{Node: v.cfg.Self.Node, Incarnation: v.incarnation, Status: status}
 }
 
-// sendDigests sends this router's digest to its failure domain and, from gateways, to the others, when it is due.
+// sendDigests sends the digests of this router that are due: to its failure domain and, if it is a gateway, to other domains.
 func (v *View) sendDigests(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	due := !now.Before(v.nextDigest)
 	immediate := v.digestPending && now.Sub(v.lastDigest) >= v.cfg.Options.MinDigestInterval
@@ -139,14 +140,14 @@
 	return out
 }
 
-// digestInterval is the interval of digests. It grows with the failure domain: at a fixed one, 60 routers that each tell 59 others
-// four times a second would be seen to spend twice a node's control budget on digests.
+// digestInterval returns the interval between digests, which grows with the size of the failure domain. At a fixed interval, 60 routers
+// that each send digests to 59 others four times a second would spend twice a node's control budget on them.
 func (v *View) digestInterval() time.Duration {
 	routers := len(v.domainMembers(v.cfg.Self.Domain))
 	return max(v.cfg.Options.DigestEvery, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.DigestsPerSecond))
 }
 
-// changedStates returns this router's own state and the beliefs that changed lately.
+// changedStates returns this router's own state and the recent status changes, and counts this as one of their retransmits.
 func (v *View) changedStates() []pomelorelay.MemberState {
 	states := []pomelorelay.MemberState{v.selfState()}
 	for _, m := range v.members {
@@ -174,7 +175,7 @@
 	return out
 }
 
-// recentlySeenDomains returns the other failure domains from which a message came here lately.
+// recentlySeenDomains returns the other failure domains from which this router recently received a message.
 func (v *View) recentlySeenDomains(now time.Time) []pomelorelay.DomainID {
 	var domains []pomelorelay.DomainID
 	maxAge := 2 * v.digestInterval()
@@ -198,8 +199,8 @@
 	return false
 }
 
-// join asks routers that are listed but not believed alive: newcomers, the other side of a healed partition, and
-// everybody when this router starts.
+// join contacts routers that are listed but not known to be alive: new ones, those across a healed partition and, when this
+// router starts, all.
 func (v *View) join(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if now.Before(v.nextJoin) {
 		return out
@@ -227,7 +228,7 @@
 	return out
 }
 
-// sync sends everything known to one router, which mends what lost digests left.
+// sync sends the full state to one router from time to time, which repairs differences caused by lost digests.
 func (v *View) sync(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if now.Before(v.nextSync) {
 		return out
--- a/pomelomember/doc.go
+++ b/pomelomember/doc.go
@@ -1,7 +1,8 @@
-// Package pomelomember decides which routers are alive and which of them does
-// a shared job. It joins the platform's host list with suspicion by probes and
-// incarnations, and places jobs by rendezvous hashing.
+// Package pomelomember implements the membership protocol of the router fleet,
+// and assigns shared jobs to live routers by rendezvous hashing. It combines
+// the platform's host list with failure detection in the manner of SWIM:
+// probes, indirect probes, suspicion, and incarnations for refutation.
 //
-// It is a decision part: no goroutines, no locks, no I/O. A View is not safe
-// for concurrent use; a Snapshot is immutable and may be shared.
+// The package has no goroutines, locks or I/O. A View is not safe for
+// concurrent use; a Snapshot is immutable and may be shared.
 package pomelomember
--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -13,14 +13,14 @@
 	"github.com/pomelorelay/pomelorelay/pomelomesh"
 )
 
-// envelopeBytes is what grpc, HTTP/2 and TLS add to a message that travels alone, as the mesh's BenchmarkJourney counts it.
+// envelopeBytes is the overhead of gRPC, HTTP/2 and TLS for a message sent alone, as counted by BenchmarkJourney of pomelomesh.
 const envelopeBytes = 59
 
 const tick = 50 * time.Millisecond
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// delivery is a message on its way in virtual time.
+// delivery is a message in flight in virtual time.
 type delivery struct {
 	at          time.Time
 	seq         int
@@ -53,7 +53,7 @@
 	sentBytes   int
 }
 
-// fleet runs views on virtual time with a seed.
+// fleet simulates a fleet of Views in virtual time, deterministically for a seed.
 type fleet struct {
 	t        *testing.T
 	now      time.Time
@@ -64,11 +64,11 @@
 	seq      int
 	loss     float64
 	blocked  func(from, to pomelorelay.Peer) bool
-	deaths   map[pomelorelay.NodeID]time.Time // the first time that a router was declared dead
+	deaths   map[pomelorelay.NodeID]time.Time // when a router was first declared dead
 	options  pomelomember.Options
 
-	suspicions   int // digests that called a router suspect
-	foreignSlots int // slots of another failure domain in digests that routers got from their own
+	suspicions   int // suspect states in received digests
+	foreignSlots int // slots of other failure domains in digests received within a domain
 
 	measured     pomelorelay.Message
 	measuredSize int
@@ -98,7 +98,7 @@
 	return hosts
 }
 
-// start gives a router a fresh process; seeds stand in for the host list when it is gone.
+// start starts a new process of a router; seeds replace the host list if there is none.
 func (f *fleet) start(r *router, hosts []pomelorelay.Host, seeds ...pomelorelay.Peer) {
 	r.incarnation = pomelorelay.Incarnation(f.now.UnixNano())
 	r.up = true
@@ -128,7 +128,7 @@
 	}
 }
 
-// size returns what a message takes on the way; one digest goes to many routers in a row.
+// size returns the wire size of a message; it caches the last one, since a digest is sent to many routers in succession.
 func (f *fleet) size(m pomelorelay.Message) int {
 	if m == f.measured {
 		return f.measuredSize
@@ -205,7 +205,7 @@
 	}
 }
 
-// viewsAgree returns whether every running router of a domain sees just the running ones of the observed domain.
+// viewsAgree reports whether all running routers of a domain have exactly the running routers of the observed domain as members.
 func (f *fleet) viewsAgree(viewers, observed pomelorelay.DomainID) bool {
 	var up []pomelorelay.NodeID
 	for _, r := range f.routers {
@@ -232,7 +232,7 @@
 	return true
 }
 
-// converge runs until all agree and returns how long that took.
+// converge runs the fleet until all views agree and returns the time that took; it fails the test after the limit.
 func (f *fleet) converge(limit time.Duration) time.Duration {
 	f.t.Helper()
 	start := f.now
@@ -246,8 +246,8 @@
 }
 
 func TestDigestRateIsBoundedInLargeDomain(t *testing.T) {
-	// A failure domain of 60 routers is set to a digest each 250 ms. Were that kept, each router would send 236 digests a second, more
-	// than a node's whole control budget in bytes.
+	// A failure domain of 60 routers is configured for a digest every 250 ms. At that interval each router would send 236 digests a
+	// second, which exceeds the entire control budget of a node in bytes.
 	for _, c := range []struct{ routers, minRate, maxRate int }{{8, 28, 36}, {60, 59, 72}} {
 		f := newFleet(t, 1, c.routers, 1)
 		f.options.DigestEvery = 250 * time.Millisecond
--- a/pomelomember/gateway.go
+++ b/pomelomember/gateway.go
@@ -6,7 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// sendGatewayDigests sends the state of this failure domain to the others, if this router is one of their gateways.
+// sendGatewayDigests sends the recent status changes and slots of this failure domain to the other domains that this router is a
+// gateway to.
 func (v *View) sendGatewayDigests(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	return v.sendGatewayStates(now, v.changedStates(), out)
 }
@@ -26,7 +27,7 @@
 	return out
 }
 
-// externalDigest returns the digest for other failure domains: news of this one's routers and its most useful slots.
+// externalDigest returns the digest for other failure domains, with the given states of this domain's routers and its best slots.
 func (v *View) externalDigest(states []pomelorelay.MemberState) *pomelorelay.Digest {
 	v.digestSeq++
 	digest := &pomelorelay.Digest{Seq: v.digestSeq}
@@ -39,8 +40,8 @@
 	return digest
 }
 
-// counterpart returns the router of another failure domain to which this one keeps a link, or false when others do.
-// While the other domain is silent, its listed routers are tried at random.
+// counterpart returns the router of another failure domain that this router sends digests to, or false if it is no gateway to that
+// domain. While the other domain is unreachable, its known routers are tried at random.
 func (v *View) counterpart(now time.Time, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	index := v.gatewayIndex(domain)
 	if index < 0 {
@@ -58,11 +59,11 @@
 	return ranked[index%len(ranked)], true
 }
 
-// gatewayIndex returns this router's place among the gateways to a failure domain, or -1 when it is none.
+// gatewayIndex returns this router's index among the gateways to a failure domain, or -1 if it is none.
 func (v *View) gatewayIndex(domain pomelorelay.DomainID) int {
 	members := v.domainMembers(v.cfg.Self.Domain)
 	if v.leaving && len(members) == 0 {
-		// All routers of the domain stop; somebody has to tell the others.
+		// All routers of the domain are stopping, and other domains must be informed.
 		return 0
 	}
 	ranked := Rank(linkKey(v.cfg.Self.Domain, domain), members)
@@ -74,12 +75,12 @@
 	return -1
 }
 
-// linkKey names the pair of failure domains, the same from both sides.
+// linkKey returns the rendezvous hashing key for a pair of failure domains, in either order.
 func linkKey(a, b pomelorelay.DomainID) string {
 	return "gateway/" + string(min(a, b)) + "/" + string(max(a, b))
 }
 
-// domainReachable reports whether a failure domain was heard lately, here or by a router of this domain.
+// domainReachable reports whether a router of this domain received a message from the failure domain within DomainSilent.
 func (v *View) domainReachable(now time.Time, domain pomelorelay.DomainID) bool {
 	if domain == v.cfg.Self.Domain {
 		return true
--- a/pomelomember/member.go
+++ b/pomelomember/member.go
@@ -8,42 +8,42 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// member is what is believed of one router.
+// member is the record of one router.
 type member struct {
 	peer               pomelorelay.Peer
-	incarnation        pomelorelay.Incarnation // of the belief, raised by refutations
-	processIncarnation pomelorelay.Incarnation // of the process, as on its envelopes
+	incarnation        pomelorelay.Incarnation // of status; raised by refutations
+	processIncarnation pomelorelay.Incarnation // of the process, from its envelopes
 	status             pomelorelay.MemberStatus
 	addressKnown       bool // domain and address are known
 	listed             bool // on the last host list or among the seeds
-	draining           bool // leaving by the host list
+	draining           bool // leaving according to the host list
 	lastSeen           time.Time
 	suspectedAt        time.Time
 	goneAt             time.Time
-	lastNotified       time.Time // when it was last told what is believed of it
-	retransmits        int       // digests that still carry the belief
+	lastNotified       time.Time // when its status was last sent to it
+	retransmits        int       // remaining digests that carry the status
 }
 
-// live reports whether the router is believed to work; a suspected one is until the suspicion is confirmed.
+// live reports whether the router counts as alive; a suspected one does until the suspicion is confirmed.
 func (m *member) live() bool {
 	return m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberSuspect
 }
 
-// receivesDigests reports whether the router takes digests: one that stops does until it has ended, which shows as silence. It still has
-// claims to settle and must know with whom; without digests it would turn to routers that have gone, and its stop would not end.
+// receivesDigests reports whether digests are sent to the router. A stopping router gets them until it has been silent for maxSilence:
+// it still has to settle claims, and without digests it would send them to routers that are gone and never finish stopping.
 func (m *member) receivesDigests(now time.Time, maxSilence time.Duration) bool {
 	stopping := m.status == pomelorelay.MemberLeaving && now.Sub(m.lastSeen) < maxSilence
 	return m.addressKnown && (m.live() || stopping)
 }
 
-// assignable reports whether shared jobs may be given to the router.
+// assignable reports whether shared jobs may be assigned to the router.
 func (m *member) assignable() bool { return m.addressKnown && m.live() && !m.draining }
 
 func (m *member) state() pomelorelay.MemberState {
 	return pomelorelay.MemberState{Node: m.peer.Node, Incarnation: m.incarnation, Status: m.status}
 }
 
-// member returns the record of a router and makes one when there is none.
+// member returns the record of a router, which it creates if there is none.
 func (v *View) member(node pomelorelay.NodeID) *member {
 	if m := v.lookup(node); m != nil {
 		return m
@@ -57,10 +57,10 @@
 	return m
 }
 
-// lookup returns the record of a router, or nil when there is none.
+// lookup returns the record of a router, or nil if there is none.
 func (v *View) lookup(node pomelorelay.NodeID) *member { return v.byNode[node] }
 
-// setStatus sets a member's status and notes the change for digests, for Changes and for the next Snapshot.
+// setStatus sets a member's status, schedules it for digests, adds changes of liveness to v.changes and invalidates the snapshot.
 func (v *View) setStatus(now time.Time, m *member, incarnation pomelorelay.Incarnation, status pomelorelay.MemberStatus) {
 	restarted := incarnation > m.incarnation && m.processIncarnation != 0 && incarnation > m.processIncarnation+maxRefutations
 	wasLive := m.live()
@@ -83,5 +83,6 @@
 	v.digestPending = true
 }
 
-// maxRefutations separates an incarnation raised by refutations from that of a new process: starts are nanoseconds apart by far more.
+// maxRefutations is the maximum difference between incarnations of the same process: refutations add one each, while the start times
+// of two processes are many more nanoseconds apart.
 const maxRefutations = 1 << 20
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// probe is a question that waits for an answer.
+// probe is a probe sent by this router and not yet answered.
 type probe struct {
 	node     pomelorelay.NodeID
 	seq      uint64
@@ -14,7 +14,7 @@
 	indirect bool
 }
 
-// relayedProbe is a question asked for another router.
+// relayedProbe is an indirect probe sent on behalf of another router.
 type relayedProbe struct {
 	seq          uint64
 	requester    pomelorelay.NodeID
@@ -22,10 +22,10 @@
 	sentAt       time.Time
 }
 
-// maxRelayedProbes bounds the questions asked for others at once.
+// maxRelayedProbes limits the unanswered indirect probes sent on behalf of other routers.
 const maxRelayedProbes = 256
 
-// Probe answers a probe or passes it on.
+// Probe processes a received probe: it appends the answer or, if the probe has another target, an indirect probe.
 func (v *View) Probe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.Heard(now, from, incarnation)
 	if p.Target == "" || p.Target == v.cfg.Self.Node {
@@ -39,7 +39,7 @@
 	return append(out, pomelorelay.Outgoing{To: p.Target, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
-// ProbeAck takes the answer to a probe.
+// ProbeAck processes the answer to a probe and, if the probe was sent on behalf of another router, forwards the answer.
 func (v *View) ProbeAck(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, a *pomelorelay.ProbeAck, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.Heard(now, from, incarnation)
 	if a.Target != "" {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// recordIndirectAck takes another router's word that a probed one answered it. So a path that is cut in one direction only does
-// not make a working router dead.
+// recordIndirectAck records that a probed router answered an indirect probe, so that a path broken in one direction only does not
+// get a working router declared dead.
 func (v *View) recordIndirectAck(now time.Time, a *pomelorelay.ProbeAck) {
 	for _, p := range v.pendingProbes {
 		if p.seq != a.Seq || p.node != a.Target {
@@ -69,7 +69,7 @@
 	}
 }
 
-// probeNext asks the next router of the failure domain, in rounds of random order.
+// probeNext probes the next router of the failure domain; each round covers all of them in random order.
 func (v *View) probeNext(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if now.Before(v.nextProbe) {
 		return out
@@ -112,7 +112,7 @@
 	return append(out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
-// checkProbes asks others to probe a router that did not answer, and suspects it when they get no answer either.
+// checkProbes sends indirect probes for a router that did not answer, and suspects it if these get no answer either.
 func (v *View) checkProbes(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	kept := v.pendingProbes[:0]
 	for _, p := range v.pendingProbes {
@@ -162,7 +162,7 @@
 	v.relayedProbes = kept
 }
 
-// confirmSuspects declares suspected routers dead that neither refuted nor were heard here since.
+// confirmSuspects declares suspected routers dead that have neither refuted nor sent this router a message within SuspectFor.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
 		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspectFor {
--- a/pomelomember/rank.go
+++ b/pomelomember/rank.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank returns the nodes in the order in which they take the job named by key; every router computes the same order,
-// and a node that comes or goes moves only the jobs that it takes or had.
+// Rank returns the nodes in order of preference for the job with the given key, by rendezvous hashing: every router computes the
+// same order, and adding or removing a node moves only the jobs of that node.
 func Rank(key string, nodes []pomelorelay.NodeID) []pomelorelay.NodeID {
 	hash := xxhash.Sum64String(key)
 	scored := make([]scoredNode, len(nodes))
@@ -25,13 +25,13 @@
 	return ranked
 }
 
-// scoredNode is a node with its score for one key.
+// scoredNode is a node with its score for a key.
 type scoredNode struct {
 	node  pomelorelay.NodeID
 	score uint64
 }
 
-// Owner returns the first node of the rank without sorting, or false when there are no nodes.
+// Owner returns the first node of Rank without sorting, or false if there are no nodes.
 func Owner(key string, nodes []pomelorelay.NodeID) (pomelorelay.NodeID, bool) {
 	if len(nodes) == 0 {
 		return "", false
@@ -50,7 +50,7 @@
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.node, b.node))
 }
 
-// score mixes the hashes of key and node with the finaliser of SplitMix64.
+// score combines the hashes of key and node with the finaliser of SplitMix64.
 func score(key uint64, node pomelorelay.NodeID) uint64 {
 	x := key + 0x9e3779b97f4a7c15*xxhash.Sum64String(string(node))
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/pomelomember/slots.go
+++ b/pomelomember/slots.go
@@ -8,16 +8,16 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// slotTTL is how long a slot's digest is passed on without news of it.
+// slotTTL is the time for which a slot digest is relayed without being refreshed.
 const slotTTL = 5 * time.Second
 
-// receivedSlot is a slot digest with the time at which it arrived.
+// receivedSlot is a slot digest with its time of receipt.
 type receivedSlot struct {
 	slot       pomelorelay.SlotDigest
 	receivedAt time.Time
 }
 
-// slotTable holds the slots that this router owns and those that it passes on between failure domains.
+// slotTable holds the slots that this router owns and those that it relays between failure domains.
 type slotTable struct {
 	owned    []pomelorelay.SlotDigest
 	received map[pomelorelay.UpstreamID]receivedSlot
@@ -31,8 +31,8 @@
 	v.slots.owned = append(v.slots.owned[:0], slots...)
 }
 
-// record notes the slots that come from their own failure domain. Those passed on by others are left out, or two gateways
-// of a domain would tell each other of a dead owner's slots for ever.
+// record stores slots that were received directly from their own failure domain. Relayed slots are ignored: two gateways of a
+// domain would otherwise keep refreshing a dead owner's slots for each other.
 func (t *slotTable) record(now time.Time, from pomelorelay.DomainID, slots []pomelorelay.SlotDigest) {
 	t.now = now
 	for i := range slots {
@@ -46,8 +46,8 @@
 	return append(out, t.owned...)
 }
 
-// appendBest appends the slots of this failure domain, or of the others, that routers elsewhere can do most with: the idle
-// ones, then those that serve the highest tags.
+// appendBest appends up to limit slots of the given failure domain (local) or of all others, best first: those with the most idle
+// capacity, then those that serve the highest tags.
 func (t *slotTable) appendBest(domain pomelorelay.DomainID, local bool, limit int, out []pomelorelay.SlotDigest) []pomelorelay.SlotDigest {
 	found := t.unexpired(func(s *pomelorelay.SlotDigest) bool { return (s.Domain == domain) == local })
 	if local {
@@ -61,13 +61,13 @@
 
 func (t *slotTable) unexpired(wanted func(*pomelorelay.SlotDigest) bool) []pomelorelay.SlotDigest {
 	var found []pomelorelay.SlotDigest
-	for upstream, h := range t.received {
-		if t.now.Sub(h.receivedAt) >= slotTTL {
+	for upstream, r := range t.received {
+		if t.now.Sub(r.receivedAt) >= slotTTL {
 			delete(t.received, upstream)
 			continue
 		}
-		if wanted(&h.slot) {
-			found = append(found, h.slot)
+		if wanted(&r.slot) {
+			found = append(found, r.slot)
 		}
 	}
 	return found
--- a/pomelomember/snapshot.go
+++ b/pomelomember/snapshot.go
@@ -14,14 +14,14 @@
 	byNode  map[pomelorelay.NodeID]pomelorelay.Peer
 }
 
-// Domain is a failure domain with its live routers; Members leaves out those that the host list says are leaving.
+// Domain is a failure domain with its live routers; Members excludes routers that are leaving according to the host list.
 type Domain struct {
 	ID      pomelorelay.DomainID
 	Region  pomelorelay.RegionID
 	Members []pomelorelay.NodeID
 }
 
-// Members returns the live routers of a failure domain in the order of their names; the caller must not change it.
+// Members returns the live routers of a failure domain, sorted by name; the caller must not modify the slice.
 func (s *Snapshot) Members(domain pomelorelay.DomainID) []pomelorelay.NodeID {
 	for i := range s.domains {
 		if s.domains[i].ID == domain {
@@ -31,21 +31,21 @@
 	return nil
 }
 
-// Domains returns the failure domains in the order of their names; the caller must not change it.
+// Domains returns the failure domains, sorted by name; the caller must not modify the slice.
 func (s *Snapshot) Domains() []Domain { return s.domains }
 
-// Peer returns a live router by its name.
+// Peer returns the live router with the given name, or false if there is none.
 func (s *Snapshot) Peer(node pomelorelay.NodeID) (pomelorelay.Peer, bool) {
 	p, ok := s.byNode[node]
 	return p, ok
 }
 
-// Owner returns the live router of a failure domain that does the job named by key, or false when there is none.
+// Owner returns the live router of a failure domain that owns the job with the given key, or false if the domain has none.
 func (s *Snapshot) Owner(key string, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	return Owner(key, s.Members(domain))
 }
 
-// Snapshot returns the live members as they are now; it is the same one until something changes.
+// Snapshot returns the current live routers; the result is cached until they change.
 func (v *View) Snapshot() *Snapshot {
 	if v.snapshot != nil {
 		return v.snapshot
@@ -81,7 +81,7 @@
 	s.domains = append(s.domains, Domain{ID: p.Domain, Region: p.Region, Members: []pomelorelay.NodeID{p.Node}})
 }
 
-// Reachable appends the failure domains that were heard lately, this router's own included, in the order of their names.
+// Reachable appends the reachable failure domains, including this router's own, sorted by name.
 func (v *View) Reachable(now time.Time, out []pomelorelay.DomainID) []pomelorelay.DomainID {
 	for _, domain := range v.Snapshot().domains {
 		if v.domainReachable(now, domain.ID) {
--- a/pomelomember/view.go
+++ b/pomelomember/view.go
@@ -7,12 +7,12 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// View is what one router believes of the fleet.
+// View is one router's view of the fleet's membership.
 type View struct {
 	cfg         Config
 	incarnation pomelorelay.Incarnation
 	leaving     bool
-	members     []*member // in the order of their names, without this router
+	members     []*member // sorted by name, without this router
 	byNode      map[pomelorelay.NodeID]*member
 	changes     []Change
 	snapshot    *Snapshot
@@ -36,14 +36,14 @@
 	slots             slotTable
 }
 
-// Change tells that a router came, left, died or restarted.
+// Change is a change of a router's liveness: it joined, left, died or restarted.
 type Change struct {
 	Peer        pomelorelay.Peer
 	Incarnation pomelorelay.Incarnation
 	Status      pomelorelay.MemberStatus
 }
 
-// New returns a View that knows itself and its seeds.
+// New returns a View that contains this router and the seeds.
 func New(cfg Config) *View {
 	cfg.Options = cfg.Options.withDefaults()
 	v := &View{cfg: cfg, incarnation: cfg.Incarnation, byNode: make(map[pomelorelay.NodeID]*member), domainSeen: make(map[pomelorelay.DomainID]time.Time)}
@@ -61,8 +61,8 @@
 	return v
 }
 
-// Hosts takes the platform's host list, which may lag. An empty list is ignored: the platform has lost it, not the
-// fleet its hosts. A router that is missing on the list stays for as long as it is heard.
+// Hosts applies the platform's host list, which may be out of date. A list without other routers is ignored, since it is more likely
+// a fault of the platform than the loss of all hosts. An unlisted router stays a member while it responds.
 func (v *View) Hosts(now time.Time, hosts []pomelorelay.Host, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	listed := make(map[pomelorelay.NodeID]bool)
 	for i := range hosts {
@@ -82,7 +82,7 @@
 	return out
 }
 
-// Located reports whether a router's address is known from the host list or the seeds.
+// Located reports whether a router's address and failure domain are known from the host list or the seeds.
 func (v *View) Located(node pomelorelay.NodeID) bool {
 	m := v.lookup(node)
 	return node == v.cfg.Self.Node || m != nil && m.addressKnown
@@ -104,7 +104,7 @@
 	}
 }
 
-// Heard notes that a message of any kind arrived from a router; the incarnation is that of its envelope.
+// Heard records that a message of any type arrived from a router; incarnation is that of the message's envelope.
 func (v *View) Heard(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	if from == v.cfg.Self.Node {
 		return
@@ -125,14 +125,14 @@
 	}
 }
 
-// Farewell takes a router's notice that it stops.
+// Farewell processes a router's announcement that it is stopping.
 func (v *View) Farewell(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, f *pomelorelay.Farewell, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.Heard(now, from, incarnation)
 	v.merge(now, pomelorelay.MemberState{Node: from, Incarnation: max(incarnation, f.Incarnation), Status: pomelorelay.MemberLeaving})
 	return out
 }
 
-// Leave returns the notices that this router stops.
+// Leave marks this router as leaving and appends the messages that announce it.
 func (v *View) Leave(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.leaving = true
 	v.snapshot = nil
@@ -144,7 +144,7 @@
 	return v.sendGatewayDigests(now, out)
 }
 
-// Tick sends what is due; call it every 100 ms or more often.
+// Tick runs the timers and appends the messages that are due; it must be called at least every 100 ms.
 func (v *View) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if v.startedAt.IsZero() {
 		v.startTimers(now)
@@ -173,8 +173,8 @@
 
 func (v *View) jitter(d time.Duration) time.Duration { return time.Duration(v.random.Int64N(int64(d))) }
 
-// resetAfterPause starts waits anew when this router itself was paused. Without it a router that stood still for seconds
-// finds all its probes unanswered when it goes on, and tells the fleet that everybody is suspect.
+// resetAfterPause restarts the timeouts if this router itself was paused. Without it, a router that resumes after a pause of seconds
+// would find all its probes unanswered and report every other router as suspect.
 func (v *View) resetAfterPause(now time.Time) {
 	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeWait {
 		return
@@ -187,14 +187,14 @@
 	}
 }
 
-// Changes appends who came and went since the last call.
+// Changes appends the changes since the last call.
 func (v *View) Changes(out []Change) []Change {
 	out = append(out, v.changes...)
 	v.changes = v.changes[:0]
 	return out
 }
 
-// Alive appends the routers that are believed alive and whose address is known, this one included.
+// Alive appends the live routers whose address is known, including this one.
 func (v *View) Alive(out []pomelorelay.Peer) []pomelorelay.Peer {
 	out = append(out, v.cfg.Self)
 	for _, m := range v.members {
@@ -205,7 +205,7 @@
 	return out
 }
 
-// Peers appends every router to which the mesh may connect: those with a known address that are listed or alive.
+// Peers appends the routers that the mesh may connect to: those with a known address that are listed or alive.
 func (v *View) Peers(out []pomelorelay.Peer) []pomelorelay.Peer {
 	for _, m := range v.members {
 		if m.addressKnown && (m.listed || m.live()) {
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestKilledRouterIsDetected(t *testing.T) {
-	// A host loses its power. Until the others notice, what it owned stands idle and its accounts wait.
+	// A host loses power. Until the others detect it, the upstreams whose slots it owned are idle and their accounts wait.
 	var slowest, total time.Duration
 	const seeds = 20
 	for seed := range uint64(seeds) {
@@ -29,7 +29,8 @@
 }
 
 func TestLossAndPausesCauseNoFalseDeaths(t *testing.T) {
-	// One message in a hundred is lost and routers stand still for up to a second, as when memory is collected or a host is moved. A router wrongly declared dead loses its jobs for nothing.
+	// One message in a hundred is lost and routers pause for up to a second, as in garbage collection or a live migration. A router
+	// that is wrongly declared dead loses its jobs needlessly.
 	f := newFleet(t, 1, 30, 3)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -49,14 +50,15 @@
 }
 
 func TestPausedRouterDeclaresNoneDead(t *testing.T) {
-	// A router suspects another that was slow, then stands still itself for 20 s. When it goes on, the time to refute seems long over, but nothing could have reached it.
+	// A router suspects a slow one and then pauses for 20 s itself. When it resumes, the time to refute appears to have expired,
+	// although no refutation could have reached it.
 	f := newFleet(t, 1, 3, 4)
 	f.startAll()
 	f.converge(10 * time.Second)
 	f.routers[1].up = false
 	for steps := 0; f.suspicions == 0; steps++ {
 		if steps == 100 {
-			t.Fatal("never suspected")
+			t.Fatal("stopped router was never suspected")
 		}
 		f.run(tick)
 	}
@@ -64,7 +66,7 @@
 	later := f.now.Add(20 * time.Second)
 	v.Tick(later, nil)
 	if changes := v.Changes(nil); len(changes) != 0 {
-		t.Errorf("declared at once: %+v", changes)
+		t.Errorf("changes immediately after the pause: %+v", changes)
 	}
 	v.Heard(later.Add(tick), "r0-01", f.routers[1].incarnation)
 	v.Tick(later.Add(2*time.Second), nil)
@@ -74,7 +76,8 @@
 }
 
 func TestUnlistedRouterRejoins(t *testing.T) {
-	// A running router has fallen off the host list, and while its switch is down it seems dead. Nobody asks for it any more, so it must learn from the answers that it has to refute.
+	// A running router is missing from the host list and is declared dead while its network is down. Since unlisted routers are not
+	// contacted, it must learn from the replies to its own messages that it has to refute.
 	f := newFleet(t, 1, 6, 15)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -85,13 +88,14 @@
 	f.run(9 * time.Second)
 	f.routers[5].up = true
 	if f.deaths["r0-05"].IsZero() {
-		t.Fatal("not declared dead while it was away")
+		t.Fatal("not declared dead while disconnected")
 	}
 	f.converge(5 * time.Second)
 }
 
 func TestSlotsOfDeadDomainAreNotRelayed(t *testing.T) {
-	// A failure domain goes dark. If gateways repeated each other's word of it, routers would go on registering at slots that are gone.
+	// A failure domain fails completely. If gateways kept relaying each other's digests of it, routers would go on registering demand
+	// for slots that are gone.
 	f := newFleet(t, 2, 6, 16)
 	f.startAll()
 	for _, r := range f.routers {
@@ -99,7 +103,7 @@
 	}
 	f.run(10 * time.Second)
 	if f.foreignSlots == 0 {
-		t.Fatal("no slots of the other domain were passed on")
+		t.Fatal("no slots of the other domain were relayed")
 	}
 	for _, r := range f.routers[6:] {
 		r.up = false
@@ -108,24 +112,25 @@
 	f.foreignSlots = 0
 	f.run(20 * time.Second)
 	if f.foreignSlots != 0 {
-		t.Errorf("%d slots passed on", f.foreignSlots)
+		t.Errorf("%d slots of the dead domain relayed", f.foreignSlots)
 	}
 }
 
 func TestOneWayLinkFailureCausesNoFalseDeaths(t *testing.T) {
-	// A faulty route drops packets from one router to one other, in that direction only. Both still work for everybody else.
+	// A network fault drops packets from one router to another in that direction only. Both still work for all other routers.
 	f := newFleet(t, 1, 10, 5)
 	f.startAll()
 	f.converge(10 * time.Second)
 	f.blocked = func(from, to pomelorelay.Peer) bool { return from.Node == "r0-01" && to.Node == "r0-02" }
 	f.run(5 * time.Minute)
 	if len(f.deaths) != 0 || f.suspicions != 0 {
-		t.Errorf("declared dead: %v; %d words of suspicion", f.deaths, f.suspicions)
+		t.Errorf("declared dead: %v; %d suspicions", f.deaths, f.suspicions)
 	}
 }
 
 func TestHealedPartitionRejoins(t *testing.T) {
-	// Half a failure domain is cut off for a minute, so each half keeps the other for dead, and the platform's list comes back empty meanwhile. After the heal both come back, though no process restarted.
+	// A failure domain is partitioned into halves for a minute, so that each half declares the other dead, after the platform has
+	// returned an empty host list. After the heal all routers must rejoin although no process has restarted.
 	f := newFleet(t, 1, 20, 6)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -136,14 +141,15 @@
 	f.blocked = func(from, to pomelorelay.Peer) bool { return (from.Node < "r0-10") != (to.Node < "r0-10") }
 	f.run(time.Minute)
 	if len(f.deaths) != 20 {
-		t.Fatalf("%d declared dead on one side or the other", len(f.deaths))
+		t.Fatalf("%d routers declared dead by the other half, want 20", len(f.deaths))
 	}
 	f.blocked = nil
-	t.Logf("20 routers agree %v after the heal", f.converge(20*time.Second))
+	t.Logf("20 routers converge %v after the heal", f.converge(20*time.Second))
 }
 
 func TestDomainPartitionAndHeal(t *testing.T) {
-	// A failure domain is cut off from the others, one way at first. It must be seen as unreachable, not as sixty dead routers, and be back soon after.
+	// Messages from a failure domain to the others are lost. The domain must count as unreachable rather than each of its routers as
+	// dead, and must become reachable again soon after the heal.
 	f := newFleet(t, 3, 6, 7)
 	f.startAll()
 	f.converge(20 * time.Second)
@@ -178,7 +184,7 @@
 	f.run(tick)
 	r.up = false
 	if !f.viewsAgree("domain-0", "domain-0") {
-		t.Error("still a member after its farewell")
+		t.Error("still a member after announcing that it stops")
 	}
 	f.converge(10 * time.Second)
 	if len(f.deaths) != 0 {
@@ -188,8 +194,8 @@
 	f.converge(20 * time.Second)
 }
 
-// Hosts are replaced one after another, each router stopping while the one before still ends its requests. A router that hears nothing
-// more once it stops would send what it has to settle to routers that have gone; one would notice stops that run into their time limit.
+// Hosts are replaced one after another, and each router stops while the previous one still finishes its requests. A stopping router
+// that gets no digests would send its claims for settlement to routers that are gone, and its stop would run into the time limit.
 func TestStoppingRouterLearnsOfOtherDepartures(t *testing.T) {
 	f := newFleet(t, 3, 2, 11)
 	f.startAll()
@@ -206,7 +212,7 @@
 	f.run(10 * time.Second)
 	for _, i := range []int{1, 2} {
 		if _, known := slow.view.Snapshot().Peer(f.routers[i].peer.Node); known {
-			t.Errorf("%s has gone and is still a member for the stopping router", f.routers[i].peer.Node)
+			t.Errorf("%s is gone but still a member in the view of the stopping router", f.routers[i].peer.Node)
 		}
 	}
 	if got := slow.view.Reachable(f.now, nil); len(got) != 2 {
@@ -218,7 +224,8 @@
 }
 
 func TestHalfTheFleetRestartsSimultaneously(t *testing.T) {
-	// A faulty image is rolled back: every second router comes up empty within the same moment, some before the others saw them die.
+	// A faulty image is rolled back: every second router restarts without state at the same time, some before the others detected
+	// that they had stopped.
 	f := newFleet(t, 3, 20, 9)
 	f.startAll()
 	f.converge(20 * time.Second)
@@ -233,11 +240,11 @@
 			f.start(r, f.hosts())
 		}
 	}
-	t.Logf("60 routers agree %v after half restarted", f.converge(30*time.Second))
+	t.Logf("60 routers converge %v after half of them restarted", f.converge(30*time.Second))
 }
 
 func TestRollingRestartsUnderLoss(t *testing.T) {
-	// 190 hosts of 360 are restarted or replaced on an ordinary day; here 19 of 36, one each minute, under 1% loss.
+	// 190 of 360 hosts are restarted or replaced on an ordinary day; here 19 of 36 are restarted, one per minute, with 1% message loss.
 	f := newFleet(t, 3, 12, 10)
 	f.startAll()
 	f.converge(20 * time.Second)
@@ -256,7 +263,8 @@
 }
 
 func TestColdStartWithoutHostList(t *testing.T) {
-	// The platform is down while a whole failure domain comes up. The settings name two routers; the rest is learnt once the list is back.
+	// The platform is down while a failure domain starts. The settings name two routers; the others are found once the host list is
+	// available again.
 	f := newFleet(t, 1, 6, 11)
 	seeds := []pomelorelay.Peer{f.routers[0].peer, f.routers[1].peer}
 	for _, r := range f.routers {
@@ -276,7 +284,7 @@
 }
 
 func TestStaleHostList(t *testing.T) {
-	// The list still names a host that is dead, does not yet name one that runs, and then comes back empty. Views follow what is heard.
+	// The host list still has a dead host, lacks a running one, and is then returned empty. The views must follow the messages received.
 	f := newFleet(t, 1, 8, 12)
 	all := f.hosts()
 	for _, r := range f.routers[1:] {
@@ -294,7 +302,8 @@
 }
 
 func TestMessagesOfFormerProcessAreIgnored(t *testing.T) {
-	// A message of a router's former process arrives after its successor is known; it must not revive the former or hide the latter.
+	// Messages of a router's former process arrive after its new process is known. They must neither mark the running process as
+	// leaving nor keep it alive once it has stopped.
 	f := newFleet(t, 1, 3, 13)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -312,12 +321,12 @@
 		v.Heard(f.now, "r0-01", former)
 	}
 	if members := v.Snapshot().Members("domain-0"); len(members) != 2 {
-		t.Errorf("the former process keeps its dead successor alive: %v", members)
+		t.Errorf("messages of the former process keep the stopped one alive: %v", members)
 	}
 }
 
 func TestControlBytesAtTargetFleetSize(t *testing.T) {
-	// Control traffic is paid for and bounded; the digests of sixty routers that tell everybody everything are where it grows.
+	// Control traffic costs money and is limited. It grows fastest with the digests that each of sixty routers sends to all others.
 	f := newFleet(t, 6, 60, 14)
 	f.startAll()
 	f.run(5 * time.Second)
@@ -335,9 +344,9 @@
 		total += r.sentBytes
 		maximum = max(maximum, r.sentBytes)
 	}
-	t.Logf("360 routers, 2 slots each: %d B/s sent a router, %d at the busiest gateway", total/len(f.routers)/seconds, maximum/seconds)
+	t.Logf("360 routers, 2 slots each: %d B/s sent per router, %d by the busiest gateway", total/len(f.routers)/seconds, maximum/seconds)
 	if maximum/seconds > 24_000 {
-		t.Errorf("%d B/s", maximum/seconds)
+		t.Errorf("busiest router sends %d B/s, want at most 24000", maximum/seconds)
 	}
 }
 
--- a/residency.go
+++ b/residency.go
@@ -33,13 +33,13 @@
 	if !o.Limited {
 		return r
 	}
-	both := Residency{Limited: true}
+	common := Residency{Limited: true}
 	for _, region := range r.Regions {
 		if o.Allows(region) {
-			both.Regions = append(both.Regions, region)
+			common.Regions = append(common.Regions, region)
 		}
 	}
-	return both
+	return common
 }
 
 // String returns the allowed regions separated by spaces, for log lines; it is empty if all regions are allowed.
