--- a/fleet.go
+++ b/fleet.go
@@ -153,7 +153,7 @@
 	// Evacuated are failure domains whose upstreams get no new requests; Restored are those whose evacuation has ended.
 	Evacuated []DomainID
 	Restored  []DomainID
-	// Faults holds an error for each upstream entry that cannot be decoded; the ids of these upstreams are in GoneUpstreams.
+	// Faults holds an error for each upstream entry that cannot be decoded; these upstreams are also listed as gone.
 	Faults []error
 }
 
--- a/messages.go
+++ b/messages.go
@@ -330,8 +330,8 @@
 	Clean       bool
 }
 
-// QuarantineNotice announces a quarantined fingerprint, or the end of its quarantine if For is zero. Upstream is the one whose crash
-// identified the fingerprint; other suspects of that crash are cleared.
+// QuarantineNotice announces a quarantined fingerprint, or the end of its quarantine if the duration is zero. Upstream is the one
+// whose crash identified the fingerprint; other suspects of that crash are cleared.
 type QuarantineNotice struct {
 	Fingerprint Fingerprint
 	Seq         uint64
--- a/messages_load.go
+++ b/messages_load.go
@@ -12,7 +12,7 @@
 	Held Tokens
 	// Sent is the total of prompt tokens sent since the router's start.
 	Sent Tokens
-	// Expected and Took are the totals of the expected and the measured times to first token since the router's start.
+	// Totals of the expected and of the measured times to first token since the router's start.
 	Expected, Took time.Duration
 }
 
@@ -30,8 +30,8 @@
 	Tokens   Tokens
 }
 
-// LoadReport reports the load that a router has placed on upstreams. It holds the changes since the last report or, if Whole is
-// set, the full state, which compensates for lost reports.
+// LoadReport reports the load that a router has placed on upstreams. It holds the changes since the last report or, from time to
+// time, the full state, which compensates for lost reports.
 type LoadReport struct {
 	Seq       uint64
 	Whole     bool
@@ -46,12 +46,12 @@
 	Starts []UpstreamStart
 }
 
-// UpstreamStart reports that an upstream refused connections and will be cold once it is back (Unreached), or that it answers again
-// and may be cold.
+// UpstreamStart reports that an upstream accepted no connection and will be cold once it is back, or that it answers again and may be
+// cold.
 type UpstreamStart struct {
 	Upstream  UpstreamID
 	Unreached bool
-	// ColdFor is the remaining time for which it may be cold; zero if Unreached is set.
+	// ColdFor is the remaining time for which it may be cold; zero while it accepts no connections.
 	ColdFor time.Duration
 }
 
@@ -111,13 +111,13 @@
 	Service ServiceID
 	// Answers is the number of responses.
 	Answers float64
-	// Weight is the sum of the weights; Read and Took are the weighted sums of tokens read and times taken, ReadRead and ReadTook
-	// those of their products.
+	// Sums of the weights and, weighted, of the tokens read, of the times taken, of the squares of the tokens, and of the products of
+	// tokens and times.
 	Weight, Read, Took, ReadRead, ReadTook float64
-	// Beside is the number of streams that ran during a long prefill on their engine; Paused is the number of these that paused for
-	// longer than their callers accept.
+	// Numbers of streams that ran during a long prefill on their engine, and of those among them that paused for longer than their
+	// callers accept.
 	Beside, Paused float64
-	// Copied is the number of prompt tokens copied from another engine instead of read; CopyTook is the number of tokens that could
-	// have been read in the same time.
+	// Numbers of prompt tokens that were copied from another engine instead of read, and of tokens that could have been read in the
+	// same time.
 	Copied, CopyTook float64
 }
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -162,7 +162,7 @@
 	v.relayedProbes = kept
 }
 
-// confirmSuspects declares suspected routers dead that have neither refuted nor sent this router a message within SuspectFor.
+// confirmSuspects declares suspected routers dead that have neither refuted nor sent this router a message within the suspicion timeout.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
 		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspectFor {
--- a/settings_fleet.go
+++ b/settings_fleet.go
@@ -12,7 +12,7 @@
 	Regions map[DomainID]RegionID
 	// Seeds are addresses of routers to contact first; they may include routers that are gone, and this one.
 	Seeds []netip.AddrPort
-	// Callers, Readiness and Metrics are the listen addresses for callers' requests, readiness checks and metrics.
+	// Listen addresses for callers' requests, for readiness checks and for metrics.
 	Callers   netip.AddrPort
 	Readiness netip.AddrPort
 	Metrics   netip.AddrPort
--- a/wire.go
+++ b/wire.go
@@ -20,7 +20,7 @@
 	Wait time.Duration
 	// Key is the caller's API key; empty if there is none.
 	Key string
-	// Prompt is the number of prompt tokens and Output the maximum number of generated tokens; zero if unspecified.
+	// Number of prompt tokens and maximum number of generated tokens; zero if unspecified.
 	Prompt Tokens
 	Output Tokens
 	// Guess is the caller's estimate of the number of generated tokens; zero if unspecified.
