--- a/wire.go
+++ b/wire.go
@@ -36,7 +36,7 @@
 type UpstreamFields struct {
 	// Wait is the time left of the caller's timeout.
 	Wait time.Duration
-	// Upstream is the upstream meant; any other refuses the request without running it.
+	// Upstream is the intended upstream; any other refuses the request without running it.
 	Upstream UpstreamID
 	// Account is the client account of the request; empty on public routes.
 	Account AccountID
