--- a/pomelobudget/budget.go
+++ b/pomelobudget/budget.go
@@ -4,10 +4,10 @@
 
 // Config holds what a Budget starts with.
 type Config struct {
-	// Start is the number of retries that may be made before any request was counted.
-	Start float64
-	// Most bounds the retries that a quiet time saves up.
-	Most float64
+	// Initial is the number of retries that may be made before any request was counted.
+	Initial float64
+	// Max bounds the retries that a quiet time saves up.
+	Max float64
 }
 
 // Budget keeps retries to a fraction of a service's requests. Without it, upstreams that fail under load get
@@ -19,13 +19,13 @@
 }
 
 // New returns a Budget that may spend what it starts with.
-func New(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Start} }
+func New(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Initial} }
 
 // Earn adds the fraction of a retry that one request allows.
 func (b *Budget) Earn(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+fraction, b.cfg.Most)
+	b.tokens = min(b.tokens+fraction, b.cfg.Max)
 }
 
 // Spend takes one retry, or reports that none is left.
--- a/pomelobudget/budget_test.go
+++ b/pomelobudget/budget_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestBudget(t *testing.T) {
-	b := pomelobudget.New(pomelobudget.Config{Start: 2, Most: 3})
+	b := pomelobudget.New(pomelobudget.Config{Initial: 2, Max: 3})
 	spend := func() int {
 		n := 0
 		for b.Spend() {
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -31,7 +31,7 @@
 
 // control is the state of the control goroutine; nothing else touches it.
 type control struct {
-	e         *Entry
+	e         *Router
 	placer    *pomeloplace.Placer
 	shares    *pomeloshare.Shares
 	residency *pomeloresidency.Policy
@@ -51,20 +51,20 @@
 	// cold are the upstreams that were cold at the last look.
 	cold map[pomelorelay.UpstreamID]pomelowarmup.Status
 	// speeds are the reading speeds that were last logged.
-	speeds map[pomelorelay.ServiceID]pomelospeed.Rate
+	speeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
 }
 
-func newControl(e *Entry) *control {
+func newControl(e *Router) *control {
 	s := e.cfg.Settings
 	return &control{
 		e:         e,
-		placer:    pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, Cold: s.Cold, Without: e.cfg.Without}),
+		placer:    pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.DisabledMechanisms}),
 		shares:    pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
 		residency: pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
 		upstreams: newUpstreams(),
 		evacuated: make(map[pomelorelay.DomainID]bool),
 		peers:     newPeers(),
-		speeds:    make(map[pomelorelay.ServiceID]pomelospeed.Rate),
+		speeds:    make(map[pomelorelay.ServiceID]pomelospeed.PrefillRate),
 	}
 }
 
@@ -116,7 +116,7 @@
 // adjust looks at everything that follows from time.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
-	c.placer.SetUnreported(c.unreported(now))
+	c.placer.SetUnreportedRouters(c.unreported(now))
 	c.placer.Tick(now)
 	c.dropLapsed(now)
 	c.takeTurn(now)
@@ -129,18 +129,18 @@
 
 func (c *control) setGauges() {
 	m := c.e.metrics
-	m.Set("upstreams", float64(len(c.upstreams.present)))
-	m.Set("evacuated_domains", float64(len(c.evacuated)))
-	m.Set("peers", float64(len(c.peers.present)))
-	m.Set("requests_in_flight", float64(c.e.inFlight.Load()))
-	m.Set("caller_connections", float64(c.e.conns.Load()))
-	m.Set("upstream_connections_opened", float64(c.e.forward.Opened()))
+	m.SetGauge("upstreams", float64(len(c.upstreams.present)))
+	m.SetGauge("evacuated_domains", float64(len(c.evacuated)))
+	m.SetGauge("peers", float64(len(c.peers.present)))
+	m.SetGauge("requests_in_flight", float64(c.e.inFlight.Load()))
+	m.SetGauge("caller_connections", float64(c.e.conns.Load()))
+	m.SetGauge("upstream_connections_opened", float64(c.e.forward.Opened()))
 	if c.config != nil {
-		m.Set("generation", float64(c.config.Version))
+		m.SetGauge("generation", float64(c.config.Version))
 	}
 	for _, s := range c.placer.Speeds() {
-		m.Set("read_tokens_per_ms_"+string(s.Service), float64(s.Rate))
-		m.Set("first_token_overhead_ms_"+string(s.Service), float64(s.Overhead.Milliseconds()))
+		m.SetGauge("read_tokens_per_ms_"+string(s.Service), float64(s.PrefillRate))
+		m.SetGauge("first_token_overhead_ms_"+string(s.Service), float64(s.FirstTokenOverhead.Milliseconds()))
 		c.noteSpeed(s)
 	}
 }
@@ -151,12 +151,12 @@
 // noteSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
 func (c *control) noteSpeed(s pomeloplace.Speed) {
 	told := c.speeds[s.Service]
-	if told > 0 && s.Rate < speedNews*told && told < speedNews*s.Rate {
+	if told > 0 && s.PrefillRate < speedNews*told && told < speedNews*s.PrefillRate {
 		return
 	}
-	c.speeds[s.Service] = s.Rate
-	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.Rate)), field("OverheadMS", s.Overhead.Milliseconds()),
-		field("Pauses", s.Pauses), field("CopyPart", s.CopyPart))
+	c.speeds[s.Service] = s.PrefillRate
+	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.PrefillRate)), field("OverheadMS", s.FirstTokenOverhead.Milliseconds()),
+		field("Pauses", s.PauseWeight), field("CopyPart", s.CopyFraction))
 }
 
 // place decides on a request and charges its account.
@@ -164,31 +164,31 @@
 	counts := w.Cost > 0 && w.Account != ""
 	r := w.Place
 	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
-	r.Residency = c.residency.Of(now, w.Route, w.Account)
-	r.Owed = true
+	r.Residency = c.residency.Residency(now, w.Route, w.Account)
+	r.WithinShare = true
 	var share pomeloplace.ShareState
 	if counts {
 		if !w.Again {
-			c.shares.Asked(w.Account, w.Cost)
+			c.shares.RecordRequest(w.Account, w.Cost)
 		}
 		// Only what may have run, and was charged, goes before others: were it so for each request that found an upstream down, a flood
 		// would get past its share whenever many are, and other accounts would see their requests refused.
-		r.Owed = w.Charged || c.shares.Owed(w.Account, w.Cost)
-		r.Lead = c.shares.Lead(w.Account)
-		r.Ahead = c.shares.Ahead(w.Account)
-		share.Cost, share.Owed = w.Cost, r.Owed
-		share.Asked, share.Served, share.Level = c.shares.State(w.Account)
+		r.WithinShare = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
+		r.LeadOverLevel = c.shares.LeadOverLevel(w.Account)
+		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(w.Account)
+		share.Cost, share.WithinShare = w.Cost, r.WithinShare
+		share.Requested, share.Served, share.FairShare = c.shares.Usage(w.Account)
 	}
 	d := c.placer.Place(now, r)
 	d.Share, d.Residency = share, r.Residency
 	if !c.upstreams.listedAt.IsZero() {
 		d.ListAge = now.Sub(c.upstreams.listedAt)
 	}
-	c.e.metrics.Placed(string(d.Reason))
+	c.e.metrics.CountPlacement(string(d.Reason))
 	switch {
 	case d.Reason == pomeloplace.ReasonNone && counts && !w.Charged:
-		c.shares.Served(w.Account, w.Cost)
-	case d.Reason == pomeloplace.ReasonShare:
+		c.shares.RecordServed(w.Account, w.Cost)
+	case d.Reason == pomeloplace.ReasonOverShare:
 		d.RetryAfter = c.returnAfter(&d, &w)
 	}
 	return d
@@ -202,7 +202,7 @@
 // still be in time then; else as soon as there may be a place again. In a flood that lasts, waiting longer raises no chance, and makes the
 // answer late for sure.
 func (c *control) returnAfter(d *pomeloplace.Decision, w *pomeloforward.Work) time.Duration {
-	wait := c.shares.Wait(w.Account, w.Cost)
+	wait := c.shares.RetryAfter(w.Account, w.Cost)
 	if wait > time.Duration(worthWaiting*float64(w.Place.Target)) {
 		return d.RetryAfter
 	}
@@ -223,8 +223,8 @@
 		c.wholeAt = now
 	}
 	c.reportedAt = now
-	c.placer.Report(m)
-	m.Accounts = c.shares.Report(m.Whole, m.Accounts)
+	c.placer.FillReport(m)
+	m.Accounts = c.shares.AppendReport(m.Whole, m.Accounts)
 	m.Leaving = c.upstreams.announced(now)
 	if !c.direct() {
 		c.relayOwn(now, m)
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -174,19 +174,19 @@
 }
 
 // keepRegistered keeps this router's entry in the store, so that the others find it.
-func (e *Entry) keepRegistered(ctx context.Context) {
+func (e *Router) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
 	e.follow(ctx, followed{name: "registration", pace: renewEvery, call: func(bool) error {
 		if lease == 0 {
 			opened, err := e.cfg.Platform.Announce(ctx, e.cfg.Settings.Self, registrationTTL)
-			e.metrics.StoreCalled("announce", "registration", pomelorelay.CodeOf(err))
+			e.metrics.CountStoreCall("announce", "registration", pomelorelay.CodeOf(err))
 			if err == nil {
 				lease = opened
 			}
 			return err
 		}
 		err := e.cfg.Platform.RenewLease(ctx, lease)
-		e.metrics.StoreCalled("renew", "registration", pomelorelay.CodeOf(err))
+		e.metrics.CountStoreCall("renew", "registration", pomelorelay.CodeOf(err))
 		if pomelorelay.IsErrCode(err, pomelorelay.CodeStoreLeaseLapsed) {
 			lease = 0
 		}
@@ -199,7 +199,7 @@
 	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveWait)
 	defer cancel()
 	err := e.cfg.Platform.CloseLease(left, lease)
-	e.metrics.StoreCalled("close", "registration", pomelorelay.CodeOf(err))
+	e.metrics.CountStoreCall("close", "registration", pomelorelay.CodeOf(err))
 	if err != nil {
 		e.log(pomelorelay.EventPlatformLost, field("What", "registration"), field("Fault", err.Error()))
 	}
--- a/pomeloentry/reader.go
+++ b/pomeloentry/reader.go
@@ -64,7 +64,7 @@
 func (w *cursor) misses(at pomelorelay.Revision) bool { return at > w.get() }
 
 // followStore reads the store whenever it is this router's turn.
-func (e *Entry) followStore(ctx context.Context) {
+func (e *Router) followStore(ctx context.Context) {
 	started := time.Now()
 	settle := e.settleTime()
 	e.follow(ctx, followed{name: "store", probes: true, call: func(failed bool) error {
@@ -82,7 +82,7 @@
 }
 
 // settleTime returns how long after its start the router waits for updates before it reads again.
-func (e *Entry) settleTime() time.Duration {
+func (e *Router) settleTime() time.Duration {
 	power := e.cfg.Settings.Self.Power
 	if power <= 0 {
 		return 0
@@ -92,20 +92,20 @@
 }
 
 // readsNow reports whether it is this router's turn to read the store.
-func (e *Entry) readsNow() bool {
+func (e *Router) readsNow() bool {
 	turn := e.turn.Load()
 	return turn == 0 || e.cfg.Clock.Now().UnixNano()-e.updatedAt.Load() >= turn
 }
 
 // read reads everything at first and after the store dropped its history, and changes otherwise.
-func (e *Entry) read(ctx context.Context, failed bool) error {
+func (e *Router) read(ctx context.Context, failed bool) error {
 	after := e.cursor.get()
 	if after == 0 {
 		// What a stale read lacks comes with the first update.
 		return e.readAll(ctx, "start", !failed)
 	}
 	change, err := e.cfg.Platform.Watch(ctx, after, e.ofDrain(waitPart))
-	e.metrics.StoreCalled("watch", e.turnName(), pomelorelay.CodeOf(err))
+	e.metrics.CountStoreCall("watch", e.turnName(), pomelorelay.CodeOf(err))
 	if pomelorelay.IsErrCode(err, pomelorelay.CodeStoreCompacted) {
 		return e.readAll(ctx, "compacted", false)
 	}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-func (e *Entry) readAll(ctx context.Context, cause string, stale bool) error {
+func (e *Router) readAll(ctx context.Context, cause string, stale bool) error {
 	change, err := e.cfg.Platform.Read(ctx, stale)
-	e.metrics.StoreCalled("read", cause, pomelorelay.CodeOf(err))
+	e.metrics.CountStoreCall("read", cause, pomelorelay.CodeOf(err))
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (e *Entry) turnName() string {
+func (e *Router) turnName() string {
 	if e.turn.Load() == 0 {
 		return "first"
 	}
@@ -134,7 +134,7 @@
 }
 
 // postRead hands what was read to the control goroutine and waits until it is taken in: the next read goes on from there.
-func (e *Entry) postRead(ctx context.Context, r *storeRead) {
+func (e *Router) postRead(ctx context.Context, r *storeRead) {
 	r.done = make(chan struct{})
 	if !e.post(r) {
 		return
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -98,7 +98,7 @@
 		return
 	}
 	if r.from != "" {
-		c.placer.Forget(r.from)
+		c.placer.ForgetRouter(r.from)
 	}
 	*r = relays{local: newAggregate(), all: newAggregate(), seq: r.seq, domains: make(map[pomelorelay.DomainID]pomelorelay.NodeID)}
 }
@@ -142,14 +142,14 @@
 		if !report.Whole {
 			return
 		}
-		c.placer.Forget(before)
+		c.placer.ForgetRouter(before)
 		for node, p := range c.peers.present {
 			if p.Domain == domain {
-				c.placer.Forget(node)
+				c.placer.ForgetRouter(node)
 			}
 		}
 		r.domains[domain] = m.From
-		c.shares.Mark(m.From, m.Incarnation, report.Accounts)
+		c.shares.SetBaseline(m.From, m.Incarnation, report.Accounts)
 	}
 	r.all.take(now, "/"+string(domain), m.From, m.Incarnation, report)
 	c.apply(now, m, report)
@@ -162,9 +162,9 @@
 		if !s.Report.Whole {
 			return
 		}
-		c.placer.ForgetOthers(m.From)
+		c.placer.ForgetRoutersExcept(m.From)
 		r.from, r.incarnation, r.taken = m.From, m.Incarnation, 0
-		c.shares.Mark(m.From, m.Incarnation, s.Report.Accounts)
+		c.shares.SetBaseline(m.From, m.Incarnation, s.Report.Accounts)
 	}
 	if s.Report.Seq <= r.taken {
 		return
@@ -180,16 +180,16 @@
 
 // apply takes a report or a sum of reports for decisions.
 func (c *control) apply(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
-	c.placer.TakeReport(now, m.From, m.Incarnation, report)
-	c.shares.TakeReport(m.From, m.Incarnation, report.Accounts)
+	c.placer.ApplyReport(now, m.From, m.Incarnation, report)
+	c.shares.MergeReport(m.From, m.Incarnation, report.Accounts)
 	c.takeLeaving(now, m.From, report.Leaving)
 }
 
 // flush sends what was summed up: the own domain's sum to the other domains' relays, and to each neighbour the sum of all others.
 func (c *control) flush(now time.Time) {
 	r := &c.relayed
-	r.local.forgetSilent(now, pomeloplace.SilentAfter)
-	r.all.forgetSilent(now, pomeloplace.SilentAfter)
+	r.local.forgetSilent(now, pomeloplace.PeerTimeout)
+	r.all.forgetSilent(now, pomeloplace.PeerTimeout)
 	whole := now.Sub(r.wholeAt) >= wholeEvery
 	if now.Sub(r.flushedAt) < flushEvery || (!whole && !r.all.changed()) {
 		return
@@ -239,6 +239,6 @@
 // send queues a message; one that the mesh refuses is lost like one on a broken link, and the next whole report makes up for it.
 func (c *control) send(to pomelorelay.NodeID, m pomelorelay.Message) {
 	if err := c.e.mesh.Send(to, m); err != nil {
-		c.e.metrics.Missed()
+		c.e.metrics.CountMissedMessage()
 	}
 }
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -24,7 +24,7 @@
 )
 
 // ofDrain returns a part of the time after which an upstream that said it leaves must get no more requests.
-func (e *Entry) ofDrain(part float64) time.Duration {
+func (e *Router) ofDrain(part float64) time.Duration {
 	drain := e.cfg.Settings.DrainWait
 	if drain <= 0 {
 		drain = defaultDrain
@@ -97,7 +97,7 @@
 	before, known := c.upstreams.present[u.ID]
 	c.upstreams.present[u.ID] = u
 	delete(c.upstreams.lapsed, u.ID)
-	c.placer.Put(now, u)
+	c.placer.PutUpstream(now, u)
 	if known && before == u {
 		return
 	}
@@ -165,7 +165,7 @@
 	delete(c.upstreams.lapsed, id)
 	delete(c.upstreams.present, id)
 	c.upstreams.leaving[id] = now
-	c.placer.Remove(id)
+	c.placer.RemoveUpstream(id)
 	c.e.upstreams.Store(int64(len(c.upstreams.present)))
 	c.e.log(pomelorelay.EventUpstreamGone, field("Upstream", id))
 }
@@ -183,7 +183,7 @@
 		}
 		u.Draining = true
 		c.upstreams.present[id] = u
-		c.placer.Put(now, u)
+		c.placer.PutUpstream(now, u)
 		c.e.log(pomelorelay.EventLeaving, field("Upstream", id), field("Source", from))
 	}
 }
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -8,12 +8,12 @@
 
 // noteWarmups writes a line for each upstream that was found cold or has become warm since the last look.
 func (c *control) noteWarmups(now time.Time) {
-	cold := c.placer.Warmups(now)
+	cold := c.placer.ColdUpstreams(now)
 	for id, s := range cold {
 		if before, known := c.cold[id]; known && before.Unreached == s.Unreached {
 			continue
 		}
-		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Left.Milliseconds()), field("Unreached", s.Unreached), field("Holder", s.Holder))
+		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Remaining.Milliseconds()), field("Unreached", s.Unreached), field("Holder", s.Holder))
 	}
 	for id := range c.cold {
 		if _, still := cold[id]; !still {
@@ -21,5 +21,5 @@
 		}
 	}
 	c.cold = cold
-	c.e.metrics.Set("cold_upstreams", float64(len(cold)))
+	c.e.metrics.SetGauge("cold_upstreams", float64(len(cold)))
 }
--- a/pomeloentry/world_test.go
+++ b/pomeloentry/world_test.go
@@ -31,7 +31,7 @@
 }
 
 type node struct {
-	entry    *pomeloentry.Entry
+	entry    *pomeloentry.Router
 	view     *pomelofake.View
 	settings pomelorelay.FleetSettings
 	log      *eventLog
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -66,10 +66,10 @@
 
 // Meter counts what callers get.
 type Meter interface {
-	// Answered counts an answer: how the request ended, the time to the answer's beginning and to its end.
-	Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration)
-	// Retried counts a request that is sent again.
-	Retried(code pomelorelay.ResultCode)
+	// ObserveAnswer counts an answer: how the request ended, the time to the answer's beginning and to its end.
+	ObserveAnswer(kind pomelorelay.RouteKind, ending string, first, total time.Duration)
+	// CountRetry counts a request that is sent again.
+	CountRetry(code pomelorelay.ResultCode)
 }
 
 const (
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -127,28 +127,28 @@
 	if c.route != nil {
 		kind = c.route.Kind
 	}
-	c.h.cfg.Meter.Answered(kind, ending, first, now.Sub(c.arrived))
+	c.h.cfg.Meter.ObserveAnswer(kind, ending, first, now.Sub(c.arrived))
 	d := c.decision
 	all := append(fields,
 		pomelorelay.Field{Key: "WaitMS", Value: c.fields.Wait.Milliseconds()},
 		pomelorelay.Field{Key: "FirstMS", Value: first.Milliseconds()},
 		pomelorelay.Field{Key: "TotalMS", Value: now.Sub(c.arrived).Milliseconds()},
 		pomelorelay.Field{Key: "PauseMS", Value: c.longestPause.Milliseconds()},
-		pomelorelay.Field{Key: "ExpectedMS", Value: d.Expected.Milliseconds()},
-		pomelorelay.Field{Key: "BacklogMS", Value: d.Backlog.Milliseconds()},
+		pomelorelay.Field{Key: "ExpectedMS", Value: d.ExpectedLatency.Milliseconds()},
+		pomelorelay.Field{Key: "BacklogMS", Value: d.QueueDelay.Milliseconds()},
 		pomelorelay.Field{Key: "Term", Value: string(d.Term)},
-		pomelorelay.Field{Key: "Missing", Value: int64(d.Missing)},
-		pomelorelay.Field{Key: "Shared", Value: int64(d.Shared)},
-		pomelorelay.Field{Key: "Copied", Value: int64(d.Copied)},
+		pomelorelay.Field{Key: "Missing", Value: int64(d.PrefillTokens)},
+		pomelorelay.Field{Key: "Shared", Value: int64(d.UncachedShared)},
+		pomelorelay.Field{Key: "Copied", Value: int64(d.CopiedTokens)},
 		pomelorelay.Field{Key: "Running", Value: d.Running},
 		pomelorelay.Field{Key: "ReportAgeMS", Value: d.ReportAge.Milliseconds()},
 		pomelorelay.Field{Key: "ListAgeMS", Value: d.ListAge.Milliseconds()},
 		pomelorelay.Field{Key: "Runs", Value: c.runs},
 		pomelorelay.Field{Key: "Cost", Value: int64(d.Share.Cost)},
-		pomelorelay.Field{Key: "Owed", Value: d.Share.Owed},
-		pomelorelay.Field{Key: "Asked", Value: int64(d.Share.Asked)},
+		pomelorelay.Field{Key: "Owed", Value: d.Share.WithinShare},
+		pomelorelay.Field{Key: "Asked", Value: int64(d.Share.Requested)},
 		pomelorelay.Field{Key: "Served", Value: int64(d.Share.Served)},
-		pomelorelay.Field{Key: "Level", Value: int64(d.Share.Level)},
+		pomelorelay.Field{Key: "Level", Value: int64(d.Share.FairShare)},
 	)
 	c.log(event, all...)
 }
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -106,7 +106,7 @@
 	b, ok := h.budgets[service]
 	if !ok {
 		slack := budgetPart * h.cfg.RetrySlack / minRouters
-		b = pomelobudget.New(pomelobudget.Config{Start: slack, Most: slack})
+		b = pomelobudget.New(pomelobudget.Config{Initial: slack, Max: slack})
 		h.budgets[service] = b
 	}
 	return b
--- a/pomeloforward/world_test.go
+++ b/pomeloforward/world_test.go
@@ -175,7 +175,7 @@
 	defer w.mu.Unlock()
 	w.works = append(w.works, work)
 	if len(w.places) == 0 {
-		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonLate, RetryAfter: 250 * time.Millisecond}, nil
+		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: 250 * time.Millisecond}, nil
 	}
 	d := w.places[0]
 	w.places = w.places[1:]
@@ -198,9 +198,9 @@
 
 func (w *world) StopsIn() (time.Duration, bool) { return w.stopsIn, w.stopping }
 
-func (w *world) Answered(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
+func (w *world) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
 
-func (w *world) Retried(pomelorelay.ResultCode) {}
+func (w *world) CountRetry(pomelorelay.ResultCode) {}
 
 // answer is what a caller got.
 type answer struct {
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	for class := range m.budgets {
-		m.budgets[class] = newBudget(cfg.Budget[class], time.Now())
+		m.budgets[class] = newBudget(cfg.BytesPerSecond[class], time.Now())
 	}
 	listener, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -182,7 +182,7 @@
 func TestOverBudgetTheUrgentLeaveAndTheRestCoalesce(t *testing.T) {
 	// Every account becomes active at once and digests outgrow what a link may carry; grants must not wait behind them.
 	cfg := config("r1", 1)
-	cfg.Budget[pomelorelay.LinkDomain] = 4000
+	cfg.BytesPerSecond[pomelorelay.LinkDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	const totals, demands, grants = 400, 200, 50
@@ -239,7 +239,7 @@
 	// A loaded router's grants alone use more than its byte budget. If no digest left then, the others would take it for dead and
 	// take over its jobs, again and again, while it works.
 	cfg := config("r1", 1)
-	cfg.Budget[pomelorelay.LinkDomain] = 8000
+	cfg.BytesPerSecond[pomelorelay.LinkDomain] = 8000
 	a, b := start(t, cfg), start(t, config("r2", 1))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	const grants = 4000
--- a/pomelometric/metrics.go
+++ b/pomelometric/metrics.go
@@ -49,31 +49,31 @@
 	return m
 }
 
-// Answered counts an answer: how the request ended, the time to the answer's beginning and to its end.
-func (m *Metrics) Answered(kind pomelorelay.RouteKind, ending string, first, total time.Duration) {
+// ObserveAnswer counts an answer: how the request ended, the time to the answer's beginning and to its end.
+func (m *Metrics) ObserveAnswer(kind pomelorelay.RouteKind, ending string, first, total time.Duration) {
 	m.answers.WithLabelValues(string(kind), ending).Inc()
 	m.first.WithLabelValues(string(kind), ending).Observe(first.Seconds())
 	m.total.WithLabelValues(string(kind), ending).Observe(total.Seconds())
 }
 
-// Retried counts a request that is sent again.
-func (m *Metrics) Retried(code pomelorelay.ResultCode) {
+// CountRetry counts a request that is sent again.
+func (m *Metrics) CountRetry(code pomelorelay.ResultCode) {
 	m.retries.WithLabelValues(code.Info().Name).Inc()
 }
 
-// Placed counts a decision on a request; the reason is empty for a place.
-func (m *Metrics) Placed(reason string) { m.places.WithLabelValues(reason).Inc() }
+// CountPlacement counts a decision on a request; the reason is empty for a place.
+func (m *Metrics) CountPlacement(reason string) { m.places.WithLabelValues(reason).Inc() }
 
-// Missed counts a message to another router that could not be queued.
-func (m *Metrics) Missed() { m.missed.Inc() }
+// CountMissedMessage counts a message to another router that could not be queued.
+func (m *Metrics) CountMissedMessage() { m.missed.Inc() }
 
-// StoreCalled counts a call to the platform's store: what was called, why, and the result code, zero when it succeeded.
-func (m *Metrics) StoreCalled(kind, cause string, code pomelorelay.ResultCode) {
+// CountStoreCall counts a call to the platform's store: what was called, why, and the result code, zero when it succeeded.
+func (m *Metrics) CountStoreCall(kind, cause string, code pomelorelay.ResultCode) {
 	m.calls.WithLabelValues(kind, cause, strconv.Itoa(int(code))).Inc()
 }
 
-// Set sets a value of what the router knows.
-func (m *Metrics) Set(name string, value float64) { m.gauges.WithLabelValues(name).Set(value) }
+// SetGauge sets a value of what the router knows.
+func (m *Metrics) SetGauge(name string, value float64) { m.gauges.WithLabelValues(name).Set(value) }
 
 // Handler serves the metrics as text.
 func (m *Metrics) Handler() http.Handler {
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -62,7 +62,7 @@
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
 		// The traffic path's own timer ends each wait at its service's bound.
-		Limit: pomelofair.LimitOptions{Wait: longestWait},
+		Limit: pomelofair.LimitOptions{MaxWait: longestWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
 		Node:        n.self.Node,
@@ -70,7 +70,7 @@
 		Incarnation: n.incarnation,
 		Grant:       pomeloslot.GrantOptions{TTL: s.GrantTTL},
 	})
-	c.asker = pomeloslot.NewAsker(pomeloslot.AskerConfig{
+	c.asker = pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:    n.self.Node,
 		Domain:  n.self.Domain,
 		Regions: c.regions,
@@ -101,7 +101,7 @@
 	c.ledger = pomeloledger.New(pomeloledger.Config{
 		Self:    n.self,
 		Shards:  n.shards,
-		Options: pomeloledger.Options{ExchangeEvery: s.ExchangeInterval},
+		Options: pomeloledger.Options{ExchangeInterval: s.ExchangeInterval},
 		Fleet: pomeloledger.Fleet{
 			Routers: func() []pomelorelay.NodeID { return c.members.Members(n.self.Domain) },
 			Domains: c.domains,
@@ -110,7 +110,7 @@
 	})
 	c.reporter = pomeloledger.NewReporter(pomeloledger.ReporterConfig{
 		Shards: n.shards,
-		Every:  s.LedgerInterval,
+		Interval:  s.LedgerInterval,
 		Host: func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 			return host(shard, n.self.Domain)
 		},
@@ -129,12 +129,12 @@
 
 func (c *control) assembleClaims() {
 	n := c.n
-	c.keeper = pomeloclaim.New(pomeloclaim.Config{
+	c.keeper = pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{
 		Logger:           n.cfg.Logger,
 		Alive:            c.alive,
 		CommitsPerSecond: n.cfg.Settings.Control.ClaimCommits / float64(n.cfg.Settings.Control.ClaimShards),
 	})
-	c.claimAsker = pomeloclaim.NewAsker(pomeloclaim.AskerConfig{
+	c.claimAsker = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
 		Node:        n.self.Node,
 		Incarnation: n.incarnation,
 		Shards:      uint32(n.cfg.Settings.Control.ClaimShards),
@@ -161,5 +161,5 @@
 		Members: func() []pomelorelay.NodeID { return c.jobs.peers },
 	}
 	c.table = pomeloquarantine.NewTable(cfg)
-	c.arbiter = pomeloquarantine.New(cfg)
+	c.arbiter = pomeloquarantine.NewArbiter(cfg)
 }
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -82,13 +82,13 @@
 type storeAnswered struct{ result pomeloclaim.StoreResult }
 
 func (e storeAnswered) apply(c *control, now time.Time) {
-	c.keeper.Stored(now, e.result, &c.claimOut)
+	c.keeper.HandleStoreResult(now, e.result, &c.claimOut)
 }
 
 // flushClaims carries out what the claims' parts asked for.
 func (c *control) flushClaims() {
 	c.out = append(c.out, c.claimOut.Messages...)
-	for _, op := range c.claimOut.Store {
+	for _, op := range c.claimOut.StoreOps {
 		c.n.storeOp(op)
 	}
 	for _, v := range c.claimOut.Verdicts {
@@ -98,6 +98,6 @@
 		}
 	}
 	c.claimOut.Messages = c.claimOut.Messages[:0]
-	c.claimOut.Store = c.claimOut.Store[:0]
+	c.claimOut.StoreOps = c.claimOut.StoreOps[:0]
 	c.claimOut.Verdicts = c.claimOut.Verdicts[:0]
 }
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -121,7 +121,7 @@
 	if !ok {
 		return
 	}
-	c.queues.SetPool(pool, pomelofair.PoolOptions{CatchUp: service.CatchUp, Count: service.MaxWaiting, Bytes: service.MaxWaitingBytes})
+	c.queues.SetPoolOptions(pool, pomelofair.PoolOptions{CatchUp: service.CatchUp, MaxWaiting: service.MaxWaiting, MaxWaitingBytes: service.MaxWaitingBytes})
 	c.asker.SetSpill(pool, pomeloslot.SpillOptions{DomainMargin: service.SpillDomain, RegionMargin: service.SpillRegion})
 }
 
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -44,8 +44,8 @@
 		return
 	}
 	c.left[id] = true
-	c.asker.Leaving(id)
-	c.owner.Leaving(c.now(), id)
+	c.asker.MarkLeaving(id)
+	c.owner.MarkLeaving(c.now(), id)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventLeaving, field("Upstream", string(id)))
 }
@@ -71,8 +71,8 @@
 func (c *control) back(now time.Time, id pomelorelay.UpstreamID) {
 	delete(c.left, id)
 	delete(c.leftAt, id)
-	c.asker.Back(id)
-	c.out = c.owner.Back(now, id, c.out)
+	c.asker.ClearLeaving(id)
+	c.out = c.owner.ClearLeaving(now, id, c.out)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventUpstreamBack, field("Upstream", string(id)))
 }
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -95,7 +95,7 @@
 		if held {
 			stop()
 			delete(c.jobs.upstreams, id)
-			c.owner.Disown(id)
+			c.owner.RemoveUpstream(id)
 			continue
 		}
 		c.own(now, id)
@@ -104,7 +104,7 @@
 		if c.upstreams[id] == nil {
 			stop()
 			delete(c.jobs.upstreams, id)
-			c.owner.Disown(id)
+			c.owner.RemoveUpstream(id)
 		}
 	}
 }
@@ -112,14 +112,14 @@
 func (c *control) own(now time.Time, id pomelorelay.UpstreamID) {
 	u := c.upstreams[id]
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
-	c.out = c.owner.Own(now, slot, c.jobs.peers, c.out)
+	c.out = c.owner.AddUpstream(now, slot, c.jobs.peers, c.out)
 	if u.FailureDomain != c.n.self.Domain {
 		// The upstream's own domain may only be cut off from this one and its owner there grants still: nothing is granted here
 		// before the upstream itself answers.
-		c.owner.Crashed(now, id)
+		c.owner.MarkCrashed(now, id)
 	}
 	if c.left[id] {
-		c.owner.Leaving(now, id)
+		c.owner.MarkLeaving(now, id)
 	}
 	c.jobs.upstreams[id] = c.n.readLoads(*u)
 	c.n.log(pomelorelay.EventJobsMoved, field("Upstream", string(id)))
@@ -139,7 +139,7 @@
 		}
 		c.jobs.ledger[shard] = true
 		c.jobs.rebuilding[shard] = true
-		c.out = c.ledger.Host(now, shard, c.out)
+		c.out = c.ledger.AddShard(now, shard, c.out)
 		c.n.log(pomelorelay.EventLedgerHosted, field("Shard", uint32(shard)))
 	}
 }
@@ -147,19 +147,19 @@
 func (c *control) dropLedger(shard pomelorelay.ShardID) {
 	delete(c.jobs.ledger, shard)
 	delete(c.jobs.rebuilding, shard)
-	c.ledger.Drop(shard)
+	c.ledger.RemoveShard(shard)
 	c.n.log(pomelorelay.EventLedgerDropped, field("Shard", uint32(shard)))
 }
 
 // noteRebuilt tells of shards of the ledger that became ready.
 func (c *control) noteRebuilt() {
 	for shard := range c.jobs.rebuilding {
-		if _, ready := c.ledger.Hosts(shard); !ready {
+		if _, ready := c.ledger.ShardStatus(shard); !ready {
 			continue
 		}
 		delete(c.jobs.rebuilding, shard)
 		event := pomelorelay.EventLedgerReady
-		if c.ledger.Short(shard) {
+		if c.ledger.RebuildTimedOut(shard) {
 			event = pomelorelay.EventLedgerRebuildShort
 		}
 		c.n.log(event, field("Shard", uint32(shard)))
@@ -176,11 +176,11 @@
 		}
 		if !mine {
 			delete(c.jobs.claims, shard)
-			c.keeper.Disown(shard)
+			c.keeper.RemoveShard(shard)
 			continue
 		}
 		c.jobs.claims[shard] = true
-		c.keeper.Own(now, shard, &c.claimOut)
+		c.keeper.AddShard(now, shard, &c.claimOut)
 	}
 }
 
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -143,14 +143,14 @@
 	case open := <-answer:
 		return open
 	case <-ctx.Done():
-		return n.status.Load().Claims.Open()
+		return n.status.Load().Claims.Total()
 	}
 }
 
 // openAsked is posted when a stop wants to know how many claims are open after every event before it.
 type openAsked struct{ answer chan int }
 
-func (e openAsked) apply(c *control, _ time.Time) { e.answer <- c.claimAsker.Open() }
+func (e openAsked) apply(c *control, _ time.Time) { e.answer <- c.claimAsker.OpenClaims() }
 
 // shutServers closes the listeners and waits for requests that came in while they closed.
 func (n *Node) shutServers(ctx context.Context) {
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -45,13 +45,13 @@
 	c.n.log(event, field("Member", string(node)))
 	c.incarnations[node] = incarnation
 	delete(c.dead, node)
-	c.table.Joined(now, node, &c.suspectOut)
+	c.table.MemberJoined(now, node, &c.suspectOut)
 }
 
 // forget reclaims what a router that is no more held.
 func (c *control) forget(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
-	c.out = c.owner.MemberGone(now, node, c.out)
+	c.out = c.owner.RemoveRouter(now, node, c.out)
 	c.ledger.MemberGone(now, node)
 	c.arbiter.MemberGone(node)
 }
@@ -80,7 +80,7 @@
 	c.n.log(pomelorelay.EventDomainReachable, field("Domain", string(domain)))
 	for _, node := range c.members.Members(domain) {
 		if node != c.n.self.Node {
-			c.table.Joined(now, node, &c.suspectOut)
+			c.table.MemberJoined(now, node, &c.suspectOut)
 		}
 	}
 }
--- a/pomelonode/operator.go
+++ b/pomelonode/operator.go
@@ -136,7 +136,7 @@
 	if m, ok := n.mesh.(*pomelomesh.Mesh); ok {
 		counters := m.Counters()
 		f.Mesh = &counters
-		f.Sent = m.Kinds()
+		f.Sent = m.SentByKind()
 	}
 	if s, ok := n.cfg.Store.(*pomelostore.Client); ok {
 		f.Store = json.RawMessage(s.Stats().Var().String())
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -15,15 +15,15 @@
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
-		c.out = c.owner.Demand(now, e.From, m, c.out)
+		c.out = c.owner.HandleDemand(now, e.From, m, c.out)
 	case *pomelorelay.Grant:
 		c.granted(now, e.From, m)
 	case *pomelorelay.GrantReply:
-		c.out = c.owner.Reply(now, e.From, m, c.out)
+		c.out = c.owner.HandleReply(now, e.From, m, c.out)
 	case *pomelorelay.RunningQuery:
-		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.Running(m.Upstream)})
+		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.RunningReport(m.Upstream)})
 	case *pomelorelay.RunningReport:
-		c.out = c.owner.Running(now, e.From, m, c.out)
+		c.out = c.owner.HandleRunningReport(now, e.From, m, c.out)
 	case *pomelorelay.LeavingNotice:
 		c.leave(m.Upstream)
 	default:
@@ -43,15 +43,15 @@
 	case *pomelorelay.Farewell:
 		c.out = c.view.Farewell(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.LedgerReport:
-		c.out = c.ledger.Report(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.ledger.HandleReport(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.LedgerTotals:
 		c.totals(now, e.From, m)
 	case *pomelorelay.LedgerQuery:
-		c.out = c.reporter.Query(now, e.From, m, c.out)
+		c.out = c.reporter.HandleQuery(now, e.From, m, c.out)
 	case *pomelorelay.LedgerComponent:
-		c.out = c.ledger.Component(now, e.From, m, c.out)
+		c.out = c.ledger.HandleComponent(now, e.From, m, c.out)
 	case *pomelorelay.LedgerComponentQuery:
-		c.out = c.ledger.ComponentQuery(now, e.From, m, c.out)
+		c.out = c.ledger.HandleComponentQuery(now, e.From, m, c.out)
 	case *pomelorelay.ConfigPull:
 		c.out = c.spreader.Pull(now, e.From, m, c.out)
 	case *pomelorelay.ConfigPush:
@@ -68,24 +68,24 @@
 func (c *control) receiveGuards(now time.Time, e pomelorelay.Envelope) {
 	switch m := e.Message.(type) {
 	case *pomelorelay.ClaimAsk:
-		c.keeper.Ask(now, e.From, m, &c.claimOut)
+		c.keeper.HandleAsk(now, e.From, m, &c.claimOut)
 	case *pomelorelay.ClaimAnswer:
-		c.claimAsker.Answer(now, m, &c.claimOut)
+		c.claimAsker.HandleAnswer(now, m, &c.claimOut)
 	case *pomelorelay.ClaimSettle:
-		c.keeper.Settle(now, e.From, m, &c.claimOut)
+		c.keeper.HandleSettle(now, e.From, m, &c.claimOut)
 	case *pomelorelay.ClaimSettled:
-		c.claimAsker.Settled(m)
+		c.claimAsker.HandleSettled(m)
 	case *pomelorelay.SuspectNotice:
-		c.table.Notice(now, m, &c.suspectOut)
+		c.table.HandleSuspectNotice(now, m, &c.suspectOut)
 	case *pomelorelay.SuspectAsk:
-		c.arbiter.Ask(now, e.From, m, &c.suspectOut)
+		c.arbiter.HandleAsk(now, e.From, m, &c.suspectOut)
 	case *pomelorelay.SuspectAnswer:
-		c.table.Answer(now, e.From, m, &c.suspectOut)
+		c.table.HandleAnswer(now, e.From, m, &c.suspectOut)
 	case *pomelorelay.SuspectCleared:
-		c.table.Cleared(m)
-		c.arbiter.Cleared(e.From, m)
+		c.table.HandleCleared(m)
+		c.arbiter.HandleCleared(e.From, m)
 	case *pomelorelay.QuarantineNotice:
-		c.table.Quarantine(now, m, &c.suspectOut)
+		c.table.HandleQuarantineNotice(now, m, &c.suspectOut)
 	}
 }
 
@@ -94,16 +94,16 @@
 	if !c.view.Located(e.From) {
 		c.n.wantHosts()
 	}
-	c.asker.Slots(now, m.Slots)
+	c.asker.UpdateDigests(now, m.Slots)
 	c.out = c.asker.Tick(now, c.out)
 }
 
 func (c *control) totals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) {
-	if !c.reporter.Totals(now, from, m) {
+	if !c.reporter.HandleTotals(now, from, m) {
 		return
 	}
 	for _, e := range m.Entries {
-		c.queues.SetFleet(now, e)
+		c.queues.SetFleetTotals(now, e)
 		c.touch(e.Pool)
 	}
 }
--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -14,7 +14,7 @@
 
 // Refuse fails with CodeQuarantined while the fingerprint is quarantined.
 func (a suspects) Refuse(f pomelorelay.Fingerprint) error {
-	left := a.n.suspects.Load().Quarantined(a.n.cfg.Clock.Now(), f)
+	left := a.n.suspects.Load().QuarantineRemaining(a.n.cfg.Clock.Now(), f)
 	if left <= 0 {
 		return nil
 	}
@@ -29,7 +29,7 @@
 
 // Check lets a request that is no suspect run at once; a suspect waits for the arbiters' word.
 func (a suspects) Check(ctx context.Context, run pomeloroute.SuspectRun) error {
-	if !run.Known && !a.n.suspects.Load().Suspect(run.Fingerprint) {
+	if !run.Known && !a.n.suspects.Load().IsSuspect(run.Fingerprint) {
 		return nil
 	}
 	w := &suspectWaiter{run: suspectRun(run), answer: make(chan pomeloquarantine.Verdict, 1)}
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -143,8 +143,8 @@
 				now = now.Add(10 * time.Millisecond)
 				d := p.Place(now, prompt(uint64(i%75)+1, 5000, pomelorelay.Tokens(i%1000)+1))
 				if d.Run != nil {
-					p.Begun(now, d.Run)
-					p.Ended(now, d.Run, pomeloplace.ResultGood)
+					p.RecordAnswerStart(now, d.Run)
+					p.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 				}
 			}
 		})
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -89,12 +89,12 @@
 	// list is by id, so that the same calls always give the same answers.
 	list []*upstream
 	// line is how fast the service's engines read.
-	line *pomelospeed.Line
+	line *pomelospeed.FirstTokenModel
 	// expectation is what callers expect, pauses whether long reading leads to longer pauses than that.
 	expectation
-	pauses *pomelospeed.Ratio
+	pauses *pomelospeed.DecayingRatio
 	// copies is how long it takes to copy kept parts from another engine, as a part of the time to read them.
-	copies *pomelospeed.Ratio
+	copies *pomelospeed.DecayingRatio
 	// pauseWeight and copyPart are what these said when a request was last placed.
 	pauseWeight, copyPart float64
 	// ranked is in the order of a hash that is the same at every router; the first take the long prompts.
@@ -111,7 +111,7 @@
 }
 
 func newPool() *pool {
-	return &pool{line: pomelospeed.NewLine(startRate), pauses: pomelospeed.NewPauses(), copies: pomelospeed.NewCopies()}
+	return &pool{line: pomelospeed.NewFirstTokenModel(startRate), pauses: pomelospeed.NewPauseRatio(), copies: pomelospeed.NewCopyTimeRatio()}
 }
 
 // renew takes over what was learnt, once for all candidates of a request.
@@ -150,7 +150,7 @@
 	}
 	s.renew(now)
 	s.flow.fade(now)
-	need := int(math.Ceil(s.pauseWeight * s.flow.engines(float64(s.line.Rate()))))
+	need := int(math.Ceil(s.pauseWeight * s.flow.engines(float64(s.line.PrefillRate()))))
 	need = min(need, int(longMost*float64(len(s.ranked))))
 	if need >= s.forLong || now.Sub(s.neededAt) > longKeep {
 		s.forLong, s.neededAt = need, now
@@ -169,11 +169,11 @@
 
 // notePause takes a stream that ran while its engine read for long.
 func (s *pool) notePause(now time.Time, paused bool) {
-	sums := pomelospeed.Sums{Of: 1}
+	sums := pomelospeed.RatioSums{Denominator: 1}
 	if paused {
-		sums.Amount = 1
+		sums.Numerator = 1
 	}
-	s.pauses.Note(now, sums)
+	s.pauses.Observe(now, sums)
 }
 
 // compare sets each engine's speed beside that of the middle one: what is the same for all belongs to the service's line, which may
@@ -186,7 +186,7 @@
 	slices.Sort(s.factors)
 	middle := s.factors[len(s.factors)/2]
 	for _, u := range s.list {
-		u.slow = u.factor.Beside(now, middle)
+		u.slow = u.factor.RelativeTo(now, middle)
 	}
 }
 
@@ -196,7 +196,7 @@
 		return 0
 	}
 	cost := shortAtLong
-	if r.Output >= manyEvents*max(1, u.engine.EventTokens) {
+	if r.OutputTokens >= manyEvents*max(1, u.engine.EventTokens) {
 		cost = streamAtLong
 	}
 	return part(u.pool.pauseWeight, cost)
@@ -204,5 +204,5 @@
 
 // long reports whether reading so much at a stretch makes streams beside it pause for too long.
 func (s *pool) long(work pomelorelay.Tokens) bool {
-	return s.pause > 0 && float64(work)/float64(s.line.Rate()) >= pauseFrom*milliseconds(s.pause)
+	return s.pause > 0 && float64(work)/float64(s.line.PrefillRate()) >= pauseFrom*milliseconds(s.pause)
 }
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -45,7 +45,7 @@
 	// busySince is since when it has been reading without a break.
 	busySince time.Time
 	// factor is how an engine's speed differs from its service's, slow the same beside the middle one of the service.
-	factor pomelospeed.Factor
+	factor pomelospeed.SlowdownFactor
 	slow   float64
 	// longAt is when the engine last had so much to read that streams beside it may have paused for too long.
 	longAt time.Time
@@ -136,11 +136,11 @@
 
 // worth returns the time in which engines of the service read so many tokens; of plain upstreams, by the first guess.
 func (u *upstream) worth(tokens float64) time.Duration {
-	return time.Duration(tokens / float64(u.pool.line.Rate()) * float64(time.Millisecond))
+	return time.Duration(tokens / float64(u.pool.line.PrefillRate()) * float64(time.Millisecond))
 }
 
 // rate returns how many tokens the engine reads in a millisecond.
-func (u *upstream) rate() float64 { return float64(u.pool.line.Rate()) / u.slow }
+func (u *upstream) rate() float64 { return float64(u.pool.line.PrefillRate()) / u.slow }
 
 // overhead returns the time to a first token besides reading.
 func (u *upstream) overhead() time.Duration {
@@ -157,12 +157,12 @@
 
 func (u *upstream) result(now time.Time, r Result) {
 	switch r {
-	case ResultGood, ResultPaused:
+	case ResultCompleted, ResultLongPause:
 		u.failures = u.failing(now) * (1 - failShare)
 		u.downUntil, u.downFor = time.Time{}, 0
 	case ResultFailed, ResultRefused:
 		u.failures = u.failing(now)*(1-failShare) + failShare
-	case ResultUnreached:
+	case ResultUnreachable:
 		u.failures = max(u.failing(now), failShare)
 		u.rest(now)
 	default:
@@ -196,24 +196,24 @@
 		return way
 	}
 	tokens := r.ahead + float64(r.missing)
-	expected := u.pool.line.Expect(tokens)
+	expected := u.pool.line.ExpectedTime(tokens)
 	beyond := took - part(u.slow, expected)
 	if r.copied > 0 {
-		u.pool.copies.Note(now, u.copied(r, beyond-way))
+		u.pool.copies.Observe(now, u.copied(r, beyond-way))
 		return way
 	}
-	u.factor.Note(now, took-way, expected)
+	u.factor.Observe(now, took-way, expected)
 	u.own.expected += expected
 	u.own.took += took - way
-	u.pool.line.Note(now, tokens, part(1/u.slow, took-way))
+	u.pool.line.Observe(now, tokens, part(1/u.slow, took-way))
 	return beyond
 }
 
 // copied returns what a copy took, in tokens that could have been read meanwhile: what the answer took beyond what was expected without it. That is
 // bounded, since waits that have other reasons say nothing of it.
-func (u *upstream) copied(r *Run, beyond time.Duration) pomelospeed.Sums {
+func (u *upstream) copied(r *Run, beyond time.Duration) pomelospeed.RatioSums {
 	tokens := float64(r.copied)
-	return pomelospeed.Sums{Amount: min(max(milliseconds(beyond)*u.rate(), -tokens), 2*tokens), Of: tokens}
+	return pomelospeed.RatioSums{Numerator: min(max(milliseconds(beyond)*u.rate(), -tokens), 2*tokens), Denominator: tokens}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -58,9 +58,9 @@
 	return r.routes[route].And(r.accounts[account])
 }
 
-// Of returns where a request of the account on the route may be served; the account is empty where there is none. Shortly after a change both
+// Residency returns where a request of the account on the route may be served; the account is empty where there is none. Shortly after a change both
 // versions bind, or the newer one alone where they have no region in common.
-func (p *Policy) Of(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
+func (p *Policy) Residency(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
 	current := p.current.of(route, account)
 	if !now.Before(p.previousEnds) {
 		return current
--- a/pomeloresidency/policy_test.go
+++ b/pomeloresidency/policy_test.go
@@ -39,11 +39,11 @@
 	} {
 		p := pomeloresidency.New(pomeloresidency.Config{Overlap: overlap})
 		p.SetConfig(start, config(c.route, c.account))
-		got := p.Of(start.Add(overlap), "route", "account")
+		got := p.Residency(start.Add(overlap), "route", "account")
 		if got.Limited != c.limited || !slices.Equal(got.Regions, c.allowed) || got.Empty() != (c.limited && len(c.allowed) == 0) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
-		if other := p.Of(start.Add(overlap), "anywhere", "free"); other.Limited {
+		if other := p.Residency(start.Add(overlap), "anywhere", "free"); other.Limited {
 			t.Errorf("%s: a route and an account without regions are limited to %v", c.name, other.Regions)
 		}
 	}
@@ -67,7 +67,7 @@
 		p.SetConfig(start, config(c.before, nil))
 		changed := start.Add(time.Minute)
 		p.SetConfig(changed, config(c.after, nil))
-		during, after := p.Of(changed, "route", "free"), p.Of(changed.Add(overlap), "route", "free")
+		during, after := p.Residency(changed, "route", "free"), p.Residency(changed.Add(overlap), "route", "free")
 		if during.Limited != c.limitedWhile || !slices.Equal(during.Regions, c.duringIt) {
 			t.Errorf("%s: %+v during the change", c.name, during)
 		}
@@ -88,7 +88,7 @@
 			route, account := draw.Draw(t, "route"), draw.Draw(t, "account")
 			p.SetConfig(now, config(route, account))
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(2*overlap)).Draw(t, "passed")))
-			got := p.Of(now, "route", "account")
+			got := p.Residency(now, "route", "account")
 			for _, region := range all {
 				allowed := pomelorelay.NewResidency(route).Allows(region) && pomelorelay.NewResidency(account).Allows(region)
 				if got.Allows(region) && !allowed {
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -123,7 +123,7 @@
 	defer h.mu.Unlock()
 	b, ok := h.budgets[service]
 	if !ok {
-		b = pomelobudget.New(pomelobudget.Config{Start: budgetFloor, Most: budgetCap})
+		b = pomelobudget.New(pomelobudget.Config{Initial: budgetFloor, Max: budgetCap})
 		h.budgets[service] = b
 	}
 	return b
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -77,16 +77,16 @@
 	a.steps[step].served += u.served
 }
 
-// Asked notes a request of this router's.
-func (s *Shares) Asked(id pomelorelay.AccountID, cost pomelorelay.Cost) { s.note(id, use{asked: cost}) }
+// RecordRequest notes a request of this router's.
+func (s *Shares) RecordRequest(id pomelorelay.AccountID, cost pomelorelay.Cost) { s.note(id, use{asked: cost}) }
 
-// Served notes a request that this router sent to an engine.
-func (s *Shares) Served(id pomelorelay.AccountID, cost pomelorelay.Cost) {
+// RecordServed notes a request that this router sent to an engine.
+func (s *Shares) RecordServed(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.note(id, use{served: cost})
 }
 
-// Returned takes back a request that Served noted and that no engine ran.
-func (s *Shares) Returned(id pomelorelay.AccountID, cost pomelorelay.Cost) {
+// Refund takes back a request that Served noted and that no engine ran.
+func (s *Shares) Refund(id pomelorelay.AccountID, cost pomelorelay.Cost) {
 	s.note(id, use{served: -cost})
 }
 
@@ -98,9 +98,9 @@
 	a.add(s.step, u)
 }
 
-// TakeReport takes another router's sums since its start, in the order in which they were sent. They may be lost or repeated: only what changed
+// MergeReport takes another router's sums since its start, in the order in which they were sent. They may be lost or repeated: only what changed
 // since the last ones counts, up or, by requests that did not run, down.
-func (s *Shares) TakeReport(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
+func (s *Shares) MergeReport(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := s.peers[from]
 	first := p == nil
 	if first || p.incarnation < incarnation {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Mark takes another router's sums as a mark from which its next ones count: what they hold has been counted by another router's.
-func (s *Shares) Mark(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
+// SetBaseline takes another router's sums as a mark from which its next ones count: what they hold has been counted by another router's.
+func (s *Shares) SetBaseline(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := &peer{incarnation: incarnation, told: make(map[pomelorelay.AccountID]use, len(entries))}
 	for _, e := range entries {
 		p.told[e.Account] = use{asked: e.Asked, served: e.Served}
@@ -133,8 +133,8 @@
 
 func (s *Shares) young() bool { return s.stepped.Sub(s.began) < s.cfg.Window }
 
-// Report appends this router's own sums: those that changed since the last call, or all.
-func (s *Shares) Report(all bool, out []pomelorelay.AccountUse) []pomelorelay.AccountUse {
+// AppendReport appends this router's own sums: those that changed since the last call, or all.
+func (s *Shares) AppendReport(all bool, out []pomelorelay.AccountUse) []pomelorelay.AccountUse {
 	for _, id := range slices.Sorted(maps.Keys(s.accounts)) {
 		a := s.accounts[id]
 		if a.own == (use{}) || (!all && !a.changed) {
@@ -194,9 +194,9 @@
 	return least
 }
 
-// Lead returns how many times as much an account beyond its share has had as it may have beside another that is short; up to one it is
+// LeadOverLevel returns how many times as much an account beyond its share has had as it may have beside another that is short; up to one it is
 // not ahead.
-func (s *Shares) Lead(id pomelorelay.AccountID) float64 {
+func (s *Shares) LeadOverLevel(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.least == 0 {
 		return 0
 	}
@@ -238,8 +238,8 @@
 	return 0
 }
 
-// Owed reports whether a request of the cost is within the account's share.
-func (s *Shares) Owed(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
+// WithinShare reports whether a request of the cost is within the account's share.
+func (s *Shares) WithinShare(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
 	if s.level == 0 {
 		return true
 	}
@@ -248,9 +248,9 @@
 	return served+cost/2 <= s.level || served <= s.least
 }
 
-// Ahead returns how many times as much as it may an account has had beside another one that is short by far, also of what it is owed itself; up
+// LeadOverLeastServed returns how many times as much as it may an account has had beside another one that is short by far, also of what it is owed itself; up
 // to one it leaves no room for the other.
-func (s *Shares) Ahead(id pomelorelay.AccountID) float64 {
+func (s *Shares) LeadOverLeastServed(id pomelorelay.AccountID) float64 {
 	if s.shortest == 0 {
 		return 0
 	}
@@ -262,14 +262,14 @@
 // is seen to get less than half of what the flood gets.
 func (s *Shares) water() pomelorelay.Cost { return max(s.level, s.least) }
 
-// State returns what the account asked for and was served in the window, and the level up to which accounts are owed.
-func (s *Shares) State(id pomelorelay.AccountID) (asked, served, level pomelorelay.Cost) {
+// Usage returns what the account asked for and was served in the window, and the level up to which accounts are owed.
+func (s *Shares) Usage(id pomelorelay.AccountID) (asked, served, level pomelorelay.Cost) {
 	a := s.account(id)
 	return a.window.asked, a.window.served, s.water()
 }
 
-// Wait returns about how long the account must wait until it is owed a request of the cost again.
-func (s *Shares) Wait(id pomelorelay.AccountID, cost pomelorelay.Cost) time.Duration {
+// RetryAfter returns about how long the account must wait until it is owed a request of the cost again.
+func (s *Shares) RetryAfter(id pomelorelay.AccountID, cost pomelorelay.Cost) time.Duration {
 	if s.level == 0 {
 		return 0
 	}
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -20,7 +20,7 @@
 	s.SetCapacity(100)
 	s.Tick(start)
 	for id, cost := range asked {
-		s.Asked(id, cost)
+		s.RecordRequest(id, cost)
 	}
 	s.Tick(start.Add(100 * time.Millisecond))
 	return s
@@ -37,7 +37,7 @@
 		{"two ask for more", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 100, "b": 1000, "c": 2000}, 150},
 		{"even", map[pomelorelay.AccountID]pomelorelay.Cost{"a": 1000, "b": 1000, "c": 1000, "d": 1000}, 100},
 	} {
-		if _, _, level := fill(c.asked).State("a"); level != c.want {
+		if _, _, level := fill(c.asked).Usage("a"); level != c.want {
 			t.Errorf("%s: level %v, want %v", c.name, level, c.want)
 		}
 	}
@@ -46,32 +46,32 @@
 func TestOwedUpToTheLevel(t *testing.T) {
 	s := fill(map[pomelorelay.AccountID]pomelorelay.Cost{"small": 100, "large": 1000})
 	for range 6 {
-		if !s.Owed("large", 50) {
+		if !s.WithinShare("large", 50) {
 			t.Fatal("refused below the level of 300")
 		}
-		s.Served("large", 50)
+		s.RecordServed("large", 50)
 	}
-	if s.Owed("large", 50) {
+	if s.WithinShare("large", 50) {
 		t.Error("owed beyond the level")
 	}
-	if !s.Owed("small", 50) {
+	if !s.WithinShare("small", 50) {
 		t.Error("the small account is not owed what it asked for")
 	}
-	if wait := s.Wait("large", 50); wait <= 0 || wait > window {
+	if wait := s.RetryAfter("large", 50); wait <= 0 || wait > window {
 		t.Errorf("told to wait %v", wait)
 	}
 }
 
 func TestWindowForgets(t *testing.T) {
 	s := fill(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
-	s.Served("large", 400)
-	if s.Owed("large", 50) {
+	s.RecordServed("large", 400)
+	if s.WithinShare("large", 50) {
 		t.Fatal("owed beyond the level")
 	}
 	for at := time.Duration(0); at <= window+window/5; at += 100 * time.Millisecond {
 		s.Tick(start.Add(at))
 	}
-	if asked, served, _ := s.State("large"); asked != 0 || served != 0 {
+	if asked, served, _ := s.Usage("large"); asked != 0 || served != 0 {
 		t.Errorf("%v asked and %v served are still in the window", asked, served)
 	}
 }
@@ -83,20 +83,20 @@
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(tokens)
 	s.Tick(start)
-	s.Asked("flood", 20*tokens)
-	s.Served("flood", 5*tokens)
-	s.Asked("short", 4*tokens)
-	s.Served("short", tokens)
+	s.RecordRequest("flood", 20*tokens)
+	s.RecordServed("flood", 5*tokens)
+	s.RecordRequest("short", 4*tokens)
+	s.RecordServed("short", tokens)
 	s.Tick(start.Add(100 * time.Millisecond))
-	if s.Lead("flood") <= 1 {
+	if s.LeadOverLevel("flood") <= 1 {
 		t.Error("the flood is not ahead")
 	}
-	if s.Lead("short") > 1 {
+	if s.LeadOverLevel("short") > 1 {
 		t.Error("the short account is ahead of itself")
 	}
-	s.Served("short", 3*tokens)
+	s.RecordServed("short", 3*tokens)
 	s.Tick(start.Add(200 * time.Millisecond))
-	if s.Lead("flood") > 1 {
+	if s.LeadOverLevel("flood") > 1 {
 		t.Error("the flood waits for an account that got everything")
 	}
 }
@@ -109,14 +109,14 @@
 		s.Tick(start.Add(at))
 	}
 	report := func(incarnation pomelorelay.Incarnation, asked pomelorelay.Cost) {
-		s.TakeReport("r1", incarnation, []pomelorelay.AccountUse{{Account: "a", Asked: asked}})
+		s.MergeReport("r1", incarnation, []pomelorelay.AccountUse{{Account: "a", Asked: asked}})
 	}
 	report(1, 10)
 	report(1, 10)
 	report(1, 30)
 	report(2, 5)
 	report(1, 1000)
-	if asked, _, _ := s.State("a"); asked != 35 {
+	if asked, _, _ := s.Usage("a"); asked != 35 {
 		t.Errorf("%v asked, want 35", asked)
 	}
 }
@@ -130,16 +130,16 @@
 		var total pomelorelay.Cost
 		for range rapid.IntRange(1, 20).Draw(t, "requests") {
 			cost := pomelorelay.Cost(rapid.IntRange(1, 1000).Draw(t, "cost"))
-			a.Asked("x", cost)
+			a.RecordRequest("x", cost)
 			total += cost
 			if rapid.Bool().Draw(t, "lost") {
-				a.Report(false, nil)
+				a.AppendReport(false, nil)
 				continue
 			}
-			b.TakeReport("a", 1, a.Report(false, nil))
+			b.MergeReport("a", 1, a.AppendReport(false, nil))
 		}
-		b.TakeReport("a", 1, a.Report(true, nil))
-		if asked, _, _ := b.State("x"); asked != total {
+		b.MergeReport("a", 1, a.AppendReport(true, nil))
+		if asked, _, _ := b.Usage("x"); asked != total {
 			t.Fatalf("%v arrived of %v", asked, total)
 		}
 	})
@@ -152,14 +152,14 @@
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
 	s.SetCapacity(tokens)
 	s.Tick(start)
-	s.Asked("flood", 20*tokens)
-	s.Served("flood", 6*tokens)
-	s.Asked("short", 4*tokens)
-	s.Served("short", 2*tokens)
-	s.Asked("shortest", 4*tokens)
-	s.Served("shortest", 1.9*tokens)
+	s.RecordRequest("flood", 20*tokens)
+	s.RecordServed("flood", 6*tokens)
+	s.RecordRequest("short", 4*tokens)
+	s.RecordServed("short", 2*tokens)
+	s.RecordRequest("shortest", 4*tokens)
+	s.RecordServed("shortest", 1.9*tokens)
 	s.Tick(start.Add(100 * time.Millisecond))
-	if s.Owed("flood", tokens/10) || !s.Owed("shortest", tokens/10) || s.Owed("short", tokens/2) {
+	if s.WithinShare("flood", tokens/10) || !s.WithinShare("shortest", tokens/10) || s.WithinShare("short", tokens/2) {
 		t.Error("what is left over does not go to the shortest account first")
 	}
 }
@@ -172,11 +172,11 @@
 	s.SetCapacity(tokens)
 	s.Tick(start)
 	for id, served := range map[pomelorelay.AccountID]pomelorelay.Cost{"first": 18 * tokens, "second": 10 * tokens, "short": 5 * tokens} {
-		s.Asked(id, 20*tokens)
-		s.Served(id, served)
+		s.RecordRequest(id, 20*tokens)
+		s.RecordServed(id, served)
 	}
 	s.Tick(start.Add(100 * time.Millisecond))
-	if first, second := s.Lead("first"), s.Lead("second"); first <= second || second <= 1 {
+	if first, second := s.LeadOverLevel("first"), s.LeadOverLevel("second"); first <= second || second <= 1 {
 		t.Errorf("leads of %.2f and %.2f", first, second)
 	}
 }
@@ -189,19 +189,19 @@
 		here.Tick(start.Add(at))
 		there.Tick(start.Add(at))
 	}
-	there.TakeReport("here", 1, here.Report(true, nil))
-	here.Served("large", 400)
-	there.TakeReport("here", 1, here.Report(false, nil))
-	here.Returned("large", 400)
-	there.TakeReport("here", 1, here.Report(false, nil))
+	there.MergeReport("here", 1, here.AppendReport(true, nil))
+	here.RecordServed("large", 400)
+	there.MergeReport("here", 1, here.AppendReport(false, nil))
+	here.Refund("large", 400)
+	there.MergeReport("here", 1, here.AppendReport(false, nil))
 	for name, s := range map[string]*pomeloshare.Shares{"here": here, "there": there} {
-		if _, served, _ := s.State("large"); served != 0 {
+		if _, served, _ := s.Usage("large"); served != 0 {
 			t.Errorf("%s: %v counts as served, want 0", name, served)
 		}
 		for at := window / 2; at <= 2*window; at += 100 * time.Millisecond {
 			s.Tick(start.Add(at))
 		}
-		if _, served, _ := s.State("large"); served != 0 {
+		if _, served, _ := s.Usage("large"); served != 0 {
 			t.Errorf("%s: %v counts as served after the window, want 0", name, served)
 		}
 	}
@@ -224,15 +224,15 @@
 		s := pomeloshare.New(pomeloshare.Config{Window: window})
 		s.SetCapacity(1_000_000)
 		s.Tick(start)
-		s.Asked("ahead", 2_000_000)
-		s.Served("ahead", c.aheadGot)
-		s.Asked("short", c.shortAsked)
-		s.Served("short", c.shortGot)
+		s.RecordRequest("ahead", 2_000_000)
+		s.RecordServed("ahead", c.aheadGot)
+		s.RecordRequest("short", c.shortAsked)
+		s.RecordServed("short", c.shortGot)
 		s.Tick(start.Add(100 * time.Millisecond))
-		if got := s.Ahead("ahead") > 1; got != c.want {
+		if got := s.LeadOverLeastServed("ahead") > 1; got != c.want {
 			t.Errorf("%s: yields %v, want %v", c.name, got, c.want)
 		}
-		if s.Ahead("short") > 1 {
+		if s.LeadOverLeastServed("short") > 1 {
 			t.Errorf("%s: the short account yields", c.name)
 		}
 	}
@@ -251,12 +251,12 @@
 	sums := func(asked pomelorelay.Cost) []pomelorelay.AccountUse {
 		return []pomelorelay.AccountUse{{Account: "a", Asked: asked, Served: asked}}
 	}
-	s.TakeReport("first", 1, sums(0))
-	s.Mark("second", 1, sums(0))
-	s.TakeReport("second", 1, sums(700))
-	s.Mark("first", 1, sums(700))
-	s.TakeReport("first", 1, sums(800))
-	if asked, served, _ := s.State("a"); asked != 800 || served != 800 {
+	s.MergeReport("first", 1, sums(0))
+	s.SetBaseline("second", 1, sums(0))
+	s.MergeReport("second", 1, sums(700))
+	s.SetBaseline("first", 1, sums(700))
+	s.MergeReport("first", 1, sums(800))
+	if asked, served, _ := s.Usage("a"); asked != 800 || served != 800 {
 		t.Errorf("%v asked and %v served, want 800", asked, served)
 	}
 }
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -18,7 +18,7 @@
 
 // reach finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
 // enough waits, those beyond; without a usable owner nearby the next distance counts as near.
-func (a *Asker) reach(now time.Time, p *askerPool) reach {
+func (a *Requester) reach(now time.Time, p *askerPool) reach {
 	var known, idle [pomelorelay.LinkClasses]bool
 	highest := pomelorelay.Tag(0)
 	for _, w := range p.owners {
--- a/pomelospeed/copies.go
+++ b/pomelospeed/copies.go
@@ -14,8 +14,8 @@
 	mostCopyNews = 200_000
 )
 
-// NewCopies returns the time that engines take to copy parts of prompts that others keep, as a part of the time to read them. What they had
+// NewCopyTimeRatio returns the time that engines take to copy parts of prompts that others keep, as a part of the time to read them. What they had
 // to read after all, since the other one did not keep it any more, counts as time of the copy.
-func NewCopies() *Ratio {
-	return NewRatio(RatioConfig{Guess: copyGuess, Weight: copyGuessTokens, Half: copyHalf, MostNews: mostCopyNews})
+func NewCopyTimeRatio() *DecayingRatio {
+	return NewDecayingRatio(DecayingRatioConfig{Guess: copyGuess, Weight: copyGuessTokens, Half: copyHalf, MostNews: mostCopyNews})
 }
--- a/pomelospeed/factor.go
+++ b/pomelospeed/factor.go
@@ -20,20 +20,20 @@
 	mostFactor = 16.0
 )
 
-// Factor is how many times as long as the service's Line one engine takes to its first tokens.
-type Factor struct {
+// SlowdownFactor is how many times as long as the service's Line one engine takes to its first tokens.
+type SlowdownFactor struct {
 	took, expected float64 // milliseconds
 	at             time.Time
 }
 
-// Note takes answers that took so long in sum and were expected to take so long.
-func (f *Factor) Note(now time.Time, took, expected time.Duration) {
+// Observe takes answers that took so long in sum and were expected to take so long.
+func (f *SlowdownFactor) Observe(now time.Time, took, expected time.Duration) {
 	f.fade(now)
 	f.took += milliseconds(took)
 	f.expected += milliseconds(expected)
 }
 
-func (f *Factor) fade(now time.Time) {
+func (f *SlowdownFactor) fade(now time.Time) {
 	if passed := now.Sub(f.at); passed > 0 {
 		keep := math.Exp2(-float64(passed) / float64(factorFade))
 		f.took *= keep
@@ -43,16 +43,16 @@
 }
 
 // Ratio returns the factor as the answers of late say.
-func (f *Factor) Ratio(now time.Time) float64 {
+func (f *SlowdownFactor) Ratio(now time.Time) float64 {
 	f.fade(now)
 	start := milliseconds(factorStart)
 	return min(max((f.took+start)/(f.expected+start), 1/mostFactor), mostFactor)
 }
 
-// Beside returns how much slower the engine is than the one in the middle, whose ratio is given; one where the difference may be chance.
+// RelativeTo returns how much slower the engine is than the one in the middle, whose ratio is given; one where the difference may be chance.
 // What is the same for all engines belongs to their Line, which may still be on its way to where it fits. No engine counts as quicker
 // than the middle one: all routers would send to it at once.
-func (f *Factor) Beside(now time.Time, middle float64) float64 {
+func (f *SlowdownFactor) RelativeTo(now time.Time, middle float64) float64 {
 	ratio := f.Ratio(now) / middle
 	if ratio >= sureRatio {
 		return ratio
--- a/pomelospeed/line.go
+++ b/pomelospeed/line.go
@@ -7,13 +7,13 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Rate is a reading speed in tokens a millisecond.
-type Rate float64
+// PrefillRate is a reading speed in tokens a millisecond.
+type PrefillRate float64
 
 const (
 	// leastRate and mostRate bound what is learnt, so that a few odd answers cannot make an engine look stopped or endless.
-	leastRate Rate = 0.5
-	mostRate  Rate = 5000
+	leastRate PrefillRate = 0.5
+	mostRate  PrefillRate = 5000
 	// startOverhead is the first guess of what an answer needs besides reading: some decoding steps and the network.
 	startOverhead = 30 * time.Millisecond
 	// guessWeight is the number of answers that the first guess of the rate counts for, and startWeight that of the overhead, which
@@ -36,9 +36,9 @@
 	quickerAnswers = 4
 )
 
-// Line is the time to the first token as a straight line over the prompt tokens to be read, fitted to the answers of all routers.
-type Line struct {
-	guess Rate
+// FirstTokenModel is the time to the first token as a straight line over the prompt tokens to be read, fitted to the answers of all routers.
+type FirstTokenModel struct {
+	guess PrefillRate
 	own   pomelorelay.SpeedSums
 	seen  pomelorelay.SpeedSums
 	at    time.Time
@@ -46,30 +46,30 @@
 	overhead, perToken float64
 }
 
-// NewLine returns a Line that expects engines to read at the rate until it has seen answers.
-func NewLine(guess Rate) *Line {
-	l := &Line{}
-	l.SetGuess(guess)
+// NewFirstTokenModel returns a Line that expects engines to read at the rate until it has seen answers.
+func NewFirstTokenModel(guess PrefillRate) *FirstTokenModel {
+	l := &FirstTokenModel{}
+	l.SetPriorRate(guess)
 	return l
 }
 
-// SetGuess replaces the first guess.
-func (l *Line) SetGuess(guess Rate) {
+// SetPriorRate replaces the first guess.
+func (l *FirstTokenModel) SetPriorRate(guess PrefillRate) {
 	l.guess = min(max(guess, leastRate), mostRate)
 	l.fit()
 }
 
-// Rate returns how fast an engine reads.
-func (l *Line) Rate() Rate { return Rate(1 / l.perToken) }
+// PrefillRate returns how fast an engine reads.
+func (l *FirstTokenModel) PrefillRate() PrefillRate { return PrefillRate(1 / l.perToken) }
 
 // Overhead returns the time to the first token of a prompt of no length at an engine where nothing waits.
-func (l *Line) Overhead() time.Duration { return duration(l.overhead) }
+func (l *FirstTokenModel) Overhead() time.Duration { return duration(l.overhead) }
 
-// Expect returns the time to the first token of an engine that has to read so many tokens before it, the request's own among them.
-func (l *Line) Expect(tokens float64) time.Duration { return duration(l.overhead + l.perToken*tokens) }
+// ExpectedTime returns the time to the first token of an engine that has to read so many tokens before it, the request's own among them.
+func (l *FirstTokenModel) ExpectedTime(tokens float64) time.Duration { return duration(l.overhead + l.perToken*tokens) }
 
-// Note takes the time to the first token that this router saw.
-func (l *Line) Note(now time.Time, tokens float64, took time.Duration) {
+// Observe takes the time to the first token that this router saw.
+func (l *FirstTokenModel) Observe(now time.Time, tokens float64, took time.Duration) {
 	expected := l.overhead + l.perToken*tokens
 	odd := oddRatio * max(1, sureAnswers/(l.seen.Answers+1))
 	y := min(max(milliseconds(took), expected/odd), expected*odd)
@@ -80,16 +80,16 @@
 }
 
 // weight is what an answer that read so many tokens counts: a wait of twice the length varies twice as much.
-func (l *Line) weight(tokens float64) float64 {
+func (l *FirstTokenModel) weight(tokens float64) float64 {
 	times := 1 + l.perToken*tokens/milliseconds(startOverhead)
 	return 1 / (times * times)
 }
 
-// Own returns the sums of this router's answers since its start.
-func (l *Line) Own() pomelorelay.SpeedSums { return l.own }
+// LocalSums returns the sums of this router's answers since its start.
+func (l *FirstTokenModel) LocalSums() pomelorelay.SpeedSums { return l.own }
 
 // Merge takes what another router's sums have grown by.
-func (l *Line) Merge(now time.Time, before, after pomelorelay.SpeedSums) {
+func (l *FirstTokenModel) Merge(now time.Time, before, after pomelorelay.SpeedSums) {
 	news := plus(after, before, -1)
 	if !sound(news) {
 		return
@@ -112,7 +112,7 @@
 // rounding is how far sums may be off by the rounding of numbers.
 const rounding = 1e-6
 
-func (l *Line) see(now time.Time, s pomelorelay.SpeedSums) {
+func (l *FirstTokenModel) see(now time.Time, s pomelorelay.SpeedSums) {
 	if l.at.IsZero() {
 		l.at = now
 	}
@@ -126,7 +126,7 @@
 }
 
 // fit draws the line of least squares through what was seen and the first guess.
-func (l *Line) fit() {
+func (l *FirstTokenModel) fit() {
 	s := plus(l.guessed(), l.seen, 1)
 	spread := s.Weight*s.ReadRead - s.Read*s.Read
 	slope := (s.Weight*s.ReadTook - s.Read*s.Took) / spread
@@ -148,13 +148,13 @@
 
 // bounds returns the rates between which the line may be: the first few answers, perhaps behind unreported queues, must not make
 // reading look free.
-func (l *Line) bounds() (least, most Rate) {
-	answers := Rate(l.seen.Answers)
+func (l *FirstTokenModel) bounds() (least, most PrefillRate) {
+	answers := PrefillRate(l.seen.Answers)
 	return max(leastRate, l.guess/(1+answers)), min(mostRate, l.guess*(1+answers/quickerAnswers))
 }
 
 // middle returns about how many tokens the answers read that were seen.
-func (l *Line) middle() float64 {
+func (l *FirstTokenModel) middle() float64 {
 	if l.seen.Weight <= 0 {
 		return 0
 	}
@@ -170,7 +170,7 @@
 
 // guessed returns the first guess as answers at two points of its line: at no tokens, and at about as many as the answers read that were
 // seen. Further out, it would outweigh many answers.
-func (l *Line) guessed() pomelorelay.SpeedSums {
+func (l *FirstTokenModel) guessed() pomelorelay.SpeedSums {
 	at, mean := milliseconds(guessSpan)*float64(l.guess), 1.0
 	if l.seen.Answers > 0 {
 		at = max(l.middle(), 1)
--- a/pomelospeed/line_test.go
+++ b/pomelospeed/line_test.go
@@ -42,15 +42,15 @@
 		mean    = 2500 // tokens of a prompt
 	)
 	for _, rate := range []float64{10, 30, 100, 300} {
-		for _, guess := range []pomelospeed.Rate{20, 50, 200} {
+		for _, guess := range []pomelospeed.PrefillRate{20, 50, 200} {
 			t.Run(fmt.Sprintf("%.0f guessed %.0f", rate, guess), func(t *testing.T) {
 				answers := int(load * engines * rate * float64(length.Milliseconds()) / mean)
 				rateOff, expectOff := 0.0, 0.0
 				for seed := range uint64(fleets) {
 					e := &engine{random: rand.New(rand.NewPCG(seed, uint64(rate))), rate: rate, overhead: 40 * time.Millisecond, spread: 0.3}
 					l := learnt(e, guess, answers, length)
-					rateOff += math.Abs(float64(l.Rate())/rate-1) / fleets
-					expectOff += math.Abs(l.Expect(200*rate).Seconds()/0.24-1) / fleets
+					rateOff += math.Abs(float64(l.PrefillRate())/rate-1) / fleets
+					expectOff += math.Abs(l.ExpectedTime(200*rate).Seconds()/0.24-1) / fleets
 				}
 				if rateOff > tenth || expectOff > tenth {
 					t.Errorf("after %d answers the rate is off by %.2f in the mean, the time to read for 0.2 s by %.2f; want %.1f", answers, rateOff, expectOff, tenth)
@@ -61,13 +61,13 @@
 }
 
 // learnt returns a line that has seen so many answers within the time.
-func learnt(e *engine, guess pomelospeed.Rate, answers int, length time.Duration) *pomelospeed.Line {
-	l := pomelospeed.NewLine(guess)
+func learnt(e *engine, guess pomelospeed.PrefillRate, answers int, length time.Duration) *pomelospeed.FirstTokenModel {
+	l := pomelospeed.NewFirstTokenModel(guess)
 	now := start
 	for range answers {
 		now = now.Add(length / time.Duration(answers))
 		tokens := e.prompt()
-		l.Note(now, tokens, e.answer(tokens))
+		l.Observe(now, tokens, e.answer(tokens))
 	}
 	return l
 }
@@ -76,22 +76,22 @@
 // would be in time.
 func TestOneReportTeachesARouterThatStarts(t *testing.T) {
 	e := &engine{random: rand.New(rand.NewPCG(2, 2)), rate: 25, overhead: 60 * time.Millisecond, spread: 0.3}
-	old, fresh := pomelospeed.NewLine(200), pomelospeed.NewLine(200)
+	old, fresh := pomelospeed.NewFirstTokenModel(200), pomelospeed.NewFirstTokenModel(200)
 	now := start
 	for range 500 {
 		now = now.Add(10 * time.Millisecond)
 		tokens := e.prompt()
-		old.Note(now, tokens, e.answer(tokens))
+		old.Observe(now, tokens, e.answer(tokens))
 	}
-	fresh.Merge(now, pomelorelay.SpeedSums{}, old.Own())
-	if got := float64(fresh.Rate()); math.Abs(got/25-1) > 0.1 {
+	fresh.Merge(now, pomelorelay.SpeedSums{}, old.LocalSums())
+	if got := float64(fresh.PrefillRate()); math.Abs(got/25-1) > 0.1 {
 		t.Errorf("%.1f tokens a millisecond after the first report, want 25", got)
 	}
 	// Reports may be repeated; what they said before does not count again.
-	before := fresh.Rate()
-	fresh.Merge(now, old.Own(), old.Own())
-	if fresh.Rate() != before {
-		t.Errorf("a repeated report changed %v to %v", before, fresh.Rate())
+	before := fresh.PrefillRate()
+	fresh.Merge(now, old.LocalSums(), old.LocalSums())
+	if fresh.PrefillRate() != before {
+		t.Errorf("a repeated report changed %v to %v", before, fresh.PrefillRate())
 	}
 }
 
@@ -99,7 +99,7 @@
 // all engines look slow, and requests are refused beside free engines.
 func TestOddAnswersCountLittle(t *testing.T) {
 	e := &engine{random: rand.New(rand.NewPCG(3, 3)), rate: 100, overhead: 30 * time.Millisecond, spread: 0.2}
-	l := pomelospeed.NewLine(100)
+	l := pomelospeed.NewFirstTokenModel(100)
 	now := start
 	for i := range 400 {
 		now = now.Add(10 * time.Millisecond)
@@ -108,9 +108,9 @@
 		if i%100 == 99 {
 			took = 20 * time.Second
 		}
-		l.Note(now, tokens, took)
+		l.Observe(now, tokens, took)
 	}
-	if got := float64(l.Rate()); math.Abs(got/100-1) > 0.25 {
+	if got := float64(l.PrefillRate()); math.Abs(got/100-1) > 0.25 {
 		t.Errorf("%.1f tokens a millisecond, want about 100", got)
 	}
 }
@@ -119,9 +119,9 @@
 func TestASlowEngineIsKnownWithinASecond(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	const expected = 200 * time.Millisecond
-	var slow, sound pomelospeed.Factor
-	note := func(f *pomelospeed.Factor, now time.Time, times float64) {
-		f.Note(now, time.Duration(times*math.Exp(0.3*random.NormFloat64())*float64(expected)), expected)
+	var slow, sound pomelospeed.SlowdownFactor
+	note := func(f *pomelospeed.SlowdownFactor, now time.Time, times float64) {
+		f.Observe(now, time.Duration(times*math.Exp(0.3*random.NormFloat64())*float64(expected)), expected)
 	}
 	now := start
 	at := func(n int, times float64) {
@@ -132,15 +132,15 @@
 		}
 	}
 	at(50, 1)
-	if got := slow.Beside(now, sound.Ratio(now)); got != 1 {
+	if got := slow.RelativeTo(now, sound.Ratio(now)); got != 1 {
 		t.Errorf("counts %.2f times as slow as the others while it is like them", got)
 	}
 	at(10, 4)
-	if got := slow.Beside(now, sound.Ratio(now)); got < 2.5 {
+	if got := slow.RelativeTo(now, sound.Ratio(now)); got < 2.5 {
 		t.Errorf("counts %.2f times as slow after a second at a quarter of the speed", got)
 	}
 	at(20, 1)
-	if got := slow.Beside(now, sound.Ratio(now)); got != 1 {
+	if got := slow.RelativeTo(now, sound.Ratio(now)); got != 1 {
 		t.Errorf("counts %.2f times as slow two seconds after it is sound again", got)
 	}
 }
@@ -157,25 +157,25 @@
 		{"often", 30, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			told, heard := pomelospeed.NewPauses(), pomelospeed.NewPauses()
+			told, heard := pomelospeed.NewPauseRatio(), pomelospeed.NewPauseRatio()
 			now := start
 			for i := range 100 {
 				now = now.Add(20 * time.Millisecond)
-				sums := pomelospeed.Sums{Of: 1}
+				sums := pomelospeed.RatioSums{Denominator: 1}
 				if i < c.paused {
-					sums.Amount = 1
+					sums.Numerator = 1
 				}
-				told.Note(now, sums)
+				told.Observe(now, sums)
 			}
-			heard.Merge(now, pomelospeed.Sums{}, told.Own())
-			for who, p := range map[string]*pomelospeed.Ratio{"told": told, "heard": heard} {
+			heard.Merge(now, pomelospeed.RatioSums{}, told.LocalSums())
+			for who, p := range map[string]*pomelospeed.DecayingRatio{"told": told, "heard": heard} {
 				if got := pomelospeed.PauseWeight(p.Value(now)); got < c.least || got > c.most {
 					t.Errorf("%s: weight %.2f, want %.2f to %.2f", who, got, c.least, c.most)
 				}
 			}
 		})
 	}
-	if got := pomelospeed.PauseWeight(pomelospeed.NewPauses().Value(start)); got != 1 {
+	if got := pomelospeed.PauseWeight(pomelospeed.NewPauseRatio().Value(start)); got != 1 {
 		t.Errorf("weight %.2f before anything is known, want 1", got)
 	}
 }
@@ -183,8 +183,8 @@
 // Engines were full when routers copied parts between them, and the copies seemed to take longer than reading. Nobody copies any more then, so
 // that nobody sees it get better: shared parts would be read again for as long as the routers live.
 func TestCopyingIsTriedAgain(t *testing.T) {
-	copies := pomelospeed.NewCopies()
-	copies.Note(start, pomelospeed.Sums{Amount: 400_000, Of: 200_000})
+	copies := pomelospeed.NewCopyTimeRatio()
+	copies.Observe(start, pomelospeed.RatioSums{Numerator: 400_000, Denominator: 200_000})
 	if got := copies.Value(start); got < 1 {
 		t.Fatalf("copies take %.2f of the time to read, want 1 or more", got)
 	}
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -13,10 +13,10 @@
 	pauseSure   = 0.08
 )
 
-// NewPauses returns the part of the streams that pause for longer than their callers accept, of those that run while their engine reads for
+// NewPauseRatio returns the part of the streams that pause for longer than their callers accept, of those that run while their engine reads for
 // that long. Engines that read in short chunks, or whose events hold few tokens, go on generating beside it.
-func NewPauses() *Ratio {
-	return NewRatio(RatioConfig{Guess: pauseGuess, Weight: pauseGuessWeight, Half: fadeTime, Least: leastStreams, MostNews: mostNews})
+func NewPauseRatio() *DecayingRatio {
+	return NewDecayingRatio(DecayingRatioConfig{Guess: pauseGuess, Weight: pauseGuessWeight, Half: fadeTime, Least: leastStreams, MostNews: mostNews})
 }
 
 // PauseWeight returns how much it counts, from 0 to 1, that long reading makes such a part of the streams pause.
--- a/pomelospeed/rapid_test.go
+++ b/pomelospeed/rapid_test.go
@@ -14,13 +14,13 @@
 // time that is a number: with none, every upstream would look as good as any other.
 func TestALineAlwaysExpectsATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := pomelospeed.NewLine(pomelospeed.Rate(rapid.Float64Range(-10, 1e6).Draw(t, "guess")))
+		l := pomelospeed.NewFirstTokenModel(pomelospeed.PrefillRate(rapid.Float64Range(-10, 1e6).Draw(t, "guess")))
 		now := start
 		var told pomelorelay.SpeedSums
 		t.Repeat(map[string]func(*rapid.T){
 			"answer": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed")))
-				l.Note(now, rapid.Float64Range(0, 1e6).Draw(t, "tokens"), time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "took")))
+				l.Observe(now, rapid.Float64Range(0, 1e6).Draw(t, "tokens"), time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "took")))
 			},
 			"report": func(t *rapid.T) {
 				sum := func(name string) float64 { return rapid.Float64Range(-1e9, 1e9).Draw(t, name) }
@@ -31,10 +31,10 @@
 				told = next
 			},
 			"": func(t *rapid.T) {
-				if r := l.Rate(); !(r >= 0.5 && r <= 5001) {
+				if r := l.PrefillRate(); !(r >= 0.5 && r <= 5001) {
 					t.Fatalf("reads %v tokens a millisecond", r)
 				}
-				if e := l.Expect(1000); e <= 0 || e > time.Hour*24*365 {
+				if e := l.ExpectedTime(1000); e <= 0 || e > time.Hour*24*365 {
 					t.Fatalf("expects %v", e)
 				}
 			},
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Sums are what a Ratio is made of: an amount, and of how much.
-type Sums struct {
-	Amount, Of float64
+// RatioSums are what a Ratio is made of: an amount, and of how much.
+type RatioSums struct {
+	Numerator, Denominator float64
 }
 
-func (s *Sums) add(o Sums, times float64) {
-	s.Amount += times * o.Amount
-	s.Of += times * o.Of
+func (s *RatioSums) add(o RatioSums, times float64) {
+	s.Numerator += times * o.Numerator
+	s.Denominator += times * o.Denominator
 }
 
-func (s *Sums) scale(times float64) { *s = Sums{Amount: times * s.Amount, Of: times * s.Of} }
+func (s *RatioSums) scale(times float64) { *s = RatioSums{Numerator: times * s.Numerator, Denominator: times * s.Denominator} }
 
-// RatioConfig holds what a Ratio starts with and how it forgets.
-type RatioConfig struct {
+// DecayingRatioConfig holds what a Ratio starts with and how it forgets.
+type DecayingRatioConfig struct {
 	// Guess is the first guess, Weight how much it counts as if it had been seen.
 	Guess, Weight float64
 	// Half is the time in which half of what was seen is forgotten, down to Least.
@@ -28,57 +28,57 @@
 	MostNews float64
 }
 
-// Ratio is an amount a unit that all routers learn together.
-type Ratio struct {
-	cfg       RatioConfig
-	own, seen Sums
+// DecayingRatio is an amount a unit that all routers learn together.
+type DecayingRatio struct {
+	cfg       DecayingRatioConfig
+	own, seen RatioSums
 	at        time.Time
 }
 
-// NewRatio returns a Ratio that has seen nothing.
-func NewRatio(cfg RatioConfig) *Ratio { return &Ratio{cfg: cfg} }
+// NewDecayingRatio returns a Ratio that has seen nothing.
+func NewDecayingRatio(cfg DecayingRatioConfig) *DecayingRatio { return &DecayingRatio{cfg: cfg} }
 
-// Note takes what this router saw.
-func (r *Ratio) Note(now time.Time, s Sums) {
+// Observe takes what this router saw.
+func (r *DecayingRatio) Observe(now time.Time, s RatioSums) {
 	r.own.add(s, 1)
 	r.see(now, s)
 }
 
-// Own returns the sums of what this router saw since its start.
-func (r *Ratio) Own() Sums { return r.own }
+// LocalSums returns the sums of what this router saw since its start.
+func (r *DecayingRatio) LocalSums() RatioSums { return r.own }
 
 // Merge takes what another router's sums have grown by.
-func (r *Ratio) Merge(now time.Time, before, after Sums) {
+func (r *DecayingRatio) Merge(now time.Time, before, after RatioSums) {
 	news := after
 	news.add(before, -1)
-	if news.Of <= 0 {
+	if news.Denominator <= 0 {
 		return
 	}
-	if news.Of > r.cfg.MostNews {
-		news.scale(r.cfg.MostNews / news.Of)
+	if news.Denominator > r.cfg.MostNews {
+		news.scale(r.cfg.MostNews / news.Denominator)
 	}
 	r.see(now, news)
 }
 
 // Value returns the ratio.
-func (r *Ratio) Value(now time.Time) float64 {
+func (r *DecayingRatio) Value(now time.Time) float64 {
 	r.fade(now)
-	return (r.seen.Amount + r.cfg.Guess*r.cfg.Weight) / (r.seen.Of + r.cfg.Weight)
+	return (r.seen.Numerator + r.cfg.Guess*r.cfg.Weight) / (r.seen.Denominator + r.cfg.Weight)
 }
 
-func (r *Ratio) see(now time.Time, s Sums) {
+func (r *DecayingRatio) see(now time.Time, s RatioSums) {
 	r.fade(now)
 	r.seen.add(s, 1)
 }
 
-func (r *Ratio) fade(now time.Time) {
+func (r *DecayingRatio) fade(now time.Time) {
 	passed := now.Sub(r.at)
 	if passed <= 0 {
 		return
 	}
-	if !r.at.IsZero() && r.seen.Of > r.cfg.Least {
+	if !r.at.IsZero() && r.seen.Denominator > r.cfg.Least {
 		keep := math.Exp2(-float64(passed) / float64(r.cfg.Half))
-		r.seen.scale(max(keep, r.cfg.Least/r.seen.Of))
+		r.seen.scale(max(keep, r.cfg.Least/r.seen.Denominator))
 	}
 	r.at = now
 }
--- a/pomelotable/table.go
+++ b/pomelotable/table.go
@@ -85,8 +85,8 @@
 	return s, ok
 }
 
-// Pick returns the service that a request with the id goes to, by the weights of the route's shares.
-func (t *Table) Pick(r *pomelorelay.Route, id string) (pomelorelay.ServiceID, bool) {
+// PickService returns the service that a request with the id goes to, by the weights of the route's shares.
+func (t *Table) PickService(r *pomelorelay.Route, id string) (pomelorelay.ServiceID, bool) {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/pomelotable/table_test.go
+++ b/pomelotable/table_test.go
@@ -61,8 +61,8 @@
 	picked := make(map[pomelorelay.ServiceID]int)
 	for i := range requests {
 		id := strconv.Itoa(i)
-		s, ok := table().Pick(r, id)
-		again, _ := table().Pick(r, id)
+		s, ok := table().PickService(r, id)
+		again, _ := table().PickService(r, id)
 		if !ok || s != again {
 			t.Fatalf("request %s went to %s, then to %s", id, s, again)
 		}
@@ -71,7 +71,7 @@
 	if b := picked["b"]; b < requests/10-150 || b > requests/10+150 {
 		t.Errorf("%d of %d requests went to a share of a tenth", b, requests)
 	}
-	if _, ok := table().Pick(&pomelorelay.Route{}, "x"); ok {
+	if _, ok := table().PickService(&pomelorelay.Route{}, "x"); ok {
 		t.Error("a route without services has one")
 	}
 }
--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -49,7 +49,7 @@
 			f := newFleet(seed, 78, pomelowarmup.DefaultHolders)
 			now := start
 			for _, s := range f.states {
-				s.ColdFor(now.Add(time.Duration(f.random.IntN(300))*time.Millisecond), coldFor)
+				s.MarkCold(now.Add(time.Duration(f.random.IntN(300))*time.Millisecond), coldFor)
 			}
 			for tick := range 250 {
 				c.play(f, now, tick)
@@ -75,7 +75,7 @@
 		f := newFleet(1, 300, c.holders)
 		now := start
 		for _, s := range f.states {
-			s.ColdFor(now, time.Minute)
+			s.MarkCold(now, time.Minute)
 		}
 		for range 6000 {
 			f.send(now)
@@ -108,56 +108,56 @@
 		// cold is how long the upstream is then taken as cold.
 		cold time.Duration
 	}{
-		{"listed as warm", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Upstream(start, entry(0)) }, 0},
-		{"listed as cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Upstream(start, entry(time.Second)) }, time.Second},
+		{"listed as warm", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.NewUpstream(start, entry(0)) }, 0},
+		{"listed as cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.NewUpstream(start, entry(time.Second)) }, time.Second},
 		{"listed without a word", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			return g.Upstream(start, entry(pomelorelay.ColdUnknown))
+			return g.NewUpstream(start, entry(pomelorelay.ColdUnknown))
 		}, coldFor},
 		{"without a word, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			return g.Upstream(start, free(entry(pomelorelay.ColdUnknown)))
+			return g.NewUpstream(start, free(entry(pomelorelay.ColdUnknown)))
 		}, 0},
-		{"started anew", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(0)) }, coldFor},
-		{"started anew and cold for less", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.Restarted(start, entry(time.Second)) }, time.Second},
+		{"started anew", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.NewRestartedUpstream(start, entry(0)) }, coldFor},
+		{"started anew and cold for less", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.NewRestartedUpstream(start, entry(time.Second)) }, time.Second},
 		{"cold once more", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, entry(0))
-			u.Listed(start, entry(2*time.Second))
+			u := g.NewUpstream(start, entry(0))
+			u.UpdateEntry(start, entry(2*time.Second))
 			return u
 		}, 2 * time.Second},
 		{"warm by its newest entry", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, entry(2*time.Second))
-			u.Listed(start, entry(0))
+			u := g.NewUpstream(start, entry(2*time.Second))
+			u.UpdateEntry(start, entry(0))
 			return u
 		}, 0},
 		{"back from an evacuation", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, entry(0))
-			u.MayBeCold(start)
+			u := g.NewUpstream(start, entry(0))
+			u.MarkMaybeCold(start)
 			return u
 		}, coldFor},
 		{"cold by another router's word", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, entry(0))
-			u.ColdFor(start, 2*time.Second)
+			u := g.NewUpstream(start, entry(0))
+			u.MarkCold(start, 2*time.Second)
 			return u
 		}, 2 * time.Second},
 		{"unreached, then answering", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start.Add(-time.Second), entry(0))
-			u.Unreached(start.Add(-time.Second))
-			u.Answered(start, start.Add(-time.Millisecond))
+			u := g.NewUpstream(start.Add(-time.Second), entry(0))
+			u.RecordConnectFailure(start.Add(-time.Second))
+			u.RecordAnswer(start, start.Add(-time.Millisecond))
 			return u
 		}, coldFor},
 		{"unreached, and answering what was sent before", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start.Add(-time.Second), entry(0))
-			u.Unreached(start)
-			u.Answered(start, start.Add(-time.Millisecond))
+			u := g.NewUpstream(start.Add(-time.Second), entry(0))
+			u.RecordConnectFailure(start)
+			u.RecordAnswer(start, start.Add(-time.Millisecond))
 			return u
 		}, 4 * time.Second},
 		{"unreached in another region", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, far)
-			u.Unreached(start)
+			u := g.NewUpstream(start, far)
+			u.RecordConnectFailure(start)
 			return u
 		}, 0},
 		{"unreached, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
-			u := g.Upstream(start, free(entry(0)))
-			u.Unreached(start)
+			u := g.NewUpstream(start, free(entry(0)))
+			u.RecordConnectFailure(start)
 			return u
 		}, 0},
 	} {
@@ -176,8 +176,8 @@
 	f := newFleet(3, 78, pomelowarmup.DefaultHolders)
 	tried := 0
 	for _, s := range f.states {
-		s.Suspect(start)
-		if s.Class(start.Add(time.Second)) == pomelowarmup.Open {
+		s.MarkSuspect(start)
+		if s.Admission(start.Add(time.Second)) == pomelowarmup.Open {
 			tried++
 		}
 	}
@@ -190,12 +190,12 @@
 func TestTheWaitIsTrue(t *testing.T) {
 	f := newFleet(5, 12, pomelowarmup.DefaultHolders)
 	for i, s := range f.states {
-		s.ColdFor(start, coldFor)
-		wait := s.Wait(start)
+		s.MarkCold(start, coldFor)
+		wait := s.RetryAfter(start)
 		if wait <= 0 || wait > coldFor {
 			t.Errorf("router %d: wait of %v", i, wait)
 		}
-		if s.Class(start.Add(wait+time.Millisecond)) == pomelowarmup.Closed {
+		if s.Admission(start.Add(wait+time.Millisecond)) == pomelowarmup.Closed {
 			t.Errorf("router %d sends nothing after its wait of %v", i, wait)
 		}
 	}
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -6,13 +6,13 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Class tells whether a request may go to an upstream.
-type Class int
+// Admission tells whether a request may go to an upstream.
+type Admission int
 
 // The classes.
 const (
 	// Open upstreams take requests: they are warm, or this router is to find out whether they are back.
-	Open Class = iota
+	Open Admission = iota
 	// Reserve upstreams are cold and take a request of this router's part of their bound, where no open one can.
 	Reserve
 	// Closed upstreams are cold and get nothing from this router now.
@@ -35,8 +35,8 @@
 	heldAt uint64
 }
 
-// Upstream returns the state of an upstream that is listed for the first time.
-func (g *Gate) Upstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
+// NewUpstream returns the state of an upstream that is listed for the first time.
+func (g *Gate) NewUpstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
 	switch {
 	case info.ColdFor > 0:
@@ -47,8 +47,8 @@
 	return u
 }
 
-// Restarted returns the state of an upstream that was listed before and has started anew since.
-func (g *Gate) Restarted(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
+// NewRestartedUpstream returns the state of an upstream that was listed before and has started anew since.
+func (g *Gate) NewRestartedUpstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
 	u.extendCold(now, max(info.ColdFor, 0))
 	if info.ColdFor <= 0 {
@@ -57,8 +57,8 @@
 	return u
 }
 
-// Listed takes the newest entry of the same start.
-func (u *Upstream) Listed(now time.Time, info pomelorelay.FleetUpstream) {
+// UpdateEntry takes the newest entry of the same start.
+func (u *Upstream) UpdateEntry(now time.Time, info pomelorelay.FleetUpstream) {
 	before := u.info.ColdFor
 	u.info = info
 	switch {
@@ -70,17 +70,17 @@
 	}
 }
 
-// Unreached notes that the upstream took no connection: whatever ended it, it will be cold when it is back. It returns whether to report that to
+// RecordConnectFailure notes that the upstream took no connection: whatever ended it, it will be cold when it is back. It returns whether to report that to
 // the other routers. Routers of other regions do not: there, a broken link and an upstream that is down look the same.
-func (u *Upstream) Unreached(now time.Time) bool {
+func (u *Upstream) RecordConnectFailure(now time.Time) bool {
 	if !u.gate.near(u) {
 		return false
 	}
-	return u.Suspect(now)
+	return u.MarkSuspect(now)
 }
 
-// Suspect notes that a router of the upstream's region could not connect to it; it reports whether that matters for the service.
-func (u *Upstream) Suspect(now time.Time) bool {
+// MarkSuspect notes that a router of the upstream's region could not connect to it; it reports whether that matters for the service.
+func (u *Upstream) MarkSuspect(now time.Time) bool {
 	if u.gate.duration(u) <= 0 {
 		return false
 	}
@@ -92,24 +92,24 @@
 	return true
 }
 
-// Answered notes an answer of the upstream to a request that was sent at a time. It returns how long the upstream may be cold from now on if that
+// RecordAnswer notes an answer of the upstream to a request that was sent at a time. It returns how long the upstream may be cold from now on if that
 // was not known, for the other routers. An answer to an earlier request only shows that the upstream lived then.
-func (u *Upstream) Answered(now, sent time.Time) (time.Duration, bool) {
+func (u *Upstream) RecordAnswer(now, sent time.Time) (time.Duration, bool) {
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
 		return 0, false
 	}
-	u.ColdFor(now, u.gate.duration(u))
+	u.MarkCold(now, u.gate.duration(u))
 	return u.coldUntil.Sub(now), true
 }
 
-// ColdFor notes that the upstream may be cold for a time from now on, and is reachable.
-func (u *Upstream) ColdFor(now time.Time, left time.Duration) {
+// MarkCold notes that the upstream may be cold for a time from now on, and is reachable.
+func (u *Upstream) MarkCold(now time.Time, left time.Duration) {
 	u.suspectUntil = time.Time{}
 	u.extendCold(now, left)
 }
 
-// MayBeCold notes that the upstream may have become cold without a start.
-func (u *Upstream) MayBeCold(now time.Time) { u.extendCold(now, u.gate.duration(u)) }
+// MarkMaybeCold notes that the upstream may have become cold without a start.
+func (u *Upstream) MarkMaybeCold(now time.Time) { u.extendCold(now, u.gate.duration(u)) }
 
 func (u *Upstream) extendCold(now time.Time, left time.Duration) {
 	if left <= 0 {
@@ -136,8 +136,8 @@
 // Status describes an upstream for the log.
 type Status struct {
 	Cold bool
-	// Left is how much longer, at most, if nothing else is learnt.
-	Left time.Duration
+	// Remaining is how much longer, at most, if nothing else is learnt.
+	Remaining time.Duration
 	// Unreached tells that it took no connection and has not answered since.
 	Unreached bool
 	// Holder tells that this router holds a part of its bound.
@@ -149,11 +149,11 @@
 	if !u.Cold(now) {
 		return Status{}
 	}
-	return Status{Cold: true, Left: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.holds(u)}
+	return Status{Cold: true, Remaining: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.holds(u)}
 }
 
-// Class returns whether a request of this router may go to the upstream.
-func (u *Upstream) Class(now time.Time) Class {
+// Admission returns whether a request of this router may go to the upstream.
+func (u *Upstream) Admission(now time.Time) Admission {
 	switch {
 	case !u.Cold(now):
 		return Open
@@ -165,8 +165,8 @@
 	return Reserve
 }
 
-// Take notes that a request is sent.
-func (u *Upstream) Take(now time.Time) {
+// RecordSend notes that a request is sent.
+func (u *Upstream) RecordSend(now time.Time) {
 	if u.Cold(now) {
 		u.level = max(0, u.refill(now)-1)
 	}
@@ -181,8 +181,8 @@
 	return u.level
 }
 
-// Wait returns when this router may send a request to the upstream.
-func (u *Upstream) Wait(now time.Time) time.Duration {
+// RetryAfter returns when this router may send a request to the upstream.
+func (u *Upstream) RetryAfter(now time.Time) time.Duration {
 	if !u.Cold(now) {
 		return 0
 	}
--- a/pomelowarmup/world_test.go
+++ b/pomelowarmup/world_test.go
@@ -70,14 +70,14 @@
 	f.gates[i] = newGate(f.peers[i], others, f.holders)
 	u := listed("u")
 	u.ColdFor = left
-	f.states[i] = f.gates[i].Upstream(now, u)
+	f.states[i] = f.gates[i].NewUpstream(now, u)
 }
 
 // send lets every router send a request if it may, in any order.
 func (f *fleet) send(now time.Time) {
 	for _, i := range f.random.Perm(len(f.states)) {
-		if f.states[i].Cold(now) && f.states[i].Class(now) != pomelowarmup.Closed {
-			f.states[i].Take(now)
+		if f.states[i].Cold(now) && f.states[i].Admission(now) != pomelowarmup.Closed {
+			f.states[i].RecordSend(now)
 			f.sent = append(f.sent, now)
 		}
 	}
