--- a/pomelomember/bench_test.go
+++ b/pomelomember/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// BenchmarkSecond runs one second of a router among 360: its ticks and the digests that it gets.
+// BenchmarkSecond measures one second of a router in a fleet of 360: its ticks and the digests that it receives.
 func BenchmarkSecond(b *testing.B) {
 	f := newFleet(nil, 6, 60, 1)
 	f.startAll()
@@ -31,7 +31,7 @@
 		}
 		for i, m := range got {
 			from := f.routers[1+i]
-			out = r.view.Digest(now, from.peer.Node, from.inc, m.(*pomelorelay.Digest), out[:0])
+			out = r.view.Digest(now, from.peer.Node, from.incarnation, m.(*pomelorelay.Digest), out[:0])
 		}
 	}
 	b.ReportMetric(float64(len(got)), "digests")
--- a/pomelomember/view.go
+++ b/pomelomember/view.go
@@ -7,46 +7,46 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// View is what one router believes of the fleet.
+// View is one router's view of the fleet's membership.
 type View struct {
 	cfg         Config
 	incarnation pomelorelay.Incarnation
 	leaving     bool
-	members     []*member // in the order of their names, without this router
+	members     []*member // sorted by name, without this router
 	byNode      map[pomelorelay.NodeID]*member
 	changes     []Change
 	snapshot    *Snapshot
 	random      *rand.Rand
 
-	started           time.Time
+	startedAt         time.Time
 	lastTick          time.Time
 	nextDigest        time.Time
 	lastDigest        time.Time
 	nextProbe         time.Time
 	nextSync          time.Time
 	nextJoin          time.Time
-	early             bool
+	digestPending     bool
 	digestSeq         uint64
 	domainDigestCount int
 	probeSeq          uint64
-	probes            []probe
-	relayed           []relayedProbe
-	round             []pomelorelay.NodeID
-	reached           map[pomelorelay.DomainID]time.Time
+	pendingProbes     []probe
+	relayedProbes     []relayedProbe
+	probeOrder        []pomelorelay.NodeID
+	domainSeen        map[pomelorelay.DomainID]time.Time
 	slots             slotTable
 }
 
-// Change tells that a router came, left, died or restarted.
+// Change is a change of a router's liveness: it joined, left, died or restarted.
 type Change struct {
 	Peer        pomelorelay.Peer
 	Incarnation pomelorelay.Incarnation
 	Status      pomelorelay.MemberStatus
 }
 
-// New returns a View that knows itself and its seeds.
+// New returns a View that contains this router and the seeds.
 func New(cfg Config) *View {
 	cfg.Options = cfg.Options.withDefaults()
-	v := &View{cfg: cfg, incarnation: cfg.Incarnation, byNode: make(map[pomelorelay.NodeID]*member), reached: make(map[pomelorelay.DomainID]time.Time)}
+	v := &View{cfg: cfg, incarnation: cfg.Incarnation, byNode: make(map[pomelorelay.NodeID]*member), domainSeen: make(map[pomelorelay.DomainID]time.Time)}
 	v.random = rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Incarnation)))
 	v.slots.init()
 	for _, seed := range cfg.Seeds {
@@ -55,14 +55,14 @@
 		}
 		m := v.member(seed.Node)
 		m.peer = seed
-		m.located = true
+		m.addressKnown = true
 		m.listed = true
 	}
 	return v
 }
 
-// Hosts takes the platform's host list, which may lag. An empty list is ignored: the platform has lost it, not the
-// fleet its hosts. A router that is missing on the list stays for as long as it is heard.
+// Hosts applies the platform's host list, which may be out of date. A list without other routers is ignored, since it is more likely
+// a fault of the platform than the loss of all hosts. An unlisted router stays a member while it responds.
 func (v *View) Hosts(now time.Time, hosts []pomelorelay.Host, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	listed := make(map[pomelorelay.NodeID]bool)
 	for i := range hosts {
@@ -71,7 +71,7 @@
 			continue
 		}
 		listed[node] = true
-		v.locate(node, &hosts[i])
+		v.setLocation(node, &hosts[i])
 	}
 	if len(listed) == 0 {
 		return out
@@ -82,143 +82,143 @@
 	return out
 }
 
-// Located reports whether a router's address is known from the host list or the seeds.
+// Located reports whether a router's address and failure domain are known from the host list or the seeds.
 func (v *View) Located(node pomelorelay.NodeID) bool {
 	m := v.lookup(node)
-	return node == v.cfg.Self.Node || m != nil && m.located
+	return node == v.cfg.Self.Node || m != nil && m.addressKnown
 }
 
-func (v *View) locate(node pomelorelay.NodeID, host *pomelorelay.Host) {
+func (v *View) setLocation(node pomelorelay.NodeID, host *pomelorelay.Host) {
 	m := v.member(node)
 	peer := pomelorelay.Peer{Node: node, Addr: host.Addr, Domain: host.Domain, Region: host.Region}
-	if m.peer == peer && m.located && m.draining == host.Leaving {
+	if m.peer == peer && m.addressKnown && m.draining == host.Leaving {
 		return
 	}
-	arrives := !m.located && m.live()
+	joined := !m.addressKnown && m.live()
 	m.peer = peer
-	m.located = true
+	m.addressKnown = true
 	m.draining = host.Leaving
 	v.snapshot = nil
-	if arrives {
+	if joined {
 		v.changes = append(v.changes, Change{Peer: peer, Incarnation: m.incarnation, Status: m.status})
 	}
 }
 
-// Heard notes that a message of any kind arrived from a router; the incarnation is that of its envelope.
+// Heard records that a message of any type arrived from a router; incarnation is that of the message's envelope.
 func (v *View) Heard(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	if from == v.cfg.Self.Node {
 		return
 	}
 	m := v.member(from)
-	if incarnation < m.started || m.started == 0 && incarnation+maxRefutations < m.incarnation {
+	if incarnation < m.processIncarnation || m.processIncarnation == 0 && incarnation+maxRefutations < m.incarnation {
 		return
 	}
-	if incarnation > m.started {
-		m.started = incarnation
+	if incarnation > m.processIncarnation {
+		m.processIncarnation = incarnation
 	}
-	m.heard = now
-	if m.located && m.peer.Domain != v.cfg.Self.Domain {
-		v.reached[m.peer.Domain] = now
+	m.lastSeen = now
+	if m.addressKnown && m.peer.Domain != v.cfg.Self.Domain {
+		v.domainSeen[m.peer.Domain] = now
 	}
 	if incarnation > m.incarnation || m.status == 0 {
-		v.believe(now, m, max(incarnation, m.incarnation), pomelorelay.MemberAlive)
+		v.setStatus(now, m, max(incarnation, m.incarnation), pomelorelay.MemberAlive)
 	}
 }
 
-// Farewell takes a router's notice that it stops.
+// Farewell processes a router's announcement that it is stopping.
 func (v *View) Farewell(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, f *pomelorelay.Farewell, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.Heard(now, from, incarnation)
 	v.merge(now, pomelorelay.MemberState{Node: from, Incarnation: max(incarnation, f.Incarnation), Status: pomelorelay.MemberLeaving})
 	return out
 }
 
-// Leave returns the notices that this router stops.
+// Leave marks this router as leaving and appends the messages that announce it.
 func (v *View) Leave(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.leaving = true
 	v.snapshot = nil
 	for _, m := range v.members {
-		if m.located && m.live() && m.peer.Domain == v.cfg.Self.Domain {
+		if m.addressKnown && m.live() && m.peer.Domain == v.cfg.Self.Domain {
 			out = append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Farewell{Incarnation: v.incarnation}})
 		}
 	}
-	return v.gatewayDigests(now, out)
+	return v.sendGatewayDigests(now, out)
 }
 
-// Tick sends what is due; call it every 100 ms or more often.
+// Tick runs the timers and appends the messages that are due; it must be called at least every 100 ms.
 func (v *View) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if v.started.IsZero() {
-		v.begin(now)
+	if v.startedAt.IsZero() {
+		v.startTimers(now)
 	}
-	v.forgivePause(now)
+	v.resetAfterPause(now)
 	v.lastTick = now
 	out = v.checkProbes(now, out)
 	v.confirmSuspects(now)
-	v.forget(now)
+	v.purgeDead(now)
 	out = v.probeNext(now, out)
 	if !v.leaving {
 		out = v.join(now, out)
 	}
-	out = v.digests(now, out)
+	out = v.sendDigests(now, out)
 	return v.sync(now, out)
 }
 
-func (v *View) begin(now time.Time) {
-	v.started = now
+func (v *View) startTimers(now time.Time) {
+	v.startedAt = now
 	v.lastTick = now
 	v.nextDigest = now
-	v.nextProbe = now.Add(v.jitter(v.cfg.Options.ProbeEvery))
-	v.nextSync = now.Add(v.jitter(v.cfg.Options.SyncEvery))
+	v.nextProbe = now.Add(v.jitter(v.cfg.Options.ProbeInterval))
+	v.nextSync = now.Add(v.jitter(v.cfg.Options.SyncInterval))
 	v.nextJoin = now
 }
 
 func (v *View) jitter(d time.Duration) time.Duration { return time.Duration(v.random.Int64N(int64(d))) }
 
-// forgivePause starts waits anew when this router itself was paused. Without it a router that stood still for seconds
-// finds all its probes unanswered when it goes on, and tells the fleet that everybody is suspect.
-func (v *View) forgivePause(now time.Time) {
+// resetAfterPause restarts the timeouts if this router itself was paused. Without it, a router that resumes after a pause of seconds
+// would find all its probes unanswered and report every other router as suspect.
+func (v *View) resetAfterPause(now time.Time) {
 	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeWait {
 		return
 	}
-	v.probes = v.probes[:0]
+	v.pendingProbes = v.pendingProbes[:0]
 	for _, m := range v.members {
 		if m.status == pomelorelay.MemberSuspect {
-			m.suspected = now
+			m.suspectedAt = now
 		}
 	}
 }
 
-// Changes appends who came and went since the last call.
+// Changes appends the changes since the last call.
 func (v *View) Changes(out []Change) []Change {
 	out = append(out, v.changes...)
 	v.changes = v.changes[:0]
 	return out
 }
 
-// Alive appends the routers that are believed alive and whose address is known, this one included.
+// Alive appends the live routers whose address is known, including this one.
 func (v *View) Alive(out []pomelorelay.Peer) []pomelorelay.Peer {
 	out = append(out, v.cfg.Self)
 	for _, m := range v.members {
-		if m.located && m.live() {
+		if m.addressKnown && m.live() {
 			out = append(out, m.peer)
 		}
 	}
 	return out
 }
 
-// Peers appends every router to which the mesh may connect: those with a known address that are listed or alive.
+// Peers appends the routers that the mesh may connect to: those with a known address that are listed or alive.
 func (v *View) Peers(out []pomelorelay.Peer) []pomelorelay.Peer {
 	for _, m := range v.members {
-		if m.located && (m.listed || m.live()) {
+		if m.addressKnown && (m.listed || m.live()) {
 			out = append(out, m.peer)
 		}
 	}
 	return out
 }
 
-func (v *View) forget(now time.Time) {
+func (v *View) purgeDead(now time.Time) {
 	kept := v.members[:0]
 	for _, m := range v.members {
-		if m.listed || m.live() || m.status == 0 || now.Sub(m.died) < v.cfg.Options.ForgetAfter {
+		if m.listed || m.live() || m.status == 0 || now.Sub(m.goneAt) < v.cfg.Options.DeadRetention {
 			kept = append(kept, m)
 			continue
 		}
