--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		return err
 	}
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.Memory)))
+	if settings.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryLimit)))
 	}
 	logger := pomelolog.New(pomelolog.Config{Node: settings.Self.Node, Level: pomelorelay.LevelInfo, Writer: os.Stdout})
 	defer logger.Close()
@@ -78,7 +78,7 @@
 
 func openEntry(settings pomelorelay.FleetSettings, without pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Router, error) {
 	client, err := pomelostore.New(pomelostore.Config{
-		Addresses:      []netip.AddrPort{settings.Store},
+		Addresses:      []netip.AddrPort{settings.StoreAddr},
 		Timeout:        storeTimeout,
 		CallsPerSecond: storeCalls,
 		BreakerOpen:    storeRest,
--- a/fleet.go
+++ b/fleet.go
@@ -33,21 +33,21 @@
 	Kind   RouteKind
 	// Timeout bounds the time for which a caller waits.
 	Timeout time.Duration
-	// Target is the latency that callers expect, up to the response or to a stream's first event.
-	Target time.Duration
-	// Pause is the longest gap between events that callers expect; zero when unspecified.
-	Pause time.Duration
+	// TargetLatency is the latency that callers expect, up to the response or to a stream's first event.
+	TargetLatency time.Duration
+	// MaxEventGap is the longest gap between events that callers expect; zero when unspecified.
+	MaxEventGap time.Duration
 	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
 	Shares   []RouteShare
-	// Attempts is the maximum number of upstreams that one request is sent to.
-	Attempts int
+	// MaxAttempts is the maximum number of upstreams that one request is sent to.
+	MaxAttempts int
 	// Public routes accept requests without an API key.
 	Public bool
 	// Resumable streams may continue at another upstream after the last event delivered.
 	Resumable bool
-	// Prompts states that requests list the hashed parts of their prompts, for prefix caching.
-	Prompts bool
+	// HasPromptParts states that requests list the hashed parts of their prompts, for prefix caching.
+	HasPromptParts bool
 	// Regions are the regions in which the route's requests may be served; empty allows all regions.
 	Regions []RegionID
 }
@@ -56,10 +56,10 @@
 type EngineSpec struct {
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots Slots
-	// Memory is the capacity of an engine's KV cache, which running requests and cached prompts share.
-	Memory Tokens
-	// EventTokens is the number of generated tokens in one stream event.
-	EventTokens Tokens
+	// KVCapacity is the capacity of an engine's KV cache, which running requests and cached prompts share.
+	KVCapacity Tokens
+	// TokensPerEvent is the number of generated tokens in one stream event.
+	TokensPerEvent Tokens
 }
 
 // ServiceSpec is the configuration of a service.
@@ -67,8 +67,8 @@
 	Name ServiceID
 	// MaxConns is the maximum number of connections to one upstream for all callers together; zero means unlimited.
 	MaxConns int
-	// ColdFor is the time for which an upstream stays cold after a start; zero disables cold starts.
-	ColdFor time.Duration
+	// ColdPeriod is the time for which an upstream stays cold after a start; zero disables cold starts.
+	ColdPeriod time.Duration
 	// ColdRate is the number of requests per second that a cold upstream accepts.
 	ColdRate float64
 	// Engine is nil for plain services.
@@ -116,8 +116,8 @@
 	Slack float64
 }
 
-// Most returns the maximum number of requests in any second to a cold upstream that accepts rate requests per second.
-func (b ColdBounds) Most(rate float64) float64 {
+// MaxRequests returns the maximum number of requests in any second to a cold upstream that accepts rate requests per second.
+func (b ColdBounds) MaxRequests(rate float64) float64 {
 	return rate*max(b.Ratio, 1) + max(b.Slack, 0)
 }
 
@@ -130,31 +130,31 @@
 	Slots   Slots
 	// Draining upstreams get no new requests.
 	Draining bool
-	// ColdFor is the remaining time for which the upstream reports to be cold; ColdUnknown if it does not report it.
-	ColdFor time.Duration
-	// Born is the start time of the upstream's process in Unix milliseconds; zero if the upstream does not report it.
-	Born int64
+	// ColdRemaining is the remaining time for which the upstream reports to be cold; ColdUnknown if it does not report it.
+	ColdRemaining time.Duration
+	// StartUnixMilli is the start time of the upstream's process in Unix milliseconds; zero if the upstream does not report it.
+	StartUnixMilli int64
 }
 
 // FleetChange is the content of the platform's store that concerns routers, or a change of it.
 type FleetChange struct {
-	// At is the store revision that the change leads to.
-	At Revision
-	// Whole states that the lists are complete: entries missing from them have been removed.
-	Whole bool
+	// Revision is the store revision that the change leads to.
+	Revision Revision
+	// Full states that the lists are complete: entries missing from them have been removed.
+	Full bool
 	// Config is the operators' configuration; nil if unchanged.
 	Config *FleetConfig
-	// ConfigFault is the error that makes the newest configuration unusable; Config is nil then.
-	ConfigFault   error
-	Upstreams     []FleetUpstream
-	GoneUpstreams []UpstreamID
-	Peers         []Peer
-	GonePeers     []NodeID
+	// ConfigError is the error that makes the newest configuration unusable; Config is nil then.
+	ConfigError      error
+	Upstreams        []FleetUpstream
+	RemovedUpstreams []UpstreamID
+	Peers            []Peer
+	RemovedPeers     []NodeID
 	// Evacuated are failure domains whose upstreams get no new requests; Restored are those whose evacuation has ended.
 	Evacuated []DomainID
 	Restored  []DomainID
-	// Faults holds an error for each upstream entry that cannot be decoded; these upstreams are also listed as gone.
-	Faults []error
+	// EntryErrors holds an error for each upstream entry that cannot be decoded; these upstreams are also listed as gone.
+	EntryErrors []error
 }
 
 // Platform gives a router access to the platform's store; its errors have the result codes of the store.
@@ -164,10 +164,10 @@
 	// Watch blocks until something has changed since the revision and returns the change, or an empty one once wait has
 	// passed. It fails with CodeStoreCompacted if the store has compacted the history since the revision.
 	Watch(ctx context.Context, after Revision, wait time.Duration) (FleetChange, error)
-	// ReadConfig decodes a configuration document received from a peer.
-	ReadConfig(document []byte) (*FleetConfig, error)
-	// Announce registers this router under a new lease that expires after ttl unless renewed.
-	Announce(ctx context.Context, self Peer, ttl time.Duration) (LeaseID, error)
+	// ParseConfig decodes a configuration document received from a peer.
+	ParseConfig(document []byte) (*FleetConfig, error)
+	// Register registers this router under a new lease that expires after ttl unless renewed.
+	Register(ctx context.Context, self Peer, ttl time.Duration) (LeaseID, error)
 	// RenewLease renews the lease; it fails with CodeStoreLeaseLapsed if the lease has expired.
 	RenewLease(ctx context.Context, lease LeaseID) error
 	// CloseLease revokes the lease, which removes the registration.
--- a/interfaces.go
+++ b/interfaces.go
@@ -71,8 +71,8 @@
 	Addr   netip.AddrPort
 	Domain DomainID
 	Region RegionID
-	// Power is the router's CPU speed relative to other routers, by which the relays of a failure domain are chosen; zero when unknown.
-	Power float64
+	// CPUSpeed is the router's CPU speed relative to other routers, by which the relays of a failure domain are chosen; zero when unknown.
+	CPUSpeed float64
 }
 
 // LinkClass is the network distance of a peer, by which byte budgets are set.
@@ -80,10 +80,10 @@
 
 // Values of LinkClass, nearest first.
 const (
-	LinkDomain  LinkClass = iota // same failure domain
-	LinkRegion                   // same region, another failure domain
-	LinkCross                    // another region
-	LinkClasses                  // number of link classes
+	LinkSameDomain  LinkClass = iota // same failure domain
+	LinkSameRegion                   // same region, another failure domain
+	LinkCrossRegion                  // another region
+	LinkClassCount                   // number of link classes
 )
 
 // LinkBytes counts the bytes sent and received on the links of one class, including TLS and framing.
@@ -96,9 +96,9 @@
 type Mesh interface {
 	// SetPeers replaces the set of peers that the mesh may connect to.
 	SetPeers(peers []Peer)
-	// Contact sends a message to the router at an address without blocking, whatever its name; an unreachable address is logged.
+	// SendToAddr sends a message to the router at an address without blocking, whatever its name; an unreachable address is logged.
 	// It fails with CodeMeshMalformed.
-	Contact(addr netip.AddrPort, m Message) error
+	SendToAddr(addr netip.AddrPort, m Message) error
 	// SetGeneration sets the configuration generation that is sent with every message.
 	SetGeneration(generation Generation)
 	// Send queues a message without blocking; it fails with CodeMeshUnknownPeer or CodeMeshQueueFull.
@@ -106,7 +106,7 @@
 	// Receive returns the channel of received messages.
 	Receive() <-chan Envelope
 	// Traffic returns the bytes sent and received since the start, by link class.
-	Traffic() [LinkClasses]LinkBytes
+	Traffic() [LinkClassCount]LinkBytes
 	// Close closes all connections.
 	Close() error
 }
--- a/messages.go
+++ b/messages.go
@@ -7,9 +7,9 @@
 
 // Values of Urgency, most urgent first.
 const (
-	UrgencyNow   Urgency = iota // grants, claims, load, probes, departures, quarantine
-	UrgencySoon                 // demand, configuration, queries of the ledger
-	UrgencyLater                // ledger reports and totals, digests
+	UrgencyHigh   Urgency = iota // grants, claims, load, probes, departures, quarantine
+	UrgencyNormal                // demand, configuration, queries of the ledger
+	UrgencyLow                   // ledger reports and totals, digests
 )
 
 // Message is a message between routers; all implementations are in this package.
@@ -67,7 +67,7 @@
 	GrantReturned
 	GrantFinished
 	GrantFailed
-	GrantUnreached
+	GrantUpstreamUnreachable
 )
 
 // GrantReply reports to a slot owner the outcome of a grant and the router's current demand.
@@ -300,7 +300,7 @@
 // SuspectNotice reports that an upstream crashed while requests with the fingerprints ran on it.
 type SuspectNotice struct {
 	Upstream     UpstreamID
-	Crash        uint64
+	CrashSeq     uint64
 	Fingerprints []Fingerprint
 }
 
@@ -335,7 +335,7 @@
 type QuarantineNotice struct {
 	Fingerprint Fingerprint
 	Seq         uint64
-	For         time.Duration
+	Duration    time.Duration
 	Upstream    UpstreamID
 }
 
--- a/messages_load.go
+++ b/messages_load.go
@@ -6,21 +6,21 @@
 type UpstreamLoad struct {
 	Upstream UpstreamID
 	Running  uint32
-	// Unread is the number of prompt tokens sent whose responses have not begun, so that their prefill is pending.
-	Unread Tokens
-	// Held is the number of KV cache tokens that the router's running requests occupy.
-	Held Tokens
-	// Sent is the total of prompt tokens sent since the router's start.
-	Sent Tokens
+	// PendingPrefill is the number of prompt tokens sent whose responses have not begun, so that their prefill is pending.
+	PendingPrefill Tokens
+	// KVTokens is the number of KV cache tokens that the router's running requests occupy.
+	KVTokens Tokens
+	// PromptTokensSent is the total of prompt tokens sent since the router's start.
+	PromptTokensSent Tokens
 	// Totals of the expected and of the measured times to first token since the router's start.
-	Expected, Took time.Duration
+	FirstTokenExpected, FirstTokenMeasured time.Duration
 }
 
 // AccountUse is the total cost requested by and served to an account at one router since the router's start.
 type AccountUse struct {
-	Account AccountID
-	Asked   Cost
-	Served  Cost
+	Account   AccountID
+	Requested Cost
+	Served    Cost
 }
 
 // PartPlaced reports that a part of a prompt was sent to an upstream, which caches it for a while.
@@ -34,7 +34,7 @@
 // time, the full state, which compensates for lost reports.
 type LoadReport struct {
 	Seq       uint64
-	Whole     bool
+	Full      bool
 	Upstreams []UpstreamLoad
 	Accounts  []AccountUse
 	Parts     []PartPlaced
@@ -49,19 +49,19 @@
 // UpstreamStart reports that an upstream accepted no connection and will be cold once it is back, or that it answers again and may be
 // cold.
 type UpstreamStart struct {
-	Upstream  UpstreamID
-	Unreached bool
-	// ColdFor is the remaining time for which it may be cold; zero while it accepts no connections.
-	ColdFor time.Duration
+	Upstream    UpstreamID
+	Unreachable bool
+	// ColdRemaining is the remaining time for which it may be cold; zero while it accepts no connections.
+	ColdRemaining time.Duration
 }
 
 // Empty reports whether the report has no content; a report of the full state is never empty, since it shows that its router is alive.
 func (r *LoadReport) Empty() bool {
-	return !r.Whole && len(r.Upstreams)+len(r.Accounts)+len(r.Parts)+len(r.Leaving)+len(r.Speeds)+len(r.Starts) == 0
+	return !r.Full && len(r.Upstreams)+len(r.Accounts)+len(r.Parts)+len(r.Leaving)+len(r.Speeds)+len(r.Starts) == 0
 }
 
 // Urgency implements Message; load is urgent because other routers place requests by it.
-func (*LoadReport) Urgency() Urgency { return UrgencyNow }
+func (*LoadReport) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey returns an empty key: a report holds only changes, so none may be replaced.
 func (*LoadReport) CoalesceKey() string { return "" }
@@ -75,7 +75,7 @@
 }
 
 // Urgency implements Message; load is urgent because other routers place requests by it.
-func (*LoadSummary) Urgency() Urgency { return UrgencyNow }
+func (*LoadSummary) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey returns an empty key: a summary holds only changes, so none may be replaced.
 func (*LoadSummary) CoalesceKey() string { return "" }
@@ -84,15 +84,15 @@
 // the changes since revision After.
 type FleetUpdate struct {
 	// After is the revision of the sender's previous update; zero if the update holds the full content.
-	After         Revision
-	At            Revision
-	Whole         bool
-	Upstreams     []FleetUpstream
-	GoneUpstreams []UpstreamID
-	Peers         []Peer
-	GonePeers     []NodeID
-	Evacuated     []DomainID
-	Restored      []DomainID
+	After            Revision
+	Revision         Revision
+	Full             bool
+	Upstreams        []FleetUpstream
+	RemovedUpstreams []UpstreamID
+	Peers            []Peer
+	RemovedPeers     []NodeID
+	Evacuated        []DomainID
+	Restored         []DomainID
 	// Document is the operators' configuration; empty if unchanged.
 	Document []byte
 	// Forwarded states that the relay of a failure domain forwarded the update to the domain's routers.
@@ -100,7 +100,7 @@
 }
 
 // Urgency implements Message; updates are urgent because they announce upstreams that leave.
-func (*FleetUpdate) Urgency() Urgency { return UrgencyNow }
+func (*FleetUpdate) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey returns an empty key: an update holds only changes, so none may be replaced.
 func (*FleetUpdate) CoalesceKey() string { return "" }
@@ -113,11 +113,11 @@
 	Answers float64
 	// Sums of the weights and, weighted, of the tokens read, of the times taken, of the squares of the tokens, and of the products of
 	// tokens and times.
-	Weight, Read, Took, ReadRead, ReadTook float64
+	WeightSum, TokenSum, TimeSum, TokenSquareSum, TokenTimeSum float64
 	// Numbers of streams that ran during a long prefill on their engine, and of those among them that paused for longer than their
 	// callers accept.
-	Beside, Paused float64
+	DuringPrefill, Stalled float64
 	// Numbers of prompt tokens that were copied from another engine instead of read, and of tokens that could have been read in the
 	// same time.
-	Copied, CopyTook float64
+	CopiedTokens, CopyTimeTokens float64
 }
--- a/messages_state.go
+++ b/messages_state.go
@@ -10,7 +10,7 @@
 }
 
 // Urgency implements Message; it equals that of configuration messages.
-func (*StateAsk) Urgency() Urgency { return UrgencySoon }
+func (*StateAsk) Urgency() Urgency { return UrgencyNormal }
 
 // CoalesceKey returns the same key for all: a later query replaces an earlier one.
 func (*StateAsk) CoalesceKey() string { return "StateAsk" }
@@ -19,8 +19,8 @@
 type FleetState struct {
 	// Document is the published form of the configuration.
 	Document []byte
-	// At is the store revision of Upstreams and Evacuated; zero if they are omitted.
-	At        Revision
+	// Revision is the store revision of Upstreams and Evacuated; zero if they are omitted.
+	Revision  Revision
 	Upstreams []FleetUpstream
 	Peers     []Peer
 	// Evacuated are the failure domains under evacuation at that revision.
@@ -28,7 +28,7 @@
 }
 
 // Urgency implements Message; it equals that of configuration messages.
-func (*FleetState) Urgency() Urgency { return UrgencySoon }
+func (*FleetState) Urgency() Urgency { return UrgencyNormal }
 
 // CoalesceKey returns the same key for all: a later state replaces an earlier one.
 func (*FleetState) CoalesceKey() string { return "FleetState" }
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -19,19 +19,19 @@
 
 // Options holds the intervals and limits of a View; a zero field means the default stated in its comment.
 type Options struct {
-	// DigestEvery is the minimum interval between periodic digests to the routers of the failure domain; default 1 s.
-	DigestEvery time.Duration
-	// DigestsPerSecond limits the rate of periodic digests to the failure domain; in larger domains the interval grows; default 60.
-	DigestsPerSecond int
+	// DigestInterval is the minimum interval between periodic digests to the routers of the failure domain; default 1 s.
+	DigestInterval time.Duration
+	// MaxDigestsPerSecond limits the rate of periodic digests to the failure domain; in larger domains the interval grows; default 60.
+	MaxDigestsPerSecond int
 	// MinDigestInterval is the minimum time between the last digest and an early one that carries a status change; default 200 ms.
 	MinDigestInterval time.Duration
 	// ProbeInterval is the time between probes, each of which goes to one router of the failure domain; default 300 ms.
 	ProbeInterval time.Duration
-	// ProbeWait is the timeout of a probe, after which indirect probes are sent, and of these, after which the router is suspected;
+	// ProbeTimeout is the timeout of a probe, after which indirect probes are sent, and of these, after which the router is suspected;
 	// default 300 ms.
-	ProbeWait time.Duration
-	// SuspectFor is the time that a suspected router has to refute before it is declared dead; default 1 s.
-	SuspectFor time.Duration
+	ProbeTimeout time.Duration
+	// SuspicionTimeout is the time that a suspected router has to refute before it is declared dead; default 1 s.
+	SuspicionTimeout time.Duration
 	// Helpers is the number of routers that probe an unresponsive router indirectly, and that send the full state to a new one; default 3.
 	Helpers int
 	// Gateways is the number of routers of a failure domain that send digests to each other domain; default 2.
@@ -53,12 +53,12 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDuration(&o.DigestEvery, time.Second)
-	setCount(&o.DigestsPerSecond, 60)
+	setDuration(&o.DigestInterval, time.Second)
+	setCount(&o.MaxDigestsPerSecond, 60)
 	setDuration(&o.MinDigestInterval, 200*time.Millisecond)
 	setDuration(&o.ProbeInterval, 300*time.Millisecond)
-	setDuration(&o.ProbeWait, 300*time.Millisecond)
-	setDuration(&o.SuspectFor, time.Second)
+	setDuration(&o.ProbeTimeout, 300*time.Millisecond)
+	setDuration(&o.SuspicionTimeout, time.Second)
 	setCount(&o.Helpers, 3)
 	setCount(&o.Gateways, 2)
 	setDuration(&o.SyncInterval, 10*time.Second)
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -19,11 +19,11 @@
 	coldJoinFanout = 16
 )
 
-// Digest processes a digest received from a router and appends the replies.
-func (v *View) Digest(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, d *pomelorelay.Digest, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleDigest processes a digest received from a router and appends the replies.
+func (v *View) HandleDigest(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, d *pomelorelay.Digest, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	known := v.lookup(from)
 	newProcess := known == nil || known.processIncarnation < incarnation
-	v.Heard(now, from, incarnation)
+	v.RecordMessage(now, from, incarnation)
 	for _, state := range d.Members {
 		v.merge(now, state)
 	}
@@ -144,7 +144,7 @@
 // that each send digests to 59 others four times a second would spend twice a node's control budget on them.
 func (v *View) digestInterval() time.Duration {
 	routers := len(v.domainMembers(v.cfg.Self.Domain))
-	return max(v.cfg.Options.DigestEvery, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.DigestsPerSecond))
+	return max(v.cfg.Options.DigestInterval, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.MaxDigestsPerSecond))
 }
 
 // changedStates returns this router's own state and the recent status changes, and counts this as one of their retransmits.
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -25,9 +25,9 @@
 // maxRelayedProbes limits the unanswered indirect probes sent on behalf of other routers.
 const maxRelayedProbes = 256
 
-// Probe processes a received probe: it appends the answer or, if the probe has another target, an indirect probe.
-func (v *View) Probe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	v.Heard(now, from, incarnation)
+// HandleProbe processes a received probe: it appends the answer or, if the probe has another target, an indirect probe.
+func (v *View) HandleProbe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	v.RecordMessage(now, from, incarnation)
 	if p.Target == "" || p.Target == v.cfg.Self.Node {
 		return append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ProbeAck{Seq: p.Seq}})
 	}
@@ -39,9 +39,9 @@
 	return append(out, pomelorelay.Outgoing{To: p.Target, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
-// ProbeAck processes the answer to a probe and, if the probe was sent on behalf of another router, forwards the answer.
-func (v *View) ProbeAck(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, a *pomelorelay.ProbeAck, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	v.Heard(now, from, incarnation)
+// HandleProbeAck processes the answer to a probe and, if the probe was sent on behalf of another router, forwards the answer.
+func (v *View) HandleProbeAck(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, a *pomelorelay.ProbeAck, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	v.RecordMessage(now, from, incarnation)
 	if a.Target != "" {
 		v.recordIndirectAck(now, a)
 		return out
@@ -121,12 +121,12 @@
 		switch {
 		case m == nil || !m.live() || !m.lastSeen.Before(p.sentAt):
 			continue
-		case wait >= 2*v.cfg.Options.ProbeWait:
+		case wait >= 2*v.cfg.Options.ProbeTimeout:
 			if m.status == pomelorelay.MemberAlive {
 				v.setStatus(now, m, m.incarnation, pomelorelay.MemberSuspect)
 			}
 			continue
-		case wait >= v.cfg.Options.ProbeWait && !p.indirect:
+		case wait >= v.cfg.Options.ProbeTimeout && !p.indirect:
 			p.indirect = true
 			out = v.sendIndirectProbes(p, out)
 		}
@@ -155,7 +155,7 @@
 func (v *View) expireRelayed(now time.Time) {
 	kept := v.relayedProbes[:0]
 	for _, r := range v.relayedProbes {
-		if now.Sub(r.sentAt) < 4*v.cfg.Options.ProbeWait {
+		if now.Sub(r.sentAt) < 4*v.cfg.Options.ProbeTimeout {
 			kept = append(kept, r)
 		}
 	}
@@ -165,7 +165,7 @@
 // confirmSuspects declares suspected routers dead that have neither refuted nor sent this router a message within the suspicion timeout.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
-		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspectFor {
+		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspicionTimeout {
 			continue
 		}
 		if m.lastSeen.After(m.suspectedAt) {
--- a/pomelomember/snapshot.go
+++ b/pomelomember/snapshot.go
@@ -81,8 +81,8 @@
 	s.domains = append(s.domains, Domain{ID: p.Domain, Region: p.Region, Members: []pomelorelay.NodeID{p.Node}})
 }
 
-// Reachable appends the reachable failure domains, including this router's own, sorted by name.
-func (v *View) Reachable(now time.Time, out []pomelorelay.DomainID) []pomelorelay.DomainID {
+// ReachableDomains appends the reachable failure domains, including this router's own, sorted by name.
+func (v *View) ReachableDomains(now time.Time, out []pomelorelay.DomainID) []pomelorelay.DomainID {
 	for _, domain := range v.Snapshot().domains {
 		if v.domainReachable(now, domain.ID) {
 			out = append(out, domain.ID)
--- a/pomelomember/view.go
+++ b/pomelomember/view.go
@@ -61,9 +61,9 @@
 	return v
 }
 
-// Hosts applies the platform's host list, which may be out of date. A list without other routers is ignored, since it is more likely
+// SetHosts applies the platform's host list, which may be out of date. A list without other routers is ignored, since it is more likely
 // a fault of the platform than the loss of all hosts. An unlisted router stays a member while it responds.
-func (v *View) Hosts(now time.Time, hosts []pomelorelay.Host, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (v *View) SetHosts(now time.Time, hosts []pomelorelay.Host, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	listed := make(map[pomelorelay.NodeID]bool)
 	for i := range hosts {
 		node := pomelorelay.NodeID(hosts[i].Name)
@@ -82,8 +82,8 @@
 	return out
 }
 
-// Located reports whether a router's address and failure domain are known from the host list or the seeds.
-func (v *View) Located(node pomelorelay.NodeID) bool {
+// AddressKnown reports whether a router's address and failure domain are known from the host list or the seeds.
+func (v *View) AddressKnown(node pomelorelay.NodeID) bool {
 	m := v.lookup(node)
 	return node == v.cfg.Self.Node || m != nil && m.addressKnown
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// Heard records that a message of any type arrived from a router; incarnation is that of the message's envelope.
-func (v *View) Heard(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
+// RecordMessage records that a message of any type arrived from a router; incarnation is that of the message's envelope.
+func (v *View) RecordMessage(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	if from == v.cfg.Self.Node {
 		return
 	}
@@ -125,9 +125,9 @@
 	}
 }
 
-// Farewell processes a router's announcement that it is stopping.
-func (v *View) Farewell(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, f *pomelorelay.Farewell, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	v.Heard(now, from, incarnation)
+// HandleFarewell processes a router's announcement that it is stopping.
+func (v *View) HandleFarewell(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, f *pomelorelay.Farewell, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	v.RecordMessage(now, from, incarnation)
 	v.merge(now, pomelorelay.MemberState{Node: from, Incarnation: max(incarnation, f.Incarnation), Status: pomelorelay.MemberLeaving})
 	return out
 }
@@ -176,7 +176,7 @@
 // resetAfterPause restarts the timeouts if this router itself was paused. Without it, a router that resumes after a pause of seconds
 // would find all its probes unanswered and report every other router as suspect.
 func (v *View) resetAfterPause(now time.Time) {
-	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeWait {
+	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeTimeout {
 		return
 	}
 	v.pendingProbes = v.pendingProbes[:0]
@@ -187,8 +187,8 @@
 	}
 }
 
-// Changes appends the changes since the last call.
-func (v *View) Changes(out []Change) []Change {
+// TakeChanges appends the changes since the last call.
+func (v *View) TakeChanges(out []Change) []Change {
 	out = append(out, v.changes...)
 	v.changes = v.changes[:0]
 	return out
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -11,7 +11,7 @@
 // burstDuration is the time over which a link class may accumulate unused budget.
 const burstDuration = time.Second
 
-// soonReservedFraction is the fraction of the burst reserved for messages of UrgencySoon or more urgent ones.
+// soonReservedFraction is the fraction of the burst reserved for messages of UrgencyNormal or more urgent ones.
 const soonReservedFraction = 0.25
 
 // guaranteedFraction is the fraction of the rate left to less urgent messages once urgent ones have exhausted the budget;
@@ -49,14 +49,14 @@
 
 // room returns how many bytes of messages of the urgency may be sent now; zero or less means none.
 func (b *budget) room(now time.Time, urgency pomelorelay.Urgency) float64 {
-	if urgency == pomelorelay.UrgencyNow || b.rate == 0 {
+	if urgency == pomelorelay.UrgencyHigh || b.rate == 0 {
 		return maxBatchBytes
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
 	room := b.level
-	if urgency == pomelorelay.UrgencyLater {
+	if urgency == pomelorelay.UrgencyLow {
 		room -= soonReservedFraction * b.rate * burstDuration.Seconds()
 	}
 	if room > 0 {
@@ -65,7 +65,7 @@
 	return b.takeGuaranteed()
 }
 
-// takeGuaranteed returns a batch of the guaranteed bytes, or zero. Messages of UrgencyNow are always sent and can exceed
+// takeGuaranteed returns a batch of the guaranteed bytes, or zero. Messages of UrgencyHigh are always sent and can exceed
 // the budget alone; without a guarantee no digest would be sent then, so that under load routers would declare each
 // other dead and totals would go stale.
 func (b *budget) takeGuaranteed() float64 {
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -56,7 +56,7 @@
 	TLS      TLSFiles
 	Insecure bool
 	// BytesPerSecond bounds the send rate of each link class; zero means unlimited.
-	BytesPerSecond [pomelorelay.LinkClasses]pomelorelay.Bytes
+	BytesPerSecond [pomelorelay.LinkClassCount]pomelorelay.Bytes
 	Queue          QueueLimits
 	Timing         Timing
 	// InboxSize is the capacity of the channel of received messages; 1024 when zero.
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -50,7 +50,7 @@
 	return c.Conn.Close()
 }
 
-// setClass sets the link class of later bytes; those of the handshake remain counted for LinkDomain.
+// setClass sets the link class of later bytes; those of the handshake remain counted for LinkSameDomain.
 func (c *countedConn) setClass(class pomelorelay.LinkClass) { c.class.Store(int32(class)) }
 
 // countedListener returns counted connections and keeps them by remote address.
@@ -82,7 +82,7 @@
 	if len(l.conns) >= maxConns {
 		return nil
 	}
-	counted := l.m.newCountedConn(conn, pomelorelay.LinkDomain, nil)
+	counted := l.m.newCountedConn(conn, pomelorelay.LinkSameDomain, nil)
 	counted.onClose = func() {
 		l.remove(remote)
 		l.m.recordUnidentified(counted, time.Now())
--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -6,10 +6,10 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Contact sends a message to whichever router answers at the address, without waiting for it; it fails with
+// SendToAddr sends a message to whichever router answers at the address, without waiting for it; it fails with
 // CodeMeshMalformed. An unreachable router is logged, and a message to an address that is already being contacted is
 // dropped. With mutual TLS, routers whose node names are unknown are refused.
-func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
+func (m *Mesh) SendToAddr(addr netip.AddrPort, message pomelorelay.Message) error {
 	data, err := EncodeMessage(message)
 	if err != nil {
 		return err
--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -164,10 +164,10 @@
 func (m *Mesh) linkClass(info pomelorelay.Peer) pomelorelay.LinkClass {
 	switch {
 	case info.Domain == m.cfg.Self.Domain:
-		return pomelorelay.LinkDomain
+		return pomelorelay.LinkSameDomain
 	case info.Region == m.cfg.Self.Region:
-		return pomelorelay.LinkRegion
+		return pomelorelay.LinkSameRegion
 	default:
-		return pomelorelay.LinkCross
+		return pomelorelay.LinkCrossRegion
 	}
 }
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -29,7 +29,7 @@
 	listener          *countedListener
 	server            *grpc.Server
 	inbox             chan pomelorelay.Envelope
-	budgets           [pomelorelay.LinkClasses]*budget
+	budgets           [pomelorelay.LinkClassCount]*budget
 	generation        atomic.Uint64
 	counters          counters
 	kinds             kindCounters
@@ -45,7 +45,7 @@
 	mu     sync.Mutex
 	peers  map[pomelorelay.NodeID]*peer
 	closed bool
-	// contactsInProgress holds the addresses that Contact is dialling.
+	// contactsInProgress holds the addresses that SendToAddr is dialling.
 	contactsInProgress map[netip.AddrPort]bool
 }
 
@@ -170,8 +170,8 @@
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
 // Traffic returns the bytes sent and received since the start, by link class.
-func (m *Mesh) Traffic() [pomelorelay.LinkClasses]pomelorelay.LinkBytes {
-	var traffic [pomelorelay.LinkClasses]pomelorelay.LinkBytes
+func (m *Mesh) Traffic() [pomelorelay.LinkClassCount]pomelorelay.LinkBytes {
+	var traffic [pomelorelay.LinkClassCount]pomelorelay.LinkBytes
 	for class, b := range m.budgets {
 		traffic[class].Sent = pomelorelay.Bytes(b.written.Load())
 		traffic[class].Received = pomelorelay.Bytes(b.read.Load())
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -89,7 +89,7 @@
 	if dialled := b.Counters().Dialled; dialled != 0 {
 		t.Errorf("the reply opened %d links", dialled)
 	}
-	if a.Traffic()[pomelorelay.LinkDomain].Sent == 0 || b.Traffic()[pomelorelay.LinkDomain].Received != a.Traffic()[pomelorelay.LinkDomain].Sent {
+	if a.Traffic()[pomelorelay.LinkSameDomain].Sent == 0 || b.Traffic()[pomelorelay.LinkSameDomain].Received != a.Traffic()[pomelorelay.LinkSameDomain].Sent {
 		t.Errorf("bytes: %+v %+v", a.Traffic(), b.Traffic())
 	}
 }
@@ -185,7 +185,7 @@
 func TestOverBudgetUrgentMessagesLeaveAndOthersCoalesce(t *testing.T) {
 	// Every account becomes active at once and digests exceed the byte budget of a link; grants must not wait behind them.
 	cfg := config("r1", 1)
-	cfg.BytesPerSecond[pomelorelay.LinkDomain] = 4000
+	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	const totals, demands, grants = 400, 200, 50
@@ -242,7 +242,7 @@
 	// A loaded router's grants alone exceed its byte budget. If no digest were sent then, the other routers would repeatedly
 	// declare it dead and take over its jobs while it works.
 	cfg := config("r1", 1)
-	cfg.BytesPerSecond[pomelorelay.LinkDomain] = 8000
+	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 8000
 	a, b := start(t, cfg), start(t, config("r2", 1))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	const grants = 4000
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -2,7 +2,7 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-const numUrgencies = int(pomelorelay.UrgencyLater) + 1
+const numUrgencies = int(pomelorelay.UrgencyLow) + 1
 
 // maxBatchBytes bounds the messages batched into one frame; a larger message gets a frame of its own.
 const maxBatchBytes = 32 << 10
--- a/residency.go
+++ b/residency.go
@@ -7,9 +7,9 @@
 
 // Residency is the set of regions in which a request may be served, cached and copied; the zero value allows all regions.
 type Residency struct {
-	// Limited restricts the request to Regions; if Regions is empty, no region is allowed.
-	Limited bool
-	Regions []RegionID
+	// Restricted restricts the request to Regions; if Regions is empty, no region is allowed.
+	Restricted bool
+	Regions    []RegionID
 }
 
 // NewResidency returns the Residency for a list of allowed regions; an empty list allows all regions.
@@ -17,23 +17,23 @@
 	if len(regions) == 0 {
 		return Residency{}
 	}
-	return Residency{Limited: true, Regions: slices.Clone(regions)}
+	return Residency{Restricted: true, Regions: slices.Clone(regions)}
 }
 
 // Allows reports whether the region is allowed; a limited Residency does not allow the empty name, which stands for an unknown region.
 func (r Residency) Allows(region RegionID) bool {
-	return !r.Limited || (region != "" && slices.Contains(r.Regions, region))
+	return !r.Restricted || (region != "" && slices.Contains(r.Regions, region))
 }
 
-// And returns the intersection of two residencies.
-func (r Residency) And(o Residency) Residency {
-	if !r.Limited {
+// Intersect returns the intersection of two residencies.
+func (r Residency) Intersect(o Residency) Residency {
+	if !r.Restricted {
 		return o
 	}
-	if !o.Limited {
+	if !o.Restricted {
 		return r
 	}
-	common := Residency{Limited: true}
+	common := Residency{Restricted: true}
 	for _, region := range r.Regions {
 		if o.Allows(region) {
 			common.Regions = append(common.Regions, region)
@@ -52,4 +52,4 @@
 }
 
 // Empty reports whether no region is allowed.
-func (r Residency) Empty() bool { return r.Limited && len(r.Regions) == 0 }
+func (r Residency) Empty() bool { return r.Restricted && len(r.Regions) == 0 }
--- a/wire.go
+++ b/wire.go
@@ -16,17 +16,17 @@
 type CallerFields struct {
 	// ID identifies one attempt of a caller; upstreams echo it in their responses.
 	ID string
-	// Wait is the caller's timeout; zero if unspecified.
-	Wait time.Duration
-	// Key is the caller's API key; empty if there is none.
-	Key string
+	// Timeout is the caller's timeout; zero if unspecified.
+	Timeout time.Duration
+	// APIKey is the caller's API key; empty if there is none.
+	APIKey string
 	// Number of prompt tokens and maximum number of generated tokens; zero if unspecified.
-	Prompt Tokens
-	Output Tokens
-	// Guess is the caller's estimate of the number of generated tokens; zero if unspecified.
-	Guess Tokens
-	// Parts are the prompt's parts in order; the last one is specific to the request or its session.
-	Parts []PromptPart
+	PromptTokens    Tokens
+	MaxOutputTokens Tokens
+	// OutputEstimate is the caller's estimate of the number of generated tokens; zero if unspecified.
+	OutputEstimate Tokens
+	// PromptParts are the prompt's parts in order; the last one is specific to the request or its session.
+	PromptParts []PromptPart
 	// LastEvent is the number of the last event that the caller received of an earlier response, if HasLastEvent is set.
 	LastEvent    uint64
 	HasLastEvent bool
@@ -34,10 +34,10 @@
 
 // UpstreamFields holds the values of the request headers that a router sends to an upstream.
 type UpstreamFields struct {
-	// Wait is the time left of the caller's timeout.
-	Wait time.Duration
-	// Upstream is the intended upstream; any other refuses the request without running it.
-	Upstream UpstreamID
+	// TimeLeft is the time left of the caller's timeout.
+	TimeLeft time.Duration
+	// ExpectedUpstream is the intended upstream; any other refuses the request without running it.
+	ExpectedUpstream UpstreamID
 	// Account is the client account of the request; empty on public routes.
 	Account AccountID
 	// CopyFrom is the address of an upstream that has more of the prompt cached, from which it is copied instead of read; invalid if none.
@@ -62,15 +62,15 @@
 
 // WireFormat reads and writes the HTTP header fields that a deployment uses.
 type WireFormat interface {
-	// ReadyPath returns the path of the readiness check for the load balancer.
-	ReadyPath() string
-	// IDField returns the name of the header field for the request id.
-	IDField() string
-	// ReadCaller parses the headers of a caller's request; a value that cannot be parsed counts as unspecified.
-	ReadCaller(head http.Header) CallerFields
-	// WriteUpstream turns a caller's headers into those of the request to an upstream; it drops the API key and the fields that callers
+	// ReadinessPath returns the path of the readiness check for the load balancer.
+	ReadinessPath() string
+	// RequestIDField returns the name of the header field for the request id.
+	RequestIDField() string
+	// ParseCallerFields parses the headers of a caller's request; a value that cannot be parsed counts as unspecified.
+	ParseCallerFields(head http.Header) CallerFields
+	// SetUpstreamFields turns a caller's headers into those of the request to an upstream; it drops the API key and the fields that callers
 	// must not set.
-	WriteUpstream(head http.Header, f UpstreamFields)
-	// ReadAnswer parses the status and headers of an upstream's response.
-	ReadAnswer(resp *http.Response) AnswerFields
+	SetUpstreamFields(head http.Header, f UpstreamFields)
+	// ParseAnswerFields parses the status and headers of an upstream's response.
+	ParseAnswerFields(resp *http.Response) AnswerFields
 }
