--- a/pomeloconfig/answers.go
+++ b/pomeloconfig/answers.go
@@ -22,8 +22,8 @@
 
 // The answers to whether calls may be repeated; there is no default, for a wrong guess runs paid work twice.
 const (
-	MayRepeatYes MayRepeat = "Always"
-	MayRepeatNo  MayRepeat = "Never"
+	MayRepeatAlways MayRepeat = "Always"
+	MayRepeatNever  MayRepeat = "Never"
 )
 
 // ServiceAnswers describe one service of the team.
@@ -114,8 +114,8 @@
 func (a Answers) check() []Problem {
 	c := checker{code: pomelorelay.CodeAnswersInvalid}
 	for i, s := range a.Services {
-		if s.MayRepeat != MayRepeatYes && s.MayRepeat != MayRepeatNo {
-			c.add(index("Services", i)+".MayRepeat", quote(string(s.MayRepeat))+" does not answer whether calls may be repeated", "answer "+string(MayRepeatYes)+" or "+string(MayRepeatNo))
+		if s.MayRepeat != MayRepeatAlways && s.MayRepeat != MayRepeatNever {
+			c.add(indexedPath("Services", i)+".MayRepeat", quote(string(s.MayRepeat))+" does not answer whether calls may be repeated", "answer "+string(MayRepeatAlways)+" or "+string(MayRepeatNever))
 		}
 	}
 	team, paths := a.configuration()
--- a/pomeloconfig/audit.go
+++ b/pomeloconfig/audit.go
@@ -27,13 +27,13 @@
 
 // MarshalJSON returns the entry with its hash in hexadecimal.
 func (e AuditEntry) MarshalJSON() ([]byte, error) {
-	return json.Marshal(auditDocument{Hash: hashText(e.Hash), Root: e.Root})
+	return json.Marshal(auditDocument{Hash: hashHex(e.Hash), Root: e.Root})
 }
 
 // Audit returns the accepted changes, newest first, each proved by the hash that its successor holds. When the chain is broken
 // it returns what it could prove and CodeConfigHistoryBroken; an empty store gives none.
 func Audit(ctx context.Context, store pomelorelay.Store, options AuditOptions) ([]AuditEntry, error) {
-	l := library{store: store}
+	l := configStore{store: store}
 	root, record, err := l.root(ctx)
 	if err != nil || record.Revision == 0 {
 		return nil, err
--- a/pomeloconfig/check.go
+++ b/pomeloconfig/check.go
@@ -11,101 +11,101 @@
 
 // Bounds of a configuration's entries.
 const (
-	maxShare        = 1e9
-	maxCost         = 1e9
-	maxSlots        = 4096
-	maxTokenHashes  = 16
-	shareSumAllowed = 1e-6
+	maxShare          = 1e9
+	maxCost           = 1e9
+	maxSlots          = 4096
+	maxTokenHashes    = 16
+	shareSumTolerance = 1e-6
 )
 
 // Check returns everything that is wrong with a configuration whose defaults are filled in; none means that it may be accepted.
 func Check(c Configuration) []Problem {
-	k := &configurationCheck{
-		checker:  checker{code: pomelorelay.CodeConfigInvalid},
-		teams:    make(map[string]string),
-		regions:  make(map[string]string),
-		domains:  make(map[string]string),
-		regionOf: make(map[pomelorelay.DomainID]pomelorelay.RegionID),
-		services: make(map[string]string),
-		kinds:    make(map[pomelorelay.ServiceID]ServiceKind),
-		served:   make(map[pomelorelay.ServiceID]bool),
-		shares:   make(map[string]float64),
+	k := &configurationChecker{
+		checker:     checker{code: pomelorelay.CodeConfigInvalid},
+		teams:       make(map[string]string),
+		regions:     make(map[string]string),
+		domains:     make(map[string]string),
+		regionOf:    make(map[pomelorelay.DomainID]pomelorelay.RegionID),
+		services:    make(map[string]string),
+		kinds:       make(map[pomelorelay.ServiceID]ServiceKind),
+		hasUpstream: make(map[pomelorelay.ServiceID]bool),
+		shares:      make(map[string]float64),
 	}
 	k.checkTeams(c.Teams)
 	k.checkRegions(c.Regions)
 	k.checkEvacuated(c.Evacuated)
 	k.checkServices(c.Services)
 	k.checkUpstreams(c.Upstreams)
-	k.checkServed(c.Services)
+	k.checkServicesHaveUpstreams(c.Services)
 	k.checkAccounts(c.Accounts)
 	k.checkShareTotals(c.Teams)
 	return k.problems
 }
 
-// configurationCheck remembers the names met so far, with the path of the first.
-type configurationCheck struct {
+// configurationChecker remembers the names met so far, with the path of the first.
+type configurationChecker struct {
 	checker
 	teams, regions, domains, services map[string]string
 	regionOf                          map[pomelorelay.DomainID]pomelorelay.RegionID
 	kinds                             map[pomelorelay.ServiceID]ServiceKind
-	served                            map[pomelorelay.ServiceID]bool
+	hasUpstream                       map[pomelorelay.ServiceID]bool
 	shares                            map[string]float64
 }
 
-// named checks a name and that no other entry of the kind has it.
-func (k *configurationCheck) named(seen map[string]string, path, name string) {
+// uniqueName checks a name and that no other entry of the kind has it.
+func (k *configurationChecker) uniqueName(seen map[string]string, path, name string) {
 	k.name(path, name)
 	k.unique(seen, path, name)
 }
 
-func (k *configurationCheck) known(seen map[string]string, path, name, kind string) {
+func (k *configurationChecker) checkExists(seen map[string]string, path, name, kind string) {
 	if _, ok := seen[name]; !ok {
 		k.add(path, kind+" "+quote(name)+" is not known", "add it, or correct the name")
 	}
 }
 
-func (k *configurationCheck) checkTeams(teams []Team) {
+func (k *configurationChecker) checkTeams(teams []Team) {
 	if len(teams) == 0 {
 		k.add("Teams", "no team is given", "list at least one team")
 	}
 	for i, team := range teams {
-		path := index("Teams", i)
-		k.named(k.teams, path+".Name", team.Name)
+		path := indexedPath("Teams", i)
+		k.uniqueName(k.teams, path+".Name", team.Name)
 		k.number(path+".ShareTotal", float64(team.ShareTotal), 0, math.MaxFloat64)
 	}
 }
 
-func (k *configurationCheck) checkRegions(regions []Region) {
+func (k *configurationChecker) checkRegions(regions []Region) {
 	if len(regions) == 0 {
 		k.add("Regions", "no region is given", "list at least one region with its failure domains")
 	}
 	for i, region := range regions {
-		path := index("Regions", i)
-		k.named(k.regions, path+".Name", string(region.Name))
+		path := indexedPath("Regions", i)
+		k.uniqueName(k.regions, path+".Name", string(region.Name))
 		if len(region.FailureDomains) == 0 {
 			k.add(path+".FailureDomains", "the region has no failure domain", "list at least one")
 		}
 		for j, domain := range region.FailureDomains {
-			k.named(k.domains, index(path+".FailureDomains", j), string(domain))
+			k.uniqueName(k.domains, indexedPath(path+".FailureDomains", j), string(domain))
 			k.regionOf[domain] = region.Name
 		}
 	}
 }
 
-func (k *configurationCheck) checkEvacuated(domains []pomelorelay.DomainID) {
+func (k *configurationChecker) checkEvacuated(domains []pomelorelay.DomainID) {
 	for i, domain := range domains {
-		k.known(k.domains, index("Evacuated", i), string(domain), "the failure domain")
+		k.checkExists(k.domains, indexedPath("Evacuated", i), string(domain), "the failure domain")
 	}
 }
 
-func (k *configurationCheck) checkServices(services []Service) {
+func (k *configurationChecker) checkServices(services []Service) {
 	if len(services) == 0 {
 		k.add("Services", "no service is given", "list at least one")
 	}
 	for i, s := range services {
-		path := index("Services", i)
-		k.named(k.services, path+".Name", string(s.Name))
-		k.known(k.teams, path+".Team", s.Team, "the team")
+		path := indexedPath("Services", i)
+		k.uniqueName(k.services, path+".Name", string(s.Name))
+		k.checkExists(k.teams, path+".Team", s.Team, "the team")
 		k.kinds[s.Name] = s.Kind
 		if s.Kind != ServiceModel && s.Kind != ServicePlain {
 			k.add(path+".Kind", "the kind "+quote(string(s.Kind))+" is not known", "use "+string(ServiceModel)+" or "+string(ServicePlain))
@@ -117,7 +117,7 @@
 	}
 }
 
-func (k *configurationCheck) checkServiceBounds(path string, s Service) {
+func (k *configurationChecker) checkServiceBounds(path string, s Service) {
 	if s.Kind == ServiceModel {
 		k.number(path+".InputCost", float64(s.InputCost), 1e-9, maxCost)
 		k.number(path+".OutputCost", float64(s.OutputCost), 1e-9, maxCost)
@@ -136,27 +136,27 @@
 	k.duration(path+".QuarantineFor", s.QuarantineFor, time.Second, 366*24*time.Hour)
 }
 
-func (k *configurationCheck) checkUpstreams(upstreams []Upstream) {
+func (k *configurationChecker) checkUpstreams(upstreams []Upstream) {
 	names := make(map[string]string)
 	addresses := make(map[netip.AddrPort]string)
 	for i, u := range upstreams {
-		path := index("Upstreams", i)
-		k.named(names, path+".Name", string(u.Name))
-		k.known(k.services, path+".Service", string(u.Service), "the service")
-		k.served[u.Service] = true
+		path := indexedPath("Upstreams", i)
+		k.uniqueName(names, path+".Name", string(u.Name))
+		k.checkExists(k.services, path+".Service", string(u.Service), "the service")
+		k.hasUpstream[u.Service] = true
 		k.checkModel(path, u)
 		k.address(path+".Address", u.Address)
 		if first, ok := addresses[u.Address]; ok && u.Address.IsValid() {
 			k.add(path+".Address", u.Address.String()+" stands already at "+first, "give each upstream its own address")
 		}
 		addresses[u.Address] = path + ".Address"
-		k.checkPlace(path, u)
+		k.checkLocation(path, u)
 		k.number(path+".MinSlots", float64(u.MinSlots), 1, float64(u.MaxSlots))
 		k.number(path+".MaxSlots", float64(u.MaxSlots), 1, maxSlots)
 	}
 }
 
-func (k *configurationCheck) checkModel(path string, u Upstream) {
+func (k *configurationChecker) checkModel(path string, u Upstream) {
 	kind, ok := k.kinds[u.Service]
 	switch {
 	case !ok:
@@ -171,24 +171,24 @@
 }
 
 // modelName lets a model's name hold what the engines' names hold, a slash above all.
-func (k *configurationCheck) modelName(path, name string) {
+func (k *configurationChecker) modelName(path, name string) {
 	if name == "" || len(name) > maxNameBytes {
 		k.add(path, fmt.Sprintf("the model's name has %d bytes", len(name)), fmt.Sprintf("use 1 to %d", maxNameBytes))
 	}
 }
 
-func (k *configurationCheck) checkPlace(path string, u Upstream) {
-	k.known(k.regions, path+".Region", string(u.Region), "the region")
-	k.known(k.domains, path+".FailureDomain", string(u.FailureDomain), "the failure domain")
+func (k *configurationChecker) checkLocation(path string, u Upstream) {
+	k.checkExists(k.regions, path+".Region", string(u.Region), "the region")
+	k.checkExists(k.domains, path+".FailureDomain", string(u.FailureDomain), "the failure domain")
 	if region, ok := k.regionOf[u.FailureDomain]; ok && region != u.Region {
 		k.add(path+".Region", "the failure domain "+quote(string(u.FailureDomain))+" is in region "+quote(string(region)), "correct one of the two")
 	}
 }
 
-func (k *configurationCheck) checkServed(services []Service) {
+func (k *configurationChecker) checkServicesHaveUpstreams(services []Service) {
 	for i, s := range services {
-		if !k.served[s.Name] {
-			k.add(index("Services", i), "the service "+quote(string(s.Name))+" has no upstream", "list an upstream of it, or remove the service")
+		if !k.hasUpstream[s.Name] {
+			k.add(indexedPath("Services", i), "the service "+quote(string(s.Name))+" has no upstream", "list an upstream of it, or remove the service")
 		}
 	}
 }
--- a/pomeloconfig/check_accounts.go
+++ b/pomeloconfig/check_accounts.go
@@ -8,55 +8,55 @@
 	"slices"
 )
 
-const smallestShare = 1e-6
+const minShare = 1e-6
 
-func (k *configurationCheck) checkAccounts(accounts []Account) {
+func (k *configurationChecker) checkAccounts(accounts []Account) {
 	names := make(map[string]string, len(accounts))
 	hashes := make(map[string]string, len(accounts))
 	if len(accounts) == 0 {
 		k.add("Accounts", "no account is given", "list at least one")
 	}
 	for i, a := range accounts {
-		path := index("Accounts", i)
-		k.named(names, path+".Name", string(a.Name))
-		k.known(k.teams, path+".Team", a.Team, "the team")
-		k.number(path+".Share", float64(a.Share), smallestShare, maxShare)
+		path := indexedPath("Accounts", i)
+		k.uniqueName(names, path+".Name", string(a.Name))
+		k.checkExists(k.teams, path+".Team", a.Team, "the team")
+		k.number(path+".Share", float64(a.Share), minShare, maxShare)
 		k.shares[a.Team] += float64(a.Share)
 		k.checkShares(path, a)
 		k.checkHashes(hashes, path, a.TokenHashes)
 	}
 }
 
-func (k *configurationCheck) checkShares(path string, a Account) {
+func (k *configurationChecker) checkShares(path string, a Account) {
 	if len(a.Shares) == 0 {
 		return
 	}
 	for _, service := range slices.Sorted(maps.Keys(a.Shares)) {
-		place := path + ".Shares." + string(service)
-		k.known(k.services, place, string(service), "the service")
-		k.number(place, float64(a.Shares[service]), smallestShare, maxShare)
+		sharePath := path + ".Shares." + string(service)
+		k.checkExists(k.services, sharePath, string(service), "the service")
+		k.number(sharePath, float64(a.Shares[service]), minShare, maxShare)
 	}
 }
 
-func (k *configurationCheck) checkHashes(seen map[string]string, path string, hashes []string) {
+func (k *configurationChecker) checkHashes(seen map[string]string, path string, hashes []string) {
 	if len(hashes) == 0 || len(hashes) > maxTokenHashes {
 		k.add(path+".TokenHashes", fmt.Sprintf("%d token hashes are given", len(hashes)), fmt.Sprintf("give 1 to %d; pomeloctl token makes one", maxTokenHashes))
 	}
 	for i, hash := range hashes {
-		place := index(path+".TokenHashes", i)
+		hashPath := indexedPath(path+".TokenHashes", i)
 		if _, err := parseTokenHash(hash); err != nil {
-			k.add(place, "it is not a SHA-256 digest in 64 lower-case hexadecimal digits", "take the hash that pomeloctl token prints, not the token")
+			k.add(hashPath, "it is not a SHA-256 digest in 64 lower-case hexadecimal digits", "take the hash that pomeloctl token prints, not the token")
 			continue
 		}
-		k.unique(seen, place, hash)
+		k.unique(seen, hashPath, hash)
 	}
 }
 
-func (k *configurationCheck) checkShareTotals(teams []Team) {
+func (k *configurationChecker) checkShareTotals(teams []Team) {
 	for i, team := range teams {
 		sum, want := k.shares[team.Name], float64(team.ShareTotal)
-		if want > 0 && math.Abs(sum-want) > shareSumAllowed*want {
-			k.add(index("Teams", i)+".ShareTotal", fmt.Sprintf("the shares of the team's accounts add up to %g, not %g", sum, want), "correct the shares or the total")
+		if want > 0 && math.Abs(sum-want) > shareSumTolerance*want {
+			k.add(indexedPath("Teams", i)+".ShareTotal", fmt.Sprintf("the shares of the team's accounts add up to %g, not %g", sum, want), "correct the shares or the total")
 		}
 	}
 }
--- a/pomeloconfig/check_test.go
+++ b/pomeloconfig/check_test.go
@@ -14,8 +14,8 @@
 // An operator's file has one thing wrong. Everything must be refused before it reaches a router, and the entry be named.
 func TestCheckNamesTheEntry(t *testing.T) {
 	for _, c := range []struct {
-		path  string
-		spoil func(c *pomeloconfig.Configuration)
+		path    string
+		corrupt func(c *pomeloconfig.Configuration)
 	}{
 		{"Teams[0].ShareTotal", func(c *pomeloconfig.Configuration) { c.Teams[0].ShareTotal = 4 }},
 		{"Teams[1].Name", func(c *pomeloconfig.Configuration) { c.Teams = append(c.Teams, c.Teams[0]) }},
@@ -54,7 +54,7 @@
 		}},
 	} {
 		bad := sample(3)
-		c.spoil(&bad)
+		c.corrupt(&bad)
 		problems := pomeloconfig.Check(bad)
 		found := false
 		for _, p := range problems {
--- a/pomeloconfig/difference.go
+++ b/pomeloconfig/difference.go
@@ -54,8 +54,8 @@
 
 // maxSummaryLines keeps a root that replaces everything under the store's value limit; the parts hold the rest.
 const (
-	maxSummaryLines = 50
-	maxSummaryLine  = 300
+	maxSummaryLines     = 50
+	maxSummaryLineBytes = 300
 )
 
 // DifferenceSummary counts what changed between two generations and shows the first changes.
@@ -78,7 +78,7 @@
 		}
 		if len(s.Lines) < maxSummaryLines {
 			line := change.String()
-			s.Lines = append(s.Lines, line[:min(len(line), maxSummaryLine)])
+			s.Lines = append(s.Lines, line[:min(len(line), maxSummaryLineBytes)])
 		}
 	}
 	return s
@@ -86,17 +86,17 @@
 
 // Difference returns the entries that differ, in the order of kinds and names.
 func Difference(before, after Configuration) []EntryChange {
-	old, now := before.entries(), after.entries()
-	names := make(map[string]bool, len(now))
-	for name := range old {
+	oldEntries, newEntries := before.entries(), after.entries()
+	names := make(map[string]bool, len(newEntries))
+	for name := range oldEntries {
 		names[name] = true
 	}
-	for name := range now {
+	for name := range newEntries {
 		names[name] = true
 	}
 	var changes []EntryChange
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if change, ok := compare(name, old[name], now[name]); ok {
+		if change, ok := compare(name, oldEntries[name], newEntries[name]); ok {
 			changes = append(changes, change)
 		}
 	}
@@ -143,13 +143,13 @@
 }
 
 func fieldChanges(before, after any) []FieldChange {
-	old, now := fields(before), fields(after)
-	names := maps.Clone(old)
-	maps.Copy(names, now)
+	oldFields, newFields := fields(before), fields(after)
+	names := maps.Clone(oldFields)
+	maps.Copy(names, newFields)
 	var changes []FieldChange
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if string(old[name]) != string(now[name]) {
-			changes = append(changes, FieldChange{Field: name, Before: old[name], After: now[name]})
+		if string(oldFields[name]) != string(newFields[name]) {
+			changes = append(changes, FieldChange{Field: name, Before: oldFields[name], After: newFields[name]})
 		}
 	}
 	return changes
--- a/pomeloconfig/document.go
+++ b/pomeloconfig/document.go
@@ -49,11 +49,11 @@
 	if err := decoder.Decode(into); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
-	if values.failure != nil {
-		return values.failure
+	if values.firstError != nil {
+		return values.firstError
 	}
-	var rest any
-	if err := decoder.Decode(&rest); !errors.Is(err, io.EOF) {
+	var extra any
+	if err := decoder.Decode(&extra); !errors.Is(err, io.EOF) {
 		return errors.New("it holds more than one document; keep one")
 	}
 	return nil
@@ -65,19 +65,19 @@
 	if errors.As(err, &unknown) {
 		code = pomelorelay.CodeConfigUnknownField
 	}
-	place, text := file, err.Error()
+	location, text := file, err.Error()
 	var value *valueError
 	if errors.As(err, &value) {
-		place += ":" + strconv.Itoa(value.line)
+		location += ":" + strconv.Itoa(value.line)
 	}
 	var located yaml.Error
 	if errors.As(err, &located) {
 		text = located.GetMessage()
 		if t := located.GetToken(); t != nil && t.Position != nil {
-			place += ":" + strconv.Itoa(t.Position.Line)
+			location += ":" + strconv.Itoa(t.Position.Line)
 		}
 	}
-	return pomelorelay.NewError(code, place+": "+text, nil)
+	return pomelorelay.NewError(code, location+": "+text, nil)
 }
 
 // locate gives the problems the document's name and the lines of their entries; an entry that is missing gets its parent's line.
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -14,28 +14,28 @@
 
 // fleet passes messages between spreaders on a clock of its own.
 type fleet struct {
-	tb       testing.TB
-	now      time.Time
-	tick     time.Duration
-	random   *rand.Rand
-	routers  []*fleetRouter
-	peers    []pomelorelay.NodeID
-	accepted []generation
-	// stored is the generation that the store holds, one above its place in accepted; zero is none.
-	stored   int
-	storeUp  bool
-	watchers int
-	loss     int
-	refusing int
-	queue    []fleetMessage
-	sent     pomelorelay.Bytes
+	tb        testing.TB
+	now       time.Time
+	tick      time.Duration
+	random    *rand.Rand
+	routers   []*fleetRouter
+	peers     []pomelorelay.NodeID
+	published []generation
+	// storedGeneration is the generation that the store holds, one above its place in accepted; zero is none.
+	storedGeneration int
+	storeUp          bool
+	watchers         int
+	lossPercent      int
+	refusingRouter   int
+	queue            []fleetMessage
+	sentBytes        pomelorelay.Bytes
 }
 
 type fleetRouter struct {
-	spreader  *pomeloconfig.Spreader
-	last      pomelorelay.Generation
-	reached   time.Time
-	storeless bool
+	spreader       *pomeloconfig.Spreader
+	lastGeneration pomelorelay.Generation
+	reachedAt      time.Time
+	withoutStore   bool
 }
 
 type fleetMessage struct {
@@ -64,27 +64,27 @@
 	f.routers[i] = &fleetRouter{spreader: s}
 }
 
-func (f *fleet) newest() pomelorelay.Generation { return pomelorelay.Generation(len(f.accepted)) }
+func (f *fleet) newest() pomelorelay.Generation { return pomelorelay.Generation(len(f.published)) }
 
-// made keeps the generations, which are the same for every fleet; the tests that use it do not run at the same time.
-var made = make(map[pomelorelay.Generation]generation)
+// generationCache keeps the generations, which are the same for every fleet; the tests that use it do not run at the same time.
+var generationCache = make(map[pomelorelay.Generation]generation)
 
-// failer is what a test and a rapid check have in common.
-type failer interface {
+// failTester is what a test and a rapid check have in common.
+type failTester interface {
 	Fatalf(format string, args ...any)
 }
 
-// change accepts a configuration above every one before, as a publisher does that was told of the routers.
-func (f *fleet) change(failer) {
+// publishNext accepts a configuration above every one before, as a publisher does that was told of the routers.
+func (f *fleet) publishNext(failTester) {
 	number := f.newest() + 1
-	if _, ok := made[number]; !ok {
-		made[number] = makeGeneration(f.tb, number, withShare(int(number)))
+	if _, ok := generationCache[number]; !ok {
+		generationCache[number] = makeGeneration(f.tb, number, withShare(int(number)))
 	}
-	f.accepted = append(f.accepted, made[number])
-	f.stored = len(f.accepted)
+	f.published = append(f.published, generationCache[number])
+	f.storedGeneration = len(f.published)
 }
 
-func (f *fleet) run(t failer, ticks int) {
+func (f *fleet) run(t failTester, ticks int) {
 	for range ticks {
 		f.now = f.now.Add(f.tick)
 		f.deliver()
@@ -94,32 +94,32 @@
 	}
 }
 
-func (f *fleet) step(t failer, i int) {
+func (f *fleet) step(t failTester, i int) {
 	r := f.routers[i]
-	f.post(i, r.spreader.Tick(f.now, nil))
+	f.send(i, r.spreader.Tick(f.now, nil))
 	f.readStore(i)
 	if candidate, ok := r.spreader.Candidate(); ok {
 		f.apply(t, i, candidate)
 	}
-	if got := r.spreader.Generation(); got < r.last {
-		t.Fatalf("router %d fell from generation %d to %d", i, r.last, got)
+	if got := r.spreader.Generation(); got < r.lastGeneration {
+		t.Fatalf("router %d fell from generation %d to %d", i, r.lastGeneration, got)
 	}
-	if got := r.spreader.Generation(); got > r.last {
-		r.last, r.reached = got, f.now
+	if got := r.spreader.Generation(); got > r.lastGeneration {
+		r.lastGeneration, r.reachedAt = got, f.now
 	}
 	if f.random.IntN(5) == 0 && len(f.routers) > 1 {
-		f.digest(i)
+		f.announceGeneration(i)
 	}
 }
 
 // apply checks that the candidate is one that was accepted.
-func (f *fleet) apply(t failer, i int, candidate pomeloconfig.Candidate) {
-	if f.refusing == i+1 {
-		f.post(i, f.routers[i].spreader.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
+func (f *fleet) apply(t failTester, i int, candidate pomeloconfig.Candidate) {
+	if f.refusingRouter == i+1 {
+		f.send(i, f.routers[i].spreader.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
 		return
 	}
 	data, err := pomeloconfig.EncodeRoot(candidate.Root)
-	if err != nil || !bytes.Equal(data, f.accepted[candidate.Root.Generation-1].root) {
+	if err != nil || !bytes.Equal(data, f.published[candidate.Root.Generation-1].root) {
 		t.Fatalf("router %d puts something in force that was not accepted: %v", i, err)
 	}
 	if _, err := pomeloconfig.Assemble(candidate.Root, candidate.Parts); err != nil {
@@ -128,8 +128,8 @@
 	f.routers[i].spreader.InForce(candidate.Root.Generation)
 }
 
-// digest sends the router's generation to the others, as it rides on their envelopes.
-func (f *fleet) digest(i int) {
+// announceGeneration sends the router's generation to the others, as it rides on their envelopes.
+func (f *fleet) announceGeneration(i int) {
 	for to := range f.routers {
 		if to != i {
 			f.enqueue(i, to, nil)
@@ -137,7 +137,7 @@
 	}
 }
 
-func (f *fleet) post(from int, out []pomelorelay.Outgoing) {
+func (f *fleet) send(from int, out []pomelorelay.Outgoing) {
 	for _, o := range out {
 		f.enqueue(from, slices.Index(f.peers, o.To), o.Message)
 	}
@@ -145,14 +145,14 @@
 
 func (f *fleet) enqueue(from, to int, m pomelorelay.Message) {
 	if push, ok := m.(*pomelorelay.ConfigPush); ok {
-		f.sent += pomelorelay.Bytes(len(push.Root))
+		f.sentBytes += pomelorelay.Bytes(len(push.Root))
 		for _, part := range push.Parts {
-			f.sent += pomelorelay.Bytes(len(part))
+			f.sentBytes += pomelorelay.Bytes(len(part))
 		}
 	}
 	for copies := 1 + f.random.IntN(20)/19; copies > 0; copies-- {
-		if f.random.IntN(100) >= f.loss {
-			delay := time.Duration(1+f.random.IntN(1+3*min(f.loss, 10))) * f.tick
+		if f.random.IntN(100) >= f.lossPercent {
+			delay := time.Duration(1+f.random.IntN(1+3*min(f.lossPercent, 10))) * f.tick
 			f.queue = append(f.queue, fleetMessage{due: f.now.Add(delay), from: from, to: to, m: m})
 		}
 	}
@@ -181,25 +181,25 @@
 	case *pomelorelay.ConfigApplied:
 		s.Applied(f.now, from, m)
 	}
-	f.post(message.to, out)
+	f.send(message.to, out)
 }
 
 // readStore answers what the router wants, and reports changes to the watchers.
 func (f *fleet) readStore(i int) {
 	s := f.routers[i].spreader
 	wants := s.StoreWants(f.now)
-	if !f.storeUp || f.routers[i].storeless {
+	if !f.storeUp || f.routers[i].withoutStore {
 		return
 	}
 	if wants.Root || i < f.watchers {
-		if f.stored == 0 {
+		if f.storedGeneration == 0 {
 			s.Stored(f.now, nil)
 		} else {
-			s.Stored(f.now, f.accepted[f.stored-1].root)
+			s.Stored(f.now, f.published[f.storedGeneration-1].root)
 		}
 	}
 	for _, hash := range wants.Parts {
-		for _, g := range f.accepted[:f.stored] {
+		for _, g := range f.published[:f.storedGeneration] {
 			if data, ok := g.parts[hash]; ok {
 				s.StoredPart(f.now, data)
 				break
--- a/pomeloconfig/generate.go
+++ b/pomeloconfig/generate.go
@@ -32,16 +32,16 @@
 }
 
 // mergeRegions joins regions of the same name, for teams may share them.
-func mergeRegions(all, more []Region) []Region {
-	for _, region := range more {
-		at := slices.IndexFunc(all, func(r Region) bool { return r.Name == region.Name })
-		if at < 0 {
+func mergeRegions(all, added []Region) []Region {
+	for _, region := range added {
+		i := slices.IndexFunc(all, func(r Region) bool { return r.Name == region.Name })
+		if i < 0 {
 			all = append(all, Region{Name: region.Name, FailureDomains: slices.Clone(region.FailureDomains)})
 			continue
 		}
 		for _, domain := range region.FailureDomains {
-			if !slices.Contains(all[at].FailureDomains, domain) {
-				all[at].FailureDomains = append(all[at].FailureDomains, domain)
+			if !slices.Contains(all[i].FailureDomains, domain) {
+				all[i].FailureDomains = append(all[i].FailureDomains, domain)
 			}
 		}
 	}
@@ -55,18 +55,18 @@
 
 // translate turns a path into the configuration into one into the answers.
 func (p answerPaths) translate(path string) string {
-	for i, place := range p.upstreams {
-		rest, ok := strings.CutPrefix(path, index("Upstreams", i))
+	for i, answerPath := range p.upstreams {
+		suffix, ok := strings.CutPrefix(path, indexedPath("Upstreams", i))
 		if !ok {
 			continue
 		}
-		switch rest {
+		switch suffix {
 		case ".Name", ".Address":
-			return place + rest
+			return answerPath + suffix
 		}
-		return place[:strings.LastIndex(place, ".Servers")] + rest
+		return answerPath[:strings.LastIndex(answerPath, ".Servers")] + suffix
 	}
-	for from, to := range servicePaths {
+	for from, to := range serviceAnswerPaths {
 		if strings.HasPrefix(path, "Services[") && strings.HasSuffix(path, from) {
 			return strings.TrimSuffix(path, from) + to
 		}
@@ -80,7 +80,7 @@
 	return path
 }
 
-var servicePaths = map[string]string{
+var serviceAnswerPaths = map[string]string{
 	".InputCost": ".Cost.Input", ".OutputCost": ".Cost.Output", ".MaxCost": ".Cost.Maximum",
 	".SpillDomain": ".Spill.Domain", ".SpillRegion": ".Spill.Region", ".CatchUp": ".Spill.CatchUp",
 	".MaxBody": ".Limits.MaxBody", ".MaxWaiting": ".Limits.MaxWaiting", ".MaxWaitingBytes": ".Limits.MaxWaitingBytes",
@@ -99,7 +99,7 @@
 			for k, server := range group.Servers {
 				counts[group.FailureDomain]++
 				c.Upstreams = append(c.Upstreams, a.upstream(s, group, server, counts[group.FailureDomain]))
-				paths.upstreams = append(paths.upstreams, index(index(index("Services", i)+".Upstreams", j)+".Servers", k))
+				paths.upstreams = append(paths.upstreams, indexedPath(indexedPath(indexedPath("Services", i)+".Upstreams", j)+".Servers", k))
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 func (s ServiceAnswers) service(team string) Service {
 	return Service{
 		Name: s.Name, Team: team, Kind: s.Kind,
-		NonIdempotent: s.MayRepeat == MayRepeatNo, KeyOptional: s.KeyOptional,
+		NonIdempotent: s.MayRepeat == MayRepeatNever, KeyOptional: s.KeyOptional,
 		InputCost: s.Cost.Input, OutputCost: s.Cost.Output, MaxCost: s.Cost.Maximum,
 		SpillDomain: s.Spill.Domain, SpillRegion: s.Spill.Region, CatchUp: s.Spill.CatchUp,
 		MaxBody: s.Limits.MaxBody, MaxWaiting: s.Limits.MaxWaiting, MaxWaitingBytes: s.Limits.MaxWaitingBytes,
--- a/pomeloconfig/memstore_test.go
+++ b/pomeloconfig/memstore_test.go
@@ -25,11 +25,11 @@
 type writeFault int
 
 const (
-	faultNone       writeFault = iota
-	faultRefused               // the store did not take the call
-	faultLostAfter             // it took effect and the answer was lost
-	faultLostBefore            // it never arrived, which the writer cannot know
-	faultLate                  // it arrives long after the writer was told that the answer is lost
+	faultNone        writeFault = iota
+	faultUnavailable            // the store did not take the call
+	faultAnswerLost             // it took effect and the answer was lost
+	faultRequestLost            // it never arrived, which the writer cannot know
+	faultLateRequest            // it arrives long after the writer was told that the answer is lost
 	faultCount
 )
 
@@ -67,18 +67,18 @@
 		fault = s.fault(s.writes)
 	}
 	s.mu.Unlock()
-	lost := pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
+	unknown := pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
 	switch fault {
-	case faultRefused:
+	case faultUnavailable:
 		return 0, pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "refused", nil)
-	case faultLostBefore:
-		return 0, lost
-	case faultLostAfter:
+	case faultRequestLost:
+		return 0, unknown
+	case faultAnswerLost:
 		s.swap(key, value, old)
-		return 0, lost
-	case faultLate:
+		return 0, unknown
+	case faultLateRequest:
 		time.AfterFunc(3*time.Second, func() { s.swap(key, value, old) })
-		return 0, lost
+		return 0, unknown
 	}
 	return s.swap(key, value, old)
 }
--- a/pomeloconfig/pace.go
+++ b/pomeloconfig/pace.go
@@ -12,11 +12,11 @@
 	return max(interval, time.Duration(routers)*time.Second/MessagesPerSecond)
 }
 
-// hostListReads is how often a second the whole fleet reads the host list at most.
-const hostListReads = 24
+// maxHostListReadsPerSecond is how often a second the whole fleet reads the host list at most.
+const maxHostListReadsPerSecond = 24
 
 // Pace returns how often a router reads the host list in a fleet of so many: the platform counts reads, and the list itself grows
 // with the fleet. The first router that sees an upstream leave tells all, so the fleet knows of it as soon as before.
 func (h HostListSettings) Pace(routers int) time.Duration {
-	return max(h.Interval, time.Duration(routers)*time.Second/hostListReads)
+	return max(h.Interval, time.Duration(routers)*time.Second/maxHostListReadsPerSecond)
 }
--- a/pomeloconfig/parts.go
+++ b/pomeloconfig/parts.go
@@ -12,15 +12,15 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// MaxPart bounds a compressed part and an encoded root, well under what the platform's store takes.
-const MaxPart = pomelorelay.Bytes(512 << 10)
+// MaxPartBytes bounds a compressed part and an encoded root, well under what the platform's store takes.
+const MaxPartBytes = pomelorelay.Bytes(512 << 10)
 
 // An account's entry is about 40 bytes compressed (a token hash cannot be compressed), so a part of 512 accounts is some 20 KB:
 // a change of one account rewrites that much, and 37,000 accounts need 128 hashes in the root.
 const (
-	accountsPerPart  = 512
-	upstreamsPerPart = 512
-	maxPartUnpacked  = 16 << 20
+	accountsPerPart          = 512
+	upstreamsPerPart         = 512
+	maxDecompressedPartBytes = 16 << 20
 )
 
 // partContent is what a part holds; a part has one kind of entry, but for the first, which has the few.
@@ -43,21 +43,21 @@
 // HashOf returns the SHA-256 of a part's or root's bytes.
 func HashOf(data []byte) pomelorelay.Hash { return sha256.Sum256(data) }
 
-// Parts splits a configuration, so that a small change alters few parts; it fails with CodeConfigTooLarge when one is over MaxPart.
+// Split splits a configuration, so that a small change alters few parts; it fails with CodeConfigTooLarge when one is over MaxPart.
 // The same content gives the same parts, whatever the order of its entries.
-func Parts(c Configuration) ([]Part, error) {
+func Split(c Configuration) ([]Part, error) {
 	c = c.normalised()
 	contents := []partContent{{Teams: c.Teams, Regions: c.Regions, Services: c.Services, Evacuated: c.Evacuated}}
 	contents = append(contents, upstreamContents(c.Upstreams)...)
 	contents = append(contents, accountContents(c.Accounts)...)
-	packer, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, pomelorelay.NewError(pomelorelay.CodeInternal, "start the compressor", err)
 	}
-	defer packer.Close()
+	defer compressor.Close()
 	parts := make([]Part, 0, len(contents))
 	for _, content := range contents {
-		part, err := pack(packer, content)
+		part, err := encodePart(compressor, content)
 		if err != nil {
 			return nil, err
 		}
@@ -66,20 +66,20 @@
 	return parts, nil
 }
 
-func pack(packer *zstd.Encoder, content partContent) (Part, error) {
-	plain, err := json.Marshal(content)
+func encodePart(compressor *zstd.Encoder, content partContent) (Part, error) {
+	encoded, err := json.Marshal(content)
 	if err != nil {
 		return Part{}, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "encode a part", err)
 	}
-	data := packer.EncodeAll(plain, nil)
-	if pomelorelay.Bytes(len(data)) > MaxPart || len(plain) > maxPartUnpacked {
-		return Part{}, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("a part has %d bytes, %d compressed", len(plain), len(data)), nil)
+	data := compressor.EncodeAll(encoded, nil)
+	if pomelorelay.Bytes(len(data)) > MaxPartBytes || len(encoded) > maxDecompressedPartBytes {
+		return Part{}, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("a part has %d bytes, %d compressed", len(encoded), len(data)), nil)
 	}
 	return Part{Hash: HashOf(data), Data: data}, nil
 }
 
-// buckets is a power of two, so that it stays the same while the number of entries does not double.
-func buckets(entries, perPart int) int {
+// bucketCount is a power of two, so that it stays the same while the number of entries does not double.
+func bucketCount(entries, perPart int) int {
 	if entries == 0 {
 		return 0
 	}
@@ -89,25 +89,25 @@
 func bucketOf(name string, count int) int { return int(xxhash.Sum64String(name) & uint64(count-1)) }
 
 func accountContents(accounts []Account) []partContent {
-	contents := make([]partContent, buckets(len(accounts), accountsPerPart))
+	contents := make([]partContent, bucketCount(len(accounts), accountsPerPart))
 	for _, a := range accounts {
-		at := bucketOf(string(a.Name), len(contents))
-		contents[at].Accounts = append(contents[at].Accounts, a)
+		i := bucketOf(string(a.Name), len(contents))
+		contents[i].Accounts = append(contents[i].Accounts, a)
 	}
-	return numbered(contents)
+	return numberBuckets(contents)
 }
 
 func upstreamContents(upstreams []Upstream) []partContent {
-	contents := make([]partContent, buckets(len(upstreams), upstreamsPerPart))
+	contents := make([]partContent, bucketCount(len(upstreams), upstreamsPerPart))
 	for _, u := range upstreams {
-		at := bucketOf(string(u.Name), len(contents))
-		contents[at].Upstreams = append(contents[at].Upstreams, u)
+		i := bucketOf(string(u.Name), len(contents))
+		contents[i].Upstreams = append(contents[i].Upstreams, u)
 	}
-	return numbered(contents)
+	return numberBuckets(contents)
 }
 
-// numbered makes empty parts differ from each other, so that a hash names one part of a root.
-func numbered(contents []partContent) []partContent {
+// numberBuckets makes empty parts differ from each other, so that a hash names one part of a root.
+func numberBuckets(contents []partContent) []partContent {
 	for i := range contents {
 		contents[i].Bucket = i
 	}
@@ -117,17 +117,17 @@
 // Assemble puts a configuration together from a root's parts; it fails with CodeConfigPartMissing, CodeConfigHashMismatch or
 // CodeConfigMalformed. It does not check the configuration; NewSnapshot does.
 func Assemble(root Root, parts map[pomelorelay.Hash][]byte) (Configuration, error) {
-	if root.Format > Format {
-		return Configuration{}, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, fmt.Sprintf("the root has format %d, this program knows %d", root.Format, Format), nil)
+	if root.Format > FormatVersion {
+		return Configuration{}, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, fmt.Sprintf("the root has format %d, this program knows %d", root.Format, FormatVersion), nil)
 	}
-	unpacker, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPartUnpacked))
+	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedPartBytes))
 	if err != nil {
 		return Configuration{}, pomelorelay.NewError(pomelorelay.CodeInternal, "start the decompressor", err)
 	}
-	defer unpacker.Close()
+	defer decompressor.Close()
 	var c Configuration
 	for _, hash := range root.Parts {
-		if err := c.addPart(unpacker, hash, parts[hash]); err != nil {
+		if err := c.addPart(decompressor, hash, parts[hash]); err != nil {
 			return Configuration{}, err
 		}
 	}
@@ -136,17 +136,17 @@
 	return c, nil
 }
 
-func (c *Configuration) addPart(unpacker *zstd.Decoder, hash pomelorelay.Hash, data []byte) error {
+func (c *Configuration) addPart(decompressor *zstd.Decoder, hash pomelorelay.Hash, data []byte) error {
 	if data == nil {
-		return pomelorelay.NewError(pomelorelay.CodeConfigPartMissing, hashText(hash), nil)
+		return pomelorelay.NewError(pomelorelay.CodeConfigPartMissing, hashHex(hash), nil)
 	}
 	// A part that was damaged on its way, or given for another, would else come into force on some routers only.
 	if HashOf(data) != hash {
-		return pomelorelay.NewError(pomelorelay.CodeConfigHashMismatch, hashText(hash), nil)
+		return pomelorelay.NewError(pomelorelay.CodeConfigHashMismatch, hashHex(hash), nil)
 	}
-	content, err := unpack(unpacker, data)
+	content, err := decodePart(decompressor, data)
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "part "+hashText(hash), err)
+		return pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "part "+hashHex(hash), err)
 	}
 	c.Teams = append(c.Teams, content.Teams...)
 	c.Regions = append(c.Regions, content.Regions...)
@@ -157,12 +157,12 @@
 	return nil
 }
 
-func unpack(unpacker *zstd.Decoder, data []byte) (partContent, error) {
+func decodePart(decompressor *zstd.Decoder, data []byte) (partContent, error) {
 	var content partContent
-	plain, err := unpacker.DecodeAll(data, nil)
+	encoded, err := decompressor.DecodeAll(data, nil)
 	if err != nil {
 		return content, err
 	}
-	err = json.Unmarshal(plain, &content)
+	err = json.Unmarshal(encoded, &content)
 	return content, err
 }
--- a/pomeloconfig/parts_test.go
+++ b/pomeloconfig/parts_test.go
@@ -24,7 +24,7 @@
 	for _, hash := range after {
 		size := len(byHash[hash])
 		total += size
-		if pomelorelay.Bytes(size) > pomeloconfig.MaxPart {
+		if pomelorelay.Bytes(size) > pomeloconfig.MaxPartBytes {
 			t.Fatalf("a part has %d bytes", size)
 		}
 		if !slices.Contains(before, hash) {
@@ -41,7 +41,7 @@
 func TestAssembledIsWhatWasSplit(t *testing.T) {
 	c := sample(1500)
 	hashes, byHash := mustParts(t, c)
-	root := pomeloconfig.Root{Format: pomeloconfig.Format, Generation: 1, Parts: hashes}
+	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: 1, Parts: hashes}
 	got, err := pomeloconfig.Assemble(root, byHash)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 // has; half a configuration would lock accounts out.
 func TestBadPartsAreRefused(t *testing.T) {
 	hashes, byHash := mustParts(t, sample(1500))
-	root := pomeloconfig.Root{Format: pomeloconfig.Format, Generation: 1, Parts: hashes}
+	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: 1, Parts: hashes}
 	good := byHash[hashes[1]]
 	byHash[hashes[1]] = byHash[hashes[2]]
 	_, err := pomeloconfig.Assemble(root, byHash)
@@ -118,8 +118,8 @@
 	}
 }
 
-// heapAfter returns the live heap.
-func heapAfter() uint64 {
+// liveHeap returns the live heap.
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -132,13 +132,13 @@
 	start := time.Now()
 	hashes, byHash := mustParts(t, c)
 	split := time.Since(start)
-	root := pomeloconfig.Root{Format: pomeloconfig.Format, Generation: 1, Parts: hashes}
+	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: 1, Parts: hashes}
 	encoded, err := pomeloconfig.EncodeRoot(root)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c = pomeloconfig.Configuration{}
-	before := heapAfter()
+	before := liveHeap()
 	start = time.Now()
 	assembled, err := pomeloconfig.Assemble(root, byHash)
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	compile := time.Since(start)
 	assembled = pomeloconfig.Configuration{}
-	heap := heapAfter() - before
+	heap := liveHeap() - before
 	packed := 0
 	for _, part := range byHash {
 		packed += len(part)
--- a/pomeloconfig/problem.go
+++ b/pomeloconfig/problem.go
@@ -71,12 +71,12 @@
 		c.add(path, "it is missing", "give a name")
 	case len(name) > maxNameBytes:
 		c.add(path, fmt.Sprintf("it has %d bytes", len(name)), fmt.Sprintf("use at most %d", maxNameBytes))
-	case strings.ContainsFunc(name, notInName):
+	case strings.ContainsFunc(name, invalidInName):
 		c.add(path, quote(name)+" has a character that names may not have", "use letters, digits, '-', '_' and '.'")
 	}
 }
 
-func notInName(r rune) bool {
+func invalidInName(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 	return !letter && r != '-' && r != '_' && r != '.'
 }
@@ -117,6 +117,6 @@
 	}
 }
 
-func index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
+func indexedPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
 func quote(text string) string { return strconv.Quote(text) }
--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -38,8 +38,8 @@
 
 // Publisher brings a configuration into the store.
 type Publisher struct {
-	cfg     PublisherConfig
-	library library
+	cfg   PublisherConfig
+	store configStore
 }
 
 // NewPublisher returns a Publisher.
@@ -50,7 +50,7 @@
 	if cfg.Random == nil {
 		cfg.Random = rand.Reader
 	}
-	return &Publisher{cfg: cfg, library: library{store: cfg.Store}}
+	return &Publisher{cfg: cfg, store: configStore{store: cfg.Store}}
 }
 
 // Publish checks the whole configuration, writes its parts and swaps the root. It returns the root that holds the change, which
@@ -61,32 +61,32 @@
 	if err := problemsError(pomelorelay.CodeConfigInvalid, Check(c)); err != nil {
 		return Root{}, err
 	}
-	parts, err := Parts(c)
+	parts, err := Split(c)
 	if err != nil {
 		return Root{}, err
 	}
-	current, record, err := p.library.root(ctx)
+	current, record, err := p.store.root(ctx)
 	if err != nil {
 		return Root{}, err
 	}
-	if found, err := p.earlier(ctx, change.ID, current, record); err != nil || found.Generation > 0 {
+	if found, err := p.findChange(ctx, change.ID, current, record); err != nil || found.Generation > 0 {
 		return found, err
 	}
 	if change.Base != 0 && change.Base != current.Generation {
-		return Root{}, conflict(current)
+		return Root{}, conflictError(current)
 	}
 	hashes := hashesOf(parts)
 	if record.Revision != 0 && slices.Equal(hashes, current.Parts) && current.Generation >= change.Floor {
 		return current, nil
 	}
-	next, err := p.next(ctx, current, record, parts, change)
+	next, err := p.nextRoot(ctx, current, record, parts, change)
 	if err != nil {
 		return Root{}, err
 	}
-	if err := p.keepBefore(ctx, current, record, parts); err != nil {
+	if err := p.writePartsAndHistory(ctx, current, record, parts); err != nil {
 		return Root{}, err
 	}
-	return p.swap(ctx, next, record)
+	return p.swapRoot(ctx, next, record)
 }
 
 func hashesOf(parts []Part) []pomelorelay.Hash {
@@ -97,8 +97,8 @@
 	return hashes
 }
 
-// earlier looks for a change that was given again; no more than the whole chain is read, and only when an id was given.
-func (p *Publisher) earlier(ctx context.Context, id ChangeID, current Root, record pomelorelay.Record) (Root, error) {
+// findChange looks for a change that was given again; no more than the whole chain is read, and only when an id was given.
+func (p *Publisher) findChange(ctx context.Context, id ChangeID, current Root, record pomelorelay.Record) (Root, error) {
 	if id == "" || record.Revision == 0 {
 		return Root{}, nil
 	}
@@ -109,7 +109,7 @@
 		if root.PreviousGeneration == 0 {
 			return Root{}, nil
 		}
-		previous, err := p.library.previous(ctx, root)
+		previous, err := p.store.previous(ctx, root)
 		if err != nil {
 			return Root{}, err
 		}
@@ -117,18 +117,18 @@
 	}
 }
 
-// next makes the root that is to follow the current one.
-func (p *Publisher) next(ctx context.Context, current Root, record pomelorelay.Record, parts []Part, change Change) (Root, error) {
+// nextRoot makes the root that is to follow the current one.
+func (p *Publisher) nextRoot(ctx context.Context, current Root, record pomelorelay.Record, parts []Part, change Change) (Root, error) {
 	id, err := p.changeID(change.ID)
 	if err != nil {
 		return Root{}, err
 	}
-	difference, err := p.difference(ctx, current, parts)
+	difference, err := p.summariseDifference(ctx, current, parts)
 	if err != nil {
 		return Root{}, err
 	}
 	next := Root{
-		Format: Format, Generation: max(current.Generation, change.Floor) + 1, ChangeID: id,
+		Format: FormatVersion, Generation: max(current.Generation, change.Floor) + 1, ChangeID: id,
 		Author: change.Author, Time: p.cfg.Clock.Now(), Why: change.Why,
 		Parts: hashesOf(parts), Difference: difference,
 	}
@@ -150,86 +150,86 @@
 	return ChangeID(hex.EncodeToString(id[:])), nil
 }
 
-// difference reads only the parts that are not in both.
-func (p *Publisher) difference(ctx context.Context, current Root, parts []Part) (DifferenceSummary, error) {
-	after := make(map[pomelorelay.Hash]bool, len(parts))
+// summariseDifference reads only the parts that are not in both.
+func (p *Publisher) summariseDifference(ctx context.Context, current Root, parts []Part) (DifferenceSummary, error) {
+	newHashes := make(map[pomelorelay.Hash]bool, len(parts))
 	for _, part := range parts {
-		after[part.Hash] = true
+		newHashes[part.Hash] = true
 	}
-	gone, err := p.library.parts(ctx, current.Parts, after)
+	removed, err := p.store.parts(ctx, current.Parts, newHashes)
 	if err != nil {
 		return DifferenceSummary{}, err
 	}
-	before := make(map[pomelorelay.Hash]bool, len(current.Parts))
+	oldHashes := make(map[pomelorelay.Hash]bool, len(current.Parts))
 	for _, hash := range current.Parts {
-		before[hash] = true
+		oldHashes[hash] = true
 	}
-	come := make(map[pomelorelay.Hash][]byte)
+	added := make(map[pomelorelay.Hash][]byte)
 	for _, part := range parts {
-		if !before[part.Hash] {
-			come[part.Hash] = part.Data
+		if !oldHashes[part.Hash] {
+			added[part.Hash] = part.Data
 		}
 	}
-	old, err := assembleSome(current.Format, gone)
+	before, err := assembleParts(current.Format, removed)
 	if err != nil {
 		return DifferenceSummary{}, err
 	}
-	now, err := assembleSome(Format, come)
+	after, err := assembleParts(FormatVersion, added)
 	if err != nil {
 		return DifferenceSummary{}, err
 	}
-	return Summarise(Difference(old, now)), nil
+	return Summarise(Difference(before, after)), nil
 }
 
-func assembleSome(format int, parts map[pomelorelay.Hash][]byte) (Configuration, error) {
-	some := Root{Format: format}
+func assembleParts(format int, parts map[pomelorelay.Hash][]byte) (Configuration, error) {
+	root := Root{Format: format}
 	for hash := range parts {
-		some.Parts = append(some.Parts, hash)
+		root.Parts = append(root.Parts, hash)
 	}
-	return Assemble(some, parts)
+	return Assemble(root, parts)
 }
 
-// keepBefore writes what must be in the store before the swap: the parts that the new root names, and the root that it replaces.
+// writePartsAndHistory writes what must be in the store before the swap: the parts that the new root names, and the root that it replaces.
 // A root that came first would be in force with parts that nobody can read; a replaced root that was written only afterwards
 // would be lost from the audit trail whenever the operator's program ends in between.
-func (p *Publisher) keepBefore(ctx context.Context, current Root, record pomelorelay.Record, parts []Part) error {
-	there := make(map[pomelorelay.Hash]bool, len(current.Parts))
+func (p *Publisher) writePartsAndHistory(ctx context.Context, current Root, record pomelorelay.Record, parts []Part) error {
+	stored := make(map[pomelorelay.Hash]bool, len(current.Parts))
 	for _, hash := range current.Parts {
-		there[hash] = true
+		stored[hash] = true
 	}
 	for _, part := range parts {
-		if there[part.Hash] {
+		if stored[part.Hash] {
 			continue
 		}
-		if err := p.library.keep(ctx, PartKey(part.Hash), part.Data); err != nil {
+		if err := p.store.writeImmutable(ctx, PartKey(part.Hash), part.Data); err != nil {
 			return err
 		}
 	}
 	if record.Revision == 0 {
 		return nil
 	}
-	return p.library.keep(ctx, HistoryKey(current.Generation, HashOf(record.Value)), record.Value)
+	return p.store.writeImmutable(ctx, HistoryKey(current.Generation, HashOf(record.Value)), record.Value)
 }
 
-func (p *Publisher) swap(ctx context.Context, next Root, record pomelorelay.Record) (Root, error) {
+func (p *Publisher) swapRoot(ctx context.Context, next Root, record pomelorelay.Record) (Root, error) {
 	data, err := EncodeRoot(next)
 	if err != nil {
 		return Root{}, err
 	}
-	outcome, found, err := p.library.write(ctx, RootKey, data, record.Revision)
+	outcome, found, err := p.store.write(ctx, RootKey, data, record.Revision)
 	switch outcome {
-	case writeDone:
+	case writeApplied:
 		return next, nil
-	case writeLost:
-		return p.lost(ctx, next, HashOf(data), found)
-	case writeOpen:
+	case writeConflict:
+		return p.resolveConflict(ctx, next, HashOf(data), found)
+	case writeUnknown:
 		return Root{}, pomelorelay.NewError(pomelorelay.CodeConfigUnsettled, "change "+string(next.ChangeID), err)
 	}
 	return Root{}, err
 }
 
-// lost tells a change that was accepted and has already been replaced from one that lost the race: the former is in the chain.
-func (p *Publisher) lost(ctx context.Context, next Root, hash pomelorelay.Hash, found pomelorelay.Record) (Root, error) {
+// resolveConflict tells a change that was accepted and has already been replaced from one that lost the race: the former is in the chain.
+func (p *Publisher) resolveConflict(ctx context.Context, next Root, hash pomelorelay.Hash, found pomelorelay.Record) (Root, error) {
 	winner, err := DecodeRoot(found.Value)
 	if err != nil {
 		return Root{}, err
@@ -238,16 +238,16 @@
 		if root.Previous == hash {
 			return next, nil
 		}
-		previous, err := p.library.previous(ctx, root)
+		previous, err := p.store.previous(ctx, root)
 		if err != nil {
 			return Root{}, pomelorelay.NewError(pomelorelay.CodeConfigUnsettled, "change "+string(next.ChangeID), err)
 		}
 		root = previous
 	}
-	return Root{}, conflict(winner)
+	return Root{}, conflictError(winner)
 }
 
-func conflict(winner Root) error {
+func conflictError(winner Root) error {
 	detail := fmt.Sprintf("generation %d by %s at %s (%s; change %s) was accepted first",
 		winner.Generation, quote(winner.Author), winner.Time.UTC().Format("2006-01-02T15:04:05Z"), quote(winner.Why), winner.ChangeID)
 	return pomelorelay.NewError(pomelorelay.CodeConfigConflict, detail, nil)
--- a/pomeloconfig/publisher_test.go
+++ b/pomeloconfig/publisher_test.go
@@ -84,7 +84,7 @@
 func TestLostAnswersAreSettledByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore()
-		store.fault = func(int) writeFault { return faultLostAfter }
+		store.fault = func(int) writeFault { return faultAnswerLost }
 		for share := 1; share <= 3; share++ {
 			root := publish(t, store, withShare(share), pomeloconfig.Change{Author: "ana"})
 			if root.Generation != pomelorelay.Generation(share) {
@@ -103,7 +103,7 @@
 		before := store.writes
 		store.fault = func(n int) writeFault {
 			if n > before+2 {
-				return faultLate
+				return faultLateRequest
 			}
 			return faultNone
 		}
@@ -159,16 +159,16 @@
 // overtakenStore loses the answer of the first swap of the root, and lets another operator's change in before it is read back.
 type overtakenStore struct {
 	*memStore
-	next func()
+	concurrent func()
 }
 
 func (s *overtakenStore) CompareAndSwap(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, error) {
 	revision, err := s.memStore.CompareAndSwap(ctx, key, value, old, lease)
-	if key != pomeloconfig.RootKey || s.next == nil {
+	if key != pomeloconfig.RootKey || s.concurrent == nil {
 		return revision, err
 	}
-	next := s.next
-	s.next = nil
+	next := s.concurrent
+	s.concurrent = nil
 	next()
 	return 0, pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
 }
@@ -178,7 +178,7 @@
 func TestAcceptedChangeThatWasReplacedIsASuccess(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana"})
-	overtaken := &overtakenStore{memStore: store, next: func() {
+	overtaken := &overtakenStore{memStore: store, concurrent: func() {
 		publish(t, store, withShare(3), pomeloconfig.Change{Author: "bea"})
 		publish(t, store, withShare(4), pomeloconfig.Change{Author: "bea"})
 	}}
--- a/pomeloconfig/root.go
+++ b/pomeloconfig/root.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Format numbers the layout of roots and parts; a program refuses a higher one than it knows.
-const Format = 1
+// FormatVersion numbers the layout of roots and parts; a program refuses a higher one than it knows.
+const FormatVersion = 1
 
 const maxRootParts = 4096
 
@@ -58,10 +58,10 @@
 		PreviousGeneration: r.PreviousGeneration, Difference: r.Difference,
 	}
 	for _, hash := range r.Parts {
-		doc.Parts = append(doc.Parts, hashText(hash))
+		doc.Parts = append(doc.Parts, hashHex(hash))
 	}
 	if r.Previous != (pomelorelay.Hash{}) {
-		doc.Previous = hashText(r.Previous)
+		doc.Previous = hashHex(r.Previous)
 	}
 	return json.Marshal(doc)
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "encode the root", err)
 	}
-	if pomelorelay.Bytes(len(data)) > MaxPart {
+	if pomelorelay.Bytes(len(data)) > MaxPartBytes {
 		return nil, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("the root has %d bytes", len(data)), nil)
 	}
 	return data, nil
@@ -80,7 +80,7 @@
 
 // DecodeRoot reads a root; it fails with CodeConfigMalformed.
 func DecodeRoot(data []byte) (Root, error) {
-	if pomelorelay.Bytes(len(data)) > MaxPart {
+	if pomelorelay.Bytes(len(data)) > MaxPartBytes {
 		return Root{}, malformedRoot(errors.Errorf("it has %d bytes", len(data)))
 	}
 	var doc rootDocument
@@ -124,7 +124,7 @@
 	return r, err
 }
 
-func hashText(hash pomelorelay.Hash) string { return hex.EncodeToString(hash[:]) }
+func hashHex(hash pomelorelay.Hash) string { return hex.EncodeToString(hash[:]) }
 
 func parseHash(text string) (pomelorelay.Hash, error) {
 	hash, err := parseTokenHash(text)
--- a/pomeloconfig/sample_test.go
+++ b/pomeloconfig/sample_test.go
@@ -33,7 +33,7 @@
 
 func mustParts(t testing.TB, c pomeloconfig.Configuration) ([]pomelorelay.Hash, map[pomelorelay.Hash][]byte) {
 	t.Helper()
-	parts, err := pomeloconfig.Parts(c)
+	parts, err := pomeloconfig.Split(c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pomeloconfig/settings_control.go
+++ b/pomeloconfig/settings_control.go
@@ -8,23 +8,23 @@
 
 // Defaults of the control section.
 const (
-	DefaultDomainBytes     = pomelorelay.Bytes(128 << 10)
-	DefaultRegionBytes     = pomelorelay.Bytes(128 << 10)
-	DefaultCrossBytes      = pomelorelay.Bytes(64 << 10)
-	DefaultDigestInterval  = time.Second
-	DefaultLedgerInterval  = 250 * time.Millisecond
-	DefaultExchange        = time.Second
-	DefaultProbeWait       = 300 * time.Millisecond
-	DefaultSuspectFor      = time.Second
-	DefaultGrantTTL        = time.Second
-	DefaultLoadInterval    = 250 * time.Millisecond
-	DefaultClaimCommits    = 200.0
-	DefaultConfigPull      = 500 * time.Millisecond
-	DefaultStopWait        = 5 * time.Minute
-	DefaultShards          = 64
-	DefaultClaimShards     = 16
-	DefaultConfigWatchers  = 2
-	DefaultAdmissionCharge = 0.35
+	DefaultDomainBytes      = pomelorelay.Bytes(128 << 10)
+	DefaultRegionBytes      = pomelorelay.Bytes(128 << 10)
+	DefaultCrossBytes       = pomelorelay.Bytes(64 << 10)
+	DefaultDigestInterval   = time.Second
+	DefaultLedgerInterval   = 250 * time.Millisecond
+	DefaultExchangeInterval = time.Second
+	DefaultProbeWait        = 300 * time.Millisecond
+	DefaultSuspectFor       = time.Second
+	DefaultGrantTTL         = time.Second
+	DefaultLoadInterval     = 250 * time.Millisecond
+	DefaultClaimCommits     = 200.0
+	DefaultConfigPull       = 500 * time.Millisecond
+	DefaultStopWait         = 5 * time.Minute
+	DefaultShards           = 64
+	DefaultClaimShards      = 16
+	DefaultConfigWatchers   = 2
+	DefaultAdmissionCharge  = 0.35
 )
 
 // ControlSettings set the pace and the byte budgets of the traffic between routers.
@@ -67,7 +67,7 @@
 	setBytes(&s.CrossBytes, DefaultCrossBytes)
 	setDuration(&s.DigestInterval, DefaultDigestInterval)
 	setDuration(&s.LedgerInterval, DefaultLedgerInterval)
-	setDuration(&s.ExchangeInterval, DefaultExchange)
+	setDuration(&s.ExchangeInterval, DefaultExchangeInterval)
 	setDuration(&s.ProbeWait, DefaultProbeWait)
 	setDuration(&s.SuspectFor, DefaultSuspectFor)
 	setDuration(&s.GrantTTL, DefaultGrantTTL)
--- a/pomeloconfig/settings_seeds.go
+++ b/pomeloconfig/settings_seeds.go
@@ -17,7 +17,7 @@
 func checkSeeds(c *checker, seeds []Seed) {
 	seen := make(map[string]string)
 	for i, seed := range seeds {
-		path := index("Seeds", i)
+		path := indexedPath("Seeds", i)
 		c.name(path+".Name", string(seed.Name))
 		c.address(path+".Address", seed.Address)
 		c.name(path+".FailureDomain", string(seed.FailureDomain))
--- a/pomeloconfig/settings_store.go
+++ b/pomeloconfig/settings_store.go
@@ -61,7 +61,7 @@
 		c.add(path, "no address is given", "list at least one IP:port")
 	}
 	for i, address := range addresses {
-		c.address(index(path, i), address)
+		c.address(indexedPath(path, i), address)
 	}
 }
 
--- a/pomeloconfig/settingsdoc_test.go
+++ b/pomeloconfig/settingsdoc_test.go
@@ -20,11 +20,11 @@
 TLS: {Insecure: true}
 `
 
-// takenFrom are the defaults that are other settings' values.
-var takenFrom = map[string]string{"HostList.Addresses": "Store.Addresses", "HostList.Timeout": "Store.Timeout"}
+// inheritedDefaults are the defaults that are other settings' values.
+var inheritedDefaults = map[string]string{"HostList.Addresses": "Store.Addresses", "HostList.Timeout": "Store.Timeout"}
 
-// leaves collects the settings below a value by their YAML names, with their defaults; empty ones are required.
-func leaves(prefix string, v reflect.Value, into map[string]string) {
+// collectSettings collects the settings below a value by their YAML names, with their defaults; empty ones are required.
+func collectSettings(prefix string, v reflect.Value, into map[string]string) {
 	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct && v.Type().Elem() != reflect.TypeFor[netip.AddrPort]() {
 		v = reflect.New(v.Type().Elem()).Elem()
 	}
@@ -34,7 +34,7 @@
 	}
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Tag.Get("yaml")
-		leaves(strings.TrimPrefix(prefix+"."+name, "."), v.Field(i), into)
+		collectSettings(strings.TrimPrefix(prefix+"."+name, "."), v.Field(i), into)
 	}
 }
 
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	inCode := make(map[string]string)
-	leaves("", reflect.ValueOf(s), inCode)
+	collectSettings("", reflect.ValueOf(s), inCode)
 	// The minimal settings need it; the default is that of a file which names keys.
 	inCode["TLS.Insecure"] = "false"
 	page, err := os.ReadFile("../docs/operators/settings.md")
@@ -60,9 +60,9 @@
 		switch {
 		case !ok:
 			t.Errorf("%s has no row on the page", name)
-		case takenFrom[name] != "" && stated == takenFrom[name]:
+		case inheritedDefaults[name] != "" && stated == inheritedDefaults[name]:
 		case strings.HasPrefix(stated, "required"):
-			if !requiredBy(name) {
+			if !isRequired(name) {
 				t.Errorf("%s is not required", name)
 			}
 		case stated != value:
@@ -76,8 +76,8 @@
 	}
 }
 
-// requiredBy reports whether a router refuses settings without the value.
-func requiredBy(name string) bool {
+// isRequired reports whether a router refuses settings without the value.
+func isRequired(name string) bool {
 	section, field, _ := strings.Cut(name, ".")
 	if section == "Seeds" {
 		_, err := pomeloconfig.ParseSettings([]byte(minimalSettings + "Seeds: [{}]\n"))
--- a/pomeloconfig/snapshot.go
+++ b/pomeloconfig/snapshot.go
@@ -12,20 +12,20 @@
 
 // Snapshot is a configuration as routers read it: immutable, checked, safe for concurrent use and small in memory.
 type Snapshot struct {
-	root      Root
-	teams     []Team
-	regions   []Region
-	services  []Service
-	byService map[pomelorelay.ServiceID]int32
-	upstreams []Upstream
-	byName    map[pomelorelay.UpstreamID]int32
-	// poolService is the place in services of each pool's service.
-	poolService map[pomelorelay.PoolID]int32
-	accounts    []compiledAccount
-	byAccount   map[pomelorelay.AccountID]int32
+	root          Root
+	teams         []Team
+	regions       []Region
+	services      []Service
+	serviceIndex  map[pomelorelay.ServiceID]int32
+	upstreams     []Upstream
+	upstreamIndex map[pomelorelay.UpstreamID]int32
+	// poolServiceIndex is the place in services of each pool's service.
+	poolServiceIndex map[pomelorelay.PoolID]int32
+	accounts         []compiledAccount
+	accountIndex     map[pomelorelay.AccountID]int32
 	// tokens are in the order of their hashes.
 	tokens    []tokenEntry
-	smallest  pomelorelay.Weight
+	minWeight pomelorelay.Weight
 	evacuated []pomelorelay.DomainID
 }
 
@@ -62,15 +62,15 @@
 }
 
 func (s *Snapshot) compileServices() {
-	s.byService = make(map[pomelorelay.ServiceID]int32, len(s.services))
+	s.serviceIndex = make(map[pomelorelay.ServiceID]int32, len(s.services))
 	for i, service := range s.services {
-		s.byService[service.Name] = int32(i)
+		s.serviceIndex[service.Name] = int32(i)
 	}
-	s.byName = make(map[pomelorelay.UpstreamID]int32, len(s.upstreams))
-	s.poolService = make(map[pomelorelay.PoolID]int32)
+	s.upstreamIndex = make(map[pomelorelay.UpstreamID]int32, len(s.upstreams))
+	s.poolServiceIndex = make(map[pomelorelay.PoolID]int32)
 	for i, upstream := range s.upstreams {
-		s.byName[upstream.Name] = int32(i)
-		s.poolService[upstream.Pool()] = s.byService[upstream.Service]
+		s.upstreamIndex[upstream.Name] = int32(i)
+		s.poolServiceIndex[upstream.Pool()] = s.serviceIndex[upstream.Service]
 	}
 }
 
@@ -80,13 +80,13 @@
 		teamOf[team.Name] = int32(i)
 	}
 	s.accounts = make([]compiledAccount, len(c.Accounts))
-	s.byAccount = make(map[pomelorelay.AccountID]int32, len(c.Accounts))
+	s.accountIndex = make(map[pomelorelay.AccountID]int32, len(c.Accounts))
 	s.tokens = make([]tokenEntry, 0, len(c.Accounts))
-	s.smallest = c.Accounts[0].Share
+	s.minWeight = c.Accounts[0].Share
 	for i, a := range c.Accounts {
 		s.accounts[i] = compiledAccount{name: a.Name, team: teamOf[a.Team], share: a.Share, shares: s.compileShares(a)}
-		s.byAccount[a.Name] = int32(i)
-		s.smallest = min(s.smallest, a.Share)
+		s.accountIndex[a.Name] = int32(i)
+		s.minWeight = min(s.minWeight, a.Share)
 		s.addTokens(int32(i), a.TokenHashes)
 	}
 	slices.SortFunc(s.tokens, func(a, b tokenEntry) int { return slices.Compare(a.hash[:], b.hash[:]) })
@@ -98,8 +98,8 @@
 	}
 	shares := make([]serviceShare, 0, len(a.Shares))
 	for service, weight := range a.Shares {
-		shares = append(shares, serviceShare{service: s.byService[service], weight: weight})
-		s.smallest = min(s.smallest, weight)
+		shares = append(shares, serviceShare{service: s.serviceIndex[service], weight: weight})
+		s.minWeight = min(s.minWeight, weight)
 	}
 	slices.SortFunc(shares, func(a, b serviceShare) int { return int(a.service) - int(b.service) })
 	return shares
@@ -135,16 +135,16 @@
 func (s *Snapshot) Authenticate(token string) (pomelorelay.AccountID, bool) {
 	hash := tokenHash(sha256.Sum256([]byte(token)))
 	want := binary.BigEndian.Uint64(hash[:8])
-	at, _ := slices.BinarySearchFunc(s.tokens, want, compareTokenStart)
-	for ; at < len(s.tokens) && compareTokenStart(s.tokens[at], want) == 0; at++ {
-		if subtle.ConstantTimeCompare(s.tokens[at].hash[:], hash[:]) == 1 {
-			return s.accounts[s.tokens[at].account].name, true
+	i, _ := slices.BinarySearchFunc(s.tokens, want, compareTokenPrefix)
+	for ; i < len(s.tokens) && compareTokenPrefix(s.tokens[i], want) == 0; i++ {
+		if subtle.ConstantTimeCompare(s.tokens[i].hash[:], hash[:]) == 1 {
+			return s.accounts[s.tokens[i].account].name, true
 		}
 	}
 	return "", false
 }
 
-func compareTokenStart(entry tokenEntry, want uint64) int {
+func compareTokenPrefix(entry tokenEntry, want uint64) int {
 	have := binary.BigEndian.Uint64(entry.hash[:8])
 	switch {
 	case have < want:
@@ -157,15 +157,15 @@
 
 // MayCall returns whether the account may call the service: one of its own team, or one that its shares name.
 func (s *Snapshot) MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool {
-	a, known := s.byAccount[account]
-	at, served := s.byService[service]
-	if !known || !served {
+	accountAt, accountKnown := s.accountIndex[account]
+	serviceAt, serviceKnown := s.serviceIndex[service]
+	if !accountKnown || !serviceKnown {
 		return false
 	}
-	if _, ok := s.accounts[a].shareOf(at); ok {
+	if _, ok := s.accounts[accountAt].shareOf(serviceAt); ok {
 		return true
 	}
-	return s.services[at].Team == s.teams[s.accounts[a].team].Name
+	return s.services[serviceAt].Team == s.teams[s.accounts[accountAt].team].Name
 }
 
 func (a compiledAccount) shareOf(service int32) (pomelorelay.Weight, bool) {
@@ -179,43 +179,43 @@
 
 // Weight returns the account's weight in the pool; an unknown account gets the smallest configured one.
 func (s *Snapshot) Weight(pool pomelorelay.PoolID, account pomelorelay.AccountID) pomelorelay.Weight {
-	at, known := s.byAccount[account]
+	i, known := s.accountIndex[account]
 	if !known {
-		return s.smallest
+		return s.minWeight
 	}
-	if service, ok := s.poolService[pool]; ok {
-		if weight, ok := s.accounts[at].shareOf(service); ok {
+	if service, ok := s.poolServiceIndex[pool]; ok {
+		if weight, ok := s.accounts[i].shareOf(service); ok {
 			return weight
 		}
 	}
-	return s.accounts[at].share
+	return s.accounts[i].share
 }
 
 // Service returns a service by name.
 func (s *Snapshot) Service(name pomelorelay.ServiceID) (Service, bool) {
-	at, ok := s.byService[name]
+	i, ok := s.serviceIndex[name]
 	if !ok {
 		return Service{}, false
 	}
-	return s.services[at], true
+	return s.services[i], true
 }
 
 // PoolService returns the service of a pool.
 func (s *Snapshot) PoolService(pool pomelorelay.PoolID) (Service, bool) {
-	at, ok := s.poolService[pool]
+	i, ok := s.poolServiceIndex[pool]
 	if !ok {
 		return Service{}, false
 	}
-	return s.services[at], true
+	return s.services[i], true
 }
 
 // Upstream returns an upstream by name.
 func (s *Snapshot) Upstream(name pomelorelay.UpstreamID) (Upstream, bool) {
-	at, ok := s.byName[name]
+	i, ok := s.upstreamIndex[name]
 	if !ok {
 		return Upstream{}, false
 	}
-	return s.upstreams[at], true
+	return s.upstreams[i], true
 }
 
 // Services returns the services; the caller must not change them.
--- a/pomeloconfig/spreader.go
+++ b/pomeloconfig/spreader.go
@@ -10,26 +10,26 @@
 
 // Defaults of SpreaderConfig.
 const (
-	DefaultMaxPush   = pomelorelay.Bytes(128 << 10)
-	DefaultPullWait  = 500 * time.Millisecond
-	DefaultStoreWait = time.Second
-	DefaultMaxServes = 4
-	maxPullHashes    = 256
-	pullsBeforeStore = 2
-	waitsBeforeDrop  = 12
+	DefaultMaxPushBytes     = pomelorelay.Bytes(128 << 10)
+	DefaultPullTimeout      = 500 * time.Millisecond
+	DefaultStoreReadTimeout = time.Second
+	DefaultMaxServedPeers   = 4
+	maxPullHashes           = 256
+	failedPullsBeforeStore  = 2
+	pullTimeoutsBeforeDrop  = 12
 )
 
 // SpreaderConfig is what a Spreader is made of; a zero field takes its default.
 type SpreaderConfig struct {
-	// MaxPush bounds the parts of one push message; a single larger part goes alone.
-	MaxPush pomelorelay.Bytes
+	// MaxPushBytes bounds the parts of one push message; a single larger part goes alone.
+	MaxPushBytes pomelorelay.Bytes
 	// PullWait is how long a pull may be without progress before another source is asked.
 	PullWait time.Duration
-	// StoreWait is how long the node is given for a store read before it is asked again.
-	StoreWait time.Duration
-	// MaxServes is how many peers are answered within PullWait; the others ask someone else. Without it every router of a failure
+	// StoreReadTimeout is how long the node is given for a store read before it is asked again.
+	StoreReadTimeout time.Duration
+	// MaxServedPeers is how many peers are answered within PullWait; the others ask someone else. Without it every router of a failure
 	// domain would pull from the one that first has a new generation, and its queue would fill with answers that come too late.
-	MaxServes int
+	MaxServedPeers int
 	// Seed starts the choice of peers.
 	Seed uint64
 	// Logger takes the events.
@@ -42,8 +42,8 @@
 	Parts map[pomelorelay.Hash][]byte
 }
 
-// StoreWants is what the node is asked to read from the store, and to hand back by Stored and StoredPart.
-type StoreWants struct {
+// StoreReads is what the node is asked to read from the store, and to hand back by Stored and StoredPart.
+type StoreReads struct {
 	Root  bool
 	Parts []pomelorelay.Hash
 }
@@ -54,74 +54,74 @@
 	cfg    SpreaderConfig
 	random *rand.Rand
 	peers  []pomelorelay.NodeID
-	// told is the generation that each peer last had in force; a peer that started anew may have less than before.
-	told map[pomelorelay.NodeID]pomelorelay.Generation
+	// peerGenerations is the generation that each peer last had in force; a peer that started anew may have less than before.
+	peerGenerations map[pomelorelay.NodeID]pomelorelay.Generation
 
-	inForce heldRoot
-	refused heldRoot
+	inForce     rootWithParts
+	refusedRoot rootWithParts
 	// target is the newest root known above the one in force; its parts are gathered in fresh.
-	target heldRoot
-	fresh  map[pomelorelay.Hash][]byte
+	target  rootWithParts
+	fetched map[pomelorelay.Hash][]byte
 	// progressed tells that a root or part came since the last tick, progressAt when one last did.
-	progressed bool
-	progressAt time.Time
+	progressed   bool
+	lastProgress time.Time
 
-	pull      pullState
-	store     storeState
-	served    map[pomelorelay.NodeID]time.Time
-	refusals  map[pomelorelay.NodeID]pomelorelay.ConfigApplied
-	alarmedAt pomelorelay.Hash
+	pull         pullState
+	storeRead    storeReadState
+	servedUntil  map[pomelorelay.NodeID]time.Time
+	refusals     map[pomelorelay.NodeID]pomelorelay.ConfigApplied
+	reportedHash pomelorelay.Hash
 }
 
-// heldRoot is a root with its bytes and parts; the zero value is none.
-type heldRoot struct {
+// rootWithParts is a root with its bytes and parts; the zero value is none.
+type rootWithParts struct {
 	root  Root
 	hash  pomelorelay.Hash
 	data  []byte
 	parts map[pomelorelay.Hash][]byte
 }
 
-func (h heldRoot) generation() pomelorelay.Generation { return h.root.Generation }
+func (h rootWithParts) generation() pomelorelay.Generation { return h.root.Generation }
 
 // pullState is the pull from a peer that is in progress.
 type pullState struct {
-	from     pomelorelay.NodeID
+	peer     pomelorelay.NodeID
 	parts    []pomelorelay.Hash
 	deadline time.Time
 	failures int
 }
 
-// storeState is the read from the store that the node was asked for.
-type storeState struct {
-	rootAsked  time.Time
-	partsAsked time.Time
-	wantRoot   bool
+// storeReadState is the read from the store that the node was asked for.
+type storeReadState struct {
+	rootRequestedAt  time.Time
+	partsRequestedAt time.Time
+	rootNeeded       bool
 }
 
 // NewSpreader returns a Spreader without a configuration.
 func NewSpreader(cfg SpreaderConfig) *Spreader {
-	if cfg.MaxPush == 0 {
-		cfg.MaxPush = DefaultMaxPush
+	if cfg.MaxPushBytes == 0 {
+		cfg.MaxPushBytes = DefaultMaxPushBytes
 	}
 	if cfg.PullWait == 0 {
-		cfg.PullWait = DefaultPullWait
+		cfg.PullWait = DefaultPullTimeout
 	}
-	if cfg.StoreWait == 0 {
-		cfg.StoreWait = DefaultStoreWait
+	if cfg.StoreReadTimeout == 0 {
+		cfg.StoreReadTimeout = DefaultStoreReadTimeout
 	}
-	if cfg.MaxServes == 0 {
-		cfg.MaxServes = DefaultMaxServes
+	if cfg.MaxServedPeers == 0 {
+		cfg.MaxServedPeers = DefaultMaxServedPeers
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
 	}
 	return &Spreader{
-		cfg:      cfg,
-		random:   rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		told:     make(map[pomelorelay.NodeID]pomelorelay.Generation),
-		fresh:    make(map[pomelorelay.Hash][]byte),
-		served:   make(map[pomelorelay.NodeID]time.Time),
-		refusals: make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied),
+		cfg:             cfg,
+		random:          rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		peerGenerations: make(map[pomelorelay.NodeID]pomelorelay.Generation),
+		fetched:         make(map[pomelorelay.Hash][]byte),
+		servedUntil:     make(map[pomelorelay.NodeID]time.Time),
+		refusals:        make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied),
 	}
 }
 
@@ -129,9 +129,9 @@
 func (s *Spreader) SetPeers(peers []pomelorelay.NodeID) {
 	s.peers = slices.Clone(peers)
 	slices.Sort(s.peers)
-	for node := range s.told {
+	for node := range s.peerGenerations {
 		if _, ok := slices.BinarySearch(s.peers, node); !ok {
-			delete(s.told, node)
+			delete(s.peerGenerations, node)
 			delete(s.refusals, node)
 		}
 	}
@@ -140,10 +140,10 @@
 // Generation returns the generation in force, zero when there is none: the router is then not ready.
 func (s *Spreader) Generation() pomelorelay.Generation { return s.inForce.generation() }
 
-// Newest returns the highest generation heard of.
-func (s *Spreader) Newest() pomelorelay.Generation {
+// NewestGeneration returns the highest generation heard of.
+func (s *Spreader) NewestGeneration() pomelorelay.Generation {
 	newest := max(s.inForce.generation(), s.target.generation())
-	for _, generation := range s.told {
+	for _, generation := range s.peerGenerations {
 		newest = max(newest, generation)
 	}
 	return newest
@@ -151,35 +151,35 @@
 
 // Seen takes the generation that rode on a peer's envelope.
 func (s *Spreader) Seen(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if s.told[from] == generation {
+	if s.peerGenerations[from] == generation {
 		return out
 	}
 	if _, ok := slices.BinarySearch(s.peers, from); !ok {
 		return out
 	}
-	s.told[from] = generation
-	if generation <= s.known() || s.pull.from != "" {
+	s.peerGenerations[from] = generation
+	if generation <= s.highestKnown() || s.pull.peer != "" {
 		return out
 	}
-	return s.ask(now, from, out)
+	return s.sendPull(now, from, out)
 }
 
-// known is the generation above which a peer's is worth a pull.
-func (s *Spreader) known() pomelorelay.Generation {
-	return max(s.inForce.generation(), s.target.generation(), s.refused.generation())
+// highestKnown is the generation above which a peer's is worth a pull.
+func (s *Spreader) highestKnown() pomelorelay.Generation {
+	return max(s.inForce.generation(), s.target.generation(), s.refusedRoot.generation())
 }
 
-// ask sends a pull for the root, or for the next of the missing parts.
-func (s *Spreader) ask(now time.Time, from pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	pull := &pomelorelay.ConfigPull{Above: s.known(), Parts: s.missing(maxPullHashes)}
-	s.pull.from = from
+// sendPull sends a pull for the root, or for the next of the missing parts.
+func (s *Spreader) sendPull(now time.Time, to pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	pull := &pomelorelay.ConfigPull{Above: s.highestKnown(), Parts: s.missingParts(maxPullHashes)}
+	s.pull.peer = to
 	s.pull.parts = pull.Parts
 	s.pull.deadline = now.Add(s.cfg.PullWait)
-	return append(out, pomelorelay.Outgoing{To: from, Message: pull})
+	return append(out, pomelorelay.Outgoing{To: to, Message: pull})
 }
 
-// missing returns the hashes of the target's parts that are not here, at most limit of them.
-func (s *Spreader) missing(limit int) []pomelorelay.Hash {
+// missingParts returns the hashes of the target's parts that are not here, at most limit of them.
+func (s *Spreader) missingParts(limit int) []pomelorelay.Hash {
 	var missing []pomelorelay.Hash
 	for _, hash := range s.target.root.Parts {
 		if len(missing) == limit {
@@ -194,7 +194,7 @@
 
 // part returns a part of the target from what was fetched or from the configuration in force, which shares most of its parts.
 func (s *Spreader) part(hash pomelorelay.Hash) []byte {
-	if data, ok := s.fresh[hash]; ok {
+	if data, ok := s.fetched[hash]; ok {
 		return data
 	}
 	return s.inForce.parts[hash]
@@ -202,84 +202,84 @@
 
 // Tick turns to another source when a pull makes no progress, and keeps a cold router asking.
 func (s *Spreader) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if s.pull.from != "" {
+	if s.pull.peer != "" {
 		if now.Before(s.pull.deadline) {
 			return out
 		}
-		s.pull.from = ""
+		s.pull.peer = ""
 		s.pull.failures++
 	}
-	s.giveUp(now)
-	if !s.behind() {
+	s.handleStall(now)
+	if !s.needsUpdate() {
 		return out
 	}
-	peer, ok := s.choose()
+	peer, ok := s.choosePeer()
 	if !ok {
 		return out
 	}
-	return s.ask(now, peer, out)
+	return s.sendPull(now, peer, out)
 }
 
-// giveUp turns to the store after a few pulls without progress, and drops a target whose missing parts nobody has brought for a
+// handleStall turns to the store after a few pulls without progress, and drops a target whose missing parts nobody has brought for a
 // long time. A root that was damaged into a high generation would else keep the router from every true one below it, for good.
-func (s *Spreader) giveUp(now time.Time) {
-	if s.pull.failures >= pullsBeforeStore {
-		s.store.wantRoot = true
+func (s *Spreader) handleStall(now time.Time) {
+	if s.pull.failures >= failedPullsBeforeStore {
+		s.storeRead.rootNeeded = true
 	}
 	if s.progressed {
 		s.progressed = false
-		s.progressAt = now
+		s.lastProgress = now
 	}
-	if len(s.missing(1)) > 0 && now.Sub(s.progressAt) >= waitsBeforeDrop*s.cfg.PullWait {
+	if len(s.missingParts(1)) > 0 && now.Sub(s.lastProgress) >= pullTimeoutsBeforeDrop*s.cfg.PullWait {
 		s.clearTarget()
-		s.store.wantRoot = true
+		s.storeRead.rootNeeded = true
 	}
 }
 
-// behind tells whether something newer is known or, on a cold router, may be anywhere.
-func (s *Spreader) behind() bool {
-	return s.inForce.generation() == 0 || s.target.generation() > 0 || s.Newest() > s.known()
+// needsUpdate tells whether something newer is known or, on a cold router, may be anywhere.
+func (s *Spreader) needsUpdate() bool {
+	return s.inForce.generation() == 0 || s.target.generation() > 0 || s.NewestGeneration() > s.highestKnown()
 }
 
-// choose returns a peer that has what is wanted: for the target's parts one that has at least its generation in force, else one
+// choosePeer returns a peer that has what is wanted: for the target's parts one that has at least its generation in force, else one
 // that told of a higher generation than is known; a cold router that was told nothing asks anyone.
-func (s *Spreader) choose() (pomelorelay.NodeID, bool) {
-	least := s.target.generation()
-	if least == 0 {
-		least = s.known() + 1
+func (s *Spreader) choosePeer() (pomelorelay.NodeID, bool) {
+	minGeneration := s.target.generation()
+	if minGeneration == 0 {
+		minGeneration = s.highestKnown() + 1
 	}
-	var able []pomelorelay.NodeID
+	var eligible []pomelorelay.NodeID
 	for _, peer := range s.peers {
-		if s.told[peer] >= least {
-			able = append(able, peer)
+		if s.peerGenerations[peer] >= minGeneration {
+			eligible = append(eligible, peer)
 		}
 	}
-	if len(able) == 0 && s.inForce.generation() == 0 {
-		able = s.peers
+	if len(eligible) == 0 && s.inForce.generation() == 0 {
+		eligible = s.peers
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return "", false
 	}
-	return able[s.random.IntN(len(able))], true
+	return eligible[s.random.IntN(len(eligible))], true
 }
 
 // StoreWants returns what the node should now read from the store; it is asked again after StoreWait when nothing came. A cold
 // router wants the root at once, every other one only when its peers failed it.
-func (s *Spreader) StoreWants(now time.Time) StoreWants {
-	var wants StoreWants
-	cold := s.inForce.generation() == 0 && s.target.generation() == 0
-	if (cold || s.store.wantRoot && s.behind()) && s.due(now, s.store.rootAsked) {
-		wants.Root = true
-		s.store.rootAsked = now
+func (s *Spreader) StoreWants(now time.Time) StoreReads {
+	var reads StoreReads
+	withoutRoot := s.inForce.generation() == 0 && s.target.generation() == 0
+	if (withoutRoot || s.storeRead.rootNeeded && s.needsUpdate()) && s.storeReadDue(now, s.storeRead.rootRequestedAt) {
+		reads.Root = true
+		s.storeRead.rootRequestedAt = now
 	}
-	fromStore := s.pull.from == "" || s.pull.failures >= pullsBeforeStore
-	if s.target.generation() > 0 && fromStore && s.due(now, s.store.partsAsked) {
-		wants.Parts = s.missing(maxPullHashes)
-		s.store.partsAsked = now
+	fromStore := s.pull.peer == "" || s.pull.failures >= failedPullsBeforeStore
+	if s.target.generation() > 0 && fromStore && s.storeReadDue(now, s.storeRead.partsRequestedAt) {
+		reads.Parts = s.missingParts(maxPullHashes)
+		s.storeRead.partsRequestedAt = now
 	}
-	return wants
+	return reads
 }
 
-func (s *Spreader) due(now, asked time.Time) bool {
-	return asked.IsZero() || now.Sub(asked) >= s.cfg.StoreWait
+func (s *Spreader) storeReadDue(now, requestedAt time.Time) bool {
+	return requestedAt.IsZero() || now.Sub(requestedAt) >= s.cfg.StoreReadTimeout
 }
--- a/pomeloconfig/spreader_receive.go
+++ b/pomeloconfig/spreader_receive.go
@@ -10,7 +10,7 @@
 // Pull answers a peer with the root in force, when it is above the peer's, and with the parts that it asked for, in messages of
 // bounded size. A router that is itself behind answers with what it has.
 func (s *Spreader) Pull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	if !s.serve(now, from) {
+	if !s.admitPull(now, from) {
 		return out
 	}
 	if s.inForce.generation() > m.Above {
@@ -24,7 +24,7 @@
 		if data == nil || i >= maxPullHashes {
 			continue
 		}
-		if size > 0 && size+pomelorelay.Bytes(len(data)) > s.cfg.MaxPush {
+		if size > 0 && size+pomelorelay.Bytes(len(data)) > s.cfg.MaxPushBytes {
 			out = append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ConfigPush{Parts: parts}})
 			parts, size = nil, 0
 		}
@@ -37,17 +37,17 @@
 	return append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ConfigPush{Parts: parts}})
 }
 
-// serve admits a peer that is being served already, or while fewer than MaxServes are.
-func (s *Spreader) serve(now time.Time, from pomelorelay.NodeID) bool {
-	for peer, until := range s.served {
+// admitPull admits a peer that is being served already, or while fewer than MaxServes are.
+func (s *Spreader) admitPull(now time.Time, from pomelorelay.NodeID) bool {
+	for peer, until := range s.servedUntil {
 		if !now.Before(until) {
-			delete(s.served, peer)
+			delete(s.servedUntil, peer)
 		}
 	}
-	if _, ok := s.served[from]; !ok && len(s.served) >= s.cfg.MaxServes {
+	if _, ok := s.servedUntil[from]; !ok && len(s.servedUntil) >= s.cfg.MaxServedPeers {
 		return false
 	}
-	s.served[from] = now.Add(s.cfg.PullWait)
+	s.servedUntil[from] = now.Add(s.cfg.PullWait)
 	return true
 }
 
@@ -55,29 +55,29 @@
 func (s *Spreader) Push(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	progress := false
 	if len(m.Root) > 0 {
-		progress = s.takeRoot(m.Root)
+		progress = s.acceptRoot(m.Root)
 	}
 	for _, data := range m.Parts {
-		progress = s.takePart(data) || progress
+		progress = s.acceptPart(data) || progress
 	}
 	if !progress {
 		return out
 	}
 	s.pull.failures = 0
-	if s.target.generation() == 0 || len(s.missing(1)) == 0 {
-		s.pull.from = ""
+	if s.target.generation() == 0 || len(s.missingParts(1)) == 0 {
+		s.pull.peer = ""
 		return out
 	}
 	// Parts of one answer arrive in several messages; the next pull waits for the last of them, or for the deadline.
-	if s.pull.from == from && s.awaited() {
+	if s.pull.peer == from && s.awaitingParts() {
 		s.pull.deadline = now.Add(s.cfg.PullWait)
 		return out
 	}
-	return s.ask(now, from, out)
+	return s.sendPull(now, from, out)
 }
 
-// awaited tells whether a part of the pull in progress is still to come.
-func (s *Spreader) awaited() bool {
+// awaitingParts tells whether a part of the pull in progress is still to come.
+func (s *Spreader) awaitingParts() bool {
 	for _, hash := range s.pull.parts {
 		if s.part(hash) == nil {
 			return true
@@ -88,29 +88,29 @@
 
 // Stored takes the root as the node read it from the store, or as a watch reported it; nil means that the store has none.
 func (s *Spreader) Stored(_ time.Time, data []byte) {
-	s.store.wantRoot = false
+	s.storeRead.rootNeeded = false
 	if len(data) == 0 {
 		return
 	}
-	if s.alarm(data) {
+	if s.reportStaleStore(data) {
 		return
 	}
-	s.takeRoot(data)
+	s.acceptRoot(data)
 }
 
-// alarm tells when the store holds an older root than the one in force, or another of its generation. That comes about when the
+// reportStaleStore tells when the store holds an older root than the one in force, or another of its generation. That comes about when the
 // store is restored from an old copy. Followed, it would take accepted changes back; so the router stays and says so, once for
 // each such root.
-func (s *Spreader) alarm(data []byte) bool {
+func (s *Spreader) reportStaleStore(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil || s.inForce.generation() == 0 || root.Generation > s.inForce.generation() {
 		return false
 	}
 	hash := HashOf(data)
-	if hash == s.inForce.hash || hash == s.alarmedAt {
+	if hash == s.inForce.hash || hash == s.reportedHash {
 		return true
 	}
-	s.alarmedAt = hash
+	s.reportedHash = hash
 	event := pomelorelay.EventConfigStoreOlder
 	if root.Generation == s.inForce.generation() {
 		event = pomelorelay.EventConfigForked
@@ -123,45 +123,45 @@
 // StoredPart takes a part as the node read it from the store. While parts come, the node is not asked for the same ones again:
 // reading all of them within its call budget takes longer than StoreWait.
 func (s *Spreader) StoredPart(now time.Time, data []byte) {
-	if len(data) > 0 && s.takePart(data) {
-		s.store.partsAsked = now
+	if len(data) > 0 && s.acceptPart(data) {
+		s.storeRead.partsRequestedAt = now
 	}
 }
 
-// takeRoot makes a root the target when it is above everything known, and returns whether it did.
-func (s *Spreader) takeRoot(data []byte) bool {
+// acceptRoot makes a root the target when it is above everything known, and returns whether it did.
+func (s *Spreader) acceptRoot(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil {
 		s.cfg.Logger.Log(pomelorelay.EventConfigBadRoot, pomelorelay.Field{Key: "Error", Value: err.Error()})
 		return false
 	}
-	if root.Generation <= s.known() {
+	if root.Generation <= s.highestKnown() {
 		return false
 	}
-	s.target = heldRoot{root: root, hash: HashOf(data), data: data}
+	s.target = rootWithParts{root: root, hash: HashOf(data), data: data}
 	s.pull.parts = nil
 	s.progressed = true
-	s.store.partsAsked = time.Time{}
-	s.keepWanted()
+	s.storeRead.partsRequestedAt = time.Time{}
+	s.dropUnneededParts()
 	return true
 }
 
-// keepWanted drops fetched parts that the new target does not name; an overtaken target's parts would else add up.
-func (s *Spreader) keepWanted() {
+// dropUnneededParts drops fetched parts that the new target does not name; an overtaken target's parts would else add up.
+func (s *Spreader) dropUnneededParts() {
 	wanted := make(map[pomelorelay.Hash]bool, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
 		wanted[hash] = true
 	}
-	for hash := range s.fresh {
+	for hash := range s.fetched {
 		if !wanted[hash] {
-			delete(s.fresh, hash)
+			delete(s.fetched, hash)
 		}
 	}
 }
 
-// takePart keeps a part that the target lacks, and returns whether it did. The part's own bytes give its hash, so a damaged one
+// acceptPart keeps a part that the target lacks, and returns whether it did. The part's own bytes give its hash, so a damaged one
 // is one that nobody asked for.
-func (s *Spreader) takePart(data []byte) bool {
+func (s *Spreader) acceptPart(data []byte) bool {
 	hash := HashOf(data)
 	for _, wanted := range s.target.root.Parts {
 		if wanted != hash {
@@ -170,13 +170,13 @@
 		if s.part(hash) != nil {
 			return false
 		}
-		s.fresh[hash] = data
+		s.fetched[hash] = data
 		s.progressed = true
 		return true
 	}
 	// A part that another peer or the store was also asked for arrives late; that is no fault.
 	if s.inForce.parts[hash] == nil {
-		s.cfg.Logger.Log(pomelorelay.EventConfigBadPart, pomelorelay.Field{Key: "Hash", Value: hashText(hash)})
+		s.cfg.Logger.Log(pomelorelay.EventConfigBadPart, pomelorelay.Field{Key: "Hash", Value: hashHex(hash)})
 	}
 	return false
 }
@@ -184,7 +184,7 @@
 // Candidate returns the target once all its parts are here; the node assembles and compiles it outside its control thread, and
 // then calls InForce or Refused.
 func (s *Spreader) Candidate() (Candidate, bool) {
-	if s.target.generation() == 0 || len(s.missing(1)) > 0 {
+	if s.target.generation() == 0 || len(s.missingParts(1)) > 0 {
 		return Candidate{}, false
 	}
 	return Candidate{Root: s.target.root, Parts: s.targetParts()}, true
@@ -201,7 +201,7 @@
 // InForce tells that the node has put the candidate of the generation in force. A candidate that was overtaken meanwhile is
 // passed over; its successor comes by itself.
 func (s *Spreader) InForce(generation pomelorelay.Generation) {
-	if generation != s.target.generation() || generation <= s.inForce.generation() || len(s.missing(1)) > 0 {
+	if generation != s.target.generation() || generation <= s.inForce.generation() || len(s.missingParts(1)) > 0 {
 		return
 	}
 	s.target.parts = s.targetParts()
@@ -216,7 +216,7 @@
 	if generation != s.target.generation() {
 		return out
 	}
-	s.refused = heldRoot{root: Root{Generation: generation}, hash: s.target.hash}
+	s.refusedRoot = rootWithParts{root: Root{Generation: generation}, hash: s.target.hash}
 	s.clearTarget()
 	s.cfg.Logger.Log(pomelorelay.EventConfigRefused,
 		pomelorelay.Field{Key: "Generation", Value: generation}, pomelorelay.Field{Key: "Code", Value: code})
@@ -238,7 +238,7 @@
 func (s *Spreader) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
 	refusals := make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied, len(s.refusals))
 	for node, m := range s.refusals {
-		if s.told[node] < m.Refused {
+		if s.peerGenerations[node] < m.Refused {
 			refusals[node] = m
 		}
 	}
@@ -246,7 +246,7 @@
 }
 
 func (s *Spreader) clearTarget() {
-	s.target = heldRoot{}
+	s.target = rootWithParts{}
 	s.pull = pullState{}
-	s.fresh = make(map[pomelorelay.Hash][]byte)
+	s.fetched = make(map[pomelorelay.Hash][]byte)
 }
--- a/pomeloconfig/spreader_test.go
+++ b/pomeloconfig/spreader_test.go
@@ -22,7 +22,7 @@
 func makeGeneration(t testing.TB, number pomelorelay.Generation, c pomeloconfig.Configuration) generation {
 	t.Helper()
 	hashes, byHash := mustParts(t, c)
-	root := pomeloconfig.Root{Format: pomeloconfig.Format, Generation: number, Parts: hashes, Why: fmt.Sprint(number)}
+	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: number, Parts: hashes, Why: fmt.Sprint(number)}
 	data, err := pomeloconfig.EncodeRoot(root)
 	if err != nil {
 		t.Fatal(err)
@@ -44,8 +44,8 @@
 	return n
 }
 
-// install makes the spreader hold the generation in force, as if read from the store.
-func install(t testing.TB, s *pomeloconfig.Spreader, g generation) {
+// applyGeneration makes the spreader hold the generation in force, as if read from the store.
+func applyGeneration(t testing.TB, s *pomeloconfig.Spreader, g generation) {
 	t.Helper()
 	s.Stored(epoch, g.root)
 	for _, part := range g.parts {
@@ -65,7 +65,7 @@
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
 	one, three := makeGeneration(t, 1, sample(10)), makeGeneration(t, 3, sample(12))
 	other := makeGeneration(t, 3, sample(13))
-	install(t, s, three)
+	applyGeneration(t, s, three)
 	for range 5 {
 		s.Stored(epoch, one.root)
 	}
@@ -103,7 +103,7 @@
 	events := &eventList{}
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
 	s.SetPeers([]pomelorelay.NodeID{"a", "b"})
-	install(t, s, makeGeneration(t, 1, sample(10)))
+	applyGeneration(t, s, makeGeneration(t, 1, sample(10)))
 	two := makeGeneration(t, 2, sample(11))
 	s.Stored(epoch, two.root)
 	for _, part := range two.parts {
@@ -120,7 +120,7 @@
 	if _, ok := s.Candidate(); ok {
 		t.Fatal("the refused generation came again")
 	}
-	install(t, s, makeGeneration(t, 3, sample(12)))
+	applyGeneration(t, s, makeGeneration(t, 3, sample(12)))
 	peer := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	peer.SetPeers([]pomelorelay.NodeID{"r"})
 	peer.Applied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
@@ -137,9 +137,9 @@
 // a message may be, and 59 answers would queue behind each other until all of them are too late.
 func TestPushesAreBounded(t *testing.T) {
 	const maxPush = 64 << 10
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{MaxPush: maxPush})
+	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{MaxPushBytes: maxPush})
 	g := makeGeneration(t, 1, sample(targetAccounts))
-	install(t, s, g)
+	applyGeneration(t, s, g)
 	var hashes []pomelorelay.Hash
 	for hash := range g.parts {
 		hashes = append(hashes, hash)
@@ -161,8 +161,8 @@
 			}
 		}
 	}
-	if answered != pomeloconfig.DefaultMaxServes {
-		t.Fatalf("%d of 59 pulls were answered at once, want %d", answered, pomeloconfig.DefaultMaxServes)
+	if answered != pomeloconfig.DefaultMaxServedPeers {
+		t.Fatalf("%d of 59 pulls were answered at once, want %d", answered, pomeloconfig.DefaultMaxServedPeers)
 	}
 	if out := s.Pull(epoch.Add(time.Second), "58", &pomelorelay.ConfigPull{Parts: hashes}, nil); len(out) == 0 {
 		t.Fatal("a later pull is not answered")
@@ -173,7 +173,7 @@
 func TestRootWithoutPartsIsGivenUp(t *testing.T) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"good", "bad"})
-	install(t, s, makeGeneration(t, 1, sample(10)))
+	applyGeneration(t, s, makeGeneration(t, 1, sample(10)))
 	far, two := makeGeneration(t, 1<<40, sample(11)), makeGeneration(t, 2, sample(12))
 	s.Seen(epoch, "bad", 1<<40, nil)
 	s.Push(epoch, "bad", &pomelorelay.ConfigPush{Root: far.root}, nil)
@@ -204,24 +204,24 @@
 func TestGenerationsNeverFallAndMeet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t, rapid.IntRange(2, 8).Draw(rt, "routers"), rapid.Uint64().Draw(rt, "seed"))
-		f.loss = rapid.IntRange(0, 50).Draw(rt, "percent lost")
+		f.lossPercent = rapid.IntRange(0, 50).Draw(rt, "percent lost")
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			switch rapid.SampledFrom([]string{"change", "wait", "wait", "store", "restore", "restart", "refuse"}).Draw(rt, "step") {
 			case "change":
-				f.change(rt)
+				f.publishNext(rt)
 			case "store":
 				f.storeUp = !f.storeUp
 			case "restore":
-				f.stored = min(f.stored, 1)
+				f.storedGeneration = min(f.storedGeneration, 1)
 			case "restart":
 				f.restart(rapid.IntRange(0, len(f.routers)-1).Draw(rt, "router"))
 			case "refuse":
-				f.refusing = (f.refusing + 1) % (len(f.routers) + 1)
+				f.refusingRouter = (f.refusingRouter + 1) % (len(f.routers) + 1)
 			}
 			f.run(rt, rapid.IntRange(1, 30).Draw(rt, "ticks"))
 		}
-		f.loss, f.storeUp, f.refusing = 0, true, 0
-		f.change(rt)
+		f.lossPercent, f.storeUp, f.refusingRouter = 0, true, 0
+		f.publishNext(rt)
 		f.run(rt, 400)
 		for i, r := range f.routers {
 			if r.spreader.Generation() != f.newest() {
--- a/pomeloconfig/value.go
+++ b/pomeloconfig/value.go
@@ -20,12 +20,12 @@
 // valueReader reads addresses and durations and remembers the first that cannot be read; the YAML library would report it
 // without its line.
 type valueReader struct {
-	data    []byte
-	failure *valueError
+	data       []byte
+	firstError *valueError
 }
 
 func (r *valueReader) readAddress(address *netip.AddrPort, source []byte) error {
-	text, err := plainText(source)
+	text, err := decodeText(source)
 	if err != nil || text == "" {
 		return err
 	}
@@ -39,7 +39,7 @@
 }
 
 func (r *valueReader) readDuration(d *time.Duration, source []byte) error {
-	text, err := plainText(source)
+	text, err := decodeText(source)
 	if err != nil || text == "" {
 		return err
 	}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func plainText(source []byte) (string, error) {
+func decodeText(source []byte) (string, error) {
 	var text string
 	err := yaml.Unmarshal(source, &text)
 	return text, err
@@ -60,9 +60,9 @@
 
 // fail takes the first line that holds the text for the value's.
 func (r *valueReader) fail(text, fix string) {
-	if r.failure != nil {
+	if r.firstError != nil {
 		return
 	}
 	before, _, _ := bytes.Cut(r.data, []byte(text))
-	r.failure = &valueError{line: 1 + bytes.Count(before, []byte("\n")), text: text, fix: fix}
+	r.firstError = &valueError{line: 1 + bytes.Count(before, []byte("\n")), text: text, fix: fix}
 }
