--- a/pomeloconfig/answers.go
+++ b/pomeloconfig/answers.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Answers are one team's answers to the questionnaire.
+// Answers holds one team's answers to the questionnaire.
 type Answers struct {
 	Team       string             `yaml:"Team"`
 	ShareTotal pomelorelay.Weight `yaml:"ShareTotal"`
@@ -17,21 +17,21 @@
 	Accounts   []AccountAnswers   `yaml:"Accounts"`
 }
 
-// MayRepeat answers whether a service's calls may be repeated.
+// MayRepeat is the answer to whether a service's calls may be repeated.
 type MayRepeat string
 
-// The answers to whether calls may be repeated; there is no default, for a wrong guess runs paid work twice.
+// Values of MayRepeat; there is no default, because a wrong guess runs paid work twice.
 const (
 	MayRepeatAlways MayRepeat = "Always"
 	MayRepeatNever  MayRepeat = "Never"
 )
 
-// ServiceAnswers describe one service of the team.
+// ServiceAnswers describes one service of the team.
 type ServiceAnswers struct {
 	Name      pomelorelay.ServiceID `yaml:"Name"`
 	Kind      ServiceKind           `yaml:"Kind"`
 	MayRepeat MayRepeat             `yaml:"MayRepeat"`
-	// KeyOptional takes calls that may not be repeated without an Idempotency-Key.
+	// KeyOptional accepts non-repeatable calls that carry no Idempotency-Key.
 	KeyOptional bool              `yaml:"KeyOptional"`
 	Upstreams   []UpstreamAnswers `yaml:"Upstreams"`
 	Cost        CostAnswers       `yaml:"Cost"`
@@ -39,7 +39,7 @@
 	Limits      LimitAnswers      `yaml:"Limits"`
 }
 
-// UpstreamAnswers describe the alike servers of a service in one failure domain.
+// UpstreamAnswers describes the identically configured servers of a service in one failure domain.
 type UpstreamAnswers struct {
 	FailureDomain pomelorelay.DomainID `yaml:"FailureDomain"`
 	Model         pomelorelay.ModelID  `yaml:"Model"`
@@ -49,28 +49,28 @@
 	Servers       []ServerAnswers      `yaml:"Servers"`
 }
 
-// ServerAnswers name one server.
+// ServerAnswers describes one server.
 type ServerAnswers struct {
-	// Name is the one on the host list.
+	// Name is the server's name on the host list.
 	Name    pomelorelay.UpstreamID `yaml:"Name"`
 	Address netip.AddrPort         `yaml:"Address"`
 }
 
-// CostAnswers weigh the tokens of a model engine and bound the cost of one request.
+// CostAnswers sets the cost per token of a model engine and the maximum cost of one request.
 type CostAnswers struct {
 	Input   pomelorelay.Cost `yaml:"Input"`
 	Output  pomelorelay.Cost `yaml:"Output"`
 	Maximum pomelorelay.Cost `yaml:"Maximum"`
 }
 
-// SpillAnswers set how far work may go.
+// SpillAnswers sets when requests may go to another failure domain or region, and how much an account may catch up.
 type SpillAnswers struct {
 	Domain  pomelorelay.Tag `yaml:"Domain"`
 	Region  pomelorelay.Tag `yaml:"Region"`
 	CatchUp pomelorelay.Tag `yaml:"CatchUp"`
 }
 
-// LimitAnswers bound a service's requests.
+// LimitAnswers sets the limits on a service's requests.
 type LimitAnswers struct {
 	MaxBody         pomelorelay.Bytes `yaml:"MaxBody"`
 	MaxWaiting      int               `yaml:"MaxWaiting"`
@@ -90,7 +90,7 @@
 	TokenHashes []string                                     `yaml:"TokenHashes"`
 }
 
-// LoadAnswers reads a team's answers from a file; it fails with CodeFileUnreadable or as ParseAnswers does.
+// LoadAnswers reads a team's answers from a file; it returns CodeFileUnreadable or the errors of ParseAnswers.
 func LoadAnswers(path string) (Answers, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return ParseAnswers(path, data)
 }
 
-// ParseAnswers reads a team's answers and checks them by themselves; it fails with CodeConfigSyntax, CodeConfigUnknownField or
-// CodeAnswersInvalid, naming file, line and fix.
+// ParseAnswers parses a team's answers and checks them without those of other teams. It returns CodeConfigSyntax,
+// CodeConfigUnknownField or CodeAnswersInvalid; the error names file, line and fix.
 func ParseAnswers(file string, data []byte) (Answers, error) {
 	var a Answers
 	doc, err := readDocument(file, data, &a)
@@ -110,7 +110,7 @@
 	return a, problemsError(pomelorelay.CodeAnswersInvalid, doc.locate(a.check()))
 }
 
-// check gives the problems with paths into the answers.
+// check returns the problems, with paths into the answers rather than into the generated configuration.
 func (a Answers) check() []Problem {
 	c := checker{code: pomelorelay.CodeAnswersInvalid}
 	for i, s := range a.Services {
--- a/pomeloconfig/check.go
+++ b/pomeloconfig/check.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Bounds of a configuration's entries.
+// Limits of the values in a configuration.
 const (
 	maxShare          = 1e9
 	maxCost           = 1e9
@@ -18,7 +18,7 @@
 	shareSumTolerance = 1e-6
 )
 
-// Check returns everything that is wrong with a configuration whose defaults are filled in; none means that it may be accepted.
+// Check returns the problems of a configuration whose defaults have been filled in; an empty result means that it is valid.
 func Check(c Configuration) []Problem {
 	k := &configurationChecker{
 		checker:     checker{code: pomelorelay.CodeConfigInvalid},
@@ -42,7 +42,7 @@
 	return k.problems
 }
 
-// configurationChecker remembers the names met so far, with the path of the first.
+// configurationChecker collects problems; teams, regions, domains and services map each name found to the path of its first use.
 type configurationChecker struct {
 	checker
 	teams, regions, domains, services map[string]string
@@ -52,7 +52,7 @@
 	shares                            map[string]float64
 }
 
-// uniqueName checks a name and that no other entry of the kind has it.
+// uniqueName checks that a name is valid and that no other entry of the same kind has it.
 func (k *configurationChecker) uniqueName(seen map[string]string, path, name string) {
 	k.name(path, name)
 	k.unique(seen, path, name)
@@ -147,7 +147,7 @@
 		k.checkModel(path, u)
 		k.address(path+".Address", u.Address)
 		if first, ok := addresses[u.Address]; ok && u.Address.IsValid() {
-			k.add(path+".Address", u.Address.String()+" stands already at "+first, "give each upstream its own address")
+			k.add(path+".Address", u.Address.String()+" is already used at "+first, "give each upstream its own address")
 		}
 		addresses[u.Address] = path + ".Address"
 		k.checkLocation(path, u)
@@ -170,7 +170,7 @@
 	}
 }
 
-// modelName lets a model's name hold what the engines' names hold, a slash above all.
+// modelName allows every character, since model names of engines contain characters such as slashes.
 func (k *configurationChecker) modelName(path, name string) {
 	if name == "" || len(name) > maxNameBytes {
 		k.add(path, fmt.Sprintf("the model's name has %d bytes", len(name)), fmt.Sprintf("use 1 to %d", maxNameBytes))
--- a/pomeloconfig/check_accounts.go
+++ b/pomeloconfig/check_accounts.go
@@ -63,7 +63,7 @@
 
 type tokenHash [32]byte
 
-// parseTokenHash takes lower case only: two spellings of one hash would pass the check for duplicates.
+// parseTokenHash accepts lower case only: two spellings of one hash would pass the check for duplicates.
 func parseTokenHash(text string) (tokenHash, error) {
 	var hash tokenHash
 	decoded, err := hex.DecodeString(text)
--- a/pomeloconfig/check_test.go
+++ b/pomeloconfig/check_test.go
@@ -11,8 +11,9 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// An operator's file has one thing wrong. Everything must be refused before it reaches a router, and the entry be named.
-func TestCheckNamesTheEntry(t *testing.T) {
+// Each case makes one entry of a valid configuration invalid. Check must report a problem with the path of that entry; a fault
+// that it misses would reach the routers.
+func TestCheckReportsPathOfInvalidEntry(t *testing.T) {
 	for _, c := range []struct {
 		path    string
 		corrupt func(c *pomeloconfig.Configuration)
@@ -65,11 +66,11 @@
 		}
 	}
 	if problems := pomeloconfig.Check(sample(3)); len(problems) > 0 {
-		t.Errorf("the good one has %v", problems)
+		t.Errorf("the valid configuration has problems: %v", problems)
 	}
 }
 
-func TestParseNamesFileAndLine(t *testing.T) {
+func TestParseErrorsNameFileAndLine(t *testing.T) {
 	good := string(encode(t, sample(3)))
 	for _, c := range []struct {
 		from, to string
@@ -102,7 +103,7 @@
 TLS: {Insecure: true}
 `
 
-func TestSettingsAreFilledAndChecked(t *testing.T) {
+func TestSettingsDefaultsAndValidation(t *testing.T) {
 	s, err := pomeloconfig.ParseSettings([]byte(goodSettings))
 	if err != nil {
 		t.Fatal(err)
--- a/pomeloconfig/configuration.go
+++ b/pomeloconfig/configuration.go
@@ -7,21 +7,21 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Configuration is what the operators decide, the same on every router.
+// Configuration is the fleet-wide configuration set by the operators, the same on every router.
 type Configuration struct {
 	Regions   []Region   `yaml:"Regions"`
 	Services  []Service  `yaml:"Services"`
 	Upstreams []Upstream `yaml:"Upstreams"`
 	Accounts  []Account  `yaml:"Accounts"`
 	Teams     []Team     `yaml:"Teams"`
-	// Evacuated are the failure domains whose upstreams get nothing new.
+	// Evacuated lists the failure domains whose upstreams get no new requests.
 	Evacuated []pomelorelay.DomainID `yaml:"Evacuated,omitempty" json:",omitempty"`
 }
 
-// Team is a group of operators with its own services and accounts.
+// Team is a group of operators that owns services and accounts.
 type Team struct {
 	Name string `yaml:"Name"`
-	// ShareTotal is what the shares of the team's accounts add up to; zero leaves the sum unchecked.
+	// ShareTotal is the required sum of the shares of the team's accounts; zero disables the check.
 	ShareTotal pomelorelay.Weight `yaml:"ShareTotal,omitempty" json:",omitempty"`
 }
 
@@ -31,51 +31,52 @@
 	FailureDomains []pomelorelay.DomainID `yaml:"FailureDomains"`
 }
 
-// ServiceKind tells how a service is spoken to.
+// ServiceKind is the protocol of a service.
 type ServiceKind string
 
-// The kinds of service.
+// Kinds of service: an OpenAI-style model engine, or plain HTTP.
 const (
 	ServiceModel ServiceKind = "ModelEngine"
 	ServicePlain ServiceKind = "Plain"
 )
 
-// Service is something that client accounts call.
+// Service is a service that client accounts call.
 type Service struct {
 	Name pomelorelay.ServiceID `yaml:"Name"`
 	Team string                `yaml:"Team"`
 	Kind ServiceKind           `yaml:"Kind"`
-	// NonIdempotent tells that a call may run at most once.
+	// NonIdempotent limits each call to at most one execution.
 	NonIdempotent bool `yaml:"NonIdempotent,omitempty" json:",omitempty"`
-	// KeyOptional lets a non-idempotent call come without an Idempotency-Key; it is then sent once and a caller's resend is a new call.
+	// KeyOptional accepts a non-idempotent call without an Idempotency-Key; it is sent once, and a resend by the caller is a new call.
 	KeyOptional bool `yaml:"KeyOptional,omitempty" json:",omitempty"`
-	// InputCost and OutputCost weigh one token of a model engine; a plain service costs its slot seconds.
+	// InputCost and OutputCost are the costs of one token of a model engine; the cost of a plain service's call is its slot seconds.
 	InputCost  pomelorelay.Cost `yaml:"InputCost"`
 	OutputCost pomelorelay.Cost `yaml:"OutputCost"`
-	// MaxCost bounds the cost of one request, for the fairness bound.
+	// MaxCost is the maximum cost of one request, from which the fairness bound is derived.
 	MaxCost pomelorelay.Cost `yaml:"MaxCost"`
-	// MaxBody bounds a request's body.
+	// MaxBody is the maximum size of a request's body in bytes.
 	MaxBody pomelorelay.Bytes `yaml:"MaxBody"`
-	// MaxWaiting, MaxWaitingBytes and MaxWait bound an account's queue at one router.
+	// MaxWaiting, MaxWaitingBytes and MaxWait limit an account's queue at one router.
 	MaxWaiting      int               `yaml:"MaxWaiting"`
 	MaxWaitingBytes pomelorelay.Bytes `yaml:"MaxWaitingBytes"`
 	MaxWait         time.Duration     `yaml:"MaxWait"`
-	// Timeout bounds one attempt at an upstream.
+	// Timeout is the time limit of one attempt at an upstream.
 	Timeout time.Duration `yaml:"Timeout"`
-	// SpillDomain and SpillRegion are how far the tag granted elsewhere must be above the local one before demand goes there.
+	// SpillDomain and SpillRegion are the leads that the tag granted in another failure domain or region must have over the
+	// local one before demand goes there.
 	SpillDomain pomelorelay.Tag `yaml:"SpillDomain"`
 	SpillRegion pomelorelay.Tag `yaml:"SpillRegion"`
-	// CatchUp caps how far an account may be behind the others and still be owed the difference.
+	// CatchUp is the maximum lag behind the other accounts that an account may catch up.
 	CatchUp pomelorelay.Tag `yaml:"CatchUp"`
-	// RetryBudget is the fraction of requests that may be sent a second time.
+	// RetryBudget is the maximum fraction of requests that may be retried.
 	RetryBudget float64 `yaml:"RetryBudget"`
-	// Retention is how long claims and outcomes of non-idempotent calls are kept.
+	// Retention is how long claims and outcomes of non-idempotent calls are stored.
 	Retention time.Duration `yaml:"Retention"`
-	// QuarantineFor is how long a request that crashes upstreams is refused.
+	// QuarantineFor is how long a request that crashes upstreams is rejected.
 	QuarantineFor time.Duration `yaml:"QuarantineFor"`
 }
 
-// Upstream is one server of a service; it serves one model at most.
+// Upstream is one server of a service; it serves at most one model.
 type Upstream struct {
 	Name          pomelorelay.UpstreamID `yaml:"Name"`
 	Service       pomelorelay.ServiceID  `yaml:"Service"`
@@ -83,24 +84,24 @@
 	Address       netip.AddrPort         `yaml:"Address"`
 	FailureDomain pomelorelay.DomainID   `yaml:"FailureDomain"`
 	Region        pomelorelay.RegionID   `yaml:"Region"`
-	// MinSlots and MaxSlots bound the learnt concurrency limit.
+	// MinSlots and MaxSlots bound the adaptive concurrency limit.
 	MinSlots pomelorelay.Slots `yaml:"MinSlots"`
 	MaxSlots pomelorelay.Slots `yaml:"MaxSlots"`
-	// Resumes tells that a broken stream can be taken up again.
+	// Resumes enables resuming a broken stream at this upstream.
 	Resumes bool `yaml:"Resumes,omitempty" json:",omitempty"`
 }
 
-// Account is a client account.
+// Account is a client account with its shares and bearer tokens.
 type Account struct {
 	Name pomelorelay.AccountID `yaml:"Name"`
 	Team string                `yaml:"Team"`
-	// Share is the account's weight in every service of its team that Shares does not name.
+	// Share is the account's weight in every service that Shares does not list.
 	Share pomelorelay.Weight `yaml:"Share"`
-	// Shares gives the weight by service.
+	// Shares overrides the weight for single services.
 	Shares map[pomelorelay.ServiceID]pomelorelay.Weight `yaml:"Shares,omitempty" json:",omitempty"`
-	// TokenHashes are the SHA-256 digests, in hexadecimal, of the bearer tokens.
+	// TokenHashes are the SHA-256 digests of the bearer tokens, in hexadecimal.
 	TokenHashes []string `yaml:"TokenHashes"`
 }
 
-// Pool returns the pool that the upstream serves.
+// Pool returns the ID of the pool that the upstream belongs to.
 func (u Upstream) Pool() pomelorelay.PoolID { return pomelorelay.Pool(u.Service, u.Model) }
--- a/pomeloconfig/defaults.go
+++ b/pomeloconfig/defaults.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Defaults of a service, an upstream and an account, taken where the configuration has a zero.
+// Defaults for the zero-valued fields of services, upstreams and accounts.
 const (
 	DefaultInputCost       = pomelorelay.Cost(0.25)
 	DefaultOutputCost      = pomelorelay.Cost(1)
@@ -26,15 +26,15 @@
 	DefaultShare           = pomelorelay.Weight(1)
 )
 
-// The spill margins and the catch-up follow from the dearest request: a margin far below it would send work away for the
-// sake of one request, one far above it would leave slots idle next door.
+// The spill margins and the catch-up limit scale with the cost of the most expensive request: with a margin far below it a
+// single request would move work elsewhere, with one far above it slots in other failure domains would stay idle.
 const (
 	spillDomainPerMaxCost = 0.125
 	spillRegionPerDomain  = 8
 	catchUpPerMaxCost     = 4
 )
 
-// FillDefaults sets every zero that has a default; it changes the slices in place.
+// FillDefaults replaces zero values by their defaults; it modifies the slices in place.
 func (c *Configuration) FillDefaults() {
 	for i := range c.Services {
 		c.Services[i].fillDefaults()
--- a/pomeloconfig/difference.go
+++ b/pomeloconfig/difference.go
@@ -10,10 +10,10 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// ChangeKind tells what became of an entry.
+// ChangeKind is how an entry changed.
 type ChangeKind string
 
-// The kinds of change.
+// Values of ChangeKind.
 const (
 	ChangeAdded   ChangeKind = "Added"
 	ChangeRemoved ChangeKind = "Removed"
@@ -22,21 +22,21 @@
 
 // EntryChange is one entry that differs between two configurations.
 type EntryChange struct {
-	// Entry is the entry's kind and name, as in Account/anna.
+	// Entry is the entry's kind and name, such as Account/anna.
 	Entry  string
 	Change ChangeKind
-	// Fields are the altered ones.
+	// Fields lists the altered fields.
 	Fields []FieldChange `json:",omitempty"`
 }
 
-// FieldChange is one field's values, as JSON.
+// FieldChange is one field's values before and after the change, as JSON.
 type FieldChange struct {
 	Field  string
 	Before json.RawMessage `json:",omitempty"`
 	After  json.RawMessage `json:",omitempty"`
 }
 
-// String returns the change in one line.
+// String formats the change as one line.
 func (e EntryChange) String() string {
 	text := string(e.Change) + " " + e.Entry
 	for _, f := range e.Fields {
@@ -52,19 +52,19 @@
 	return string(value)
 }
 
-// maxSummaryLines keeps a root that replaces everything under the store's value limit; the parts hold the rest.
+// The limits keep a root that replaces every entry below the store's value limit; the full change can be computed from the parts.
 const (
 	maxSummaryLines     = 50
 	maxSummaryLineBytes = 300
 )
 
-// DifferenceSummary counts what changed between two generations and shows the first changes.
+// DifferenceSummary counts the entries that changed between two generations and describes the first of them.
 type DifferenceSummary struct {
 	Added, Removed, Altered int
 	Lines                   []string `json:",omitempty"`
 }
 
-// Summarise sums up changes.
+// Summarise counts the changes by kind and formats the first of them.
 func Summarise(changes []EntryChange) DifferenceSummary {
 	var s DifferenceSummary
 	for _, change := range changes {
@@ -84,7 +84,7 @@
 	return s
 }
 
-// Difference returns the entries that differ, in the order of kinds and names.
+// Difference returns the entries that differ between two configurations, sorted by kind and name.
 func Difference(before, after Configuration) []EntryChange {
 	oldEntries, newEntries := before.entries(), after.entries()
 	names := make(map[string]bool, len(newEntries))
@@ -103,10 +103,10 @@
 	return changes
 }
 
-// evacuation stands for a failure domain under evacuation in a difference.
+// evacuation is the entry of a failure domain under evacuation.
 type evacuation struct{ Domain pomelorelay.DomainID }
 
-// entries returns the entries by kind and name.
+// entries returns the entries, keyed by kind and name.
 func (c Configuration) entries() map[string]any {
 	entries := make(map[string]any, len(c.Accounts)+len(c.Upstreams)+len(c.Services)+len(c.Regions)+len(c.Teams))
 	for _, e := range c.Teams {
@@ -155,7 +155,7 @@
 	return changes
 }
 
-// fields returns an entry's fields as JSON; the entry types have none that JSON cannot hold once they were checked.
+// fields returns an entry's fields as JSON; those of a valid entry can always be encoded.
 func fields(entry any) map[string]json.RawMessage {
 	byName := make(map[string]json.RawMessage)
 	data, err := json.Marshal(entry)
--- a/pomeloconfig/document.go
+++ b/pomeloconfig/document.go
@@ -14,20 +14,20 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxDocument bounds a YAML document.
+// MaxDocument is the maximum size of a YAML document in bytes.
 const MaxDocument = pomelorelay.Bytes(64 << 20)
 
-// document remembers a YAML document so that problems can be given their lines.
+// document keeps the text of a YAML document in order to find the lines of problems.
 type document struct {
 	file string
 	data []byte
 }
 
-// readDocument decodes YAML strictly; its errors name file and line.
+// readDocument decodes YAML and rejects unknown fields; its errors name file and line.
 func readDocument(file string, data []byte, into any) (document, error) {
 	doc := document{file: file, data: data}
 	if pomelorelay.Bytes(len(data)) > MaxDocument {
-		return doc, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, file+": it has "+strconv.Itoa(len(data))+" bytes", nil)
+		return doc, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, file+": the document has "+strconv.Itoa(len(data))+" bytes, which is over the limit", nil)
 	}
 	if err := decodeStrictly(data, into); err != nil {
 		return doc, yamlError(file, err)
@@ -35,8 +35,8 @@
 	return doc, nil
 }
 
-// decodeStrictly turns a panic of the YAML library into an error: a document that trips it would else end the program, and
-// an operator would see a stack trace in place of the file's name.
+// decodeStrictly turns a panic of the YAML library into an error; otherwise a malformed document could end the program, and
+// the operator would see a stack trace instead of the file's name.
 func decodeStrictly(data []byte, into any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -54,7 +54,7 @@
 	}
 	var extra any
 	if err := decoder.Decode(&extra); !errors.Is(err, io.EOF) {
-		return errors.New("it holds more than one document; keep one")
+		return errors.New("the file holds more than one YAML document; keep one")
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	return pomelorelay.NewError(code, location+": "+text, nil)
 }
 
-// locate gives the problems the document's name and the lines of their entries; an entry that is missing gets its parent's line.
+// locate sets file and line of the problems; a missing entry gets its parent's line.
 func (d document) locate(problems []Problem) []Problem {
 	if len(problems) == 0 {
 		return nil
--- a/pomeloconfig/encode.go
+++ b/pomeloconfig/encode.go
@@ -9,8 +9,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Parse reads a configuration from YAML, fills in the defaults and checks it; it fails with CodeConfigSyntax,
-// CodeConfigUnknownField or CodeConfigInvalid, naming file, line and fix.
+// Parse reads a configuration from YAML, fills in the defaults and checks it. It returns CodeConfigSyntax,
+// CodeConfigUnknownField or CodeConfigInvalid; the error names file, line and fix.
 func Parse(file string, data []byte) (Configuration, error) {
 	var c Configuration
 	doc, err := readDocument(file, data, &c)
@@ -18,7 +18,7 @@
 		return Configuration{}, err
 	}
 	c.FillDefaults()
-	// Checked before it is put in order, so that the problems' indexes are those of the file.
+	// Check before sorting, so that indexes in problems are those of the file.
 	if err := problemsError(pomelorelay.CodeConfigInvalid, doc.locate(Check(c))); err != nil {
 		return Configuration{}, err
 	}
@@ -26,8 +26,7 @@
 	return c, nil
 }
 
-// Encode returns the configuration as YAML with every default written out; the same content gives the same bytes, whatever
-// the order of its entries.
+// Encode returns the configuration as YAML with all defaults filled in; the output does not depend on the order of the entries.
 func Encode(c Configuration) ([]byte, error) {
 	c = c.normalised()
 	data, err := yaml.Marshal(c)
@@ -37,7 +36,7 @@
 	return data, nil
 }
 
-// normalised returns a copy with defaults and in the order of names; the entries' own lists are copied before they are put in order.
+// normalised returns a sorted copy with defaults filled in; nested lists are cloned first, so that sorting does not modify the receiver.
 func (c Configuration) normalised() Configuration {
 	n := Configuration{
 		Regions:   slices.Clone(c.Regions),
--- a/pomeloconfig/errors.go
+++ b/pomeloconfig/errors.go
@@ -2,15 +2,15 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// IsErrConflict reports whether another operator's change was accepted first.
+// IsErrConflict reports whether err is CodeConfigConflict: another operator's change was accepted first.
 func IsErrConflict(err error) bool {
 	return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigConflict)
 }
 
-// IsErrUnsettled reports whether a change may have been accepted, or may yet be.
+// IsErrUnsettled reports whether err is CodeConfigUnsettled: the change may have been accepted, or may still be.
 func IsErrUnsettled(err error) bool {
 	return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigUnsettled)
 }
 
-// IsErrNone reports whether the store holds no configuration.
+// IsErrNone reports whether err is CodeConfigNone: the store holds no configuration.
 func IsErrNone(err error) bool { return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigNone) }
--- a/pomeloconfig/evacuate.go
+++ b/pomeloconfig/evacuate.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Evacuate begins or, to cancel, ends the evacuation of a failure domain; it fails with CodeConfigInvalid for an unknown domain, and where there is
-// nothing to change.
+// Evacuate starts the evacuation of a failure domain, or ends it if cancel is set. It returns CodeConfigInvalid for an unknown
+// domain and when there is nothing to change.
 func (c *Configuration) Evacuate(domain pomelorelay.DomainID, cancel bool) error {
 	known := slices.ContainsFunc(c.Regions, func(r Region) bool { return slices.Contains(r.FailureDomains, domain) })
 	at := slices.Index(c.Evacuated, domain)
@@ -19,7 +19,7 @@
 	case cancel:
 		c.Evacuated = slices.Delete(slices.Clone(c.Evacuated), at, at+1)
 	case at >= 0:
-		return evacuateError("the failure domain " + quote(string(domain)) + " is under evacuation already")
+		return evacuateError("the failure domain " + quote(string(domain)) + " is already under evacuation")
 	default:
 		c.Evacuated = append(slices.Clone(c.Evacuated), domain)
 	}
@@ -30,5 +30,5 @@
 	return pomelorelay.NewError(pomelorelay.CodeConfigInvalid, detail, nil)
 }
 
-// Evacuated returns the failure domains whose upstreams get nothing new; the caller must not change them.
+// Evacuated returns the failure domains whose upstreams get no new requests; the caller must not modify the slice.
 func (s *Snapshot) Evacuated() []pomelorelay.DomainID { return s.evacuated }
--- a/pomeloconfig/evacuate_test.go
+++ b/pomeloconfig/evacuate_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-func TestEvacuationsAreChecked(t *testing.T) {
+func TestEvacuateRejectsInvalidChanges(t *testing.T) {
 	c := pomeloconfig.Configuration{Regions: []pomeloconfig.Region{
 		{Name: "recife", FailureDomains: []pomelorelay.DomainID{"recife-a", "recife-b"}}, {Name: "salvador", FailureDomains: []pomelorelay.DomainID{"salvador-a"}},
 	}}
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// fleet passes messages between spreaders on a clock of its own.
+// fleet simulates routers that exchange messages on a simulated clock.
 type fleet struct {
 	tb        testing.TB
 	now       time.Time
@@ -21,7 +21,7 @@
 	routers   []*fleetRouter
 	peers     []pomelorelay.NodeID
 	published []generation
-	// storedGeneration is the generation that the store holds, one above its place in accepted; zero is none.
+	// storedGeneration is the generation in the store; its index in published is one lower. Zero means none.
 	storedGeneration int
 	storeUp          bool
 	watchers         int
@@ -57,7 +57,7 @@
 	return f
 }
 
-// restart makes the router cold.
+// restart replaces the router by one without a configuration.
 func (f *fleet) restart(i int) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Seed: f.random.Uint64()})
 	s.SetPeers(slices.Concat(f.peers[:i], f.peers[i+1:]))
@@ -66,15 +66,16 @@
 
 func (f *fleet) newest() pomelorelay.Generation { return pomelorelay.Generation(len(f.published)) }
 
-// generationCache keeps the generations, which are the same for every fleet; the tests that use it do not run at the same time.
+// generationCache holds the encoded generations, which are the same for every fleet; the tests that use it do not run concurrently.
 var generationCache = make(map[pomelorelay.Generation]generation)
 
-// failTester is what a test and a rapid check have in common.
+// failTester is implemented by testing.TB and by *rapid.T.
 type failTester interface {
 	Fatalf(format string, args ...any)
 }
 
-// publishNext accepts a configuration above every one before, as a publisher does that was told of the routers.
+// publishNext publishes a configuration with a generation above all previous ones, as a publisher does that knows the routers'
+// generations.
 func (f *fleet) publishNext(failTester) {
 	number := f.newest() + 1
 	if _, ok := generationCache[number]; !ok {
@@ -102,7 +103,7 @@
 		f.apply(t, i, candidate)
 	}
 	if got := r.spreader.Generation(); got < r.lastGeneration {
-		t.Fatalf("router %d fell from generation %d to %d", i, r.lastGeneration, got)
+		t.Fatalf("router %d went from generation %d back to %d", i, r.lastGeneration, got)
 	}
 	if got := r.spreader.Generation(); got > r.lastGeneration {
 		r.lastGeneration, r.reachedAt = got, f.now
@@ -112,7 +113,7 @@
 	}
 }
 
-// apply checks that the candidate is one that was accepted.
+// apply puts the candidate in force and checks that it is a published one.
 func (f *fleet) apply(t failTester, i int, candidate pomeloconfig.Candidate) {
 	if f.refusingRouter == i+1 {
 		f.send(i, f.routers[i].spreader.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
@@ -120,7 +121,7 @@
 	}
 	data, err := pomeloconfig.EncodeRoot(candidate.Root)
 	if err != nil || !bytes.Equal(data, f.published[candidate.Root.Generation-1].root) {
-		t.Fatalf("router %d puts something in force that was not accepted: %v", i, err)
+		t.Fatalf("router %d got a candidate that was not published: %v", i, err)
 	}
 	if _, err := pomeloconfig.Assemble(candidate.Root, candidate.Parts); err != nil {
 		t.Fatalf("router %d: %v", i, err)
@@ -128,7 +129,7 @@
 	f.routers[i].spreader.InForce(candidate.Root.Generation)
 }
 
-// announceGeneration sends the router's generation to the others, as it rides on their envelopes.
+// announceGeneration sends the router's generation to all others, as message envelopes do.
 func (f *fleet) announceGeneration(i int) {
 	for to := range f.routers {
 		if to != i {
@@ -184,7 +185,7 @@
 	f.send(message.to, out)
 }
 
-// readStore answers what the router wants, and reports changes to the watchers.
+// readStore performs the store reads that the router requests, and reports the root to routers with a watch.
 func (f *fleet) readStore(i int) {
 	s := f.routers[i].spreader
 	wants := s.StoreWants(f.now)
--- a/pomeloconfig/fuzz_test.go
+++ b/pomeloconfig/fuzz_test.go
@@ -24,10 +24,10 @@
 		first := encode(t, c)
 		again, err := pomeloconfig.Parse("f", first)
 		if err != nil {
-			t.Fatalf("what was accepted is refused once written: %v", err)
+			t.Fatalf("an accepted configuration is rejected after encoding: %v", err)
 		}
 		if !bytes.Equal(encode(t, again), first) {
-			t.Fatal("reading and writing changes the bytes")
+			t.Fatal("parsing and encoding changes the bytes")
 		}
 	})
 }
@@ -45,7 +45,7 @@
 			return
 		}
 		if _, err := pomeloconfig.Generate([]pomeloconfig.Answers{answers}); err != nil {
-			t.Fatalf("answers that were accepted give no configuration: %v", err)
+			t.Fatalf("no configuration can be generated from accepted answers: %v", err)
 		}
 	})
 }
--- a/pomeloconfig/generate.go
+++ b/pomeloconfig/generate.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Generate makes one configuration of several teams' answers; the order of the answers does not matter. It fails with
-// CodeAnswersInvalid, for example when two teams name a service or an account alike.
+// Generate builds one configuration from the answers of several teams, independent of their order. It returns
+// CodeAnswersInvalid, for example when two teams use the same name for a service or an account.
 func Generate(teams []Answers) (Configuration, error) {
 	teams = slices.Clone(teams)
 	slices.SortStableFunc(teams, func(a, b Answers) int { return cmp.Compare(a.Team, b.Team) })
@@ -31,7 +31,7 @@
 	return all, nil
 }
 
-// mergeRegions joins regions of the same name, for teams may share them.
+// mergeRegions merges regions of the same name, since teams may share regions.
 func mergeRegions(all, added []Region) []Region {
 	for _, region := range added {
 		i := slices.IndexFunc(all, func(r Region) bool { return r.Name == region.Name })
@@ -48,12 +48,12 @@
 	return all
 }
 
-// answerPaths gives the place in the answers of each upstream of the configuration made from them.
+// answerPaths holds the path in the answers of each upstream of the generated configuration.
 type answerPaths struct {
 	upstreams []string
 }
 
-// translate turns a path into the configuration into one into the answers.
+// translate converts a path in the generated configuration to the matching path in the answers.
 func (p answerPaths) translate(path string) string {
 	for i, answerPath := range p.upstreams {
 		suffix, ok := strings.CutPrefix(path, indexedPath("Upstreams", i))
@@ -80,6 +80,7 @@
 	return path
 }
 
+// serviceAnswerPaths maps suffixes of paths in the configuration to suffixes of paths in the answers.
 var serviceAnswerPaths = map[string]string{
 	".InputCost": ".Cost.Input", ".OutputCost": ".Cost.Output", ".MaxCost": ".Cost.Maximum",
 	".SpillDomain": ".Spill.Domain", ".SpillRegion": ".Spill.Region", ".CatchUp": ".Spill.CatchUp",
@@ -88,7 +89,7 @@
 	".Retention": ".Limits.Retention", ".QuarantineFor": ".Limits.QuarantineFor",
 }
 
-// configuration makes the team's own configuration, in the order of the answers.
+// configuration builds the team's part of the configuration, in the order of the answers.
 func (a Answers) configuration() (Configuration, answerPaths) {
 	c := Configuration{Teams: []Team{{Name: a.Team, ShareTotal: a.ShareTotal}}, Regions: slices.Clone(a.Regions)}
 	var paths answerPaths
--- a/pomeloconfig/library.go
+++ b/pomeloconfig/library.go
@@ -10,16 +10,16 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// RootKey is the store's key of the root in force.
+// RootKey is the store key of the root in force.
 const RootKey = pomelorelay.StoreKey("config/root")
 
-// PartKey returns the store's key of a part.
+// PartKey returns the store key of a part.
 func PartKey(hash pomelorelay.Hash) pomelorelay.StoreKey {
 	return pomelorelay.StoreKey("config/part/" + hashHex(hash))
 }
 
-// HistoryKey returns the store's key of a root that was replaced. The hash belongs to it: after the store was restored from an
-// old copy a generation may have two roots, and neither may hide the other.
+// HistoryKey returns the store key of a replaced root. The key includes the hash because after a restore of the store from an
+// old copy a generation may have two roots, and neither may overwrite the other.
 func HistoryKey(generation pomelorelay.Generation, hash pomelorelay.Hash) pomelorelay.StoreKey {
 	return pomelorelay.StoreKey(fmt.Sprintf("config/history/%d/%s", generation, hashHex(hash)))
 }
@@ -30,16 +30,16 @@
 	maxStoreBackoff     = 2 * time.Second
 )
 
-// configStore reads and writes the configuration's records, again where that is safe.
+// configStore reads and writes the configuration's records, and retries failed calls.
 type configStore struct {
 	store pomelorelay.Store
 }
 
-// get reads a record, again after a failure: reading has no effect.
-func (l configStore) get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
+// get reads a record and retries after every failure, since reads have no side effects.
+func (s configStore) get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
 	backoff := initialStoreBackoff
 	for attempt := 1; ; attempt++ {
-		record, err := l.store.Get(ctx, key)
+		record, err := s.store.Get(ctx, key)
 		if err == nil || attempt == maxStoreAttempts {
 			return record, err
 		}
@@ -61,25 +61,25 @@
 	}
 }
 
-// writeOutcome is what became of a write after every lost answer was settled.
+// writeOutcome is the result of a write after reading back where an answer was lost.
 type writeOutcome int
 
 const (
 	writeApplied    writeOutcome = iota + 1
-	writeConflict                // another value took the revision
-	writeUnknown                 // it may have taken effect, or may yet
-	writeNotApplied              // it surely had no effect
+	writeConflict                // another value was written at the revision
+	writeUnknown                 // the write may have taken effect, or still may
+	writeNotApplied              // the write had no effect and will have none
 )
 
-// write writes a value that is only ever written at revision old. After a lost answer it reads back and looks for its own bytes.
-// Without that a write that took effect would be reported as a conflict with itself, and an operator would apply the change twice.
-// Sending the same bytes for the same revision again is safe: at most one of the sends can take effect.
-func (l configStore) write(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record, error) {
+// write replaces the value at revision old, and after a lost answer reads the record back and compares the bytes. Otherwise a
+// write that took effect would be reported as a conflict with itself, and an operator would apply the change twice.
+// Repeating the write with the same bytes and revision is safe: at most one attempt can take effect.
+func (s configStore) write(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record, error) {
 	var last error
 	maybeApplied := false
 	backoff := initialStoreBackoff
 	for range maxStoreAttempts {
-		revision, err := l.store.CompareAndSwap(ctx, key, value, old, 0)
+		revision, err := s.store.CompareAndSwap(ctx, key, value, old, 0)
 		if err == nil {
 			return writeApplied, pomelorelay.Record{Key: key, Value: value, Revision: revision}, nil
 		}
@@ -87,7 +87,7 @@
 		switch {
 		case pomelostore.IsErrConflict(err), pomelostore.IsErrUnknown(err):
 			maybeApplied = maybeApplied || pomelostore.IsErrUnknown(err)
-			outcome, record := l.readBack(ctx, key, value, old)
+			outcome, record := s.readBack(ctx, key, value, old)
 			if outcome == writeApplied || outcome == writeConflict {
 				return outcome, record, nil
 			}
@@ -110,10 +110,10 @@
 	return writeNotApplied
 }
 
-// readBack reads the record back; writeOpen means that this did not tell.
-func (l configStore) readBack(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record) {
+// readBack reads the record after a lost answer or a conflict; it returns writeUnknown if the read does not decide the outcome.
+func (s configStore) readBack(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record) {
 	isOwn := func(found []byte) bool { return bytes.Equal(found, value) }
-	settlement, record, err := pomelostore.SettleWrite(ctx, l.store, key, old, isOwn)
+	settlement, record, err := pomelostore.SettleWrite(ctx, s.store, key, old, isOwn)
 	switch {
 	case err != nil || settlement == pomelostore.SettledUnchanged:
 		return writeUnknown, record
@@ -123,24 +123,24 @@
 	return writeConflict, record
 }
 
-// writeImmutable writes an immutable record; one that is there already with the same bytes is as good.
-func (l configStore) writeImmutable(ctx context.Context, key pomelorelay.StoreKey, value []byte) error {
-	outcome, _, err := l.write(ctx, key, value, 0)
+// writeImmutable writes an immutable record; an existing record with the same bytes is a success.
+func (s configStore) writeImmutable(ctx context.Context, key pomelorelay.StoreKey, value []byte) error {
+	outcome, _, err := s.write(ctx, key, value, 0)
 	switch outcome {
 	case writeApplied:
 		return nil
 	case writeConflict:
-		return pomelorelay.NewError(pomelorelay.CodeConfigHashMismatch, "the store holds something else under "+string(key), nil)
+		return pomelorelay.NewError(pomelorelay.CodeConfigHashMismatch, "the store holds a different value under "+string(key), nil)
 	case writeUnknown:
-		// Whether an immutable record came to be does not matter to anybody: the root was not swapped.
-		return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, string(key)+" could not be written; nothing was accepted", err)
+		// The outcome of this write may stay unknown: the root was not replaced, so nothing refers to the record.
+		return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, string(key)+" could not be written; the change was not accepted", err)
 	}
 	return err
 }
 
-// root reads the root in force; its revision is zero when there is none.
-func (l configStore) root(ctx context.Context) (Root, pomelorelay.Record, error) {
-	record, err := l.get(ctx, RootKey)
+// root reads the root in force; the record's revision is zero when there is none.
+func (s configStore) root(ctx context.Context) (Root, pomelorelay.Record, error) {
+	record, err := s.get(ctx, RootKey)
 	if err != nil || record.Revision == 0 {
 		return Root{}, record, err
 	}
@@ -148,10 +148,10 @@
 	return root, record, err
 }
 
-// previous reads the root that another replaced, and proves it by its hash.
-func (l configStore) previous(ctx context.Context, successor Root) (Root, error) {
+// previous reads the root that successor replaced, and verifies its hash.
+func (s configStore) previous(ctx context.Context, successor Root) (Root, error) {
 	key := HistoryKey(successor.PreviousGeneration, successor.Previous)
-	record, err := l.get(ctx, key)
+	record, err := s.get(ctx, key)
 	if err != nil {
 		return Root{}, err
 	}
@@ -164,14 +164,14 @@
 	return DecodeRoot(record.Value)
 }
 
-// parts reads the parts named, leaving out those in known.
-func (l configStore) parts(ctx context.Context, hashes []pomelorelay.Hash, skip map[pomelorelay.Hash]bool) (map[pomelorelay.Hash][]byte, error) {
+// parts reads the parts with these hashes, except those in skip.
+func (s configStore) parts(ctx context.Context, hashes []pomelorelay.Hash, skip map[pomelorelay.Hash]bool) (map[pomelorelay.Hash][]byte, error) {
 	parts := make(map[pomelorelay.Hash][]byte, len(hashes))
 	for _, hash := range hashes {
 		if skip[hash] {
 			continue
 		}
-		record, err := l.get(ctx, PartKey(hash))
+		record, err := s.get(ctx, PartKey(hash))
 		if err != nil {
 			return nil, err
 		}
@@ -183,17 +183,17 @@
 	return parts, nil
 }
 
-// Load reads the configuration that the store holds; it fails with CodeConfigNone when there is none, and as Assemble does.
+// Load reads the configuration in force from the store; it returns CodeConfigNone when there is none, or the errors of Assemble.
 func Load(ctx context.Context, store pomelorelay.Store) (Root, Configuration, error) {
-	l := configStore{store: store}
-	root, record, err := l.root(ctx)
+	s := configStore{store: store}
+	root, record, err := s.root(ctx)
 	if err != nil {
 		return Root{}, Configuration{}, err
 	}
 	if record.Revision == 0 {
 		return Root{}, Configuration{}, pomelorelay.NewError(pomelorelay.CodeConfigNone, string(RootKey)+" is missing", nil)
 	}
-	parts, err := l.parts(ctx, root.Parts, nil)
+	parts, err := s.parts(ctx, root.Parts, nil)
 	if err != nil {
 		return Root{}, Configuration{}, err
 	}
--- a/pomeloconfig/main_test.go
+++ b/pomeloconfig/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fixedSeed makes the random schedules the same on every run; -rapid.seed draws others.
+// fixedSeed makes the random schedules reproducible; -rapid.seed selects others.
 const fixedSeed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/pomeloconfig/memstore_test.go
+++ b/pomeloconfig/memstore_test.go
@@ -10,15 +10,15 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// memStore is a store in memory that can lose calls, answers, and be restored from an old copy.
+// memStore is an in-memory store that can lose or delay requests, lose answers and be restored from an old copy.
 type memStore struct {
 	pomelorelay.Store
 	mu      sync.Mutex
 	records map[pomelorelay.StoreKey]pomelorelay.Record
 	writes  int
-	// fault decides what becomes of the n-th write; nil is a store without faults.
+	// fault selects the fault of the n-th write; nil means no faults.
 	fault func(n int) writeFault
-	// random gives each call its time; nil makes them instant.
+	// random draws the duration of each call; nil makes calls instant.
 	random *rand.Rand
 }
 
@@ -26,10 +26,10 @@
 
 const (
 	faultNone        writeFault = iota
-	faultUnavailable            // the store did not take the call
-	faultAnswerLost             // it took effect and the answer was lost
-	faultRequestLost            // it never arrived, which the writer cannot know
-	faultLateRequest            // it arrives long after the writer was told that the answer is lost
+	faultUnavailable            // the store rejected the call
+	faultAnswerLost             // the write took effect and the answer was lost
+	faultRequestLost            // the request was lost, which the writer cannot know
+	faultLateRequest            // the request arrives long after the writer got an unknown outcome
 	faultCount
 )
 
@@ -93,7 +93,7 @@
 	return old + 1, nil
 }
 
-// backup returns a copy of the records, and restore puts one back.
+// backup returns a copy of the records for restore.
 func (s *memStore) backup() map[pomelorelay.StoreKey]pomelorelay.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pomeloconfig/pace.go
+++ b/pomeloconfig/pace.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// MessagesPerSecond is how many messages of one periodic kind a router sends its failure domain at most.
+// MessagesPerSecond is the maximum rate at which a router sends messages of one periodic kind to its failure domain.
 const MessagesPerSecond = 55
 
-// Pace returns the interval at which a router tells the others of its failure domain something: the setting's, or what keeps
-// to MessagesPerSecond where that is longer. With a fixed interval what a router sends would grow with its domain, and be seen
-// as a control budget that 60 routers use up with digests alone.
+// Pace returns the interval at which a router sends one kind of periodic message to every router of its failure domain: the
+// configured interval, or a longer one that keeps the message rate limit. With a fixed interval a router's traffic would grow
+// with its domain, and in a domain of 60 routers digests alone would use up the control budget.
 func Pace(interval time.Duration, routers int) time.Duration {
 	return max(interval, time.Duration(routers)*time.Second/MessagesPerSecond)
 }
 
-// maxHostListReadsPerSecond is how often a second the whole fleet reads the host list at most.
+// maxHostListReadsPerSecond is the maximum rate of host list reads of the whole fleet.
 const maxHostListReadsPerSecond = 24
 
-// Pace returns how often a router reads the host list in a fleet of so many: the platform counts reads, and the list itself grows
-// with the fleet. The first router that sees an upstream leave tells all, so the fleet knows of it as soon as before.
+// Pace returns the interval at which a router reads the host list in a fleet of the given size. The platform meters reads, and
+// the list grows with the fleet. The first router to see an upstream leave notifies all others, so a longer interval per router
+// does not delay detection by the fleet.
 func (h HostListSettings) Pace(routers int) time.Duration {
 	return max(h.Interval, time.Duration(routers)*time.Second/maxHostListReadsPerSecond)
 }
--- a/pomeloconfig/pace_test.go
+++ b/pomeloconfig/pace_test.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-func TestPaceGrowsWithTheFailureDomain(t *testing.T) {
+func TestPeriodicIntervalGrowsWithFailureDomain(t *testing.T) {
 	for _, c := range []struct {
 		routers int
 		want    time.Duration
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestHostListIsReadLessOftenInALargeFleet(t *testing.T) {
+func TestHostListIntervalGrowsWithFleet(t *testing.T) {
 	list := pomeloconfig.HostListSettings{Interval: pomeloconfig.DefaultHostListInterval}
 	for _, c := range []struct {
 		routers int
--- a/pomeloconfig/parts.go
+++ b/pomeloconfig/parts.go
@@ -12,18 +12,19 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// MaxPartBytes bounds a compressed part and an encoded root, well under what the platform's store takes.
+// MaxPartBytes is the maximum size of a compressed part or an encoded root, well below the store's value limit.
 const MaxPartBytes = pomelorelay.Bytes(512 << 10)
 
-// An account's entry is about 40 bytes compressed (a token hash cannot be compressed), so a part of 512 accounts is some 20 KB:
-// a change of one account rewrites that much, and 37,000 accounts need 128 hashes in the root.
+// An account's entry takes about 40 bytes compressed (a token hash does not compress), so a part of 512 accounts is about
+// 20 KB: a change of one account rewrites that much, and 37,000 accounts need 128 hashes in the root.
 const (
 	accountsPerPart          = 512
 	upstreamsPerPart         = 512
 	maxDecompressedPartBytes = 16 << 20
 )
 
-// partContent is what a part holds; a part has one kind of entry, but for the first, which has the few.
+// partContent is the decoded content of a part. The first part holds teams, regions, services and evacuations; every other
+// part holds upstreams or accounts.
 type partContent struct {
 	Bucket    int
 	Teams     []Team                 `json:",omitempty"`
@@ -34,17 +35,17 @@
 	Evacuated []pomelorelay.DomainID `json:",omitempty"`
 }
 
-// Part is one piece of a configuration, compressed and named by the SHA-256 of its compressed bytes.
+// Part is one compressed piece of a configuration, identified by the SHA-256 of the compressed bytes.
 type Part struct {
 	Hash pomelorelay.Hash
 	Data []byte
 }
 
-// HashOf returns the SHA-256 of a part's or root's bytes.
+// HashOf returns the SHA-256 of an encoded part or root.
 func HashOf(data []byte) pomelorelay.Hash { return sha256.Sum256(data) }
 
-// Split splits a configuration, so that a small change alters few parts; it fails with CodeConfigTooLarge when one is over MaxPart.
-// The same content gives the same parts, whatever the order of its entries.
+// Split splits a configuration into parts such that a small change alters few of them. The parts do not depend on the order of
+// the entries. It returns CodeConfigTooLarge when a part exceeds MaxPartBytes.
 func Split(c Configuration) ([]Part, error) {
 	c = c.normalised()
 	contents := []partContent{{Teams: c.Teams, Regions: c.Regions, Services: c.Services, Evacuated: c.Evacuated}}
@@ -73,12 +74,12 @@
 	}
 	data := compressor.EncodeAll(encoded, nil)
 	if pomelorelay.Bytes(len(data)) > MaxPartBytes || len(encoded) > maxDecompressedPartBytes {
-		return Part{}, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("a part has %d bytes, %d compressed", len(encoded), len(data)), nil)
+		return Part{}, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("a part has %d bytes, %d compressed, which is over the limit", len(encoded), len(data)), nil)
 	}
 	return Part{Hash: HashOf(data), Data: data}, nil
 }
 
-// bucketCount is a power of two, so that it stays the same while the number of entries does not double.
+// bucketCount returns a power of two, so that the count changes only when the number of entries about doubles or halves.
 func bucketCount(entries, perPart int) int {
 	if entries == 0 {
 		return 0
@@ -106,7 +107,7 @@
 	return numberBuckets(contents)
 }
 
-// numberBuckets makes empty parts differ from each other, so that a hash names one part of a root.
+// numberBuckets sets bucket numbers so that empty parts have different hashes and a hash identifies one part of a root.
 func numberBuckets(contents []partContent) []partContent {
 	for i := range contents {
 		contents[i].Bucket = i
@@ -114,11 +115,11 @@
 	return contents
 }
 
-// Assemble puts a configuration together from a root's parts; it fails with CodeConfigPartMissing, CodeConfigHashMismatch or
-// CodeConfigMalformed. It does not check the configuration; NewSnapshot does.
+// Assemble builds the configuration from a root's parts; it returns CodeConfigPartMissing, CodeConfigHashMismatch or
+// CodeConfigMalformed. It does not validate the configuration; NewSnapshot does.
 func Assemble(root Root, parts map[pomelorelay.Hash][]byte) (Configuration, error) {
 	if root.Format > FormatVersion {
-		return Configuration{}, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, fmt.Sprintf("the root has format %d, this program knows %d", root.Format, FormatVersion), nil)
+		return Configuration{}, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, fmt.Sprintf("the root has format %d, this program supports formats up to %d", root.Format, FormatVersion), nil)
 	}
 	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedPartBytes))
 	if err != nil {
@@ -140,7 +141,7 @@
 	if data == nil {
 		return pomelorelay.NewError(pomelorelay.CodeConfigPartMissing, hashHex(hash), nil)
 	}
-	// A part that was damaged on its way, or given for another, would else come into force on some routers only.
+	// Without this check a part that was corrupted in transit or stored under another hash would come into force on some routers only.
 	if HashOf(data) != hash {
 		return pomelorelay.NewError(pomelorelay.CodeConfigHashMismatch, hashHex(hash), nil)
 	}
--- a/pomeloconfig/parts_test.go
+++ b/pomeloconfig/parts_test.go
@@ -11,10 +11,10 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// targetAccounts is the number of accounts that the design is for.
+// targetAccounts is the number of accounts for which the configuration is designed.
 const targetAccounts = 37_000
 
-func TestSmallChangesTouchFewParts(t *testing.T) {
+func TestSmallChangeRewritesOnePart(t *testing.T) {
 	before, _ := mustParts(t, sample(targetAccounts))
 	c := sample(targetAccounts)
 	c.Accounts[777].Share = 99
@@ -38,7 +38,7 @@
 	t.Logf("37,000 accounts: %d parts, %d bytes; a change of one account rewrites 1 part, %d bytes", len(after), total, bytesChanged)
 }
 
-func TestAssembledIsWhatWasSplit(t *testing.T) {
+func TestSplitAndAssembleRoundTrip(t *testing.T) {
 	c := sample(1500)
 	hashes, byHash := mustParts(t, c)
 	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: 1, Parts: hashes}
@@ -47,13 +47,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encode(t, got), encode(t, c)) {
-		t.Fatal("the configuration changed on its way through the parts")
+		t.Fatal("splitting and assembling changed the configuration")
 	}
 }
 
-// A part is damaged, given for another, missing, or made by a newer program. A router must refuse the whole and go on with what it
-// has; half a configuration would lock accounts out.
-func TestBadPartsAreRefused(t *testing.T) {
+// A part is corrupt, swapped with another, missing, or of a newer format. Assemble must return an error; a partial
+// configuration would reject the requests of the accounts that it lacks.
+func TestAssembleRejectsInvalidParts(t *testing.T) {
 	hashes, byHash := mustParts(t, sample(1500))
 	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: 1, Parts: hashes}
 	good := byHash[hashes[1]]
@@ -75,7 +75,7 @@
 	wantCode(t, err, pomelorelay.CodeConfigMalformed)
 }
 
-func TestSnapshotAnswersForRouters(t *testing.T) {
+func TestSnapshotLookups(t *testing.T) {
 	c := sample(10)
 	c.Accounts[2].Shares = map[pomelorelay.ServiceID]pomelorelay.Weight{"draft": 50}
 	c.Teams = append(c.Teams, pomeloconfig.Team{Name: "guests"})
@@ -88,11 +88,11 @@
 	}
 	for _, a := range c.Accounts {
 		if got, ok := s.Authenticate(string(a.Name)); !ok || got != a.Name {
-			t.Fatalf("the token of %s gives %q", a.Name, got)
+			t.Fatalf("the token of %s is authenticated as %q", a.Name, got)
 		}
 	}
 	if got, ok := s.Authenticate("unknown"); ok {
-		t.Fatalf("an unknown token gives %q", got)
+		t.Fatalf("an unknown token is authenticated as %q", got)
 	}
 	for _, w := range []struct {
 		pool    pomelorelay.PoolID
@@ -104,7 +104,7 @@
 		}
 	}
 	if !s.MayCall("account-00001", "book") || s.MayCall("account-00004", "book") || !s.MayCall("account-00005", "book") || s.MayCall("unknown", "book") {
-		t.Error("the wrong accounts may call")
+		t.Error("MayCall returns a wrong result")
 	}
 	if service, ok := s.PoolService("draft/m"); !ok || service.Name != "draft" || s.Generation() != 7 {
 		t.Errorf("got %v %v", service, ok)
@@ -114,11 +114,11 @@
 	}
 	allocations := testing.AllocsPerRun(100, func() { s.Weight("draft/m", "account-00002") })
 	if allocations != 0 {
-		t.Errorf("a weight costs %g allocations", allocations)
+		t.Errorf("Weight makes %g allocations, want none", allocations)
 	}
 }
 
-// liveHeap returns the live heap.
+// liveHeap returns the size of the live heap in bytes, after garbage collection.
 func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -127,7 +127,7 @@
 	return m.HeapAlloc
 }
 
-func TestFiguresAt37000Accounts(t *testing.T) {
+func TestSnapshotMemoryAt37000Accounts(t *testing.T) {
 	c := sample(targetAccounts)
 	start := time.Now()
 	hashes, byHash := mustParts(t, c)
@@ -163,7 +163,7 @@
 		t.Fatalf("%d accounts", s.AccountCount())
 	}
 	if limit := uint64(16 << 20); heap > limit {
-		t.Errorf("the snapshot has %d bytes of heap, the bound is %d", heap, limit)
+		t.Errorf("the snapshot uses %d bytes of heap, want at most %d", heap, limit)
 	}
 	runtime.KeepAlive(s)
 }
--- a/pomeloconfig/problem.go
+++ b/pomeloconfig/problem.go
@@ -15,19 +15,19 @@
 	maxProblemsShown = 20
 )
 
-// Problem is one thing wrong with a document, and what to do about it.
+// Problem is one fault of a document and how to fix it.
 type Problem struct {
 	Code pomelorelay.ResultCode
-	// File and Line tell where; Line is zero when the entry is not in the file, and the file is empty for a value that was not read from one.
+	// File and Line locate the entry; Line is zero when the entry is not in the file, and File is empty when there is no file.
 	File string
 	Line int
-	// Path names the entry, as in Accounts[3].Share.
+	// Path is the path of the entry, such as Accounts[3].Share.
 	Path   string
 	Detail string
 	Fix    string
 }
 
-// String returns the problem in one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	text := p.Path + ": " + p.Detail + "; " + p.Fix
 	if p.File == "" {
@@ -39,7 +39,7 @@
 	return p.File + ":" + strconv.Itoa(p.Line) + ": " + text
 }
 
-// problemsError returns nil for no problems, else one error with the code that shows the first of them.
+// problemsError returns nil if there are no problems, otherwise an error with the code and the first maxProblemsShown problems.
 func problemsError(code pomelorelay.ResultCode, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return pomelorelay.NewError(code, strings.Join(lines, "\n"), nil)
 }
 
-// checker gathers problems.
+// checker collects problems.
 type checker struct {
 	code     pomelorelay.ResultCode
 	problems []Problem
@@ -86,7 +86,7 @@
 		return
 	}
 	if first, ok := seen[name]; ok {
-		c.add(path, quote(name)+" stands already at "+first, "rename or remove one of the two")
+		c.add(path, quote(name)+" is already used at "+first, "rename or remove one of the two")
 		return
 	}
 	seen[name] = path
@@ -110,7 +110,7 @@
 	}
 }
 
-// number also refuses what is not a number, which fails both comparisons.
+// number also rejects NaN, for which both comparisons are false.
 func (c *checker) number(path string, n, low, high float64) {
 	if !(n >= low && n <= high) {
 		c.add(path, fmt.Sprintf("%g is out of bounds", n), fmt.Sprintf("use %g to %g", low, high))
--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -11,38 +11,39 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// changeIDBytes makes two equal change ids as good as impossible.
+// changeIDBytes is long enough that random change IDs do not collide.
 const changeIDBytes = 16
 
-// Change is what an operator says of a new configuration.
+// Change describes a new configuration that an operator publishes.
 type Change struct {
-	// ID is made when it is empty. Giving the same one again finds a change that was accepted although its answer was lost.
+	// ID identifies the change; a random one is generated if it is empty. Publishing again with the same ID finds a change that
+	// was accepted although the answer was lost.
 	ID     ChangeID
 	Author string
 	Why    string
-	// Base is the generation that the operator started from; another one in the store is a conflict. Zero takes what is there.
+	// Base is the generation that the operator started from; any other generation in the store is a conflict. Zero accepts any.
 	Base pomelorelay.Generation
-	// Floor is the highest generation that any router has in force. The new one is above it, also when the store was restored
-	// from an old copy; without that, routers would never take the change, for they never go to a lower generation.
+	// Floor is the highest generation that any router has in force. The new generation is above it even if the store was
+	// restored from an old copy; otherwise routers would ignore the change, since they never go to a lower generation.
 	Floor pomelorelay.Generation
 }
 
-// PublisherConfig is what a Publisher is made of.
+// PublisherConfig configures a Publisher.
 type PublisherConfig struct {
 	Store pomelorelay.Store
-	// Clock dates the roots; nil takes the machine's.
+	// Clock sets the time in roots; nil uses the system clock.
 	Clock pomelorelay.Clock
-	// Random is where change ids come from; nil takes the machine's.
+	// Random is the source of change IDs; nil uses crypto/rand.
 	Random io.Reader
 }
 
-// Publisher brings a configuration into the store.
+// Publisher writes configurations to the store.
 type Publisher struct {
 	cfg   PublisherConfig
 	store configStore
 }
 
-// NewPublisher returns a Publisher.
+// NewPublisher returns a Publisher, with defaults for the nil fields of cfg.
 func NewPublisher(cfg PublisherConfig) *Publisher {
 	if cfg.Clock == nil {
 		cfg.Clock = pomelorelay.SystemClock{}
@@ -53,9 +54,9 @@
 	return &Publisher{cfg: cfg, store: configStore{store: cfg.Store}}
 }
 
-// Publish checks the whole configuration, writes its parts and swaps the root. It returns the root that holds the change, which
-// is the present one when nothing differs. It fails with CodeConfigInvalid, with CodeConfigConflict naming the winner of a race,
-// with CodeConfigUnsettled when the change may have been accepted or yet be, and as the store does when it surely was not.
+// Publish validates the configuration, writes its parts and replaces the root. It returns the root that contains the change,
+// which is the current one when nothing differs. It returns CodeConfigInvalid, CodeConfigConflict naming the change accepted
+// first, CodeConfigUnsettled when the change may have been or may still be accepted, or a store error when it was not.
 func (p *Publisher) Publish(ctx context.Context, c Configuration, change Change) (Root, error) {
 	c = c.normalised()
 	if err := problemsError(pomelorelay.CodeConfigInvalid, Check(c)); err != nil {
@@ -97,7 +98,7 @@
 	return hashes
 }
 
-// findChange looks for a change that was given again; no more than the whole chain is read, and only when an id was given.
+// findChange searches the history for a change that was already accepted under the ID; without an ID nothing is read.
 func (p *Publisher) findChange(ctx context.Context, id ChangeID, current Root, record pomelorelay.Record) (Root, error) {
 	if id == "" || record.Revision == 0 {
 		return Root{}, nil
@@ -117,7 +118,7 @@
 	}
 }
 
-// nextRoot makes the root that is to follow the current one.
+// nextRoot returns the root that follows the current one.
 func (p *Publisher) nextRoot(ctx context.Context, current Root, record pomelorelay.Record, parts []Part, change Change) (Root, error) {
 	id, err := p.changeID(change.ID)
 	if err != nil {
@@ -145,12 +146,12 @@
 	}
 	var id [changeIDBytes]byte
 	if _, err := io.ReadFull(p.cfg.Random, id[:]); err != nil {
-		return "", pomelorelay.NewError(pomelorelay.CodeInternal, "make a change id", err)
+		return "", pomelorelay.NewError(pomelorelay.CodeInternal, "generate a change id", err)
 	}
 	return ChangeID(hex.EncodeToString(id[:])), nil
 }
 
-// summariseDifference reads only the parts that are not in both.
+// summariseDifference reads only the parts that the new configuration does not share with the current one.
 func (p *Publisher) summariseDifference(ctx context.Context, current Root, parts []Part) (DifferenceSummary, error) {
 	newHashes := make(map[pomelorelay.Hash]bool, len(parts))
 	for _, part := range parts {
@@ -189,9 +190,9 @@
 	return Assemble(root, parts)
 }
 
-// writePartsAndHistory writes what must be in the store before the swap: the parts that the new root names, and the root that it replaces.
-// A root that came first would be in force with parts that nobody can read; a replaced root that was written only afterwards
-// would be lost from the audit trail whenever the operator's program ends in between.
+// writePartsAndHistory writes the records that must exist before the root is replaced: the new parts and the current root. A
+// root written before its parts would be in force while no router can read it; a replaced root written only afterwards would
+// be missing from the audit trail if the program ended in between.
 func (p *Publisher) writePartsAndHistory(ctx context.Context, current Root, record pomelorelay.Record, parts []Part) error {
 	stored := make(map[pomelorelay.Hash]bool, len(current.Parts))
 	for _, hash := range current.Parts {
@@ -228,7 +229,8 @@
 	return Root{}, err
 }
 
-// resolveConflict tells a change that was accepted and has already been replaced from one that lost the race: the former is in the chain.
+// resolveConflict returns next if it was accepted and has already been replaced, in which case it is in the history chain;
+// otherwise it returns a conflict error.
 func (p *Publisher) resolveConflict(ctx context.Context, next Root, hash pomelorelay.Hash, found pomelorelay.Record) (Root, error) {
 	winner, err := DecodeRoot(found.Value)
 	if err != nil {
--- a/pomeloconfig/publisher_test.go
+++ b/pomeloconfig/publisher_test.go
@@ -28,14 +28,14 @@
 	return pomeloconfig.NewPublisher(pomeloconfig.PublisherConfig{Store: store})
 }
 
-// withShare returns the sample with one account's share altered.
+// withShare returns the sample configuration with the share of one account changed.
 func withShare(share int) pomeloconfig.Configuration {
 	c := sample(20)
 	c.Accounts[3].Share = pomelorelay.Weight(share)
 	return c
 }
 
-func TestAuditTellsWhoWhenWhatAndWhy(t *testing.T) {
+func TestAuditRecordsAuthorTimeReasonAndDifference(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana", Why: "first"})
 	publish(t, store, withShare(9), pomeloconfig.Change{Author: "bea", Why: "more for 3"})
@@ -51,37 +51,37 @@
 		t.Fatalf("got %q, want %q", r.Difference.Lines[0], want)
 	}
 	if again := publish(t, store, withShare(9), pomeloconfig.Change{}); again.Generation != 2 {
-		t.Fatalf("an apply without a difference made generation %d", again.Generation)
+		t.Fatalf("publishing an unchanged configuration created generation %d", again.Generation)
 	}
 }
 
-// Two operators start from the same generation. The later one must be told who was first; silently accepted, the first one's
-// change would be gone.
-func TestLoserOfARaceLearnsTheWinner(t *testing.T) {
+// Two operators start from the same generation. The later one must get an error that names the accepted change; if the later
+// change were accepted too, it would silently revert the first one.
+func TestConflictErrorNamesAcceptedChange(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana"})
 	publish(t, store, withShare(2), pomeloconfig.Change{Author: "bea", Why: "festival", Base: 1})
 	_, err := newPublisher(store).Publish(context.Background(), withShare(3), pomeloconfig.Change{Author: "caio", Base: 1})
 	wantCode(t, err, pomelorelay.CodeConfigConflict)
 	if !strings.Contains(err.Error(), `generation 2 by "bea"`) || !strings.Contains(err.Error(), `"festival"`) {
-		t.Fatalf("the error does not name the winner: %v", err)
+		t.Fatalf("the error does not name the accepted change: %v", err)
 	}
 }
 
-func TestBadConfigurationsAreNotAccepted(t *testing.T) {
+func TestPublishRejectsInvalidConfiguration(t *testing.T) {
 	store := newMemStore()
 	c := sample(2)
 	c.Upstreams = c.Upstreams[:1]
 	_, err := newPublisher(store).Publish(context.Background(), c, pomeloconfig.Change{})
 	wantCode(t, err, pomelorelay.CodeConfigInvalid)
 	if store.writes != 0 {
-		t.Fatalf("%d writes of a bad configuration", store.writes)
+		t.Fatalf("%d writes of an invalid configuration", store.writes)
 	}
 }
 
-// The answer to every write is lost after it took effect, as in the outage of last quarter. The operator must learn that the
-// change was accepted; told of a conflict, he would apply it twice.
-func TestLostAnswersAreSettledByReadingBack(t *testing.T) {
+// The answer to every write is lost after the write took effect. Publish must report success; after a conflict error the
+// operator would apply the change twice.
+func TestLostWriteAnswersAreResolvedByReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore()
 		store.fault = func(int) writeFault { return faultAnswerLost }
@@ -94,9 +94,9 @@
 	})
 }
 
-// The store loses the call that swaps the root on every try, and the operator's program gives up. It must not say that the
-// change was refused, for a call may still arrive; applied again with its id, the change is found.
-func TestUnsettledChangeIsFoundByItsID(t *testing.T) {
+// Every attempt to replace the root gets an unknown outcome, and Publish times out. It must not report that the change was
+// rejected, because an attempt may still arrive; publishing again with the same ID must find the change.
+func TestUnsettledChangeIsFoundByID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemStore()
 		publish(t, store, withShare(1), pomeloconfig.Change{})
@@ -120,9 +120,9 @@
 	})
 }
 
-// The store is restored from an old copy while routers have generation 3 in force. A change numbered after the copy would be
-// refused by every router for good; the operator would see it accepted and never in force.
-func TestChangeAfterARestoreIsAboveTheFleet(t *testing.T) {
+// The store is restored from an old copy while routers have generation 3 in force. A change numbered after the restored root
+// would be accepted by the store but ignored by every router, since routers never go to a lower generation.
+func TestGenerationAfterRestoreIsAboveFleet(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{})
 	old := store.backup()
@@ -138,8 +138,8 @@
 	}
 }
 
-// A replaced root was changed in the store by something else. The audit must say so, not show it as it is.
-func TestAuditNoticesAChangedEntry(t *testing.T) {
+// A replaced root was modified in the store. Audit must report a broken history instead of returning the modified entry.
+func TestAuditDetectsModifiedHistory(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana"})
 	publish(t, store, withShare(2), pomeloconfig.Change{})
@@ -152,11 +152,11 @@
 	entries, err := pomeloconfig.Audit(context.Background(), store, pomeloconfig.AuditOptions{})
 	wantCode(t, err, pomelorelay.CodeConfigHistoryBroken)
 	if len(entries) != 1 {
-		t.Fatalf("%d entries proved", len(entries))
+		t.Fatalf("%d entries were verified, want 1", len(entries))
 	}
 }
 
-// overtakenStore loses the answer of the first swap of the root, and lets another operator's change in before it is read back.
+// overtakenStore loses the answer to the first write of the root, and lets another change replace it before it is read back.
 type overtakenStore struct {
 	*memStore
 	concurrent func()
@@ -173,9 +173,9 @@
 	return 0, pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
 }
 
-// A change is accepted, its answer is lost, and before the operator's program reads back, another change replaces it. Looking at
-// the newest root alone, the program would report a lost race although the change stands in the trail.
-func TestAcceptedChangeThatWasReplacedIsASuccess(t *testing.T) {
+// A change is accepted, the answer is lost, and another change replaces it before the read-back. From the newest root alone
+// Publish would report a conflict although the change is in the audit trail.
+func TestReplacedChangeIsReportedAsAccepted(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana"})
 	overtaken := &overtakenStore{memStore: store, concurrent: func() {
@@ -188,15 +188,15 @@
 	}
 }
 
-// raceOutcome is what one operator was told.
+// raceOutcome is the result of publishing one change.
 type raceOutcome struct {
 	id  pomeloconfig.ChangeID
 	err error
 }
 
-// Operators race each other while the store refuses calls, loses answers before and after their effect, and lets writes arrive
-// late. Whoever is told of success must stand in the audit trail once, whoever is told of a conflict must not, and every
-// accepted configuration must be readable.
+// Operators publish concurrently while the store rejects, loses and delays writes and loses answers. A change reported as
+// accepted must be in the audit trail exactly once, one reported as rejected must not be in it, and every accepted
+// configuration must be complete in the store.
 func TestRacingOperatorsAndLostAnswers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -255,11 +255,11 @@
 	for _, o := range outcomes {
 		switch {
 		case o.err == nil && times[o.id] != 1:
-			t.Fatalf("%s was told of success and stands %d times", o.id, times[o.id])
+			t.Fatalf("%s was reported as accepted and is in the audit trail %d times", o.id, times[o.id])
 		case o.err != nil && times[o.id] > 0 && !pomeloconfig.IsErrUnsettled(o.err):
-			t.Fatalf("%s was told %v and is in force", o.id, o.err)
+			t.Fatalf("%s failed with %v and is in the audit trail", o.id, o.err)
 		case times[o.id] > 1:
-			t.Fatalf("%s stands %d times", o.id, times[o.id])
+			t.Fatalf("%s is in the audit trail %d times", o.id, times[o.id])
 		}
 	}
 }
--- a/pomeloconfig/questionnaire.go
+++ b/pomeloconfig/questionnaire.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Question is one of the questionnaire.
+// Question is one line of the questionnaire, with the question that it answers.
 type Question struct {
-	// Line is the answer as it stands in the file, with an example or the default.
+	// Line is the answer's line in the file, with an example or the default value.
 	Line string
-	// Ask is the question; a line without one needs no answer of its own.
+	// Ask is the text of the question; it is empty for a line that needs no answer.
 	Ask     string
 	Default string
 	Why     string
-	// Optional questions stand commented out.
+	// Optional lines are commented out in the questionnaire.
 	Optional bool
 }
 
 const noDefault = "none, it must be answered"
 
-// Questions returns the questionnaire's questions in their order.
+// Questions returns the questions in the order of the questionnaire.
 func Questions() []Question {
 	questions := teamQuestions()
 	questions = append(questions, serviceQuestions()...)
@@ -27,7 +27,7 @@
 	return append(questions, accountQuestions()...)
 }
 
-// Questionnaire returns the text that a new team fills in: YAML with each question, its default and why it is asked.
+// Questionnaire returns the YAML document that a new team fills in, with each question, its default and its reason as comments.
 func Questionnaire() string {
 	var text strings.Builder
 	text.WriteString("# Questionnaire of a new team. Replace the examples by your answers; remove the # of a line to set what is optional.\n")
--- a/pomeloconfig/questionnaire_test.go
+++ b/pomeloconfig/questionnaire_test.go
@@ -23,7 +23,7 @@
 	return all
 }
 
-func TestExamplesGiveTheSameBytesInAnyOrder(t *testing.T) {
+func TestGenerateIsIndependentOfAnswerOrder(t *testing.T) {
 	examples := loadExamples(t)
 	forward, err := pomeloconfig.Generate(examples)
 	if err != nil {
@@ -35,21 +35,21 @@
 	}
 	a, b := encode(t, forward), encode(t, backward)
 	if !bytes.Equal(a, b) {
-		t.Fatal("the order of the answers changes the bytes")
+		t.Fatal("the order of the answers changes the configuration")
 	}
 	again, err := pomeloconfig.Parse("a", a)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c := encode(t, again); !bytes.Equal(a, c) {
-		t.Fatal("reading and writing changes the bytes")
+		t.Fatal("parsing and encoding changes the bytes")
 	}
 	if len(forward.Accounts) != 32 || len(forward.Upstreams) != 28 || len(forward.Services) != 4 {
 		t.Fatalf("%d accounts, %d upstreams, %d services", len(forward.Accounts), len(forward.Upstreams), len(forward.Services))
 	}
 }
 
-func TestQuestionnaireIsItsOwnExample(t *testing.T) {
+func TestQuestionnaireIsValidAndComplete(t *testing.T) {
 	answers, err := pomeloconfig.ParseAnswers("questionnaire", []byte(pomeloconfig.Questionnaire()))
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	checkFieldsAreAsked(t, reflect.TypeOf(answers), pomeloconfig.Questionnaire())
 }
 
-// checkFieldsAreAsked walks the types of the answers, so that no field comes without its question.
+// checkFieldsAreAsked checks that every field of the answers' types occurs in the questionnaire.
 func checkFieldsAreAsked(t *testing.T, typ reflect.Type, text string) {
 	t.Helper()
 	for typ.Kind() == reflect.Slice {
@@ -72,14 +72,14 @@
 	for i := range typ.NumField() {
 		field := typ.Field(i)
 		if !strings.Contains(text, field.Name+":") {
-			t.Errorf("%s.%s is not asked for", typ.Name(), field.Name)
+			t.Errorf("%s.%s is not in the questionnaire", typ.Name(), field.Name)
 		}
 		checkFieldsAreAsked(t, field.Type, text)
 	}
 }
 
-// A team gives an answer that cannot be meant. It must be told the line and what to do, before anything is generated.
-func TestBadAnswersNameLineAndFix(t *testing.T) {
+// Each case makes one answer invalid. The error must name the place and the fix.
+func TestInvalidAnswersNameLineAndFix(t *testing.T) {
 	good := pomeloconfig.Questionnaire()
 	for _, c := range []struct {
 		from, to string
@@ -104,13 +104,13 @@
 	}
 }
 
-// Two teams call different services by one name. One of them would get the other's callers.
-func TestTeamsMayNotShareNames(t *testing.T) {
+// Two teams use the same name for different services. Requests for one service would reach the upstreams of the other.
+func TestGenerateRejectsDuplicateServiceNames(t *testing.T) {
 	examples := loadExamples(t)
 	second := examples[0]
 	second.Team = "others"
 	_, err := pomeloconfig.Generate([]pomeloconfig.Answers{examples[0], second})
-	if !pomelorelay.IsErrCode(err, pomelorelay.CodeAnswersInvalid) || !strings.Contains(err.Error(), `"booking" stands already`) {
+	if !pomelorelay.IsErrCode(err, pomelorelay.CodeAnswersInvalid) || !strings.Contains(err.Error(), `"booking" is already used`) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/pomeloconfig/root.go
+++ b/pomeloconfig/root.go
@@ -11,33 +11,33 @@
 	"github.com/go-faster/errors"
 )
 
-// FormatVersion numbers the layout of roots and parts; a program refuses a higher one than it knows.
+// FormatVersion is the version of the encoding of roots and parts; a program rejects versions above its own.
 const FormatVersion = 1
 
 const maxRootParts = 4096
 
-// ChangeID marks one operator's attempt to change the configuration, so that it is recognised when read back.
+// ChangeID identifies an operator's change, so that it can be found again in the store.
 type ChangeID string
 
-// Root names everything of one generation of the configuration.
+// Root is the manifest of one generation of the configuration: the hashes of its parts and its audit record.
 type Root struct {
 	Format     int
 	Generation pomelorelay.Generation
 	ChangeID   ChangeID
-	// Author, Time and Why are for the audit trail.
+	// Author, Time and Why are shown in the audit trail.
 	Author string
 	Time   time.Time
 	Why    string
-	// Parts are the hashes of the parts.
+	// Parts lists the hashes of the configuration's parts.
 	Parts []pomelorelay.Hash
-	// Previous and PreviousGeneration name the root that this one replaced; zero for the first.
+	// Previous and PreviousGeneration are the hash and generation of the root that this one replaced; zero for the first root.
 	Previous           pomelorelay.Hash
 	PreviousGeneration pomelorelay.Generation
-	// Difference sums up what changed.
+	// Difference summarises the change from the previous generation.
 	Difference DifferenceSummary
 }
 
-// rootDocument is a Root with its hashes in hexadecimal.
+// rootDocument is the JSON form of Root, with the hashes in hexadecimal.
 type rootDocument struct {
 	Format             int
 	Generation         pomelorelay.Generation
@@ -51,7 +51,7 @@
 	Difference         DifferenceSummary
 }
 
-// MarshalJSON returns the root as it is stored, with its hashes in hexadecimal.
+// MarshalJSON encodes the root as it is stored, with its hashes in hexadecimal.
 func (r Root) MarshalJSON() ([]byte, error) {
 	doc := rootDocument{
 		Format: r.Format, Generation: r.Generation, ChangeID: r.ChangeID, Author: r.Author, Time: r.Time.UTC(), Why: r.Why,
@@ -66,22 +66,22 @@
 	return json.Marshal(doc)
 }
 
-// EncodeRoot returns the root's bytes; it fails with CodeConfigTooLarge when they are over MaxPart.
+// EncodeRoot encodes a root for the store; it returns CodeConfigTooLarge when the result exceeds MaxPartBytes.
 func EncodeRoot(r Root) ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
 		return nil, pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "encode the root", err)
 	}
 	if pomelorelay.Bytes(len(data)) > MaxPartBytes {
-		return nil, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("the root has %d bytes", len(data)), nil)
+		return nil, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, fmt.Sprintf("the root has %d bytes, which is over the limit", len(data)), nil)
 	}
 	return data, nil
 }
 
-// DecodeRoot reads a root; it fails with CodeConfigMalformed.
+// DecodeRoot decodes and checks a root from the store; it returns CodeConfigMalformed for invalid data.
 func DecodeRoot(data []byte) (Root, error) {
 	if pomelorelay.Bytes(len(data)) > MaxPartBytes {
-		return Root{}, malformedRoot(errors.Errorf("it has %d bytes", len(data)))
+		return Root{}, malformedRoot(errors.Errorf("%d bytes are over the limit", len(data)))
 	}
 	var doc rootDocument
 	if err := json.Unmarshal(data, &doc); err != nil {
@@ -95,7 +95,7 @@
 }
 
 func malformedRoot(cause error) error {
-	return pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "the root cannot be read", cause)
+	return pomelorelay.NewError(pomelorelay.CodeConfigMalformed, "the root cannot be decoded", cause)
 }
 
 func (d rootDocument) root() (Root, error) {
@@ -104,10 +104,10 @@
 		PreviousGeneration: d.PreviousGeneration, Difference: d.Difference,
 	}
 	if d.Generation == 0 || d.PreviousGeneration >= d.Generation {
-		return Root{}, errors.Errorf("generation %d follows %d", d.Generation, d.PreviousGeneration)
+		return Root{}, errors.Errorf("generation %d does not follow the previous generation %d", d.Generation, d.PreviousGeneration)
 	}
 	if len(d.Parts) == 0 || len(d.Parts) > maxRootParts {
-		return Root{}, errors.Errorf("it names %d parts", len(d.Parts))
+		return Root{}, errors.Errorf("a root cannot have %d parts", len(d.Parts))
 	}
 	for _, text := range d.Parts {
 		hash, err := parseHash(text)
@@ -129,7 +129,7 @@
 func parseHash(text string) (pomelorelay.Hash, error) {
 	hash, err := parseTokenHash(text)
 	if err != nil {
-		return pomelorelay.Hash{}, errors.Wrap(err, "a hash")
+		return pomelorelay.Hash{}, errors.Wrap(err, "parse a hash")
 	}
 	return pomelorelay.Hash(hash), nil
 }
--- a/pomeloconfig/sample_test.go
+++ b/pomeloconfig/sample_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// sample returns a good configuration with the number of accounts.
+// sample returns a valid configuration with the given number of accounts.
 func sample(accounts int) pomeloconfig.Configuration {
 	c := pomeloconfig.Configuration{
 		Teams:    []pomeloconfig.Team{{Name: "team"}},
--- a/pomeloconfig/settings.go
+++ b/pomeloconfig/settings.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Settings are what one router reads from its own file at the start.
+// Settings are the settings of one router, read from a file at start.
 type Settings struct {
 	Host     HostSettings     `yaml:"Host"`
 	Listen   ListenSettings   `yaml:"Listen"`
@@ -19,7 +19,7 @@
 	Limits   LimitSettings    `yaml:"Limits"`
 }
 
-// LoadSettings reads a router's settings from a file; it fails with CodeFileUnreadable or as ParseSettings does, naming the file.
+// LoadSettings reads a router's settings from a file; it returns CodeFileUnreadable or the errors of ParseSettings, which name the file.
 func LoadSettings(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return parseSettings(path, data)
 }
 
-// ParseSettings reads a router's settings, fills in the defaults and checks them; it fails with CodeConfigSyntax,
-// CodeConfigUnknownField or CodeSettingsInvalid, naming line and fix.
+// ParseSettings parses a router's settings, fills in the defaults and checks them. It returns CodeConfigSyntax,
+// CodeConfigUnknownField or CodeSettingsInvalid; the error names line and fix.
 func ParseSettings(data []byte) (Settings, error) { return parseSettings("settings", data) }
 
 func parseSettings(file string, data []byte) (Settings, error) {
--- a/pomeloconfig/settings_control.go
+++ b/pomeloconfig/settings_control.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Defaults of the control section.
+// Defaults of the Control section.
 const (
 	DefaultDomainBytes      = pomelorelay.Bytes(128 << 10)
 	DefaultRegionBytes      = pomelorelay.Bytes(128 << 10)
@@ -27,37 +27,39 @@
 	DefaultAdmissionCharge  = 0.35
 )
 
-// ControlSettings set the pace and the byte budgets of the traffic between routers.
+// ControlSettings sets the intervals and byte budgets of the traffic between routers.
 type ControlSettings struct {
-	// DomainBytes, RegionBytes and CrossBytes are the budgets a second by link class.
+	// DomainBytes, RegionBytes and CrossBytes are the byte budgets per second for links within the failure domain, within the
+	// region and between regions.
 	DomainBytes pomelorelay.Bytes `yaml:"DomainBytes"`
 	RegionBytes pomelorelay.Bytes `yaml:"RegionBytes"`
 	CrossBytes  pomelorelay.Bytes `yaml:"CrossBytes"`
-	// DigestInterval and LedgerInterval are how often a router tells its failure domain; ExchangeInterval how often domains tell each other.
+	// DigestInterval and LedgerInterval are the intervals of digests and ledger reports to routers of the same failure domain;
+	// ExchangeInterval is that of reports between failure domains.
 	DigestInterval   time.Duration `yaml:"DigestInterval"`
 	LedgerInterval   time.Duration `yaml:"LedgerInterval"`
 	ExchangeInterval time.Duration `yaml:"ExchangeInterval"`
-	// ProbeWait is the wait for a probe's answer before others are asked to probe, and again before the router is suspected;
-	// SuspectFor is how long a suspected router may refute before it counts as dead.
+	// ProbeWait is the timeout of a direct probe before others are asked to probe, and of their probes before the router is
+	// suspected; SuspectFor is how long a suspected router can refute the suspicion before it is declared dead.
 	ProbeWait  time.Duration `yaml:"ProbeWait"`
 	SuspectFor time.Duration `yaml:"SuspectFor"`
 	GrantTTL   time.Duration `yaml:"GrantTTL"`
-	// LoadInterval is how often a slot owner reads an upstream's load.
+	// LoadInterval is the interval at which a slot owner reads an upstream's load.
 	LoadInterval time.Duration `yaml:"LoadInterval"`
-	// ClaimCommits bounds the writes a second of all claim shards of the fleet together.
+	// ClaimCommits is the maximum number of writes per second by all claim shards of the fleet together.
 	ClaimCommits float64 `yaml:"ClaimCommits"`
-	// ConfigPull is how long a configuration pull waits before another peer is asked.
+	// ConfigPull is how long a configuration pull waits before it asks another peer.
 	ConfigPull time.Duration `yaml:"ConfigPull"`
-	// StopWait bounds a graceful stop.
+	// StopWait is the time limit of a graceful stop.
 	StopWait time.Duration `yaml:"StopWait"`
-	// Shards of the ledger; the same on every router.
+	// Shards is the number of ledger shards; it must be the same on every router.
 	Shards int `yaml:"Shards"`
-	// ClaimShards of the claims; the same on every router, and not to be changed while claims are kept: a key would be looked
-	// for in another shard than the one that holds its claim.
+	// ClaimShards is the number of claim shards; it must be the same on every router and must not change while claims are
+	// stored, because a key would then be looked up in another shard than the one that holds its claim.
 	ClaimShards int `yaml:"ClaimShards"`
-	// ConfigWatchers a failure domain hold a watch on the store.
+	// ConfigWatchers is the number of routers per failure domain that watch the store.
 	ConfigWatchers int `yaml:"ConfigWatchers"`
-	// AdmissionCharge is the fraction of the expected cost that is charged at admission.
+	// AdmissionCharge is the fraction of a request's expected cost that is charged at admission.
 	AdmissionCharge float64 `yaml:"AdmissionCharge"`
 }
 
--- a/pomeloconfig/settings_host.go
+++ b/pomeloconfig/settings_host.go
@@ -2,9 +2,9 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// HostSettings tell where the router stands.
+// HostSettings identifies the router and its location.
 type HostSettings struct {
-	// Name is the router's name, the same as on the host list.
+	// Name is the router's name on the host list.
 	Name          pomelorelay.NodeID   `yaml:"Name"`
 	FailureDomain pomelorelay.DomainID `yaml:"FailureDomain"`
 	Region        pomelorelay.RegionID `yaml:"Region"`
--- a/pomeloconfig/settings_limits.go
+++ b/pomeloconfig/settings_limits.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Defaults of the limits section.
+// Defaults of the Limits section.
 const (
 	DefaultHeaderBytes   = pomelorelay.Bytes(32 << 10)
 	DefaultBodyBytes     = pomelorelay.Bytes(16 << 20)
@@ -15,12 +15,12 @@
 	DefaultIdleTimeout   = 2 * time.Minute
 )
 
-// LimitSettings bound what callers may make a router hold.
+// LimitSettings limits the memory and connections that callers can take up at a router.
 type LimitSettings struct {
 	HeaderBytes pomelorelay.Bytes `yaml:"HeaderBytes"`
-	// BodyBytes bounds a request's body, whatever the service allows.
+	// BodyBytes is the maximum size of a request's body, also where the service allows more.
 	BodyBytes pomelorelay.Bytes `yaml:"BodyBytes"`
-	// BufferedBytes bounds all bodies that wait at the router.
+	// BufferedBytes is the maximum total size of the bodies waiting at the router.
 	BufferedBytes pomelorelay.Bytes `yaml:"BufferedBytes"`
 	HeaderTimeout time.Duration     `yaml:"HeaderTimeout"`
 	IdleTimeout   time.Duration     `yaml:"IdleTimeout"`
--- a/pomeloconfig/settings_listen.go
+++ b/pomeloconfig/settings_listen.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// ListenSettings are the router's own addresses, by IP number and port.
+// ListenSettings holds the router's listen addresses: IP number and port.
 type ListenSettings struct {
 	Caller   netip.AddrPort `yaml:"Caller"`
 	Control  netip.AddrPort `yaml:"Control"`
--- a/pomeloconfig/settings_log.go
+++ b/pomeloconfig/settings_log.go
@@ -2,9 +2,9 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// LogSettings set what is logged.
+// LogSettings configures logging.
 type LogSettings struct {
-	// Level is the lowest level that is written.
+	// Level is the lowest level that is logged.
 	Level pomelorelay.Level `yaml:"Level"`
 }
 
--- a/pomeloconfig/settings_seeds.go
+++ b/pomeloconfig/settings_seeds.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Seed is a router that is asked first, before the host list is read or while it is not there.
+// Seed is a router to contact before the host list has been read, or while the list is unavailable.
 type Seed struct {
 	Name          pomelorelay.NodeID   `yaml:"Name"`
 	Address       netip.AddrPort       `yaml:"Address"`
--- a/pomeloconfig/settings_store.go
+++ b/pomeloconfig/settings_store.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Defaults of the store and host list sections.
+// Defaults of the Store and HostList sections.
 const (
 	DefaultStoreTimeout        = 2 * time.Second
 	DefaultStoreCallsPerSecond = 50
 	DefaultHostListInterval    = time.Second
 )
 
-// StoreSettings tell how the platform's store is reached.
+// StoreSettings configures access to the platform's store.
 type StoreSettings struct {
 	Addresses []netip.AddrPort `yaml:"Addresses"`
 	Timeout   time.Duration    `yaml:"Timeout"`
-	// CallsPerSecond is this router's own budget of calls to the store.
+	// CallsPerSecond is the maximum rate of this router's calls to the store.
 	CallsPerSecond float64 `yaml:"CallsPerSecond"`
 }
 
-// HostListSettings tell how the platform's host list is reached.
+// HostListSettings configures access to the platform's host list.
 type HostListSettings struct {
-	// Addresses are the store's when none is given.
+	// Addresses defaults to the store's addresses.
 	Addresses []netip.AddrPort `yaml:"Addresses"`
 	Timeout   time.Duration    `yaml:"Timeout"`
-	// Interval is how often the list is read.
+	// Interval is the shortest interval between reads of the list; a router of a large fleet reads it less often.
 	Interval time.Duration `yaml:"Interval"`
 }
 
--- a/pomeloconfig/settings_tls.go
+++ b/pomeloconfig/settings_tls.go
@@ -1,11 +1,11 @@
 package pomeloconfig
 
-// TLSSettings are the keys for mutual TLS between routers; files are read again when they change.
+// TLSSettings names the files for mutual TLS between routers; they are reloaded when they change.
 type TLSSettings struct {
 	CertFile      string `yaml:"CertFile"`
 	KeyFile       string `yaml:"KeyFile"`
 	AuthorityFile string `yaml:"AuthorityFile"`
-	// Insecure lets routers speak to each other without TLS.
+	// Insecure disables TLS between routers.
 	Insecure bool `yaml:"Insecure"`
 }
 
--- a/pomeloconfig/settingsdoc_test.go
+++ b/pomeloconfig/settingsdoc_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// minimalSettings give only what has no default.
+// minimalSettings sets only the settings that have no default.
 const minimalSettings = `
 Host: {Name: r1, FailureDomain: a, Region: north}
 Listen: {Caller: "127.0.0.1:1", Control: "127.0.0.1:2", Operator: "127.0.0.1:3"}
@@ -20,10 +20,10 @@
 TLS: {Insecure: true}
 `
 
-// inheritedDefaults are the defaults that are other settings' values.
+// inheritedDefaults maps settings to the settings whose values are their defaults.
 var inheritedDefaults = map[string]string{"HostList.Addresses": "Store.Addresses", "HostList.Timeout": "Store.Timeout"}
 
-// collectSettings collects the settings below a value by their YAML names, with their defaults; empty ones are required.
+// collectSettings collects the formatted settings of a value by YAML path; a slice of structs is described by one element.
 func collectSettings(prefix string, v reflect.Value, into map[string]string) {
 	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct && v.Type().Elem() != reflect.TypeFor[netip.AddrPort]() {
 		v = reflect.New(v.Type().Elem()).Elem()
@@ -38,14 +38,14 @@
 	}
 }
 
-func TestSettingsPageMatchesTheSettings(t *testing.T) {
+func TestSettingsPageMatchesCode(t *testing.T) {
 	s, err := pomeloconfig.ParseSettings([]byte(minimalSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	inCode := make(map[string]string)
 	collectSettings("", reflect.ValueOf(s), inCode)
-	// The minimal settings need it; the default is that of a file which names keys.
+	// minimalSettings sets Insecure to do without key files; its default is false.
 	inCode["TLS.Insecure"] = "false"
 	page, err := os.ReadFile("../docs/operators/settings.md")
 	if err != nil {
@@ -59,24 +59,24 @@
 		stated, ok := onPage[name]
 		switch {
 		case !ok:
-			t.Errorf("%s has no row on the page", name)
+			t.Errorf("%s has no row on the settings page", name)
 		case inheritedDefaults[name] != "" && stated == inheritedDefaults[name]:
 		case strings.HasPrefix(stated, "required"):
 			if !isRequired(name) {
 				t.Errorf("%s is not required", name)
 			}
 		case stated != value:
-			t.Errorf("%s: the page says %s, the code %s", name, stated, value)
+			t.Errorf("%s: the page has default %s, the code has %s", name, stated, value)
 		}
 		delete(onPage, name)
 	}
 
 	for name := range onPage {
-		t.Errorf("the page has %s, the settings do not", name)
+		t.Errorf("the page has %s, which is not a setting", name)
 	}
 }
 
-// isRequired reports whether a router refuses settings without the value.
+// isRequired reports whether settings without the value are invalid.
 func isRequired(name string) bool {
 	section, field, _ := strings.Cut(name, ".")
 	if section == "Seeds" {
--- a/pomeloconfig/snapshot.go
+++ b/pomeloconfig/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Snapshot is a configuration as routers read it: immutable, checked, safe for concurrent use and small in memory.
+// Snapshot is a validated configuration compiled for lookups: immutable, compact and safe for concurrent use.
 type Snapshot struct {
 	root          Root
 	teams         []Team
@@ -19,17 +19,17 @@
 	serviceIndex  map[pomelorelay.ServiceID]int32
 	upstreams     []Upstream
 	upstreamIndex map[pomelorelay.UpstreamID]int32
-	// poolServiceIndex is the place in services of each pool's service.
+	// poolServiceIndex is the index in services of each pool's service.
 	poolServiceIndex map[pomelorelay.PoolID]int32
 	accounts         []compiledAccount
 	accountIndex     map[pomelorelay.AccountID]int32
-	// tokens are in the order of their hashes.
+	// tokens is sorted by hash.
 	tokens    []tokenEntry
 	minWeight pomelorelay.Weight
 	evacuated []pomelorelay.DomainID
 }
 
-// compiledAccount keeps the few shares by service outside, so that most accounts need none.
+// compiledAccount is an account in compact form; shares is nil for the many accounts without shares by service.
 type compiledAccount struct {
 	name   pomelorelay.AccountID
 	team   int32
@@ -49,7 +49,7 @@
 
 var _ pomelorelay.Weights = (*Snapshot)(nil)
 
-// NewSnapshot checks and compiles a configuration; it fails with CodeConfigInvalid.
+// NewSnapshot validates and compiles a configuration; it returns CodeConfigInvalid if it has problems.
 func NewSnapshot(root Root, c Configuration) (*Snapshot, error) {
 	c.FillDefaults()
 	if err := problemsError(pomelorelay.CodeConfigInvalid, Check(c)); err != nil {
@@ -105,7 +105,7 @@
 	return shares
 }
 
-// addTokens passes over nothing: Check has parsed every hash before.
+// addTokens adds every hash; parsing cannot fail because Check has validated them.
 func (s *Snapshot) addTokens(account int32, hashes []string) {
 	for _, text := range hashes {
 		hash, err := parseTokenHash(text)
@@ -115,23 +115,21 @@
 	}
 }
 
-// Root returns the root of the generation.
+// Root returns the root that the snapshot was built from.
 func (s *Snapshot) Root() Root { return s.root }
 
-// Generation returns the generation.
+// Generation returns the generation of the configuration.
 func (s *Snapshot) Generation() pomelorelay.Generation { return s.root.Generation }
 
-// HashToken returns the hash, in hexadecimal, under which a bearer token is kept.
+// HashToken returns the SHA-256 of a bearer token in hexadecimal, as stored in Account.TokenHashes.
 func HashToken(token string) string {
 	hash := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(hash[:])
 }
 
-// Authenticate returns the account of a bearer token, or false when no account has it.
-//
-// The token is hashed first, and the search branches only on the first eight bytes of that hash, which a caller cannot choose;
-// the rest is compared in constant time. A comparison that ends at the first difference would let a caller find a stored hash
-// byte by byte from the time of a refusal.
+// Authenticate returns the account of a bearer token, or false when no account has it. The search branches only on the first
+// eight bytes of the token's hash, which a caller cannot choose, and the full hash is compared in constant time: a comparison
+// that ends at the first difference would let a caller recover a stored hash byte by byte from the response time.
 func (s *Snapshot) Authenticate(token string) (pomelorelay.AccountID, bool) {
 	hash := tokenHash(sha256.Sum256([]byte(token)))
 	want := binary.BigEndian.Uint64(hash[:8])
@@ -155,7 +153,7 @@
 	return 0
 }
 
-// MayCall returns whether the account may call the service: one of its own team, or one that its shares name.
+// MayCall reports whether the account may call the service: one of its own team, or one listed in its shares.
 func (s *Snapshot) MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool {
 	accountAt, accountKnown := s.accountIndex[account]
 	serviceAt, serviceKnown := s.serviceIndex[service]
@@ -177,7 +175,7 @@
 	return 0, false
 }
 
-// Weight returns the account's weight in the pool; an unknown account gets the smallest configured one.
+// Weight returns the account's weight in the pool; for an unknown account it returns the smallest configured weight.
 func (s *Snapshot) Weight(pool pomelorelay.PoolID, account pomelorelay.AccountID) pomelorelay.Weight {
 	i, known := s.accountIndex[account]
 	if !known {
@@ -191,7 +189,7 @@
 	return s.accounts[i].share
 }
 
-// Service returns a service by name.
+// Service returns the service with the name.
 func (s *Snapshot) Service(name pomelorelay.ServiceID) (Service, bool) {
 	i, ok := s.serviceIndex[name]
 	if !ok {
@@ -209,7 +207,7 @@
 	return s.services[i], true
 }
 
-// Upstream returns an upstream by name.
+// Upstream returns the upstream with the name.
 func (s *Snapshot) Upstream(name pomelorelay.UpstreamID) (Upstream, bool) {
 	i, ok := s.upstreamIndex[name]
 	if !ok {
@@ -218,16 +216,16 @@
 	return s.upstreams[i], true
 }
 
-// Services returns the services; the caller must not change them.
+// Services returns the services; the caller must not modify the slice.
 func (s *Snapshot) Services() []Service { return s.services }
 
-// Upstreams returns the upstreams; the caller must not change them.
+// Upstreams returns the upstreams; the caller must not modify the slice.
 func (s *Snapshot) Upstreams() []Upstream { return s.upstreams }
 
-// Regions returns the regions; the caller must not change them.
+// Regions returns the regions; the caller must not modify the slice.
 func (s *Snapshot) Regions() []Region { return s.regions }
 
-// Teams returns the teams; the caller must not change them.
+// Teams returns the teams; the caller must not modify the slice.
 func (s *Snapshot) Teams() []Team { return s.teams }
 
 // AccountCount returns the number of accounts.
--- a/pomeloconfig/spread_time_test.go
+++ b/pomeloconfig/spread_time_test.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// measureApplyTimes changes the configuration again and again and returns how long each router took to have it in force, and the bytes
-// of roots and parts that the routers sent per change and router.
+// measureApplyTimes publishes changes one after the other. It returns the sorted times until each router has each change in
+// force, and the bytes of roots and parts sent per change and router.
 func measureApplyTimes(t *testing.T, f *fleet, changes int) ([]time.Duration, pomelorelay.Bytes) {
 	t.Helper()
 	f.publishNext(t)
@@ -31,9 +31,9 @@
 	return times, f.sentBytes / pomelorelay.Bytes(changes*len(f.routers))
 }
 
-// A change is accepted in a failure domain of 60 routers of which two watch the store. Then the store is lost to all routers but one.
-// Both times the change must be in force everywhere within seconds; a router left behind would serve by shares that were replaced.
-func TestTimeUntilAChangeIsInForce(t *testing.T) {
+// A change is published in a failure domain of 60 routers, with two routers watching the store or with the store reachable from
+// one router only. The change must be in force on all routers within the bound; a late router would apply outdated shares.
+func TestChangeIsInForceWithinBound(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		watchers     int
@@ -59,16 +59,17 @@
 	}
 }
 
-// A router starts cold while the store is down, at 37,000 accounts. It must get all parts from a peer in bounded messages; asked for
-// in one go, they would not fit a message, and it would stay out of service until the store is back.
-func TestColdRouterPullsEverythingFromAPeer(t *testing.T) {
+// A router starts without a configuration while the store is down, with 37,000 accounts. It must get all parts from a peer in
+// messages of bounded size; in a single message they would exceed the limit, and the router would stay unready until the store
+// is back.
+func TestRouterWithoutStorePullsConfigurationFromPeer(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.storeUp = false
 	f.published = []generation{makeGeneration(t, 1, sample(targetAccounts))}
 	applyGeneration(t, f.routers[0].spreader, f.published[0])
 	f.run(t, 100)
 	if got := f.routers[1].spreader.Generation(); got != 1 {
-		t.Fatalf("the cold router has generation %d", got)
+		t.Fatalf("the router that started without a configuration has generation %d", got)
 	}
 	t.Logf("37,000 accounts from a peer, 20 ms a message: %v, %d bytes of configuration", f.routers[1].reachedAt.Sub(epoch), f.sentBytes)
 	if maxSent := pomelorelay.Bytes(2 << 20); f.sentBytes > maxSent {
--- a/pomeloconfig/spreader.go
+++ b/pomeloconfig/spreader.go
@@ -19,50 +19,51 @@
 	pullTimeoutsBeforeDrop  = 12
 )
 
-// SpreaderConfig is what a Spreader is made of; a zero field takes its default.
+// SpreaderConfig configures a Spreader; zero fields take their defaults.
 type SpreaderConfig struct {
-	// MaxPushBytes bounds the parts of one push message; a single larger part goes alone.
+	// MaxPushBytes is the maximum size of the parts in one push message; a larger part is sent in a message of its own.
 	MaxPushBytes pomelorelay.Bytes
-	// PullWait is how long a pull may be without progress before another source is asked.
+	// PullWait is how long a pull may make no progress before another source is asked.
 	PullWait time.Duration
-	// StoreReadTimeout is how long the node is given for a store read before it is asked again.
+	// StoreReadTimeout is how long to wait for a store read before it is requested again.
 	StoreReadTimeout time.Duration
-	// MaxServedPeers is how many peers are answered within PullWait; the others ask someone else. Without it every router of a failure
-	// domain would pull from the one that first has a new generation, and its queue would fill with answers that come too late.
+	// MaxServedPeers is the maximum number of peers whose pulls are answered within the pull timeout; others ask another peer.
+	// Without it every router of a failure domain would pull from the first one with a new generation, and its queue would
+	// fill with answers that arrive too late.
 	MaxServedPeers int
-	// Seed starts the choice of peers.
+	// Seed seeds the random choice of peers.
 	Seed uint64
-	// Logger takes the events.
+	// Logger receives events; nil discards them.
 	Logger pomelorelay.Logger
 }
 
-// Candidate is a whole configuration, newer than the one in force, whose hashes match.
+// Candidate is a complete configuration above the generation in force, with verified hashes, that has not been validated yet.
 type Candidate struct {
 	Root  Root
 	Parts map[pomelorelay.Hash][]byte
 }
 
-// StoreReads is what the node is asked to read from the store, and to hand back by Stored and StoredPart.
+// StoreReads lists what the caller must read from the store and hand back to the Spreader.
 type StoreReads struct {
 	Root  bool
 	Parts []pomelorelay.Hash
 }
 
-// Spreader decides how a router comes to the newest configuration: from the peer that told of it, then from the store. It never
-// goes to a lower generation. It makes no calls and is not safe for concurrent use.
+// Spreader is the state machine by which a router gets the newest configuration: from a peer that announced it, otherwise from
+// the store. It never goes to a lower generation. It performs no I/O and is not safe for concurrent use.
 type Spreader struct {
 	cfg    SpreaderConfig
 	random *rand.Rand
 	peers  []pomelorelay.NodeID
-	// peerGenerations is the generation that each peer last had in force; a peer that started anew may have less than before.
+	// peerGenerations holds the generation last announced by each peer; it falls when a peer restarts.
 	peerGenerations map[pomelorelay.NodeID]pomelorelay.Generation
 
 	inForce     rootWithParts
 	refusedRoot rootWithParts
-	// target is the newest root known above the one in force; its parts are gathered in fresh.
+	// target is the newest known root above the one in force; its missing parts are collected in fetched.
 	target  rootWithParts
 	fetched map[pomelorelay.Hash][]byte
-	// progressed tells that a root or part came since the last tick, progressAt when one last did.
+	// progressed is set when a root or part arrives, and cleared by the next tick, which sets lastProgress.
 	progressed   bool
 	lastProgress time.Time
 
@@ -73,7 +74,7 @@
 	reportedHash pomelorelay.Hash
 }
 
-// rootWithParts is a root with its bytes and parts; the zero value is none.
+// rootWithParts is a root with its encoding and parts; the zero value means none.
 type rootWithParts struct {
 	root  Root
 	hash  pomelorelay.Hash
@@ -83,7 +84,7 @@
 
 func (h rootWithParts) generation() pomelorelay.Generation { return h.root.Generation }
 
-// pullState is the pull from a peer that is in progress.
+// pullState is the state of the pull in progress; peer is empty when there is none.
 type pullState struct {
 	peer     pomelorelay.NodeID
 	parts    []pomelorelay.Hash
@@ -91,14 +92,14 @@
 	failures int
 }
 
-// storeReadState is the read from the store that the node was asked for.
+// storeReadState records the store reads that were requested.
 type storeReadState struct {
 	rootRequestedAt  time.Time
 	partsRequestedAt time.Time
 	rootNeeded       bool
 }
 
-// NewSpreader returns a Spreader without a configuration.
+// NewSpreader returns a Spreader that has no configuration yet.
 func NewSpreader(cfg SpreaderConfig) *Spreader {
 	if cfg.MaxPushBytes == 0 {
 		cfg.MaxPushBytes = DefaultMaxPushBytes
@@ -125,7 +126,7 @@
 	}
 }
 
-// SetPeers replaces the routers that may be asked; what a router that is gone had told is forgotten.
+// SetPeers replaces the routers that can be asked, and drops the state of peers that are gone.
 func (s *Spreader) SetPeers(peers []pomelorelay.NodeID) {
 	s.peers = slices.Clone(peers)
 	slices.Sort(s.peers)
@@ -137,10 +138,10 @@
 	}
 }
 
-// Generation returns the generation in force, zero when there is none: the router is then not ready.
+// Generation returns the generation in force; it is zero when there is none, and the router is then not ready.
 func (s *Spreader) Generation() pomelorelay.Generation { return s.inForce.generation() }
 
-// NewestGeneration returns the highest generation heard of.
+// NewestGeneration returns the highest generation in force, known by its root or announced by a peer.
 func (s *Spreader) NewestGeneration() pomelorelay.Generation {
 	newest := max(s.inForce.generation(), s.target.generation())
 	for _, generation := range s.peerGenerations {
@@ -149,7 +150,7 @@
 	return newest
 }
 
-// Seen takes the generation that rode on a peer's envelope.
+// Seen records the generation in the envelope of a peer's message, and starts a pull if it is newer than any known one.
 func (s *Spreader) Seen(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.peerGenerations[from] == generation {
 		return out
@@ -164,12 +165,12 @@
 	return s.sendPull(now, from, out)
 }
 
-// highestKnown is the generation above which a peer's is worth a pull.
+// highestKnown returns the generation above which a root is useful; refused generations count as known.
 func (s *Spreader) highestKnown() pomelorelay.Generation {
 	return max(s.inForce.generation(), s.target.generation(), s.refusedRoot.generation())
 }
 
-// sendPull sends a pull for the root, or for the next of the missing parts.
+// sendPull requests a newer root and the next missing parts of the target.
 func (s *Spreader) sendPull(now time.Time, to pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	pull := &pomelorelay.ConfigPull{Above: s.highestKnown(), Parts: s.missingParts(maxPullHashes)}
 	s.pull.peer = to
@@ -178,7 +179,7 @@
 	return append(out, pomelorelay.Outgoing{To: to, Message: pull})
 }
 
-// missingParts returns the hashes of the target's parts that are not here, at most limit of them.
+// missingParts returns up to limit hashes of the target's parts that have not been fetched.
 func (s *Spreader) missingParts(limit int) []pomelorelay.Hash {
 	var missing []pomelorelay.Hash
 	for _, hash := range s.target.root.Parts {
@@ -192,7 +193,7 @@
 	return missing
 }
 
-// part returns a part of the target from what was fetched or from the configuration in force, which shares most of its parts.
+// part returns a part of the target from the fetched parts or from the configuration in force, which shares most parts with it.
 func (s *Spreader) part(hash pomelorelay.Hash) []byte {
 	if data, ok := s.fetched[hash]; ok {
 		return data
@@ -200,7 +201,7 @@
 	return s.inForce.parts[hash]
 }
 
-// Tick turns to another source when a pull makes no progress, and keeps a cold router asking.
+// Tick switches to another source when a pull times out, and sends pulls as long as a newer configuration is missing.
 func (s *Spreader) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.pull.peer != "" {
 		if now.Before(s.pull.deadline) {
@@ -220,8 +221,8 @@
 	return s.sendPull(now, peer, out)
 }
 
-// handleStall turns to the store after a few pulls without progress, and drops a target whose missing parts nobody has brought for a
-// long time. A root that was damaged into a high generation would else keep the router from every true one below it, for good.
+// handleStall requests the root from the store after repeated failed pulls, and drops a target whose missing parts have not
+// arrived for a long time. Otherwise a corrupt root with a high generation would block every valid one below it forever.
 func (s *Spreader) handleStall(now time.Time) {
 	if s.pull.failures >= failedPullsBeforeStore {
 		s.storeRead.rootNeeded = true
@@ -236,13 +237,13 @@
 	}
 }
 
-// needsUpdate tells whether something newer is known or, on a cold router, may be anywhere.
+// needsUpdate reports whether a newer configuration is known, or the router has none.
 func (s *Spreader) needsUpdate() bool {
 	return s.inForce.generation() == 0 || s.target.generation() > 0 || s.NewestGeneration() > s.highestKnown()
 }
 
-// choosePeer returns a peer that has what is wanted: for the target's parts one that has at least its generation in force, else one
-// that told of a higher generation than is known; a cold router that was told nothing asks anyone.
+// choosePeer returns a random peer that has at least the target's generation in force or, without a target, one that announced
+// a generation above the known ones. A router without a configuration asks any peer if there is no such one.
 func (s *Spreader) choosePeer() (pomelorelay.NodeID, bool) {
 	minGeneration := s.target.generation()
 	if minGeneration == 0 {
@@ -263,8 +264,8 @@
 	return eligible[s.random.IntN(len(eligible))], true
 }
 
-// StoreWants returns what the node should now read from the store; it is asked again after StoreWait when nothing came. A cold
-// router wants the root at once, every other one only when its peers failed it.
+// StoreWants returns the store reads to perform now; a read without result is requested again after StoreReadTimeout. A router
+// without a configuration reads the root at once, others only after pulls from peers have failed.
 func (s *Spreader) StoreWants(now time.Time) StoreReads {
 	var reads StoreReads
 	withoutRoot := s.inForce.generation() == 0 && s.target.generation() == 0
--- a/pomeloconfig/spreader_receive.go
+++ b/pomeloconfig/spreader_receive.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Pull answers a peer with the root in force, when it is above the peer's, and with the parts that it asked for, in messages of
-// bounded size. A router that is itself behind answers with what it has.
+// Pull handles a peer's pull: it sends the root in force if it is above the peer's, and the requested parts that are in force,
+// in messages of bounded size.
 func (s *Spreader) Pull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !s.admitPull(now, from) {
 		return out
@@ -37,7 +37,7 @@
 	return append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ConfigPush{Parts: parts}})
 }
 
-// admitPull admits a peer that is being served already, or while fewer than MaxServes are.
+// admitPull reports whether to answer the peer: it is already being served, or fewer than MaxServedPeers are.
 func (s *Spreader) admitPull(now time.Time, from pomelorelay.NodeID) bool {
 	for peer, until := range s.servedUntil {
 		if !now.Before(until) {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// Push takes a root and parts from a peer. It keeps only a root above the one in force and parts that its target names.
+// Push handles a root and parts from a peer. It keeps only a root above the known generations and parts of the target.
 func (s *Spreader) Push(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	progress := false
 	if len(m.Root) > 0 {
@@ -68,7 +68,7 @@
 		s.pull.peer = ""
 		return out
 	}
-	// Parts of one answer arrive in several messages; the next pull waits for the last of them, or for the deadline.
+	// The parts of one answer arrive in several messages; the next pull is sent after the last of them or at the deadline.
 	if s.pull.peer == from && s.awaitingParts() {
 		s.pull.deadline = now.Add(s.cfg.PullWait)
 		return out
@@ -76,7 +76,7 @@
 	return s.sendPull(now, from, out)
 }
 
-// awaitingParts tells whether a part of the pull in progress is still to come.
+// awaitingParts reports whether a part requested by the pull in progress is missing.
 func (s *Spreader) awaitingParts() bool {
 	for _, hash := range s.pull.parts {
 		if s.part(hash) == nil {
@@ -86,7 +86,7 @@
 	return false
 }
 
-// Stored takes the root as the node read it from the store, or as a watch reported it; nil means that the store has none.
+// Stored handles the root read from the store or reported by a watch; nil means that the store has none.
 func (s *Spreader) Stored(_ time.Time, data []byte) {
 	s.storeRead.rootNeeded = false
 	if len(data) == 0 {
@@ -98,9 +98,9 @@
 	s.acceptRoot(data)
 }
 
-// reportStaleStore tells when the store holds an older root than the one in force, or another of its generation. That comes about when the
-// store is restored from an old copy. Followed, it would take accepted changes back; so the router stays and says so, once for
-// each such root.
+// reportStaleStore logs, once per root, that the store holds an older root than the one in force or a different one of the same
+// generation, which happens after a restore from an old copy. Such a root is not applied: that would revert accepted changes.
+// It reports whether the root needs no further handling.
 func (s *Spreader) reportStaleStore(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil || s.inForce.generation() == 0 || root.Generation > s.inForce.generation() {
@@ -120,15 +120,15 @@
 	return true
 }
 
-// StoredPart takes a part as the node read it from the store. While parts come, the node is not asked for the same ones again:
-// reading all of them within its call budget takes longer than StoreWait.
+// StoredPart handles a part read from the store. While parts arrive, their reads are not requested again: within the call
+// budget, reading all of them takes longer than StoreReadTimeout.
 func (s *Spreader) StoredPart(now time.Time, data []byte) {
 	if len(data) > 0 && s.acceptPart(data) {
 		s.storeRead.partsRequestedAt = now
 	}
 }
 
-// acceptRoot makes a root the target when it is above everything known, and returns whether it did.
+// acceptRoot makes a root the target if it is above all known generations, and reports whether it did.
 func (s *Spreader) acceptRoot(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil {
@@ -146,7 +146,7 @@
 	return true
 }
 
-// dropUnneededParts drops fetched parts that the new target does not name; an overtaken target's parts would else add up.
+// dropUnneededParts drops fetched parts that are not in the new target; otherwise parts of superseded targets would accumulate.
 func (s *Spreader) dropUnneededParts() {
 	wanted := make(map[pomelorelay.Hash]bool, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
@@ -159,8 +159,8 @@
 	}
 }
 
-// acceptPart keeps a part that the target lacks, and returns whether it did. The part's own bytes give its hash, so a damaged one
-// is one that nobody asked for.
+// acceptPart keeps a missing part of the target, and reports whether it did. The hash is computed from the data, so a corrupt
+// part appears as one that was not requested.
 func (s *Spreader) acceptPart(data []byte) bool {
 	hash := HashOf(data)
 	for _, wanted := range s.target.root.Parts {
@@ -174,15 +174,15 @@
 		s.progressed = true
 		return true
 	}
-	// A part that another peer or the store was also asked for arrives late; that is no fault.
+	// A part that is already in force was requested from several sources and arrived late; this is not an error.
 	if s.inForce.parts[hash] == nil {
 		s.cfg.Logger.Log(pomelorelay.EventConfigBadPart, pomelorelay.Field{Key: "Hash", Value: hashHex(hash)})
 	}
 	return false
 }
 
-// Candidate returns the target once all its parts are here; the node assembles and compiles it outside its control thread, and
-// then calls InForce or Refused.
+// Candidate returns the target once all its parts have been fetched. The caller assembles and compiles it outside the control
+// goroutine, and then reports the result by InForce or Refused.
 func (s *Spreader) Candidate() (Candidate, bool) {
 	if s.target.generation() == 0 || len(s.missingParts(1)) > 0 {
 		return Candidate{}, false
@@ -198,8 +198,8 @@
 	return parts
 }
 
-// InForce tells that the node has put the candidate of the generation in force. A candidate that was overtaken meanwhile is
-// passed over; its successor comes by itself.
+// InForce records that the candidate of the generation has been put in force. The call is ignored if a newer target has
+// replaced the candidate meanwhile; the newer one becomes the next candidate.
 func (s *Spreader) InForce(generation pomelorelay.Generation) {
 	if generation != s.target.generation() || generation <= s.inForce.generation() || len(s.missingParts(1)) > 0 {
 		return
@@ -210,8 +210,8 @@
 	s.cfg.Logger.Log(pomelorelay.EventConfigInForce, pomelorelay.Field{Key: "Generation", Value: generation})
 }
 
-// Refused tells that the node cannot apply the candidate of the generation. The last one stays in force, and only a higher
-// generation is taken from now on.
+// Refused records that the candidate of the generation cannot be applied, and notifies the peers. The previous configuration
+// stays in force, and from then on only higher generations are accepted.
 func (s *Spreader) Refused(generation pomelorelay.Generation, code pomelorelay.ResultCode, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if generation != s.target.generation() {
 		return out
@@ -227,14 +227,14 @@
 	return out
 }
 
-// Applied takes a peer's word that it cannot apply a generation.
+// Applied records a peer's report that it cannot apply a generation.
 func (s *Spreader) Applied(_ time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigApplied) {
 	if _, ok := slices.BinarySearch(s.peers, from); ok && m.Refused > 0 {
 		s.refusals[from] = *m
 	}
 }
 
-// Refusals returns the peers that said that they cannot apply a generation above the one that they now have.
+// Refusals returns the reports of the peers that could not apply a generation above the one that they have in force.
 func (s *Spreader) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
 	refusals := make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied, len(s.refusals))
 	for node, m := range s.refusals {
--- a/pomeloconfig/spreader_test.go
+++ b/pomeloconfig/spreader_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// generation is a configuration as it was accepted.
+// generation is the encoded root and parts of a published configuration.
 type generation struct {
 	root  []byte
 	parts map[pomelorelay.Hash][]byte
@@ -44,7 +44,7 @@
 	return n
 }
 
-// applyGeneration makes the spreader hold the generation in force, as if read from the store.
+// applyGeneration puts the generation in force at the spreader, as if read from the store.
 func applyGeneration(t testing.TB, s *pomeloconfig.Spreader, g generation) {
 	t.Helper()
 	s.Stored(epoch, g.root)
@@ -53,14 +53,14 @@
 	}
 	candidate, ok := s.Candidate()
 	if !ok {
-		t.Fatal("the generation is not whole")
+		t.Fatal("there is no candidate after all parts were read")
 	}
 	s.InForce(candidate.Root.Generation)
 }
 
-// The store is restored from an old copy while the fleet has generation 3 in force. Followed, it would take two accepted changes
-// back; unsaid, nobody would know that the next change is in danger.
-func TestRestoredStoreRaisesAnAlarmAndChangesNothing(t *testing.T) {
+// The store is restored from an old copy while the fleet has generation 3 in force. The old root must not be applied, which would
+// revert two accepted changes, and it must be reported, since the next change may get a generation that routers ignore.
+func TestRestoredStoreIsReportedAndNotApplied(t *testing.T) {
 	events := &eventList{}
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
 	one, three := makeGeneration(t, 1, sample(10)), makeGeneration(t, 3, sample(12))
@@ -72,16 +72,16 @@
 	s.Stored(epoch, three.root)
 	s.Stored(epoch, other.root)
 	if _, ok := s.Candidate(); ok || s.Generation() != 3 {
-		t.Fatalf("generation %d, and another to come", s.Generation())
+		t.Fatalf("generation %d, want 3 and no candidate", s.Generation())
 	}
 	if older, forked := events.count(pomelorelay.EventConfigStoreOlder), events.count(pomelorelay.EventConfigForked); older != 1 || forked != 1 {
-		t.Fatalf("%d alarms of an older store and %d of a fork, want 1 and 1", older, forked)
+		t.Fatalf("%d events of an older store and %d of a fork, want 1 and 1", older, forked)
 	}
 }
 
-// A router has neither the store nor a peer. It must go on asking both and never count as ready, for it would answer every
-// caller with "unknown token".
-func TestColdRouterIsNotReady(t *testing.T) {
+// Neither the store nor a peer has a configuration. The router must keep asking both and must not become ready, because it would
+// reject every caller's token as unknown.
+func TestRouterWithoutConfigurationIsNotReady(t *testing.T) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"peer"})
 	pulls, reads := 0, 0
@@ -98,8 +98,8 @@
 	}
 }
 
-// A router cannot apply the newest configuration. It must keep the last, tell the others, and take the next one.
-func TestRouterThatCannotApplyKeepsTheLast(t *testing.T) {
+// A router cannot apply the newest configuration. It must keep the previous one, notify its peers and accept the next one.
+func TestRefusedConfigurationKeepsPreviousInForce(t *testing.T) {
 	events := &eventList{}
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
 	s.SetPeers([]pomelorelay.NodeID{"a", "b"})
@@ -118,23 +118,23 @@
 		s.StoredPart(epoch, part)
 	}
 	if _, ok := s.Candidate(); ok {
-		t.Fatal("the refused generation came again")
+		t.Fatal("the refused generation is a candidate again")
 	}
 	applyGeneration(t, s, makeGeneration(t, 3, sample(12)))
 	peer := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	peer.SetPeers([]pomelorelay.NodeID{"r"})
 	peer.Applied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
 	if got := peer.Refusals()["r"]; got.Refused != 2 || got.Code != pomelorelay.CodeConfigInvalid {
-		t.Fatalf("the peer knows %+v", got)
+		t.Fatalf("the peer recorded the refusal %+v", got)
 	}
 	peer.Seen(epoch, "r", 3, nil)
 	if len(peer.Refusals()) != 0 {
-		t.Fatal("the refusal outlived its end")
+		t.Fatal("the refusal is still reported after a newer generation is in force")
 	}
 }
 
-// Every router of a failure domain pulls from the one that has a large new configuration first. Unbounded, a push would be larger than
-// a message may be, and 59 answers would queue behind each other until all of them are too late.
+// All routers of a failure domain pull from the first one with a large new configuration. Without limits a push would exceed the
+// maximum message size, and 59 answers would queue until all of them are too late.
 func TestPushesAreBounded(t *testing.T) {
 	const maxPush = 64 << 10
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{MaxPushBytes: maxPush})
@@ -169,8 +169,9 @@
 	}
 }
 
-// A peer sends a root of a far generation whose parts nobody has. The router must not wait for it for good, deaf to the true ones.
-func TestRootWithoutPartsIsGivenUp(t *testing.T) {
+// A peer sends a root with a very high generation whose parts no router has. The router must drop it; otherwise it would ignore
+// the valid lower generations forever.
+func TestRootWithoutPartsIsDropped(t *testing.T) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"good", "bad"})
 	applyGeneration(t, s, makeGeneration(t, 1, sample(10)))
@@ -198,10 +199,10 @@
 	}
 }
 
-// Messages are lost, late and doubled; the store is down, restored from an old copy, and up again; routers start anew; operators go on
-// changing the configuration. No router may ever go to a lower generation or put something in force that was not accepted, and when the
-// faults end all must meet.
-func TestGenerationsNeverFallAndMeet(t *testing.T) {
+// Messages are lost, delayed and duplicated, the store fails and is restored from an old copy, routers restart, and operators
+// publish changes. No router may go to a lower generation or apply a configuration that was not published, and after the faults
+// all routers must converge on the newest generation.
+func TestGenerationsNeverDecreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t, rapid.IntRange(2, 8).Draw(rt, "routers"), rapid.Uint64().Draw(rt, "seed"))
 		f.lossPercent = rapid.IntRange(0, 50).Draw(rt, "percent lost")
--- a/pomeloconfig/value.go
+++ b/pomeloconfig/value.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// valueError is a value that cannot be read.
+// valueError reports a value that cannot be parsed.
 type valueError struct {
 	line int
 	text string
@@ -17,8 +17,8 @@
 
 func (e *valueError) Error() string { return quote(e.text) + " cannot be read; " + e.fix }
 
-// valueReader reads addresses and durations and remembers the first that cannot be read; the YAML library would report it
-// without its line.
+// valueReader parses addresses and durations and records the first invalid one, because the YAML library would report it
+// without a line number.
 type valueReader struct {
 	data       []byte
 	firstError *valueError
@@ -58,7 +58,7 @@
 	return text, err
 }
 
-// fail takes the first line that holds the text for the value's.
+// fail records the error and takes the first line that contains the text as the value's line.
 func (r *valueReader) fail(text, fix string) {
 	if r.firstError != nil {
 		return
