--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -140,9 +140,9 @@
 	return next, nil
 }
 
-func (p *Publisher) changeID(given ChangeID) (ChangeID, error) {
-	if given != "" {
-		return given, nil
+func (p *Publisher) changeID(requested ChangeID) (ChangeID, error) {
+	if requested != "" {
+		return requested, nil
 	}
 	var id [changeIDBytes]byte
 	if _, err := io.ReadFull(p.cfg.Random, id[:]); err != nil {
@@ -232,11 +232,11 @@
 // resolveConflict returns next if it was accepted and has already been replaced, in which case it is in the history chain;
 // otherwise it returns a conflict error.
 func (p *Publisher) resolveConflict(ctx context.Context, next Root, hash pomelorelay.Hash, found pomelorelay.Record) (Root, error) {
-	winner, err := DecodeRoot(found.Value)
+	accepted, err := DecodeRoot(found.Value)
 	if err != nil {
 		return Root{}, err
 	}
-	for root := winner; root.PreviousGeneration >= next.Generation; {
+	for root := accepted; root.PreviousGeneration >= next.Generation; {
 		if root.Previous == hash {
 			return next, nil
 		}
@@ -246,11 +246,11 @@
 		}
 		root = previous
 	}
-	return Root{}, conflictError(winner)
+	return Root{}, conflictError(accepted)
 }
 
-func conflictError(winner Root) error {
+func conflictError(accepted Root) error {
 	detail := fmt.Sprintf("generation %d by %s at %s (%s; change %s) was accepted first",
-		winner.Generation, quote(winner.Author), winner.Time.UTC().Format("2006-01-02T15:04:05Z"), quote(winner.Why), winner.ChangeID)
+		accepted.Generation, quote(accepted.Author), accepted.Time.UTC().Format("2006-01-02T15:04:05Z"), quote(accepted.Why), accepted.ChangeID)
 	return pomelorelay.NewError(pomelorelay.CodeConfigConflict, detail, nil)
 }
--- a/pomeloconfig/library.go
+++ b/pomeloconfig/store.go
@@ -43,7 +43,7 @@
 		if err == nil || attempt == maxStoreAttempts {
 			return record, err
 		}
-		if waitErr := sleep(ctx, backoff); waitErr != nil {
+		if sleepErr := sleep(ctx, backoff); sleepErr != nil {
 			return pomelorelay.Record{}, err
 		}
 		backoff = min(2*backoff, maxStoreBackoff)
@@ -75,7 +75,7 @@
 // write that took effect would be reported as a conflict with itself, and an operator would apply the change twice.
 // Repeating the write with the same bytes and revision is safe: at most one attempt can take effect.
 func (s configStore) write(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record, error) {
-	var last error
+	var lastErr error
 	maybeApplied := false
 	backoff := initialStoreBackoff
 	for range maxStoreAttempts {
@@ -83,7 +83,7 @@
 		if err == nil {
 			return writeApplied, pomelorelay.Record{Key: key, Value: value, Revision: revision}, nil
 		}
-		last = err
+		lastErr = err
 		switch {
 		case pomelostore.IsErrConflict(err), pomelostore.IsErrUnknown(err):
 			maybeApplied = maybeApplied || pomelostore.IsErrUnknown(err)
@@ -100,7 +100,7 @@
 		}
 		backoff = min(2*backoff, maxStoreBackoff)
 	}
-	return failedWriteOutcome(maybeApplied), pomelorelay.Record{}, last
+	return failedWriteOutcome(maybeApplied), pomelorelay.Record{}, lastErr
 }
 
 func failedWriteOutcome(maybeApplied bool) writeOutcome {
--- a/pomeloconfig/spreader.go
+++ b/pomeloconfig/syncer.go
@@ -43,7 +43,7 @@
 	Parts map[pomelorelay.Hash][]byte
 }
 
-// StoreReads lists what the caller must read from the store and hand back to the Spreader.
+// StoreReads lists the records that the caller must read from the store and hand back.
 type StoreReads struct {
 	Root  bool
 	Parts []pomelorelay.Hash
@@ -82,7 +82,7 @@
 	parts map[pomelorelay.Hash][]byte
 }
 
-func (h rootWithParts) generation() pomelorelay.Generation { return h.root.Generation }
+func (r rootWithParts) generation() pomelorelay.Generation { return r.root.Generation }
 
 // pullState is the state of the pull in progress; peer is empty when there is none.
 type pullState struct {
--- a/pomeloconfig/spreader_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -182,7 +182,7 @@
 }
 
 // Candidate returns the target once all its parts have been fetched. The caller assembles and compiles it outside the control
-// goroutine, and then reports the result by InForce or Refused.
+// goroutine, and then reports whether it is in force or refused.
 func (s *Spreader) Candidate() (Candidate, bool) {
 	if s.target.generation() == 0 || len(s.missingParts(1)) > 0 {
 		return Candidate{}, false
