--- a/pomeloconfig/check.go
+++ b/pomeloconfig/check.go
@@ -29,7 +29,7 @@
 		services:    make(map[string]string),
 		kinds:       make(map[pomelorelay.ServiceID]ServiceKind),
 		hasUpstream: make(map[pomelorelay.ServiceID]bool),
-		shares:      make(map[string]float64),
+		shareSums:   make(map[string]float64),
 	}
 	k.checkTeams(c.Teams)
 	k.checkRegions(c.Regions)
@@ -49,11 +49,11 @@
 	regionOf                          map[pomelorelay.DomainID]pomelorelay.RegionID
 	kinds                             map[pomelorelay.ServiceID]ServiceKind
 	hasUpstream                       map[pomelorelay.ServiceID]bool
-	shares                            map[string]float64
+	shareSums                         map[string]float64
 }
 
-// uniqueName checks that a name is valid and that no other entry of the same kind has it.
-func (k *configurationChecker) uniqueName(seen map[string]string, path, name string) {
+// checkUniqueName checks that a name is valid and that no other entry of the same kind has it.
+func (k *configurationChecker) checkUniqueName(seen map[string]string, path, name string) {
 	k.name(path, name)
 	k.unique(seen, path, name)
 }
@@ -70,7 +70,7 @@
 	}
 	for i, team := range teams {
 		path := indexedPath("Teams", i)
-		k.uniqueName(k.teams, path+".Name", team.Name)
+		k.checkUniqueName(k.teams, path+".Name", team.Name)
 		k.number(path+".ShareTotal", float64(team.ShareTotal), 0, math.MaxFloat64)
 	}
 }
@@ -81,12 +81,12 @@
 	}
 	for i, region := range regions {
 		path := indexedPath("Regions", i)
-		k.uniqueName(k.regions, path+".Name", string(region.Name))
+		k.checkUniqueName(k.regions, path+".Name", string(region.Name))
 		if len(region.FailureDomains) == 0 {
 			k.add(path+".FailureDomains", "the region has no failure domain", "list at least one")
 		}
 		for j, domain := range region.FailureDomains {
-			k.uniqueName(k.domains, indexedPath(path+".FailureDomains", j), string(domain))
+			k.checkUniqueName(k.domains, indexedPath(path+".FailureDomains", j), string(domain))
 			k.regionOf[domain] = region.Name
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	for i, s := range services {
 		path := indexedPath("Services", i)
-		k.uniqueName(k.services, path+".Name", string(s.Name))
+		k.checkUniqueName(k.services, path+".Name", string(s.Name))
 		k.checkExists(k.teams, path+".Team", s.Team, "the team")
 		k.kinds[s.Name] = s.Kind
 		if s.Kind != ServiceModel && s.Kind != ServicePlain {
@@ -141,7 +141,7 @@
 	addresses := make(map[netip.AddrPort]string)
 	for i, u := range upstreams {
 		path := indexedPath("Upstreams", i)
-		k.uniqueName(names, path+".Name", string(u.Name))
+		k.checkUniqueName(names, path+".Name", string(u.Name))
 		k.checkExists(k.services, path+".Service", string(u.Service), "the service")
 		k.hasUpstream[u.Service] = true
 		k.checkModel(path, u)
@@ -161,7 +161,7 @@
 	switch {
 	case !ok:
 	case kind == ServiceModel:
-		k.modelName(path+".Model", string(u.Model))
+		k.checkModelName(path+".Model", string(u.Model))
 	case u.Model != "":
 		k.add(path+".Model", "a plain service has no model", "remove it")
 	}
@@ -170,8 +170,8 @@
 	}
 }
 
-// modelName allows every character, since model names of engines contain characters such as slashes.
-func (k *configurationChecker) modelName(path, name string) {
+// checkModelName allows every character, since model names of engines contain characters such as slashes.
+func (k *configurationChecker) checkModelName(path, name string) {
 	if name == "" || len(name) > maxNameBytes {
 		k.add(path, fmt.Sprintf("the model's name has %d bytes", len(name)), fmt.Sprintf("use 1 to %d", maxNameBytes))
 	}
--- a/pomeloconfig/check_accounts.go
+++ b/pomeloconfig/check_accounts.go
@@ -18,10 +18,10 @@
 	}
 	for i, a := range accounts {
 		path := indexedPath("Accounts", i)
-		k.uniqueName(names, path+".Name", string(a.Name))
+		k.checkUniqueName(names, path+".Name", string(a.Name))
 		k.checkExists(k.teams, path+".Team", a.Team, "the team")
 		k.number(path+".Share", float64(a.Share), minShare, maxShare)
-		k.shares[a.Team] += float64(a.Share)
+		k.shareSums[a.Team] += float64(a.Share)
 		k.checkShares(path, a)
 		k.checkHashes(hashes, path, a.TokenHashes)
 	}
@@ -54,7 +54,7 @@
 
 func (k *configurationChecker) checkShareTotals(teams []Team) {
 	for i, team := range teams {
-		sum, want := k.shares[team.Name], float64(team.ShareTotal)
+		sum, want := k.shareSums[team.Name], float64(team.ShareTotal)
 		if want > 0 && math.Abs(sum-want) > shareSumTolerance*want {
 			k.add(indexedPath("Teams", i)+".ShareTotal", fmt.Sprintf("the shares of the team's accounts add up to %g, not %g", sum, want), "correct the shares or the total")
 		}
