--- a/pomeloconfig/answers.go
+++ b/pomeloconfig/answers.go
@@ -82,7 +82,7 @@
 	QuarantineFor   time.Duration     `yaml:"QuarantineFor"`
 }
 
-// AccountAnswers describe one client account of the team.
+// AccountAnswers describes one client account of the team.
 type AccountAnswers struct {
 	Name        pomelorelay.AccountID                        `yaml:"Name"`
 	Share       pomelorelay.Weight                           `yaml:"Share"`
--- a/pomeloconfig/configuration.go
+++ b/pomeloconfig/configuration.go
@@ -95,7 +95,7 @@
 type Account struct {
 	Name pomelorelay.AccountID `yaml:"Name"`
 	Team string                `yaml:"Team"`
-	// Share is the account's weight in every service that Shares does not list.
+	// Share is the account's weight in every service of its team that Shares does not list.
 	Share pomelorelay.Weight `yaml:"Share"`
 	// Shares overrides the weight for single services.
 	Shares map[pomelorelay.ServiceID]pomelorelay.Weight `yaml:"Shares,omitempty" json:",omitempty"`
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 type fleetRouter struct {
-	spreader       *pomeloconfig.Spreader
+	syncer         *pomeloconfig.Spreader
 	lastGeneration pomelorelay.Generation
 	reachedAt      time.Time
 	withoutStore   bool
@@ -61,7 +61,7 @@
 func (f *fleet) restart(i int) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Seed: f.random.Uint64()})
 	s.SetPeers(slices.Concat(f.peers[:i], f.peers[i+1:]))
-	f.routers[i] = &fleetRouter{spreader: s}
+	f.routers[i] = &fleetRouter{syncer: s}
 }
 
 func (f *fleet) newest() pomelorelay.Generation { return pomelorelay.Generation(len(f.published)) }
@@ -97,15 +97,15 @@
 
 func (f *fleet) step(t failTester, i int) {
 	r := f.routers[i]
-	f.send(i, r.spreader.Tick(f.now, nil))
+	f.send(i, r.syncer.Tick(f.now, nil))
 	f.readStore(i)
-	if candidate, ok := r.spreader.Candidate(); ok {
+	if candidate, ok := r.syncer.Candidate(); ok {
 		f.apply(t, i, candidate)
 	}
-	if got := r.spreader.Generation(); got < r.lastGeneration {
+	if got := r.syncer.Generation(); got < r.lastGeneration {
 		t.Fatalf("router %d went from generation %d back to %d", i, r.lastGeneration, got)
 	}
-	if got := r.spreader.Generation(); got > r.lastGeneration {
+	if got := r.syncer.Generation(); got > r.lastGeneration {
 		r.lastGeneration, r.reachedAt = got, f.now
 	}
 	if f.random.IntN(5) == 0 && len(f.routers) > 1 {
@@ -116,7 +116,7 @@
 // apply puts the candidate in force and checks that it is a published one.
 func (f *fleet) apply(t failTester, i int, candidate pomeloconfig.Candidate) {
 	if f.refusingRouter == i+1 {
-		f.send(i, f.routers[i].spreader.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
+		f.send(i, f.routers[i].syncer.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
 		return
 	}
 	data, err := pomeloconfig.EncodeRoot(candidate.Root)
@@ -126,7 +126,7 @@
 	if _, err := pomeloconfig.Assemble(candidate.Root, candidate.Parts); err != nil {
 		t.Fatalf("router %d: %v", i, err)
 	}
-	f.routers[i].spreader.InForce(candidate.Root.Generation)
+	f.routers[i].syncer.InForce(candidate.Root.Generation)
 }
 
 // announceGeneration sends the router's generation to all others, as message envelopes do.
@@ -172,8 +172,8 @@
 }
 
 func (f *fleet) receive(message fleetMessage) {
-	from, s := f.peers[message.from], f.routers[message.to].spreader
-	out := s.Seen(f.now, from, f.routers[message.from].spreader.Generation(), nil)
+	from, s := f.peers[message.from], f.routers[message.to].syncer
+	out := s.Seen(f.now, from, f.routers[message.from].syncer.Generation(), nil)
 	switch m := message.m.(type) {
 	case *pomelorelay.ConfigPull:
 		out = s.Pull(f.now, from, m, out)
@@ -187,19 +187,19 @@
 
 // readStore performs the store reads that the router requests, and reports the root to routers with a watch.
 func (f *fleet) readStore(i int) {
-	s := f.routers[i].spreader
-	wants := s.StoreWants(f.now)
+	s := f.routers[i].syncer
+	reads := s.StoreWants(f.now)
 	if !f.storeUp || f.routers[i].withoutStore {
 		return
 	}
-	if wants.Root || i < f.watchers {
+	if reads.Root || i < f.watchers {
 		if f.storedGeneration == 0 {
 			s.Stored(f.now, nil)
 		} else {
 			s.Stored(f.now, f.published[f.storedGeneration-1].root)
 		}
 	}
-	for _, hash := range wants.Parts {
+	for _, hash := range reads.Parts {
 		for _, g := range f.published[:f.storedGeneration] {
 			if data, ok := g.parts[hash]; ok {
 				s.StoredPart(f.now, data)
--- a/pomeloconfig/propagation_test.go
+++ b/pomeloconfig/propagation_test.go
@@ -66,9 +66,9 @@
 	f := newFleet(t, 2, 1)
 	f.storeUp = false
 	f.published = []generation{makeGeneration(t, 1, sample(targetAccounts))}
-	applyGeneration(t, f.routers[0].spreader, f.published[0])
+	applyGeneration(t, f.routers[0].syncer, f.published[0])
 	f.run(t, 100)
-	if got := f.routers[1].spreader.Generation(); got != 1 {
+	if got := f.routers[1].syncer.Generation(); got != 1 {
 		t.Fatalf("the router that started without a configuration has generation %d", got)
 	}
 	t.Logf("37,000 accounts from a peer, 20 ms a message: %v, %d bytes of configuration", f.routers[1].reachedAt.Sub(epoch), f.sentBytes)
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Defaults of SpreaderConfig.
+// Defaults of the configuration's zero fields, and fixed limits.
 const (
 	DefaultMaxPushBytes     = pomelorelay.Bytes(128 << 10)
 	DefaultPullTimeout      = 500 * time.Millisecond
@@ -19,7 +19,7 @@
 	pullTimeoutsBeforeDrop  = 12
 )
 
-// SpreaderConfig configures a Spreader; zero fields take their defaults.
+// SpreaderConfig sets limits, timeouts and dependencies; zero fields take their defaults.
 type SpreaderConfig struct {
 	// MaxPushBytes is the maximum size of the parts in one push message; a larger part is sent in a message of its own.
 	MaxPushBytes pomelorelay.Bytes
@@ -99,7 +99,7 @@
 	rootNeeded       bool
 }
 
-// NewSpreader returns a Spreader that has no configuration yet.
+// NewSpreader returns the state of a router that has no configuration yet.
 func NewSpreader(cfg SpreaderConfig) *Spreader {
 	if cfg.MaxPushBytes == 0 {
 		cfg.MaxPushBytes = DefaultMaxPushBytes
--- a/pomeloconfig/syncer_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -44,7 +44,7 @@
 	return n
 }
 
-// applyGeneration puts the generation in force at the spreader, as if read from the store.
+// applyGeneration puts the generation in force, as if it had been read from the store.
 func applyGeneration(t testing.TB, s *pomeloconfig.Spreader, g generation) {
 	t.Helper()
 	s.Stored(epoch, g.root)
@@ -225,8 +225,8 @@
 		f.publishNext(rt)
 		f.run(rt, 400)
 		for i, r := range f.routers {
-			if r.spreader.Generation() != f.newest() {
-				rt.Fatalf("router %d has generation %d, the newest is %d", i, r.spreader.Generation(), f.newest())
+			if r.syncer.Generation() != f.newest() {
+				rt.Fatalf("router %d has generation %d, the newest is %d", i, r.syncer.Generation(), f.newest())
 			}
 		}
 	})
