--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -52,10 +52,10 @@
 		Seeds:       seedPeers(n.cfg.Settings.Seeds),
 		Seed:        uint64(n.incarnation),
 		Options: pomelomember.Options{
-			DigestEvery:      s.DigestInterval,
-			DigestsPerSecond: pomeloconfig.MessagesPerSecond,
-			ProbeWait:        s.ProbeWait,
-			SuspectFor:       s.SuspectFor,
+			DigestInterval:      s.DigestInterval,
+			MaxDigestsPerSecond: pomeloconfig.MessagesPerSecond,
+			ProbeTimeout:        s.ProbeWait,
+			SuspicionTimeout:       s.SuspectFor,
 		},
 	})
 	c.members = c.view.Snapshot()
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -18,7 +18,7 @@
 	if !e.asked.Before(c.unsureSince) {
 		c.unsureSince = time.Time{}
 	}
-	c.out = c.view.Hosts(now, e.hosts, c.out)
+	c.out = c.view.SetHosts(now, e.hosts, c.out)
 	c.n.mesh.SetPeers(c.view.Peers(nil))
 	leaving := leavingOf(e.hosts)
 	for id := range leaving {
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -9,7 +9,7 @@
 // receive hands a message to the part that it is for.
 func (c *control) receive(now time.Time, e pomelorelay.Envelope) {
 	if e.From != c.n.self.Node {
-		c.view.Heard(now, e.From, e.Incarnation)
+		c.view.RecordMessage(now, e.From, e.Incarnation)
 		c.generations[e.From] = max(c.generations[e.From], e.Generation)
 		c.out = c.spreader.Seen(now, e.From, e.Generation, c.out)
 	}
@@ -37,11 +37,11 @@
 	case *pomelorelay.Digest:
 		c.digest(now, e, m)
 	case *pomelorelay.Probe:
-		c.out = c.view.Probe(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.view.HandleProbe(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.ProbeAck:
-		c.out = c.view.ProbeAck(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.view.HandleProbeAck(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.Farewell:
-		c.out = c.view.Farewell(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.view.HandleFarewell(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.LedgerReport:
 		c.out = c.ledger.HandleReport(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.LedgerTotals:
@@ -90,8 +90,8 @@
 }
 
 func (c *control) digest(now time.Time, e pomelorelay.Envelope, m *pomelorelay.Digest) {
-	c.out = c.view.Digest(now, e.From, e.Incarnation, m, c.out)
-	if !c.view.Located(e.From) {
+	c.out = c.view.HandleDigest(now, e.From, e.Incarnation, m, c.out)
+	if !c.view.AddressKnown(e.From) {
 		c.n.wantHosts()
 	}
 	c.asker.UpdateDigests(now, m.Slots)
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -52,7 +52,7 @@
 	for _, r := range routes {
 		for _, s := range r.Shares {
 			e := all[s.Service]
-			e.target, e.maxPause = minNonZero(e.target, r.Target), minNonZero(e.maxPause, r.Pause)
+			e.target, e.maxPause = minNonZero(e.target, r.TargetLatency), minNonZero(e.maxPause, r.MaxEventGap)
 			all[s.Service] = e
 		}
 	}
@@ -82,20 +82,20 @@
 }
 
 func (p *Placer) allowance(u *upstream, r *Request) allowance {
-	disabled, target := &p.cfg.Without, r.Target
+	disabled, target := &p.cfg.Disabled, r.Target
 	if !disabled.SharedTarget {
 		target = minNonZero(u.pool.target, r.Target)
 	}
 	slots := u.slots()
-	a := allowance{maxRunning: slots, maxQueueDelay: scale(inShareQueueFraction, target), reason: ReasonLate}
-	if r.Ahead > 1 && !disabled.AheadLimits {
-		reserve := min(yieldedSlotFraction*r.Ahead, maxYieldedSlotFraction)
+	a := allowance{maxRunning: slots, maxQueueDelay: scale(inShareQueueFraction, target), reason: ReasonTooLate}
+	if r.LeadOverLeastServed > 1 && !disabled.AheadLimits {
+		reserve := min(yieldedSlotFraction*r.LeadOverLeastServed, maxYieldedSlotFraction)
 		a.maxRunning = max(1, slots-int(math.Ceil(reserve*float64(slots))))
 	}
-	if r.Owed {
+	if r.WithinShare {
 		return a
 	}
-	a.reason = ReasonShare
+	a.reason = ReasonOverShare
 	if !disabled.SlotReserve {
 		reserve := min(slotReserveFactor*math.Sqrt(float64(slots)), maxReserveFraction*float64(slots))
 		a.maxRunning = max(1, int(float64(slots)-reserve))
@@ -103,8 +103,8 @@
 	if !disabled.OverShareQueue {
 		a.maxQueueDelay = scale(overShareQueueFraction, target)
 	}
-	if r.Lead > 1 && !disabled.AheadLimits {
-		fraction := max(1/(r.Lead*r.Lead), minAheadFraction)
+	if r.LeadOverLevel > 1 && !disabled.AheadLimits {
+		fraction := max(1/(r.LeadOverLevel*r.LeadOverLevel), minAheadFraction)
 		a.maxQueueDelay = scale(aheadQueueFraction*fraction, target)
 		a.maxRunning = max(1, int(fraction*float64(a.maxRunning)))
 	}
@@ -127,7 +127,7 @@
 func (p *Placer) exceededBound(c candidate, r *Request, a allowance) Bound {
 	ownTime := c.expectedLatency - c.queueDelay
 	switch {
-	case !r.Owed && c.recomputed > maxRecomputeTokens && !p.cfg.Without.RecomputeLimit:
+	case !r.WithinShare && c.recomputed > maxRecomputeTokens && !p.cfg.Disabled.RecomputeLimit:
 		return BoundRecompute
 	case c.up.engine != nil && c.up.running() >= a.maxRunning:
 		return BoundSlots
@@ -135,7 +135,7 @@
 		return BoundQueue
 	case c.expectedLatency <= scale(onTimeFraction, r.Target):
 		return BoundNone
-	case ownTime > r.Target/2 && ownTime < r.Left/2:
+	case ownTime > r.Target/2 && ownTime < r.MaxWait/2:
 		// The prefill of a long prompt takes most of the target by itself; held to the target, the longest prompts would never be served.
 		return BoundNone
 	}
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -12,32 +12,32 @@
 	Self pomelorelay.Peer
 	// Regions maps each failure domain to its region.
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
-	// Cold limits the request rate of the fleet to cold upstreams.
-	Cold pomelorelay.ColdBounds
-	// Without lists the disabled mechanisms.
-	Without Mechanisms
+	// ColdBounds limits the request rate of the fleet to cold upstreams.
+	ColdBounds pomelorelay.ColdBounds
+	// Disabled lists the disabled mechanisms.
+	Disabled Mechanisms
 }
 
 // Request describes a request to be placed.
 type Request struct {
 	Service pomelorelay.ServiceID
-	// Prompt is the length of the prompt.
-	Prompt pomelorelay.Tokens
-	// Output is the expected length of the answer.
-	Output pomelorelay.Tokens
+	// PromptTokens is the length of the prompt.
+	PromptTokens pomelorelay.Tokens
+	// OutputTokens is the expected length of the answer.
+	OutputTokens pomelorelay.Tokens
 	Parts  []pomelorelay.PromptPart
 	// Target is the route's target for the time to the first byte or event of the answer.
 	Target time.Duration
-	// Left is the remaining time that the caller will wait.
-	Left time.Duration
-	// Owed reports whether the request is within its account's fair share.
-	Owed bool
-	// Lead is the account's usage divided by the usage accepted while another account is below its share. Above 1, the account's over-share
+	// MaxWait is the remaining time that the caller will wait.
+	MaxWait time.Duration
+	// WithinShare reports whether the request is within its account's fair share.
+	WithinShare bool
+	// LeadOverLevel is the account's usage divided by the usage accepted while another account is below its share. Above 1, the account's over-share
 	// requests get a shorter queue and fewer slots.
-	Lead float64
-	// Ahead is the account's usage divided by the usage accepted while another account is far below its share. Above 1, all of the account's
+	LeadOverLevel float64
+	// LeadOverLeastServed is the account's usage divided by the usage accepted while another account is far below its share. Above 1, all of the account's
 	// requests get fewer slots.
-	Ahead float64
+	LeadOverLeastServed float64
 	// Residency restricts the regions in which the request may be served.
 	Residency pomelorelay.Residency
 	// Avoid lists upstreams that have already failed this request.
@@ -53,18 +53,18 @@
 	ReasonNone Reason = ""
 	// ReasonNoUpstream means that the service has no upstream that accepts requests.
 	ReasonNoUpstream Reason = "NoUpstream"
-	// ReasonNoRegion means that no region is allowed to serve the request.
-	ReasonNoRegion Reason = "NoRegion"
-	// ReasonRegion means that no upstream in the allowed regions accepts requests; Decision.Cause holds the underlying reason.
-	ReasonRegion Reason = "Region"
+	// ReasonNoAllowedRegion means that no region is allowed to serve the request.
+	ReasonNoAllowedRegion Reason = "NoRegion"
+	// ReasonNoUpstreamInRegion means that no upstream in the allowed regions accepts requests; Decision.Cause holds the underlying reason.
+	ReasonNoUpstreamInRegion Reason = "Region"
 	// ReasonEvacuated means that every upstream of the service is in a failure domain under evacuation.
 	ReasonEvacuated Reason = "Evacuated"
 	// ReasonCold means that every upstream of the service is cold and its rate limit is used up.
 	ReasonCold Reason = "Cold"
-	// ReasonLate means that the answer could not begin within the target.
-	ReasonLate Reason = "Late"
-	// ReasonShare means that the request exceeds its account's share while the upstreams are busy.
-	ReasonShare Reason = "Share"
+	// ReasonTooLate means that the answer could not begin within the target.
+	ReasonTooLate Reason = "Late"
+	// ReasonOverShare means that the request exceeds its account's share while the upstreams are busy.
+	ReasonOverShare Reason = "Share"
 )
 
 // Bound is the admission limit that a refused request exceeded.
@@ -98,18 +98,18 @@
 	RetryAfter time.Duration
 	Upstream   pomelorelay.FleetUpstream
 	Run        *Run
-	// Expected is the estimated time until the answer begins.
-	Expected time.Duration
-	// Backlog is the part of that time spent waiting for earlier requests.
-	Backlog time.Duration
-	// Missing is the prefill work of the request at the upstream, in tokens of a short prompt.
-	Missing pomelorelay.Tokens
-	// Shared is the number of uncached tokens in prompt parts that other requests share.
-	Shared pomelorelay.Tokens
+	// ExpectedLatency is the estimated time until the answer begins.
+	ExpectedLatency time.Duration
+	// QueueDelay is the part of that time spent waiting for earlier requests.
+	QueueDelay time.Duration
+	// PrefillTokens is the prefill work of the request at the upstream, in tokens of a short prompt.
+	PrefillTokens pomelorelay.Tokens
+	// UncachedShared is the number of uncached tokens in prompt parts that other requests share.
+	UncachedShared pomelorelay.Tokens
 	// CopyFrom is the upstream from which part of the prompt's KV cache is copied; its ID is empty when nothing is copied.
 	CopyFrom pomelorelay.FleetUpstream
-	// Copied is the number of copied prompt tokens.
-	Copied pomelorelay.Tokens
+	// CopiedTokens is the number of copied prompt tokens.
+	CopiedTokens pomelorelay.Tokens
 	// Running is the number of requests of all routers at the upstream.
 	Running int
 	// ReportAge is the age of the oldest load report in use; zero when there is none.
@@ -125,8 +125,8 @@
 	Cost pomelorelay.Cost
 	// The account's requested and served totals in the current window, and the fair-share limit; the limit is zero when demand is below
 	// capacity.
-	Asked, Served, Level pomelorelay.Cost
-	Owed                 bool
+	Requested, Served, FairShare pomelorelay.Cost
+	WithinShare                 bool
 }
 
 // Run is a request in progress at an upstream.
@@ -150,24 +150,24 @@
 
 // Run outcomes.
 const (
-	// ResultGood is a complete answer.
-	ResultGood Result = iota
-	// ResultGone is an outcome that does not reflect on the upstream, such as a cancellation by the caller.
-	ResultGone
+	// ResultCompleted is a complete answer.
+	ResultCompleted Result = iota
+	// ResultCancelled is an outcome that does not reflect on the upstream, such as a cancellation by the caller.
+	ResultCancelled
 	// ResultFailed is a failure of the upstream.
 	ResultFailed
-	// ResultUnreached is a failed connection attempt.
-	ResultUnreached
+	// ResultUnreachable is a failed connection attempt.
+	ResultUnreachable
 	// ResultRefused is a response in which the upstream states that it did not run the request.
 	ResultRefused
-	// ResultUnsent is a cancellation by the caller before the request was sent.
-	ResultUnsent
-	// ResultPaused is a complete answer with a pause between events that exceeds the route's limit.
-	ResultPaused
+	// ResultNotSent is a cancellation by the caller before the request was sent.
+	ResultNotSent
+	// ResultLongPause is a complete answer with a pause between events that exceeds the route's limit.
+	ResultLongPause
 )
 
 // NotRun reports whether the upstream certainly did not run the request.
-func (r Result) NotRun() bool { return r == ResultUnreached || r == ResultRefused || r == ResultUnsent }
+func (r Result) NotRun() bool { return r == ResultUnreachable || r == ResultRefused || r == ResultNotSent }
 
 const (
 	// initialPrefillRate is the initial estimate of an engine's prefill rate when no token capacity is configured.
@@ -198,6 +198,6 @@
 	minPendingFraction = 0.3
 	// maxMemoryFraction is the fraction of KV cache memory that running requests may fill; above it, the engine evicts running requests.
 	maxMemoryFraction = 0.9
-	// SilentAfter is the report age after which a router and its requests are considered gone.
-	SilentAfter = 3 * time.Second
+	// PeerTimeout is the report age after which a router and its requests are considered gone.
+	PeerTimeout = 3 * time.Second
 )
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -21,9 +21,9 @@
 // findCopySource returns the engine with the longest cached prefix of the prompt, preferring the one with fewer running requests. Only
 // upstreams that may serve the request itself are eligible.
 func (p *Placer) findCopySource(now time.Time, s *pool, r *Request) copySource {
-	best := copySource{uncached: r.Prompt}
+	best := copySource{uncached: r.PromptTokens}
 	for _, u := range s.upstreams {
-		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.inBackoff(now, &p.cfg.Without) || u.cache.parts[r.Parts[0].Hash] == nil {
+		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.inBackoff(now, &p.cfg.Disabled) || u.cache.parts[r.Parts[0].Hash] == nil {
 			continue
 		}
 		uncached := u.cache.uncached(r)
@@ -37,7 +37,7 @@
 // planCopy decides whether the candidate copies uncached parts from the source, and returns the estimated copy time.
 func (p *Placer) planCopy(c *candidate, from copySource, uncached pomelorelay.Tokens) time.Duration {
 	tokens := uncached - from.uncached
-	if p.cfg.Without.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
+	if p.cfg.Disabled.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
 		return 0
 	}
 	if c.up.pool.copyFraction >= 1 {
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -31,12 +31,12 @@
 
 func newDomainOutage(t *testing.T, disabled pomeloplace.Mechanisms, perDomain int) *domainOutage {
 	p := pomeloplace.New(pomeloplace.Config{
-		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Without: disabled,
+		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Disabled: disabled,
 	})
-	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}}})
+	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}}}})
 	for i := range perDomain {
 		for _, domain := range []pomelorelay.DomainID{"a", "b"} {
-			p.Put(start, engineIn(pomelorelay.UpstreamID(fmt.Sprintf("%s%d", domain, i)), domain))
+			p.PutUpstream(start, engineIn(pomelorelay.UpstreamID(fmt.Sprintf("%s%d", domain, i)), domain))
 		}
 	}
 	return &domainOutage{t: t, p: p, now: start}
@@ -52,10 +52,10 @@
 		if got.Reason != pomeloplace.ReasonNone {
 			d.t.Fatalf("refused: %s", got.Reason)
 		}
-		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
+		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultCompleted}
 		if got.Upstream.Domain == "b" {
 			if outage {
-				pending.at, pending.result = d.now.Add(connectTimeout), pomeloplace.ResultUnreached
+				pending.at, pending.result = d.now.Add(connectTimeout), pomeloplace.ResultUnreachable
 				d.hung++
 			} else {
 				d.reached++
@@ -72,10 +72,10 @@
 			remaining = append(remaining, pending)
 			continue
 		}
-		if pending.result == pomeloplace.ResultGood {
-			d.p.Begun(pending.at, pending.run)
+		if pending.result == pomeloplace.ResultCompleted {
+			d.p.RecordAnswerStart(pending.at, pending.run)
 		}
-		d.p.Ended(pending.at, pending.run, pending.result)
+		d.p.RecordEnd(pending.at, pending.run, pending.result)
 	}
 	d.pending = remaining
 }
@@ -116,10 +116,10 @@
 		d.endDueRuns()
 		d.seq++
 		got := place(t, d.p, d.now, prompt(d.seq, 300, 100))
-		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
+		pending := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultCompleted}
 		switch {
 		case down(got.Upstream.ID):
-			pending.at, pending.result = d.now.Add(connectTimeout), pomeloplace.ResultUnreached
+			pending.at, pending.result = d.now.Add(connectTimeout), pomeloplace.ResultUnreachable
 		case got.Upstream.Domain == "b":
 			d.reached++
 		}
--- a/pomeloplace/mechanism_test.go
+++ b/pomeloplace/mechanism_test.go
@@ -26,17 +26,17 @@
 	p := newPlacer()
 	far := engine("e0")
 	far.Domain = "b"
-	p.Put(start, far)
+	p.PutUpstream(start, far)
 	near := engine("e1")
-	p.Put(start, near)
+	p.PutUpstream(start, near)
 	now := start
 	placeAvoiding := func(avoid pomelorelay.UpstreamID, rtt time.Duration) pomeloplace.Decision {
 		now = now.Add(200 * time.Millisecond)
 		r := prompt(uint64(now.UnixNano()), 500, 500)
 		r.Avoid = []pomelorelay.UpstreamID{avoid}
 		d := place(t, p, now, r)
-		p.Begun(now.Add(40*time.Millisecond+rtt), d.Run)
-		p.Ended(now.Add(50*time.Millisecond+rtt), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(40*time.Millisecond+rtt), d.Run)
+		p.RecordEnd(now.Add(50*time.Millisecond+rtt), d.Run, pomeloplace.ResultCompleted)
 		return d
 	}
 	const rtt = 100 * time.Millisecond
@@ -44,7 +44,7 @@
 	for range 1000 {
 		remote, local = placeAvoiding("e1", rtt), placeAvoiding("e0", 0)
 	}
-	if got := remote.Expected - local.Expected; got < rtt*3/4 || got > rtt*5/4 {
+	if got := remote.ExpectedLatency - local.ExpectedLatency; got < rtt*3/4 || got > rtt*5/4 {
 		t.Errorf("learnt a round trip of %v to the other region, want about %v", got, rtt)
 	}
 }
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -17,7 +17,7 @@
 )
 
 // routes defines the callers' latency targets.
-var routes = []pomelorelay.Route{{Target: 400 * time.Millisecond, Pause: maxPause, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
+var routes = []pomelorelay.Route{{TargetLatency: 400 * time.Millisecond, MaxEventGap: maxPause, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
 
 const maxPause = 400 * time.Millisecond
 
@@ -27,7 +27,7 @@
 		Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "rb"},
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{
-		{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}},
+		{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}},
 		{Name: plain},
 	}})
 	return p
@@ -41,7 +41,7 @@
 func withEngines(n int) *pomeloplace.Placer {
 	p := newPlacer()
 	for i := range n {
-		p.Put(start, engine(pomelorelay.UpstreamID(fmt.Sprintf("e%d", i))))
+		p.PutUpstream(start, engine(pomelorelay.UpstreamID(fmt.Sprintf("e%d", i))))
 	}
 	return p
 }
@@ -49,9 +49,9 @@
 // prompt returns a request with a shared part of the given size and a part of its own.
 func prompt(shared uint64, tokens, own pomelorelay.Tokens) pomeloplace.Request {
 	return pomeloplace.Request{
-		Service: engines, Prompt: tokens + own, Output: 100, Owed: true,
+		Service: engines, PromptTokens: tokens + own, OutputTokens: 100, WithinShare: true,
 		Parts:  []pomelorelay.PromptPart{{Hash: shared, Tokens: tokens}, {Hash: shared<<32 | uint64(own), Tokens: own}},
-		Target: 400 * time.Millisecond, Left: 10 * time.Second,
+		Target: 400 * time.Millisecond, MaxWait: 10 * time.Second,
 	}
 }
 
@@ -71,11 +71,11 @@
 	for i := range 20 {
 		now = now.Add(200 * time.Millisecond)
 		d := place(t, p, now, prompt(1, 5000, pomelorelay.Tokens(200+i)))
-		if d.Upstream.ID != first.Upstream.ID || d.Shared != 0 {
-			t.Fatalf("request %d sent to %s with %d uncached shared tokens, want %s with all cached", i, d.Upstream.ID, d.Shared, first.Upstream.ID)
+		if d.Upstream.ID != first.Upstream.ID || d.UncachedShared != 0 {
+			t.Fatalf("request %d sent to %s with %d uncached shared tokens, want %s with all cached", i, d.Upstream.ID, d.UncachedShared, first.Upstream.ID)
 		}
-		p.Begun(now.Add(50*time.Millisecond), d.Run)
-		p.Ended(now.Add(100*time.Millisecond), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(50*time.Millisecond), d.Run)
+		p.RecordEnd(now.Add(100*time.Millisecond), d.Run, pomeloplace.ResultCompleted)
 	}
 }
 
@@ -83,8 +83,8 @@
 	a, b := withEngines(9), withEngines(9)
 	d := place(t, a, start, prompt(1, 5000, 100))
 	var m pomelorelay.LoadReport
-	a.Report(&m)
-	b.TakeReport(start, "a", 1, &m)
+	a.FillReport(&m)
+	b.ApplyReport(start, "a", 1, &m)
 	got := place(t, b, start.Add(time.Second), prompt(1, 5000, 300))
 	if got.Upstream.ID != d.Upstream.ID {
 		t.Errorf("sent to %s, want %s, which has the part cached", got.Upstream.ID, d.Upstream.ID)
@@ -96,7 +96,7 @@
 	p := withEngines(3)
 	draining := engine("e0")
 	draining.Draining = true
-	p.Put(start, draining)
+	p.PutUpstream(start, draining)
 	r := prompt(1, 100, 100)
 	r.Avoid = []pomelorelay.UpstreamID{"e1"}
 	for i := range 20 {
@@ -104,13 +104,13 @@
 		if d.Upstream.ID != "e2" {
 			t.Fatalf("sent to %s", d.Upstream.ID)
 		}
-		p.Ended(start, d.Run, pomeloplace.ResultGood)
+		p.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
 	}
-	p.Remove("e2")
+	p.RemoveUpstream("e2")
 	if d := place(t, p, start, r); d.Upstream.ID != "e1" {
 		t.Errorf("sent to %s, want e1, the only upstream left", d.Upstream.ID)
 	}
-	p.Remove("e1")
+	p.RemoveUpstream("e1")
 	if d := p.Place(start, r); d.Reason != pomeloplace.ReasonNoUpstream || d.RetryAfter <= 0 {
 		t.Errorf("refused with reason %q and Retry-After %v, want NoUpstream and a positive time", d.Reason, d.RetryAfter)
 	}
@@ -126,11 +126,11 @@
 		if refused.Reason != pomeloplace.ReasonNone {
 			break
 		}
-		if refused.Expected > 400*time.Millisecond {
-			t.Fatalf("admitted with an expected latency of %v, want at most 400 ms", refused.Expected)
+		if refused.ExpectedLatency > 400*time.Millisecond {
+			t.Fatalf("admitted with an expected latency of %v, want at most 400 ms", refused.ExpectedLatency)
 		}
 	}
-	if refused.Reason != pomeloplace.ReasonLate || refused.RetryAfter <= 0 || refused.Run != nil {
+	if refused.Reason != pomeloplace.ReasonTooLate || refused.RetryAfter <= 0 || refused.Run != nil {
 		t.Fatalf("%+v", refused)
 	}
 	if d := p.Place(start.Add(refused.RetryAfter), prompt(1, 5000, 100)); d.Reason != pomeloplace.ReasonNone {
@@ -145,11 +145,11 @@
 	}
 	now := start.Add(time.Minute)
 	r := prompt(1, 10, 10)
-	r.Owed, r.Lead = false, 1.5
-	if d := p.Place(now, r); d.Reason != pomeloplace.ReasonShare {
+	r.WithinShare, r.LeadOverLevel = false, 1.5
+	if d := p.Place(now, r); d.Reason != pomeloplace.ReasonOverShare {
 		t.Errorf("request of an account ahead of others: reason %q, want Share", d.Reason)
 	}
-	r.Owed = true
+	r.WithinShare = true
 	place(t, p, now, r)
 }
 
@@ -158,22 +158,22 @@
 func TestOverShareRequestsDoNotRecomputeCachedParts(t *testing.T) {
 	p := withEngines(2)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, PendingPrefill: 90_000, PromptTokensSent: 90_000}}})
 	overShare := func(shared uint64, tokens pomelorelay.Tokens) pomeloplace.Request {
 		r := prompt(shared, tokens, 100)
-		r.Owed = false
+		r.WithinShare = false
 		return r
 	}
-	slowCopies := pomelorelay.SpeedSums{Service: engines, Copied: 1e6, CopyTook: 100e6}
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
-	if d := p.Place(start, overShare(1, 5000)); d.Reason != pomeloplace.ReasonShare {
-		t.Errorf("reason %q at %s with %d uncached shared tokens, want Share", d.Reason, d.Upstream.ID, d.Shared)
+	slowCopies := pomelorelay.SpeedSums{Service: engines, CopiedTokens: 1e6, CopyTimeTokens: 100e6}
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
+	if d := p.Place(start, overShare(1, 5000)); d.Reason != pomeloplace.ReasonOverShare {
+		t.Errorf("reason %q at %s with %d uncached shared tokens, want Share", d.Reason, d.Upstream.ID, d.UncachedShared)
 	}
 	if d := place(t, p, start, overShare(2, 5000)); d.Upstream.ID == holder {
 		t.Error("a request with an uncached part was sent to the full engine")
 	}
-	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == holder || d.Shared != 5000 {
-		t.Errorf("in-share request sent to %s with %d uncached shared tokens", d.Upstream.ID, d.Shared)
+	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == holder || d.UncachedShared != 5000 {
+		t.Errorf("in-share request sent to %s with %d uncached shared tokens", d.Upstream.ID, d.UncachedShared)
 	}
 }
 
@@ -182,14 +182,14 @@
 func TestPrefixIsCopiedFromOverloadedEngine(t *testing.T) {
 	p := withEngines(3)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, PendingPrefill: 90_000, PromptTokensSent: 90_000}}})
 	d := place(t, p, start, prompt(1, 5000, 200))
-	if d.Upstream.ID == holder || d.CopyFrom.ID != holder || d.Copied != 5000 || d.Shared != 0 {
-		t.Errorf("sent to %s with %d tokens copied from %q and %d uncached shared tokens", d.Upstream.ID, d.Copied, d.CopyFrom.ID, d.Shared)
+	if d.Upstream.ID == holder || d.CopyFrom.ID != holder || d.CopiedTokens != 5000 || d.UncachedShared != 0 {
+		t.Errorf("sent to %s with %d tokens copied from %q and %d uncached shared tokens", d.Upstream.ID, d.CopiedTokens, d.CopyFrom.ID, d.UncachedShared)
 	}
 	// An unreachable engine is not a copy source either.
 	unreachable := place(t, p, start, prompt(2, 5000, 300))
-	p.Ended(start, unreachable.Run, pomeloplace.ResultUnreached)
+	p.RecordEnd(start, unreachable.Run, pomeloplace.ResultUnreachable)
 	if d := place(t, p, start, prompt(2, 5000, 400)); d.CopyFrom.ID == unreachable.Upstream.ID {
 		t.Errorf("copied from %s, which is unreachable", d.CopyFrom.ID)
 	}
@@ -210,17 +210,17 @@
 		now = now.Add(50 * time.Millisecond)
 		d := place(t, p, now, prompt(uint64(i+1), 0, 100))
 		sent[d.Upstream.ID]++
-		result := pomeloplace.ResultGood
+		result := pomeloplace.ResultCompleted
 		if d.Upstream.ID == "e0" {
 			result = pomeloplace.ResultFailed
 		}
-		p.Ended(now.Add(20*time.Millisecond), d.Run, result)
+		p.RecordEnd(now.Add(20*time.Millisecond), d.Run, result)
 	}
 	if sent["e0"] > 10 {
 		t.Errorf("%d of 60 requests sent to the failing upstream, want at most 10", sent["e0"])
 	}
 	d := place(t, p, now, prompt(100, 0, 100))
-	p.Ended(now, d.Run, pomeloplace.ResultUnreached)
+	p.RecordEnd(now, d.Run, pomeloplace.ResultUnreachable)
 	if again := place(t, p, now.Add(100*time.Millisecond), prompt(101, 0, 100)); again.Upstream.ID == d.Upstream.ID {
 		t.Error("sent to an unreachable upstream during its backoff")
 	}
@@ -230,17 +230,17 @@
 func TestCacheKeptOnRelistingAndClearedOnRestart(t *testing.T) {
 	p := withEngines(1)
 	d := place(t, p, start, prompt(1, 5000, 100))
-	p.Ended(start, d.Run, pomeloplace.ResultGood)
-	p.Remove("e0")
-	p.Put(start, engine("e0"))
-	if d := place(t, p, start.Add(time.Second), prompt(1, 5000, 200)); d.Shared != 0 {
-		t.Errorf("%d uncached shared tokens at an upstream that was only unlisted, want 0", d.Shared)
+	p.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
+	p.RemoveUpstream("e0")
+	p.PutUpstream(start, engine("e0"))
+	if d := place(t, p, start.Add(time.Second), prompt(1, 5000, 200)); d.UncachedShared != 0 {
+		t.Errorf("%d uncached shared tokens at an upstream that was only unlisted, want 0", d.UncachedShared)
 	}
 	restarted := engine("e0")
-	restarted.Born = 5
-	p.Put(start, restarted)
-	if d := place(t, p, start.Add(2*time.Second), prompt(1, 5000, 300)); d.Shared != 5000 || d.Running > 1 {
-		t.Errorf("%d uncached shared tokens and %d running requests at a restarted upstream, want 5000 and at most 1", d.Shared, d.Running)
+	restarted.StartUnixMilli = 5
+	p.PutUpstream(start, restarted)
+	if d := place(t, p, start.Add(2*time.Second), prompt(1, 5000, 300)); d.UncachedShared != 5000 || d.Running > 1 {
+		t.Errorf("%d uncached shared tokens and %d running requests at a restarted upstream, want 5000 and at most 1", d.UncachedShared, d.Running)
 	}
 }
 
@@ -250,26 +250,26 @@
 	a, b := withEngines(1), withEngines(1)
 	d := place(t, a, start, prompt(1, 100, 100))
 	var started pomelorelay.LoadReport
-	a.Report(&started)
-	b.TakeReport(start, "a", 1, &started)
+	a.FillReport(&started)
+	b.ApplyReport(start, "a", 1, &started)
 	running := func(now time.Time) int {
 		d := place(t, b, now, prompt(2, 0, 10))
-		b.Ended(now, d.Run, pomeloplace.ResultGood)
+		b.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		return d.Running
 	}
 	if n := running(start); n != 1 {
 		t.Fatalf("%d running, want 1", n)
 	}
-	a.Ended(start, d.Run, pomeloplace.ResultGood)
+	a.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
 	var lost pomelorelay.LoadReport
-	a.Report(&lost)
-	full := pomelorelay.LoadReport{Whole: true}
-	a.Report(&full)
-	b.TakeReport(start, "a", 1, &full)
+	a.FillReport(&lost)
+	full := pomelorelay.LoadReport{Full: true}
+	a.FillReport(&full)
+	b.ApplyReport(start, "a", 1, &full)
 	if n := running(start); n != 0 {
 		t.Errorf("%d running after a full report, want 0", n)
 	}
-	b.TakeReport(start, "c", 1, &started)
+	b.ApplyReport(start, "c", 1, &started)
 	b.Tick(start.Add(10 * time.Second))
 	if n := running(start.Add(10 * time.Second)); n != 0 {
 		t.Errorf("%d running of a router without recent reports, want 0", n)
@@ -282,8 +282,8 @@
 	if d := p.Place(start, prompt(1, 500, 10)); d.ReportAge != 0 {
 		t.Errorf("report age %v, want 0 without any report", d.ReportAge)
 	}
-	p.TakeReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
-	p.TakeReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
+	p.ApplyReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Full: true})
+	p.ApplyReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Full: true})
 	at := start.Add(1200 * time.Millisecond)
 	p.Tick(at)
 	if d := p.Place(at, prompt(1, 500, 10)); d.ReportAge != 1200*time.Millisecond {
@@ -299,11 +299,11 @@
 func TestPlainServicesUseLeastLoadedUpstream(t *testing.T) {
 	p := newPlacer()
 	for i := range 3 {
-		p.Put(start, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("p%d", i)), Service: plain, Domain: "a", Slots: 6})
+		p.PutUpstream(start, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("p%d", i)), Service: plain, Domain: "a", Slots: 6})
 	}
 	sent := make(map[pomelorelay.UpstreamID]int)
 	for range 12 {
-		d := place(t, p, start, pomeloplace.Request{Service: plain, Target: 300 * time.Millisecond, Left: time.Second, Owed: true})
+		d := place(t, p, start, pomeloplace.Request{Service: plain, Target: 300 * time.Millisecond, MaxWait: time.Second, WithinShare: true})
 		sent[d.Upstream.ID]++
 	}
 	for id, n := range sent {
@@ -324,12 +324,12 @@
 		if down == "" {
 			down = d.Upstream.ID
 		}
-		result := pomeloplace.ResultGood
+		result := pomeloplace.ResultCompleted
 		if d.Upstream.ID == down {
 			attempts++
-			result = pomeloplace.ResultUnreached
+			result = pomeloplace.ResultUnreachable
 		}
-		p.Ended(start.Add(at+time.Millisecond), d.Run, result)
+		p.RecordEnd(start.Add(at+time.Millisecond), d.Run, result)
 	}
 	if attempts > 4 {
 		t.Errorf("%d attempts in 5 s, want at most 4", attempts)
@@ -339,7 +339,7 @@
 // fewSlots returns a placer with one engine of twelve slots.
 func fewSlots() *pomeloplace.Placer {
 	p := withEngines(1)
-	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, Memory: 500_000, EventTokens: 18}}}})
+	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, KVCapacity: 500_000, TokensPerEvent: 18}}}})
 	return p
 }
 
@@ -354,13 +354,13 @@
 		if d.Reason != pomeloplace.ReasonNone {
 			return n
 		}
-		p.Begun(now.Add(20*time.Millisecond), d.Run)
+		p.RecordAnswerStart(now.Add(20*time.Millisecond), d.Run)
 	}
 }
 
 // Guards against engines with few slots that stay idle because nearly all slots are reserved for in-share requests.
 func TestSlotReserveLeavesSlotsOnSmallEngines(t *testing.T) {
-	got := runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Owed = false })
+	got := runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.WithinShare = false })
 	if got < 6 || got > 10 {
 		t.Errorf("%d of 12 slots run over-share requests, want 6 to 10", got)
 	}
@@ -369,7 +369,7 @@
 // Guards against an account that occupies the last slots of every engine while another is far below its share.
 func TestAheadAccountsLeaveSlotsFree(t *testing.T) {
 	filledSlots := func(ahead float64) int {
-		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Ahead = ahead })
+		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.LeadOverLeastServed = ahead })
 	}
 	short, slightlyAhead, farAhead := filledSlots(0), filledSlots(1.1), filledSlots(5)
 	if short != 12 || slightlyAhead < 9 || slightlyAhead >= short || farAhead >= slightlyAhead || farAhead < 6 {
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -52,7 +52,7 @@
 		peers:           make(map[pomelorelay.NodeID]*peer),
 		domains:         make(map[pomelorelay.DomainID]*domainState),
 		warmup: pomelowarmup.New(pomelowarmup.Config{
-			Self: cfg.Self, Regions: cfg.Regions, Bounds: cfg.Cold,
+			Self: cfg.Self, Regions: cfg.Regions, Bounds: cfg.ColdBounds,
 		}),
 	}
 }
@@ -95,15 +95,15 @@
 	}
 }
 
-// Put adds or updates an upstream. An upstream that restarted or changed its address starts with empty state; one that was only
+// PutUpstream adds or updates an upstream. An upstream that restarted or changed its address starts with empty state; one that was only
 // temporarily unlisted keeps its state.
-func (p *Placer) Put(now time.Time, info pomelorelay.FleetUpstream) {
+func (p *Placer) PutUpstream(now time.Time, info pomelorelay.FleetUpstream) {
 	u := p.upstreams[info.ID]
 	if u == nil {
 		u = p.removed[info.ID]
 	}
 	if u == nil || !u.sameInstance(info) {
-		p.Remove(info.ID)
+		p.RemoveUpstream(info.ID)
 		u = newUpstream(info, p.engineSpecs[info.Service])
 		u.warmup = p.warmupState(now, info)
 		p.addPeerLoads(u, info.ID)
@@ -153,14 +153,14 @@
 
 // sameInstance reports whether the entry describes the same instance of the upstream, without a restart.
 func (u *upstream) sameInstance(info pomelorelay.FleetUpstream) bool {
-	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.Born == info.Born || info.Born == 0)
+	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.StartUnixMilli == info.StartUnixMilli || info.StartUnixMilli == 0)
 }
 
 // maxRemoved limits the number of removed upstreams that are remembered.
 const maxRemoved = 256
 
-// Remove removes an upstream. Its requests continue, and its state is kept in case it is listed again.
-func (p *Placer) Remove(id pomelorelay.UpstreamID) {
+// RemoveUpstream removes an upstream. Its requests continue, and its state is kept in case it is listed again.
+func (p *Placer) RemoveUpstream(id pomelorelay.UpstreamID) {
 	u := p.upstreams[id]
 	if u == nil {
 		return
@@ -178,7 +178,7 @@
 // Place selects an upstream for the request or refuses it. The caller must record the end of the returned run.
 func (p *Placer) Place(now time.Time, r Request) Decision {
 	if r.Residency.Empty() {
-		return Decision{Reason: ReasonNoRegion, RetryAfter: noRegionRetryAfter, ReportAge: p.reportAge(now)}
+		return Decision{Reason: ReasonNoAllowedRegion, RetryAfter: noRegionRetryAfter, ReportAge: p.reportAge(now)}
 	}
 	best, v, found := p.choose(now, &r)
 	if !found {
@@ -187,10 +187,10 @@
 	d := Decision{
 		Term:      best.largestTerm,
 		ReportAge: p.reportAge(now),
-		Upstream:  best.up.info, Expected: best.expectedLatency, Backlog: best.queueDelay, Missing: best.prefillTokens, Shared: best.uncachedShared, Running: best.up.running(),
+		Upstream:  best.up.info, ExpectedLatency: best.expectedLatency, QueueDelay: best.queueDelay, PrefillTokens: best.prefillTokens, UncachedShared: best.uncachedShared, Running: best.up.running(),
 	}
 	if best.copyFrom != nil {
-		d.CopyFrom, d.Copied = best.copyFrom.info, best.copiedTokens
+		d.CopyFrom, d.CopiedTokens = best.copyFrom.info, best.copiedTokens
 	}
 	if v.bound != BoundNone {
 		d.Reason, d.Bound, d.RetryAfter = v.reason, v.bound, v.retryAfter
@@ -208,8 +208,8 @@
 	} else if p.onlyEvacuated(r) {
 		d.Reason, d.RetryAfter = ReasonEvacuated, evacuatedRetryAfter
 	}
-	if r.Residency.Limited {
-		d.Reason, d.Cause = ReasonRegion, d.Reason
+	if r.Residency.Restricted {
+		d.Reason, d.Cause = ReasonNoUpstreamInRegion, d.Reason
 	}
 	return d
 }
@@ -240,8 +240,8 @@
 	return max(shortest, minRetryAfter), found
 }
 
-// Warmups returns the status of each upstream that is or may be cold.
-func (p *Placer) Warmups(now time.Time) map[pomelorelay.UpstreamID]pomelowarmup.Status {
+// ColdUpstreams returns the status of each upstream that is or may be cold.
+func (p *Placer) ColdUpstreams(now time.Time) map[pomelorelay.UpstreamID]pomelowarmup.Status {
 	cold := make(map[pomelorelay.UpstreamID]pomelowarmup.Status)
 	for id, u := range p.upstreams {
 		if s := u.warmup.Status(now); s.Cold {
@@ -300,12 +300,12 @@
 		return best, false
 	}
 	found := false
-	minUncached := r.Prompt
+	minUncached := r.PromptTokens
 	source := p.findCopySource(now, s, r)
 	s.refreshEstimates(now)
 	for round := 0; round < 2 && !found; round++ {
 		for _, u := range s.upstreams {
-			if !p.usable(u, r) || u.warmup.Admission(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
+			if !p.usable(u, r) || u.warmup.Admission(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.Disabled) || slices.Contains(r.Avoid, u.info.ID))) {
 				continue
 			}
 			c := p.evaluate(now, u, source, r)
@@ -323,7 +323,7 @@
 	u := c.up
 	u.warmup.RecordSend(now)
 	u.domain.recordSend(now)
-	run := &Run{up: u, sent: now, prefillTokens: c.prefillTokens, copiedTokens: c.copiedTokens, memoryTokens: r.Prompt + r.Output}
+	run := &Run{up: u, sent: now, prefillTokens: c.prefillTokens, copiedTokens: c.copiedTokens, memoryTokens: r.PromptTokens + r.OutputTokens}
 	u.own.running++
 	u.changed = true
 	if u.engine == nil {
@@ -353,8 +353,8 @@
 	}
 }
 
-// Begun records that the answer of a run has begun.
-func (p *Placer) Begun(now time.Time, run *Run) {
+// RecordAnswerStart records that the answer of a run has begun.
+func (p *Placer) RecordAnswerStart(now time.Time, run *Run) {
 	if run.started || run.ended {
 		return
 	}
@@ -366,8 +366,8 @@
 	p.updateRegionLatency(u, u.observeFirstToken(now, run, now.Sub(run.sent), p.regionLatency(u)))
 }
 
-// Ended records the outcome of a run; further calls for the same run have no effect.
-func (p *Placer) Ended(now time.Time, run *Run, result Result) {
+// RecordEnd records the outcome of a run; further calls for the same run have no effect.
+func (p *Placer) RecordEnd(now time.Time, run *Run, result Result) {
 	if run.ended {
 		return
 	}
@@ -380,12 +380,12 @@
 		u.own.memoryTokens -= run.memoryTokens
 	}
 	u.own.running--
-	if run.started && u.engine != nil && (result == ResultGood || result == ResultPaused) && u.longPrefillAt.After(run.sent) {
-		u.pool.recordPause(now, result == ResultPaused)
+	if run.started && u.engine != nil && (result == ResultCompleted || result == ResultLongPause) && u.longPrefillAt.After(run.sent) {
+		u.pool.recordPause(now, result == ResultLongPause)
 	}
 	u.changed = true
 	u.recordResult(now, result)
-	if result == ResultUnreached {
+	if result == ResultUnreachable {
 		p.recordUnreachable(now, run)
 	}
 }
@@ -397,7 +397,7 @@
 		u.domain.recordHang(now, run.sent, u.info.ID)
 	}
 	if (!timedOut || p.lastAnswerAt.After(run.sent)) && u.warmup.RecordConnectFailure(now) {
-		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
+		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreachable: true})
 	}
 }
 
@@ -407,7 +407,7 @@
 	run.up.domain.recordAnswer(now)
 	u := run.up
 	if remaining, changed := u.warmup.RecordAnswer(now, run.sent); changed {
-		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: remaining})
+		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdRemaining: remaining})
 	}
 }
 
@@ -417,10 +417,10 @@
 		u := p.upstreams[s.Upstream]
 		switch {
 		case u == nil:
-		case s.Unreached:
+		case s.Unreachable:
 			u.warmup.MarkSuspect(now)
 		default:
-			u.warmup.MarkCold(now, s.ColdFor)
+			u.warmup.MarkCold(now, s.ColdRemaining)
 		}
 	}
 }
--- a/pomeloplace/prefixcache.go
+++ b/pomeloplace/prefixcache.go
@@ -102,7 +102,7 @@
 
 // uncached returns the number of prompt tokens to prefill: everything from the first uncached part on, and at least one token.
 func (c *prefixCache) uncached(r *Request) pomelorelay.Tokens {
-	remaining := r.Prompt
+	remaining := r.PromptTokens
 	for _, p := range r.Parts {
 		if c.parts[p.Hash] == nil {
 			return remaining
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -15,29 +15,29 @@
 	speeds      map[pomelorelay.ServiceID]pomelorelay.SpeedSums
 }
 
-// Report adds this router's load to a load report: changes since the last report, or the full state if Whole is set.
-func (p *Placer) Report(m *pomelorelay.LoadReport) {
+// FillReport adds this router's load to a load report: changes since the last report, or the full state if Whole is set.
+func (p *Placer) FillReport(m *pomelorelay.LoadReport) {
 	p.seq++
 	p.tokensSinceReport = 0
 	m.Seq = p.seq
 	for name, s := range p.pools {
-		if sums := s.speed.LocalSums(); s.speedReportDue(sums.Answers) || (m.Whole && sums.Answers > 0) {
+		if sums := s.speed.LocalSums(); s.speedReportDue(sums.Answers) || (m.Full && sums.Answers > 0) {
 			s.reportedAnswers = sums.Answers
 			sums.Service = name
 			pauses := s.pauseRatio.LocalSums()
-			sums.Beside, sums.Paused = pauses.Denominator, pauses.Numerator
+			sums.DuringPrefill, sums.Stalled = pauses.Denominator, pauses.Numerator
 			copies := s.copyRatio.LocalSums()
-			sums.Copied, sums.CopyTook = copies.Denominator, copies.Numerator
+			sums.CopiedTokens, sums.CopyTimeTokens = copies.Denominator, copies.Numerator
 			m.Speeds = append(m.Speeds, sums)
 		}
 		for _, u := range s.upstreams {
-			if !u.changed && (!m.Whole || u.own == (load{})) {
+			if !u.changed && (!m.Full || u.own == (load{})) {
 				continue
 			}
 			u.changed = false
 			m.Upstreams = append(m.Upstreams, pomelorelay.UpstreamLoad{
-				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), Unread: max(0, u.own.pendingPrefill), Held: max(0, u.own.memoryTokens), Sent: u.own.sent,
-				Expected: u.own.expectedSum, Took: u.own.measuredSum,
+				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), PendingPrefill: max(0, u.own.pendingPrefill), KVTokens: max(0, u.own.memoryTokens), PromptTokensSent: u.own.sent,
+				FirstTokenExpected: u.own.expectedSum, FirstTokenMeasured: u.own.measuredSum,
 			})
 		}
 	}
@@ -65,8 +65,8 @@
 	return p.tokensSinceReport >= urgentTokens || len(p.pendingStarts) > 0
 }
 
-// TakeReport applies another router's load report. Reports of an earlier incarnation are ignored.
-func (p *Placer) TakeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+// ApplyReport applies another router's load report. Reports of an earlier incarnation are ignored.
+func (p *Placer) ApplyReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	o := p.peers[from]
 	if o != nil && incarnation < o.incarnation {
 		return
@@ -83,11 +83,11 @@
 	for _, l := range m.Upstreams {
 		before := o.loads[l.Upstream]
 		p.applyLoad(now, o, l)
-		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Without.RemoteCacheUse {
-			u.cache.addUnidentified(l.Sent - before.sent - identified[l.Upstream])
+		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Disabled.RemoteCacheUse {
+			u.cache.addUnidentified(l.PromptTokensSent - before.sent - identified[l.Upstream])
 		}
 	}
-	if m.Whole {
+	if m.Full {
 		p.clearUnlistedLoads(now, o, m)
 	}
 }
@@ -117,13 +117,13 @@
 	}
 	for id, l := range o.loads {
 		if !listed[id] && l.running != 0 {
-			p.applyLoad(now, o, pomelorelay.UpstreamLoad{Upstream: id, Sent: l.sent, Expected: l.expectedSum, Took: l.measuredSum})
+			p.applyLoad(now, o, pomelorelay.UpstreamLoad{Upstream: id, PromptTokensSent: l.sent, FirstTokenExpected: l.expectedSum, FirstTokenMeasured: l.measuredSum})
 		}
 	}
 }
 
 func (p *Placer) applySpeeds(now time.Time, o *peer, speeds []pomelorelay.SpeedSums) {
-	if p.cfg.Without.SharedSpeeds {
+	if p.cfg.Disabled.SharedSpeeds {
 		return
 	}
 	for _, sums := range speeds {
@@ -138,15 +138,15 @@
 }
 
 func pauseSums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
-	return pomelospeed.RatioSums{Numerator: s.Paused, Denominator: s.Beside}
+	return pomelospeed.RatioSums{Numerator: s.Stalled, Denominator: s.DuringPrefill}
 }
 
 func copySums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
-	return pomelospeed.RatioSums{Numerator: s.CopyTook, Denominator: s.Copied}
+	return pomelospeed.RatioSums{Numerator: s.CopyTimeTokens, Denominator: s.CopiedTokens}
 }
 
 func (p *Placer) applyLoad(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
-	next := load{running: int(l.Running), pendingPrefill: l.Unread, memoryTokens: l.Held, sent: l.Sent, expectedSum: l.Expected, measuredSum: l.Took}
+	next := load{running: int(l.Running), pendingPrefill: l.PendingPrefill, memoryTokens: l.KVTokens, sent: l.PromptTokensSent, expectedSum: l.FirstTokenExpected, measuredSum: l.FirstTokenMeasured}
 	before, known := o.loads[l.Upstream]
 	o.loads[l.Upstream] = next
 	u := p.lookUp(l.Upstream)
@@ -169,11 +169,11 @@
 	}
 }
 
-// SetUnreported sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without this
+// SetUnreportedRouters sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without this
 // assumption, routers that start at once would all see idle engines and overfill them several times before the first reports arrive, and
 // callers would get answers seconds late after a restart of the fleet.
-func (p *Placer) SetUnreported(routers int) {
-	if p.cfg.Without.Unreported {
+func (p *Placer) SetUnreportedRouters(routers int) {
+	if p.cfg.Disabled.Unreported {
 		routers = 0
 	}
 	for _, s := range p.pools {
@@ -184,11 +184,11 @@
 // Tick removes routers whose reports have expired and updates the assignment of long prompts.
 func (p *Placer) Tick(now time.Time) {
 	for _, s := range p.pools {
-		s.assignLongEngines(now, &p.cfg.Without)
+		s.assignLongEngines(now, &p.cfg.Disabled)
 	}
 	p.oldestReportAt = time.Time{}
 	for node, o := range p.peers {
-		if now.Sub(o.seenAt) > SilentAfter {
+		if now.Sub(o.seenAt) > PeerTimeout {
 			p.forgetRouter(node)
 			continue
 		}
@@ -222,11 +222,11 @@
 	}
 }
 
-// Forget removes a router's load.
-func (p *Placer) Forget(node pomelorelay.NodeID) { p.forgetRouter(node) }
+// ForgetRouter removes a router's load.
+func (p *Placer) ForgetRouter(node pomelorelay.NodeID) { p.forgetRouter(node) }
 
-// ForgetOthers removes the load of all routers except one.
-func (p *Placer) ForgetOthers(except pomelorelay.NodeID) {
+// ForgetRoutersExcept removes the load of all routers except one.
+func (p *Placer) ForgetRoutersExcept(except pomelorelay.NodeID) {
 	for node := range p.peers {
 		if node != except {
 			p.forgetRouter(node)
--- a/pomeloplace/simulation_test.go
+++ b/pomeloplace/simulation_test.go
@@ -124,9 +124,9 @@
 	}
 	session := uint64(shared)<<32 | s.random.Uint64N(sessions*s.sessionFactor) + 1
 	r := pomeloplace.Request{
-		Service: engines, Prompt: shared + pomelorelay.Tokens(own) + 1, Output: pomelorelay.Tokens(output) + 1, Owed: true,
+		Service: engines, PromptTokens: shared + pomelorelay.Tokens(own) + 1, OutputTokens: pomelorelay.Tokens(output) + 1, WithinShare: true,
 		Parts:  []pomelorelay.PromptPart{{Hash: session, Tokens: shared}, {Hash: s.random.Uint64(), Tokens: pomelorelay.Tokens(own) + 1}},
-		Target: target, Left: 10 * time.Second,
+		Target: target, MaxWait: 10 * time.Second,
 	}
 	return r, int(output) + s.eventTokens
 }
@@ -155,9 +155,9 @@
 
 func (s *simulation) arrive() {
 	r, output := s.randomRequest()
-	r.Owed = s.random.Float64() >= s.overShare
+	r.WithinShare = s.random.Float64() >= s.overShare
 	s.requested++
-	if r.Owed {
+	if r.WithinShare {
 		s.inShareRequested++
 	}
 	s.submit(pendingRequest{firstSentAt: s.now, request: r, output: output})
@@ -181,12 +181,12 @@
 		s.refused++
 		return
 	}
-	uncached, copyTime := float64(r.Prompt), time.Duration(0)
+	uncached, copyTime := float64(r.PromptTokens), time.Duration(0)
 	session := r.Parts[0]
 	switch {
 	case s.cached[d.Upstream.ID][session.Hash]:
 		uncached -= float64(session.Tokens)
-	case d.Copied > 0 && s.cached[d.CopyFrom.ID][session.Hash]:
+	case d.CopiedTokens > 0 && s.cached[d.CopyFrom.ID][session.Hash]:
 		uncached -= float64(session.Tokens)
 		copyTime = time.Duration(float64(session.Tokens) * copyPerToken)
 		s.copied += int(session.Tokens)
@@ -215,8 +215,8 @@
 
 func (s *simulation) sendReports(whole bool) {
 	for i, router := range s.routers {
-		m := &pomelorelay.LoadReport{Whole: whole}
-		router.Report(m)
+		m := &pomelorelay.LoadReport{Full: whole}
+		router.FillReport(m)
 		router.Tick(s.now)
 		s.inTransit = append(s.inTransit, reportInTransit{arrivesAt: s.now.Add(s.reportDelay), from: i, m: m})
 	}
@@ -226,20 +226,20 @@
 	if s.now.Sub(start) < s.reportBlackout {
 		for _, router := range s.routers {
 			if s.unreportedKnown {
-				router.SetUnreported(len(s.routers) - 1)
+				router.SetUnreportedRouters(len(s.routers) - 1)
 			}
 		}
 		return
 	}
 	for _, router := range s.routers {
-		router.SetUnreported(0)
+		router.SetUnreportedRouters(0)
 	}
 	for len(s.inTransit) > 0 && !s.inTransit[0].arrivesAt.After(s.now) {
 		delivered := s.inTransit[0]
 		s.inTransit = s.inTransit[1:]
 		for i, router := range s.routers {
 			if i != delivered.from {
-				router.TakeReport(s.now, pomelorelay.NodeID(fmt.Sprint("r", delivered.from)), 1, delivered.m)
+				router.ApplyReport(s.now, pomelorelay.NodeID(fmt.Sprint("r", delivered.from)), 1, delivered.m)
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 	if j.generated%s.eventTokens == 1 {
 		if j.generated == 1 {
 			j.firstToken = e.nextStepAt.Sub(j.sent)
-			router.Begun(e.nextStepAt, j.run)
+			router.RecordAnswerStart(e.nextStepAt, j.run)
 		} else {
 			j.longestPause = max(j.longestPause, e.nextStepAt.Sub(j.lastEventAt))
 		}
@@ -299,18 +299,18 @@
 	if j.generated < j.output {
 		return
 	}
-	result := pomeloplace.ResultGood
+	result := pomeloplace.ResultCompleted
 	if j.longestPause > maxPause {
-		result = pomeloplace.ResultPaused
+		result = pomeloplace.ResultLongPause
 	}
-	router.Ended(e.nextStepAt, j.run, result)
-	if j.firstToken <= j.request.Target && result == pomeloplace.ResultGood {
+	router.RecordEnd(e.nextStepAt, j.run, result)
+	if j.firstToken <= j.request.Target && result == pomeloplace.ResultCompleted {
 		s.onTime++
-		if j.request.Owed {
+		if j.request.WithinShare {
 			s.inShareOnTime++
 		}
 	}
-	if result == pomeloplace.ResultPaused {
+	if result == pomeloplace.ResultLongPause {
 		s.longPauses++
 	}
 	if j.firstToken > j.request.Target {
--- a/pomeloplace/speed.go
+++ b/pomeloplace/speed.go
@@ -10,14 +10,14 @@
 // Speed is the learnt speed of a service's engines.
 type Speed struct {
 	Service pomelorelay.ServiceID
-	// Rate is the prefill rate in tokens per millisecond.
-	Rate pomelospeed.PrefillRate
-	// Overhead is the part of the time to first token besides prefill.
-	Overhead time.Duration
-	// Pauses is the weight, from 0 to 1, of the cost of long prefills to concurrent streams.
-	Pauses float64
-	// CopyPart is the time to copy a token from another engine, as a fraction of the time to prefill it.
-	CopyPart float64
+	// PrefillRate is the prefill rate in tokens per millisecond.
+	PrefillRate pomelospeed.PrefillRate
+	// FirstTokenOverhead is the part of the time to first token besides prefill.
+	FirstTokenOverhead time.Duration
+	// PauseWeight is the weight, from 0 to 1, of the cost of long prefills to concurrent streams.
+	PauseWeight float64
+	// CopyFraction is the time to copy a token from another engine, as a fraction of the time to prefill it.
+	CopyFraction float64
 }
 
 // Speeds returns the learnt speed of each service with model engines.
@@ -27,7 +27,7 @@
 		if len(s.upstreams) == 0 || s.upstreams[0].engine == nil {
 			continue
 		}
-		all = append(all, Speed{Service: name, Rate: s.speed.PrefillRate(), Overhead: s.speed.Overhead(), Pauses: s.pauseWeight, CopyPart: s.copyFraction})
+		all = append(all, Speed{Service: name, PrefillRate: s.speed.PrefillRate(), FirstTokenOverhead: s.speed.Overhead(), PauseWeight: s.pauseWeight, CopyFraction: s.copyFraction})
 	}
 	return all
 }
--- a/pomeloplace/speed_test.go
+++ b/pomeloplace/speed_test.go
@@ -15,14 +15,14 @@
 	const rate = 25.0
 	running, started := withEngines(4), withEngines(4)
 	now := prefillAtRate(t, running, rate)
-	if got := speedOf(t, running); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("learnt a rate of %.1f tokens/ms, want %.0f", got.Rate, rate)
+	if got := speedOf(t, running); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
+		t.Errorf("learnt a rate of %.1f tokens/ms, want %.0f", got.PrefillRate, rate)
 	}
 	var m pomelorelay.LoadReport
-	running.Report(&m)
-	started.TakeReport(now, "old", 1, &m)
-	if got := speedOf(t, started); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("rate from the report is %.1f tokens/ms, want %.0f", got.Rate, rate)
+	running.FillReport(&m)
+	started.ApplyReport(now, "old", 1, &m)
+	if got := speedOf(t, started); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
+		t.Errorf("rate from the report is %.1f tokens/ms, want %.0f", got.PrefillRate, rate)
 	}
 }
 
@@ -32,12 +32,12 @@
 	const rate = 25.0
 	running, started := withEngines(4), withEngines(4)
 	prefillAtRate(t, running, rate)
-	running.Report(&pomelorelay.LoadReport{Whole: true})
-	m := pomelorelay.LoadReport{Whole: true}
-	running.Report(&m)
-	started.TakeReport(start, "old", 1, &m)
-	if got := speedOf(t, started); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("rate from the report is %.1f tokens/ms, want %.0f", got.Rate, rate)
+	running.FillReport(&pomelorelay.LoadReport{Full: true})
+	m := pomelorelay.LoadReport{Full: true}
+	running.FillReport(&m)
+	started.ApplyReport(start, "old", 1, &m)
+	if got := speedOf(t, started); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
+		t.Errorf("rate from the report is %.1f tokens/ms, want %.0f", got.PrefillRate, rate)
 	}
 }
 
@@ -48,10 +48,10 @@
 	for i := range 200 {
 		now = now.Add(time.Second)
 		tokens := pomelorelay.Tokens(200 + 20*i)
-		d := place(t, p, now, pomeloplace.Request{Service: engines, Prompt: tokens, Output: 10, Owed: true, Target: time.Second, Left: 10 * time.Second})
+		d := place(t, p, now, pomeloplace.Request{Service: engines, PromptTokens: tokens, OutputTokens: 10, WithinShare: true, Target: time.Second, MaxWait: 10 * time.Second})
 		took := 30*time.Millisecond + time.Duration(float64(tokens)/rate*float64(time.Millisecond))
-		p.Begun(now.Add(took), d.Run)
-		p.Ended(now.Add(took), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(took), d.Run)
+		p.RecordEnd(now.Add(took), d.Run, pomeloplace.ResultCompleted)
 	}
 	return now
 }
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -69,7 +69,7 @@
 func (u *upstream) setEngine(engine *pomelorelay.EngineSpec) {
 	u.engine = engine
 	if engine != nil {
-		u.cache.capacity = engine.Memory
+		u.cache.capacity = engine.KVCapacity
 	}
 }
 
@@ -157,12 +157,12 @@
 
 func (u *upstream) recordResult(now time.Time, r Result) {
 	switch r {
-	case ResultGood, ResultPaused:
+	case ResultCompleted, ResultLongPause:
 		u.failureRate = u.decayedFailureRate(now) * (1 - failureAlpha)
 		u.backoffUntil, u.backoff = time.Time{}, 0
 	case ResultFailed, ResultRefused:
 		u.failureRate = u.decayedFailureRate(now)*(1-failureAlpha) + failureAlpha
-	case ResultUnreached:
+	case ResultUnreachable:
 		u.failureRate = max(u.decayedFailureRate(now), failureAlpha)
 		u.startBackoff(now)
 	default:
@@ -220,9 +220,9 @@
 
 // memoryFull reports whether the request would overfill the engine's memory together with those already running.
 func (u *upstream) memoryFull(tokens pomelorelay.Tokens) bool {
-	if u.engine == nil || u.engine.Memory <= 0 {
+	if u.engine == nil || u.engine.KVCapacity <= 0 {
 		return false
 	}
 	used := u.own.memoryTokens + u.others.memoryTokens
-	return used > 0 && float64(used+tokens) > maxMemoryFraction*float64(u.engine.Memory)
+	return used > 0 && float64(used+tokens) > maxMemoryFraction*float64(u.engine.KVCapacity)
 }
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -104,7 +104,7 @@
 func (p *Placer) evaluate(now time.Time, u *upstream, from copySource, r *Request) candidate {
 	c := candidate{up: u, queueDelay: u.queueDelay(now)}
 	c.expectedLatency = c.queueDelay + p.regionLatency(u)
-	disabled := &p.cfg.Without
+	disabled := &p.cfg.Disabled
 	if u.otherRegion && !disabled.RegionCost {
 		c.addCost(TermRegion, u.poolPrefillTime(crossRegionTokens))
 	}
@@ -122,11 +122,11 @@
 }
 
 func (p *Placer) evaluateEngine(now time.Time, c *candidate, from copySource, r *Request) {
-	u, disabled := c.up, &p.cfg.Without
+	u, disabled := c.up, &p.cfg.Disabled
 	uncached := u.cache.uncached(r)
 	copyTime := p.planCopy(c, from, uncached)
 	uncached -= c.copiedTokens
-	c.prefillTokens = prefillWork(uncached, r.Prompt)
+	c.prefillTokens = prefillWork(uncached, r.PromptTokens)
 	c.uncachedShared = max(0, uncached-r.ownTokens())
 	prefill := u.prefillTime(float64(c.prefillTokens))
 	c.expectedLatency += prefill + copyTime + u.firstTokenOverhead()
@@ -145,7 +145,7 @@
 	if !disabled.LongEngines {
 		c.addCost(TermLongEngine, longEngineCost(u, r, c.prefillTokens))
 	}
-	if u.memoryFull(r.Prompt + r.Output) {
+	if u.memoryFull(r.PromptTokens + r.OutputTokens) {
 		c.expectedLatency += slotFreeInterval
 		c.addCost(TermMemory, failureCost)
 	}
@@ -176,7 +176,7 @@
 // ownTokens returns the size of the last prompt part, which no other request shares.
 func (r *Request) ownTokens() pomelorelay.Tokens {
 	if len(r.Parts) == 0 {
-		return r.Prompt
+		return r.PromptTokens
 	}
 	return r.Parts[len(r.Parts)-1].Tokens
 }
