--- a/pomeloconfig/generate.go
+++ b/pomeloconfig/generate.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Generate makes one configuration of several teams' answers; the order of the answers does not matter. It fails with
-// CodeAnswersInvalid, for example when two teams name a service or an account alike.
+// Generate builds one configuration from the answers of several teams, independent of their order. It returns
+// CodeAnswersInvalid, for example when two teams use the same name for a service or an account.
 func Generate(teams []Answers) (Configuration, error) {
 	teams = slices.Clone(teams)
 	slices.SortStableFunc(teams, func(a, b Answers) int { return cmp.Compare(a.Team, b.Team) })
@@ -31,42 +31,42 @@
 	return all, nil
 }
 
-// mergeRegions joins regions of the same name, for teams may share them.
-func mergeRegions(all, more []Region) []Region {
-	for _, region := range more {
-		at := slices.IndexFunc(all, func(r Region) bool { return r.Name == region.Name })
-		if at < 0 {
+// mergeRegions merges regions of the same name, since teams may share regions.
+func mergeRegions(all, added []Region) []Region {
+	for _, region := range added {
+		i := slices.IndexFunc(all, func(r Region) bool { return r.Name == region.Name })
+		if i < 0 {
 			all = append(all, Region{Name: region.Name, FailureDomains: slices.Clone(region.FailureDomains)})
 			continue
 		}
 		for _, domain := range region.FailureDomains {
-			if !slices.Contains(all[at].FailureDomains, domain) {
-				all[at].FailureDomains = append(all[at].FailureDomains, domain)
+			if !slices.Contains(all[i].FailureDomains, domain) {
+				all[i].FailureDomains = append(all[i].FailureDomains, domain)
 			}
 		}
 	}
 	return all
 }
 
-// answerPaths gives the place in the answers of each upstream of the configuration made from them.
+// answerPaths holds the path in the answers of each upstream of the generated configuration.
 type answerPaths struct {
 	upstreams []string
 }
 
-// translate turns a path into the configuration into one into the answers.
+// translate converts a path in the generated configuration to the matching path in the answers.
 func (p answerPaths) translate(path string) string {
-	for i, place := range p.upstreams {
-		rest, ok := strings.CutPrefix(path, index("Upstreams", i))
+	for i, answerPath := range p.upstreams {
+		suffix, ok := strings.CutPrefix(path, indexedPath("Upstreams", i))
 		if !ok {
 			continue
 		}
-		switch rest {
+		switch suffix {
 		case ".Name", ".Address":
-			return place + rest
+			return answerPath + suffix
 		}
-		return place[:strings.LastIndex(place, ".Servers")] + rest
+		return answerPath[:strings.LastIndex(answerPath, ".Servers")] + suffix
 	}
-	for from, to := range servicePaths {
+	for from, to := range serviceAnswerPaths {
 		if strings.HasPrefix(path, "Services[") && strings.HasSuffix(path, from) {
 			return strings.TrimSuffix(path, from) + to
 		}
@@ -80,7 +80,8 @@
 	return path
 }
 
-var servicePaths = map[string]string{
+// serviceAnswerPaths maps suffixes of paths in the configuration to suffixes of paths in the answers.
+var serviceAnswerPaths = map[string]string{
 	".InputCost": ".Cost.Input", ".OutputCost": ".Cost.Output", ".MaxCost": ".Cost.Maximum",
 	".SpillDomain": ".Spill.Domain", ".SpillRegion": ".Spill.Region", ".CatchUp": ".Spill.CatchUp",
 	".MaxBody": ".Limits.MaxBody", ".MaxWaiting": ".Limits.MaxWaiting", ".MaxWaitingBytes": ".Limits.MaxWaitingBytes",
@@ -88,7 +89,7 @@
 	".Retention": ".Limits.Retention", ".QuarantineFor": ".Limits.QuarantineFor",
 }
 
-// configuration makes the team's own configuration, in the order of the answers.
+// configuration builds the team's part of the configuration, in the order of the answers.
 func (a Answers) configuration() (Configuration, answerPaths) {
 	c := Configuration{Teams: []Team{{Name: a.Team, ShareTotal: a.ShareTotal}}, Regions: slices.Clone(a.Regions)}
 	var paths answerPaths
@@ -99,7 +100,7 @@
 			for k, server := range group.Servers {
 				counts[group.FailureDomain]++
 				c.Upstreams = append(c.Upstreams, a.upstream(s, group, server, counts[group.FailureDomain]))
-				paths.upstreams = append(paths.upstreams, index(index(index("Services", i)+".Upstreams", j)+".Servers", k))
+				paths.upstreams = append(paths.upstreams, indexedPath(indexedPath(indexedPath("Services", i)+".Upstreams", j)+".Servers", k))
 			}
 		}
 	}
@@ -114,7 +115,7 @@
 func (s ServiceAnswers) service(team string) Service {
 	return Service{
 		Name: s.Name, Team: team, Kind: s.Kind,
-		NonIdempotent: s.MayRepeat == MayRepeatNo, KeyOptional: s.KeyOptional,
+		NonIdempotent: s.MayRepeat == MayRepeatNever, KeyOptional: s.KeyOptional,
 		InputCost: s.Cost.Input, OutputCost: s.Cost.Output, MaxCost: s.Cost.Maximum,
 		SpillDomain: s.Spill.Domain, SpillRegion: s.Spill.Region, CatchUp: s.Spill.CatchUp,
 		MaxBody: s.Limits.MaxBody, MaxWaiting: s.Limits.MaxWaiting, MaxWaitingBytes: s.Limits.MaxWaitingBytes,
--- a/pomeloconfig/memstore_test.go
+++ b/pomeloconfig/memstore_test.go
@@ -10,26 +10,26 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// memStore is a store in memory that can lose calls, answers, and be restored from an old copy.
+// memStore is an in-memory store that can lose or delay requests, lose answers and be restored from an old copy.
 type memStore struct {
 	pomelorelay.Store
 	mu      sync.Mutex
 	records map[pomelorelay.StoreKey]pomelorelay.Record
 	writes  int
-	// fault decides what becomes of the n-th write; nil is a store without faults.
+	// fault selects the fault of the n-th write; nil means no faults.
 	fault func(n int) writeFault
-	// random gives each call its time; nil makes them instant.
+	// random draws the duration of each call; nil makes calls instant.
 	random *rand.Rand
 }
 
 type writeFault int
 
 const (
-	faultNone       writeFault = iota
-	faultRefused               // the store did not take the call
-	faultLostAfter             // it took effect and the answer was lost
-	faultLostBefore            // it never arrived, which the writer cannot know
-	faultLate                  // it arrives long after the writer was told that the answer is lost
+	faultNone        writeFault = iota
+	faultUnavailable            // the store rejected the call
+	faultAnswerLost             // the write took effect and the answer was lost
+	faultRequestLost            // the request was lost, which the writer cannot know
+	faultLateRequest            // the request arrives long after the writer got an unknown outcome
 	faultCount
 )
 
@@ -67,18 +67,18 @@
 		fault = s.fault(s.writes)
 	}
 	s.mu.Unlock()
-	lost := pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
+	unknown := pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
 	switch fault {
-	case faultRefused:
+	case faultUnavailable:
 		return 0, pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "refused", nil)
-	case faultLostBefore:
-		return 0, lost
-	case faultLostAfter:
+	case faultRequestLost:
+		return 0, unknown
+	case faultAnswerLost:
 		s.swap(key, value, old)
-		return 0, lost
-	case faultLate:
+		return 0, unknown
+	case faultLateRequest:
 		time.AfterFunc(3*time.Second, func() { s.swap(key, value, old) })
-		return 0, lost
+		return 0, unknown
 	}
 	return s.swap(key, value, old)
 }
@@ -93,7 +93,7 @@
 	return old + 1, nil
 }
 
-// backup returns a copy of the records, and restore puts one back.
+// backup returns a copy of the records for restore.
 func (s *memStore) backup() map[pomelorelay.StoreKey]pomelorelay.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pomeloconfig/sample_test.go
+++ b/pomeloconfig/sample_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// sample returns a good configuration with the number of accounts.
+// sample returns a valid configuration with the given number of accounts.
 func sample(accounts int) pomeloconfig.Configuration {
 	c := pomeloconfig.Configuration{
 		Teams:    []pomeloconfig.Team{{Name: "team"}},
@@ -33,7 +33,7 @@
 
 func mustParts(t testing.TB, c pomeloconfig.Configuration) ([]pomelorelay.Hash, map[pomelorelay.Hash][]byte) {
 	t.Helper()
-	parts, err := pomeloconfig.Parts(c)
+	parts, err := pomeloconfig.Split(c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pomeloconfig/settings_seeds.go
+++ b/pomeloconfig/settings_seeds.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Seed is a router that is asked first, before the host list is read or while it is not there.
+// Seed is a router to contact before the host list has been read, or while the list is unavailable.
 type Seed struct {
 	Name          pomelorelay.NodeID   `yaml:"Name"`
 	Address       netip.AddrPort       `yaml:"Address"`
@@ -17,7 +17,7 @@
 func checkSeeds(c *checker, seeds []Seed) {
 	seen := make(map[string]string)
 	for i, seed := range seeds {
-		path := index("Seeds", i)
+		path := indexedPath("Seeds", i)
 		c.name(path+".Name", string(seed.Name))
 		c.address(path+".Address", seed.Address)
 		c.name(path+".FailureDomain", string(seed.FailureDomain))
--- a/pomeloconfig/snapshot.go
+++ b/pomeloconfig/snapshot.go
@@ -10,26 +10,26 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Snapshot is a configuration as routers read it: immutable, checked, safe for concurrent use and small in memory.
+// Snapshot is a validated configuration compiled for lookups: immutable, compact and safe for concurrent use.
 type Snapshot struct {
-	root      Root
-	teams     []Team
-	regions   []Region
-	services  []Service
-	byService map[pomelorelay.ServiceID]int32
-	upstreams []Upstream
-	byName    map[pomelorelay.UpstreamID]int32
-	// poolService is the place in services of each pool's service.
-	poolService map[pomelorelay.PoolID]int32
-	accounts    []compiledAccount
-	byAccount   map[pomelorelay.AccountID]int32
-	// tokens are in the order of their hashes.
+	root          Root
+	teams         []Team
+	regions       []Region
+	services      []Service
+	serviceIndex  map[pomelorelay.ServiceID]int32
+	upstreams     []Upstream
+	upstreamIndex map[pomelorelay.UpstreamID]int32
+	// poolServiceIndex is the index in services of each pool's service.
+	poolServiceIndex map[pomelorelay.PoolID]int32
+	accounts         []compiledAccount
+	accountIndex     map[pomelorelay.AccountID]int32
+	// tokens is sorted by hash.
 	tokens    []tokenEntry
-	smallest  pomelorelay.Weight
+	minWeight pomelorelay.Weight
 	evacuated []pomelorelay.DomainID
 }
 
-// compiledAccount keeps the few shares by service outside, so that most accounts need none.
+// compiledAccount is an account in compact form; shares is nil for the many accounts without shares by service.
 type compiledAccount struct {
 	name   pomelorelay.AccountID
 	team   int32
@@ -49,7 +49,7 @@
 
 var _ pomelorelay.Weights = (*Snapshot)(nil)
 
-// NewSnapshot checks and compiles a configuration; it fails with CodeConfigInvalid.
+// NewSnapshot validates and compiles a configuration; it returns CodeConfigInvalid if it has problems.
 func NewSnapshot(root Root, c Configuration) (*Snapshot, error) {
 	c.FillDefaults()
 	if err := problemsError(pomelorelay.CodeConfigInvalid, Check(c)); err != nil {
@@ -62,15 +62,15 @@
 }
 
 func (s *Snapshot) compileServices() {
-	s.byService = make(map[pomelorelay.ServiceID]int32, len(s.services))
+	s.serviceIndex = make(map[pomelorelay.ServiceID]int32, len(s.services))
 	for i, service := range s.services {
-		s.byService[service.Name] = int32(i)
+		s.serviceIndex[service.Name] = int32(i)
 	}
-	s.byName = make(map[pomelorelay.UpstreamID]int32, len(s.upstreams))
-	s.poolService = make(map[pomelorelay.PoolID]int32)
+	s.upstreamIndex = make(map[pomelorelay.UpstreamID]int32, len(s.upstreams))
+	s.poolServiceIndex = make(map[pomelorelay.PoolID]int32)
 	for i, upstream := range s.upstreams {
-		s.byName[upstream.Name] = int32(i)
-		s.poolService[upstream.Pool()] = s.byService[upstream.Service]
+		s.upstreamIndex[upstream.Name] = int32(i)
+		s.poolServiceIndex[upstream.Pool()] = s.serviceIndex[upstream.Service]
 	}
 }
 
@@ -80,13 +80,13 @@
 		teamOf[team.Name] = int32(i)
 	}
 	s.accounts = make([]compiledAccount, len(c.Accounts))
-	s.byAccount = make(map[pomelorelay.AccountID]int32, len(c.Accounts))
+	s.accountIndex = make(map[pomelorelay.AccountID]int32, len(c.Accounts))
 	s.tokens = make([]tokenEntry, 0, len(c.Accounts))
-	s.smallest = c.Accounts[0].Share
+	s.minWeight = c.Accounts[0].Share
 	for i, a := range c.Accounts {
 		s.accounts[i] = compiledAccount{name: a.Name, team: teamOf[a.Team], share: a.Share, shares: s.compileShares(a)}
-		s.byAccount[a.Name] = int32(i)
-		s.smallest = min(s.smallest, a.Share)
+		s.accountIndex[a.Name] = int32(i)
+		s.minWeight = min(s.minWeight, a.Share)
 		s.addTokens(int32(i), a.TokenHashes)
 	}
 	slices.SortFunc(s.tokens, func(a, b tokenEntry) int { return slices.Compare(a.hash[:], b.hash[:]) })
@@ -98,14 +98,14 @@
 	}
 	shares := make([]serviceShare, 0, len(a.Shares))
 	for service, weight := range a.Shares {
-		shares = append(shares, serviceShare{service: s.byService[service], weight: weight})
-		s.smallest = min(s.smallest, weight)
+		shares = append(shares, serviceShare{service: s.serviceIndex[service], weight: weight})
+		s.minWeight = min(s.minWeight, weight)
 	}
 	slices.SortFunc(shares, func(a, b serviceShare) int { return int(a.service) - int(b.service) })
 	return shares
 }
 
-// addTokens passes over nothing: Check has parsed every hash before.
+// addTokens adds every hash; parsing cannot fail because Check has validated them.
 func (s *Snapshot) addTokens(account int32, hashes []string) {
 	for _, text := range hashes {
 		hash, err := parseTokenHash(text)
@@ -115,36 +115,34 @@
 	}
 }
 
-// Root returns the root of the generation.
+// Root returns the root that the snapshot was built from.
 func (s *Snapshot) Root() Root { return s.root }
 
-// Generation returns the generation.
+// Generation returns the generation of the configuration.
 func (s *Snapshot) Generation() pomelorelay.Generation { return s.root.Generation }
 
-// HashToken returns the hash, in hexadecimal, under which a bearer token is kept.
+// HashToken returns the SHA-256 of a bearer token in hexadecimal, as stored in Account.TokenHashes.
 func HashToken(token string) string {
 	hash := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(hash[:])
 }
 
-// Authenticate returns the account of a bearer token, or false when no account has it.
-//
-// The token is hashed first, and the search branches only on the first eight bytes of that hash, which a caller cannot choose;
-// the rest is compared in constant time. A comparison that ends at the first difference would let a caller find a stored hash
-// byte by byte from the time of a refusal.
+// Authenticate returns the account of a bearer token, or false when no account has it. The search branches only on the first
+// eight bytes of the token's hash, which a caller cannot choose, and the full hash is compared in constant time: a comparison
+// that ends at the first difference would let a caller recover a stored hash byte by byte from the response time.
 func (s *Snapshot) Authenticate(token string) (pomelorelay.AccountID, bool) {
 	hash := tokenHash(sha256.Sum256([]byte(token)))
 	want := binary.BigEndian.Uint64(hash[:8])
-	at, _ := slices.BinarySearchFunc(s.tokens, want, compareTokenStart)
-	for ; at < len(s.tokens) && compareTokenStart(s.tokens[at], want) == 0; at++ {
-		if subtle.ConstantTimeCompare(s.tokens[at].hash[:], hash[:]) == 1 {
-			return s.accounts[s.tokens[at].account].name, true
+	i, _ := slices.BinarySearchFunc(s.tokens, want, compareTokenPrefix)
+	for ; i < len(s.tokens) && compareTokenPrefix(s.tokens[i], want) == 0; i++ {
+		if subtle.ConstantTimeCompare(s.tokens[i].hash[:], hash[:]) == 1 {
+			return s.accounts[s.tokens[i].account].name, true
 		}
 	}
 	return "", false
 }
 
-func compareTokenStart(entry tokenEntry, want uint64) int {
+func compareTokenPrefix(entry tokenEntry, want uint64) int {
 	have := binary.BigEndian.Uint64(entry.hash[:8])
 	switch {
 	case have < want:
@@ -155,17 +153,17 @@
 	return 0
 }
 
-// MayCall returns whether the account may call the service: one of its own team, or one that its shares name.
+// MayCall reports whether the account may call the service: one of its own team, or one listed in its shares.
 func (s *Snapshot) MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool {
-	a, known := s.byAccount[account]
-	at, served := s.byService[service]
-	if !known || !served {
+	accountAt, accountKnown := s.accountIndex[account]
+	serviceAt, serviceKnown := s.serviceIndex[service]
+	if !accountKnown || !serviceKnown {
 		return false
 	}
-	if _, ok := s.accounts[a].shareOf(at); ok {
+	if _, ok := s.accounts[accountAt].shareOf(serviceAt); ok {
 		return true
 	}
-	return s.services[at].Team == s.teams[s.accounts[a].team].Name
+	return s.services[serviceAt].Team == s.teams[s.accounts[accountAt].team].Name
 }
 
 func (a compiledAccount) shareOf(service int32) (pomelorelay.Weight, bool) {
@@ -177,57 +175,57 @@
 	return 0, false
 }
 
-// Weight returns the account's weight in the pool; an unknown account gets the smallest configured one.
+// Weight returns the account's weight in the pool; for an unknown account it returns the smallest configured weight.
 func (s *Snapshot) Weight(pool pomelorelay.PoolID, account pomelorelay.AccountID) pomelorelay.Weight {
-	at, known := s.byAccount[account]
+	i, known := s.accountIndex[account]
 	if !known {
-		return s.smallest
+		return s.minWeight
 	}
-	if service, ok := s.poolService[pool]; ok {
-		if weight, ok := s.accounts[at].shareOf(service); ok {
+	if service, ok := s.poolServiceIndex[pool]; ok {
+		if weight, ok := s.accounts[i].shareOf(service); ok {
 			return weight
 		}
 	}
-	return s.accounts[at].share
+	return s.accounts[i].share
 }
 
-// Service returns a service by name.
+// Service returns the service with the name.
 func (s *Snapshot) Service(name pomelorelay.ServiceID) (Service, bool) {
-	at, ok := s.byService[name]
+	i, ok := s.serviceIndex[name]
 	if !ok {
 		return Service{}, false
 	}
-	return s.services[at], true
+	return s.services[i], true
 }
 
 // PoolService returns the service of a pool.
 func (s *Snapshot) PoolService(pool pomelorelay.PoolID) (Service, bool) {
-	at, ok := s.poolService[pool]
+	i, ok := s.poolServiceIndex[pool]
 	if !ok {
 		return Service{}, false
 	}
-	return s.services[at], true
+	return s.services[i], true
 }
 
-// Upstream returns an upstream by name.
+// Upstream returns the upstream with the name.
 func (s *Snapshot) Upstream(name pomelorelay.UpstreamID) (Upstream, bool) {
-	at, ok := s.byName[name]
+	i, ok := s.upstreamIndex[name]
 	if !ok {
 		return Upstream{}, false
 	}
-	return s.upstreams[at], true
+	return s.upstreams[i], true
 }
 
-// Services returns the services; the caller must not change them.
+// Services returns the services; the caller must not modify the slice.
 func (s *Snapshot) Services() []Service { return s.services }
 
-// Upstreams returns the upstreams; the caller must not change them.
+// Upstreams returns the upstreams; the caller must not modify the slice.
 func (s *Snapshot) Upstreams() []Upstream { return s.upstreams }
 
-// Regions returns the regions; the caller must not change them.
+// Regions returns the regions; the caller must not modify the slice.
 func (s *Snapshot) Regions() []Region { return s.regions }
 
-// Teams returns the teams; the caller must not change them.
+// Teams returns the teams; the caller must not modify the slice.
 func (s *Snapshot) Teams() []Team { return s.teams }
 
 // AccountCount returns the number of accounts.
--- a/pomeloconfig/spreader_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// generation is a configuration as it was accepted.
+// generation is the encoded root and parts of a published configuration.
 type generation struct {
 	root  []byte
 	parts map[pomelorelay.Hash][]byte
@@ -22,7 +22,7 @@
 func makeGeneration(t testing.TB, number pomelorelay.Generation, c pomeloconfig.Configuration) generation {
 	t.Helper()
 	hashes, byHash := mustParts(t, c)
-	root := pomeloconfig.Root{Format: pomeloconfig.Format, Generation: number, Parts: hashes, Why: fmt.Sprint(number)}
+	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: number, Parts: hashes, Why: fmt.Sprint(number)}
 	data, err := pomeloconfig.EncodeRoot(root)
 	if err != nil {
 		t.Fatal(err)
@@ -44,8 +44,8 @@
 	return n
 }
 
-// install makes the spreader hold the generation in force, as if read from the store.
-func install(t testing.TB, s *pomeloconfig.Spreader, g generation) {
+// applyGeneration puts the generation in force, as if it had been read from the store.
+func applyGeneration(t testing.TB, s *pomeloconfig.Spreader, g generation) {
 	t.Helper()
 	s.Stored(epoch, g.root)
 	for _, part := range g.parts {
@@ -53,35 +53,35 @@
 	}
 	candidate, ok := s.Candidate()
 	if !ok {
-		t.Fatal("the generation is not whole")
+		t.Fatal("there is no candidate after all parts were read")
 	}
 	s.InForce(candidate.Root.Generation)
 }
 
-// The store is restored from an old copy while the fleet has generation 3 in force. Followed, it would take two accepted changes
-// back; unsaid, nobody would know that the next change is in danger.
-func TestRestoredStoreRaisesAnAlarmAndChangesNothing(t *testing.T) {
+// The store is restored from an old copy while the fleet has generation 3 in force. The old root must not be applied, which would
+// revert two accepted changes, and it must be reported, since the next change may get a generation that routers ignore.
+func TestRestoredStoreIsReportedAndNotApplied(t *testing.T) {
 	events := &eventList{}
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
 	one, three := makeGeneration(t, 1, sample(10)), makeGeneration(t, 3, sample(12))
 	other := makeGeneration(t, 3, sample(13))
-	install(t, s, three)
+	applyGeneration(t, s, three)
 	for range 5 {
 		s.Stored(epoch, one.root)
 	}
 	s.Stored(epoch, three.root)
 	s.Stored(epoch, other.root)
 	if _, ok := s.Candidate(); ok || s.Generation() != 3 {
-		t.Fatalf("generation %d, and another to come", s.Generation())
+		t.Fatalf("generation %d, want 3 and no candidate", s.Generation())
 	}
 	if older, forked := events.count(pomelorelay.EventConfigStoreOlder), events.count(pomelorelay.EventConfigForked); older != 1 || forked != 1 {
-		t.Fatalf("%d alarms of an older store and %d of a fork, want 1 and 1", older, forked)
+		t.Fatalf("%d events of an older store and %d of a fork, want 1 and 1", older, forked)
 	}
 }
 
-// A router has neither the store nor a peer. It must go on asking both and never count as ready, for it would answer every
-// caller with "unknown token".
-func TestColdRouterIsNotReady(t *testing.T) {
+// Neither the store nor a peer has a configuration. The router must keep asking both and must not become ready, because it would
+// reject every caller's token as unknown.
+func TestRouterWithoutConfigurationIsNotReady(t *testing.T) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"peer"})
 	pulls, reads := 0, 0
@@ -98,12 +98,12 @@
 	}
 }
 
-// A router cannot apply the newest configuration. It must keep the last, tell the others, and take the next one.
-func TestRouterThatCannotApplyKeepsTheLast(t *testing.T) {
+// A router cannot apply the newest configuration. It must keep the previous one, notify its peers and accept the next one.
+func TestRefusedConfigurationKeepsPreviousInForce(t *testing.T) {
 	events := &eventList{}
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
 	s.SetPeers([]pomelorelay.NodeID{"a", "b"})
-	install(t, s, makeGeneration(t, 1, sample(10)))
+	applyGeneration(t, s, makeGeneration(t, 1, sample(10)))
 	two := makeGeneration(t, 2, sample(11))
 	s.Stored(epoch, two.root)
 	for _, part := range two.parts {
@@ -118,28 +118,28 @@
 		s.StoredPart(epoch, part)
 	}
 	if _, ok := s.Candidate(); ok {
-		t.Fatal("the refused generation came again")
+		t.Fatal("the refused generation is a candidate again")
 	}
-	install(t, s, makeGeneration(t, 3, sample(12)))
+	applyGeneration(t, s, makeGeneration(t, 3, sample(12)))
 	peer := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	peer.SetPeers([]pomelorelay.NodeID{"r"})
 	peer.Applied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
 	if got := peer.Refusals()["r"]; got.Refused != 2 || got.Code != pomelorelay.CodeConfigInvalid {
-		t.Fatalf("the peer knows %+v", got)
+		t.Fatalf("the peer recorded the refusal %+v", got)
 	}
 	peer.Seen(epoch, "r", 3, nil)
 	if len(peer.Refusals()) != 0 {
-		t.Fatal("the refusal outlived its end")
+		t.Fatal("the refusal is still reported after a newer generation is in force")
 	}
 }
 
-// Every router of a failure domain pulls from the one that has a large new configuration first. Unbounded, a push would be larger than
-// a message may be, and 59 answers would queue behind each other until all of them are too late.
+// All routers of a failure domain pull from the first one with a large new configuration. Without limits a push would exceed the
+// maximum message size, and 59 answers would queue until all of them are too late.
 func TestPushesAreBounded(t *testing.T) {
 	const maxPush = 64 << 10
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{MaxPush: maxPush})
+	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{MaxPushBytes: maxPush})
 	g := makeGeneration(t, 1, sample(targetAccounts))
-	install(t, s, g)
+	applyGeneration(t, s, g)
 	var hashes []pomelorelay.Hash
 	for hash := range g.parts {
 		hashes = append(hashes, hash)
@@ -161,19 +161,20 @@
 			}
 		}
 	}
-	if answered != pomeloconfig.DefaultMaxServes {
-		t.Fatalf("%d of 59 pulls were answered at once, want %d", answered, pomeloconfig.DefaultMaxServes)
+	if answered != pomeloconfig.DefaultMaxServedPeers {
+		t.Fatalf("%d of 59 pulls were answered at once, want %d", answered, pomeloconfig.DefaultMaxServedPeers)
 	}
 	if out := s.Pull(epoch.Add(time.Second), "58", &pomelorelay.ConfigPull{Parts: hashes}, nil); len(out) == 0 {
 		t.Fatal("a later pull is not answered")
 	}
 }
 
-// A peer sends a root of a far generation whose parts nobody has. The router must not wait for it for good, deaf to the true ones.
-func TestRootWithoutPartsIsGivenUp(t *testing.T) {
+// A peer sends a root with a very high generation whose parts no router has. The router must drop it; otherwise it would ignore
+// the valid lower generations forever.
+func TestRootWithoutPartsIsDropped(t *testing.T) {
 	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"good", "bad"})
-	install(t, s, makeGeneration(t, 1, sample(10)))
+	applyGeneration(t, s, makeGeneration(t, 1, sample(10)))
 	far, two := makeGeneration(t, 1<<40, sample(11)), makeGeneration(t, 2, sample(12))
 	s.Seen(epoch, "bad", 1<<40, nil)
 	s.Push(epoch, "bad", &pomelorelay.ConfigPush{Root: far.root}, nil)
@@ -198,34 +199,34 @@
 	}
 }
 
-// Messages are lost, late and doubled; the store is down, restored from an old copy, and up again; routers start anew; operators go on
-// changing the configuration. No router may ever go to a lower generation or put something in force that was not accepted, and when the
-// faults end all must meet.
-func TestGenerationsNeverFallAndMeet(t *testing.T) {
+// Messages are lost, delayed and duplicated, the store fails and is restored from an old copy, routers restart, and operators
+// publish changes. No router may go to a lower generation or apply a configuration that was not published, and after the faults
+// all routers must converge on the newest generation.
+func TestGenerationsNeverDecreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t, rapid.IntRange(2, 8).Draw(rt, "routers"), rapid.Uint64().Draw(rt, "seed"))
-		f.loss = rapid.IntRange(0, 50).Draw(rt, "percent lost")
+		f.lossPercent = rapid.IntRange(0, 50).Draw(rt, "percent lost")
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			switch rapid.SampledFrom([]string{"change", "wait", "wait", "store", "restore", "restart", "refuse"}).Draw(rt, "step") {
 			case "change":
-				f.change(rt)
+				f.publishNext(rt)
 			case "store":
 				f.storeUp = !f.storeUp
 			case "restore":
-				f.stored = min(f.stored, 1)
+				f.storedGeneration = min(f.storedGeneration, 1)
 			case "restart":
 				f.restart(rapid.IntRange(0, len(f.routers)-1).Draw(rt, "router"))
 			case "refuse":
-				f.refusing = (f.refusing + 1) % (len(f.routers) + 1)
+				f.refusingRouter = (f.refusingRouter + 1) % (len(f.routers) + 1)
 			}
 			f.run(rt, rapid.IntRange(1, 30).Draw(rt, "ticks"))
 		}
-		f.loss, f.storeUp, f.refusing = 0, true, 0
-		f.change(rt)
+		f.lossPercent, f.storeUp, f.refusingRouter = 0, true, 0
+		f.publishNext(rt)
 		f.run(rt, 400)
 		for i, r := range f.routers {
-			if r.spreader.Generation() != f.newest() {
-				rt.Fatalf("router %d has generation %d, the newest is %d", i, r.spreader.Generation(), f.newest())
+			if r.syncer.Generation() != f.newest() {
+				rt.Fatalf("router %d has generation %d, the newest is %d", i, r.syncer.Generation(), f.newest())
 			}
 		}
 	})
