--- a/pomeloconfig/document.go
+++ b/pomeloconfig/document.go
@@ -14,8 +14,8 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxDocument is the maximum size of a YAML document in bytes.
-const MaxDocument = pomelorelay.Bytes(64 << 20)
+// MaxDocumentBytes is the maximum size of a YAML document in bytes.
+const MaxDocumentBytes = pomelorelay.Bytes(64 << 20)
 
 // document keeps the text of a YAML document in order to find the lines of problems.
 type document struct {
@@ -26,7 +26,7 @@
 // readDocument decodes YAML and rejects unknown fields; its errors name file and line.
 func readDocument(file string, data []byte, into any) (document, error) {
 	doc := document{file: file, data: data}
-	if pomelorelay.Bytes(len(data)) > MaxDocument {
+	if pomelorelay.Bytes(len(data)) > MaxDocumentBytes {
 		return doc, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, file+": the document has "+strconv.Itoa(len(data))+" bytes, which is over the limit", nil)
 	}
 	if err := decodeStrictly(data, into); err != nil {
--- a/pomeloconfig/errors.go
+++ b/pomeloconfig/errors.go
@@ -12,5 +12,7 @@
 	return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigUnsettled)
 }
 
-// IsErrNone reports whether err is CodeConfigNone: the store holds no configuration.
-func IsErrNone(err error) bool { return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigNone) }
+// IsErrNoConfiguration reports whether err is CodeConfigNone: the store holds no configuration.
+func IsErrNoConfiguration(err error) bool {
+	return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigNone)
+}
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 type fleetRouter struct {
-	syncer         *pomeloconfig.Spreader
+	syncer         *pomeloconfig.Syncer
 	lastGeneration pomelorelay.Generation
 	reachedAt      time.Time
 	withoutStore   bool
@@ -59,7 +59,7 @@
 
 // restart replaces the router by one without a configuration.
 func (f *fleet) restart(i int) {
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Seed: f.random.Uint64()})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{Seed: f.random.Uint64()})
 	s.SetPeers(slices.Concat(f.peers[:i], f.peers[i+1:]))
 	f.routers[i] = &fleetRouter{syncer: s}
 }
@@ -116,7 +116,7 @@
 // apply puts the candidate in force and checks that it is a published one.
 func (f *fleet) apply(t failTester, i int, candidate pomeloconfig.Candidate) {
 	if f.refusingRouter == i+1 {
-		f.send(i, f.routers[i].syncer.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
+		f.send(i, f.routers[i].syncer.MarkRefused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
 		return
 	}
 	data, err := pomeloconfig.EncodeRoot(candidate.Root)
@@ -126,7 +126,7 @@
 	if _, err := pomeloconfig.Assemble(candidate.Root, candidate.Parts); err != nil {
 		t.Fatalf("router %d: %v", i, err)
 	}
-	f.routers[i].syncer.InForce(candidate.Root.Generation)
+	f.routers[i].syncer.MarkInForce(candidate.Root.Generation)
 }
 
 // announceGeneration sends the router's generation to all others, as message envelopes do.
@@ -173,14 +173,14 @@
 
 func (f *fleet) receive(message fleetMessage) {
 	from, s := f.peers[message.from], f.routers[message.to].syncer
-	out := s.Seen(f.now, from, f.routers[message.from].syncer.Generation(), nil)
+	out := s.HandleGeneration(f.now, from, f.routers[message.from].syncer.Generation(), nil)
 	switch m := message.m.(type) {
 	case *pomelorelay.ConfigPull:
-		out = s.Pull(f.now, from, m, out)
+		out = s.HandlePull(f.now, from, m, out)
 	case *pomelorelay.ConfigPush:
-		out = s.Push(f.now, from, m, out)
+		out = s.HandlePush(f.now, from, m, out)
 	case *pomelorelay.ConfigApplied:
-		s.Applied(f.now, from, m)
+		s.HandleApplied(f.now, from, m)
 	}
 	f.send(message.to, out)
 }
@@ -188,21 +188,21 @@
 // readStore performs the store reads that the router requests, and reports the root to routers with a watch.
 func (f *fleet) readStore(i int) {
 	s := f.routers[i].syncer
-	reads := s.StoreWants(f.now)
+	reads := s.PendingStoreReads(f.now)
 	if !f.storeUp || f.routers[i].withoutStore {
 		return
 	}
 	if reads.Root || i < f.watchers {
 		if f.storedGeneration == 0 {
-			s.Stored(f.now, nil)
+			s.HandleStoredRoot(f.now, nil)
 		} else {
-			s.Stored(f.now, f.published[f.storedGeneration-1].root)
+			s.HandleStoredRoot(f.now, f.published[f.storedGeneration-1].root)
 		}
 	}
 	for _, hash := range reads.Parts {
 		for _, g := range f.published[:f.storedGeneration] {
 			if data, ok := g.parts[hash]; ok {
-				s.StoredPart(f.now, data)
+				s.HandleStoredPart(f.now, data)
 				break
 			}
 		}
--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -21,11 +21,11 @@
 	ID     ChangeID
 	Author string
 	Why    string
-	// Base is the generation that the operator started from; any other generation in the store is a conflict. Zero accepts any.
-	Base pomelorelay.Generation
-	// Floor is the highest generation that any router has in force. The new generation is above it even if the store was
+	// BaseGeneration is the generation that the operator started from; any other generation in the store is a conflict. Zero accepts any.
+	BaseGeneration pomelorelay.Generation
+	// FleetGeneration is the highest generation that any router has in force. The new generation is above it even if the store was
 	// restored from an old copy; otherwise routers would ignore the change, since they never go to a lower generation.
-	Floor pomelorelay.Generation
+	FleetGeneration pomelorelay.Generation
 }
 
 // PublisherConfig configures a Publisher.
@@ -73,11 +73,11 @@
 	if found, err := p.findChange(ctx, change.ID, current, record); err != nil || found.Generation > 0 {
 		return found, err
 	}
-	if change.Base != 0 && change.Base != current.Generation {
+	if change.BaseGeneration != 0 && change.BaseGeneration != current.Generation {
 		return Root{}, conflictError(current)
 	}
 	hashes := hashesOf(parts)
-	if record.Revision != 0 && slices.Equal(hashes, current.Parts) && current.Generation >= change.Floor {
+	if record.Revision != 0 && slices.Equal(hashes, current.Parts) && current.Generation >= change.FleetGeneration {
 		return current, nil
 	}
 	next, err := p.nextRoot(ctx, current, record, parts, change)
@@ -129,7 +129,7 @@
 		return Root{}, err
 	}
 	next := Root{
-		Format: FormatVersion, Generation: max(current.Generation, change.Floor) + 1, ChangeID: id,
+		Format: FormatVersion, Generation: max(current.Generation, change.FleetGeneration) + 1, ChangeID: id,
 		Author: change.Author, Time: p.cfg.Clock.Now(), Why: change.Why,
 		Parts: hashesOf(parts), Difference: difference,
 	}
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -19,12 +19,12 @@
 	pullTimeoutsBeforeDrop  = 12
 )
 
-// SpreaderConfig sets limits, timeouts and dependencies; zero fields take their defaults.
-type SpreaderConfig struct {
+// SyncerConfig sets limits, timeouts and dependencies; zero fields take their defaults.
+type SyncerConfig struct {
 	// MaxPushBytes is the maximum size of the parts in one push message; a larger part is sent in a message of its own.
 	MaxPushBytes pomelorelay.Bytes
-	// PullWait is how long a pull may make no progress before another source is asked.
-	PullWait time.Duration
+	// PullTimeout is how long a pull may make no progress before another source is asked.
+	PullTimeout time.Duration
 	// StoreReadTimeout is how long to wait for a store read before it is requested again.
 	StoreReadTimeout time.Duration
 	// MaxServedPeers is the maximum number of peers whose pulls are answered within the pull timeout; others ask another peer.
@@ -49,10 +49,10 @@
 	Parts []pomelorelay.Hash
 }
 
-// Spreader is the state machine by which a router gets the newest configuration: from a peer that announced it, otherwise from
+// Syncer is the state machine by which a router gets the newest configuration: from a peer that announced it, otherwise from
 // the store. It never goes to a lower generation. It performs no I/O and is not safe for concurrent use.
-type Spreader struct {
-	cfg    SpreaderConfig
+type Syncer struct {
+	cfg    SyncerConfig
 	random *rand.Rand
 	peers  []pomelorelay.NodeID
 	// peerGenerations holds the generation last announced by each peer; it falls when a peer restarts.
@@ -99,13 +99,13 @@
 	rootNeeded       bool
 }
 
-// NewSpreader returns the state of a router that has no configuration yet.
-func NewSpreader(cfg SpreaderConfig) *Spreader {
+// NewSyncer returns the state of a router that has no configuration yet.
+func NewSyncer(cfg SyncerConfig) *Syncer {
 	if cfg.MaxPushBytes == 0 {
 		cfg.MaxPushBytes = DefaultMaxPushBytes
 	}
-	if cfg.PullWait == 0 {
-		cfg.PullWait = DefaultPullTimeout
+	if cfg.PullTimeout == 0 {
+		cfg.PullTimeout = DefaultPullTimeout
 	}
 	if cfg.StoreReadTimeout == 0 {
 		cfg.StoreReadTimeout = DefaultStoreReadTimeout
@@ -116,7 +116,7 @@
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
 	}
-	return &Spreader{
+	return &Syncer{
 		cfg:             cfg,
 		random:          rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		peerGenerations: make(map[pomelorelay.NodeID]pomelorelay.Generation),
@@ -127,7 +127,7 @@
 }
 
 // SetPeers replaces the routers that can be asked, and drops the state of peers that are gone.
-func (s *Spreader) SetPeers(peers []pomelorelay.NodeID) {
+func (s *Syncer) SetPeers(peers []pomelorelay.NodeID) {
 	s.peers = slices.Clone(peers)
 	slices.Sort(s.peers)
 	for node := range s.peerGenerations {
@@ -139,10 +139,10 @@
 }
 
 // Generation returns the generation in force; it is zero when there is none, and the router is then not ready.
-func (s *Spreader) Generation() pomelorelay.Generation { return s.inForce.generation() }
+func (s *Syncer) Generation() pomelorelay.Generation { return s.inForce.generation() }
 
 // NewestGeneration returns the highest generation in force, known by its root or announced by a peer.
-func (s *Spreader) NewestGeneration() pomelorelay.Generation {
+func (s *Syncer) NewestGeneration() pomelorelay.Generation {
 	newest := max(s.inForce.generation(), s.target.generation())
 	for _, generation := range s.peerGenerations {
 		newest = max(newest, generation)
@@ -150,8 +150,8 @@
 	return newest
 }
 
-// Seen records the generation in the envelope of a peer's message, and starts a pull if it is newer than any known one.
-func (s *Spreader) Seen(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleGeneration records the generation in the envelope of a peer's message, and starts a pull if it is newer than any known one.
+func (s *Syncer) HandleGeneration(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.peerGenerations[from] == generation {
 		return out
 	}
@@ -166,21 +166,21 @@
 }
 
 // highestKnown returns the generation above which a root is useful; refused generations count as known.
-func (s *Spreader) highestKnown() pomelorelay.Generation {
+func (s *Syncer) highestKnown() pomelorelay.Generation {
 	return max(s.inForce.generation(), s.target.generation(), s.refusedRoot.generation())
 }
 
 // sendPull requests a newer root and the next missing parts of the target.
-func (s *Spreader) sendPull(now time.Time, to pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) sendPull(now time.Time, to pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	pull := &pomelorelay.ConfigPull{Above: s.highestKnown(), Parts: s.missingParts(maxPullHashes)}
 	s.pull.peer = to
 	s.pull.parts = pull.Parts
-	s.pull.deadline = now.Add(s.cfg.PullWait)
+	s.pull.deadline = now.Add(s.cfg.PullTimeout)
 	return append(out, pomelorelay.Outgoing{To: to, Message: pull})
 }
 
 // missingParts returns up to limit hashes of the target's parts that have not been fetched.
-func (s *Spreader) missingParts(limit int) []pomelorelay.Hash {
+func (s *Syncer) missingParts(limit int) []pomelorelay.Hash {
 	var missing []pomelorelay.Hash
 	for _, hash := range s.target.root.Parts {
 		if len(missing) == limit {
@@ -194,7 +194,7 @@
 }
 
 // part returns a part of the target from the fetched parts or from the configuration in force, which shares most parts with it.
-func (s *Spreader) part(hash pomelorelay.Hash) []byte {
+func (s *Syncer) part(hash pomelorelay.Hash) []byte {
 	if data, ok := s.fetched[hash]; ok {
 		return data
 	}
@@ -202,7 +202,7 @@
 }
 
 // Tick switches to another source when a pull times out, and sends pulls as long as a newer configuration is missing.
-func (s *Spreader) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.pull.peer != "" {
 		if now.Before(s.pull.deadline) {
 			return out
@@ -223,7 +223,7 @@
 
 // handleStall requests the root from the store after repeated failed pulls, and drops a target whose missing parts have not
 // arrived for a long time. Otherwise a corrupt root with a high generation would block every valid one below it forever.
-func (s *Spreader) handleStall(now time.Time) {
+func (s *Syncer) handleStall(now time.Time) {
 	if s.pull.failures >= failedPullsBeforeStore {
 		s.storeRead.rootNeeded = true
 	}
@@ -231,20 +231,20 @@
 		s.progressed = false
 		s.lastProgress = now
 	}
-	if len(s.missingParts(1)) > 0 && now.Sub(s.lastProgress) >= pullTimeoutsBeforeDrop*s.cfg.PullWait {
+	if len(s.missingParts(1)) > 0 && now.Sub(s.lastProgress) >= pullTimeoutsBeforeDrop*s.cfg.PullTimeout {
 		s.clearTarget()
 		s.storeRead.rootNeeded = true
 	}
 }
 
 // needsUpdate reports whether a newer configuration is known, or the router has none.
-func (s *Spreader) needsUpdate() bool {
+func (s *Syncer) needsUpdate() bool {
 	return s.inForce.generation() == 0 || s.target.generation() > 0 || s.NewestGeneration() > s.highestKnown()
 }
 
 // choosePeer returns a random peer that has at least the target's generation in force or, without a target, one that announced
 // a generation above the known ones. A router without a configuration asks any peer if there is no such one.
-func (s *Spreader) choosePeer() (pomelorelay.NodeID, bool) {
+func (s *Syncer) choosePeer() (pomelorelay.NodeID, bool) {
 	minGeneration := s.target.generation()
 	if minGeneration == 0 {
 		minGeneration = s.highestKnown() + 1
@@ -264,9 +264,9 @@
 	return eligible[s.random.IntN(len(eligible))], true
 }
 
-// StoreWants returns the store reads to perform now; a read without result is requested again after StoreReadTimeout. A router
+// PendingStoreReads returns the store reads to perform now; a read without result is requested again after StoreReadTimeout. A router
 // without a configuration reads the root at once, others only after pulls from peers have failed.
-func (s *Spreader) StoreWants(now time.Time) StoreReads {
+func (s *Syncer) PendingStoreReads(now time.Time) StoreReads {
 	var reads StoreReads
 	withoutRoot := s.inForce.generation() == 0 && s.target.generation() == 0
 	if (withoutRoot || s.storeRead.rootNeeded && s.needsUpdate()) && s.storeReadDue(now, s.storeRead.rootRequestedAt) {
@@ -281,6 +281,6 @@
 	return reads
 }
 
-func (s *Spreader) storeReadDue(now, requestedAt time.Time) bool {
+func (s *Syncer) storeReadDue(now, requestedAt time.Time) bool {
 	return requestedAt.IsZero() || now.Sub(requestedAt) >= s.cfg.StoreReadTimeout
 }
--- a/pomeloconfig/syncer_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -7,9 +7,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Pull handles a peer's pull: it sends the root in force if it is above the peer's, and the requested parts that are in force,
+// HandlePull handles a peer's pull: it sends the root in force if it is above the peer's, and the requested parts that are in force,
 // in messages of bounded size.
-func (s *Spreader) Pull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) HandlePull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !s.admitPull(now, from) {
 		return out
 	}
@@ -38,7 +38,7 @@
 }
 
 // admitPull reports whether to answer the peer: it is already being served, or fewer than MaxServedPeers are.
-func (s *Spreader) admitPull(now time.Time, from pomelorelay.NodeID) bool {
+func (s *Syncer) admitPull(now time.Time, from pomelorelay.NodeID) bool {
 	for peer, until := range s.servedUntil {
 		if !now.Before(until) {
 			delete(s.servedUntil, peer)
@@ -47,12 +47,12 @@
 	if _, ok := s.servedUntil[from]; !ok && len(s.servedUntil) >= s.cfg.MaxServedPeers {
 		return false
 	}
-	s.servedUntil[from] = now.Add(s.cfg.PullWait)
+	s.servedUntil[from] = now.Add(s.cfg.PullTimeout)
 	return true
 }
 
-// Push handles a root and parts from a peer. It keeps only a root above the known generations and parts of the target.
-func (s *Spreader) Push(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandlePush handles a root and parts from a peer. It keeps only a root above the known generations and parts of the target.
+func (s *Syncer) HandlePush(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	progress := false
 	if len(m.Root) > 0 {
 		progress = s.acceptRoot(m.Root)
@@ -70,14 +70,14 @@
 	}
 	// The parts of one answer arrive in several messages; the next pull is sent after the last of them or at the deadline.
 	if s.pull.peer == from && s.awaitingParts() {
-		s.pull.deadline = now.Add(s.cfg.PullWait)
+		s.pull.deadline = now.Add(s.cfg.PullTimeout)
 		return out
 	}
 	return s.sendPull(now, from, out)
 }
 
 // awaitingParts reports whether a part requested by the pull in progress is missing.
-func (s *Spreader) awaitingParts() bool {
+func (s *Syncer) awaitingParts() bool {
 	for _, hash := range s.pull.parts {
 		if s.part(hash) == nil {
 			return true
@@ -86,8 +86,8 @@
 	return false
 }
 
-// Stored handles the root read from the store or reported by a watch; nil means that the store has none.
-func (s *Spreader) Stored(_ time.Time, data []byte) {
+// HandleStoredRoot handles the root read from the store or reported by a watch; nil means that the store has none.
+func (s *Syncer) HandleStoredRoot(_ time.Time, data []byte) {
 	s.storeRead.rootNeeded = false
 	if len(data) == 0 {
 		return
@@ -101,7 +101,7 @@
 // reportStaleStore logs, once per root, that the store holds an older root than the one in force or a different one of the same
 // generation, which happens after a restore from an old copy. Such a root is not applied: that would revert accepted changes.
 // It reports whether the root needs no further handling.
-func (s *Spreader) reportStaleStore(data []byte) bool {
+func (s *Syncer) reportStaleStore(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil || s.inForce.generation() == 0 || root.Generation > s.inForce.generation() {
 		return false
@@ -120,16 +120,16 @@
 	return true
 }
 
-// StoredPart handles a part read from the store. While parts arrive, their reads are not requested again: within the call
+// HandleStoredPart handles a part read from the store. While parts arrive, their reads are not requested again: within the call
 // budget, reading all of them takes longer than StoreReadTimeout.
-func (s *Spreader) StoredPart(now time.Time, data []byte) {
+func (s *Syncer) HandleStoredPart(now time.Time, data []byte) {
 	if len(data) > 0 && s.acceptPart(data) {
 		s.storeRead.partsRequestedAt = now
 	}
 }
 
 // acceptRoot makes a root the target if it is above all known generations, and reports whether it did.
-func (s *Spreader) acceptRoot(data []byte) bool {
+func (s *Syncer) acceptRoot(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil {
 		s.cfg.Logger.Log(pomelorelay.EventConfigBadRoot, pomelorelay.Field{Key: "Error", Value: err.Error()})
@@ -147,7 +147,7 @@
 }
 
 // dropUnneededParts drops fetched parts that are not in the new target; otherwise parts of superseded targets would accumulate.
-func (s *Spreader) dropUnneededParts() {
+func (s *Syncer) dropUnneededParts() {
 	wanted := make(map[pomelorelay.Hash]bool, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
 		wanted[hash] = true
@@ -161,7 +161,7 @@
 
 // acceptPart keeps a missing part of the target, and reports whether it did. The hash is computed from the data, so a corrupt
 // part appears as one that was not requested.
-func (s *Spreader) acceptPart(data []byte) bool {
+func (s *Syncer) acceptPart(data []byte) bool {
 	hash := HashOf(data)
 	for _, wanted := range s.target.root.Parts {
 		if wanted != hash {
@@ -183,14 +183,14 @@
 
 // Candidate returns the target once all its parts have been fetched. The caller assembles and compiles it outside the control
 // goroutine, and then reports whether it is in force or refused.
-func (s *Spreader) Candidate() (Candidate, bool) {
+func (s *Syncer) Candidate() (Candidate, bool) {
 	if s.target.generation() == 0 || len(s.missingParts(1)) > 0 {
 		return Candidate{}, false
 	}
 	return Candidate{Root: s.target.root, Parts: s.targetParts()}, true
 }
 
-func (s *Spreader) targetParts() map[pomelorelay.Hash][]byte {
+func (s *Syncer) targetParts() map[pomelorelay.Hash][]byte {
 	parts := make(map[pomelorelay.Hash][]byte, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
 		parts[hash] = s.part(hash)
@@ -198,9 +198,9 @@
 	return parts
 }
 
-// InForce records that the candidate of the generation has been put in force. The call is ignored if a newer target has
+// MarkInForce records that the candidate of the generation has been put in force. The call is ignored if a newer target has
 // replaced the candidate meanwhile; the newer one becomes the next candidate.
-func (s *Spreader) InForce(generation pomelorelay.Generation) {
+func (s *Syncer) MarkInForce(generation pomelorelay.Generation) {
 	if generation != s.target.generation() || generation <= s.inForce.generation() || len(s.missingParts(1)) > 0 {
 		return
 	}
@@ -210,9 +210,9 @@
 	s.cfg.Logger.Log(pomelorelay.EventConfigInForce, pomelorelay.Field{Key: "Generation", Value: generation})
 }
 
-// Refused records that the candidate of the generation cannot be applied, and notifies the peers. The previous configuration
+// MarkRefused records that the candidate of the generation cannot be applied, and notifies the peers. The previous configuration
 // stays in force, and from then on only higher generations are accepted.
-func (s *Spreader) Refused(generation pomelorelay.Generation, code pomelorelay.ResultCode, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) MarkRefused(generation pomelorelay.Generation, code pomelorelay.ResultCode, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if generation != s.target.generation() {
 		return out
 	}
@@ -227,15 +227,15 @@
 	return out
 }
 
-// Applied records a peer's report that it cannot apply a generation.
-func (s *Spreader) Applied(_ time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigApplied) {
+// HandleApplied records a peer's report that it cannot apply a generation.
+func (s *Syncer) HandleApplied(_ time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigApplied) {
 	if _, ok := slices.BinarySearch(s.peers, from); ok && m.Refused > 0 {
 		s.refusals[from] = *m
 	}
 }
 
 // Refusals returns the reports of the peers that could not apply a generation above the one that they have in force.
-func (s *Spreader) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
+func (s *Syncer) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
 	refusals := make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied, len(s.refusals))
 	for node, m := range s.refusals {
 		if s.peerGenerations[node] < m.Refused {
@@ -245,7 +245,7 @@
 	return refusals
 }
 
-func (s *Spreader) clearTarget() {
+func (s *Syncer) clearTarget() {
 	s.target = rootWithParts{}
 	s.pull = pullState{}
 	s.fetched = make(map[pomelorelay.Hash][]byte)
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -53,7 +53,7 @@
 		Seed:        uint64(n.incarnation),
 		Options: pomelomember.Options{
 			DigestInterval:      s.DigestInterval,
-			MaxDigestsPerSecond: pomeloconfig.MessagesPerSecond,
+			MaxDigestsPerSecond: pomeloconfig.MaxPeriodicMessagesPerSecond,
 			ProbeTimeout:        s.ProbeWait,
 			SuspicionTimeout:    s.SuspectFor,
 		},
@@ -76,10 +76,10 @@
 		Regions: c.regions,
 		Seed:    uint64(n.incarnation),
 	})
-	c.spreader = pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{
-		PullWait: s.ConfigPull,
-		Seed:     uint64(n.incarnation),
-		Logger:   n.cfg.Logger,
+	c.spreader = pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{
+		PullTimeout: s.ConfigPull,
+		Seed:        uint64(n.incarnation),
+		Logger:      n.cfg.Logger,
 	})
 	c.n.mesh.SetPeers(c.view.Peers(nil))
 }
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -98,7 +98,7 @@
 // name: a newcomer gets no digests before its address is known, and would serve nobody until then.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
-	timer := time.NewTimer(list.Pace(n.status.Load().members) - list.Interval)
+	timer := time.NewTimer(list.ReadInterval(n.status.Load().members) - list.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -11,7 +11,7 @@
 	if e.From != c.n.self.Node {
 		c.view.RecordMessage(now, e.From, e.Incarnation)
 		c.generations[e.From] = max(c.generations[e.From], e.Generation)
-		c.out = c.spreader.Seen(now, e.From, e.Generation, c.out)
+		c.out = c.spreader.HandleGeneration(now, e.From, e.Generation, c.out)
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
@@ -53,12 +53,12 @@
 	case *pomelorelay.LedgerComponentQuery:
 		c.out = c.ledger.HandleComponentQuery(now, e.From, m, c.out)
 	case *pomelorelay.ConfigPull:
-		c.out = c.spreader.Pull(now, e.From, m, c.out)
+		c.out = c.spreader.HandlePull(now, e.From, m, c.out)
 	case *pomelorelay.ConfigPush:
-		c.out = c.spreader.Push(now, e.From, m, c.out)
+		c.out = c.spreader.HandlePush(now, e.From, m, c.out)
 		c.compile()
 	case *pomelorelay.ConfigApplied:
-		c.spreader.Applied(now, e.From, m)
+		c.spreader.HandleApplied(now, e.From, m)
 	default:
 		c.receiveGuards(now, e)
 	}
