--- a/pomelostore/breaker.go
+++ b/pomelostore/breaker.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// breaker stops calls to a store that does not answer.
-//
-// Without it every call of an outage waits for its whole timeout, and the store meets the fleet's pent-up calls the moment
-// it is back. One would notice by goroutines piling up. While it is open a call fails at once; then a single probe decides.
+// breaker is a circuit breaker: while it is open, calls fail at once, and after openFor a single probe decides whether it closes.
+// Without it, every call in an outage would wait for its full timeout, goroutines would accumulate, and the store would receive the
+// whole fleet's backlog as soon as it recovers.
 type breaker struct {
-	mu        sync.Mutex
-	threshold int
-	openFor   time.Duration
-	failures  int
-	open      bool
-	until     time.Time
-	probing   bool
+	mu               sync.Mutex
+	failureThreshold int
+	openFor          time.Duration
+	failures         int
+	open             bool
+	openUntil        time.Time
+	probing          bool
 }
 
-// allow returns whether a call may go out; the caller must then report its end with done or abandon.
+// allow reports whether a call may be sent, and otherwise how long to wait. After a call that was allowed, the caller must call done or
+// abandon.
 func (b *breaker) allow(now time.Time) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.open {
 		return 0, true
 	}
-	if now.Before(b.until) {
-		return b.until.Sub(now), false
+	if now.Before(b.openUntil) {
+		return b.openUntil.Sub(now), false
 	}
 	if b.probing {
 		return b.openFor, false
@@ -36,7 +36,7 @@
 	return 0, true
 }
 
-// done reports the end of a call and returns whether the breaker opened or closed by it.
+// done records the result of a call and reports whether it opened or closed the breaker.
 func (b *breaker) done(now time.Time, ok bool) (opened, closed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,10 +48,10 @@
 		return false, closed
 	}
 	b.failures++
-	if b.open || b.failures >= b.threshold {
+	if b.open || b.failures >= b.failureThreshold {
 		opened = !b.open
 		b.open = true
-		b.until = now.Add(b.openFor)
+		b.openUntil = now.Add(b.openFor)
 	}
 	return opened, false
 }
@@ -62,7 +62,7 @@
 	return b.open
 }
 
-// abandon reports a call that its own caller ended, which says nothing about the store.
+// abandon records a call that was not sent or was cancelled by its caller, which gives no information about the store.
 func (b *breaker) abandon() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pomelostore/breaker_test.go
+++ b/pomelostore/breaker_test.go
@@ -15,20 +15,20 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// eventList keeps the events that were logged.
-type eventList struct {
-	mu  sync.Mutex
-	ids []pomelorelay.EventID
+// eventRecorder records the logged events.
+type eventRecorder struct {
+	mu       sync.Mutex
+	recorded []pomelorelay.EventID
 }
 
-func (l *eventList) Log(id pomelorelay.EventID, _ ...pomelorelay.Field) {
+func (l *eventRecorder) Log(id pomelorelay.EventID, _ ...pomelorelay.Field) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ids = append(l.ids, id)
+	l.recorded = append(l.recorded, id)
 }
 
-// The store is down for a while. Without a breaker every call waits for its timeout, and the store is met by all of them when
-// it comes back; a user sees slow answers long after the outage.
+// Guards against calls that wait for their timeout while the store is down and all reach it at once when it recovers, which keeps
+// responses slow long after the outage.
 func TestBreakerOpensProbesAndCloses(t *testing.T) {
 	var calls atomic.Int64
 	var down atomic.Bool
@@ -42,7 +42,7 @@
 		w.WriteHeader(http.StatusNotFound)
 	}))
 	defer server.Close()
-	clock, events := newClock(), &eventList{}
+	clock, events := newClock(), &eventRecorder{}
 	client := newClient(t, pomelostore.Config{
 		Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 3, BreakerOpen: time.Second, Clock: clock, Logger: events,
 	})
@@ -54,11 +54,11 @@
 		wantCode(t, get(), pomelorelay.CodeStoreUnavailable)
 	}
 	if got := calls.Load(); got != 3 {
-		t.Fatalf("%d of 20 calls reached a store that is down, want 3", got)
+		t.Fatalf("%d of 20 calls reached the failed store, want 3", got)
 	}
 	var failure *pomelorelay.Error
 	if err := get(); !errors.As(err, &failure) || failure.RetryAfter != time.Second {
-		t.Fatalf("got %v, want to come back after 1s", err)
+		t.Fatalf("got %v, want RetryAfter of 1s", err)
 	}
 	clock.advance(time.Second)
 	for range 5 {
@@ -74,13 +74,13 @@
 			t.Fatal(err)
 		}
 	}
-	if len(events.ids) != 2 || events.ids[0] != pomelorelay.EventStoreBreakerOpen || events.ids[1] != pomelorelay.EventStoreBreakerClosed {
-		t.Fatalf("events %v", events.ids)
+	if len(events.recorded) != 2 || events.recorded[0] != pomelorelay.EventStoreBreakerOpen || events.recorded[1] != pomelorelay.EventStoreBreakerClosed {
+		t.Fatalf("events %v", events.recorded)
 	}
 }
 
-// The store comes back while many calls wait to be made. Were all let out at once as probes, they would be the next overload.
-func TestOnlyOneProbeGoesOut(t *testing.T) {
+// Guards against many concurrent calls that are all sent as probes when the breaker's time ends and overload a recovering store.
+func TestOpenBreakerAllowsOneProbe(t *testing.T) {
 	var calls atomic.Int64
 	var hold atomic.Bool
 	entered, release := make(chan struct{}, 64), make(chan struct{})
@@ -112,13 +112,13 @@
 	close(release)
 	wantCode(t, <-probe, pomelorelay.CodeStoreUnavailable)
 	if got := calls.Load(); got != 2 {
-		t.Fatalf("%d calls, want the first and one probe", got)
+		t.Fatalf("%d calls, want 2: the first call and one probe", got)
 	}
 }
 
-// A watch is the first call after an outage and waits for a change, as watches do. Taken for the probe, it would keep every other call
-// from the store for as long as nothing changes; a user sees bookings refused long after the store is back.
-func TestWatchAfterAnOutageLetsOthersThrough(t *testing.T) {
+// The first call after an outage is a watch and becomes the probe. Guards against a probe that waits for a change: it would block every
+// other call until something changes, and requests would be refused long after the store has recovered.
+func TestWatchClosesBreakerAfterOutage(t *testing.T) {
 	var down atomic.Bool
 	down.Store(true)
 	changed := make(chan struct{})
@@ -151,23 +151,23 @@
 	select {
 	case id := <-events:
 		if id != pomelorelay.EventStoreBreakerClosed {
-			t.Errorf("event %d, want the breaker closed", id)
+			t.Errorf("got event %d, want EventStoreBreakerClosed", id)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the waiting watch keeps the breaker open")
+		t.Error("breaker is still open 10 s after the watch was sent")
 	}
 	cancel()
 	close(changed)
 	<-watched
 }
 
-// eventChannel passes on the events that are logged.
+// eventChannel sends the logged events on a channel.
 type eventChannel chan pomelorelay.EventID
 
 func (l eventChannel) Log(id pomelorelay.EventID, _ ...pomelorelay.Field) { l <- id }
 
-// A part of the router asks the store in a loop. It may spend only this router's own share of the store's rate.
-func TestBudgetBoundsCalls(t *testing.T) {
+// Guards against a component that calls the store in a loop and exceeds this router's share of the store's rate limit.
+func TestCallBudgetLimitsRate(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
@@ -181,7 +181,7 @@
 			client.Get(context.Background(), "k")
 		}
 		if got, want := calls.Load(), int64(10*(second+1)); got != want {
-			t.Fatalf("%d calls after %d s, want %d", got, second, want)
+			t.Fatalf("%d calls sent after %d s, want %d", got, second, want)
 		}
 		clock.advance(time.Second)
 	}
--- a/pomelostore/budget.go
+++ b/pomelostore/budget.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// budget is a token bucket that holds one second's worth of calls.
-//
-// Without it a router whose watch fails at once would spend the fleet's share of the store's rate in a loop; one would
-// notice by refusals for everybody else. A call over the budget is refused here and costs the store nothing.
+// budget is a token bucket that holds one second's worth of calls; calls over the budget are refused locally, without load on the store.
+// Without it, a router whose watch fails immediately would use up the store's rate limit in a loop, and the store would refuse calls of
+// all other routers.
 type budget struct {
 	mu      sync.Mutex
 	rate    float64
@@ -20,10 +19,10 @@
 	return &budget{rate: rate, tokens: burst(rate), updated: now}
 }
 
-// burst is at least one, so that a rate under one call a second still lets calls through.
+// burst returns the bucket's size, at least one so that rates below one call per second still allow calls.
 func burst(rate float64) float64 { return max(rate, 1) }
 
-// take spends one call, or returns how long to wait until one is there.
+// take spends one call and reports whether one was available; otherwise it returns the time until the next one.
 func (b *budget) take(now time.Time) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pomelostore/call.go
+++ b/pomelostore/call.go
@@ -18,72 +18,72 @@
 	"github.com/go-faster/errors"
 )
 
-// base64 makes four bytes of three; the rest of an answer is small.
-const answerOverhead = 64 << 10
+// maxResponseOverhead is the size allowed in bytes for a response beyond its value, which base64 enlarges by a third.
+const maxResponseOverhead = 64 << 10
 
-// Call is one exchange with the store.
+// Call is one HTTP call to the store.
 type Call struct {
 	Method string
-	// Path is the path, escaped.
+	// Path is the escaped URL path.
 	Path  string
 	Query url.Values
 	Body  []byte
-	// ContentType names the format of the body; empty sends none.
+	// ContentType is the Content-Type header; empty sends none.
 	ContentType string
-	// Timeout bounds the exchange; a watch needs its wait and some.
+	// Timeout limits the whole call; for a watch it must exceed the wait.
 	Timeout time.Duration
-	// Count is raised by the call; it is required.
-	Count *expvar.Int
-	// Changes tells that the call has an effect, so that a lost answer leaves its outcome unknown.
-	Changes bool
-	// Codes gives the result codes of statuses that mean something else at another store than at ours.
-	Codes map[int]pomelorelay.ResultCode
+	// Counter is incremented when the call is sent; it is required.
+	Counter *expvar.Int
+	// Mutates marks a call that changes the store, so that a lost response leaves its outcome unknown.
+	Mutates bool
+	// ResultCodes overrides the default result codes of HTTP statuses, for stores that use a status differently.
+	ResultCodes map[int]pomelorelay.ResultCode
 }
 
-// Reply is an answer that arrived whole.
+// Reply is a complete HTTP response.
 type Reply struct {
 	Status int
 	Body   []byte
 }
 
-// Do makes the call once, under the budget and the breaker; every failure is a *pomelorelay.Error.
-func (c *Client) Do(ctx context.Context, one Call) (Reply, error) {
+// Do sends the call once, subject to the call budget and the circuit breaker; every error is a *pomelorelay.Error.
+func (c *Client) Do(ctx context.Context, call Call) (Reply, error) {
 	if err := c.admit(); err != nil {
 		return Reply{}, err
 	}
-	one.Count.Add(1)
-	ctx, cancel := context.WithTimeout(ctx, one.Timeout)
+	call.Counter.Add(1)
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	got, sent, err := c.exchange(ctx, one)
+	reply, sent, err := c.exchange(ctx, call)
 	if err != nil {
-		return Reply{}, c.lost(ctx, one, sent, err)
+		return Reply{}, c.unansweredError(ctx, call, sent, err)
 	}
-	return got, c.judge(one, got)
+	return reply, c.checkStatus(call, reply)
 }
 
 func (c *Client) admit() error {
 	now := c.cfg.Clock.Now()
 	if wait, ok := c.breaker.allow(now); !ok {
 		c.stats.Broken.Add(1)
-		failure := pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "the breaker is open", nil)
+		failure := pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "circuit breaker is open", nil)
 		failure.RetryAfter = wait
 		return failure
 	}
 	if wait, ok := c.budget.take(now); !ok {
 		c.breaker.abandon()
 		c.stats.Throttled.Add(1)
-		failure := pomelorelay.NewError(pomelorelay.CodeStoreThrottled, "the own call budget is spent", nil)
+		failure := pomelorelay.NewError(pomelorelay.CodeStoreThrottled, "call budget of this process is spent", nil)
 		failure.RetryAfter = wait
 		return failure
 	}
 	return nil
 }
 
-// exchange returns the answer, and whether the request may have left this process.
-func (c *Client) exchange(ctx context.Context, one Call) (Reply, bool, error) {
+// exchange returns the response and reports whether the request may have been sent.
+func (c *Client) exchange(ctx context.Context, call Call) (Reply, bool, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
-	req, err := c.request(ctx, one)
+	req, err := c.newRequest(ctx, call)
 	if err != nil {
 		return Reply{}, false, err
 	}
@@ -92,95 +92,96 @@
 		return Reply{}, sent.Load(), err
 	}
 	defer res.Body.Close()
-	body, err := c.readAnswer(res.Body)
+	body, err := c.readBody(res.Body)
 	return Reply{Status: res.StatusCode, Body: body}, true, err
 }
 
-func (c *Client) request(ctx context.Context, one Call) (*http.Request, error) {
-	address := c.cfg.Addresses[int(c.next.Load())%len(c.cfg.Addresses)]
-	target := "http://" + address.String() + one.Path
-	if len(one.Query) > 0 {
-		target += "?" + one.Query.Encode()
+func (c *Client) newRequest(ctx context.Context, call Call) (*http.Request, error) {
+	address := c.cfg.Addresses[int(c.addressIndex.Load())%len(c.cfg.Addresses)]
+	target := "http://" + address.String() + call.Path
+	if len(call.Query) > 0 {
+		target += "?" + call.Query.Encode()
 	}
-	req, err := http.NewRequestWithContext(ctx, one.Method, target, bytes.NewReader(one.Body))
+	req, err := http.NewRequestWithContext(ctx, call.Method, target, bytes.NewReader(call.Body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make the request")
+		return nil, errors.Wrap(err, "create HTTP request")
 	}
-	// With GetBody set, net/http may send the body again by itself on a fresh connection or after a redirect; the store
-	// would count two writes and the loser's conflict would hide that the first one took effect.
+	// With GetBody set, net/http may resend the body on a new connection or after a redirect: the store would receive two
+	// writes, and the conflict of the second would hide that the first took effect.
 	req.GetBody = nil
-	if one.ContentType != "" {
-		req.Header.Set("Content-Type", one.ContentType)
+	if call.ContentType != "" {
+		req.Header.Set("Content-Type", call.ContentType)
 	}
 	return req, nil
 }
 
-func (c *Client) readAnswer(r io.Reader) ([]byte, error) {
-	limit := int64(c.cfg.MaxValue)*4/3 + answerOverhead
+func (c *Client) readBody(r io.Reader) ([]byte, error) {
+	limit := int64(c.cfg.MaxValue)*4/3 + maxResponseOverhead
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errors.New("the answer is over " + strconv.FormatInt(limit, 10) + " bytes")
+		return nil, errors.New("response exceeds " + strconv.FormatInt(limit, 10) + " bytes")
 	}
 	return body, nil
 }
 
-// lost names a call without a whole answer: unknown when it has an effect and may have left, unavailable otherwise.
-func (c *Client) lost(ctx context.Context, one Call, sent bool, cause error) error {
+// unansweredError records a call without a complete response and returns its error: CodeStoreUnknown when the call mutates the store and
+// may have been sent, CodeStoreUnavailable otherwise.
+func (c *Client) unansweredError(ctx context.Context, call Call, sent bool, cause error) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		c.breaker.abandon()
 	} else {
-		c.ended(false)
+		c.recordResult(false)
 	}
-	if one.Changes && sent {
+	if call.Mutates && sent {
 		c.stats.Unknown.Add(1)
-		return pomelorelay.NewError(pomelorelay.CodeStoreUnknown, one.Method+" "+one.Path, cause)
+		return pomelorelay.NewError(pomelorelay.CodeStoreUnknown, call.Method+" "+call.Path, cause)
 	}
-	return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, one.Method+" "+one.Path, cause)
+	return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, call.Method+" "+call.Path, cause)
 }
 
-// judge turns a status that is a failure into its error; the statuses that a call expects pass.
-func (c *Client) judge(one Call, got Reply) error {
-	detail := one.Method + " " + one.Path + ": status " + strconv.Itoa(got.Status)
-	if code, ok := one.Codes[got.Status]; ok {
-		c.ended(true)
+// checkStatus records the result and returns the error of an HTTP status, nil for success and for 404, which callers handle.
+func (c *Client) checkStatus(call Call, reply Reply) error {
+	detail := call.Method + " " + call.Path + ": status " + strconv.Itoa(reply.Status)
+	if code, ok := call.ResultCodes[reply.Status]; ok {
+		c.recordResult(true)
 		return pomelorelay.NewError(code, detail, nil)
 	}
 	switch {
-	case got.Status < 300, got.Status == http.StatusNotFound:
-		c.ended(true)
+	case reply.Status < 300, reply.Status == http.StatusNotFound:
+		c.recordResult(true)
 		return nil
-	case got.Status == http.StatusConflict:
-		c.ended(true)
+	case reply.Status == http.StatusConflict:
+		c.recordResult(true)
 		c.stats.Conflicts.Add(1)
 		return pomelorelay.NewError(pomelorelay.CodeStoreConflict, detail, nil)
-	case got.Status == http.StatusGone:
-		c.ended(true)
+	case reply.Status == http.StatusGone:
+		c.recordResult(true)
 		return pomelorelay.NewError(pomelorelay.CodeStoreLeaseLapsed, detail, nil)
-	case got.Status == http.StatusRequestEntityTooLarge:
-		c.ended(true)
+	case reply.Status == http.StatusRequestEntityTooLarge:
+		c.recordResult(true)
 		return pomelorelay.NewError(pomelorelay.CodeStoreTooLarge, detail, nil)
-	case got.Status == http.StatusTooManyRequests:
-		c.ended(true)
+	case reply.Status == http.StatusTooManyRequests:
+		c.recordResult(true)
 		c.stats.Throttled.Add(1)
 		return pomelorelay.NewError(pomelorelay.CodeStoreThrottled, detail, nil)
 	}
-	c.ended(false)
-	// Only 503 promises that nothing took effect; another failure may come from something between us and the store.
-	if one.Changes && got.Status >= http.StatusInternalServerError && got.Status != http.StatusServiceUnavailable {
+	c.recordResult(false)
+	// Only 503 guarantees that the call had no effect; other failures may come from a proxy in front of the store.
+	if call.Mutates && reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusServiceUnavailable {
 		c.stats.Unknown.Add(1)
 		return pomelorelay.NewError(pomelorelay.CodeStoreUnknown, detail, nil)
 	}
 	return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, detail, nil)
 }
 
-// ended tells the breaker how a call ended, logs when that changed its state, and turns to the next address after a failure.
-func (c *Client) ended(ok bool) {
+// recordResult passes a call's result to the breaker, logs a change of its state, and switches to the next address after a failure.
+func (c *Client) recordResult(ok bool) {
 	if !ok {
 		c.stats.Failures.Add(1)
-		c.next.Add(1)
+		c.addressIndex.Add(1)
 	}
 	opened, closed := c.breaker.done(c.cfg.Clock.Now(), ok)
 	if opened {
@@ -191,15 +192,15 @@
 	}
 }
 
-// Decode reads an answer in JSON; one that cannot be read counts as lost.
-func (c *Client) Decode(one Call, got Reply, into any) error {
-	if err := json.Unmarshal(got.Body, into); err != nil {
+// Decode decodes a JSON response; one that cannot be decoded counts as a lost response.
+func (c *Client) Decode(call Call, reply Reply, result any) error {
+	if err := json.Unmarshal(reply.Body, result); err != nil {
 		code := pomelorelay.CodeStoreUnavailable
-		if one.Changes {
+		if call.Mutates {
 			c.stats.Unknown.Add(1)
 			code = pomelorelay.CodeStoreUnknown
 		}
-		return pomelorelay.NewError(code, one.Method+" "+one.Path+": the answer cannot be read", err)
+		return pomelorelay.NewError(code, call.Method+" "+call.Path+": decode response", err)
 	}
 	return nil
 }
--- a/pomelostore/client.go
+++ b/pomelostore/client.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	idleConnections = 16
-	idleTimeout     = 90 * time.Second
-	headerBound     = 16 << 10
+	maxIdleConnections = 16
+	idleTimeout        = 90 * time.Second
+	maxHeaderBytes     = 16 << 10
 )
 
-// Client is a Store and a HostList over HTTP and JSON; it is safe for concurrent use.
+// Client implements pomelorelay.Store and pomelorelay.HostList over HTTP and JSON; it is safe for concurrent use.
 type Client struct {
-	cfg     Config
-	http    *http.Client
-	budget  *budget
-	breaker *breaker
-	next    atomic.Uint32
-	stats   Stats
+	cfg          Config
+	http         *http.Client
+	budget       *budget
+	breaker      *breaker
+	addressIndex atomic.Uint32
+	stats        Stats
 }
 
 var (
@@ -32,17 +32,17 @@
 	_ pomelorelay.HostList = (*Client)(nil)
 )
 
-// New returns a Client; it fails when no address is given.
+// New returns a Client; it fails when cfg has no address.
 func New(cfg Config) (*Client, error) {
 	if len(cfg.Addresses) == 0 {
-		return nil, errors.New("no address of the store is given")
+		return nil, errors.New("no store address configured")
 	}
 	cfg = cfg.withDefaults()
 	return &Client{
 		cfg:     cfg,
 		http:    newHTTPClient(cfg),
 		budget:  newBudget(cfg.CallsPerSecond, cfg.Clock.Now()),
-		breaker: &breaker{threshold: cfg.BreakerFailures, openFor: cfg.BreakerOpen},
+		breaker: &breaker{failureThreshold: cfg.BreakerFailures, openFor: cfg.BreakerOpen},
 	}, nil
 }
 
@@ -51,21 +51,21 @@
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:            dialer.DialContext,
-			MaxIdleConnsPerHost:    idleConnections,
+			MaxIdleConnsPerHost:    maxIdleConnections,
 			IdleConnTimeout:        idleTimeout,
-			MaxResponseHeaderBytes: headerBound,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 			DisableCompression:     true,
 		},
 		CheckRedirect: refuseRedirect,
 	}
 }
 
-// refuseRedirect hands a redirect back as it is. Followed, a 307 would make net/http send the write a second time by itself,
-// which a counter at the store would show as two writes for one Call.
+// refuseRedirect returns redirects to the caller as they are: when net/http follows a 307, it sends the write a second time, and the
+// store receives two writes for one Call.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Stats returns the counts of the client's calls.
+// Stats returns the counters of the client's calls.
 func (c *Client) Stats() *Stats { return &c.stats }
 
-// Close ends the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/pomelostore/config.go
+++ b/pomelostore/config.go
@@ -9,33 +9,33 @@
 
 // Defaults of Config.
 const (
-	DefaultTimeout        = 2 * time.Second
-	DefaultWatchWait      = 30 * time.Second
-	DefaultCallsPerSecond = 50
-	DefaultBreakerFails   = 5
-	DefaultBreakerOpen    = time.Second
-	DefaultMaxValue       = pomelorelay.Bytes(1 << 20)
+	DefaultTimeout         = 2 * time.Second
+	DefaultWatchWait       = 30 * time.Second
+	DefaultCallsPerSecond  = 50
+	DefaultBreakerFailures = 5
+	DefaultBreakerOpen     = time.Second
+	DefaultMaxValue        = pomelorelay.Bytes(1 << 20)
 )
 
-// Config is what a Client is made of; a zero field takes its default.
+// Config configures a Client; zero fields take their defaults.
 type Config struct {
-	// Addresses are the store's servers by IP number; the next one is tried after a failure.
+	// Addresses are the store's servers; after a failure the client switches to the next one.
 	Addresses []netip.AddrPort
-	// Timeout bounds one call; a watch is bounded by Timeout over WatchWait.
+	// Timeout limits one call; a watch is limited to WatchWait plus Timeout.
 	Timeout time.Duration
-	// WatchWait is how long one watch call waits at the store.
+	// WatchWait is how long the store holds one watch call when nothing changes.
 	WatchWait time.Duration
-	// CallsPerSecond is this process's own budget; a second's worth may be spent at once.
+	// CallsPerSecond is the call budget of this process; one second's worth may be spent in a burst.
 	CallsPerSecond float64
-	// BreakerFailures in a row open the breaker for BreakerOpen; then one call probes.
+	// BreakerFailures is the number of consecutive failures that open the breaker.
 	BreakerFailures int
-	// BreakerOpen is how long an open breaker refuses calls before its probe.
+	// BreakerOpen is how long an open breaker refuses calls before it allows one probe.
 	BreakerOpen time.Duration
-	// MaxValue bounds a value that is written or read.
+	// MaxValue is the maximum size of a value that is written or read.
 	MaxValue pomelorelay.Bytes
-	// Clock tells the time to the budget and the breaker.
+	// Clock is the time source of the budget and the breaker.
 	Clock pomelorelay.Clock
-	// Logger takes the breaker's events.
+	// Logger logs the breaker's state changes.
 	Logger pomelorelay.Logger
 }
 
@@ -50,7 +50,7 @@
 		cfg.CallsPerSecond = DefaultCallsPerSecond
 	}
 	if cfg.BreakerFailures == 0 {
-		cfg.BreakerFailures = DefaultBreakerFails
+		cfg.BreakerFailures = DefaultBreakerFailures
 	}
 	if cfg.BreakerOpen == 0 {
 		cfg.BreakerOpen = DefaultBreakerOpen
--- a/pomelostore/doc.go
+++ b/pomelostore/doc.go
@@ -1,6 +1,6 @@
-// Package pomelostore speaks to the platform's key-value service and host
-// list over HTTP and JSON, within a call budget and behind a breaker.
+// Package pomelostore is the client of the platform's key-value service and
+// host list over HTTP and JSON, with a call budget and a circuit breaker.
 //
 // Client implements Store and HostList of the root package. SettleWrite reads
-// a record back when the answer to a write was lost.
+// a record back after the response to a write was lost.
 package pomelostore
--- a/pomelostore/helper_test.go
+++ b/pomelostore/helper_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// manualClock stands still until it is moved.
+// manualClock is a clock that only moves by advance.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -43,7 +43,7 @@
 
 func newClient(t *testing.T, cfg pomelostore.Config) *pomelostore.Client {
 	t.Helper()
-	// Long, so that a busy machine does not decide a verdict.
+	// Long, so that a busy host does not cause timeouts that fail the test.
 	cfg.Timeout = time.Minute
 	client, err := pomelostore.New(cfg)
 	if err != nil {
--- a/pomelostore/lost_test.go
+++ b/pomelostore/lost_test.go
@@ -15,8 +15,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// cuttingServer answers the first request of a connection and closes it within the second, once it has read that one whole.
-func cuttingServer(t *testing.T, writes *atomic.Int64) netip.AddrPort {
+// closingServer answers the first request of a connection and closes the connection after it has read the second request completely.
+func closingServer(t *testing.T, writes *atomic.Int64) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,13 +29,13 @@
 			if err != nil {
 				return
 			}
-			go cutSecond(conn, writes)
+			go closeOnSecondRequest(conn, writes)
 		}
 	}()
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func cutSecond(conn net.Conn, writes *atomic.Int64) {
+func closeOnSecondRequest(conn net.Conn, writes *atomic.Int64) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for answered := false; ; answered = true {
@@ -52,26 +52,25 @@
 	}
 }
 
-// The store closes a reused connection after it read a write and before it answers. net/http may take the connection for one
-// that was closed while idle and send the write again by itself; the second write then meets its own first one, and a user sees
-// a conflict with nobody.
-func TestWriteOnAReusedConnectionIsSentOnce(t *testing.T) {
+// The store closes a reused connection after it has read a write and before it answers. Guards against net/http treating the connection
+// as closed while idle and resending the write, which then conflicts with the first copy of itself.
+func TestWriteOnReusedConnectionIsSentOnce(t *testing.T) {
 	ctx := context.Background()
 	var writes atomic.Int64
-	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{cuttingServer(t, &writes)}})
+	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{closingServer(t, &writes)}})
 	if _, err := client.CompareAndSwap(ctx, "k", []byte("a"), 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	_, err := client.CompareAndSwap(ctx, "k", []byte("b"), 1, 0)
 	if got := writes.Load(); got != 2 {
-		t.Errorf("the store read %d writes for 2 calls", got)
+		t.Errorf("store received %d writes for 2 calls", got)
 	}
 	wantCode(t, err, pomelorelay.CodeStoreUnknown)
 }
 
-// Something before the store takes a write, hands it on and then answers with a redirect. net/http follows a 307 with the same
-// body; the store then counts two writes for one call.
-func TestWriteIsNotSentAgainAfterARedirect(t *testing.T) {
+// A proxy in front of the store forwards a write and answers with a redirect. Guards against net/http following the 307 with the same
+// body, so that the store receives two writes for one call.
+func TestWriteIsNotResentAfterRedirect(t *testing.T) {
 	var writes atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if writes.Add(1) == 1 {
@@ -84,13 +83,14 @@
 	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, server)}})
 	_, err := client.CompareAndSwap(context.Background(), "k", []byte("v"), 0, 0)
 	if got := writes.Load(); got != 1 {
-		t.Errorf("the store read %d writes for one call", got)
+		t.Errorf("store received %d writes for one call", got)
 	}
 	wantCode(t, err, pomelorelay.CodeStoreUnavailable)
 }
 
-// Nothing listens at the store's address. The write surely never left, and saying unknown would make an operator search.
-func TestWriteThatNeverLeftIsUnavailable(t *testing.T) {
+// Nothing listens at the store's address. Guards against an unsent write that is reported as unknown, which would make an operator look
+// for its effect.
+func TestUnsentWriteIsUnavailable(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -102,28 +102,28 @@
 	wantCode(t, err, pomelorelay.CodeStoreUnavailable)
 }
 
-// lossyStore loses the answer of a write, after it took effect or before, or after another writer's came in between.
-type lossyStore struct {
+// readBackStore returns a fixed record, as found after a write whose response was lost.
+type readBackStore struct {
 	pomelorelay.Store
 	record pomelorelay.Record
 }
 
-func (s *lossyStore) Get(context.Context, pomelorelay.StoreKey) (pomelorelay.Record, error) {
+func (s *readBackStore) Get(context.Context, pomelorelay.StoreKey) (pomelorelay.Record, error) {
 	return s.record, nil
 }
 
-// A write's answer was lost. Its writer must find out by its nonce whether the write is there, without a second one.
-func TestLostWritesAreSettled(t *testing.T) {
-	mine := func(value []byte) bool { return string(value) == "nonce" }
+// Guards against a writer that sends a second write after a lost response instead of finding its nonce in the record.
+func TestLostWriteOutcomeByReadBack(t *testing.T) {
+	isOwn := func(value []byte) bool { return string(value) == "nonce" }
 	for _, c := range []struct {
 		record pomelorelay.Record
-		want   pomelostore.Settlement
+		want   pomelostore.WriteOutcome
 	}{
 		{pomelorelay.Record{Value: []byte("nonce"), Revision: 4}, pomelostore.SettledWritten},
 		{pomelorelay.Record{Value: []byte("before"), Revision: 3}, pomelostore.SettledUnchanged},
-		{pomelorelay.Record{Value: []byte("other"), Revision: 4}, pomelostore.SettledOther},
+		{pomelorelay.Record{Value: []byte("other"), Revision: 4}, pomelostore.WriteSuperseded},
 	} {
-		got, _, err := pomelostore.SettleWrite(context.Background(), &lossyStore{record: c.record}, "k", 3, mine)
+		got, _, err := pomelostore.SettleWrite(context.Background(), &readBackStore{record: c.record}, "k", 3, isOwn)
 		if err != nil || got != c.want {
 			t.Errorf("%q: got %d %v, want %d", c.record.Value, got, err, c.want)
 		}
--- a/pomelostore/stats.go
+++ b/pomelostore/stats.go
@@ -2,23 +2,23 @@
 
 import "expvar"
 
-// Stats counts a client's calls; each is an expvar.Int, so that a program can publish them.
+// Stats holds the counters of a client's calls, as expvar.Int values that a program can publish.
 type Stats struct {
-	// Gets, Writes, Watches, Leases and HostLists count the calls sent, by kind.
+	// Gets, Writes, Watches, Leases and HostLists count the calls sent, by type.
 	Gets, Writes, Watches, Leases, HostLists expvar.Int
-	// Failures counts calls without an answer or with a failure of the store.
+	// Failures counts calls without a response or with a status that shows a failure of the store.
 	Failures expvar.Int
-	// Unknown counts writes whose answer was lost.
+	// Unknown counts mutating calls that may have taken effect, because their response was lost or invalid.
 	Unknown expvar.Int
-	// Conflicts counts writes that another writer forestalled.
+	// Conflicts counts writes that failed because another writer changed the record first.
 	Conflicts expvar.Int
-	// Throttled counts calls refused by the own budget or by the store's rate.
+	// Throttled counts calls refused by the client's call budget or by the store's rate limit.
 	Throttled expvar.Int
-	// Broken counts calls refused by the open breaker.
+	// Broken counts calls refused because the breaker was open.
 	Broken expvar.Int
 }
 
-// Var returns the counts as one variable to publish.
+// Var returns the counters as one expvar map.
 func (s *Stats) Var() expvar.Var {
 	m := new(expvar.Map).Init()
 	for name, count := range map[string]*expvar.Int{
--- a/pomelostore/store_test.go
+++ b/pomelostore/store_test.go
@@ -17,21 +17,21 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// smallStore serves the store's protocol out of a map.
-type smallStore struct {
-	mu      sync.Mutex
-	records map[pomelorelay.StoreKey]pomelorelay.Record
-	lapsed  bool
+// mapStore serves the store's HTTP API from a map.
+type mapStore struct {
+	mu          sync.Mutex
+	records     map[pomelorelay.StoreKey]pomelorelay.Record
+	leaseClosed bool
 }
 
-func newSmallStore(t *testing.T) *httptest.Server {
-	s := &smallStore{records: make(map[pomelorelay.StoreKey]pomelorelay.Record)}
+func newMapStore(t *testing.T) *httptest.Server {
+	s := &mapStore{records: make(map[pomelorelay.StoreKey]pomelorelay.Record)}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	return server
 }
 
-func (s *smallStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *mapStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -43,14 +43,14 @@
 		io.WriteString(w, `[{"Name":"u1","Kind":"Upstream","Addr":"10.0.0.1:80","Domain":"a","Region":"r","Leaving":true}]`)
 	case r.URL.Path == "/v1/lease":
 		io.WriteString(w, `{"Lease":7}`)
-	case s.lapsed:
+	case s.leaseClosed:
 		w.WriteHeader(http.StatusGone)
 	case r.Method == http.MethodDelete:
-		s.lapsed = true
+		s.leaseClosed = true
 	}
 }
 
-func (s *smallStore) serveRecord(w http.ResponseWriter, r *http.Request, key pomelorelay.StoreKey) {
+func (s *mapStore) serveRecord(w http.ResponseWriter, r *http.Request, key pomelorelay.StoreKey) {
 	record := s.records[key]
 	if r.Method == http.MethodGet {
 		writeRecord(w, record)
@@ -66,8 +66,8 @@
 	json.NewEncoder(w).Encode(map[string]pomelorelay.Revision{"Revision": record.Revision})
 }
 
-// serveWatch answers at once: 204 the first time after a record is seen unchanged would loop, so it advances the record.
-func (s *smallStore) serveWatch(w http.ResponseWriter, r *http.Request, key pomelorelay.StoreKey) {
+// serveWatch answers without waiting: an unchanged record gets 204 and a new revision, so that the client's next watch call returns.
+func (s *mapStore) serveWatch(w http.ResponseWriter, r *http.Request, key pomelorelay.StoreKey) {
 	record := s.records[key]
 	if r.URL.Query().Get("after") == strconv.FormatUint(uint64(record.Revision), 10) {
 		record.Revision++
@@ -86,9 +86,9 @@
 	json.NewEncoder(w).Encode(record)
 }
 
-func TestRecordsAreWrittenAndRead(t *testing.T) {
+func TestRecordReadWriteWatch(t *testing.T) {
 	ctx := context.Background()
-	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newSmallStore(t))}})
+	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newMapStore(t))}})
 	key := pomelorelay.StoreKey("config/part/a b%")
 	if record, err := client.Get(ctx, key); err != nil || record.Revision != 0 {
 		t.Fatalf("got %v %v, want no record", record, err)
@@ -110,9 +110,9 @@
 	t.Log(client.Stats().Var())
 }
 
-func TestLeasesLapse(t *testing.T) {
+func TestClosedLeaseIsNotRenewed(t *testing.T) {
 	ctx := context.Background()
-	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newSmallStore(t))}})
+	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newMapStore(t))}})
 	lease, err := client.OpenLease(ctx, time.Second)
 	if err != nil || lease != 7 {
 		t.Fatalf("got %d %v", lease, err)
@@ -126,17 +126,17 @@
 	wantCode(t, client.RenewLease(ctx, lease), pomelorelay.CodeStoreLeaseLapsed)
 }
 
-func TestHostsAreRead(t *testing.T) {
-	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newSmallStore(t))}})
+func TestHosts(t *testing.T) {
+	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newMapStore(t))}})
 	hosts, err := client.Hosts(context.Background())
 	if err != nil || len(hosts) != 1 || !hosts[0].Leaving || hosts[0].Addr != netip.MustParseAddrPort("10.0.0.1:80") {
 		t.Fatalf("got %v %v", hosts, err)
 	}
 }
 
-// The store, or something before it, answers with a status that is no success. A writer must learn whether its write may have
-// taken effect; else it reports a change as refused that is in force.
-func TestStatusesTellWhetherAWriteMayHaveTakenEffect(t *testing.T) {
+// Guards against an HTTP status whose result code is wrong about whether a write may have taken effect, so that a change that is in force
+// is reported as refused.
+func TestWriteStatusesMapToResultCodes(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		body   string
@@ -166,8 +166,8 @@
 	}
 }
 
-// An answer of another key arrives. Taken for the record asked for, a router would put the wrong content in force.
-func TestCrossedAnswersAreRefused(t *testing.T) {
+// Guards against accepting a response for another key, which would apply the wrong content.
+func TestResponseForOtherKeyIsRejected(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(pomelorelay.Record{Key: "other", Value: []byte("x"), Revision: 1})
 	}))
@@ -177,11 +177,11 @@
 	wantCode(t, err, pomelorelay.CodeStoreUnavailable)
 }
 
-func TestTooLargeValuesDoNotLeave(t *testing.T) {
+func TestOversizedValueIsNotSent(t *testing.T) {
 	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, MaxValue: 4})
 	_, err := client.CompareAndSwap(context.Background(), "k", []byte("12345"), 0, 0)
 	wantCode(t, err, pomelorelay.CodeStoreTooLarge)
 	if got := client.Stats().Writes.Value(); got != 0 {
-		t.Fatalf("%d writes left", got)
+		t.Fatalf("%d writes sent, want 0", got)
 	}
 }
