--- a/pomelostore/config.go
+++ b/pomelostore/config.go
@@ -13,7 +13,7 @@
 	DefaultWatchWait       = 30 * time.Second
 	DefaultCallsPerSecond  = 50
 	DefaultBreakerFailures = 5
-	DefaultBreakerOpen     = time.Second
+	DefaultBreakerCooldown     = time.Second
 	DefaultMaxValue        = pomelorelay.Bytes(1 << 20)
 )
 
@@ -53,7 +53,7 @@
 		cfg.BreakerFailures = DefaultBreakerFailures
 	}
 	if cfg.BreakerOpen == 0 {
-		cfg.BreakerOpen = DefaultBreakerOpen
+		cfg.BreakerOpen = DefaultBreakerCooldown
 	}
 	if cfg.MaxValue == 0 {
 		cfg.MaxValue = DefaultMaxValue
