--- a/pomelostore/config.go
+++ b/pomelostore/config.go
@@ -13,7 +13,7 @@
 	DefaultWatchWait       = 30 * time.Second
 	DefaultCallsPerSecond  = 50
 	DefaultBreakerFailures = 5
-	DefaultBreakerCooldown     = time.Second
+	DefaultBreakerCooldown = time.Second
 	DefaultMaxValue        = pomelorelay.Bytes(1 << 20)
 )
 
