--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		return err
 	}
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.Memory)))
+	if settings.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryLimit)))
 	}
 	logger := pomelolog.New(pomelolog.Config{Node: settings.Self.Node, Level: pomelorelay.LevelInfo, Writer: os.Stdout})
 	defer logger.Close()
@@ -76,9 +76,9 @@
 	return serveEntry(entry, path, signals, logger)
 }
 
-func openEntry(settings pomelorelay.FleetSettings, without pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Entry, error) {
+func openEntry(settings pomelorelay.FleetSettings, without pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Router, error) {
 	client, err := pomelostore.New(pomelostore.Config{
-		Addresses:      []netip.AddrPort{settings.Store},
+		Addresses:      []netip.AddrPort{settings.StoreAddr},
 		Timeout:        storeTimeout,
 		CallsPerSecond: storeCalls,
 		BreakerOpen:    storeRest,
@@ -92,7 +92,7 @@
 		Platform: pomeloplatform.NewStore(client, storeTimeout),
 		Wire:     pomeloplatform.Wire{},
 		Logger:   logger,
-		Without:  without,
+		DisabledMechanisms:  without,
 	})
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 
 // serveEntry runs until a signal or a failure ends the router. Settings that changed are checked and told; their addresses hold
 // until the next start.
-func serveEntry(entry *pomeloentry.Entry, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
+func serveEntry(entry *pomeloentry.Router, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
 	for {
 		select {
 		case err := <-entry.Errors():
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -187,7 +187,7 @@
 	case pomelolink.OutcomeNotSent:
 		state = pomelorelay.GrantReturned
 		if e.r.Code == pomelorelay.CodeUpstreamUnreached {
-			state = pomelorelay.GrantUnreached
+			state = pomelorelay.GrantUpstreamUnreachable
 		}
 	case pomelolink.OutcomeCutShort, pomelolink.OutcomeUnknown:
 		state = pomelorelay.GrantFailed
@@ -203,7 +203,7 @@
 
 // granted takes an owner's grant and gives it to the account that has had the least.
 func (c *control) granted(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) {
-	usable := c.asker.Granted(now, from, g)
+	usable := c.asker.AcceptGrant(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
 	if !usable || !known || c.left[g.Upstream] || c.unsure(now) {
 		c.settle(now, g.ID, g.Pool, pomeloslot.Settlement{State: pomelorelay.GrantReturned})
@@ -284,5 +284,5 @@
 	if ok {
 		s.Head, s.Waiting = head, waiting
 	}
-	c.out = c.asker.Settled(now, id, s, c.out)
+	c.out = c.asker.SettleGrant(now, id, s, c.out)
 }
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -52,17 +52,17 @@
 		Seeds:       seedPeers(n.cfg.Settings.Seeds),
 		Seed:        uint64(n.incarnation),
 		Options: pomelomember.Options{
-			DigestEvery:      s.DigestInterval,
-			DigestsPerSecond: pomeloconfig.MessagesPerSecond,
-			ProbeWait:        s.ProbeWait,
-			SuspectFor:       s.SuspectFor,
+			DigestInterval:      s.DigestInterval,
+			MaxDigestsPerSecond: pomeloconfig.MaxPeriodicMessagesPerSecond,
+			ProbeTimeout:        s.ProbeWait,
+			SuspicionTimeout:       s.SuspectFor,
 		},
 	})
 	c.members = c.view.Snapshot()
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
 		// The traffic path's own timer ends each wait at its service's bound.
-		Limit: pomelofair.LimitOptions{Wait: longestWait},
+		Limit: pomelofair.LimitOptions{MaxWait: longestWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
 		Node:        n.self.Node,
@@ -70,14 +70,14 @@
 		Incarnation: n.incarnation,
 		Grant:       pomeloslot.GrantOptions{TTL: s.GrantTTL},
 	})
-	c.asker = pomeloslot.NewAsker(pomeloslot.AskerConfig{
+	c.asker = pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:    n.self.Node,
 		Domain:  n.self.Domain,
 		Regions: c.regions,
 		Seed:    uint64(n.incarnation),
 	})
-	c.spreader = pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{
-		PullWait: s.ConfigPull,
+	c.spreader = pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{
+		PullTimeout: s.ConfigPull,
 		Seed:     uint64(n.incarnation),
 		Logger:   n.cfg.Logger,
 	})
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -18,7 +18,7 @@
 	if !e.asked.Before(c.unsureSince) {
 		c.unsureSince = time.Time{}
 	}
-	c.out = c.view.Hosts(now, e.hosts, c.out)
+	c.out = c.view.SetHosts(now, e.hosts, c.out)
 	c.n.mesh.SetPeers(c.view.Peers(nil))
 	leaving := leavingOf(e.hosts)
 	for id := range leaving {
@@ -44,8 +44,8 @@
 		return
 	}
 	c.left[id] = true
-	c.asker.Leaving(id)
-	c.owner.Leaving(c.now(), id)
+	c.asker.MarkLeaving(id)
+	c.owner.MarkLeaving(c.now(), id)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventLeaving, field("Upstream", string(id)))
 }
@@ -71,8 +71,8 @@
 func (c *control) back(now time.Time, id pomelorelay.UpstreamID) {
 	delete(c.left, id)
 	delete(c.leftAt, id)
-	c.asker.Back(id)
-	c.out = c.owner.Back(now, id, c.out)
+	c.asker.ClearLeaving(id)
+	c.out = c.owner.ClearLeaving(now, id, c.out)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventUpstreamBack, field("Upstream", string(id)))
 }
@@ -98,7 +98,7 @@
 // name: a newcomer gets no digests before its address is known, and would serve nobody until then.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
-	timer := time.NewTimer(list.Pace(n.status.Load().members) - list.Interval)
+	timer := time.NewTimer(list.ReadInterval(n.status.Load().members) - list.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -32,7 +32,7 @@
 // placeJobs computes anew which shared jobs this router does.
 func (c *control) placeJobs(now time.Time) {
 	c.members = c.view.Snapshot()
-	c.reachable = c.view.Reachable(now, c.reachable[:0])
+	c.reachable = c.view.ReachableDomains(now, c.reachable[:0])
 	c.n.mesh.SetPeers(c.view.Peers(nil))
 	c.jobs.peers = c.allMembers()
 	c.spreader.SetPeers(c.others())
@@ -95,7 +95,7 @@
 		if held {
 			stop()
 			delete(c.jobs.upstreams, id)
-			c.owner.Disown(id)
+			c.owner.RemoveUpstream(id)
 			continue
 		}
 		c.own(now, id)
@@ -104,7 +104,7 @@
 		if c.upstreams[id] == nil {
 			stop()
 			delete(c.jobs.upstreams, id)
-			c.owner.Disown(id)
+			c.owner.RemoveUpstream(id)
 		}
 	}
 }
@@ -112,14 +112,14 @@
 func (c *control) own(now time.Time, id pomelorelay.UpstreamID) {
 	u := c.upstreams[id]
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
-	c.out = c.owner.Own(now, slot, c.jobs.peers, c.out)
+	c.out = c.owner.AddUpstream(now, slot, c.jobs.peers, c.out)
 	if u.FailureDomain != c.n.self.Domain {
 		// The upstream's own domain may only be cut off from this one and its owner there grants still: nothing is granted here
 		// before the upstream itself answers.
-		c.owner.Crashed(now, id)
+		c.owner.MarkCrashed(now, id)
 	}
 	if c.left[id] {
-		c.owner.Leaving(now, id)
+		c.owner.MarkLeaving(now, id)
 	}
 	c.jobs.upstreams[id] = c.n.readLoads(*u)
 	c.n.log(pomelorelay.EventJobsMoved, field("Upstream", string(id)))
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -29,7 +29,7 @@
 
 func (e loadRead) apply(c *control, now time.Time) {
 	if _, held := c.jobs.upstreams[e.upstream]; held {
-		c.out = c.owner.Load(now, e.upstream, e.load, c.out)
+		c.out = c.owner.HandleLoadReport(now, e.upstream, e.load, c.out)
 		c.loads[e.upstream] = e.load
 	}
 }
@@ -39,7 +39,7 @@
 
 func (e loadLost) apply(c *control, now time.Time) {
 	if _, held := c.jobs.upstreams[e.upstream]; held {
-		c.owner.Crashed(now, e.upstream)
+		c.owner.MarkCrashed(now, e.upstream)
 		c.n.log(pomelorelay.EventLoadLost, field("Upstream", string(e.upstream)))
 	}
 }
