--- a/pomeloconfig/store.go
+++ b/pomeloconfig/store.go
@@ -113,11 +113,11 @@
 // readBack reads the record after a lost answer or a conflict; it returns writeUnknown if the read does not decide the outcome.
 func (s configStore) readBack(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record) {
 	isOwn := func(found []byte) bool { return bytes.Equal(found, value) }
-	settlement, record, err := pomelostore.SettleWrite(ctx, s.store, key, old, isOwn)
+	settlement, record, err := pomelostore.ResolveWrite(ctx, s.store, key, old, isOwn)
 	switch {
-	case err != nil || settlement == pomelostore.SettledUnchanged:
+	case err != nil || settlement == pomelostore.WritePending:
 		return writeUnknown, record
-	case settlement == pomelostore.SettledWritten:
+	case settlement == pomelostore.WriteApplied:
 		return writeApplied, record
 	}
 	return writeConflict, record
--- a/pomelostore/client.go
+++ b/pomelostore/client.go
@@ -42,7 +42,7 @@
 		cfg:     cfg,
 		http:    newHTTPClient(cfg),
 		budget:  newBudget(cfg.CallsPerSecond, cfg.Clock.Now()),
-		breaker: &breaker{failureThreshold: cfg.BreakerFailures, openFor: cfg.BreakerOpen},
+		breaker: &breaker{failureThreshold: cfg.BreakerFailures, openFor: cfg.BreakerCooldown},
 	}, nil
 }
 
--- a/pomelostore/config.go
+++ b/pomelostore/config.go
@@ -29,8 +29,8 @@
 	CallsPerSecond float64
 	// BreakerFailures is the number of consecutive failures that open the breaker.
 	BreakerFailures int
-	// BreakerOpen is how long an open breaker refuses calls before it allows one probe.
-	BreakerOpen time.Duration
+	// BreakerCooldown is how long an open breaker refuses calls before it allows one probe.
+	BreakerCooldown time.Duration
 	// MaxValue is the maximum size of a value that is written or read.
 	MaxValue pomelorelay.Bytes
 	// Clock is the time source of the budget and the breaker.
@@ -52,8 +52,8 @@
 	if cfg.BreakerFailures == 0 {
 		cfg.BreakerFailures = DefaultBreakerFailures
 	}
-	if cfg.BreakerOpen == 0 {
-		cfg.BreakerOpen = DefaultBreakerCooldown
+	if cfg.BreakerCooldown == 0 {
+		cfg.BreakerCooldown = DefaultBreakerCooldown
 	}
 	if cfg.MaxValue == 0 {
 		cfg.MaxValue = DefaultMaxValue
--- a/pomelostore/lost_test.go
+++ b/pomelostore/lost_test.go
@@ -119,11 +119,11 @@
 		record pomelorelay.Record
 		want   pomelostore.WriteOutcome
 	}{
-		{pomelorelay.Record{Value: []byte("nonce"), Revision: 4}, pomelostore.SettledWritten},
-		{pomelorelay.Record{Value: []byte("before"), Revision: 3}, pomelostore.SettledUnchanged},
+		{pomelorelay.Record{Value: []byte("nonce"), Revision: 4}, pomelostore.WriteApplied},
+		{pomelorelay.Record{Value: []byte("before"), Revision: 3}, pomelostore.WritePending},
 		{pomelorelay.Record{Value: []byte("other"), Revision: 4}, pomelostore.WriteSuperseded},
 	} {
-		got, _, err := pomelostore.SettleWrite(context.Background(), &readBackStore{record: c.record}, "k", 3, isOwn)
+		got, _, err := pomelostore.ResolveWrite(context.Background(), &readBackStore{record: c.record}, "k", 3, isOwn)
 		if err != nil || got != c.want {
 			t.Errorf("%q: got %d %v, want %d", c.record.Value, got, err, c.want)
 		}
--- a/pomelostore/outcome.go
+++ b/pomelostore/outcome.go
@@ -11,27 +11,27 @@
 
 // The outcomes that reading the record back can show.
 const (
-	// SettledWritten means that the write took effect: the record holds the writer's value.
-	SettledWritten WriteOutcome = iota + 1
-	// SettledUnchanged means that the record is still at the old revision. The write may still arrive; resending it with the same
+	// WriteApplied means that the write took effect: the record holds the writer's value.
+	WriteApplied WriteOutcome = iota + 1
+	// WritePending means that the record is still at the old revision. The write may still arrive; resending it with the same
 	// value and old revision is safe, since at most one of the two can take effect.
-	SettledUnchanged
+	WritePending
 	// WriteSuperseded means that the record holds another writer's value; the write took effect before that or never will.
 	WriteSuperseded
 )
 
-// SettleWrite reads the record back after a write that failed with CodeStoreUnknown; isOwn reports whether a value carries the writer's
+// ResolveWrite reads the record back after a write that failed with CodeStoreUnknown; isOwn reports whether a value carries the writer's
 // nonce. It fails as Store.Get does, and the outcome is then still unknown.
-func SettleWrite(ctx context.Context, store pomelorelay.Store, key pomelorelay.StoreKey, old pomelorelay.Revision, isOwn func(value []byte) bool) (WriteOutcome, pomelorelay.Record, error) {
+func ResolveWrite(ctx context.Context, store pomelorelay.Store, key pomelorelay.StoreKey, old pomelorelay.Revision, isOwn func(value []byte) bool) (WriteOutcome, pomelorelay.Record, error) {
 	record, err := store.Get(ctx, key)
 	if err != nil {
 		return 0, pomelorelay.Record{}, err
 	}
 	if record.Revision == old {
-		return SettledUnchanged, record, nil
+		return WritePending, record, nil
 	}
 	if isOwn(record.Value) {
-		return SettledWritten, record, nil
+		return WriteApplied, record, nil
 	}
 	return WriteSuperseded, record, nil
 }
