--- a/pomeloroute/answer.go
+++ b/pomeloroute/answer.go
@@ -13,8 +13,9 @@
 	"github.com/pomelorelay/pomelorelay/pomeloproblem"
 )
 
-// forwardPlain passes an answer on. What is small, or already here in full, is held until it is whole, so that a cut is
-// seen before the caller gets a status; the rest is passed as it comes and a cut closes the caller's connection.
+// forwardPlain forwards an answer that is no event stream. A small or already received answer is buffered until it is complete, so
+// that truncation is detected before the caller gets a status. Any other is forwarded as it arrives, and truncation
+// closes the caller's connection.
 func (c *call) forwardPlain(x *pomelolink.Exchange, m *meter) *pomelolink.Failure {
 	held := c.h.buffers.Body()
 	defer c.h.buffers.PutBody(held)
@@ -33,8 +34,8 @@
 	return c.forwardUnbuffered(x, held, chunk)
 }
 
-// shouldBuffer reports whether more of the answer is to be held back: a short one of known length always, one in chunks only
-// while its next bytes are here already, so that a slow stream is never kept from its caller.
+// shouldBuffer reports whether to buffer more of the answer before forwarding it: an answer of known length if it is small, a chunked
+// one only while its next bytes have already been received, so that a slow answer is not delayed.
 func (c *call) shouldBuffer(x *pomelolink.Exchange, held *bytes.Buffer) bool {
 	limit := int64(c.h.cfg.Options.MaxBufferedAnswer)
 	if x.Response.ContentLength >= 0 {
@@ -92,7 +93,7 @@
 	c.w.WriteHeader(resp.StatusCode)
 }
 
-// write passes bytes to the caller. A caller that is gone ends the call's context, which ends the reading.
+// write writes to the caller. Errors are ignored: a disconnect cancels the call's context, which ends reading from the upstream.
 func (c *call) write(p []byte) {
 	if len(p) > 0 {
 		_, _ = c.w.Write(p)
@@ -105,7 +106,7 @@
 	}
 }
 
-// writeTrailer passes the fields after the body on, also those that the head did not announce.
+// writeTrailer forwards the trailer fields, including those that the header did not announce.
 func (c *call) writeTrailer(resp *http.Response) {
 	for name, values := range resp.Trailer {
 		for _, v := range values {
@@ -114,7 +115,7 @@
 	}
 }
 
-// errorEvent ends a stream that cannot be finished, so that its caller can tell it from one that ended.
+// errorEvent returns the event that ends an incomplete stream, so that the caller can distinguish it from a complete one.
 func errorEvent(e *pomelorelay.Error) []byte {
 	event := append([]byte("event: error\ndata: "), pomeloproblem.New(e).Encode()...)
 	return append(event, "\n\n"...)
--- a/pomeloroute/bodylimit.go
+++ b/pomeloroute/bodylimit.go
@@ -6,16 +6,16 @@
 	"github.com/go-faster/errors"
 )
 
-var errBodyMemoryFull = errors.New("the bodies in progress fill the router's bound")
+var errBodyMemoryFull = errors.New("request bodies in progress exceed the router's limit")
 
-// countedBody counts a body against the bound on all bodies in progress as it is read. Without the bound many callers with large
-// bodies, each within its own bound, make the process run out of memory, and every request on the router is lost with it.
+// countedBody counts the bytes read from a body towards the router's limit on all bodies in progress. Without that limit, many large
+// bodies, each within the limit of a single body, exhaust the memory of the process, and all its requests are lost.
 type countedBody struct {
 	c *call
 	r io.Reader
 }
 
-// Read reads on while there is room.
+// Read reads from the body; it fails with errBodyMemoryFull once the limit on all bodies is exceeded.
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
 	b.c.bufferedBytes += int64(n)
--- a/pomeloroute/call.go
+++ b/pomeloroute/call.go
@@ -23,7 +23,7 @@
 	maxPrefixBytes = 512
 )
 
-// call is one caller's request on its way through the router.
+// call is the state of one caller's request.
 type call struct {
 	h       *Handler
 	w       http.ResponseWriter
@@ -37,22 +37,22 @@
 	hint    pomelorelay.Cost
 	key     string
 	body    *bytes.Buffer
-	// bufferedBytes is what the body counts towards the router's bound.
+	// bufferedBytes is this call's contribution to Handler.buffered.
 	bufferedBytes int64
-	// deadline bounds the whole call, waitUntil the wait for a slot.
+	// deadline ends the call; waitUntil ends the wait for a slot.
 	deadline    time.Time
 	waitUntil   time.Time
 	fingerprint pomelorelay.Fingerprint
 	claim       Claim
 	claimed     bool
-	// answerStarted is set once a byte of an answer went to the caller; from then on nothing is tried again.
+	// answerStarted is set once an answer's header was sent to the caller; after that there are no retries.
 	answerStarted bool
-	// errorEventSent is set once the caller was told by an error event that its stream broke off.
+	// errorEventSent is set once an error event was sent because the stream broke.
 	errorEventSent bool
 	suspect        bool
-	// mayHaveRun is set while and after an attempt whose request may have run.
+	// mayHaveRun is set during an attempt and stays set if the upstream may have run the request.
 	mayHaveRun bool
-	// outcome is the outcome of a claimed request that ran.
+	// outcome is the result of a claimed request that ran; nil before that.
 	outcome         *pomelorelay.ClaimOutcome
 	failedUpstreams []pomelorelay.UpstreamID
 }
@@ -206,7 +206,7 @@
 	return c.body.Bytes()
 }
 
-// release gives the body's memory back; a stream that runs for minutes must not hold it.
+// release returns the body's buffer to the pool, early enough that a stream that runs for minutes does not hold it.
 func (c *call) release() {
 	if c.body == nil {
 		return
@@ -217,10 +217,10 @@
 	c.bufferedBytes = 0
 }
 
-// repeatable reports whether a request that may have run may be sent again.
+// repeatable reports whether the request may be sent again after an attempt that may have run.
 func (c *call) repeatable() bool { return !c.service.NonIdempotent && c.key == "" }
 
-// fail tells the caller of an error: by a refusal while nothing was answered, otherwise by closing the connection.
+// fail reports an error to the caller: as a problem, or by closing the connection if an answer has started.
 func (c *call) fail(err error) {
 	if c.answerStarted {
 		panic(http.ErrAbortHandler)
@@ -228,8 +228,8 @@
 	c.h.writeProblem(c.w, err)
 }
 
-// context returns the context of an attempt. A claimed request runs on when its caller leaves, so that its outcome is
-// kept for the caller's repeat; every other is cancelled at its upstream.
+// context returns the context of an attempt. A claimed request continues when its caller disconnects, so that its outcome is stored
+// for the caller's retry; any other request is cancelled at its upstream.
 func (c *call) context() (context.Context, context.CancelFunc) {
 	parent := c.r.Context()
 	if c.claimed {
--- a/pomeloroute/claimed.go
+++ b/pomeloroute/claimed.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// takeClaim makes the call's claim durable, or fails with what is known of the key. Without an error and without
-// claimed set, the outcome of an earlier run is to be replayed.
+// takeClaim claims the call's idempotency key. It sets claimed if the request may run; if it returns nil without setting it, the outcome
+// of an earlier run must be replayed. Otherwise it fails with a code that describes the state of the key.
 func (c *call) takeClaim() error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -37,7 +37,7 @@
 	return pomelorelay.NewError(pomelorelay.CodeClaimUnknown, "", nil)
 }
 
-// replayOutcome answers with the outcome of the run that the key had before.
+// replayOutcome answers with the stored outcome of an earlier run under the same key.
 func (c *call) replayOutcome() {
 	head := c.w.Header()
 	if c.claim.Outcome.ContentType != "" {
@@ -46,11 +46,11 @@
 	head.Set(headerReplayed, "true")
 	head.Set(headerRan, string(pomelorelay.RanYes))
 	c.w.WriteHeader(c.claim.Outcome.Status)
-	// A caller that is gone asks again.
+	// A caller that has disconnected can retry.
 	_, _ = c.w.Write(c.claim.Outcome.Body)
 }
 
-// settleClaim tells how the claimed request ended, on every way out.
+// settleClaim reports how the claimed request ended; it is deferred, so that it also runs after a panic.
 func (c *call) settleClaim() {
 	switch {
 	case c.outcome != nil:
@@ -62,7 +62,8 @@
 	}
 }
 
-// recordOutcome remembers a whole answer for repeats of the call; one over the bound is only known to have been given.
+// recordOutcome stores a complete answer for retries of the call; of an answer over MaxStoredOutcome it stores only status and
+// content type.
 func (c *call) recordOutcome(resp *http.Response, body []byte, whole bool) {
 	if !c.claimed {
 		return
--- a/pomeloroute/config.go
+++ b/pomeloroute/config.go
@@ -9,9 +9,9 @@
 	"github.com/pomelorelay/pomelorelay/pomelolink"
 )
 
-// Config holds what a Handler needs.
+// Config configures a Handler.
 type Config struct {
-	// Node and Incarnation make request ids unique in the fleet.
+	// Node and Incarnation are part of request ids and make them unique in the fleet.
 	Node         pomelorelay.NodeID
 	Incarnation  pomelorelay.Incarnation
 	Clock        pomelorelay.Clock
@@ -23,102 +23,102 @@
 	Options      Options
 }
 
-// Options bound what the traffic path uses; zero fields take the defaults.
+// Options are the limits and timeouts of a Handler; a zero field takes its default.
 type Options struct {
-	// MaxHeaders bounds the number of a request's header fields, 100 by default.
+	// MaxHeaders limits the number of header fields of a request, 100 by default.
 	MaxHeaders int
-	// MaxHeaderBytes bounds the bytes of a request's header, 32 KiB by default.
+	// MaxHeaderBytes limits the size of a request's header, 32 KiB by default.
 	MaxHeaderBytes pomelorelay.Bytes
-	// MaxBody bounds a body, whatever the service allows, 16 MiB by default.
+	// MaxBody limits the size of a request body, even if the service allows more, 16 MiB by default.
 	MaxBody pomelorelay.Bytes
-	// MaxBufferedBodies bounds the bodies of all requests in progress together, 256 MiB by default.
+	// MaxBufferedBodies limits the total size of the bodies of all requests in progress, 256 MiB by default.
 	MaxBufferedBodies pomelorelay.Bytes
-	// MaxBufferedAnswer is the size up to which a plain answer is held until it is whole, 64 KiB by default.
+	// MaxBufferedAnswer is the largest plain answer that is buffered completely before it is forwarded, 64 KiB by default.
 	MaxBufferedAnswer pomelorelay.Bytes
-	// MaxStoredOutcome is the size up to which a non-idempotent call's answer is kept for repeats, 4 KiB by default.
+	// MaxStoredOutcome is the largest answer that is stored for retries with the same idempotency key, 4 KiB by default.
 	MaxStoredOutcome pomelorelay.Bytes
-	// DialTimeout bounds a connection attempt, 1 s by default.
+	// DialTimeout limits the duration of a connection attempt, 1 s by default.
 	DialTimeout time.Duration
-	// IdleConns bounds the idle connections kept per upstream, 64 by default.
+	// IdleConns limits the idle connections kept per upstream, 64 by default.
 	IdleConns int
-	// IdleTimeout closes a connection that was not used, 30 s by default.
+	// IdleTimeout is how long an unused connection is kept, 30 s by default.
 	IdleTimeout time.Duration
-	// Timeout bounds one attempt where the service gives no bound, 10 min by default.
+	// Timeout limits the time after the wait for a slot if the service sets no limit, 10 min by default.
 	Timeout time.Duration
-	// MaxWait bounds the wait for a slot where the service gives no bound, 1 min by default.
+	// MaxWait limits the wait for a slot if the service sets no limit, 1 min by default.
 	MaxWait time.Duration
-	// MaxAttempts bounds the attempts at upstreams for one request, 3 by default.
+	// MaxAttempts limits the attempts of one request that reach an upstream, 3 by default.
 	MaxAttempts int
-	// RetryAfter is what a refusal tells a caller when nothing better is known, 1 s by default.
+	// RetryAfter is the Retry-After value of refusals whose error has none, 1 s by default.
 	RetryAfter time.Duration
 }
 
-// ConfigSource gives the configuration in force.
+// ConfigSource provides the active configuration.
 type ConfigSource interface {
-	// Current returns the snapshot in force, nil while there is none; it never blocks.
+	// Current returns the active configuration, nil before the first one; it never blocks.
 	Current() Snapshot
 }
 
-// Snapshot is an immutable view of the configuration.
+// Snapshot is an immutable version of the configuration.
 type Snapshot interface {
-	// Authenticate returns the account of a bearer token; the time that it takes tells nothing about stored hashes.
+	// Authenticate returns the account of a bearer token; its duration does not depend on the stored hashes.
 	Authenticate(token string) (pomelorelay.AccountID, bool)
 	// MayCall reports whether the account may call the service.
 	MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool
-	// Service returns the service of the name.
+	// Service returns the service with the given name.
 	Service(name pomelorelay.ServiceID) (*pomeloconfig.Service, bool)
 	// HasPool reports whether any upstream serves the pool.
 	HasPool(pool pomelorelay.PoolID) bool
 }
 
-// AdmitRequest asks for a slot for one attempt of a request.
+// AdmitRequest describes an attempt that needs a slot.
 type AdmitRequest struct {
 	Request     pomelorelay.RequestID
 	Account     pomelorelay.AccountID
 	Service     pomelorelay.ServiceID
 	Pool        pomelorelay.PoolID
 	Fingerprint pomelorelay.Fingerprint
-	// PrefixHash is the hash of the beginning of the body, for cache affinity.
+	// PrefixHash is a hash of the first 512 bytes of the body, for cache affinity.
 	PrefixHash uint64
-	// CostHint is the caller's expected cost, zero when there is none.
+	// CostHint is the cost that the caller expects; zero if it gave none.
 	CostHint pomelorelay.Cost
 	Bytes    pomelorelay.Bytes
-	// Deadline is when the whole request must have ended, WaitUntil when its wait must have.
+	// Deadline is when the request must end, WaitUntil when its wait for a slot must end.
 	Deadline  time.Time
 	WaitUntil time.Time
-	// FailedUpstreams lists upstreams that failed this request before; they are taken only when there is no other.
+	// FailedUpstreams lists upstreams at which earlier attempts failed; they are used only if there is no other.
 	FailedUpstreams []pomelorelay.UpstreamID
 }
 
-// Admission grants slots; its errors are *pomelorelay.Error and say that nothing ran.
+// Admission grants slots. Its errors are of type *pomelorelay.Error and state that the request did not run.
 type Admission interface {
-	// Admit blocks until a slot is granted, the wait is over or ctx ends.
+	// Admit blocks until a slot is granted, WaitUntil has passed or ctx is done.
 	Admit(ctx context.Context, r AdmitRequest) (Ticket, error)
 }
 
-// Ticket is a granted slot; it is used for one attempt and ended by Done exactly once.
+// Ticket is a granted slot for one attempt; Done must be called exactly once.
 type Ticket interface {
-	// Upstream returns where the attempt goes.
+	// Upstream returns the upstream to send the attempt to.
 	Upstream() *pomeloconfig.Upstream
-	// Usable reports whether the attempt may still be sent: the upstream may have begun to leave while it waited; it never blocks.
+	// Usable reports whether the upstream still accepts new work; it may have started leaving since the grant. It never blocks.
 	Usable() bool
 	// Progress reports the cost accrued so far; it never blocks.
 	Progress(cost pomelorelay.Cost)
-	// Done ends the slot; it never blocks.
+	// Done releases the slot; it never blocks.
 	Done(r Result)
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome pomelolink.Outcome
 	Code    pomelorelay.ResultCode
 	Cost    pomelorelay.Cost
-	// FirstToken and TokenGap are latencies of a stream, zero when it had none.
+	// FirstToken is the time to a stream's first token, TokenGap the mean time between tokens; zero if not measured.
 	FirstToken time.Duration
 	TokenGap   time.Duration
 }
 
-// Claim is a claim that was asked for.
+// Claim is a claim on an idempotency key and its state.
 type Claim struct {
 	Key     pomelorelay.ClaimKey
 	Nonce   pomelorelay.ClaimNonce
@@ -126,26 +126,27 @@
 	Outcome pomelorelay.ClaimOutcome
 }
 
-// Settlement is how a claimed request ended.
+// Settlement is the result of a claimed request.
 type Settlement struct {
-	// Released tells that no byte of the request left.
+	// Released is set if the request did not run, which frees its key.
 	Released bool
-	// State is ClaimDone or ClaimUnknown when it is not released.
+	// State is ClaimDone or ClaimUnknown unless Released is set.
 	State   pomelorelay.ClaimState
 	Outcome pomelorelay.ClaimOutcome
 }
 
-// Claims makes claims of non-idempotent requests durable.
+// Claims stores durable claims on the keys of non-idempotent requests.
 type Claims interface {
-	// Claim blocks until the claim's state is known; a claim that could not be made durable has the state ClaimRefused.
+	// Claim blocks until the claim's state is known; a claim that could not be stored has the state ClaimRefused.
 	Claim(ctx context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (Claim, error)
-	// Settle tells how the request of a fresh claim ended; it never blocks.
+	// Settle reports the result of the request of a fresh claim; it never blocks.
 	Settle(c Claim, s Settlement)
 }
 
-// SuspectRun names one attempt to the crash suspects' part.
+// SuspectRun identifies one attempt for crash detection.
 type SuspectRun struct {
-	// KnownSuspect tells that the request itself ran where an upstream crashed; no snapshot may answer for it.
+	// KnownSuspect is set if an earlier attempt of this request ran on an upstream that crashed; the check must then not rely on a
+	// snapshot, which may be older than the crash.
 	KnownSuspect  bool
 	Request       pomelorelay.RequestID
 	Fingerprint   pomelorelay.Fingerprint
@@ -153,17 +154,17 @@
 	QuarantineFor time.Duration
 }
 
-// Suspects keeps requests that crash upstreams from running everywhere.
+// Suspects limits how many upstreams a request that crashes upstreams can reach.
 type Suspects interface {
-	// CheckQuarantine fails with CodeQuarantined when the fingerprint is quarantined; it never blocks.
+	// CheckQuarantine fails with CodeQuarantined if the fingerprint is quarantined; it never blocks.
 	CheckQuarantine(f pomelorelay.Fingerprint) error
-	// AwaitPermission returns at once for a request that is no suspect; a suspect waits for its turn, or fails with
-	// CodeSuspectHeld or CodeQuarantined.
+	// AwaitPermission returns immediately for a request that is not suspected of crashing upstreams. A suspect waits until it may
+	// run, or fails with CodeSuspectHeld or CodeQuarantined.
 	AwaitPermission(ctx context.Context, run SuspectRun) error
-	// AttemptStarted tells that the attempt is about to be sent; it never blocks.
+	// AttemptStarted reports that the attempt is about to be sent; it never blocks.
 	AttemptStarted(run SuspectRun)
-	// UpstreamCrashed tells that the upstream crashed while the attempt ran; it never blocks.
+	// UpstreamCrashed reports that the upstream crashed while the attempt ran; it never blocks.
 	UpstreamCrashed(run SuspectRun)
-	// AttemptEnded tells that the attempt ended otherwise; clean tells that its answer was whole. It never blocks.
+	// AttemptEnded reports that the attempt ended without a crash, and whether its answer was complete; it never blocks.
 	AttemptEnded(run SuspectRun, clean bool)
 }
--- a/pomeloroute/defaults.go
+++ b/pomeloroute/defaults.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	defaultMaxHeaders        = 100
 	defaultMaxHeaderBytes    = 32 << 10
--- a/pomeloroute/digest.go
+++ b/pomeloroute/digest.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fingerprint identifies what was asked, whichever caller of the account sends it through whichever router.
+// fingerprint hashes a request's account, service and body, so that it is the same for all callers of the account and on all routers.
 func fingerprint(account pomelorelay.AccountID, service pomelorelay.ServiceID, body []byte) pomelorelay.Fingerprint {
 	d := xxhash.New()
 	writeLengthPrefixed(d, []byte(account))
@@ -18,7 +18,7 @@
 	return pomelorelay.Fingerprint(d.Sum64())
 }
 
-// claimFingerprint identifies the whole call under a key, so that the key is not taken for another call's.
+// claimFingerprint hashes a request's method, path, query and body, so that reuse of a key for a different request is detected.
 func claimFingerprint(method, path, query string, body []byte) pomelorelay.Fingerprint {
 	d := xxhash.New()
 	writeLengthPrefixed(d, []byte(method))
@@ -28,7 +28,7 @@
 	return pomelorelay.Fingerprint(d.Sum64())
 }
 
-// claimKey binds the key to its account and service: another account's equal key is another claim.
+// claimKey hashes an idempotency key with its account and service, so that equal keys of different accounts are different claims.
 func claimKey(account pomelorelay.AccountID, service pomelorelay.ServiceID, key string) pomelorelay.ClaimKey {
 	d := sha256.New()
 	writeLengthPrefixed(d, []byte(account))
@@ -39,11 +39,11 @@
 	return k
 }
 
-// writeLengthPrefixed writes the length first, so that two lists of parts never run together.
+// writeLengthPrefixed writes the length before the data, so that different lists of parts never encode to the same bytes.
 func writeLengthPrefixed(d interface{ Write([]byte) (int, error) }, part []byte) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(part)))
-	// A digest never fails.
+	// Writing to a hash never fails.
 	_, _ = d.Write(size[:])
 	_, _ = d.Write(part)
 }
--- a/pomeloroute/doc.go
+++ b/pomeloroute/doc.go
@@ -1,6 +1,6 @@
-// Package pomeloroute is the traffic path of a router: it authenticates a
-// caller's request, waits for a slot, sends the request to one upstream with
-// proof of what left, checks that the answer is whole and its own, and passes
-// it on. It never touches control state; it reads snapshots and waits on the
-// narrow interfaces of its Config.
+// Package pomeloroute implements the request path of a router. It authenticates
+// a caller's request, waits for a slot, sends the request to one upstream,
+// records whether it may have run, checks that the answer is complete and
+// belongs to the request, and forwards it. It has no access to the control
+// goroutine's state and uses only the interfaces in its Config.
 package pomeloroute
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// initialRetries lets a service with little traffic retry a few times.
+	// initialRetries is the initial retry budget of a service, so that a service with little traffic can retry.
 	initialRetries = 3
-	// maxSavedRetries bounds the retries that a quiet time saves up.
+	// maxSavedRetries limits the retries that a service can accumulate while few requests fail.
 	maxSavedRetries = 100
 )
 
-// Handler serves callers; it is safe for concurrent use.
+// Handler serves callers' requests; it is safe for concurrent use.
 type Handler struct {
 	cfg     Config
 	router  *mux.Router
 	links   *pomelolink.Links
 	buffers *pomelolink.Buffers
 	lastID  atomic.Uint64
-	// buffered counts the bytes of the bodies of all requests in progress.
+	// buffered is the total size in bytes of the bodies of all requests in progress.
 	buffered atomic.Int64
 
 	mu      sync.Mutex
 	budgets map[pomelorelay.ServiceID]*pomelobudget.Budget
 }
 
-// New returns a Handler; Close ends its goroutine and its idle connections.
+// New returns a Handler; Close stops its goroutine and closes its idle connections.
 func New(cfg Config) *Handler {
 	cfg = cfg.withDefaults()
 	h := &Handler{
@@ -67,10 +67,10 @@
 	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(headerRan) == string(pomelorelay.RanNo)
 }
 
-// ServeHTTP answers one caller's request.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
-// Close closes the idle connections to upstreams.
+// Close closes the idle connections to upstreams; it always returns nil.
 func (h *Handler) Close() error {
 	h.links.Close()
 	return nil
@@ -80,7 +80,7 @@
 	h.writeProblem(w, pomelorelay.NewError(pomelorelay.CodeUnknownPath, "", nil))
 }
 
-// serve answers a request under a service's path. Every way out but an aborted connection writes an answer.
+// serve handles a request under a service's path. It always writes an answer unless the connection is aborted.
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request) {
 	c, err := h.newCall(w, r)
 	if err != nil {
@@ -94,8 +94,8 @@
 	}
 }
 
-// recoverPanic turns a defect in the handling of one request into a refusal that says nothing of what ran. Without it the
-// caller's connection is closed without a word and the log has no numbered event.
+// recoverPanic logs a panic in the handling of a request and answers with CodeInternal. Without it, the caller's connection would be
+// closed without an answer, and the panic would not be logged as an event.
 func (c *call) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -112,8 +112,8 @@
 	return pomelorelay.RequestID(h.lastID.Add(1))
 }
 
-// wireID returns the id that travels with a request to its upstream and back; it is unique in the fleet, so that no
-// answer can be taken for another request's, also across routers and restarts.
+// wireID returns the id that the upstream echoes in its answer. It is unique across routers and restarts, so that no answer is
+// taken for another request's.
 func (h *Handler) wireID(id pomelorelay.RequestID) string {
 	return fmt.Sprintf("%s-%x-%x", h.cfg.Node, uint64(h.cfg.Incarnation), uint64(id))
 }
--- a/pomeloroute/headers.go
+++ b/pomeloroute/headers.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelolink"
 )
 
-// upstreamHeader returns the header of a request to an upstream: the caller's, without the fields of its connection,
-// its token and what the router speaks itself.
+// upstreamHeader returns the header of a request to an upstream: the caller's header without hop-by-hop fields, its token and
+// the fields that the router interprets itself.
 func upstreamHeader(from http.Header) http.Header {
 	head := from.Clone()
 	pomelolink.RemoveHopHeaders(head)
@@ -16,13 +16,13 @@
 		head.Del(name)
 	}
 	if _, ok := head["User-Agent"]; !ok {
-		// An empty entry keeps net/http from adding a name of its own.
+		// An empty entry prevents net/http from adding its default User-Agent.
 		head["User-Agent"] = []string{""}
 	}
 	return head
 }
 
-// copyResponseHeader passes an answer's header on; Ran is the router's own word and is not taken from an upstream.
+// copyResponseHeader copies an answer's header without hop-by-hop fields and without Ran, which only the router may set.
 func copyResponseHeader(to, from http.Header) {
 	pomelolink.RemoveHopHeaders(from)
 	for name, values := range from {
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkHeaderBounds keeps a caller from filling memory with header fields.
+// checkHeaderBounds limits the number and total size of a request's header fields.
 func checkHeaderBounds(head http.Header, o Options) error {
 	count := 0
 	var size pomelorelay.Bytes
--- a/pomeloroute/meter.go
+++ b/pomeloroute/meter.go
@@ -10,7 +10,7 @@
 
 const (
 	progressInterval = 100 * time.Millisecond
-	// bytesPerToken estimates the input until the engine reports its usage.
+	// bytesPerToken estimates the prompt's tokens from the body size until the engine reports its usage.
 	bytesPerToken = 4
 )
 
@@ -23,7 +23,7 @@
 	Usage *usage `json:"usage"`
 }
 
-// meter measures what an attempt costs while it runs.
+// meter measures the cost and the token latencies of an attempt.
 type meter struct {
 	clock          pomelorelay.Clock
 	service        *pomeloconfig.Service
@@ -49,7 +49,7 @@
 	return m
 }
 
-// countToken counts one pomelolink.Event of generated text.
+// countToken counts one event of generated text as a token.
 func (m *meter) countToken() {
 	now := m.clock.Now()
 	m.tokens++
@@ -63,7 +63,7 @@
 	}
 }
 
-// readUsage takes the usage out of an event or a body, if it holds one.
+// readUsage reads the token usage from an event's data or a body, and reports whether there is one.
 func (m *meter) readUsage(data []byte) bool {
 	var holder usageMessage
 	if json.Unmarshal(data, &holder) != nil || holder.Usage == nil {
@@ -83,7 +83,7 @@
 	return m.estimatedInput + pomelorelay.Cost(m.tokens)*m.service.OutputCost
 }
 
-// stop stops the meter and returns its result.
+// stop ends the measurement and returns the result without outcome and code.
 func (m *meter) stop() Result {
 	if m.slotClock != nil {
 		m.slotClock.stop()
--- a/pomeloroute/refusal.go
+++ b/pomeloroute/refusal.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloproblem"
 )
 
-// Header fields of the router's own.
+// Header fields that the router defines or interprets.
 const (
 	headerRan       = "Ran"
 	headerRequestID = "X-Request-Id"
@@ -30,14 +30,14 @@
 	return pomelorelay.NewError(pomelorelay.CodeInternal, err.Error(), nil)
 }
 
-// WriteProblem answers with an error's problem, telling the caller to come back after a second where it may and the error says nothing.
+// WriteProblem writes an error as an RFC 9457 problem. A retryable status gets a Retry-After of 1 s unless the error has its own.
 func WriteProblem(w http.ResponseWriter, err error) { writeProblem(w, err, defaultRetryAfter) }
 
 func (h *Handler) writeProblem(w http.ResponseWriter, err error) {
 	writeProblem(w, err, h.cfg.Options.RetryAfter)
 }
 
-// writeProblem answers with a problem; nothing may have been written to w before.
+// writeProblem writes an error as an RFC 9457 problem; nothing may have been written to w before.
 func writeProblem(w http.ResponseWriter, err error, comeBack time.Duration) {
 	e := codedError(err)
 	p := pomeloproblem.New(e)
@@ -52,11 +52,11 @@
 		head.Set("WWW-Authenticate", "Bearer")
 	}
 	w.WriteHeader(p.Status)
-	// A caller that is gone cannot be told; the server closes the connection.
+	// A write error means that the caller has disconnected; the server closes the connection.
 	_, _ = w.Write(p.Encode())
 }
 
-// retryAfter returns whole seconds, rounded up: a caller that comes back too early is refused again.
+// retryAfter returns the Retry-After value in seconds, rounded up because a caller that retries too early is refused again.
 func retryAfter(e *pomelorelay.Error, status int, comeBack time.Duration) int {
 	wait := e.RetryAfter
 	if wait <= 0 && isRetryable(status) {
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// run takes a call through its claim and its attempts.
+// run processes a call: quarantine check, claim and attempts.
 func (c *call) run() error {
 	if err := c.h.cfg.Suspects.CheckQuarantine(c.fingerprint); err != nil {
 		return err
@@ -34,10 +34,10 @@
 	return c.attempts()
 }
 
-// maxUnsentAttempts bounds the attempts of one request at upstreams that could not be reached.
+// maxUnsentAttempts limits the attempts of one request that were not sent because the upstream could not be reached.
 const maxUnsentAttempts = 10
 
-// attempts sends the request until it is answered or must not be sent again.
+// attempts sends the request until it is answered or must not be retried.
 func (c *call) attempts() error {
 	sent, unsent := 0, 0
 	for {
@@ -56,10 +56,10 @@
 	}
 }
 
-// spendRetry spends the retry budget for an attempt that reached an upstream which lives. One that reached none costs nobody anything,
-// and while an upstream restarts there are several within milliseconds. A crash makes all that ran there try again at once, and the
-// request that caused it too: paid from the budget, the ones that ran beside it would get an error because of its retries. Its slot
-// owner stops granting a crashed upstream, and the suspects' part bounds how often one request crashes others.
+// spendRetry reports whether the request may be retried, and takes the retry from the service's budget. Retries after an attempt that was
+// not sent are free: they put no load on an upstream, and a restarting one causes several within milliseconds. So are retries
+// after a crash: the request that causes crashes would use up the budget of those that ran beside it. Its retries are limited by
+// quarantine, and the crashed upstream's slots are not granted.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
@@ -78,7 +78,7 @@
 	return false
 }
 
-// correctRan keeps the last attempt's "not run" from being said of a request whose earlier attempt may have run.
+// correctRan replaces RanNo in the last attempt's error with RanUnknown if an earlier attempt may have run.
 func (c *call) correctRan(e *pomelorelay.Error) error {
 	if !c.mayHaveRun || e.Ran != pomelorelay.RanNo {
 		return e
@@ -103,10 +103,10 @@
 		return admissionFailure(ctx, err)
 	}
 	if !ticket.Usable() {
-		// A suspect may wait seconds for its turn; sent to an upstream that leaves meanwhile it would end with the host.
+		// A suspect may wait for seconds. If its upstream has started leaving, the request would be cut off when the host stops.
 		return pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeUpstreamUnreached, nil)
 	}
-	// Until the outcome is known the request counts as one that may have run, also when a defect ends this function.
+	// Until the outcome is known, the request counts as one that may have run, so that this also holds after a panic.
 	before := c.mayHaveRun
 	c.mayHaveRun = true
 	result.Outcome = pomelolink.OutcomeUnknown
@@ -118,7 +118,7 @@
 	return c.abortStartedAnswer(f)
 }
 
-// send carries out an attempt that has its slot and its turn, and measures it.
+// send performs and measures an attempt that was granted a slot and permitted to run.
 func (c *call) send(ctx context.Context, ticket Ticket, run SuspectRun) (f *pomelolink.Failure, result Result) {
 	m := newMeter(c, ticket)
 	ended := false
@@ -141,7 +141,8 @@
 	return f, result
 }
 
-// abortStartedAnswer ends a call whose answer had begun when it failed: a caller that was not told has its connection closed.
+// abortStartedAnswer ends a call that failed after its answer had started: it closes the caller's connection unless an error
+// event was sent.
 func (c *call) abortStartedAnswer(f *pomelolink.Failure) *pomelolink.Failure {
 	if f == nil || !c.answerStarted {
 		return f
@@ -152,8 +153,8 @@
 	return nil
 }
 
-// reportRun tells the crash suspects' part how the attempt ended. Only an upstream that cut the connection and takes no
-// other has crashed.
+// reportRun reports to Suspects how the attempt ended. An upstream counts as crashed only if the connection broke and it refuses
+// new ones.
 func (c *call) reportRun(ctx context.Context, ticket Ticket, run SuspectRun, f *pomelolink.Failure) {
 	crashed := f != nil && f.Cut && c.h.links.Refuses(ctx, ticket.Upstream().Address)
 	if !crashed {
@@ -202,7 +203,7 @@
 	return ticket, nil
 }
 
-// admissionFailure turns an error from before anything was sent into a failure that is not tried again.
+// admissionFailure converts an error that occurred before anything was sent into a failure that is not retried.
 func admissionFailure(ctx context.Context, err error) *pomelolink.Failure {
 	var coded *pomelorelay.Error
 	switch {
@@ -217,7 +218,7 @@
 	return &pomelolink.Failure{Err: coded}
 }
 
-// exchange sends the request to the ticket's upstream and passes a whole answer on.
+// exchange sends the request to the ticket's upstream and forwards the answer.
 func (c *call) exchange(ctx context.Context, ticket Ticket, m *meter) *pomelolink.Failure {
 	up := ticket.Upstream()
 	req, err := c.request(up)
@@ -239,7 +240,7 @@
 	return f
 }
 
-// request builds the request to an upstream. It has no GetBody and never meets a transport that could use one.
+// request builds the request to an upstream. GetBody is not set, so that no transport could send the request again.
 func (c *call) request(up *pomeloconfig.Upstream) (*http.Request, error) {
 	path, err := url.PathUnescape(c.path)
 	if err != nil {
--- a/pomeloroute/slotclock.go
+++ b/pomeloroute/slotclock.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// slotClock reports the slot time of a plain service's request while it runs.
+// slotClock periodically reports how long a plain service's request has held its slot.
 type slotClock struct {
 	mu      sync.Mutex
 	timer   *time.Timer
@@ -30,7 +30,7 @@
 	return c
 }
 
-// stop ends the reports; none comes after it returned, because the slot may be another request's by then.
+// stop ends the reports. None is made after it returns, since the slot may then belong to another request.
 func (c *slotClock) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pomeloroute/stream.go
+++ b/pomeloroute/stream.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// maxResumes bounds the resumes in a row that bring no new event.
+	// maxResumes limits consecutive resumes that deliver no new event.
 	maxResumes = 3
 	resumePath = "/v1/streams/"
-	// framingEndTimeout is how long the end of the framing may come after [DONE].
+	// framingEndTimeout limits the wait for the end of the body after [DONE].
 	framingEndTimeout = 100 * time.Millisecond
 )
 
 var (
-	errNoUsage = errors.New("the stream ended without its usage")
-	errNoDone  = errors.New("the stream ended without [DONE]")
+	errNoUsage = errors.New("stream ended without a usage event")
+	errNoDone  = errors.New("stream ended without [DONE]")
 )
 
-// stream passes server-sent events on, each once and only whole ones.
+// stream forwards server-sent events, each once and only complete ones.
 type stream struct {
 	c          *call
 	x          *pomelolink.Exchange
@@ -50,7 +50,7 @@
 
 func (s *stream) release() { s.c.h.buffers.PutChunk(s.events.Buffer()) }
 
-// forward passes events until the stream is whole or cannot be finished.
+// forward forwards events until the stream is complete or has failed and cannot be resumed.
 func (s *stream) forward() *pomelolink.Failure {
 	for {
 		err := s.forwardEvents()
@@ -65,8 +65,8 @@
 	}
 }
 
-// forwardEvents returns nil at the end of a whole stream. A model engine's stream is whole when [DONE] came after its
-// usage; another's when its body ended as its framing says.
+// forwardEvents returns nil at the end of a complete stream. A model engine's stream is complete after a usage event and [DONE]; any
+// other when its body ended according to its framing.
 func (s *stream) forwardEvents() error {
 	for {
 		event, err := s.events.Next()
@@ -97,7 +97,7 @@
 	return s.x.Whole
 }
 
-// alreadyForwarded reports whether the pomelolink.Event was passed before; an engine may send some again after a resume.
+// alreadyForwarded reports whether the event was forwarded before; an engine may repeat some after a resume.
 func (s *stream) alreadyForwarded(e pomelolink.Event) bool {
 	id, ok := e.ID()
 	if !ok {
@@ -133,7 +133,7 @@
 	s.sendHeader()
 	s.c.write(e.Raw)
 	s.c.flush()
-	// The rest is the end of the framing; an upstream that does not send it at once loses the connection.
+	// Only the end of the body remains; if it does not arrive in time, the connection is not reused.
 	if s.x.BoundRead(framingEndTimeout) != nil {
 		return nil
 	}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// sendHeader passes the head on with the first event; until then another upstream may still be tried.
+// sendHeader sends the answer's header with the first event; until then the request can be retried at another upstream.
 func (s *stream) sendHeader() {
 	if s.headerSent {
 		return
@@ -182,8 +182,8 @@
 	return f.Cut && s.engine && s.up.Resumes && s.resumes < maxResumes && s.ctx.Err() == nil && (s.hasID || !s.headerSent)
 }
 
-// resume takes the stream up again at the same engine, after the last event that was passed. What the engine says is
-// checked as any answer is; when it no longer has the stream, the stream ends with an error.
+// resume continues the stream at the same engine after the last forwarded event, and reports whether that succeeded. The answer is
+// checked like any other; it fails if the engine has discarded the stream.
 func (s *stream) resume() bool {
 	s.resumes++
 	head := http.Header{headerRequestID: {s.c.wireID}, "User-Agent": {""}}
@@ -213,7 +213,7 @@
 	return true
 }
 
-// abort ends a stream whose beginning the caller has with an error event; one that has not begun fails as a whole.
+// abort ends a started stream with an error event; if nothing was sent to the caller, it only returns the failure.
 func (s *stream) abort(f *pomelolink.Failure) *pomelolink.Failure {
 	if !s.headerSent {
 		return f
--- a/pomeloroute/token.go
+++ b/pomeloroute/token.go
@@ -9,8 +9,8 @@
 
 const bearerPrefix = "bearer "
 
-// authenticate finds the account of a request's bearer token. Two tokens are refused: something before the router may have
-// looked at the other one, and the request would be charged to an account that its sender does not have.
+// authenticate returns the account of a request's bearer token. Two tokens are refused: a proxy before the router may have checked the
+// other one, and the request would be charged to an account that the sender has no access to.
 func authenticate(s Snapshot, head http.Header) (pomelorelay.AccountID, error) {
 	if len(head["Authorization"]) > 1 {
 		return "", pomelorelay.NewError(pomelorelay.CodeUnauthorised, "more than one Authorization field", nil)
