--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -71,8 +71,8 @@
 }
 
 // AttemptEnded tells that the attempt ended otherwise, and whether its answer was whole.
-func (a suspects) AttemptEnded(run pomeloroute.SuspectRun, clean bool) {
-	a.n.mail.post(suspectAttemptEnded{suspectRun(run), clean})
+func (a suspects) AttemptEnded(run pomeloroute.SuspectRun, complete bool) {
+	a.n.mail.post(suspectAttemptEnded{suspectRun(run), complete})
 }
 
 func suspectRun(r pomeloroute.SuspectRun) pomeloquarantine.Run {
@@ -114,11 +114,11 @@
 
 type suspectAttemptEnded struct {
 	run   pomeloquarantine.Run
-	clean bool
+	complete bool
 }
 
 func (e suspectAttemptEnded) apply(c *control, _ time.Time) {
-	c.quarantine.Ended(e.run, e.clean, &c.suspectOut)
+	c.quarantine.Ended(e.run, e.complete, &c.suspectOut)
 }
 
 // quarantineLifted is posted when an operator ends a quarantine.
--- a/pomeloroute/answer.go
+++ b/pomeloroute/answer.go
@@ -17,48 +17,48 @@
 // that truncation is detected before the caller gets a status. Any other is forwarded as it arrives, and truncation
 // closes the caller's connection.
 func (c *call) forwardPlain(x *pomelolink.Exchange, m *meter) *pomelolink.Failure {
-	held := c.h.buffers.Body()
-	defer c.h.buffers.PutBody(held)
+	buffer := c.h.buffers.Body()
+	defer c.h.buffers.PutBody(buffer)
 	chunk := c.h.buffers.Chunk()
 	defer c.h.buffers.PutChunk(chunk)
-	for c.shouldBuffer(x, held) {
+	for c.shouldBuffer(x, buffer) {
 		n, err := x.Response.Body.Read(chunk)
-		held.Write(chunk[:n])
+		buffer.Write(chunk[:n])
 		if errors.Is(err, io.EOF) {
-			return c.forwardBuffered(x, held, m)
+			return c.forwardBuffered(x, buffer, m)
 		}
 		if err != nil {
 			return x.Broken(err)
 		}
 	}
-	return c.forwardUnbuffered(x, held, chunk)
+	return c.forwardUnbuffered(x, buffer, chunk)
 }
 
 // shouldBuffer reports whether to buffer more of the answer before forwarding it: an answer of known length if it is small, a chunked
 // one only while its next bytes have already been received, so that a slow answer is not delayed.
-func (c *call) shouldBuffer(x *pomelolink.Exchange, held *bytes.Buffer) bool {
+func (c *call) shouldBuffer(x *pomelolink.Exchange, buffer *bytes.Buffer) bool {
 	limit := int64(c.h.cfg.Options.MaxBufferedAnswer)
 	if x.Response.ContentLength >= 0 {
 		return x.Response.ContentLength <= limit
 	}
-	return int64(held.Len()) <= limit && (held.Len() == 0 || x.Buffered() > 0)
+	return int64(buffer.Len()) <= limit && (buffer.Len() == 0 || x.Buffered() > 0)
 }
 
-func (c *call) forwardBuffered(x *pomelolink.Exchange, held *bytes.Buffer, m *meter) *pomelolink.Failure {
+func (c *call) forwardBuffered(x *pomelolink.Exchange, buffer *bytes.Buffer, m *meter) *pomelolink.Failure {
 	x.Whole = true
 	if c.service.Kind == pomeloconfig.ServiceModel {
-		m.readUsage(held.Bytes())
+		m.readUsage(buffer.Bytes())
 	}
-	c.recordOutcome(x.Response, held.Bytes(), true)
+	c.recordOutcome(x.Response, buffer.Bytes(), true)
 	c.writeHeader(x.Response)
-	c.write(held.Bytes())
+	c.write(buffer.Bytes())
 	c.writeTrailer(x.Response)
 	return nil
 }
 
-func (c *call) forwardUnbuffered(x *pomelolink.Exchange, held *bytes.Buffer, chunk []byte) *pomelolink.Failure {
+func (c *call) forwardUnbuffered(x *pomelolink.Exchange, buffer *bytes.Buffer, chunk []byte) *pomelolink.Failure {
 	c.writeHeader(x.Response)
-	c.write(held.Bytes())
+	c.write(buffer.Bytes())
 	c.flush()
 	for {
 		n, err := x.Response.Body.Read(chunk)
--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -17,17 +17,17 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// An upstream repeats an answer at once, or later while the connection is idle, or answers with another request's id.
-// The next caller on that connection would get the estimate of somebody else.
+// Guards against delivering an answer to the wrong caller: an upstream sends an answer twice, immediately or while the
+// connection is idle, or answers with another request's id, and the next request reuses the connection.
 func TestAnswerNeverReachesAnotherCaller(t *testing.T) {
 	repeated := make(chan struct{}, 1)
-	plays := map[string]func(w *wire, n int64, conn net.Conn, r *bufio.Reader){
-		"repeated at once": func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+	scripts := map[string]func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader){
+		"repeated at once": func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 			for id, ok := w.read(r); ok; id, ok = w.read(r) {
 				conn.Write(append(plainAnswer(id, id), plainAnswer(id, id)...))
 			}
 		},
-		"repeated while idle": func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+		"repeated while idle": func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 			for id, ok := w.read(r); ok; id, ok = w.read(r) {
 				conn.Write(plainAnswer(id, id))
 				time.Sleep(2 * time.Millisecond)
@@ -35,7 +35,7 @@
 				repeated <- struct{}{}
 			}
 		},
-		"late by one": func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+		"shifted by one": func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 			last := ""
 			for id, ok := w.read(r); ok; id, ok = w.read(r) {
 				if last == "" {
@@ -47,15 +47,15 @@
 			}
 		},
 	}
-	for name, play := range plays {
+	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, pomeloroute.Options{})
-			b.add(newWire(t, play).addr())
-			b.add(b.upstreams[0].Address.String())
+			b := newHarness(t, pomeloroute.Options{})
+			b.addUpstream(newScriptedUpstream(t, script).addr())
+			b.addUpstream(b.upstreams[0].Address.String())
 			for n := range 6 {
 				a := b.call("GET", "/status/ring", "")
 				if want := fmt.Sprintf("router-1-7-%x", n+1); a.body != want {
-					t.Errorf("the caller of %s got %d %q", want, a.status, a.body)
+					t.Errorf("request %s: got %d %q", want, a.status, a.body)
 				}
 				if name == "repeated while idle" {
 					<-repeated
@@ -65,29 +65,29 @@
 	}
 }
 
-// A service that does not repeat ids gives no proof of whose answer it is but the connection itself, so that none is reused.
-func TestConnectionWithoutProofIsNotReused(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	upstream := newWire(t, func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+// If a service does not echo ids, answers can be matched to requests only by connection, so connections must not be reused.
+func TestConnectionWithoutEchoedIDIsNotReused(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
+	upstream := newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 		for _, ok := w.read(r); ok; _, ok = w.read(r) {
 			conn.Write(plainAnswer("", "x"))
 		}
 	})
-	b.add(upstream.addr())
+	b.addUpstream(upstream.addr())
 	for range 5 {
 		b.call("GET", "/status/ring", "")
 	}
 	if got := upstream.conns.Load(); got != 5 {
-		t.Errorf("5 requests on %d connections", got)
+		t.Errorf("5 requests used %d connections, want 5", got)
 	}
 }
 
-func TestRequestAndAnswerPassAsTheyAre(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+func TestRequestAndAnswerAreForwardedUnchanged(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	var mu sync.Mutex
 	var seen *http.Request
 	var body string
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		mu.Lock()
 		seen, body = r, string(text)
@@ -114,7 +114,7 @@
 		}
 		for _, name := range []string{"X-Hop", "Connection", "Te", "Authorization"} {
 			if seen.Header.Get(name) != "" {
-				t.Errorf("%s: %s was passed on", method, name)
+				t.Errorf("%s: header field %s was forwarded", method, name)
 			}
 		}
 		mu.Unlock()
@@ -128,9 +128,9 @@
 }
 
 func TestRefusals(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{MaxHeaders: 10})
+	b := newHarness(t, pomeloroute.Options{MaxHeaders: 10})
 	b.services["status"].MaxBody = 8
-	b.serve(func(w http.ResponseWriter, r *http.Request) {})
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {})
 	many := []string{}
 	for n := range 12 {
 		many = append(many, fmt.Sprint("X-N", n), "v")
@@ -147,7 +147,7 @@
 		{"body over the bound", "/status/x", "123456789", nil, pomelorelay.CodeTooLarge},
 		{"too many fields", "/status/x", "", many, pomelorelay.CodeHeaderBounds},
 		{"bad timeout", "/status/x", "", []string{"X-Timeout", "soon"}, pomelorelay.CodeBadRequest},
-		{"timeout of nothing", "/status/x", "", []string{"X-Timeout", "0s"}, pomelorelay.CodeBadRequest},
+		{"zero timeout", "/status/x", "", []string{"X-Timeout", "0s"}, pomelorelay.CodeBadRequest},
 		{"bad hint", "/status/x", "", []string{"X-Cost-Hint", "NaN"}, pomelorelay.CodeBadRequest},
 		{"no key", "/booking/x", "", nil, pomelorelay.CodeClaimKeyNeeded},
 		{"long key", "/booking/x", "", []string{"Idempotency-Key", strings.Repeat("k", 256)}, pomelorelay.CodeClaimKeyBounds},
@@ -175,17 +175,18 @@
 			t.Errorf("token %q: got %d", token, resp.StatusCode)
 		}
 	}
-	b.refuse = &pomelorelay.Error{Code: pomelorelay.CodeQuarantined, Ran: pomelorelay.RanNo, RetryAfter: 90 * time.Second}
+	b.quarantineErr = &pomelorelay.Error{Code: pomelorelay.CodeQuarantined, Ran: pomelorelay.RanNo, RetryAfter: 90 * time.Second}
 	if a := b.call("POST", "/status/x", ""); a.problem(t).Code != pomelorelay.CodeQuarantined || a.head.Get("Retry-After") != "90" {
 		t.Errorf("quarantined: got %d %v", a.status, a.head)
 	}
 }
 
-// A caller sends its booking again with the same key, another account uses the same key, and the key comes with another body.
-func TestRepeatGetsTheStoredAnswer(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// Guards against running a retried booking twice, and against mixing up keys: another account uses the same key, and the key is
+// reused with a different body.
+func TestRetryWithSameKeyGetsStoredAnswer(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	runs := 0
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		runs++
 		w.Header().Set("Content-Type", "text/x-booking")
 		w.WriteHeader(http.StatusCreated)
@@ -209,15 +210,15 @@
 	text, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if string(text) != "booked 2" {
-		t.Errorf("the rival with the same key got %q", text)
+		t.Errorf("another account with the same key got %q", text)
 	}
 }
 
-// The counter's connection drops while its booking runs. The booking runs on and its outcome is there for the repeat.
-func TestClaimedRequestOutlivesItsCaller(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// A caller's connection breaks while its booking runs. The booking must continue and its outcome must be stored for the retry.
+func TestClaimedRequestContinuesAfterCallerDisconnects(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	arrived, finish := make(chan struct{}), make(chan struct{})
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		select {
 		case <-finish:
@@ -233,21 +234,21 @@
 	cancel()
 	time.Sleep(5 * time.Millisecond)
 	close(finish)
-	waitFor(t, "the outcome was kept", func() bool {
+	waitFor(t, "the outcome was stored", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return len(b.settled) == 1
 	})
 	if a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k"); a.body != "booked" {
-		t.Errorf("the repeat got %d %q", a.status, a.body)
+		t.Errorf("the retry got %d %q", a.status, a.body)
 	}
 }
 
-// A caller gives up a request that may be repeated. Its upstream must hear of it, or a slot works for nobody.
-func TestCancelReachesTheUpstream(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// A caller cancels a repeatable request. The upstream must be cancelled too, or its slot stays in use for an answer that nobody reads.
+func TestCallerCancelReachesUpstream(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 		close(cancelled)
@@ -268,20 +269,20 @@
 	}
 }
 
-// An upstream dies under a request that may be repeated. The request is a suspect before it is tried elsewhere, and a
-// connection that was only cut makes nothing a suspect.
-func TestOnlyACrashMakesASuspect(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	var dying *wire
-	dying = newWire(t, func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+// An upstream crashes while it runs a repeatable request. The request must be marked as a suspect before it is retried; a broken
+// connection to an upstream that still accepts connections must not mark it.
+func TestOnlyCrashMarksSuspect(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
+	var dying *scriptedUpstream
+	dying = newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 		if _, ok := w.read(r); ok {
 			dying.ln.Close()
 		}
 	})
-	crashing := b.add(dying.addr())
-	cutting := newWire(t, func(w *wire, n int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
-	b.add(cutting.addr())
-	b.serve(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "cleaned") })
+	crashing := b.addUpstream(dying.addr())
+	cutting := newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
+	b.addUpstream(cutting.addr())
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "cleaned") })
 	if a := b.call("GET", "/status/ring", ""); a.body != "cleaned" {
 		t.Fatalf("got %d %q", a.status, a.body)
 	}
@@ -290,14 +291,14 @@
 	}
 	known := slices.IndexFunc(b.checked, func(r pomeloroute.SuspectRun) bool { return r.KnownSuspect })
 	if known != 1 {
-		t.Errorf("the attempt after the crash did not say that it is a suspect: %+v", b.checked)
+		t.Errorf("the attempt after the crash was not marked as a suspect: %+v", b.checked)
 	}
 }
 
-// An answer whose length is not told ends the same way when its upstream dies in the middle.
+// An answer without Content-Length or chunked encoding looks complete when the upstream dies while sending it.
 func TestAnswerWithoutFramingIsRefused(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	b.add(newWire(t, func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+	b := newHarness(t, pomeloroute.Options{})
+	b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 		w.read(r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nhalf of it")
 	}).addr())
@@ -305,7 +306,7 @@
 		t.Errorf("got %+v", p)
 	}
 	b.upstreams = nil
-	b.add(newWire(t, func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+	b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 		w.read(r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Fill: "+strings.Repeat("x", 1<<20)+"\r\n\r\n")
 	}).addr())
@@ -314,13 +315,13 @@
 	}
 }
 
-// A large answer breaks after its caller has the status; the caller must not take what it has for the whole.
-func TestLargeAnswerCutIsSeen(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{MaxBufferedAnswer: 1 << 10})
+// A large answer is truncated after its status was forwarded; the caller must be able to detect that it is incomplete.
+func TestTruncatedLargeAnswerIsDetected(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{MaxBufferedAnswer: 1 << 10})
 	large := strings.Repeat("pearl ", 100<<10)
 	for _, whole := range []bool{true, false} {
 		b.upstreams = nil
-		b.add(newWire(t, func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+		b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 			id, _ := w.read(r)
 			text := plainAnswer(id, large)
 			if !whole {
@@ -330,17 +331,17 @@
 		}).addr())
 		a := b.call("GET", "/status/ring", "")
 		if (a.err == nil && a.body == large) != whole || (a.err == nil) != whole {
-			t.Errorf("whole %v: got %d bytes, %v", whole, len(a.body), a.err)
+			t.Errorf("complete %v: got %d bytes, %v", whole, len(a.body), a.err)
 		}
 	}
 }
 
-// A part of the router fails by a defect while a booking is about to run. The caller hears that nobody knows what ran, the
-// slot is given back and the claim ends as unknown.
-func TestDefectIsTold(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	b.serve(func(w http.ResponseWriter, r *http.Request) {})
-	b.panics = true
+// The router panics just before it sends a booking. The caller must get RanUnknown, the slot must be released and the claim
+// must be settled as unknown.
+func TestPanicSettlesClaimAsUnknown(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {})
+	b.panicOnStart = true
 	a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	if p := a.problem(t); p.Code != pomelorelay.CodeInternal || p.Ran != pomelorelay.RanUnknown {
 		t.Errorf("got %+v", p)
--- a/pomeloroute/bench_test.go
+++ b/pomeloroute/bench_test.go
@@ -22,11 +22,11 @@
 	io.WriteString(w, "cleaned")
 }
 
-// BenchmarkAddedLatency sends each request once to the upstream directly and once through the router, in turn, and
-// reports the medians and their difference.
+// BenchmarkAddedLatency alternately sends a request to the upstream directly and through the router, and reports the medians, their
+// difference and the difference of the 99th percentiles.
 func BenchmarkAddedLatency(b *testing.B) {
-	r := newBench(b, pomeloroute.Options{})
-	upstream := r.serve(echo)
+	r := newHarness(b, pomeloroute.Options{})
+	upstream := r.serveUpstream(echo)
 	client := &http.Transport{}
 	defer client.CloseIdleConnections()
 	send := func(url string) time.Duration {
@@ -61,10 +61,10 @@
 	b.ReportMetric(at(routed, 99)-at(direct, 99), "added-p99-µs")
 }
 
-// BenchmarkHandler measures one small request through the handler and an upstream's connection, without the caller's.
+// BenchmarkHandler measures one small request through the handler and a connection to an upstream, without a caller's connection.
 func BenchmarkHandler(b *testing.B) {
-	r := newBench(b, pomeloroute.Options{})
-	r.serve(echo)
+	r := newHarness(b, pomeloroute.Options{})
+	r.serveUpstream(echo)
 	h := pomeloroute.New(pomeloroute.Config{Node: "router-1", ConfigSource: r, Admission: r, Claims: r, Suspects: r})
 	defer h.Close()
 	b.ReportAllocs()
@@ -75,7 +75,7 @@
 	}
 }
 
-// BenchmarkIdleStream reports the heap and stack that one open stream holds on the router and in this test together.
+// BenchmarkIdleStream reports the heap and stack in bytes that one open stream uses in the router and in this test together.
 func BenchmarkIdleStream(b *testing.B) {
 	const streams = 500
 	for b.Loop() {
@@ -112,8 +112,8 @@
 			}
 			return float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse) / streams
 		}
-		r := newBench(b, pomeloroute.Options{})
-		r.add(upstream.Listener.Addr().String())
+		r := newHarness(b, pomeloroute.Options{})
+		r.addUpstream(upstream.Listener.Addr().String())
 		direct := measure(upstream.URL)
 		open.Add(streams)
 		routed := measure(r.url + "/drafter/v1/completions")
--- a/pomeloroute/bodylimit_test.go
+++ b/pomeloroute/bodylimit_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// refusalCode sends a status call with a body of the size and returns the code of its refusal.
-func refusalCode(t *testing.T, b *bench, size int) pomelorelay.ResultCode {
+// refusalCode sends a request with a body of the given size in bytes and returns the code of the refusal.
+func refusalCode(t *testing.T, b *harness, size int) pomelorelay.ResultCode {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, b.url+"/status/jobs", strings.NewReader(strings.Repeat("x", size)))
 	if err != nil {
@@ -30,10 +30,10 @@
 	return p.Code
 }
 
-func TestBodiesInProgressAreBoundedTogether(t *testing.T) {
-	// Callers send large bodies, each within its service's bound, and the router's host runs out of memory: every request on it
-	// is lost. The bound on all bodies must refuse the one that does not fit, and count only what is still held.
-	b := newBench(t, pomeloroute.Options{MaxBufferedBodies: 64 << 10})
+func TestTotalSizeOfBodiesIsLimited(t *testing.T) {
+	// Callers send large bodies, each within its service's limit, and the router runs out of memory, which ends all its requests.
+	// The limit on all bodies must refuse a body that does not fit, and must count only bodies that are still buffered.
+	b := newHarness(t, pomeloroute.Options{MaxBufferedBodies: 64 << 10})
 	for range 20 {
 		if code := refusalCode(t, b, 100<<10); code != pomelorelay.CodeBodiesFull {
 			t.Fatalf("a body over the bound: code %d", code)
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestRouterBoundHoldsWhateverTheServiceAllows(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{MaxBody: 10 << 10})
+func TestRouterBodyLimitOverridesServiceLimit(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{MaxBody: 10 << 10})
 	if code := refusalCode(t, b, 11<<10); code != pomelorelay.CodeTooLarge {
 		t.Errorf("over the router's bound: code %d", code)
 	}
--- a/pomeloroute/claimed.go
+++ b/pomeloroute/claimed.go
@@ -62,14 +62,14 @@
 	}
 }
 
-// recordOutcome stores a complete answer for retries of the call; of an answer over MaxStoredOutcome it stores only status and
+// recordOutcome stores a complete answer for retries of the call; of a larger or unbuffered one it stores only status and
 // content type.
-func (c *call) recordOutcome(resp *http.Response, body []byte, whole bool) {
+func (c *call) recordOutcome(resp *http.Response, body []byte, complete bool) {
 	if !c.claimed {
 		return
 	}
 	outcome := &pomelorelay.ClaimOutcome{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type")}
-	if whole && pomelorelay.Bytes(len(body)) <= c.h.cfg.Options.MaxStoredOutcome {
+	if complete && pomelorelay.Bytes(len(body)) <= c.h.cfg.Options.MaxStoredOutcome {
 		outcome.Body = append([]byte(nil), body...)
 	} else {
 		outcome.Truncated = true
--- a/pomeloroute/config.go
+++ b/pomeloroute/config.go
@@ -43,7 +43,7 @@
 	IdleConns int
 	// IdleTimeout is how long an unused connection is kept, 30 s by default.
 	IdleTimeout time.Duration
-	// Timeout limits the time after the wait for a slot if the service sets no limit, 10 min by default.
+	// Timeout, added to MaxWait, limits the whole request if the service sets no timeout, 10 min by default.
 	Timeout time.Duration
 	// MaxWait limits the wait for a slot if the service sets no limit, 1 min by default.
 	MaxWait time.Duration
@@ -166,5 +166,5 @@
 	// UpstreamCrashed reports that the upstream crashed while the attempt ran; it never blocks.
 	UpstreamCrashed(run SuspectRun)
 	// AttemptEnded reports that the attempt ended without a crash, and whether its answer was complete; it never blocks.
-	AttemptEnded(run SuspectRun, clean bool)
+	AttemptEnded(run SuspectRun, complete bool)
 }
--- a/pomeloroute/helpers_test.go
+++ b/pomeloroute/helpers_test.go
@@ -28,32 +28,32 @@
 	rivalToken    = "rival-token"
 )
 
-// bench is a router with the interfaces of its Config played by the test.
-type bench struct {
-	t         testing.TB
-	url       string
-	services  map[pomelorelay.ServiceID]*pomeloconfig.Service
-	upstreams []*pomeloconfig.Upstream
-	refuse    error
-	panics    bool
+// harness runs a Handler and implements the interfaces of its Config.
+type harness struct {
+	t             testing.TB
+	url           string
+	services      map[pomelorelay.ServiceID]*pomeloconfig.Service
+	upstreams     []*pomeloconfig.Upstream
+	quarantineErr error
+	panicOnStart  bool
 
 	mu      sync.Mutex
 	next    int
 	results []pomeloroute.Result
-	claims  map[pomelorelay.ClaimKey]*kept
+	claims  map[pomelorelay.ClaimKey]*storedClaim
 	settled []pomeloroute.Settlement
 	crashed []pomeloroute.SuspectRun
 	ended   int
 	checked []pomeloroute.SuspectRun
 }
 
-type kept struct {
+type storedClaim struct {
 	content pomelorelay.Fingerprint
 	claim   pomeloroute.Claim
 }
 
-func newBench(t testing.TB, options pomeloroute.Options) *bench {
-	b := &bench{t: t, claims: make(map[pomelorelay.ClaimKey]*kept), services: map[pomelorelay.ServiceID]*pomeloconfig.Service{
+func newHarness(t testing.TB, options pomeloroute.Options) *harness {
+	b := &harness{t: t, claims: make(map[pomelorelay.ClaimKey]*storedClaim), services: map[pomelorelay.ServiceID]*pomeloconfig.Service{
 		"status":  {Name: "status", Kind: pomeloconfig.ServicePlain, RetryBudget: 1, MaxBody: 256 << 10},
 		"booking": {Name: "booking", Kind: pomeloconfig.ServicePlain, NonIdempotent: true, RetryBudget: 1},
 		"drafter": {Name: "drafter", Kind: pomeloconfig.ServiceModel, InputCost: 1, OutputCost: 2, RetryBudget: 1},
@@ -68,9 +68,9 @@
 	return b
 }
 
-func (b *bench) Current() pomeloroute.Snapshot { return b }
+func (b *harness) Current() pomeloroute.Snapshot { return b }
 
-func (b *bench) Authenticate(token string) (pomelorelay.AccountID, bool) {
+func (b *harness) Authenticate(token string) (pomelorelay.AccountID, bool) {
 	for name, plain := range map[pomelorelay.AccountID]string{"workshop": workshopToken, "rival": rivalToken} {
 		if token == plain {
 			return name, true
@@ -79,16 +79,16 @@
 	return "", false
 }
 
-func (b *bench) MayCall(pomelorelay.AccountID, pomelorelay.ServiceID) bool { return true }
+func (b *harness) MayCall(pomelorelay.AccountID, pomelorelay.ServiceID) bool { return true }
 
-func (b *bench) Service(name pomelorelay.ServiceID) (*pomeloconfig.Service, bool) {
+func (b *harness) Service(name pomelorelay.ServiceID) (*pomeloconfig.Service, bool) {
 	s, ok := b.services[name]
 	return s, ok
 }
 
-func (b *bench) HasPool(pool pomelorelay.PoolID) bool { return pool != "drafter/none" }
+func (b *harness) HasPool(pool pomelorelay.PoolID) bool { return pool != "drafter/none" }
 
-func (b *bench) Admit(_ context.Context, r pomeloroute.AdmitRequest) (pomeloroute.Ticket, error) {
+func (b *harness) Admit(_ context.Context, r pomeloroute.AdmitRequest) (pomeloroute.Ticket, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.upstreams {
@@ -102,7 +102,7 @@
 }
 
 type ticket struct {
-	b  *bench
+	b  *harness
 	up *pomeloconfig.Upstream
 }
 
@@ -115,7 +115,7 @@
 	t.b.results = append(t.b.results, r)
 }
 
-func (b *bench) Claim(_ context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (pomeloroute.Claim, error) {
+func (b *harness) Claim(_ context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (pomeloroute.Claim, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k, ok := b.claims[key]; ok {
@@ -125,11 +125,11 @@
 		}
 		return c, nil
 	}
-	b.claims[key] = &kept{content: content, claim: pomeloroute.Claim{Key: key, State: pomelorelay.ClaimRunning}}
+	b.claims[key] = &storedClaim{content: content, claim: pomeloroute.Claim{Key: key, State: pomelorelay.ClaimRunning}}
 	return pomeloroute.Claim{Key: key, State: pomelorelay.ClaimFresh}, nil
 }
 
-func (b *bench) Settle(c pomeloroute.Claim, s pomeloroute.Settlement) {
+func (b *harness) Settle(c pomeloroute.Claim, s pomeloroute.Settlement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settled = append(b.settled, s)
@@ -140,55 +140,55 @@
 	b.claims[c.Key].claim = pomeloroute.Claim{Key: c.Key, State: s.State, Outcome: s.Outcome}
 }
 
-func (b *bench) CheckQuarantine(pomelorelay.Fingerprint) error { return b.refuse }
+func (b *harness) CheckQuarantine(pomelorelay.Fingerprint) error { return b.quarantineErr }
 
-func (b *bench) AwaitPermission(_ context.Context, run pomeloroute.SuspectRun) error {
+func (b *harness) AwaitPermission(_ context.Context, run pomeloroute.SuspectRun) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.checked = append(b.checked, run)
 	return nil
 }
 
-func (b *bench) AttemptStarted(pomeloroute.SuspectRun) {
-	if b.panics {
-		panic("a defect")
+func (b *harness) AttemptStarted(pomeloroute.SuspectRun) {
+	if b.panicOnStart {
+		panic("injected panic")
 	}
 }
 
-func (b *bench) UpstreamCrashed(run pomeloroute.SuspectRun) {
+func (b *harness) UpstreamCrashed(run pomeloroute.SuspectRun) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.crashed = append(b.crashed, run)
 }
 
-func (b *bench) AttemptEnded(pomeloroute.SuspectRun, bool) {
+func (b *harness) AttemptEnded(pomeloroute.SuspectRun, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ended++
 }
 
-func (b *bench) lastResult() pomeloroute.Result {
+func (b *harness) lastResult() pomeloroute.Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.results[len(b.results)-1]
 }
 
-// add makes the address an upstream that every pool may use.
-func (b *bench) add(addr string) *pomeloconfig.Upstream {
+// addUpstream adds an upstream at the address, which serves every pool.
+func (b *harness) addUpstream(addr string) *pomeloconfig.Upstream {
 	name := pomelorelay.UpstreamID("upstream-" + string(rune('a'+len(b.upstreams))))
 	u := &pomeloconfig.Upstream{Name: name, Address: netip.MustParseAddrPort(addr)}
 	b.upstreams = append(b.upstreams, u)
 	return u
 }
 
-func (b *bench) serve(h http.HandlerFunc) *httptest.Server {
+func (b *harness) serveUpstream(h http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(h)
 	b.t.Cleanup(s.Close)
-	b.add(s.Listener.Addr().String())
+	b.addUpstream(s.Listener.Addr().String())
 	return s
 }
 
-// answer is what a caller got; err tells that its connection was cut.
+// answer is a caller's result; err is set if the connection broke.
 type answer struct {
 	status  int
 	head    http.Header
@@ -201,12 +201,12 @@
 	t.Helper()
 	var p pomeloproblem.Problem
 	if err := json.Unmarshal([]byte(a.body), &p); err != nil {
-		t.Fatalf("not a problem: %d %q", a.status, a.body)
+		t.Fatalf("answer is not a problem document: %d %q", a.status, a.body)
 	}
 	return p
 }
 
-func (b *bench) call(method, path, body string, fields ...string) answer {
+func (b *harness) call(method, path, body string, fields ...string) answer {
 	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	if err != nil {
 		b.t.Fatal(err)
@@ -214,12 +214,12 @@
 	return b.do(req, fields...)
 }
 
-func (b *bench) do(req *http.Request, fields ...string) answer {
+func (b *harness) do(req *http.Request, fields ...string) answer {
 	req.Header.Set("Authorization", "Bearer "+workshopToken)
 	for i := 0; i+1 < len(fields); i += 2 {
 		req.Header.Set(fields[i], fields[i+1])
 	}
-	// The test's own caller must not send anything twice either.
+	// Without idle connections the test's client never retries a request.
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(req)
@@ -231,21 +231,21 @@
 	return answer{status: resp.StatusCode, head: resp.Header, trailer: resp.Trailer, body: string(text), err: err}
 }
 
-// wire is an upstream that a test plays byte by byte; it counts connections and requests that arrived whole.
-type wire struct {
-	ln    net.Listener
-	conns atomic.Int64
-	whole atomic.Int64
-	begun atomic.Int64
+// scriptedUpstream is an upstream whose connections are served by a test's script; it counts connections and completely received requests.
+type scriptedUpstream struct {
+	ln       net.Listener
+	conns    atomic.Int64
+	requests atomic.Int64
+	started  atomic.Int64
 }
 
-// newWire serves each connection with play, which is given the number of the connection, from one.
-func newWire(t testing.TB, play func(w *wire, n int64, conn net.Conn, r *bufio.Reader)) *wire {
+// newScriptedUpstream serves each connection with the script, whose argument n is the number of the connection, starting at 1.
+func newScriptedUpstream(t testing.TB, script func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader)) *scriptedUpstream {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &wire{ln: ln}
+	w := &scriptedUpstream{ln: ln}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -256,17 +256,17 @@
 			n := w.conns.Add(1)
 			go func() {
 				defer conn.Close()
-				play(w, n, conn, bufio.NewReader(conn))
+				script(w, n, conn, bufio.NewReader(conn))
 			}()
 		}
 	}()
 	return w
 }
 
-func (w *wire) addr() string { return w.ln.Addr().String() }
+func (w *scriptedUpstream) addr() string { return w.ln.Addr().String() }
 
-// read takes a whole request and returns its id.
-func (w *wire) read(r *bufio.Reader) (id string, ok bool) {
+// read reads a complete request and returns its id.
+func (w *scriptedUpstream) read(r *bufio.Reader) (id string, ok bool) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return "", false
@@ -274,7 +274,7 @@
 	if _, err := io.Copy(io.Discard, req.Body); err != nil {
 		return "", false
 	}
-	w.whole.Add(1)
+	w.requests.Add(1)
 	return req.Header.Get("X-Request-Id"), true
 }
 
@@ -297,7 +297,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within 10 s: %s", what)
 		}
 	}
 }
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -15,37 +15,37 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// An upstream's connection breaks at any byte of a booking, or of its answer. A router that sends the booking again by
-// itself charges the customer twice; one that says "not run" of a booking that arrived makes the customer book twice.
-func TestBookingCutAtEveryByteIsSentOnce(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// The connection to an upstream breaks at any byte of a booking. If the router resends it, or answers "not run" for a booking that
+// arrived, so that the caller resends it, the customer is charged twice.
+func TestRequestCutAtEveryByteIsSentOnce(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	var cut atomic.Int64
 	var pastEnd atomic.Bool
-	upstream := newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) {
+	upstream := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) {
 		if _, err := r.Peek(1); err != nil {
-			// The router only looked whether the upstream takes connections.
+			// The router only probed whether the upstream accepts connections.
 			return
 		}
-		w.begun.Add(1)
-		// Only a request that has fewer bytes than the cut lets the upstream wait so long.
+		w.started.Add(1)
+		// The deadline is reached only when the request has fewer bytes than the cut.
 		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 		if n, _ := io.CopyN(io.Discard, r, cut.Load()); n < cut.Load() {
 			pastEnd.Store(true)
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			// What was not read makes the close a reset, as when a process dies.
+			// With SO_LINGER 0 the close sends a reset, as when a process dies.
 			tcp.SetLinger(0)
 		}
 	})
-	b.add(upstream.addr())
-	b.add(upstream.addr())
+	b.addUpstream(upstream.addr())
+	b.addUpstream(upstream.addr())
 	const leastBytes = 150
-	falseNotRun, twice := 0, 0
+	falseNotRun, sentTwice := 0, 0
 	for {
-		before := upstream.begun.Load()
+		before := upstream.started.Load()
 		a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", fmt.Sprint("request", cut.Load()))
-		if upstream.begun.Load()-before > 1 {
-			twice++
+		if upstream.started.Load()-before > 1 {
+			sentTwice++
 		}
 		p := a.problem(t)
 		if p.Ran == pomelorelay.RanNo {
@@ -56,19 +56,19 @@
 		}
 		cut.Add(1)
 	}
-	if cut.Load() < leastBytes || falseNotRun != 0 || twice != 0 {
-		t.Errorf("of %d cuts of the request %d said \"not run\" falsely and %d were sent twice", cut.Load(), falseNotRun, twice)
+	if cut.Load() < leastBytes || falseNotRun != 0 || sentTwice != 0 {
+		t.Errorf("%d cut requests: %d falsely reported as not run, %d sent twice", cut.Load(), falseNotRun, sentTwice)
 	}
 }
 
-// The booking ran and its answer breaks at any byte. The customer must get the whole answer or hear that the
-// outcome is unknown, and the booking must not run again.
-func TestAnswerCutAtEveryByteIsNeverPassedAsWhole(t *testing.T) {
+// A booking ran and its answer is truncated at any byte. The caller must get the complete answer or RanUnknown, and the booking
+// must not run again.
+func TestAnswerCutAtEveryByteIsNeverForwardedAsComplete(t *testing.T) {
 	for _, framing := range []string{"length", "chunks"} {
 		t.Run(framing, func(t *testing.T) {
-			b := newBench(t, pomeloroute.Options{})
+			b := newHarness(t, pomeloroute.Options{})
 			var cut, size atomic.Int64
-			upstream := newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) {
+			upstream := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) {
 				id, ok := w.read(r)
 				if !ok {
 					return
@@ -80,13 +80,13 @@
 				size.Store(int64(len(text)))
 				conn.Write(text[:min(cut.Load(), size.Load())])
 			})
-			b.add(upstream.addr())
-			b.add(upstream.addr())
+			b.addUpstream(upstream.addr())
+			b.addUpstream(upstream.addr())
 			wrong, falseNotRun := 0, 0
 			for ; cut.Load() < 180; cut.Add(1) {
-				before := upstream.whole.Load()
+				before := upstream.requests.Load()
 				a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", fmt.Sprint("answer", cut.Load()))
-				if ran := upstream.whole.Load() - before; ran != 1 {
+				if ran := upstream.requests.Load() - before; ran != 1 {
 					t.Fatalf("cut at %d: ran %d times", cut.Load(), ran)
 				}
 				whole := a.err == nil && a.status == http.StatusOK && a.body == "booked ring 4711"
@@ -94,32 +94,32 @@
 					wrong++
 				}
 				if a.err != nil && framing == "length" {
-					t.Fatalf("cut at %d: a short answer was not held until it was whole: %v", cut.Load(), a.err)
+					t.Fatalf("cut at %d: a short answer was not buffered until it was complete: %v", cut.Load(), a.err)
 				}
 				if !whole && a.err == nil && a.problem(t).Ran != pomelorelay.RanUnknown {
 					falseNotRun++
 				}
 			}
 			if wrong != 0 || falseNotRun != 0 {
-				t.Errorf("%d wrong answers, %d wrong words on what ran", wrong, falseNotRun)
+				t.Errorf("%d wrong answers, %d false reports on whether the request ran", wrong, falseNotRun)
 			}
 		})
 	}
 }
 
-// An upstream closes an idle connection just as it is used again. Go's own transport then sends a request with an
-// Idempotency-Key again by itself; the service counts two bookings.
+// An upstream closes an idle connection while it is being reused. net/http's Transport then resends a request with an
+// Idempotency-Key by itself, and the booking runs twice.
 func TestIdleConnectionClosedJustAsItIsReused(t *testing.T) {
-	play := func(w *wire, n int64, conn net.Conn, r *bufio.Reader) {
+	script := func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 		id, ok := w.read(r)
 		if !ok {
 			return
 		}
 		conn.Write(plainAnswer(id, "one"))
-		// The second request on the connection is read, and the connection closed without an answer.
+		// The second request on the connection is read and the connection is closed without an answer.
 		w.read(r)
 	}
-	upstream := newWire(t, play)
+	upstream := newScriptedUpstream(t, script)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for range 2 {
@@ -133,82 +133,82 @@
 			resp.Body.Close()
 		}
 	}
-	if got := upstream.whole.Load(); got != 3 {
-		t.Errorf("net/http sent 2 requests %d times; 3 are expected of it, which is the fault guarded against", got)
+	if got := upstream.requests.Load(); got != 3 {
+		t.Errorf("net/http sent 2 requests %d times; expected 3, the fault that this test guards against", got)
 	}
-	upstream = newWire(t, play)
-	b := newBench(t, pomeloroute.Options{})
-	b.add(upstream.addr())
-	b.add(upstream.addr())
+	upstream = newScriptedUpstream(t, script)
+	b := newHarness(t, pomeloroute.Options{})
+	b.addUpstream(upstream.addr())
+	b.addUpstream(upstream.addr())
 	for n := range 2 {
 		b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", fmt.Sprint(n))
 	}
-	if got := upstream.whole.Load(); got != 2 {
+	if got := upstream.requests.Load(); got != 2 {
 		t.Errorf("2 bookings were sent %d times", got)
 	}
 }
 
-// A request that may be repeated meets a connection that breaks; its caller gets the whole answer from another upstream.
-func TestRepeatableRequestIsTriedElsewhere(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	broken := newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
-	b.add(broken.addr())
-	b.serve(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "cleaned") })
+// The connection breaks during a repeatable request; the caller must get the complete answer from another upstream.
+func TestRepeatableRequestIsRetriedAtAnotherUpstream(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
+	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
+	b.addUpstream(broken.addr())
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "cleaned") })
 	a := b.call("GET", "/status/ring", "")
 	if a.status != http.StatusOK || a.body != "cleaned" {
 		t.Errorf("got %d %q %v", a.status, a.body, a.err)
 	}
 }
 
-// Several upstreams restart and refuse connections while one is well. Counted as attempts, the refused connections would use up the
-// request's attempts, and its caller would get an error.
-func TestUnreachedUpstreamsDoNotUseUpTheAttempts(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{MaxAttempts: 2})
+// Several upstreams restart and refuse connections while one works. If refused connections counted as attempts, they would use up the
+// request's attempts and its caller would get an error.
+func TestRefusedConnectionsDoNotCountAsAttempts(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{MaxAttempts: 2})
 	for range 5 {
-		closed := newWire(t, func(*wire, int64, net.Conn, *bufio.Reader) {})
+		closed := newScriptedUpstream(t, func(*scriptedUpstream, int64, net.Conn, *bufio.Reader) {})
 		closed.ln.Close()
-		b.add(closed.addr())
+		b.addUpstream(closed.addr())
 	}
-	b.serve(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "cleaned") })
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "cleaned") })
 	if a := b.call("GET", "/status/ring", ""); a.body != "cleaned" {
 		t.Errorf("got %d %q %v", a.status, a.body, a.err)
 	}
 }
 
-// The first attempt may have run and the second finds no upstream. The refusal of the second says "not run", which
-// is false of the request as a whole.
+// The first attempt may have run and the second finds no upstream. The second refusal states "not run", which is false for the
+// request.
 func TestLaterRefusalDoesNotHideAnEarlierRun(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	broken := newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
-	b.add(broken.addr())
+	b := newHarness(t, pomeloroute.Options{})
+	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
+	b.addUpstream(broken.addr())
 	p := b.call("GET", "/status/ring", "").problem(t)
 	if p.Code != pomelorelay.CodeNoUpstream || p.Ran != pomelorelay.RanUnknown {
 		t.Errorf("got %+v", p)
 	}
 }
 
-// Every upstream is broken. Retries beyond the budget would double the load on upstreams that already fail.
-func TestRetriesKeepToTheirBudget(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// Every upstream fails. Retries beyond the budget would double the load on upstreams that already fail.
+func TestRetriesStayWithinBudget(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	b.services["status"].RetryBudget = 0.1
-	broken := newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
-	b.add(broken.addr())
-	b.add(broken.addr())
+	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
+	b.addUpstream(broken.addr())
+	b.addUpstream(broken.addr())
 	const requests = 50
 	for range requests {
 		b.call("GET", "/status/ring", "")
 	}
-	// Three retries are free, then one in ten requests earns one.
-	if got := broken.whole.Load(); got <= requests || got > requests+3+5 {
+	// The initial budget is three retries; after that, ten requests earn one.
+	if got := broken.requests.Load(); got <= requests || got > requests+3+5 {
 		t.Errorf("%d requests were sent %d times", requests, got)
 	}
 }
 
-// The upstream says by its contract that it did not run the booking, or takes no connection. The booking may go to
-// another, and when there is none its refusal says "not run" and frees the key.
-func TestSurelyNotRunIsTriedElsewhereAndReleased(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+// The upstream answers "not run" to a booking, or refuses the connection. The booking must be retried at another upstream; if there is
+// none, the answer must state "not run" and the key must be released.
+func TestRequestThatDidNotRunIsRetriedAndReleased(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Ran", "No")
 		w.Header().Set("Retry-After", "7")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -217,21 +217,21 @@
 	if p := a.problem(t); p.Ran != pomelorelay.RanNo || a.head.Get("Retry-After") == "" || !b.settled[0].Released {
 		t.Errorf("got %+v, settled %+v", p, b.settled)
 	}
-	closed := newWire(t, func(*wire, int64, net.Conn, *bufio.Reader) {})
+	closed := newScriptedUpstream(t, func(*scriptedUpstream, int64, net.Conn, *bufio.Reader) {})
 	closed.ln.Close()
-	b.add(closed.addr())
-	b.serve(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "booked") })
+	b.addUpstream(closed.addr())
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "booked") })
 	if a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k"); a.body != "booked" {
 		t.Errorf("got %d %q", a.status, a.body)
 	}
 }
 
-// A body that does not fit a socket's buffers is written while the answer may already come. The upstream refuses it
-// unread, or takes it whole.
-func TestLargeBodyIsWrittenWhileTheAnswerComes(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{MaxAttempts: 1})
+// A body larger than the socket buffers must be written while the answer is read, since the upstream may refuse it before it has
+// read it.
+func TestLargeBodyIsWrittenWhileAnswerIsRead(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
 	large := strings.Repeat("pearl ", 40<<10)
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/refuse" {
 			w.Header().Set("Ran", "No")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -251,12 +251,12 @@
 	}
 }
 
-// An upstream closes idle connections. A request that meets one would break though nothing is wrong with it, and one
-// without a retry left would fail.
-func TestClosedIdleConnectionIsSeenBeforeUse(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{MaxAttempts: 1})
+// An upstream closes idle connections. A request sent on a closed one fails although the upstream works, and without retries its
+// caller gets an error.
+func TestClosedIdleConnectionIsDetectedBeforeReuse(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
 	closed := make(chan struct{})
-	b.add(newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) {
+	b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) {
 		if id, ok := w.read(r); ok {
 			conn.Write(plainAnswer(id, "cleaned"))
 			conn.Close()
--- a/pomeloroute/refusal.go
+++ b/pomeloroute/refusal.go
@@ -38,14 +38,14 @@
 }
 
 // writeProblem writes an error as an RFC 9457 problem; nothing may have been written to w before.
-func writeProblem(w http.ResponseWriter, err error, comeBack time.Duration) {
+func writeProblem(w http.ResponseWriter, err error, fallback time.Duration) {
 	e := codedError(err)
 	p := pomeloproblem.New(e)
 	head := w.Header()
 	head.Set("Content-Type", pomeloproblem.ContentType)
 	head.Set(headerRan, string(p.Ran))
 	head.Set("Cache-Control", "no-store")
-	if after := retryAfter(e, p.Status, comeBack); after > 0 {
+	if after := retryAfter(e, p.Status, fallback); after > 0 {
 		head.Set("Retry-After", strconv.Itoa(after))
 	}
 	if p.Status == http.StatusUnauthorized {
@@ -57,10 +57,10 @@
 }
 
 // retryAfter returns the Retry-After value in seconds, rounded up because a caller that retries too early is refused again.
-func retryAfter(e *pomelorelay.Error, status int, comeBack time.Duration) int {
+func retryAfter(e *pomelorelay.Error, status int, fallback time.Duration) int {
 	wait := e.RetryAfter
 	if wait <= 0 && isRetryable(status) {
-		wait = comeBack
+		wait = fallback
 	}
 	return int(math.Ceil(float64(wait) / float64(time.Second)))
 }
--- a/pomeloroute/stream_test.go
+++ b/pomeloroute/stream_test.go
@@ -23,7 +23,7 @@
 
 const streamEvents = 6
 
-// engineEvents returns a stream's events after the given one.
+// engineEvents returns the events of a stream after the event with the given id.
 func engineEvents(after int) []string {
 	var events []string
 	for n := after + 1; n <= streamEvents; n++ {
@@ -37,7 +37,7 @@
 
 func wholeStream() string { return strings.Join(engineEvents(0), "") }
 
-// chunkedStream returns an answer's bytes with each event as a chunk.
+// chunkedStream returns the bytes of an answer with each event as a chunk.
 func chunkedStream(id string, events []string) string {
 	var text strings.Builder
 	text.WriteString("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: " + id + "\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -48,21 +48,21 @@
 	return text.String()
 }
 
-// cutEngine plays a model engine whose n-th connection breaks after cuts[n] bytes; past the list answers are whole.
-// Repeats tells how many events before the one asked for a resume sends again.
-func cutEngine(t testing.TB, cuts []int, repeats int, keeps bool) (*wire, *atomic.Int64) {
+// newTruncatingEngine returns a model engine whose n-th answer ends after cuts[n] bytes; answers beyond the list are complete. A
+// resumed stream repeats the given number of events. It also returns the number of streams started without a resume.
+func newTruncatingEngine(t testing.TB, cuts []int, repeats int, resumable bool) (*scriptedUpstream, *atomic.Int64) {
 	var fresh atomic.Int64
-	w := newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) {
+	w := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		io.Copy(io.Discard, req.Body)
-		n := int(w.whole.Add(1)) - 1
+		n := int(w.requests.Add(1)) - 1
 		id := req.Header.Get("X-Request-Id")
 		after := 0
 		if strings.HasPrefix(req.URL.Path, "/v1/streams/") {
-			if !keeps || req.URL.Path != "/v1/streams/"+id {
+			if !resumable || req.URL.Path != "/v1/streams/"+id {
 				io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nX-Request-Id: "+id+"\r\nContent-Length: 0\r\n\r\n")
 				return
 			}
@@ -82,21 +82,21 @@
 
 const streamBody = `{"model":"large","stream":true,"prompt":"a long narrative"}`
 
-// A stream breaks off at any byte, and again while it is resumed. The caller gets every event once, in order.
+// A stream breaks at any byte, and again while it is resumed. The caller must get every event once and in order.
 func TestStreamCutAtEveryByteIsResumed(t *testing.T) {
 	whole := chunkedStream("router-1-7-1", engineEvents(0))
 	size, head := len(whole), strings.Index(whole, "\r\n\r\n")+len("\r\n\r\n")
 	wrong := 0
-	// A connection attempt that outlasts its bound on a starved machine ends as no upstream, which is not what is looked at here.
+	// The long timeout avoids dial failures on an overloaded machine, which would end the request with CodeNoUpstream.
 	options := pomeloroute.Options{DialTimeout: 30 * time.Second}
 	for cut := 1; cut < size; cut++ {
-		b := newBench(t, options)
-		engine, fresh := cutEngine(t, []int{cut, cut}, 2, true)
-		b.add(engine.addr()).Resumes = true
+		b := newHarness(t, options)
+		engine, fresh := newTruncatingEngine(t, []int{cut, cut}, 2, true)
+		b.addUpstream(engine.addr()).Resumes = true
 		a := b.call("POST", "/drafter/v1/completions", streamBody)
 		right := a.err == nil && a.status == http.StatusOK && a.body == wholeStream()
 		if cut < head {
-			// Without its head the answer was no stream yet, and this engine is the only one.
+			// Without a complete header the answer is not known to be a stream, and there is no other engine to retry at.
 			right = a.err == nil && a.problem(t).Ran == pomelorelay.RanUnknown
 		}
 		if !right {
@@ -105,18 +105,18 @@
 		}
 	}
 	if wrong != 0 {
-		t.Errorf("%d of %d cut streams were not passed on as whole", wrong, size-1)
+		t.Errorf("%d of %d truncated streams were not forwarded completely", wrong, size-1)
 	}
 }
 
-// A stream breaks off and its engine cannot resume it. The caller must see the difference between that and an end.
+// A stream breaks and its engine cannot resume it. The caller must be able to distinguish that from a complete stream.
 func TestBrokenStreamEndsWithAnErrorEvent(t *testing.T) {
 	size := len(chunkedStream("router-1-7-1", engineEvents(0)))
 	for _, resumes := range []bool{false, true} {
 		for cut := 120; cut < size-len("0\r\n\r\n"); cut += 7 {
-			b := newBench(t, pomeloroute.Options{MaxAttempts: 1})
-			engine, _ := cutEngine(t, []int{cut}, 0, false)
-			b.add(engine.addr()).Resumes = resumes
+			b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
+			engine, _ := newTruncatingEngine(t, []int{cut}, 0, false)
+			b.addUpstream(engine.addr()).Resumes = resumes
 			a := b.call("POST", "/drafter/v1/completions", streamBody)
 			if a.status == http.StatusBadGateway && a.problem(t).Ran == pomelorelay.RanUnknown {
 				continue
@@ -132,14 +132,15 @@
 	}
 }
 
-// An engine ends its stream in good order but leaves out the usage, or [DONE]. What is missing may be more than that.
-func TestStreamWithoutItsEndIsNotWhole(t *testing.T) {
+// An engine ends its stream with correct framing but without the usage event or [DONE]. More events may be missing, so the
+// stream must not count as complete.
+func TestStreamWithoutUsageOrDoneIsIncomplete(t *testing.T) {
 	events := engineEvents(0)
 	usage := len(events) - 2
 	for name, sent := range map[string][]string{"no [DONE]": events[:usage+1], "no usage": append(append([]string{}, events[:usage]...), events[usage+1]), "nothing": nil} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, pomeloroute.Options{MaxAttempts: 1})
-			b.add(newWire(t, func(w *wire, _ int64, conn net.Conn, r *bufio.Reader) {
+			b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
+			b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) {
 				id, _ := w.read(r)
 				io.WriteString(conn, chunkedStream(id, sent))
 			}).addr())
@@ -151,11 +152,11 @@
 	}
 }
 
-// A stream is flushed event by event: the caller reads each before the engine sends the next.
-func TestStreamIsFlushedAsItComes(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// Each event must be flushed as it arrives: the caller reads it before the engine sends the next.
+func TestStreamIsFlushedPerEvent(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	next := make(chan struct{})
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for _, e := range engineEvents(0) {
 			io.WriteString(w, e)
@@ -188,22 +189,22 @@
 	}
 }
 
-// Many callers share an upstream whose connections break and answer at random; nobody may get another's stream or a part of
-// their own as whole.
-func TestStreamsOfManyCallersStayApart(t *testing.T) {
+// Concurrent callers share an upstream whose answers are truncated at random. No caller may get another's stream, or a truncated
+// stream that looks complete.
+func TestConcurrentStreamsAreNotMixed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cuts := rapid.SliceOfN(rapid.IntRange(0, 700), 0, 12).Draw(rt, "cuts")
 		repeats := rapid.IntRange(0, 4).Draw(rt, "repeats")
-		b := newBench(t, pomeloroute.Options{})
-		engine, _ := cutEngine(t, cuts, repeats, rapid.Bool().Draw(rt, "keeps"))
-		b.add(engine.addr()).Resumes = true
+		b := newHarness(t, pomeloroute.Options{})
+		engine, _ := newTruncatingEngine(t, cuts, repeats, rapid.Bool().Draw(rt, "keeps"))
+		b.addUpstream(engine.addr()).Resumes = true
 		var wg sync.WaitGroup
 		for range 4 {
 			wg.Go(func() {
 				a := b.call("POST", "/drafter/v1/completions", streamBody)
 				done := strings.HasSuffix(a.body, "data: [DONE]\n\n")
 				if a.err == nil && done && a.body != wholeStream() {
-					rt.Errorf("a part was passed on as whole: %q", a.body)
+					rt.Errorf("a truncated stream was forwarded as complete: %q", a.body)
 				}
 				if a.err == nil && !done && a.status == http.StatusOK && !strings.Contains(a.body, "event: error") {
 					rt.Errorf("a stream ended without [DONE] and without an error: %q", a.body)
@@ -214,11 +215,11 @@
 	})
 }
 
-// A caller leaves in the middle of its stream; the engine must stop generating for nobody.
-func TestCancelReachesTheEngine(t *testing.T) {
-	b := newBench(t, pomeloroute.Options{})
+// A caller disconnects during its stream; the engine must be cancelled, or it keeps generating tokens that nobody reads.
+func TestCallerCancelReachesEngine(t *testing.T) {
+	b := newHarness(t, pomeloroute.Options{})
 	cancelled := make(chan struct{})
-	b.serve(func(w http.ResponseWriter, r *http.Request) {
+	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, engineEvents(0)[0])
 		w.(http.Flusher).Flush()
