--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -14,20 +14,20 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// The states of a waiter: whoever moves it on from waiting decides for the request.
+// The states of a waiter. Whoever changes it from waiterWaiting, by compare-and-swap, decides how the wait ends.
 const (
 	waiterWaiting int32 = iota
 	waiterGranted
 	waiterWithdrawn
 )
 
-// maxSkipsPerGrant bounds the requests that one grant passes over.
+// maxSkipsPerGrant limits how many requests are skipped to find one for a grant.
 const maxSkipsPerGrant = 16
 
-// maxSkipsPerRequest is how often a request is passed over for upstreams at which it failed.
+// maxSkipsPerRequest limits how often a request is skipped because it failed at the upstream of a grant.
 const maxSkipsPerRequest = 3
 
-// stallCheckInterval is how often a waiting request looks whether the control goroutine still runs.
+// stallCheckInterval is how often a waiting request checks whether the control goroutine is stalled.
 const stallCheckInterval = 100 * time.Millisecond
 
 // waiter is a request that waits for a slot.
@@ -35,7 +35,7 @@
 	request pomeloroute.AdmitRequest
 	id      pomelorelay.RequestID
 	state   atomic.Int32
-	// skips counts how often the request was passed over; only the control goroutine uses it.
+	// skips counts how often the request was skipped; only the control goroutine uses it.
 	skips  int
 	answer chan admitResult
 }
@@ -45,10 +45,10 @@
 	err    error
 }
 
-// admission implements pomeloroute.Admission by events to the control goroutine.
+// admission implements pomeloroute.Admission by posting events to the control goroutine.
 type admission struct{ n *Node }
 
-// Admit waits for a grant; it fails with the refusal of the queue, or when the wait is over.
+// Admit waits for a grant; it fails when the queue refuses the request, when WaitUntil has passed or when ctx is done.
 func (a admission) Admit(ctx context.Context, r pomeloroute.AdmitRequest) (pomeloroute.Ticket, error) {
 	w := &waiter{request: r, id: pomelorelay.RequestID(a.n.lastAttempt.Add(1)), answer: make(chan admitResult, 1)}
 	a.n.mail.post(requestQueued{w})
@@ -66,8 +66,8 @@
 		case <-waitTimer.C:
 			return a.withdraw(w, waitEndCode(r))
 		case <-stallTicker.C:
-			// A process that was halted finds its control goroutine silent for as long; that is no stall, and what it knows of
-			// its upstreams is old. Without this look at the own clock it would send to some that left meanwhile.
+			// After the whole process was paused, the control goroutine's heartbeat is old although it is not stalled. Using a
+			// bypass slot then could send the request to an upstream that started leaving during the pause.
 			paused := time.Since(lastCheck) > stallThreshold
 			lastCheck = time.Now()
 			if paused {
@@ -80,7 +80,7 @@
 	}
 }
 
-// waitEndCode tells a wait that reached its service's bound from one that reached the caller's deadline.
+// waitEndCode returns CodeQueueWait for a wait that reached its service's limit, CodeDeadline for one that reached the caller's deadline.
 func waitEndCode(r pomeloroute.AdmitRequest) pomelorelay.ResultCode {
 	if r.WaitUntil.Before(r.Deadline) {
 		return pomelorelay.CodeQueueWait
@@ -88,7 +88,7 @@
 	return pomelorelay.CodeDeadline
 }
 
-// withdraw gives the wait up; a grant that came at the same moment is used or given back by whoever moved the state.
+// withdraw ends the wait with the given code; if the request was granted or refused concurrently, it returns that result instead.
 func (a admission) withdraw(w *waiter, code pomelorelay.ResultCode) (pomeloroute.Ticket, error) {
 	if !w.state.CompareAndSwap(waiterWaiting, waiterWithdrawn) {
 		got := <-w.answer
@@ -115,23 +115,23 @@
 	grant    pomelorelay.GrantID
 	upstream *pomeloconfig.Upstream
 	started  time.Time
-	// plain requests accrue the time that they hold the slot.
+	// plain is set for requests of plain services, whose cost is the time that they hold the slot.
 	plain bool
-	// accrued holds the bits of the cost reported so far; the control goroutine reads it on its ticks.
+	// accrued holds the float64 bits of the cost reported so far; the control goroutine reads it on each tick.
 	accrued atomic.Uint64
 	ended   atomic.Bool
 }
 
-// Upstream returns where the attempt goes.
+// Upstream returns the upstream to send the attempt to.
 func (t *ticket) Upstream() *pomeloconfig.Upstream { return t.upstream }
 
-// Usable reports whether the upstream stays.
+// Usable reports whether the upstream is not leaving.
 func (t *ticket) Usable() bool { return t.n.isStaying(t.upstream.Name) }
 
-// Progress notes the cost accrued so far.
+// Progress stores the cost accrued so far.
 func (t *ticket) Progress(cost pomelorelay.Cost) { t.accrued.Store(math.Float64bits(float64(cost))) }
 
-// Done ends the slot.
+// Done releases the slot; only the first call has an effect.
 func (t *ticket) Done(r pomeloroute.Result) {
 	if t.ended.Swap(true) {
 		return
@@ -147,7 +147,7 @@
 	return accrued
 }
 
-// requestQueued is posted when a request begins to wait.
+// requestQueued is posted when a request starts to wait for a slot.
 type requestQueued struct{ w *waiter }
 
 func (e requestQueued) apply(c *control, now time.Time) {
@@ -161,7 +161,7 @@
 	c.markChanged(r.Pool)
 }
 
-// requestWithdrawn is posted when a request no longer waits.
+// requestWithdrawn is posted when a request stops waiting without a grant.
 type requestWithdrawn struct{ w *waiter }
 
 func (e requestWithdrawn) apply(c *control, now time.Time) {
@@ -173,7 +173,7 @@
 	c.markChanged(e.w.request.Pool)
 }
 
-// attemptEnded is posted when a granted request gives its slot back.
+// attemptEnded is posted when a granted request releases its slot.
 type attemptEnded struct {
 	t *ticket
 	r pomeloroute.Result
@@ -201,7 +201,7 @@
 	}
 }
 
-// receiveGrant takes an owner's grant and gives it to the account that has had the least.
+// receiveGrant uses an owner's grant for the first request in fair queue order; it returns the grant if it cannot be used.
 func (c *control) receiveGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) {
 	usable := c.asker.Granted(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
@@ -220,8 +220,8 @@
 	w.answer <- admitResult{ticket: t}
 }
 
-// nextWaiter pops the first request that still waits and has not failed at the upstream before. Those that have are passed over and
-// put back: a request that stayed at the head would keep every other from the grant.
+// nextWaiter pops the first request that still waits and has not failed at the grant's upstream. Those that have are skipped and
+// requeued; left at the head, they would block the requests behind them.
 func (c *control) nextWaiter(now time.Time, g *pomelorelay.Grant) *waiter {
 	c.skipped = c.skipped[:0]
 	defer func() {
@@ -256,9 +256,9 @@
 	return false
 }
 
-// skip reports whether a request is to wait for another upstream than the grant's. It is passed over a few times only: the
-// other upstreams may be in failure domains where this router's demand does not go while its own has idle slots, and the request
-// would wait until its deadline beside an idle upstream.
+// skip reports whether a request should wait for an upstream other than the grant's, at most maxSkipsPerRequest times. The other
+// upstreams may be in failure domains to which this router sends no demand while its own has idle slots, and without the limit the
+// request could wait until its deadline.
 func (c *control) skip(w *waiter, g *pomelorelay.Grant) bool {
 	if w.skips >= maxSkipsPerRequest || !hasFailedAt(w, g.Upstream) || !c.hasAlternative(w, g.Pool) {
 		return false
@@ -267,8 +267,8 @@
 	return true
 }
 
-// hasAlternative reports whether the pool has an upstream that stays and at which the request has not failed. Without this check a
-// request that failed once at each of them would wait until its deadline.
+// hasAlternative reports whether the pool has an upstream that is not leaving and at which the request has not failed. Without this
+// check, a request that failed at every upstream would be skipped although no other upstream can serve it.
 func (c *control) hasAlternative(w *waiter, pool pomelorelay.PoolID) bool {
 	for id, u := range c.upstreams {
 		if u.Pool() == pool && !c.leaving[id] && !hasFailedAt(w, id) {
@@ -278,7 +278,7 @@
 	return false
 }
 
-// settleGrant tells an owner what became of its grant, with the pool's fresh demand.
+// settleGrant reports to the owner how its grant was used, together with the pool's current demand.
 func (c *control) settleGrant(now time.Time, id pomelorelay.GrantID, pool pomelorelay.PoolID, s pomeloslot.Settlement) {
 	head, waiting, ok := c.queues.Head(now, pool)
 	if ok {
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -13,7 +13,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// maxQueueWait is above every service's bound of a wait.
+// maxQueueWait exceeds the wait limit of every service.
 const maxQueueWait = 24 * time.Hour
 
 func newControl(n *Node) *control {
@@ -61,7 +61,7 @@
 	c.members = c.memberView.Snapshot()
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
-		// The traffic path's own timer ends each wait at its service's bound.
+		// Each wait is ended by a timer in Admit at its service's limit.
 		Limit: pomelofair.LimitOptions{Wait: maxQueueWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
@@ -142,7 +142,7 @@
 	})
 }
 
-// mayStillSettle reports whether a router can still settle its claims: one that stops gracefully can, until it has ended.
+// mayStillSettle reports whether a router can still settle its claims; one that stops gracefully can until it exits.
 func (c *control) mayStillSettle(node pomelorelay.NodeID) bool {
 	return !c.dead[node]
 }
--- a/pomelonode/bypass.go
+++ b/pomelonode/bypass.go
@@ -9,18 +9,18 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// stallThreshold is how long the control goroutine may be silent before requests use the spare slots.
+// stallThreshold is the age of the control goroutine's heartbeat from which requests use bypass slots.
 const stallThreshold = 250 * time.Millisecond
 
-// bypassSlots lets a few requests through to each upstream while the control goroutine is stalled. Without it every caller of
-// the router would wait for as long as the stall lasts, though upstreams are idle; with it at most one request per router and
-// upstream runs that no owner knows of, which the upstream's reported load makes up for.
+// bypassSlots lets one request at a time through to each upstream while the control goroutine is stalled. Without it, all callers
+// would wait until the stall ends, even with idle upstreams. Slot owners do not know of this at most one request per router and
+// upstream, but the upstream's reported load includes it.
 type bypassSlots struct {
 	mu   sync.Mutex
 	busy map[pomelorelay.UpstreamID]bool
 }
 
-// ticket returns a spare slot when the control goroutine is stalled and one is free.
+// ticket returns a bypass slot if the control goroutine is stalled and a slot is free, else nil.
 func (s *bypassSlots) ticket(n *Node, w *waiter) pomeloroute.Ticket {
 	if !n.isControlStalled() {
 		return nil
@@ -60,7 +60,7 @@
 	delete(s.busy, id)
 }
 
-// bypassTicket is a slot used while the control goroutine was stalled; its cost is charged when that runs again.
+// bypassTicket is a slot granted without the control goroutine; its cost is charged once that goroutine runs again.
 type bypassTicket struct {
 	n        *Node
 	waiter   *waiter
@@ -68,16 +68,16 @@
 	once     sync.Once
 }
 
-// Upstream returns where the attempt goes.
+// Upstream returns the upstream to send the attempt to.
 func (t *bypassTicket) Upstream() *pomeloconfig.Upstream { return t.upstream }
 
-// Usable reports whether the upstream stays.
+// Usable reports whether the upstream is not leaving.
 func (t *bypassTicket) Usable() bool { return t.n.isStaying(t.upstream.Name) }
 
-// Progress is not followed: nobody could charge it now.
+// Progress does nothing, since a stalled control goroutine cannot charge the cost.
 func (t *bypassTicket) Progress(pomelorelay.Cost) {}
 
-// Done frees the slot and leaves the cost to be charged.
+// Done releases the slot and posts its cost to the control goroutine; only the first call has an effect.
 func (t *bypassTicket) Done(r pomeloroute.Result) {
 	t.once.Do(func() {
 		t.n.bypass.free(t.upstream.Name)
@@ -85,7 +85,7 @@
 	})
 }
 
-// bypassEnded is posted when a request that ran on a spare slot ended.
+// bypassEnded is posted when a request in a bypass slot ends.
 type bypassEnded struct {
 	w    *waiter
 	cost pomelorelay.Cost
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -9,10 +9,10 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// claims implements pomeloroute.Claims by events to the control goroutine.
+// claims implements pomeloroute.Claims by posting events to the control goroutine.
 type claims struct{ n *Node }
 
-// Claim waits for the claim's verdict; it fails when ctx ends first, and the claim is then given up.
+// Claim waits for the claim's verdict; if ctx is done first, it cancels the claim and fails with ctx's error.
 func (a claims) Claim(ctx context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (pomeloroute.Claim, error) {
 	w := &claimWaiter{key: key, content: content, answer: make(chan pomeloclaim.Verdict, 1)}
 	a.n.mail.post(claimRequested{w})
@@ -25,7 +25,7 @@
 	}
 }
 
-// Settle tells how the request of a fresh claim ended.
+// Settle reports the result of the request of a fresh claim.
 func (a claims) Settle(c pomeloroute.Claim, s pomeloroute.Settlement) {
 	a.n.mail.post(claimedRequestEnded{c, s})
 }
@@ -50,8 +50,8 @@
 
 type claimCancelled struct{ w *claimWaiter }
 
-// apply gives up a claim whose caller has left. A verdict that came at the same moment is released: a claim that stayed fresh
-// for ever would refuse the caller's own repeat as still running.
+// apply cancels a claim whose caller has disconnected. If a fresh claim was granted concurrently, it is released; otherwise the
+// caller's retry would be refused as still running.
 func (e claimCancelled) apply(c *control, now time.Time) {
 	e.w.cancelled = true
 	if c.claimWaiters[e.w.nonce] != nil {
@@ -78,14 +78,14 @@
 	c.claimAsker.Settle(now, e.claim.Nonce, s.Released, s.State, s.Outcome, &c.claimOut)
 }
 
-// storeOpDone is posted when a keeper's store operation returned.
+// storeOpDone is posted when a store operation of the claim keeper returns.
 type storeOpDone struct{ result pomeloclaim.StoreResult }
 
 func (e storeOpDone) apply(c *control, now time.Time) {
 	c.keeper.Stored(now, e.result, &c.claimOut)
 }
 
-// flushClaims carries out what the claims' parts asked for.
+// flushClaims sends the messages, starts the store operations and delivers the verdicts that the claim components produced.
 func (c *control) flushClaims() {
 	c.out = append(c.out, c.claimOut.Messages...)
 	for _, op := range c.claimOut.Store {
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -11,14 +11,14 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// trafficView is what the traffic path reads; it is immutable.
+// trafficView is the immutable state that the request path reads.
 type trafficView struct {
 	snapshot *pomeloconfig.Snapshot
 	pools    map[pomelorelay.PoolID][]*pomeloconfig.Upstream
 	leaving  map[pomelorelay.UpstreamID]bool
 }
 
-// rootRead is posted when the store's root was read or a watch reported it.
+// rootRead is posted when the configuration root was read or a watch reported a new one.
 type rootRead struct{ data []byte }
 
 func (e rootRead) apply(c *control, now time.Time) {
@@ -26,7 +26,7 @@
 	c.compile()
 }
 
-// partRead is posted when a part was read from the store.
+// partRead is posted when a configuration part was read from the store.
 type partRead struct{ data []byte }
 
 func (e partRead) apply(c *control, now time.Time) {
@@ -34,7 +34,7 @@
 	c.compile()
 }
 
-// fetchConfig reads from the store what the spreader wants.
+// fetchConfig reads the root and the parts that the spreader needs from the store.
 func (c *control) fetchConfig(now time.Time) {
 	wants := c.spreader.StoreWants(now)
 	if wants.Root {
@@ -45,8 +45,8 @@
 	}
 }
 
-// compile puts a whole candidate together beside the control goroutine: at 37,000 accounts that takes long enough to hold up
-// grants.
+// compile builds the snapshot of a complete candidate in a separate goroutine, because with 37,000 accounts it takes long enough
+// to delay grants.
 func (c *control) compile() {
 	candidate, ok := c.spreader.Candidate()
 	if !ok || candidate.Root.Generation == c.compiling {
@@ -67,7 +67,7 @@
 	return pomeloconfig.NewSnapshot(candidate.Root, configuration)
 }
 
-// configCompiled is posted when a candidate was compiled or could not be.
+// configCompiled is posted when the compilation of a candidate has succeeded or failed.
 type configCompiled struct {
 	generation pomelorelay.Generation
 	snapshot   *pomeloconfig.Snapshot
@@ -88,7 +88,7 @@
 	c.activate(now, e.snapshot)
 }
 
-// activate puts a configuration in force on every part.
+// activate applies a configuration to every component.
 func (c *control) activate(now time.Time, s *pomeloconfig.Snapshot) {
 	first := c.snapshot == nil
 	c.snapshot = s
@@ -115,7 +115,7 @@
 	}
 }
 
-// configurePool sets what the operators chose for a pool's service; the units are the service's own.
+// configurePool applies a service's queue limits and spill margins to a pool.
 func (c *control) configurePool(pool pomelorelay.PoolID) {
 	service, ok := c.snapshot.PoolService(pool)
 	if !ok {
@@ -125,7 +125,7 @@
 	c.asker.SetSpill(pool, pomeloslot.SpillOptions{DomainMargin: service.SpillDomain, RegionMargin: service.SpillRegion})
 }
 
-// publishTraffic gives the traffic path its view.
+// publishTraffic publishes a new trafficView for the request path.
 func (c *control) publishTraffic() {
 	view := &trafficView{
 		snapshot: c.snapshot,
@@ -138,7 +138,7 @@
 	c.n.traffic.Store(view)
 }
 
-// maxRetention returns how long claims must be kept: a shard holds claims of every service.
+// maxRetention returns the longest retention of any service, which applies to all claims since a shard holds claims of every service.
 func maxRetention(s *pomeloconfig.Snapshot) time.Duration {
 	var longest time.Duration
 	for _, service := range s.Services() {
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// tickInterval is the interval of the decision parts' ticks.
+	// tickInterval is the interval at which the components' Tick methods run.
 	tickInterval = 50 * time.Millisecond
-	// statusInterval is the interval at which operators' figures are renewed.
+	// statusInterval is the interval at which the status for operators is published.
 	statusInterval = 250 * time.Millisecond
-	// maxMessageBatch is the number of messages taken in before the parts' answers are sent.
+	// maxMessageBatch limits the further messages processed in one round before the components' output is sent.
 	maxMessageBatch = 128
-	// maxLocalRounds bounds the messages that a router sends itself in answer to its own.
+	// maxLocalRounds limits the rounds of delivering messages that a router sends to itself.
 	maxLocalRounds = 16
 )
 
-// control is the state of the control goroutine; nothing else touches it.
+// control is the state of the control goroutine; no other goroutine accesses it.
 type control struct {
 	n *Node
 
@@ -50,7 +50,7 @@
 	leaving       map[pomelorelay.UpstreamID]bool
 	leavingSeenAt map[pomelorelay.UpstreamID]time.Time
 	regions       map[pomelorelay.DomainID]pomelorelay.RegionID
-	// evacuated are the failure domains whose upstreams get nothing new by the configuration in force.
+	// evacuated lists the failure domains whose upstreams get no new work under the active configuration.
 	evacuated []pomelorelay.DomainID
 	jobs      jobs
 
@@ -75,14 +75,14 @@
 	expired []pomelorelay.RequestID
 	skipped []pomelorelay.RequestID
 	changes []pomelomember.Change
-	// lastRoundAt is when the control goroutine last ended a round, unsureSince when it noticed that it had stood still.
+	// lastRoundAt is when the last round ended; staleSince is when a pause was detected, zero after a later read of the host list.
 	lastRoundAt        time.Time
 	staleSince         time.Time
 	lastStatusAt       time.Time
 	lastLedgerReportAt time.Time
 }
 
-// run takes in events, messages and ticks until the node is closed.
+// run processes events, messages and ticks until the node is closed.
 func (c *control) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -131,7 +131,7 @@
 	}
 }
 
-// markChanged notes that what waits in a pool has changed.
+// markChanged records that the waiting requests of a pool have changed.
 func (c *control) markChanged(pool pomelorelay.PoolID) { c.changedPools[pool] = true }
 
 func (c *control) tick(now time.Time) {
@@ -159,14 +159,14 @@
 	}
 }
 
-// publishSlots gives this router's own slots to its digests and to its own asker.
+// publishSlots passes the state of the slots that this router owns to its digests and to its own asker.
 func (c *control) publishSlots(now time.Time) {
 	c.slots = c.owner.Digests(now, c.slots[:0])
 	c.memberView.SetSlots(c.slots)
 	c.asker.Slots(now, c.slots)
 }
 
-// chargeProgress charges what running requests have accrued.
+// chargeProgress charges the cost accrued by running requests.
 func (c *control) chargeProgress(now time.Time) {
 	for id, t := range c.running {
 		c.queues.Progress(now, id, t.cost(now))
@@ -201,7 +201,7 @@
 	c.logRebuiltShards()
 }
 
-// flush sends what the parts decided, until nothing more comes of what this router sends itself.
+// flush sends the components' output until there is none left; messages to this router itself can produce more.
 func (c *control) flush(now time.Time) {
 	for range maxLocalRounds {
 		c.flushHeads(now)
@@ -231,8 +231,8 @@
 	c.out = c.asker.Heads(now, c.heads, c.out)
 }
 
-// send hands a message to the mesh, or back to this router's own parts. A message that the mesh refuses is lost like one on a
-// broken link; every part sends again what must arrive.
+// send passes a message to the mesh, or directly to receive if it is for this router. A message that the mesh refuses is lost, as on a
+// broken link; components resend messages that must arrive.
 func (c *control) send(now time.Time, o pomelorelay.Outgoing) {
 	if o.To == c.n.self.Node {
 		c.receive(now, pomelorelay.Envelope{From: o.To, Incarnation: c.n.incarnation, Message: o.Message})
--- a/pomelonode/doc.go
+++ b/pomelonode/doc.go
@@ -1,4 +1,4 @@
-// Package pomelonode assembles one router from the parts: a control goroutine
-// that owns every decision part, the traffic path beside it, and the listeners
-// for callers and operators.
+// Package pomelonode assembles a router from its components: a control
+// goroutine, which owns all components that make decisions, the request path,
+// and the listeners for callers and operators.
 package pomelonode
--- a/pomelonode/evacuation.go
+++ b/pomelonode/evacuation.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// applyEvacuations begins and ends evacuations as the configuration in force says. Upstreams of an evacuated failure domain get nothing new, as if
-// they were leaving; what runs there goes on.
+// applyEvacuations starts and ends evacuations according to the active configuration. Like leaving upstreams, those of an evacuated
+// failure domain get no new work, and running requests continue.
 func (c *control) applyEvacuations(now time.Time) {
 	domains := c.snapshot.Evacuated()
 	for _, d := range domains {
@@ -31,7 +31,7 @@
 	}
 }
 
-// isEvacuated reports whether an upstream is in a failure domain under evacuation.
+// isEvacuated reports whether an upstream is in an evacuated failure domain.
 func (c *control) isEvacuated(id pomelorelay.UpstreamID) bool {
 	u := c.upstreams[id]
 	return u != nil && slices.Contains(c.evacuated, u.FailureDomain)
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -10,7 +10,7 @@
 // hostsRead is posted when the host list was read.
 type hostsRead struct {
 	hosts []pomelorelay.Host
-	// startedAt is when the reading began.
+	// startedAt is when the read started.
 	startedAt time.Time
 }
 
@@ -30,14 +30,14 @@
 	c.restoreStaying(now, leaving)
 }
 
-// broadcastLeaving tells every router, so that one that reads the host list late, or not at all, learns it too.
+// broadcastLeaving notifies every router that an upstream is leaving, including those that read the host list late or cannot read it.
 func (c *control) broadcastLeaving(id pomelorelay.UpstreamID) {
 	for _, node := range c.otherMembers() {
 		c.out = append(c.out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.LeavingNotice{Upstream: id}})
 	}
 }
 
-// markLeaving makes every part refuse new work for an upstream.
+// markLeaving makes every component refuse new work for an upstream.
 func (c *control) markLeaving(id pomelorelay.UpstreamID) {
 	c.leavingSeenAt[id] = c.now()
 	if c.leaving[id] {
@@ -50,10 +50,11 @@
 	c.n.log(pomelorelay.EventLeaving, field("Upstream", string(id)))
 }
 
-// leavingNoticeValidity is how long a peer's notice outweighs an own host list that does not show the leaving yet, since the list lags.
+// leavingNoticeValidity is how long a peer's notice takes precedence over a host list that does not show the upstream as leaving,
+// since the list lags.
 const leavingNoticeValidity = 30 * time.Second
 
-// restoreStaying takes the mark from upstreams that the host list shows as staying.
+// restoreStaying lets upstreams that the host list no longer shows as leaving get new work again.
 func (c *control) restoreStaying(now time.Time, leaving map[pomelorelay.UpstreamID]bool) {
 	for id := range c.leaving {
 		if leaving[id] || c.isEvacuated(id) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// markStaying lets every part send new work to an upstream again.
+// markStaying reverts markLeaving.
 func (c *control) markStaying(now time.Time, id pomelorelay.UpstreamID) {
 	delete(c.leaving, id)
 	delete(c.leavingSeenAt, id)
@@ -77,7 +78,7 @@
 	c.n.log(pomelorelay.EventUpstreamBack, field("Upstream", string(id)))
 }
 
-// readHosts reads the host list until the node closes.
+// readHosts reads the host list periodically until the node is closed.
 func (n *Node) readHosts(ctx context.Context) {
 	for {
 		n.readHostsOnce(ctx)
@@ -94,8 +95,8 @@
 	}
 }
 
-// awaitHostRead waits for what is left of a large fleet's longer interval, or until a router is heard that the list did not
-// name: a newcomer gets no digests before its address is known, and would serve nobody until then.
+// awaitHostRead waits for the remainder of the interval, which is longer in a large fleet, or until a router contacts this one that the
+// host list did not contain. A new router gets no digests, and cannot serve, until its address is known. It returns false if ctx is done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
 	timer := time.NewTimer(list.Pace(n.status.Load().members) - list.Interval)
@@ -109,7 +110,7 @@
 	return true
 }
 
-// requestHostRead makes the host list be read as soon as its shortest interval allows.
+// requestHostRead requests a read of the host list as soon as HostList.Interval allows.
 func (n *Node) requestHostRead() {
 	select {
 	case n.hostReadRequested <- struct{}{}:
@@ -142,8 +143,8 @@
 	return leaving
 }
 
-// isStaying reports whether neither the control goroutine nor the last host list says that an upstream leaves. The list is looked at
-// itself because requests pass a stalled control goroutine, which would not have taken it in.
+// isStaying reports whether neither the control goroutine nor the last host list marks an upstream as leaving. The list is checked
+// directly because requests can bypass a stalled control goroutine, which has not processed it.
 func (n *Node) isStaying(id pomelorelay.UpstreamID) bool {
 	if n.listedLeaving(id) {
 		return false
@@ -152,21 +153,21 @@
 	return view == nil || !view.leaving[id]
 }
 
-// listedLeaving reports whether the last host list says that an upstream leaves.
+// listedLeaving reports whether the last host list shows an upstream as leaving.
 func (n *Node) listedLeaving(id pomelorelay.UpstreamID) bool {
 	listed := n.leaving.Load()
 	return listed != nil && (*listed)[id]
 }
 
 const (
-	// pauseThreshold is the silence of the control goroutine after which it mistrusts what it knows of upstreams.
+	// pauseThreshold is the time between two rounds of the control goroutine above which its state of upstreams counts as stale.
 	pauseThreshold = time.Second
-	// maxStale bounds the mistrust, so that a router that cannot read the host list works on.
+	// maxStale limits how long the state counts as stale, so that a router that cannot read the host list continues to work.
 	maxStale = 2 * time.Second
 )
 
-// detectPause notices that the control goroutine stood still, as in a paused process. A grant used right after it would go to an
-// upstream that left meanwhile; grants are given back until the host list was read anew.
+// detectPause detects that the control goroutine was paused, for example with the whole process. A grant used right after a pause could
+// send a request to an upstream that left meanwhile, so grants are returned until the host list has been read again.
 func (c *control) detectPause(now time.Time) {
 	if !c.lastRoundAt.IsZero() && now.Sub(c.lastRoundAt) > pauseThreshold {
 		c.staleSince = now
@@ -177,7 +178,7 @@
 	return !c.staleSince.IsZero() && now.Sub(c.staleSince) < maxStale
 }
 
-// sleep waits and reports whether the time passed before ctx ended.
+// sleep waits for d and returns true, or returns false when ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -10,12 +10,12 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// jobs are the shared jobs that this router does now.
+// jobs holds the fleet-wide jobs assigned to this router: slot ownership of upstreams, ledger shards and claim shards.
 type jobs struct {
 	stopLoadReads map[pomelorelay.UpstreamID]func()
 	ledger        map[pomelorelay.ShardID]bool
 	claims        map[pomelorelay.ShardID]bool
-	// rebuilding are the hosted shards of the ledger that are not ready yet.
+	// rebuilding holds the hosted ledger shards that are not ready yet.
 	rebuilding map[pomelorelay.ShardID]bool
 	peers      []pomelorelay.NodeID
 }
@@ -29,7 +29,7 @@
 	}
 }
 
-// placeJobs computes anew which shared jobs this router does.
+// placeJobs recomputes which jobs this router does.
 func (c *control) placeJobs(now time.Time) {
 	c.members = c.memberView.Snapshot()
 	c.reachable = c.memberView.Reachable(now, c.reachable[:0])
@@ -42,8 +42,8 @@
 	c.placeConfigWatch()
 }
 
-// reachableMembers returns the live routers of the failure domains that can be reached: a job that were left to a router beyond a cut
-// would be done by nobody on this side.
+// reachableMembers returns the live routers of reachable failure domains. A job assigned to a router behind a network partition
+// would not be done for this side.
 func (c *control) reachableMembers() []pomelorelay.NodeID {
 	var nodes []pomelorelay.NodeID
 	for _, d := range c.members.Domains() {
@@ -68,8 +68,8 @@
 	return nodes
 }
 
-// slotOwner returns the router that owns an upstream's slots: one of its failure domain, or when none lives there one of its
-// region. Without the second an upstream would idle after the two routers of its domain were lost, though others reach it.
+// slotOwner returns the router that owns an upstream's slots: one of its failure domain or, if none is alive there, one of its
+// region. Without the fallback, an upstream would be unused after its domain lost its routers, although others reach it.
 func (c *control) slotOwner(id pomelorelay.UpstreamID, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	key := "slot/" + string(id)
 	if node, ok := c.members.Owner(key, domain); ok && c.isReachable(domain) {
@@ -114,8 +114,8 @@
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
 	c.out = c.owner.Own(now, slot, c.jobs.peers, c.out)
 	if u.FailureDomain != c.n.self.Domain {
-		// The upstream's own domain may only be cut off from this one and its owner there grants still: nothing is granted here
-		// before the upstream itself answers.
+		// The upstream's domain may be partitioned from this one while the owner there still grants slots, so nothing is
+		// granted here until the upstream itself has reported its load.
 		c.owner.Crashed(now, id)
 	}
 	if c.leaving[id] {
@@ -151,7 +151,7 @@
 	c.n.log(pomelorelay.EventLedgerDropped, field("Shard", uint32(shard)))
 }
 
-// logRebuiltShards tells of shards of the ledger that became ready.
+// logRebuiltShards logs the ledger shards that became ready.
 func (c *control) logRebuiltShards() {
 	for shard := range c.jobs.rebuilding {
 		if _, ready := c.ledger.Hosts(shard); !ready {
@@ -184,9 +184,9 @@
 	}
 }
 
-// claimKeeper returns the router that keeps a claim shard. When all that can be reached stop, each keeps them for itself: without
-// that nobody would take the last settlements, and the stop of a whole fleet would run into its time limit. Several keepers of
-// a shard fence each other at the store.
+// claimKeeper returns the router that keeps a claim shard. If all reachable routers are stopping, each is its own keeper; otherwise
+// no router would accept the last settlements, and stopping a whole fleet would reach its time limit. Several keepers of a
+// shard fence each other at the store.
 func (c *control) claimKeeper(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 	if len(c.jobs.peers) == 0 {
 		return c.n.self.Node, true
@@ -196,7 +196,7 @@
 
 func ledgerKey(shard pomelorelay.ShardID) string { return "ledger/" + strconv.Itoa(int(shard)) }
 
-// placeConfigWatch decides whether this router watches the store's root; the others hear of a new generation from their peers.
+// placeConfigWatch decides whether this router watches the configuration root; the others learn of a new generation from their peers.
 func (c *control) placeConfigWatch() {
 	ranked := pomelomember.Rank("config", c.members.Members(c.n.self.Domain))
 	watch := false
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// stopPollInterval is how often a graceful stop looks whether the last request has ended.
+	// stopPollInterval is how often a graceful stop checks whether requests or claims are still in progress.
 	stopPollInterval = 20 * time.Millisecond
-	// maxClaimsWait is how long a graceful stop waits for the store to hold how claimed requests ended.
+	// maxClaimsWait limits how long a graceful stop waits until the outcomes of claimed requests are stored.
 	maxClaimsWait = 20 * time.Second
 )
 
-// headerLimitFactor is how far over the bound net/http still reads a header. Over its own bound it answers with a plain text; within the
-// room the handler refuses with a number.
+// headerLimitFactor is the ratio of net/http's header limit to the configured one. Above its limit net/http answers in plain text; between
+// the two limits the handler refuses the request with a result code.
 const headerLimitFactor = 4
 
-// Listen opens the callers' and the operators' ports; it fails when an address cannot be listened on.
+// Listen starts serving the caller and the operator port; it fails with CodeListen if it cannot listen on an address.
 func (n *Node) Listen() error {
 	limits := n.cfg.Settings.Limits
 	caller := &http.Server{
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// Errors returns the channel of listeners' failures.
+// Errors returns the channel on which failures of the listeners are reported.
 func (n *Node) Errors() <-chan error { return n.errs }
 
-// CallerHandler returns the handler of the callers' port.
+// CallerHandler returns the handler of the caller port.
 func (n *Node) CallerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The request is counted before the stop is looked at: the other way round, a stop between the two would end the
-		// process under a request that had been let in.
+		// The request is counted before stopping is checked; in the opposite order, a stop between the two could end the process
+		// while the accepted request runs.
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
 		if n.stopping.Load() {
@@ -81,7 +81,7 @@
 	})
 }
 
-// Drain turns readiness off and takes no new work; Stop goes on from there.
+// Drain makes the router not ready and refuse new requests, and hands over its jobs; Stop completes the stop.
 func (n *Node) Drain() {
 	if n.stopping.Swap(true) {
 		return
@@ -91,11 +91,11 @@
 	close(n.drained)
 }
 
-// Drained returns a channel that is closed when a planned stop begins.
+// Drained returns a channel that is closed when draining starts.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Stop ends the router gracefully: it drains, waits for every request in progress, and closes. It fails with CodeStopLate
-// when requests were still in progress at the end of ctx.
+// Stop stops the router gracefully: it drains, waits for all requests in progress, and closes. It fails with CodeStopLate if
+// requests are still in progress when ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
 	n.Drain()
 	err := n.awaitIdle(ctx)
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// awaitClaims waits until the store holds how every claimed request ended. It asks the control goroutine, since the last request's
-// settlement may still be on its way to it: looked for in a status of a moment ago it would be missed, and the repeat of a booking
-// that ran would hear "outcome unknown". In a store outage the wait ends without it, for that answer is still true.
+// awaitClaims waits until the outcomes of all claimed requests are stored. It asks the control goroutine, since the published status may
+// not yet include the last settlement; a retry of that request would then get "outcome unknown". In a store outage the wait times
+// out, as that answer is still correct.
 func (n *Node) awaitClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimsWait)
 	defer cancel()
@@ -147,20 +147,20 @@
 	}
 }
 
-// openClaimsRequested is posted when a stop wants to know how many claims are open after every event before it.
+// openClaimsRequested is posted to get the number of open claims after all earlier events have been applied.
 type openClaimsRequested struct{ answer chan int }
 
 func (e openClaimsRequested) apply(c *control, _ time.Time) { e.answer <- c.claimAsker.Open() }
 
-// shutdownServers closes the listeners and waits for requests that came in while they closed.
+// shutdownServers closes the listeners and waits for requests that arrived in the meantime.
 func (n *Node) shutdownServers(ctx context.Context) {
 	for _, s := range n.servers {
-		// A failure means that ctx ended; Close follows.
+		// An error means that ctx is done; the caller then closes the servers.
 		_ = s.Shutdown(ctx)
 	}
 }
 
-// drainStarted is posted when a planned stop begins: the shared jobs are handed over, requests go on.
+// drainStarted is posted when draining starts: jobs are handed over to other routers, requests in progress continue.
 type drainStarted struct{}
 
 func (drainStarted) apply(c *control, now time.Time) {
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// maxLoadBytes bounds the answer of an upstream's load.
+	// maxLoadBytes limits the size of an upstream's load report.
 	maxLoadBytes = 64 << 10
-	// loadTimeout bounds one read of an upstream's load.
+	// loadTimeout limits one read of an upstream's load.
 	loadTimeout = time.Second
-	// maxLoadFailures in a row make an upstream count as crashed.
+	// maxLoadFailures is the number of consecutive failed reads after which an upstream counts as crashed.
 	maxLoadFailures = 3
 )
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// loadReadFailed is posted when an upstream's load could not be read several times.
+// loadReadFailed is posted when reading an upstream's load failed maxLoadFailures times in a row.
 type loadReadFailed struct{ upstream pomelorelay.UpstreamID }
 
 func (e loadReadFailed) apply(c *control, now time.Time) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// readLoads reads an upstream's load until the returned function is called.
+// readLoads reads an upstream's load periodically until the returned function is called.
 func (n *Node) readLoads(u pomeloconfig.Upstream) func() {
 	ctx, cancel := context.WithCancel(n.ctx)
 	n.start(func(context.Context) {
--- a/pomelonode/mailbox.go
+++ b/pomelonode/mailbox.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// event is something that the control goroutine takes in.
+// event is a change that the control goroutine applies to its state.
 type event interface {
 	apply(c *control, now time.Time)
 }
 
-// mailbox hands events to the control goroutine. Posting never blocks: a request posts a bounded number of events, so the
-// queue is bounded by the requests and store calls in progress, and a stalled control goroutine holds nobody else.
+// mailbox is the queue of events for the control goroutine. Posting never blocks, so a stalled control goroutine blocks no other. The
+// queue is bounded by the requests and store calls in progress, since each posts a bounded number of events.
 type mailbox struct {
 	mu     sync.Mutex
 	events []event
@@ -32,7 +32,7 @@
 	}
 }
 
-// take returns what was posted and leaves the emptied buffer for the next events.
+// take returns the posted events and uses the given slice as the buffer for the next ones.
 func (m *mailbox) take(empty []event) []event {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelomember"
 )
 
-// applyMemberChanges follows routers that came and went.
+// applyMemberChanges processes the membership changes since the last call.
 func (c *control) applyMemberChanges(now time.Time) {
 	c.changes = c.memberView.Changes(c.changes[:0])
 	if len(c.changes) == 0 {
@@ -34,8 +34,8 @@
 	}
 }
 
-// memberAlive welcomes a router. One that restarted before it was missed has lost what it held: kept until the next question after
-// running requests, its grants would be seen as slots that are taken and idle.
+// memberAlive adds a live router. One that restarted before it was detected as dead has lost its grants, so they are reclaimed
+// immediately; otherwise their slots would count as used until the next RunningQuery.
 func (c *control) memberAlive(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	event := pomelorelay.EventMemberUp
 	if before := c.incarnations[node]; before != 0 && incarnation > before && !c.dead[node] {
@@ -48,7 +48,7 @@
 	c.quarantine.Joined(now, node, &c.suspectOut)
 }
 
-// reclaimFrom reclaims what a router that is no more held.
+// reclaimFrom reclaims the grants and other state of a router that died or restarted.
 func (c *control) reclaimFrom(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
 	c.out = c.owner.MemberGone(now, node, c.out)
@@ -56,7 +56,7 @@
 	c.arbiter.MemberGone(node)
 }
 
-// updateReachable follows failure domains that were lost or found again.
+// updateReachable processes failure domains that became unreachable or reachable.
 func (c *control) updateReachable(now time.Time) {
 	c.reachableNow = c.memberView.Reachable(now, c.reachableNow[:0])
 	if slices.Equal(c.reachableNow, c.reachable) {
@@ -75,7 +75,7 @@
 	c.placeJobs(now)
 }
 
-// domainReachable tells the routers of a failure domain that can be reached again what they missed of crash suspects.
+// domainReachable sends the routers of a failure domain that became reachable the crash suspects that they missed.
 func (c *control) domainReachable(now time.Time, domain pomelorelay.DomainID) {
 	c.n.log(pomelorelay.EventDomainReachable, field("Domain", string(domain)))
 	for _, node := range c.members.Members(domain) {
--- a/pomelonode/node.go
+++ b/pomelonode/node.go
@@ -15,7 +15,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// Config holds what a router is made of; Store, HostList and Mesh are made from the settings when they are nil.
+// Config configures a Node. Store, HostList and Mesh are created from Settings if nil; Clock and Logger have defaults.
 type Config struct {
 	Settings pomeloconfig.Settings
 	Store    pomelorelay.Store
@@ -23,18 +23,18 @@
 	Mesh     pomelorelay.Mesh
 	Clock    pomelorelay.Clock
 	Logger   pomelorelay.Logger
-	// Incarnation marks this start; the clock's nanoseconds when zero.
+	// Incarnation identifies this start of the router; zero means the clock's Unix nanoseconds.
 	Incarnation pomelorelay.Incarnation
 }
 
-// counters are figures that the control goroutine and others count up.
+// counters are the counters that /debug/vars publishes.
 type counters struct {
 	sendsRefused    atomic.Uint64
 	hostReadsFailed atomic.Uint64
 	refusedStopping atomic.Uint64
 }
 
-// Node is one router.
+// Node is a router.
 type Node struct {
 	cfg               Config
 	self              pomelorelay.Peer
@@ -55,7 +55,7 @@
 	heartbeat atomic.Int64
 	watching  atomic.Bool
 	stopping  atomic.Bool
-	// leaving holds the upstreams that the last host list shows as leaving.
+	// leaving is the set of upstreams that the last host list shows as leaving.
 	leaving  atomic.Pointer[map[pomelorelay.UpstreamID]bool]
 	inFlight atomic.Int64
 
@@ -69,7 +69,7 @@
 	errs    chan error
 }
 
-// New makes a router and starts its goroutines; Listen opens its ports. It fails with the store client's or mesh's code.
+// New creates a router and starts its goroutines; Listen opens its ports. It fails with the code of the store client or of the mesh.
 func New(cfg Config) (*Node, error) {
 	n := &Node{
 		cfg:               cfg,
@@ -110,7 +110,7 @@
 	return n, nil
 }
 
-// complete fills in what the configuration left out.
+// complete sets the defaults of the configuration and opens the store, the host list and the mesh.
 func (n *Node) complete() error {
 	s := n.cfg.Settings
 	if n.cfg.Clock == nil {
@@ -198,15 +198,15 @@
 
 func field(key string, value any) pomelorelay.Field { return pomelorelay.Field{Key: key, Value: value} }
 
-// isControlStalled reports whether the control goroutine has been silent for too long.
+// isControlStalled reports whether the control goroutine's heartbeat is older than stallThreshold.
 func (n *Node) isControlStalled() bool {
 	return n.cfg.Clock.Now().UnixNano()-n.heartbeat.Load() > int64(stallThreshold)
 }
 
-// Ready reports whether the router takes work.
+// Ready reports whether the router accepts requests.
 func (n *Node) Ready() bool { return n.traffic.Load() != nil && !n.stopping.Load() }
 
-// Close ends the router at once; Stop does so gracefully.
+// Close stops the router immediately, without waiting for requests in progress; it always returns nil.
 func (n *Node) Close() error {
 	n.once.Do(func() {
 		for _, s := range n.servers {
@@ -221,10 +221,10 @@
 	return nil
 }
 
-// configSource implements pomeloroute.Directory.
+// configSource implements pomeloroute.ConfigSource.
 type configSource struct{ n *Node }
 
-// Current returns the configuration in force.
+// Current returns the active configuration, nil before the first one.
 func (d configSource) Current() pomeloroute.Snapshot {
 	view := d.n.traffic.Load()
 	if view == nil || view.snapshot == nil {
--- a/pomelonode/operator.go
+++ b/pomelonode/operator.go
@@ -14,7 +14,7 @@
 	"github.com/gorilla/mux"
 )
 
-// controlBytes is what /debug/vars says of the traffic between routers.
+// controlBytes is the traffic between routers in bytes, as /debug/vars publishes it.
 type controlBytes struct {
 	DomainSent     pomelorelay.Bytes
 	DomainReceived pomelorelay.Bytes
@@ -24,7 +24,7 @@
 	CrossReceived  pomelorelay.Bytes
 }
 
-// figures is what /debug/vars says of the router.
+// figures is the router's state and counters, as /debug/vars publishes them.
 type figures struct {
 	Node            pomelorelay.NodeID
 	Generation      pomelorelay.Generation
@@ -38,7 +38,7 @@
 	Store           json.RawMessage                 `json:",omitempty"`
 }
 
-// OperatorHandler returns the handler of the operators' port.
+// OperatorHandler returns the handler of the operator port.
 func (n *Node) OperatorHandler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/health", n.health).Methods(http.MethodGet)
@@ -58,8 +58,8 @@
 	})
 }
 
-// health says that the process serves; a stalled control goroutine is told but does not fail it, since a restart would cut
-// off requests in progress.
+// health reports that the process is running. A stalled control goroutine is reported but does not fail the check, since a restart
+// would end requests in progress.
 func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, struct{ Healthy, ControlStalled bool }{true, n.isControlStalled()})
 }
@@ -80,7 +80,8 @@
 	writeJSON(w, http.StatusOK, s)
 }
 
-// activeGeneration returns the generation that requests are served by now; the control goroutine's own figures are up to statusEvery old.
+// activeGeneration returns the configuration generation that requests currently use; the published status can be up to
+// statusInterval old.
 func (n *Node) activeGeneration() pomelorelay.Generation {
 	view := n.traffic.Load()
 	if view == nil || view.snapshot == nil {
@@ -104,7 +105,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// vars writes the figures in expvar's form; a process that embeds several routers could not publish each in expvar's one table.
+// vars writes the figures in expvar's format. They are not published through expvar, whose global table could not hold several routers
+// in one process.
 func (n *Node) vars(w http.ResponseWriter, _ *http.Request) {
 	all := make(map[string]json.RawMessage)
 	expvar.Do(func(kv expvar.KeyValue) { all[kv.Key] = json.RawMessage(kv.Value.String()) })
@@ -147,6 +149,6 @@
 func writeJSON(w http.ResponseWriter, code int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	// An operator whose connection broke asks again.
+	// A write error means that the operator has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// receive hands a message to the part that it is for.
+// receive passes a message to the component that handles it.
 func (c *control) receive(now time.Time, e pomelorelay.Envelope) {
 	if e.From != c.n.self.Node {
 		c.memberView.Heard(now, e.From, e.Incarnation)
@@ -31,7 +31,7 @@
 	}
 }
 
-// receiveState hands on messages of membership, ledger and configuration.
+// receiveState handles messages of membership, ledger and configuration.
 func (c *control) receiveState(now time.Time, e pomelorelay.Envelope) {
 	switch m := e.Message.(type) {
 	case *pomelorelay.Digest:
@@ -64,7 +64,7 @@
 	}
 }
 
-// receiveClaimOrSuspect hands on messages of claims and crash suspects.
+// receiveClaimOrSuspect handles messages of claims and crash suspects.
 func (c *control) receiveClaimOrSuspect(now time.Time, e pomelorelay.Envelope) {
 	switch m := e.Message.(type) {
 	case *pomelorelay.ClaimAsk:
--- a/pomelonode/status.go
+++ b/pomelonode/status.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloclaim"
 )
 
-// status is what operators see; the control goroutine publishes it from time to time.
+// status is the state served under /status; the control goroutine publishes it every statusInterval.
 type status struct {
 	Node        pomelorelay.NodeID
 	Domain      pomelorelay.DomainID
@@ -23,7 +23,7 @@
 	Upstreams   []upstreamStatus
 	Pools       []poolStatus
 	Jobs        jobStatus
-	// Claims are the open ones, for which a planned stop waits.
+	// Claims counts the open claims, for which a graceful stop waits.
 	Claims pomeloclaim.Phases
 
 	members int
@@ -59,7 +59,7 @@
 	ClaimShards  int
 }
 
-// retryAfter guesses when a caller of the pool may come back.
+// retryAfter estimates when a caller of the pool should retry: after 1 s, plus 1 s for every ten waiting requests.
 func (s *status) retryAfter(pool pomelorelay.PoolID) time.Duration {
 	for _, p := range s.Pools {
 		if p.Pool == pool && p.Waiting > 0 {
--- a/pomelonode/storeio.go
+++ b/pomelonode/storeio.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// storeTimeout bounds one call to the store.
+	// storeTimeout limits one call to the store.
 	storeTimeout = 2 * time.Second
-	// watchRetryDelay follows a watch that failed, so that an outage is not met with a storm of calls.
+	// watchRetryDelay is the delay after a failed watch, so that an outage does not cause a burst of calls.
 	watchRetryDelay = 500 * time.Millisecond
-	// watcherCheckInterval is how often a router that does not watch looks whether it should.
+	// watcherCheckInterval is how often a router that is not a watcher checks whether it has become one.
 	watcherCheckInterval = 250 * time.Millisecond
 )
 
-// storeOp carries out a keeper's store operation and posts what it returned.
+// storeOp executes a store operation of the claim keeper and posts its result.
 func (n *Node) storeOp(op pomeloclaim.StoreOp) {
 	n.start(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -57,7 +57,7 @@
 	return n.cfg.Store.Get(ctx, key)
 }
 
-// watchRoot watches the configuration's root while this router is one of its failure domain's watchers.
+// watchRoot watches the configuration root while this router is one of the watchers of its failure domain.
 func (n *Node) watchRoot(ctx context.Context) {
 	var seen pomelorelay.Revision
 	for ctx.Err() == nil {
--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// suspects implements pomeloroute.Suspects: reads go to a snapshot, everything else to the control goroutine.
+// suspects implements pomeloroute.Suspects: it reads from a snapshot and posts everything else to the control goroutine.
 type suspects struct{ n *Node }
 
 // CheckQuarantine fails with CodeQuarantined while the fingerprint is quarantined.
@@ -27,7 +27,7 @@
 	return e
 }
 
-// AwaitPermission lets a request that is no suspect run at once; a suspect waits for the arbiters' word.
+// AwaitPermission returns nil immediately for a request that is not a suspect; a suspect waits for the decision of the arbiters.
 func (a suspects) AwaitPermission(ctx context.Context, run pomeloroute.SuspectRun) error {
 	if !run.KnownSuspect && !a.n.suspects.Load().Suspect(run.Fingerprint) {
 		return nil
@@ -43,8 +43,8 @@
 	}
 }
 
-// verdict turns a decision into an error. The turn may have come after seconds: an upstream that has begun to leave
-// meanwhile would be seen to get new work long after the host list said so.
+// verdict converts a decision into an error. It refuses an upstream that has started leaving, since the decision may have taken seconds
+// and the upstream would get new work long after the host list showed it as leaving.
 func (a suspects) verdict(v pomeloquarantine.Verdict) error {
 	switch v.Decision {
 	case pomeloquarantine.DecisionRun:
@@ -60,17 +60,17 @@
 	return e
 }
 
-// AttemptStarted tells that an attempt is about to be sent.
+// AttemptStarted reports that an attempt is about to be sent.
 func (a suspects) AttemptStarted(run pomeloroute.SuspectRun) {
 	a.n.mail.post(suspectAttemptStarted{suspectRun(run)})
 }
 
-// UpstreamCrashed tells that the upstream crashed while the attempt ran.
+// UpstreamCrashed reports that the upstream crashed while the attempt ran.
 func (a suspects) UpstreamCrashed(run pomeloroute.SuspectRun) {
 	a.n.mail.post(suspectAttemptCrashed{suspectRun(run)})
 }
 
-// AttemptEnded tells that the attempt ended otherwise, and whether its answer was whole.
+// AttemptEnded reports that the attempt ended without a crash, and whether its answer was complete.
 func (a suspects) AttemptEnded(run pomeloroute.SuspectRun, complete bool) {
 	a.n.mail.post(suspectAttemptEnded{suspectRun(run), complete})
 }
@@ -113,7 +113,7 @@
 }
 
 type suspectAttemptEnded struct {
-	run   pomeloquarantine.Run
+	run      pomeloquarantine.Run
 	complete bool
 }
 
@@ -121,14 +121,15 @@
 	c.quarantine.Ended(e.run, e.complete, &c.suspectOut)
 }
 
-// quarantineLifted is posted when an operator ends a quarantine.
+// quarantineLifted is posted when an operator lifts a quarantine.
 type quarantineLifted struct{ fingerprint pomelorelay.Fingerprint }
 
 func (e quarantineLifted) apply(c *control, now time.Time) {
 	c.quarantine.Lift(now, e.fingerprint, &c.suspectOut)
 }
 
-// flushSuspects carries out what the quarantine's parts asked for and publishes their state to the traffic path.
+// flushSuspects sends the messages and delivers the verdicts of the quarantine components, and publishes their snapshot for the
+// request path.
 func (c *control) flushSuspects() {
 	c.out = append(c.out, c.suspectOut.Messages...)
 	for _, v := range c.suspectOut.Verdicts {
--- a/pomelonode/traffic.go
+++ b/pomelonode/traffic.go
@@ -13,12 +13,12 @@
 	return v.snapshot.Authenticate(token)
 }
 
-// MayCall returns whether the account may call the service.
+// MayCall reports whether the account may call the service.
 func (v *trafficView) MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool {
 	return v.snapshot.MayCall(account, service)
 }
 
-// Service returns the service of the name.
+// Service returns the service with the given name.
 func (v *trafficView) Service(name pomelorelay.ServiceID) (*pomeloconfig.Service, bool) {
 	service, ok := v.snapshot.Service(name)
 	return &service, ok
