--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -50,7 +50,7 @@
 
 // Admit waits for a grant; it fails when the queue refuses the request, when WaitUntil has passed or when ctx is done.
 func (a admission) Admit(ctx context.Context, r pomeloroute.AdmitRequest) (pomeloroute.Ticket, error) {
-	w := &waiter{request: r, id: pomelorelay.RequestID(a.n.lastAttempt.Add(1)), answer: make(chan admitResult, 1)}
+	w := &waiter{request: r, id: pomelorelay.RequestID(a.n.lastAttemptID.Add(1)), answer: make(chan admitResult, 1)}
 	a.n.mail.post(requestQueued{w})
 	waitTimer := time.NewTimer(time.Until(r.WaitUntil))
 	defer waitTimer.Stop()
@@ -284,5 +284,5 @@
 	if ok {
 		s.Head, s.Waiting = head, waiting
 	}
-	c.out = c.asker.Settled(now, id, s, c.out)
+	c.outgoing = c.asker.Settled(now, id, s, c.outgoing)
 }
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -100,7 +100,7 @@
 	}
 	c.ledger = pomeloledger.New(pomeloledger.Config{
 		Self:    n.self,
-		Shards:  n.shards,
+		Shards:  n.ledgerShards,
 		Options: pomeloledger.Options{ExchangeEvery: s.ExchangeInterval},
 		Fleet: pomeloledger.Fleet{
 			Routers: func() []pomelorelay.NodeID { return c.members.Members(n.self.Domain) },
@@ -109,7 +109,7 @@
 		},
 	})
 	c.reporter = pomeloledger.NewReporter(pomeloledger.ReporterConfig{
-		Shards: n.shards,
+		Shards: n.ledgerShards,
 		Every:  s.LedgerInterval,
 		Host: func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 			return host(shard, n.self.Domain)
--- a/pomelonode/badinput_test.go
+++ b/pomelonode/badinput_test.go
@@ -14,14 +14,14 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// rawAnswer is what a router answers to bytes that no client library would send.
+// rawAnswer is the answer to a request sent as raw bytes.
 type rawAnswer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// sendRaw writes the bytes, closes the sending side and reads one answer; status 0 means that the connection was closed without.
+// sendRaw writes the bytes, closes the write side and reads one answer; status 0 means that the connection was closed without an answer.
 func sendRaw(t *testing.T, addr, text string) rawAnswer {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -32,7 +32,7 @@
 	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
 		t.Fatal(err)
 	}
-	// A router that refuses early closes while the rest is still being written.
+	// Writing fails if the router refuses the request before it has read all of it.
 	_, _ = io.WriteString(conn, text)
 	_ = conn.(*net.TCPConn).CloseWrite()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -44,14 +44,14 @@
 	return rawAnswer{resp.StatusCode, resp.Header, string(body)}
 }
 
-// request builds a request's text; extra holds whole header lines.
+// request returns the bytes of a request; extra holds complete header lines.
 func request(method, path, extra, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: router\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", method, path, extra, len(body), body)
 }
 
 const bearer = "Authorization: Bearer " + token + "\r\n"
 
-func TestBadRequestsGetNumberedRefusals(t *testing.T) {
+func TestBadRequestsGetResultCodes(t *testing.T) {
 	f := newFleet(t, 2)
 	f.awaitReady()
 	caller := f.routers[0].settings.Listen.Caller.String()
@@ -103,15 +103,15 @@
 			continue
 		}
 		if p.Code != c.want || p.Ran != pomelorelay.RanNo || got.status != c.want.Info().HTTPStatus || got.header.Get("Ran") != "No" || p.Detail == "" {
-			t.Errorf("%s: answered %d, %+v; wanted code %d", c.name, got.status, p, c.want)
+			t.Errorf("%s: answered %d, %+v; want code %d", c.name, got.status, p, c.want)
 		}
 	}
-	f.servesOn(t)
+	f.assertServing(t)
 }
 
-func TestWhatIsNoHTTPIsRefused(t *testing.T) {
-	// Scanners and broken clients send bytes that are not HTTP. net/http refuses them before any handler sees them, with a plain
-	// text and no number; the router must stay as it was.
+func TestNonHTTPInputIsRefused(t *testing.T) {
+	// Scanners and broken clients send bytes that are not HTTP. net/http refuses them in plain text, before any handler runs and
+	// without a result code; the router must continue to serve.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	for _, addr := range []string{f.routers[0].settings.Listen.Caller.String(), f.routers[0].settings.Listen.Operator.String()} {
@@ -126,13 +126,13 @@
 			}
 		}
 	}
-	f.servesOn(t)
+	f.assertServing(t)
 }
 
-func TestGarbageOnTheControlPortIsRefused(t *testing.T) {
-	// Something that is no router connects to the control port. Each attempt must cost its own connection only, and operators
-	// must find a numbered event.
-	f, _, _ := newKeyedFleet(t, 2)
+func TestInvalidInputOnControlPortIsRefused(t *testing.T) {
+	// Clients that are not routers connect to the control port. Each attempt must affect only its own connection and must be logged
+	// as an event.
+	f, _, _ := newTLSFleet(t, 2)
 	for i := range f.routers {
 		f.start(i)
 	}
@@ -141,20 +141,20 @@
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("\x00", 4096), "\x16\x03\x01\x02\x00\x01\x00\x01\xfc", ""} {
 		_ = sendRaw(t, r.settings.Listen.Control.String(), text)
 	}
-	await(t, "the event 1002", func() bool { return r.log.count(pomelorelay.EventMeshRefused) > 0 })
-	await(t, "both routers see each other", func() bool { return r.sees(2) && f.routers[1].sees(2) })
-	f.servesOn(t)
+	await(t, "EventMeshRefused is logged", func() bool { return r.log.count(pomelorelay.EventMeshRefused) > 0 })
+	await(t, "both routers see each other", func() bool { return r.seesMembers(2) && f.routers[1].seesMembers(2) })
+	f.assertServing(t)
 }
 
-// servesOn fails when a router does not serve or a goroutine of it has panicked.
-func (f *fleet) servesOn(t *testing.T) {
+// assertServing fails the test if a router does not serve a valid request or has logged a panic.
+func (f *fleet) assertServing(t *testing.T) {
 	t.Helper()
 	for _, r := range f.routers {
 		if got := r.call(http.MethodPost, "/status/jobs", "", "{}"); got.status != http.StatusOK {
-			t.Errorf("a good request was answered %d %v: %s", got.status, got.err, got.body)
+			t.Errorf("a valid request was answered %d %v: %s", got.status, got.err, got.body)
 		}
 		if n := r.log.count(pomelorelay.EventHandlerPanicked); n != 0 {
-			t.Errorf("%d goroutines failed", n)
+			t.Errorf("%d handlers panicked", n)
 		}
 	}
 }
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -87,7 +87,7 @@
 
 // flushClaims sends the messages, starts the store operations and delivers the verdicts that the claim components produced.
 func (c *control) flushClaims() {
-	c.out = append(c.out, c.claimOut.Messages...)
+	c.outgoing = append(c.outgoing, c.claimOut.Messages...)
 	for _, op := range c.claimOut.Store {
 		c.n.storeOp(op)
 	}
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -76,7 +76,7 @@
 
 func (e configCompiled) apply(c *control, now time.Time) {
 	if e.err != nil {
-		c.out = c.spreader.Refused(e.generation, pomelorelay.CodeOf(e.err), c.out)
+		c.outgoing = c.spreader.Refused(e.generation, pomelorelay.CodeOf(e.err), c.outgoing)
 		return
 	}
 	c.spreader.InForce(e.generation)
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -63,7 +63,7 @@
 	incarnations   map[pomelorelay.NodeID]pomelorelay.Incarnation
 	loads          map[pomelorelay.UpstreamID]pomeloslot.LoadReport
 
-	out          []pomelorelay.Outgoing
+	outgoing     []pomelorelay.Outgoing
 	claimOut     pomeloclaim.Output
 	suspectOut   pomeloquarantine.Output
 	changedPools map[pomelorelay.PoolID]bool
@@ -139,15 +139,15 @@
 	c.updateReachable(now)
 	c.chargeProgress(now)
 	c.expireWaiters(now)
-	c.out = c.owner.Tick(now, c.out)
+	c.outgoing = c.owner.Tick(now, c.outgoing)
 	c.publishSlots(now)
-	c.out = c.memberView.Tick(now, c.out)
-	c.out = c.asker.Tick(now, c.out)
+	c.outgoing = c.memberView.Tick(now, c.outgoing)
+	c.outgoing = c.asker.Tick(now, c.outgoing)
 	c.tickLedger(now)
 	c.keeper.Tick(now, &c.claimOut)
 	c.claimAsker.Tick(now, &c.claimOut)
 	c.quarantine.Tick(now, &c.suspectOut)
-	c.out = c.spreader.Tick(now, c.out)
+	c.outgoing = c.spreader.Tick(now, c.outgoing)
 	c.fetchConfig(now)
 	for pool := range c.pools {
 		c.queues.SetVirtual(pool, c.asker.Virtual(pool))
@@ -196,8 +196,8 @@
 		c.keys = c.queues.Interest(c.keys[:0])
 		c.reporter.SetInterest(c.keys)
 	}
-	c.out = c.reporter.Tick(now, c.out)
-	c.out = c.ledger.Tick(now, c.out)
+	c.outgoing = c.reporter.Tick(now, c.outgoing)
+	c.outgoing = c.ledger.Tick(now, c.outgoing)
 	c.logRebuiltShards()
 }
 
@@ -207,11 +207,11 @@
 		c.flushHeads(now)
 		c.flushClaims()
 		c.flushSuspects()
-		if len(c.out) == 0 {
+		if len(c.outgoing) == 0 {
 			return
 		}
-		sending := c.out
-		c.out = nil
+		sending := c.outgoing
+		c.outgoing = nil
 		for _, o := range sending {
 			c.send(now, o)
 		}
@@ -228,7 +228,7 @@
 		c.heads = append(c.heads, pomeloslot.PoolHead{Pool: pool, Head: head, Waiting: waiting})
 		delete(c.changedPools, pool)
 	}
-	c.out = c.asker.Heads(now, c.heads, c.out)
+	c.outgoing = c.asker.Heads(now, c.heads, c.outgoing)
 }
 
 // send passes a message to the mesh, or directly to receive if it is for this router. A message that the mesh refuses is lost, as on a
--- a/pomelonode/evacuation_test.go
+++ b/pomelonode/evacuation_test.go
@@ -9,9 +9,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Guards against new work at upstreams of an evacuated failure domain, as long as the configuration says so and from every router, and against one
-// that stays unused after it was taken back.
-func TestAnEvacuatedDomainGetsNoNewWork(t *testing.T) {
+// Guards against sending new work from any router to an evacuated failure domain, and against leaving it unused after the
+// evacuation has ended.
+func TestEvacuatedDomainGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 4)
 	f.awaitReady()
 	server := f.statuses[domains[0]]
@@ -21,7 +21,7 @@
 	f.content.Evacuated = []pomelorelay.DomainID{domains[0]}
 	f.publish("evacuate")
 	accepted := time.Now()
-	for n := 0; time.Since(accepted) < leaveWithin; n++ {
+	for n := 0; time.Since(accepted) < maxLeaveDelay; n++ {
 		call(n)
 	}
 	before := len(server.Runs(0))
--- a/pomelonode/fleet_test.go
+++ b/pomelonode/fleet_test.go
@@ -25,16 +25,16 @@
 	waitLimit = 20 * time.Second
 	token     = "workshop-token"
 	model     = "estimator"
-	// slotsPerUpstream requests run at once at each upstream.
+	// slotsPerUpstream is the number of requests that each upstream runs at once.
 	slotsPerUpstream = 8
-	// crashMarker in a request makes an engine crash.
+	// crashMarker makes an engine crash if a request contains it.
 	crashMarker = "unsettable stone"
 )
 
-// domains are the failure domains of a fleet; each has an engine, a booking service and a status service of its own.
+// domains are the failure domains of a fleet; each has an upstream of every service.
 var domains = []pomelorelay.DomainID{"recife-a", "recife-b"}
 
-// fleet is a small fleet in one process, with stand-ins on loopback.
+// fleet is a small fleet in one process, with a fake store, host list and upstreams on loopback.
 type fleet struct {
 	t         *testing.T
 	store     *pomelofake.Store
@@ -54,63 +54,63 @@
 type router struct {
 	node     *pomelonode.Node
 	settings pomeloconfig.Settings
-	store    *gatedStore
-	hosts    *gatedHosts
+	store    *partitionableStore
+	hosts    *partitionableHosts
 	mesh     pomelorelay.Mesh
 	log      *eventLog
-	// logger takes the log's place when it is set.
+	// logger replaces log if it is set.
 	logger   pomelorelay.Logger
 	url      string
 	operator string
 }
 
-// gatedStore cuts one router from the store.
-type gatedStore struct {
+// partitionableStore can make the store unreachable for one router.
+type partitionableStore struct {
 	pomelorelay.Store
-	cut atomic.Bool
+	unreachable atomic.Bool
 }
 
-var errCut = pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "cut off", nil)
+var errUnreachable = pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "cut off", nil)
 
-func (g *gatedStore) Get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
-	if g.cut.Load() {
-		return pomelorelay.Record{}, errCut
+func (g *partitionableStore) Get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
+	if g.unreachable.Load() {
+		return pomelorelay.Record{}, errUnreachable
 	}
 	return g.Store.Get(ctx, key)
 }
 
-func (g *gatedStore) CompareAndSwap(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, error) {
-	if g.cut.Load() {
-		return 0, errCut
+func (g *partitionableStore) CompareAndSwap(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, error) {
+	if g.unreachable.Load() {
+		return 0, errUnreachable
 	}
 	return g.Store.CompareAndSwap(ctx, key, value, old, lease)
 }
 
-func (g *gatedStore) Watch(ctx context.Context, key pomelorelay.StoreKey, after pomelorelay.Revision) (pomelorelay.Record, error) {
-	if g.cut.Load() {
-		return pomelorelay.Record{}, errCut
+func (g *partitionableStore) Watch(ctx context.Context, key pomelorelay.StoreKey, after pomelorelay.Revision) (pomelorelay.Record, error) {
+	if g.unreachable.Load() {
+		return pomelorelay.Record{}, errUnreachable
 	}
 	record, err := g.Store.Watch(ctx, key, after)
-	if g.cut.Load() {
-		return pomelorelay.Record{}, errCut
+	if g.unreachable.Load() {
+		return pomelorelay.Record{}, errUnreachable
 	}
 	return record, err
 }
 
-// gatedHosts cuts one router from the host list.
-type gatedHosts struct {
+// partitionableHosts can make the host list unreachable for one router.
+type partitionableHosts struct {
 	pomelorelay.HostList
-	cut atomic.Bool
+	unreachable atomic.Bool
 }
 
-func (g *gatedHosts) Hosts(ctx context.Context) ([]pomelorelay.Host, error) {
-	if g.cut.Load() {
-		return nil, errCut
+func (g *partitionableHosts) Hosts(ctx context.Context) ([]pomelorelay.Host, error) {
+	if g.unreachable.Load() {
+		return nil, errUnreachable
 	}
 	return g.HostList.Hosts(ctx)
 }
 
-// newFleet starts routers that take turns over the failure domains, on a network in memory.
+// newFleet starts routers, assigned round robin to the failure domains, on an in-memory network.
 func newFleet(t *testing.T, routers int) *fleet {
 	f := &fleet{
 		t:        t,
@@ -129,15 +129,15 @@
 		s := f.settings(i)
 		f.routers = append(f.routers, &router{settings: s, log: &eventLog{}, url: "http://" + s.Listen.Caller.String(), operator: "http://" + s.Listen.Operator.String()})
 	}
-	f.listHosts()
+	f.publishHosts()
 	for i := range f.routers {
 		f.start(i)
 	}
 	return f
 }
 
-// listHosts puts the routers and the configured upstreams on the host list.
-func (f *fleet) listHosts() {
+// publishHosts sets the host list to the routers and the configured upstreams.
+func (f *fleet) publishHosts() {
 	var hosts []pomelorelay.Host
 	for _, r := range f.routers {
 		s := r.settings
@@ -182,7 +182,7 @@
 	return c
 }
 
-// startEngine starts an engine that crashes with its host on a marked request.
+// startEngine starts an engine whose host crashes on a request that contains crashMarker.
 func (f *fleet) startEngine() (*pomelofake.Engine, netip.AddrPort) {
 	addr := pomelofake.FreeAddr().String()
 	var host *pomelofake.Host
@@ -221,7 +221,7 @@
 	return u
 }
 
-// publish makes the fleet's content the accepted configuration.
+// publish publishes the fleet's content as the accepted configuration.
 func (f *fleet) publish(why string) pomeloconfig.Root {
 	f.t.Helper()
 	if f.publisher == nil {
@@ -264,8 +264,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	r.store = &gatedStore{Store: client}
-	r.hosts = &gatedHosts{HostList: hosts}
+	r.store = &partitionableStore{Store: client}
+	r.hosts = &partitionableHosts{HostList: hosts}
 	incarnation := pomelorelay.Incarnation(time.Now().UnixNano())
 	self := pomelorelay.Peer{Node: s.Host.Name, Addr: s.Listen.Control, Domain: s.Host.FailureDomain, Region: s.Host.Region}
 	if f.network != nil {
@@ -301,11 +301,11 @@
 	})
 }
 
-// await polls until the condition holds; only a run that never gets there fails.
-func await(t *testing.T, what string, holds func() bool) {
+// await polls until the condition holds and fails the test after waitLimit.
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
@@ -337,29 +337,29 @@
 	return answer{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// seenStatus is what the tests read of a router's status.
-type seenStatus struct {
+// routerStatus is the part of a router's /status that the tests read.
+type routerStatus struct {
 	Generation pomelorelay.Generation
 	Members    []struct{ Node pomelorelay.NodeID }
 	Upstreams  []struct{ Upstream pomelorelay.UpstreamID }
 }
 
-// readStatus returns what the router's operator port tells; nothing when it does not answer.
-func (r *router) readStatus() seenStatus {
-	var s seenStatus
+// readStatus returns the router's /status, or an empty one if it cannot be read.
+func (r *router) readStatus() routerStatus {
+	var s routerStatus
 	resp, err := http.Get(r.operator + "/status")
 	if err != nil {
 		return s
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
-		return seenStatus{}
+		return routerStatus{}
 	}
 	return s
 }
 
-// atOnce runs a call so many times at the same time and waits for all.
-func (f *fleet) atOnce(n int, call func(i int)) {
+// concurrently runs n calls at the same time and waits for all of them.
+func (f *fleet) concurrently(n int, call func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { call(i) })
@@ -367,5 +367,5 @@
 	wg.Wait()
 }
 
-// generation returns what the router's operator port says is in force.
+// generation returns the configuration generation that the router reports as active.
 func (r *router) generation() pomelorelay.Generation { return r.readStatus().Generation }
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -18,7 +18,7 @@
 	if !e.startedAt.Before(c.staleSince) {
 		c.staleSince = time.Time{}
 	}
-	c.out = c.memberView.Hosts(now, e.hosts, c.out)
+	c.outgoing = c.memberView.Hosts(now, e.hosts, c.outgoing)
 	c.n.mesh.SetPeers(c.memberView.Peers(nil))
 	leaving := leavingUpstreams(e.hosts)
 	for id := range leaving {
@@ -33,7 +33,7 @@
 // broadcastLeaving notifies every router that an upstream is leaving, including those that read the host list late or cannot read it.
 func (c *control) broadcastLeaving(id pomelorelay.UpstreamID) {
 	for _, node := range c.otherMembers() {
-		c.out = append(c.out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.LeavingNotice{Upstream: id}})
+		c.outgoing = append(c.outgoing, pomelorelay.Outgoing{To: node, Message: &pomelorelay.LeavingNotice{Upstream: id}})
 	}
 }
 
@@ -73,7 +73,7 @@
 	delete(c.leaving, id)
 	delete(c.leavingSeenAt, id)
 	c.asker.Back(id)
-	c.out = c.owner.Back(now, id, c.out)
+	c.outgoing = c.owner.Back(now, id, c.outgoing)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventUpstreamBack, field("Upstream", string(id)))
 }
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -112,7 +112,7 @@
 func (c *control) ownUpstream(now time.Time, id pomelorelay.UpstreamID) {
 	u := c.upstreams[id]
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
-	c.out = c.owner.Own(now, slot, c.jobs.peers, c.out)
+	c.outgoing = c.owner.Own(now, slot, c.jobs.peers, c.outgoing)
 	if u.FailureDomain != c.n.self.Domain {
 		// The upstream's domain may be partitioned from this one while the owner there still grants slots, so nothing is
 		// granted here until the upstream itself has reported its load.
@@ -126,7 +126,7 @@
 }
 
 func (c *control) placeLedger(now time.Time) {
-	for i := range c.n.shards {
+	for i := range c.n.ledgerShards {
 		shard := pomelorelay.ShardID(i)
 		node, ok := c.members.Owner(ledgerKey(shard), c.n.self.Domain)
 		mine := ok && node == c.n.self.Node
@@ -139,7 +139,7 @@
 		}
 		c.jobs.ledger[shard] = true
 		c.jobs.rebuilding[shard] = true
-		c.out = c.ledger.Host(now, shard, c.out)
+		c.outgoing = c.ledger.Host(now, shard, c.outgoing)
 		c.n.log(pomelorelay.EventLedgerHosted, field("Shard", uint32(shard)))
 	}
 }
@@ -203,5 +203,5 @@
 	for i, node := range ranked {
 		watch = watch || (i < c.n.cfg.Settings.Control.ConfigWatchers && node == c.n.self.Node)
 	}
-	c.n.watching.Store(watch)
+	c.n.watchingConfig.Store(watch)
 }
--- a/pomelonode/keys_test.go
+++ b/pomelonode/keys_test.go
@@ -18,14 +18,14 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// authority signs routers' certificates.
+// authority is a certificate authority that issues router certificates.
 type authority struct {
 	t           *testing.T
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	serial      int64
-	// left is how long the certificates that it issues have still to run; they have run for an hour.
-	left time.Duration
+	// validFor is the remaining validity of issued certificates; they are valid since an hour ago.
+	validFor time.Duration
 }
 
 func newAuthority(t *testing.T) *authority {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &authority{t: t, certificate: certificate, key: key, serial: 1, left: time.Hour}
+	return &authority{t: t, certificate: certificate, key: key, serial: 1, validFor: time.Hour}
 }
 
 func newKey(t *testing.T) *ecdsa.PrivateKey {
@@ -55,7 +55,7 @@
 	return key
 }
 
-// keyFiles returns the settings of the key files in a directory.
+// keyFiles returns the TLS settings for the key files in a directory.
 func keyFiles(dir string) pomeloconfig.TLSSettings {
 	return pomeloconfig.TLSSettings{
 		CertFile:      filepath.Join(dir, "router.crt"),
@@ -64,12 +64,12 @@
 	}
 }
 
-// issue writes a router's new key and certificate into the directory.
+// issue writes a new key and certificate for a router into the directory.
 func (a *authority) issue(dir string, node pomelorelay.NodeID) {
 	a.t.Helper()
 	a.serial++
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(a.serial), DNSNames: []string{string(node)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(a.left),
+		SerialNumber: big.NewInt(a.serial), DNSNames: []string{string(node)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(a.validFor),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
 	key := newKey(a.t)
@@ -97,8 +97,8 @@
 	}
 }
 
-// trust writes the authorities that a router trusts into its directory.
-func trust(dir string, authorities ...*authority) {
+// writeAuthorities writes the certificates of the authorities that a router trusts into its directory.
+func writeAuthorities(dir string, authorities ...*authority) {
 	var blocks [][]byte
 	for _, a := range authorities {
 		blocks = append(blocks, a.certificate.Raw)
@@ -106,7 +106,7 @@
 	authorities[0].write(keyFiles(dir).AuthorityFile, "CERTIFICATE", blocks...)
 }
 
-// eventLog is a logger that keeps what was logged.
+// eventLog is a logger that stores all events.
 type eventLog struct {
 	mu     sync.Mutex
 	events []loggedEvent
@@ -117,7 +117,7 @@
 	fields []pomelorelay.Field
 }
 
-// Log keeps the event.
+// Log stores the event.
 func (l *eventLog) Log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pomelonode/leaving_test.go
+++ b/pomelonode/leaving_test.go
@@ -9,16 +9,16 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// leaveWithin is the time from the host list's saying that an upstream leaves to its last new request.
-const leaveWithin = 3 * time.Second
+// maxLeaveDelay is the longest time after the host list shows an upstream as leaving in which it may get new requests.
+const maxLeaveDelay = 3 * time.Second
 
-// leave lets the status server of the first failure domain leave, waits for the deadline, and fails when it then gets anything
-// new through the routers.
-func (f *fleet) leave(t *testing.T, routers ...int) {
+// checkLeaving makes the status server of the first failure domain leave and fails the test if it gets requests from the given
+// routers after maxLeaveDelay.
+func (f *fleet) checkLeaving(t *testing.T, routers ...int) {
 	t.Helper()
 	server := f.statuses[domains[0]]
 	shown, _ := f.hosts.Leave("status-" + string(domains[0]))
-	for n := 0; time.Since(shown) < leaveWithin; n++ {
+	for n := 0; time.Since(shown) < maxLeaveDelay; n++ {
 		f.routers[routers[n%len(routers)]].call(http.MethodPost, "/status/jobs", "", fmt.Sprintf(`{"before":%d}`, n))
 	}
 	before := len(server.Runs(0))
@@ -34,22 +34,22 @@
 }
 
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	// The platform takes a status server away. One router cannot read the host list, and the notices of the leaving to it are lost.
-	// If it went on sending there, callers would get errors from a server that is being shut down.
+	// The platform removes a status server. One router cannot read the host list, and its LeavingNotice messages are lost. If it
+	// continued to send to the server, callers would get errors from a server that is being shut down.
 	f := newFleet(t, 4)
 	f.awaitReady()
-	deaf := f.routers[2]
-	deaf.hosts.cut.Store(true)
+	uninformed := f.routers[2]
+	uninformed.hosts.unreachable.Store(true)
 	f.network.Lose(func(to pomelorelay.Peer, m pomelorelay.Message) bool {
 		_, notice := m.(*pomelorelay.LeavingNotice)
-		return notice && to.Node == deaf.settings.Host.Name
+		return notice && to.Node == uninformed.settings.Host.Name
 	})
-	f.leave(t, 0, 1, 2, 3)
+	f.checkLeaving(t, 0, 1, 2, 3)
 }
 
-func TestLeavingUpstreamWhoseOwnerIsCutOffGetsNoNewWork(t *testing.T) {
-	// The router that grants the slots of a status server is cut off just as the server begins to leave. Its last grants are still
-	// with the others, and nobody revokes them; used after the deadline they would send callers to a server that is gone.
+func TestLeavingUpstreamWithPartitionedOwnerGetsNoNewWork(t *testing.T) {
+	// The router that owns the slots of a status server is partitioned when the server starts leaving, so its last grants are not
+	// revoked. Used after maxLeaveDelay, they would send callers to a server that no longer exists.
 	f := newFleet(t, 6)
 	f.awaitReady()
 	upstream := pomelorelay.UpstreamID("status-" + string(domains[0]))
@@ -68,8 +68,8 @@
 			others = append(others, i)
 		}
 	}
-	alone := f.routers[owner].settings.Host.Name
-	f.routers[owner].hosts.cut.Store(true)
-	f.network.Cut(func(from, to pomelorelay.Peer) bool { return from.Node == alone || to.Node == alone })
-	f.leave(t, others...)
+	ownerNode := f.routers[owner].settings.Host.Name
+	f.routers[owner].hosts.unreachable.Store(true)
+	f.network.Cut(func(from, to pomelorelay.Peer) bool { return from.Node == ownerNode || to.Node == ownerNode })
+	f.checkLeaving(t, others...)
 }
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -77,7 +77,7 @@
 			pomeloroute.WriteProblem(w, pomelorelay.NewError(pomelorelay.CodeStopping, "", nil))
 			return
 		}
-		n.route.ServeHTTP(w, r)
+		n.callerHandler.ServeHTTP(w, r)
 	})
 }
 
@@ -164,6 +164,6 @@
 type drainStarted struct{}
 
 func (drainStarted) apply(c *control, now time.Time) {
-	c.out = c.memberView.Leave(now, c.out)
+	c.outgoing = c.memberView.Leave(now, c.outgoing)
 	c.placeJobs(now)
 }
--- a/pomelonode/listen_test.go
+++ b/pomelonode/listen_test.go
@@ -7,14 +7,14 @@
 	"github.com/pomelorelay/pomelorelay/pomelonode"
 )
 
-func TestRouterThatCannotListenDoesNotSayThatItStarted(t *testing.T) {
-	// Something else holds the callers' port, often the router's own former process. Operators that count starts by event 100
-	// would see a router that listens.
+func TestFailedListenDoesNotLogStart(t *testing.T) {
+	// Another process, often the router's previous one, uses the caller port. Operators who count starts by EventStarted would count
+	// a router that does not listen.
 	f := newFleet(t, 1)
 	f.awaitReady()
 	first := f.routers[0]
 	if first.log.count(pomelorelay.EventStarted) != 1 {
-		t.Errorf("a router that listens said so %d times", first.log.count(pomelorelay.EventStarted))
+		t.Errorf("a listening router logged EventStarted %d times, want 1", first.log.count(pomelorelay.EventStarted))
 	}
 	s := f.settings(1)
 	s.Listen.Caller = first.settings.Listen.Caller
@@ -25,9 +25,9 @@
 	}
 	defer node.Close()
 	if err := node.Listen(); !pomelorelay.IsErrCode(err, pomelorelay.CodeListen) {
-		t.Errorf("listening failed with %v", err)
+		t.Errorf("Listen failed with %v, want CodeListen", err)
 	}
 	if n := log.count(pomelorelay.EventStarted); n != 0 {
-		t.Errorf("a router that cannot listen said %d times that it does", n)
+		t.Errorf("a router that cannot listen logged EventStarted %d times, want 0", n)
 	}
 }
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -29,7 +29,7 @@
 
 func (e loadRead) apply(c *control, now time.Time) {
 	if _, held := c.jobs.stopLoadReads[e.upstream]; held {
-		c.out = c.owner.Load(now, e.upstream, e.load, c.out)
+		c.outgoing = c.owner.Load(now, e.upstream, e.load, c.outgoing)
 		c.loads[e.upstream] = e.load
 	}
 }
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -51,7 +51,7 @@
 // reclaimFrom reclaims the grants and other state of a router that died or restarted.
 func (c *control) reclaimFrom(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
-	c.out = c.owner.MemberGone(now, node, c.out)
+	c.outgoing = c.owner.MemberGone(now, node, c.outgoing)
 	c.ledger.MemberGone(now, node)
 	c.arbiter.MemberGone(node)
 }
--- a/pomelonode/node.go
+++ b/pomelonode/node.go
@@ -39,34 +39,34 @@
 	cfg               Config
 	self              pomelorelay.Peer
 	incarnation       pomelorelay.Incarnation
-	shards            uint32
+	ledgerShards      uint32
 	mesh              pomelorelay.Mesh
-	route             *pomeloroute.Handler
+	callerHandler     *pomeloroute.Handler
 	loadClient        *http.Client
 	mail              *mailbox
 	hostReadRequested chan struct{}
 	bypass            bypassSlots
-	lastAttempt       atomic.Uint64
+	lastAttemptID     atomic.Uint64
 	counters          counters
 
-	traffic   atomic.Pointer[trafficView]
-	suspects  atomic.Pointer[pomeloquarantine.Snapshot]
-	status    atomic.Pointer[status]
-	heartbeat atomic.Int64
-	watching  atomic.Bool
-	stopping  atomic.Bool
+	traffic        atomic.Pointer[trafficView]
+	suspects       atomic.Pointer[pomeloquarantine.Snapshot]
+	status         atomic.Pointer[status]
+	heartbeat      atomic.Int64
+	watchingConfig atomic.Bool
+	stopping       atomic.Bool
 	// leaving is the set of upstreams that the last host list shows as leaving.
 	leaving  atomic.Pointer[map[pomelorelay.UpstreamID]bool]
 	inFlight atomic.Int64
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	closing chan struct{}
-	drained chan struct{}
-	once    sync.Once
-	wg      sync.WaitGroup
-	servers []*http.Server
-	errs    chan error
+	ctx       context.Context
+	cancel    context.CancelFunc
+	closing   chan struct{}
+	drained   chan struct{}
+	closeOnce sync.Once
+	wg        sync.WaitGroup
+	servers   []*http.Server
+	errs      chan error
 }
 
 // New creates a router and starts its goroutines; Listen opens its ports. It fails with the code of the store client or of the mesh.
@@ -85,7 +85,7 @@
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.loadClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}}
-	n.route = pomeloroute.New(pomeloroute.Config{
+	n.callerHandler = pomeloroute.New(pomeloroute.Config{
 		Node:         n.self.Node,
 		Incarnation:  n.incarnation,
 		Clock:        n.cfg.Clock,
@@ -124,7 +124,7 @@
 		n.incarnation = pomelorelay.Incarnation(n.cfg.Clock.Now().UnixNano())
 	}
 	n.self = pomelorelay.Peer{Node: s.Host.Name, Addr: s.Listen.Control, Domain: s.Host.FailureDomain, Region: s.Host.Region}
-	n.shards = uint32(s.Control.Shards)
+	n.ledgerShards = uint32(s.Control.Shards)
 	if err := n.openStore(); err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 
 // Close stops the router immediately, without waiting for requests in progress; it always returns nil.
 func (n *Node) Close() error {
-	n.once.Do(func() {
+	n.closeOnce.Do(func() {
 		for _, s := range n.servers {
 			s.Close()
 		}
@@ -216,7 +216,7 @@
 		n.cancel()
 		n.mesh.Close()
 		n.wg.Wait()
-		n.route.Close()
+		n.callerHandler.Close()
 	})
 	return nil
 }
--- a/pomelonode/node_test.go
+++ b/pomelonode/node_test.go
@@ -15,10 +15,10 @@
 
 const chat = `{"model":"` + model + `","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"a clasp estimate"}]}`
 
-// longChat streams for about 600 ms.
+// longChat is a request whose answer streams for about 600 ms.
 const longChat = `{"model":"` + model + `","stream":true,"max_tokens":300,"messages":[{"role":"user","content":"a grant narrative"}]}`
 
-func whole(a answer) bool {
+func isCompleteStream(a answer) bool {
 	return a.err == nil && a.status == http.StatusOK && strings.Contains(a.body, "data: [DONE]")
 }
 
@@ -27,7 +27,7 @@
 	f.awaitReady()
 	for _, r := range f.routers {
 		got := r.call(http.MethodPost, "/assistant/v1/chat/completions", "", chat)
-		if !whole(got) {
+		if !isCompleteStream(got) {
 			t.Fatalf("a stream was answered %d %v: %s", got.status, got.err, got.body)
 		}
 		booked := r.call(http.MethodPost, "/booking/jobs", "job-"+string(r.settings.Host.Name), `{"piece":"ring"}`)
@@ -37,16 +37,16 @@
 	}
 }
 
-func TestGracefulStopEndsNoRequest(t *testing.T) {
-	// An operator stops a router for an upgrade while a long narrative streams through it. Ended with the process, the
-	// stream would break off in the middle and the caseworker would have to begin anew.
+func TestGracefulStopCompletesRunningRequests(t *testing.T) {
+	// An operator stops a router while a long stream runs through it. If the stream ended with the process, its caller would get a
+	// truncated answer and would have to start again.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	streaming := make(chan answer, 1)
 	go func() {
 		streaming <- f.routers[0].call(http.MethodPost, "/assistant/v1/chat/completions", "", longChat)
 	}()
-	await(t, "the stream runs", func() bool { return f.running() > 0 })
+	await(t, "the stream runs", func() bool { return f.runningRequests() > 0 })
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.routers[0].node.Stop(context.Background()) }()
 	await(t, "the router is not ready", func() bool { return !f.routers[0].node.Ready() })
@@ -54,19 +54,19 @@
 	if late.err == nil && (late.status != http.StatusServiceUnavailable || late.header.Get("Ran") != "No") {
 		t.Errorf("new work during the stop was answered %d, Ran %q", late.status, late.header.Get("Ran"))
 	}
-	if got := <-streaming; !whole(got) {
-		t.Errorf("the stream was cut off: %d %v", got.status, got.err)
+	if got := <-streaming; !isCompleteStream(got) {
+		t.Errorf("the stream was truncated: %d %v", got.status, got.err)
 	}
 	if err := <-stopped; err != nil {
 		t.Errorf("the stop failed: %v", err)
 	}
-	if got := f.routers[1].call(http.MethodPost, "/assistant/v1/chat/completions", "", chat); !whole(got) {
+	if got := f.routers[1].call(http.MethodPost, "/assistant/v1/chat/completions", "", chat); !isCompleteStream(got) {
 		t.Errorf("the other router answered %d: %s", got.status, got.body)
 	}
 }
 
-// running returns how many requests the engines run.
-func (f *fleet) running() int {
+// runningRequests returns the number of requests that the engines run.
+func (f *fleet) runningRequests() int {
 	n := 0
 	for _, e := range f.engines {
 		n += len(e.Runs(0))
@@ -74,9 +74,9 @@
 	return n
 }
 
-func TestIdempotentRequestsPassAStalledControlThread(t *testing.T) {
-	// A router's control goroutine hangs, here in a send. Every caller of the router would wait until it goes on, although
-	// the upstreams are idle.
+func TestIdempotentRequestsBypassStalledControlGoroutine(t *testing.T) {
+	// A router's control goroutine is blocked, here in a send. Without a bypass, all callers of the router would wait until it
+	// resumes, although the upstreams are idle.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	await(t, "requests are served", func() bool {
@@ -84,8 +84,8 @@
 	})
 	release := make(chan struct{})
 	var once sync.Once
-	stop := func() { once.Do(func() { close(release) }) }
-	defer stop()
+	resume := func() { once.Do(func() { close(release) }) }
+	defer resume()
 	f.network.Cut(func(from, _ pomelorelay.Peer) bool {
 		if from.Node == f.routers[0].settings.Host.Name {
 			<-release
@@ -100,11 +100,11 @@
 		t.Errorf("with the control goroutine stalled a request was answered %d: %s", got.status, got.body)
 	}
 	f.network.Cut(nil)
-	stop()
+	resume()
 }
 
-func TestStoreOutageRefusesOnlyWhatNeedsAClaim(t *testing.T) {
-	// The platform's store is down. A booking could run twice if it were sent without a claim; a status check cannot.
+func TestStoreOutageRefusesOnlyNonIdempotentRequests(t *testing.T) {
+	// The store is down. A booking sent without a claim could run twice, so it must be refused; idempotent requests must be served.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	f.store.SetFaults(pomelofake.StoreFaults{Outage: true})
@@ -114,22 +114,22 @@
 			t.Errorf("a booking was answered %d, Ran %q: %s", refused.status, refused.header.Get("Ran"), refused.body)
 		}
 		if refused.header.Get("Retry-After") == "" {
-			t.Error("the refusal does not say when to come back")
+			t.Error("the refusal has no Retry-After")
 		}
 		if got := r.call(http.MethodPost, "/status/jobs", "", "{}"); got.status != http.StatusOK {
 			t.Errorf("a status check was answered %d: %s", got.status, got.body)
 		}
 	}
 	f.store.SetFaults(pomelofake.StoreFaults{})
-	await(t, "the booking is taken again", func() bool {
+	await(t, "the booking is accepted after the outage", func() bool {
 		return f.routers[0].call(http.MethodPost, "/booking/jobs", "outage", `{"piece":"brooch"}`).status == http.StatusOK
 	})
-	if n := f.bookedRuns("outage"); n != 1 {
+	if n := f.bookingRuns("outage"); n != 1 {
 		t.Errorf("the booking ran %d times", n)
 	}
 }
 
-func (f *fleet) bookedRuns(key string) int {
+func (f *fleet) bookingRuns(key string) int {
 	n := 0
 	for _, b := range f.bookings {
 		n += b.RunsOf(key)
@@ -137,28 +137,28 @@
 	return n
 }
 
-func TestResendsThroughEveryRouterRunOnce(t *testing.T) {
-	// A caller's answer is late and it sends its paid booking again and again, through every router at once. Run twice, the
-	// customer would be charged twice.
+func TestConcurrentResendsRunOnce(t *testing.T) {
+	// A caller resends a booking whose answer is late, concurrently through every router. If it ran twice, the customer would be
+	// charged twice.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	for round := range 5 {
 		key := fmt.Sprintf("paid-%d", round)
-		f.atOnce(12, func(i int) { f.routers[i%4].call(http.MethodPost, "/booking/jobs", key, `{"piece":"ring"}`) })
-		if n := f.bookedRuns(key); n != 1 {
+		f.concurrently(12, func(i int) { f.routers[i%4].call(http.MethodPost, "/booking/jobs", key, `{"piece":"ring"}`) })
+		if n := f.bookingRuns(key); n != 1 {
 			t.Errorf("the booking %s ran %d times", key, n)
 		}
-		// The settlement is a message to the keeper; until it has arrived, a repeat rightly hears "still running".
-		await(t, "the repeat of a booking that ran gets the kept answer", func() bool {
+		// The settlement is a message to the keeper; until it arrives, a retry is correctly refused as still running.
+		await(t, "a retry of a completed booking gets the stored answer", func() bool {
 			got := f.routers[0].call(http.MethodPost, "/booking/jobs", key, `{"piece":"ring"}`)
 			return got.status == http.StatusOK && got.header.Get("Idempotency-Replayed") == "true"
 		})
 	}
 }
 
-func TestStopKeepsTheOutcomeOfTheLastBooking(t *testing.T) {
-	// An operator stops a router in the moment in which it answers a booking. If the process ended before the store held the
-	// answer, the customer's next try elsewhere would hear that nobody knows whether the booking ran.
+func TestStopStoresOutcomeOfLastBooking(t *testing.T) {
+	// An operator stops a router just after it answered a booking. If the process ended before the outcome was stored, a retry
+	// through another router would be answered "outcome unknown".
 	f := newFleet(t, 2)
 	f.awaitReady()
 	for i := range 3 {
@@ -167,7 +167,7 @@
 		if err := f.routers[0].node.Stop(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		await(t, "the other router repeats the answer", func() bool {
+		await(t, "the other router replays the answer", func() bool {
 			again := f.routers[1].call(http.MethodPost, "/booking/jobs", key, `{"piece":"ring"}`)
 			return again.status == http.StatusOK && again.body == got.body
 		})
--- a/pomelonode/pause_test.go
+++ b/pomelonode/pause_test.go
@@ -10,9 +10,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-func TestHaltedRouterSendsNothingToAnUpstreamThatLeft(t *testing.T) {
-	// A router's control goroutine stands still for seconds, here in a send, and a status server leaves meanwhile. Requests that pass
-	// it, and those that wait until it goes on, would be sent to a server that is being shut down.
+func TestPausedRouterSendsNothingToLeavingUpstream(t *testing.T) {
+	// A router's control goroutine is blocked for seconds, here in a send, while a status server leaves. Requests that bypass the control
+	// goroutine, and those granted right after it resumes, could be sent to a server that is being shut down.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	r := f.routers[0]
@@ -21,8 +21,8 @@
 	})
 	release := make(chan struct{})
 	var once sync.Once
-	goOn := func() { once.Do(func() { close(release) }) }
-	defer goOn()
+	resume := func() { once.Do(func() { close(release) }) }
+	defer resume()
 	f.network.Cut(func(from, _ pomelorelay.Peer) bool {
 		if from.Node == r.settings.Host.Name {
 			<-release
@@ -30,7 +30,7 @@
 		return false
 	})
 	shown, _ := f.hosts.Leave("status-" + string(domains[0]))
-	await(t, "the deadline of 3 s", func() bool { return time.Since(shown) > 3*time.Second })
+	await(t, "3 s have passed since the upstream started leaving", func() bool { return time.Since(shown) > 3*time.Second })
 	before := len(f.statuses[domains[0]].Runs(0))
 	var waiting sync.WaitGroup
 	for i := range 8 {
@@ -43,7 +43,7 @@
 	}
 	time.Sleep(time.Second)
 	f.network.Cut(nil)
-	goOn()
+	resume()
 	waiting.Wait()
 	if n := len(f.statuses[domains[0]].Runs(0)) - before; n != 0 {
 		t.Errorf("the leaving upstream got %d new requests", n)
--- a/pomelonode/random_test.go
+++ b/pomelonode/random_test.go
@@ -17,22 +17,22 @@
 const (
 	randomRouters = 4
 	randomCallers = 8
-	// randomFaults is how many faults a run draws; at most two are there at once.
-	randomFaults = 10
-	faultPause   = 400 * time.Millisecond
+	// randomFaults is the number of faults drawn per run; at most two are active at once.
+	randomFaults  = 10
+	faultInterval = 400 * time.Millisecond
 )
 
-// fault is something that goes wrong until its end is called.
+// fault is an injected fault; begin starts it at router i and returns the function that ends it.
 type fault struct {
 	name  string
 	begin func(i int) (end func())
 }
 
-// faults are those of the brief that act on a fleet in one process.
+// faults returns the faults that can be injected into a fleet in one process.
 func (f *fleet) faults() []fault {
 	return []fault{
 		{"domains cut", func(int) func() {
-			f.network.Cut(apart)
+			f.network.Cut(crossesDomains)
 			return func() { f.network.Cut(nil) }
 		}},
 		{"one way cut", func(i int) func() {
@@ -45,8 +45,8 @@
 		{"store loses answers", func(int) func() { return f.storeFault(pomelofake.StoreFaults{LoseAnswers: 8}) }},
 		{"router cut from the store", func(i int) func() {
 			store := f.routers[i].store
-			store.cut.Store(true)
-			return func() { store.cut.Store(false) }
+			store.unreachable.Store(true)
+			return func() { store.unreachable.Store(false) }
 		}},
 		{"router killed", func(i int) func() {
 			f.routers[i].node.Close()
@@ -74,8 +74,8 @@
 	}
 }
 
-// disturb draws faults, two at once, each until the second one after it begins.
-func (f *fleet) disturb(t *testing.T, random *rand.Rand) {
+// injectFaults injects random faults, at most two at once; each ends when the second one after it begins.
+func (f *fleet) injectFaults(t *testing.T, random *rand.Rand) {
 	kinds := f.faults()
 	var ends []func()
 	last := -1
@@ -92,21 +92,21 @@
 			ends = ends[1:]
 		}
 		ends = append(ends, kinds[k].begin(i))
-		time.Sleep(faultPause)
+		time.Sleep(faultInterval)
 	}
 	for _, end := range ends {
 		end()
 	}
 }
 
-// booking is what its caller saw of a booking.
+// booking is a booking and the answers that its caller got.
 type booking struct {
 	key, body string
 	answers   []answer
 }
 
-// book sends bookings, each up to three times through routers at random, until done is closed.
-func (f *fleet) book(caller int, random *rand.Rand, done <-chan struct{}) []booking {
+// sendBookings sends bookings, each up to three times through random routers, until done is closed.
+func (f *fleet) sendBookings(caller int, random *rand.Rand, done <-chan struct{}) []booking {
 	var all []booking
 	for n := 0; ; n++ {
 		select {
@@ -126,10 +126,10 @@
 	}
 }
 
-// check holds what the callers saw against what the services ran.
-func (f *fleet) check(t *testing.T, b booking) (answered bool) {
+// checkBooking compares a booking's answers with what the services ran, and reports whether it was answered.
+func (f *fleet) checkBooking(t *testing.T, b booking) (answered bool) {
 	t.Helper()
-	runs := f.bookedRuns(b.key)
+	runs := f.bookingRuns(b.key)
 	notRun := true
 	for _, a := range b.answers {
 		notRun = notRun && a.err == nil && a.header.Get("Ran") == "No"
@@ -139,24 +139,24 @@
 		answered = true
 		var got pomelofake.PlainAnswer
 		if err := json.Unmarshal([]byte(a.body), &got); err != nil || got.Proof != pomelofake.ProofOf([]byte(b.body)) {
-			t.Errorf("%s got another's answer or a part of one: %s", b.key, a.body)
+			t.Errorf("%s got a wrong or truncated answer: %s", b.key, a.body)
 		}
 	}
 	switch {
 	case runs > 1:
 		t.Errorf("%s ran %d times", b.key, runs)
 	case notRun && runs != 0:
-		t.Errorf("%s ran although every answer said that it did not", b.key)
+		t.Errorf("%s ran although every answer stated that it did not", b.key)
 	case answered && runs != 1:
 		t.Errorf("%s was answered and ran %d times", b.key, runs)
 	}
 	return answered
 }
 
-func TestPromisesUnderRandomFaults(t *testing.T) {
-	// Failures come together: the store loses an answer while a router dies, domains are cut while a service answers late. Callers
-	// send their bookings again through other routers. None may run twice, no answer may be another's, and no "not run" may be
-	// false, whatever comes together; afterwards the fleet must serve again.
+func TestBookingGuaranteesUnderRandomFaults(t *testing.T) {
+	// Faults overlap: for example, the store loses an answer while a router dies, or domains are partitioned while a service answers
+	// late, and callers resend their bookings through other routers. No booking may run twice, no answer may belong to another request,
+	// no "not run" may be false, and the fleet must serve again afterwards.
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			f := newFleet(t, randomRouters)
@@ -165,15 +165,15 @@
 			seen := make([][]booking, randomCallers)
 			var callers sync.WaitGroup
 			for i := range randomCallers {
-				callers.Go(func() { seen[i] = f.book(i, rand.New(rand.NewPCG(seed, uint64(i))), done) })
+				callers.Go(func() { seen[i] = f.sendBookings(i, rand.New(rand.NewPCG(seed, uint64(i))), done) })
 			}
-			f.disturb(t, rand.New(rand.NewPCG(seed, 99)))
+			f.injectFaults(t, rand.New(rand.NewPCG(seed, 99)))
 			close(done)
 			callers.Wait()
 			answered := 0
 			for _, bookings := range seen {
 				for _, b := range bookings {
-					if f.check(t, b) {
+					if f.checkBooking(t, b) {
 						answered++
 					}
 				}
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -11,19 +11,19 @@
 	if e.From != c.n.self.Node {
 		c.memberView.Heard(now, e.From, e.Incarnation)
 		c.generations[e.From] = max(c.generations[e.From], e.Generation)
-		c.out = c.spreader.Seen(now, e.From, e.Generation, c.out)
+		c.outgoing = c.spreader.Seen(now, e.From, e.Generation, c.outgoing)
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
-		c.out = c.owner.Demand(now, e.From, m, c.out)
+		c.outgoing = c.owner.Demand(now, e.From, m, c.outgoing)
 	case *pomelorelay.Grant:
 		c.receiveGrant(now, e.From, m)
 	case *pomelorelay.GrantReply:
-		c.out = c.owner.Reply(now, e.From, m, c.out)
+		c.outgoing = c.owner.Reply(now, e.From, m, c.outgoing)
 	case *pomelorelay.RunningQuery:
 		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.Running(m.Upstream)})
 	case *pomelorelay.RunningReport:
-		c.out = c.owner.Running(now, e.From, m, c.out)
+		c.outgoing = c.owner.Running(now, e.From, m, c.outgoing)
 	case *pomelorelay.LeavingNotice:
 		c.markLeaving(m.Upstream)
 	default:
@@ -37,25 +37,25 @@
 	case *pomelorelay.Digest:
 		c.receiveDigest(now, e, m)
 	case *pomelorelay.Probe:
-		c.out = c.memberView.Probe(now, e.From, e.Incarnation, m, c.out)
+		c.outgoing = c.memberView.Probe(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.ProbeAck:
-		c.out = c.memberView.ProbeAck(now, e.From, e.Incarnation, m, c.out)
+		c.outgoing = c.memberView.ProbeAck(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.Farewell:
-		c.out = c.memberView.Farewell(now, e.From, e.Incarnation, m, c.out)
+		c.outgoing = c.memberView.Farewell(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.LedgerReport:
-		c.out = c.ledger.Report(now, e.From, e.Incarnation, m, c.out)
+		c.outgoing = c.ledger.Report(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.LedgerTotals:
 		c.receiveTotals(now, e.From, m)
 	case *pomelorelay.LedgerQuery:
-		c.out = c.reporter.Query(now, e.From, m, c.out)
+		c.outgoing = c.reporter.Query(now, e.From, m, c.outgoing)
 	case *pomelorelay.LedgerComponent:
-		c.out = c.ledger.Component(now, e.From, m, c.out)
+		c.outgoing = c.ledger.Component(now, e.From, m, c.outgoing)
 	case *pomelorelay.LedgerComponentQuery:
-		c.out = c.ledger.ComponentQuery(now, e.From, m, c.out)
+		c.outgoing = c.ledger.ComponentQuery(now, e.From, m, c.outgoing)
 	case *pomelorelay.ConfigPull:
-		c.out = c.spreader.Pull(now, e.From, m, c.out)
+		c.outgoing = c.spreader.Pull(now, e.From, m, c.outgoing)
 	case *pomelorelay.ConfigPush:
-		c.out = c.spreader.Push(now, e.From, m, c.out)
+		c.outgoing = c.spreader.Push(now, e.From, m, c.outgoing)
 		c.compile()
 	case *pomelorelay.ConfigApplied:
 		c.spreader.Applied(now, e.From, m)
@@ -90,12 +90,12 @@
 }
 
 func (c *control) receiveDigest(now time.Time, e pomelorelay.Envelope, m *pomelorelay.Digest) {
-	c.out = c.memberView.Digest(now, e.From, e.Incarnation, m, c.out)
+	c.outgoing = c.memberView.Digest(now, e.From, e.Incarnation, m, c.outgoing)
 	if !c.memberView.Located(e.From) {
 		c.n.requestHostRead()
 	}
 	c.asker.Slots(now, m.Slots)
-	c.out = c.asker.Tick(now, c.out)
+	c.outgoing = c.asker.Tick(now, c.outgoing)
 }
 
 func (c *control) receiveTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) {
--- a/pomelonode/stall_test.go
+++ b/pomelonode/stall_test.go
@@ -11,14 +11,14 @@
 	"github.com/pomelorelay/pomelorelay/pomelolog"
 )
 
-// stallCalls are made before and during a stall.
-const stallCalls = 60
+// medianCalls is the number of calls per measurement of the median.
+const medianCalls = 60
 
-// median sends calls that may be repeated through a router, fails unless all are answered, and returns the middle time.
-func median(t *testing.T, r *router) time.Duration {
+// medianLatency sends idempotent calls through a router, fails the test unless all succeed, and returns their median latency.
+func medianLatency(t *testing.T, r *router) time.Duration {
 	t.Helper()
 	var times []time.Duration
-	for range stallCalls {
+	for range medianCalls {
 		began := time.Now()
 		if got := r.call(http.MethodPost, "/status/jobs", "", "{}"); got.status != http.StatusOK {
 			t.Fatalf("answered %d %v: %s", got.status, got.err, got.body)
@@ -29,73 +29,72 @@
 	return times[len(times)/2]
 }
 
-func TestStalledStoreHoldsNoCallThatMayBeRepeated(t *testing.T) {
-	// The store takes seconds for every call. A router that waited for it anywhere on the path of a status check would keep
-	// the counter staff waiting as well.
+func TestStalledStoreDoesNotBlockIdempotentRequests(t *testing.T) {
+	// The store is slow to answer every call. Idempotent requests must not wait for the store anywhere on their path.
 	f := newFleet(t, 2)
 	f.awaitReady()
-	before := median(t, f.routers[0])
+	before := medianLatency(t, f.routers[0])
 	f.store.SetFaults(pomelofake.StoreFaults{Slow: time.Minute})
 	t.Cleanup(func() { f.store.SetFaults(pomelofake.StoreFaults{}) })
-	t.Logf("median %v before, %v with the store stalled", before, median(t, f.routers[0]))
+	t.Logf("median %v before, %v with the store stalled", before, medianLatency(t, f.routers[0]))
 }
 
-// stuckWriter blocks every write until it is released, as a full disk or a hung collector does.
-type stuckWriter struct{ release chan struct{} }
+// blockedWriter blocks every write until it is released, like a full disk or a hung log collector.
+type blockedWriter struct{ release chan struct{} }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return len(p), nil
 }
 
-func TestStalledLogHoldsNoRequest(t *testing.T) {
-	// What reads the router's log hangs. A router that writes events from its requests or its control goroutine would stand still
-	// with it.
-	f, _, _ := newKeyedFleet(t, 2)
-	stuck := &stuckWriter{release: make(chan struct{})}
-	logger := pomelolog.New(pomelolog.Config{Node: "router-0", Level: pomelorelay.LevelDebug, Writer: stuck})
+func TestStalledLogDoesNotBlockRequests(t *testing.T) {
+	// The process that reads the router's log hangs. If requests or the control goroutine wrote events synchronously, they would
+	// block too.
+	f, _, _ := newTLSFleet(t, 2)
+	writer := &blockedWriter{release: make(chan struct{})}
+	logger := pomelolog.New(pomelolog.Config{Node: "router-0", Level: pomelorelay.LevelDebug, Writer: writer})
 	t.Cleanup(func() { logger.Close() })
-	t.Cleanup(func() { close(stuck.release) })
+	t.Cleanup(func() { close(writer.release) })
 	f.routers[0].logger = logger
 	for i := range f.routers {
 		f.start(i)
 	}
 	f.awaitReady()
-	// More lines than wait for the writer.
+	// More lines than the logger buffers.
 	for range 10_000 {
 		logger.Log(pomelorelay.EventMeshLinkUp)
 	}
-	stuckMedian := median(t, f.routers[0])
-	t.Logf("median %v with the log stalled, %v through the other router", stuckMedian, median(t, f.routers[1]))
+	stalledMedian := medianLatency(t, f.routers[0])
+	t.Logf("median %v with the log stalled, %v through the other router", stalledMedian, medianLatency(t, f.routers[1]))
 }
 
-func TestStalledOwnerHoldsNoCallForLong(t *testing.T) {
-	// The router that owns the slots of the domain's service is paused: its links stay open and it answers nothing. Calls through
-	// the other router of the domain have to be served by another domain, or by the next owner once it is taken for dead.
+func TestPausedSlotOwnerDoesNotBlockRequests(t *testing.T) {
+	// The router that owns the slots of a domain's service is paused: its links stay open, but it does not answer. Calls through the
+	// other router of the domain must be served by another domain, or by the next owner once the paused router is declared dead.
 	f := newFleet(t, 4)
 	f.awaitReady()
-	called, paused := f.routers[0], f.routers[2]
+	active, paused := f.routers[0], f.routers[2]
 	await(t, "the service has an owner", func() bool {
-		return called.owns("status-recife-a") || paused.owns("status-recife-a")
+		return active.owns("status-recife-a") || paused.owns("status-recife-a")
 	})
-	if called.owns("status-recife-a") {
-		called, paused = paused, called
+	if active.owns("status-recife-a") {
+		active, paused = paused, active
 	}
-	before := median(t, called)
+	before := medianLatency(t, active)
 	f.network.Cut(func(from, to pomelorelay.Peer) bool {
 		return from.Node == paused.settings.Host.Name || to.Node == paused.settings.Host.Name
 	})
 	began := time.Now()
-	if got := called.call(http.MethodPost, "/status/jobs", "", "{}"); got.status != http.StatusOK {
+	if got := active.call(http.MethodPost, "/status/jobs", "", "{}"); got.status != http.StatusOK {
 		t.Errorf("answered %d %v: %s", got.status, got.err, got.body)
 	}
 	first := time.Since(began)
-	during := median(t, called)
+	during := medianLatency(t, active)
 	f.network.Cut(nil)
-	t.Logf("median %v before; with the owner silent the first call %v, median %v", before, first, during)
+	t.Logf("median %v before; with the owner paused first call %v, median %v", before, first, during)
 }
 
-// owns reports whether the router grants the upstream's slots.
+// owns reports whether the router owns the upstream's slots.
 func (r *router) owns(upstream pomelorelay.UpstreamID) bool {
 	for _, u := range r.readStatus().Upstreams {
 		if u.Upstream == upstream {
--- a/pomelonode/storeio.go
+++ b/pomelonode/storeio.go
@@ -61,7 +61,7 @@
 func (n *Node) watchRoot(ctx context.Context) {
 	var seen pomelorelay.Revision
 	for ctx.Err() == nil {
-		if !n.watching.Load() {
+		if !n.watchingConfig.Load() {
 			sleep(ctx, watcherCheckInterval)
 			continue
 		}
--- a/pomelonode/suspect_test.go
+++ b/pomelonode/suspect_test.go
@@ -8,25 +8,25 @@
 )
 
 func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
-	// One request makes each engine that runs it crash, and its caller sends it again through every router. Without a guard it
-	// takes down one engine after the other, and every caller beside it loses its stream.
+	// A request crashes every engine that runs it, and its caller resends it through every router. Without quarantine it crashes one
+	// engine after the other, and other callers lose their streams.
 	f := newFleet(t, 4)
 	f.awaitReady()
-	deadly := strings.Replace(chat, "a clasp estimate", crashMarker, 1)
+	crashRequest := strings.Replace(chat, "a clasp estimate", crashMarker, 1)
 	var wg sync.WaitGroup
 	for _, r := range f.routers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if got := r.call(http.MethodPost, "/assistant/v1/chat/completions", "", chat); !whole(got) {
-				t.Errorf("an innocent request was answered %d %v: %s", got.status, got.err, got.body)
+			if got := r.call(http.MethodPost, "/assistant/v1/chat/completions", "", chat); !isCompleteStream(got) {
+				t.Errorf("an unrelated request was answered %d %v: %s", got.status, got.err, got.body)
 			}
 		}()
 	}
 	var last answer
 	for range 3 {
 		for _, r := range f.routers {
-			last = r.call(http.MethodPost, "/assistant/v1/chat/completions", "", deadly)
+			last = r.call(http.MethodPost, "/assistant/v1/chat/completions", "", crashRequest)
 		}
 	}
 	wg.Wait()
@@ -37,6 +37,6 @@
 		t.Errorf("the last resend was answered %d, Ran %q: %s", last.status, last.header.Get("Ran"), last.body)
 	}
 	await(t, "other requests are served", func() bool {
-		return whole(f.routers[0].call(http.MethodPost, "/assistant/v1/chat/completions", "", chat))
+		return isCompleteStream(f.routers[0].call(http.MethodPost, "/assistant/v1/chat/completions", "", chat))
 	})
 }
--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -14,16 +14,16 @@
 
 // CheckQuarantine fails with CodeQuarantined while the fingerprint is quarantined.
 func (a suspects) CheckQuarantine(f pomelorelay.Fingerprint) error {
-	left := a.n.suspects.Load().Quarantined(a.n.cfg.Clock.Now(), f)
-	if left <= 0 {
+	remaining := a.n.suspects.Load().Quarantined(a.n.cfg.Clock.Now(), f)
+	if remaining <= 0 {
 		return nil
 	}
-	return quarantineError(left)
+	return quarantineError(remaining)
 }
 
-func quarantineError(left time.Duration) error {
+func quarantineError(remaining time.Duration) error {
 	e := pomelorelay.NewError(pomelorelay.CodeQuarantined, "", nil)
-	e.RetryAfter = left
+	e.RetryAfter = remaining
 	return e
 }
 
@@ -36,16 +36,16 @@
 	a.n.mail.post(suspectCheckRequested{w})
 	select {
 	case v := <-w.answer:
-		return a.verdict(v)
+		return a.verdictError(v)
 	case <-ctx.Done():
 		a.n.mail.post(suspectCheckCancelled{w})
 		return pomelorelay.NewError(pomelorelay.CodeSuspectHeld, "", ctx.Err())
 	}
 }
 
-// verdict converts a decision into an error. It refuses an upstream that has started leaving, since the decision may have taken seconds
+// verdictError converts a decision into an error. It refuses an upstream that has started leaving, since the decision may have taken seconds
 // and the upstream would get new work long after the host list showed it as leaving.
-func (a suspects) verdict(v pomeloquarantine.Verdict) error {
+func (a suspects) verdictError(v pomeloquarantine.Verdict) error {
 	switch v.Decision {
 	case pomeloquarantine.DecisionRun:
 		if a.n.traffic.Load().leaving[v.Run.Upstream] {
@@ -131,7 +131,7 @@
 // flushSuspects sends the messages and delivers the verdicts of the quarantine components, and publishes their snapshot for the
 // request path.
 func (c *control) flushSuspects() {
-	c.out = append(c.out, c.suspectOut.Messages...)
+	c.outgoing = append(c.outgoing, c.suspectOut.Messages...)
 	for _, v := range c.suspectOut.Verdicts {
 		if w := c.suspectWaiters[v.Run.Request]; w != nil {
 			delete(c.suspectWaiters, v.Run.Request)
--- a/pomelonode/tls_test.go
+++ b/pomelonode/tls_test.go
@@ -12,8 +12,9 @@
 	"github.com/pomelorelay/pomelorelay/pomelonode"
 )
 
-// newKeyedFleet prepares a fleet on real links with mutual TLS; its routers are not started.
-func newKeyedFleet(t *testing.T, routers int) (*fleet, *authority, []string) {
+// newTLSFleet returns a fleet on TCP links with mutual TLS, its authority and the routers' key directories; the routers are not
+// started.
+func newTLSFleet(t *testing.T, routers int) (*fleet, *authority, []string) {
 	f := &fleet{
 		t:        t,
 		store:    pomelofake.NewStore(pomelofake.StoreConfig{}),
@@ -32,29 +33,29 @@
 		s := f.settings(i)
 		dir := t.TempDir()
 		signer.issue(dir, s.Host.Name)
-		trust(dir, signer)
+		writeAuthorities(dir, signer)
 		s.TLS = keyFiles(dir)
 		dirs = append(dirs, dir)
 		f.routers = append(f.routers, &router{settings: s, log: &eventLog{}, url: "http://" + s.Listen.Caller.String(), operator: "http://" + s.Listen.Operator.String()})
 	}
-	f.listHosts()
+	f.publishHosts()
 	return f, signer, dirs
 }
 
-// sees reports whether a router counts as many live members as given, itself included.
-func (r *router) sees(members int) bool {
+// seesMembers reports whether a router sees the given number of live members, including itself.
+func (r *router) seesMembers(members int) bool {
 	return len(r.readStatus().Members) == members
 }
 
-func TestRoutersSpeakByMutualTLS(t *testing.T) {
-	f, _, _ := newKeyedFleet(t, 4)
+func TestRoutersConnectWithMutualTLS(t *testing.T) {
+	f, _, _ := newTLSFleet(t, 4)
 	for i := range f.routers {
 		f.start(i)
 	}
 	f.awaitReady()
 	for _, r := range f.routers {
-		await(t, "a router sees all four", func() bool { return r.sees(4) })
-		if got := r.call(http.MethodPost, "/assistant/v1/chat/completions", "", chat); !whole(got) {
+		await(t, "a router sees all four", func() bool { return r.seesMembers(4) })
+		if got := r.call(http.MethodPost, "/assistant/v1/chat/completions", "", chat); !isCompleteStream(got) {
 			t.Errorf("a stream was answered %d %v: %s", got.status, got.err, got.body)
 		}
 	}
@@ -66,76 +67,75 @@
 	if _, err := plain.Write([]byte("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "a link without TLS is refused with a numbered event", func() bool {
+	await(t, "a link without TLS is refused and logged", func() bool {
 		return f.routers[0].log.count(pomelorelay.EventMeshRefused) > 0
 	})
 }
 
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
-	// The authority's certificate ends soon and the operators go over to another in three steps, as the operators' page says.
-	// A router that read its files at its start only would lose every link at its next reconnect, and the fleet would fall
-	// apart at the old authority's end.
-	f, first, dirs := newKeyedFleet(t, 3)
+	// Operators replace an authority whose certificate expires soon, in three steps as documented. A router that read its files only at
+	// startup would fail its next handshakes, and the fleet would lose its links when the old authority expires.
+	f, first, dirs := newTLSFleet(t, 3)
 	for i := range f.routers {
 		f.start(i)
 	}
 	f.awaitReady()
 	second := newAuthority(t)
 	for _, dir := range dirs {
-		trust(dir, first, second)
+		writeAuthorities(dir, first, second)
 	}
 	for i, dir := range dirs {
 		second.issue(dir, f.routers[i].settings.Host.Name)
 	}
 	for _, dir := range dirs {
-		trust(dir, second)
+		writeAuthorities(dir, second)
 	}
-	// A fourth router that knows the new authority only has to find the others, and they it.
+	// A fourth router that trusts only the new authority must be able to connect to the others in both directions.
 	s := f.settings(3)
 	dir := t.TempDir()
 	second.issue(dir, s.Host.Name)
-	trust(dir, second)
+	writeAuthorities(dir, second)
 	s.TLS = keyFiles(dir)
 	f.routers = append(f.routers, &router{settings: s, log: &eventLog{}, url: "http://" + s.Listen.Caller.String(), operator: "http://" + s.Listen.Operator.String()})
-	f.listHosts()
+	f.publishHosts()
 	f.start(3)
 	f.awaitReady()
 	for _, r := range f.routers {
-		await(t, "a router sees all four", func() bool { return r.sees(4) })
+		await(t, "a router sees all four", func() bool { return r.seesMembers(4) })
 	}
-	// A router reads the files at its next handshake; the one of the newcomer's own failure domain has had one.
+	// A router reads the files at its next handshake; the one in the new router's failure domain has had one.
 	await(t, "the change is logged", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysChanged) > 0 })
 }
 
-func TestRouterOfAnotherAuthorityIsKeptOut(t *testing.T) {
-	// A host of somebody else's fleet, or an attacker's, stands on the host list with a certificate of another authority. Let in,
-	// it could report service in any account's name and take grants; kept out without a word, operators would look for it in vain.
-	f, _, _ := newKeyedFleet(t, 3)
-	stranger := newAuthority(t)
+func TestRouterOfUntrustedAuthorityIsRefused(t *testing.T) {
+	// A host of another fleet, or of an attacker, is on the host list with a certificate of an untrusted authority. If accepted, it could
+	// report usage for any account and take grants; if refused without an event, operators could not find the cause.
+	f, _, _ := newTLSFleet(t, 3)
+	untrusted := newAuthority(t)
 	dir := t.TempDir()
-	stranger.issue(dir, f.routers[2].settings.Host.Name)
-	trust(dir, stranger)
+	untrusted.issue(dir, f.routers[2].settings.Host.Name)
+	writeAuthorities(dir, untrusted)
 	f.routers[2].settings.TLS = keyFiles(dir)
 	for i := range f.routers {
 		f.start(i)
 	}
 	for _, r := range f.routers[:2] {
-		await(t, "a proper router is ready", r.node.Ready)
-		await(t, "the stranger is refused with a numbered event", func() bool { return r.log.count(pomelorelay.EventMeshRefused) > 0 })
-		await(t, "the proper routers see each other alone", func() bool { return r.sees(2) })
+		await(t, "a trusted router is ready", r.node.Ready)
+		await(t, "the untrusted router is refused and logged", func() bool { return r.log.count(pomelorelay.EventMeshRefused) > 0 })
+		await(t, "the trusted routers see only each other", func() bool { return r.seesMembers(2) })
 	}
-	if !f.routers[2].sees(1) {
-		t.Errorf("the stranger sees %d members", len(f.routers[2].readStatus().Members))
+	if !f.routers[2].seesMembers(1) {
+		t.Errorf("the untrusted router sees %d members, want 1", len(f.routers[2].readStatus().Members))
 	}
 }
 
-func TestUnusableKeysKeepARouterFromStarting(t *testing.T) {
-	// A settings file without keys, or with the wrong ones, must not lead to a router that speaks in the clear, nor to one that
-	// runs alone.
-	f, _, dirs := newKeyedFleet(t, 1)
+func TestUnusableKeysPreventStart(t *testing.T) {
+	// With missing or wrong keys in the settings, a router must not start: it must neither communicate without TLS nor run without
+	// links to others.
+	f, _, dirs := newTLSFleet(t, 1)
 	other := t.TempDir()
-	stranger := newAuthority(t)
-	stranger.issue(other, "other")
+	otherAuthority := newAuthority(t)
+	otherAuthority.issue(other, "other")
 	files := keyFiles(dirs[0])
 	mixed := files
 	mixed.KeyFile = keyFiles(other).KeyFile
@@ -163,16 +163,17 @@
 	}
 }
 
-func TestEndingCertificateIsTold(t *testing.T) {
-	// Nobody replaced a router's certificate. Its links stay open past the end, and only when one breaks is the router alone.
-	f, signer, dirs := newKeyedFleet(t, 2)
-	signer.left = 10 * time.Minute
+func TestExpiringCertificateIsLogged(t *testing.T) {
+	// A router's certificate expires without being replaced. Open links survive the expiry, so the failure appears only when a link
+	// breaks; the event must warn before that.
+	f, signer, dirs := newTLSFleet(t, 2)
+	signer.validFor = 10 * time.Minute
 	signer.issue(dirs[1], f.routers[1].settings.Host.Name)
 	for i := range f.routers {
 		f.start(i)
 	}
-	await(t, "the end is told", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysEnding) > 0 })
+	await(t, "the coming expiry is logged", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysEnding) > 0 })
 	if n := f.routers[0].log.count(pomelorelay.EventMeshKeysEnding); n != 0 {
-		t.Errorf("the end of a certificate with half its life left was told %d times", n)
+		t.Errorf("the expiry of a certificate with half its validity left was logged %d times, want 0", n)
 	}
 }
