--- a/pomelolink/event.go
+++ b/pomelolink/event.go
@@ -16,8 +16,8 @@
 var (
 	blankLine     = []byte("\n\n")
 	blankLineCRLF = []byte("\r\n\r\n")
-	fieldID       = []byte("id:")
-	fieldData     = []byte("data:")
+	idPrefix      = []byte("id:")
+	dataPrefix    = []byte("data:")
 	doneData      = []byte("[DONE]")
 	usageKey      = []byte(`"usage"`)
 )
@@ -27,8 +27,8 @@
 	Raw []byte
 }
 
-// field returns the trimmed value of the first line with the given field name.
-func (e Event) field(name []byte) []byte {
+// field returns the trimmed value of the first line that starts with the prefix.
+func (e Event) field(prefix []byte) []byte {
 	rest := e.Raw
 	for len(rest) > 0 {
 		line := rest
@@ -37,8 +37,8 @@
 		} else {
 			rest = nil
 		}
-		if bytes.HasPrefix(line, name) {
-			return bytes.TrimSpace(line[len(name):])
+		if bytes.HasPrefix(line, prefix) {
+			return bytes.TrimSpace(line[len(prefix):])
 		}
 	}
 	return nil
@@ -46,18 +46,18 @@
 
 // ID returns the event's numeric id; it returns false if the event has no id or one that is not a decimal number.
 func (e Event) ID() (uint64, bool) {
-	id, err := strconv.ParseUint(string(e.field(fieldID)), 10, 64)
+	id, err := strconv.ParseUint(string(e.field(idPrefix)), 10, 64)
 	return id, err == nil
 }
 
 // Data returns the value of the event's first data line.
-func (e Event) Data() []byte { return e.field(fieldData) }
+func (e Event) Data() []byte { return e.field(dataPrefix) }
 
 // IsDone reports whether the event is the [DONE] event that ends a model engine's stream.
 func (e Event) IsDone() bool { return bytes.Equal(e.Data(), doneData) }
 
-// MayHoldUsage reports whether the event may contain token usage; it only searches for the key, without parsing.
-func (e Event) MayHoldUsage() bool { return bytes.Contains(e.Raw, usageKey) }
+// MayContainUsage reports whether the event may contain token usage; it only searches for the key, without parsing.
+func (e Event) MayContainUsage() bool { return bytes.Contains(e.Raw, usageKey) }
 
 // EventReader splits an answer's body into server-sent events. It uses one small buffer, which grows only for large events.
 type EventReader struct {
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -35,20 +35,20 @@
 	// Response is the answer; reading its body fails if the answer is truncated.
 	Response *http.Response
 	stop     func() bool
-	// writeDone receives the result of a concurrent write; nil when no write is in progress.
+	// writeDone receives the result of a concurrent write; nil if there was none or its result was received.
 	writeDone chan error
 	// Whole is set by the reader once the complete answer was read.
 	Whole bool
-	// Echoed is set if the answer carries the request's id.
-	Echoed bool
+	// IDEchoed is set if the answer carries the request's id.
+	IDEchoed bool
 }
 
 // Failure is a failed attempt: its outcome and the error for the caller.
 type Failure struct {
 	Outcome Outcome
 	Err     *pomelorelay.Error
-	// Cut is set if the connection broke, possibly because the upstream crashed.
-	Cut bool
+	// ConnectionBroken is set if the connection broke or the answer ended early, possibly because the upstream crashed.
+	ConnectionBroken bool
 }
 
 // NewFailure returns a Failure; with OutcomeNotSent its error states that the request did not run.
@@ -66,8 +66,8 @@
 	Request *http.Request
 	// Size is the length of the request's body in bytes.
 	Size int
-	// Fresh forces a new connection instead of an idle one.
-	Fresh bool
+	// NewConnection prevents the use of an idle connection.
+	NewConnection bool
 	// Wanted is called after the connection is opened and before the request is written; the request is sent only if it returns true
 	// or is nil. Opening a connection can take a second, and the caller's disconnect may be detected late on a busy CPU.
 	Wanted func() bool
@@ -76,7 +76,7 @@
 // Open sends a request at most once and reads the header of its answer. If Wanted returns false, the request is not sent and
 // Open fails with CodeCancelled.
 func (l *Links) Open(ctx context.Context, s Sending) (*Exchange, *Failure) {
-	conn, err := l.conns.get(ctx, s.Addr, s.Fresh)
+	conn, err := l.conns.conn(ctx, s.Addr, s.NewConnection)
 	if err != nil {
 		return nil, notSentFailure(ctx, err)
 	}
@@ -183,7 +183,7 @@
 		code = pomelorelay.CodeAnswerCutShort
 	}
 	f := NewFailure(outcome, code, err)
-	f.Cut = true
+	f.ConnectionBroken = true
 	return f
 }
 
@@ -205,8 +205,8 @@
 // upstream echoes ids.
 func (x *Exchange) checkHeader(req *http.Request) *Failure {
 	id := x.Response.Header.Get(x.links.cfg.Protocol.IDHeader)
-	x.Echoed = id == x.requestID
-	if (id != "" && !x.Echoed) || (id == "" && x.conn.reused) {
+	x.IDEchoed = id == x.requestID
+	if (id != "" && !x.IDEchoed) || (id == "" && x.conn.reused) {
 		x.links.cfg.Logger.Log(pomelorelay.EventAnswerCrossed, pomelorelay.Field{Key: "Request", Value: x.requestID}, pomelorelay.Field{Key: "Answer", Value: id})
 		return NewFailure(OutcomeUnknown, pomelorelay.CodeAnswerCrossed, nil)
 	}
@@ -242,7 +242,7 @@
 // Close returns the connection to the idle pool if the exchange is complete and the upstream echoes ids, and closes it otherwise.
 func (x *Exchange) Close() {
 	released := x.stop()
-	keep := x.Whole && released && x.Echoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
+	keep := x.Whole && released && x.IDEchoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
 	if keep {
 		x.conn.maxIdle = x.maxIdle()
 		x.links.conns.put(x.addr, x.conn)
@@ -274,15 +274,15 @@
 // Buffered returns the number of received bytes that have not been read.
 func (x *Exchange) Buffered() int { return x.conn.reader.Buffered() }
 
-// Interrupt closes the connection, so that a blocked read fails.
-func (x *Exchange) Interrupt() { x.conn.Close() }
+// CloseConnection closes the connection, so that a blocked read fails.
+func (x *Exchange) CloseConnection() { x.conn.Close() }
 
-// BoundRead sets a timeout after which reads from the answer fail.
-func (x *Exchange) BoundRead(wait time.Duration) error {
+// SetReadTimeout sets a timeout after which reads from the answer fail.
+func (x *Exchange) SetReadTimeout(wait time.Duration) error {
 	return x.conn.SetReadDeadline(time.Now().Add(wait))
 }
 
-// RequestWritten reports whether no write of the request is in progress.
+// RequestWritten reports whether the write of the request is known to have ended.
 func (x *Exchange) RequestWritten() bool { return x.writeDone == nil }
 
 // writeSucceeded reports whether the request was written completely without error.
--- a/pomelolink/pool.go
+++ b/pomelolink/pool.go
@@ -53,9 +53,9 @@
 	return p
 }
 
-// get returns an idle connection that is still usable, or a new one; with fresh set it always opens a new one.
-func (p *pool) get(ctx context.Context, addr netip.AddrPort, fresh bool) (*upstreamConn, error) {
-	for !fresh {
+// conn returns an idle connection that is still usable, or a new one; with forceNew set it always opens a new one.
+func (p *pool) conn(ctx context.Context, addr netip.AddrPort, forceNew bool) (*upstreamConn, error) {
+	for !forceNew {
 		c := p.take(addr)
 		if c == nil {
 			break
@@ -135,9 +135,9 @@
 	clear(p.idle)
 }
 
-// Refuses reports whether the upstream refuses connections, which distinguishes a crash from a single broken connection. It
+// RefusesConnections reports whether the upstream refuses connections, which distinguishes a crash from a single broken connection. It
 // probes twice, since a dying process may close its connections shortly before its listener.
-func (l *Links) Refuses(ctx context.Context, addr netip.AddrPort) bool {
+func (l *Links) RefusesConnections(ctx context.Context, addr netip.AddrPort) bool {
 	for n := range crashProbes {
 		if n > 0 {
 			time.Sleep(crashProbeInterval)
--- a/pomeloroute/call.go
+++ b/pomeloroute/call.go
@@ -47,7 +47,7 @@
 	claimed     bool
 	// answerStarted is set once an answer's header was sent to the caller; after that there are no retries.
 	answerStarted bool
-	// errorEventSent is set once an error event was sent because the stream broke.
+	// errorEventSent is set once a broken stream was ended with an error event.
 	errorEventSent bool
 	suspect        bool
 	// mayHaveRun is set during an attempt and stays set if the upstream may have run the request.
@@ -63,7 +63,7 @@
 
 func (h *Handler) newCall(w http.ResponseWriter, r *http.Request) (*call, error) {
 	c := &call{h: h, w: w, r: r}
-	if err := checkHeaderBounds(r.Header, h.cfg.Options); err != nil {
+	if err := checkHeaderLimits(r.Header, h.cfg.Options); err != nil {
 		return nil, err
 	}
 	if err := c.identify(); err != nil {
--- a/pomeloroute/headers.go
+++ b/pomeloroute/headers.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// checkHeaderBounds limits the number and total size of a request's header fields.
-func checkHeaderBounds(head http.Header, o Options) error {
+// checkHeaderLimits limits the number and total size of a request's header fields.
+func checkHeaderLimits(head http.Header, o Options) error {
 	count := 0
 	var size pomelorelay.Bytes
 	for name, values := range head {
--- a/pomeloroute/meter.go
+++ b/pomeloroute/meter.go
@@ -33,7 +33,7 @@
 	tokens         int64
 	firstToken     time.Time
 	lastToken      time.Time
-	progressAt     time.Time
+	lastProgressAt time.Time
 	usage          *usage
 	slotClock      *slotClock
 }
@@ -57,8 +57,8 @@
 		m.firstToken = now
 	}
 	m.lastToken = now
-	if now.Sub(m.progressAt) >= progressInterval {
-		m.progressAt = now
+	if now.Sub(m.lastProgressAt) >= progressInterval {
+		m.lastProgressAt = now
 		m.ticket.Progress(m.cost())
 	}
 }
--- a/pomeloroute/stream.go
+++ b/pomeloroute/stream.go
@@ -120,7 +120,7 @@
 	if !s.engine || len(e.Data()) == 0 {
 		return
 	}
-	if e.MayHoldUsage() && s.m.readUsage(e.Data()) {
+	if e.MayContainUsage() && s.m.readUsage(e.Data()) {
 		return
 	}
 	s.m.countToken()
@@ -134,7 +134,7 @@
 	s.c.write(e.Raw)
 	s.c.flush()
 	// Only the end of the body remains; if it does not arrive in time, the connection is not reused.
-	if s.x.BoundRead(framingEndTimeout) != nil {
+	if s.x.SetReadTimeout(framingEndTimeout) != nil {
 		return nil
 	}
 	if _, err := s.events.Next(); errors.Is(err, io.EOF) {
@@ -166,20 +166,20 @@
 
 func (s *stream) failure(err error) *pomelolink.Failure {
 	if errors.Is(err, errNoUsage) || errors.Is(err, pomelolink.ErrEventTooLarge) {
-		s.x.Interrupt()
+		s.x.CloseConnection()
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerMalformed, err)
 	}
 	if errors.Is(err, errNoDone) {
-		s.x.Interrupt()
+		s.x.CloseConnection()
 		f := pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeAnswerCutShort, err)
-		f.Cut = true
+		f.ConnectionBroken = true
 		return f
 	}
 	return s.x.Broken(err)
 }
 
 func (s *stream) mayResume(f *pomelolink.Failure) bool {
-	return f.Cut && s.engine && s.up.Resumes && s.resumes < maxResumes && s.ctx.Err() == nil && (s.hasID || !s.headerSent)
+	return f.ConnectionBroken && s.engine && s.up.Resumes && s.resumes < maxResumes && s.ctx.Err() == nil && (s.hasID || !s.headerSent)
 }
 
 // resume continues the stream at the same engine after the last forwarded event, and reports whether that succeeded. The answer is
@@ -198,11 +198,11 @@
 		Header: head,
 		Body:   http.NoBody,
 	}
-	x, f := s.c.h.links.Open(s.ctx, pomelolink.Sending{Addr: s.up.Address, Request: req, Fresh: true})
+	x, f := s.c.h.links.Open(s.ctx, pomelolink.Sending{Addr: s.up.Address, Request: req, NewConnection: true})
 	if f != nil {
 		return false
 	}
-	if x.Response.StatusCode != http.StatusOK || !pomelolink.IsEventStream(x.Response) || !x.Echoed {
+	if x.Response.StatusCode != http.StatusOK || !pomelolink.IsEventStream(x.Response) || !x.IDEchoed {
 		x.Close()
 		return false
 	}
