--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -268,7 +268,7 @@
 }
 
 // hasAlternative reports whether the pool has an upstream that is not leaving and at which the request has not failed. Without this
-// check, a request that failed at every upstream would be skipped although no other upstream can serve it.
+// check, a request that failed at every upstream would wait until its deadline.
 func (c *control) hasAlternative(w *waiter, pool pomelorelay.PoolID) bool {
 	for id, u := range c.upstreams {
 		if u.Pool() == pool && !c.leaving[id] && !hasFailedAt(w, id) {
--- a/pomelonode/bypass.go
+++ b/pomelonode/bypass.go
@@ -13,8 +13,8 @@
 const stallThreshold = 250 * time.Millisecond
 
 // bypassSlots lets one request at a time through to each upstream while the control goroutine is stalled. Without it, all callers
-// would wait until the stall ends, even with idle upstreams. Slot owners do not know of this at most one request per router and
-// upstream, but the upstream's reported load includes it.
+// would wait until the stall ends, even with idle upstreams. Slot owners do not know of these requests, at most one per router and
+// upstream, but the upstream's reported load includes them.
 type bypassSlots struct {
 	mu   sync.Mutex
 	busy map[pomelorelay.UpstreamID]bool
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -50,8 +50,8 @@
 
 type claimCancelled struct{ w *claimWaiter }
 
-// apply cancels a claim whose caller has disconnected. If a fresh claim was granted concurrently, it is released; otherwise the
-// caller's retry would be refused as still running.
+// apply cancels a claim whose caller has disconnected. A fresh claim granted concurrently is released, since the caller's retry
+// would otherwise be refused as still running.
 func (e claimCancelled) apply(c *control, now time.Time) {
 	e.w.cancelled = true
 	if c.claimWaiters[e.w.nonce] != nil {
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -12,6 +12,7 @@
 
 // jobs holds the fleet-wide jobs assigned to this router: slot ownership of upstreams, ledger shards and claim shards.
 type jobs struct {
+	// stopLoadReads has an entry for each upstream whose slots this router owns.
 	stopLoadReads map[pomelorelay.UpstreamID]func()
 	ledger        map[pomelorelay.ShardID]bool
 	claims        map[pomelorelay.ShardID]bool
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -35,7 +35,7 @@
 }
 
 // memberAlive adds a live router. One that restarted before it was detected as dead has lost its grants, so they are reclaimed
-// immediately; otherwise their slots would count as used until the next RunningQuery.
+// immediately; otherwise their slots would count as taken although they are idle, until the next RunningQuery.
 func (c *control) memberAlive(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	event := pomelorelay.EventMemberUp
 	if before := c.incarnations[node]; before != 0 && incarnation > before && !c.dead[node] {
