--- a/pomelolink/config.go
+++ b/pomelolink/config.go
@@ -21,7 +21,7 @@
 	EndByClose bool
 }
 
-// Config configures Links. All durations and counts are required except AckTimeout.
+// Config holds the arguments of New. All durations and counts are required except AckTimeout.
 type Config struct {
 	Protocol Protocol
 	// MaxHeaderBytes limits the size of an answer's header.
@@ -44,7 +44,7 @@
 	buffers *Buffers
 }
 
-// New returns Links and starts a goroutine that closes expired idle connections; Close stops it.
+// New creates an empty connection pool and starts a goroutine that closes expired idle connections; Close stops it.
 func New(cfg Config) *Links {
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -73,8 +73,8 @@
 	Wanted func() bool
 }
 
-// Open sends a request at most once and reads the header of its answer. If Wanted returns false, the request is not sent and
-// Open fails with CodeCancelled.
+// Open sends a request at most once and reads the header of its answer. A request that is no longer wanted is not sent; Open
+// then fails with CodeCancelled.
 func (l *Links) Open(ctx context.Context, s Sending) (*Exchange, *Failure) {
 	conn, err := l.conns.conn(ctx, s.Addr, s.NewConnection)
 	if err != nil {
--- a/pomelonode/badinput_test.go
+++ b/pomelonode/badinput_test.go
@@ -32,7 +32,7 @@
 	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
 		t.Fatal(err)
 	}
-	// Writing fails if the router refuses the request before it has read all of it.
+	// Ignores the error of a write that fails because the router refused the request before it had read all of it.
 	_, _ = io.WriteString(conn, text)
 	_ = conn.(*net.TCPConn).CloseWrite()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -75,21 +75,21 @@
 		{"no service", caller, request("GET", "/", bearer, ""), pomelorelay.CodeUnknownPath},
 		{"a header of 40 KiB", caller, request("POST", "/status/jobs", bearer+"X-Long: "+long+"\r\n", "{}"), pomelorelay.CodeHeaderBounds},
 		{"150 header fields", caller, request("POST", "/status/jobs", bearer+many, "{}"), pomelorelay.CodeHeaderBounds},
-		{"a body said to have 1 TiB", caller, large, pomelorelay.CodeTooLarge},
-		{"a chunked body over the bound", caller, chunked + "2000000\r\n" + strings.Repeat("y", 0x2000000) + "\r\n0\r\n\r\n", pomelorelay.CodeTooLarge},
+		{"a Content-Length of 1 TiB", caller, large, pomelorelay.CodeTooLarge},
+		{"a chunked body over the limit", caller, chunked + "2000000\r\n" + strings.Repeat("y", 0x2000000) + "\r\n0\r\n\r\n", pomelorelay.CodeTooLarge},
 		{"a body that ends early", caller, "POST /status/jobs HTTP/1.1\r\nHost: router\r\n" + bearer + "Content-Length: 10\r\n\r\n{}", pomelorelay.CodeBadRequest},
 		{"a broken chunk", caller, chunked + "zz\r\n{}\r\n0\r\n\r\n", pomelorelay.CodeBadRequest},
 		{"a body that is not JSON", caller, request("POST", "/assistant/v1/chat/completions", bearer, "{"), pomelorelay.CodeBadRequest},
-		{"JSON of another kind", caller, request("POST", "/assistant/v1/chat/completions", bearer, `["model"]`), pomelorelay.CodeBadRequest},
+		{"JSON that is not an object", caller, request("POST", "/assistant/v1/chat/completions", bearer, `["model"]`), pomelorelay.CodeBadRequest},
 		{"JSON nested deeply", caller, request("POST", "/assistant/v1/chat/completions", bearer, strings.Repeat("[", 200_000)), pomelorelay.CodeBadRequest},
 		{"an unknown model", caller, request("POST", "/assistant/v1/chat/completions", bearer, `{"model":"none"}`), pomelorelay.CodeNoUpstream},
 		{"no key", caller, request("POST", "/booking/jobs", bearer, "{}"), pomelorelay.CodeClaimKeyNeeded},
 		{"a key of 300 bytes", caller, request("POST", "/booking/jobs", bearer+"Idempotency-Key: "+long[:300]+"\r\n", "{}"), pomelorelay.CodeClaimKeyBounds},
-		{"a timeout of words", caller, request("POST", "/status/jobs", bearer+"X-Timeout: soon\r\n", "{}"), pomelorelay.CodeBadRequest},
+		{"a timeout that is not a duration", caller, request("POST", "/status/jobs", bearer+"X-Timeout: soon\r\n", "{}"), pomelorelay.CodeBadRequest},
 		{"a negative timeout", caller, request("POST", "/status/jobs", bearer+"X-Timeout: -1s\r\n", "{}"), pomelorelay.CodeBadRequest},
-		{"a hint that is no number", caller, request("POST", "/status/jobs", bearer+"X-Cost-Hint: NaN\r\n", "{}"), pomelorelay.CodeBadRequest},
-		{"a fingerprint of words", operator, request("DELETE", "/quarantine/words", "", ""), pomelorelay.CodeBadRequest},
-		{"an unknown operators' path", operator, request("GET", "/nowhere", "", ""), pomelorelay.CodeUnknownPath},
+		{"a hint that is not a number", caller, request("POST", "/status/jobs", bearer+"X-Cost-Hint: NaN\r\n", "{}"), pomelorelay.CodeBadRequest},
+		{"a fingerprint that is not hexadecimal", operator, request("DELETE", "/quarantine/words", "", ""), pomelorelay.CodeBadRequest},
+		{"an unknown operator path", operator, request("GET", "/nowhere", "", ""), pomelorelay.CodeUnknownPath},
 		{"a drain by GET", operator, request("GET", "/drain", "", ""), pomelorelay.CodeBadRequest},
 	} {
 		got := sendRaw(t, c.addr, c.text)
--- a/pomelonode/evacuation_test.go
+++ b/pomelonode/evacuation_test.go
@@ -35,7 +35,7 @@
 	}
 	f.content.Evacuated = nil
 	f.publish("take it back")
-	await(t, "the domain takes work again", func() bool {
+	await(t, "the domain gets requests again", func() bool {
 		for n := range 20 {
 			call(n)
 		}
--- a/pomelonode/fleet_test.go
+++ b/pomelonode/fleet_test.go
@@ -70,7 +70,7 @@
 	unreachable atomic.Bool
 }
 
-var errUnreachable = pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "cut off", nil)
+var errUnreachable = pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "unreachable", nil)
 
 func (g *partitionableStore) Get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
 	if g.unreachable.Load() {
--- a/pomelonode/keys_test.go
+++ b/pomelonode/keys_test.go
@@ -24,7 +24,7 @@
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	serial      int64
-	// validFor is the remaining validity of issued certificates; they are valid since an hour ago.
+	// validFor is the remaining validity of issued certificates, whose validity began an hour ago.
 	validFor time.Duration
 }
 
--- a/pomelonode/partition_test.go
+++ b/pomelonode/partition_test.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// crossesDomains reports whether a message crosses failure domains; as a cut it partitions them.
+// crossesDomains reports whether two routers are in different failure domains, to partition the domains from each other.
 func crossesDomains(from, to pomelorelay.Peer) bool { return from.Domain != to.Domain }
 
 // allHaveGeneration reports whether the generation is active on every router.
--- a/pomelonode/random_test.go
+++ b/pomelonode/random_test.go
@@ -31,11 +31,11 @@
 // faults returns the faults that can be injected into a fleet in one process.
 func (f *fleet) faults() []fault {
 	return []fault{
-		{"domains cut", func(int) func() {
+		{"failure domains partitioned", func(int) func() {
 			f.network.Cut(crossesDomains)
 			return func() { f.network.Cut(nil) }
 		}},
-		{"one way cut", func(i int) func() {
+		{"router partitioned one way", func(i int) func() {
 			node := f.routers[i].settings.Host.Name
 			f.network.Cut(func(from, _ pomelorelay.Peer) bool { return from.Node == node })
 			return func() { f.network.Cut(nil) }
@@ -43,7 +43,7 @@
 		{"store down", func(int) func() { return f.storeFault(pomelofake.StoreFaults{Outage: true}) }},
 		{"store slow", func(int) func() { return f.storeFault(pomelofake.StoreFaults{SlowAnswer: 300 * time.Millisecond}) }},
 		{"store loses answers", func(int) func() { return f.storeFault(pomelofake.StoreFaults{LoseAnswers: 8}) }},
-		{"router cut from the store", func(i int) func() {
+		{"router partitioned from the store", func(i int) func() {
 			store := f.routers[i].store
 			store.unreachable.Store(true)
 			return func() { store.unreachable.Store(false) }
@@ -52,9 +52,9 @@
 			f.routers[i].node.Close()
 			return func() { f.start(i) }
 		}},
-		{"bookings answered late", func(int) func() { return f.plainFault(pomelofake.PlainFaults{Every: 3, Late: 200 * time.Millisecond}) }},
-		{"bookings cut", func(int) func() { return f.plainFault(pomelofake.PlainFaults{Every: 4, Cut: true, CutAt: 40}) }},
-		{"bookings crossed", func(int) func() { return f.plainFault(pomelofake.PlainFaults{Every: 2, Crossed: true}) }},
+		{"booking answers late", func(int) func() { return f.plainFault(pomelofake.PlainFaults{Every: 3, Late: 200 * time.Millisecond}) }},
+		{"booking answers truncated", func(int) func() { return f.plainFault(pomelofake.PlainFaults{Every: 4, Cut: true, CutAt: 40}) }},
+		{"booking answers swapped", func(int) func() { return f.plainFault(pomelofake.PlainFaults{Every: 2, Crossed: true}) }},
 	}
 }
 
--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -110,7 +110,7 @@
 		a := b.do(req, "Connection", "X-Hop", "X-Hop", "dropped", "X-Kept", "kept", "Te", "trailers")
 		mu.Lock()
 		if seen.Method != method || seen.RequestURI != "/a%2Fb/c?q=1&q=2" || body != "pearl" || seen.Trailer.Get("X-Check") != "7" {
-			t.Errorf("%s: the upstream saw %s %s %q %v", method, seen.Method, seen.RequestURI, body, seen.Trailer)
+			t.Errorf("%s: the upstream received %s %s %q %v", method, seen.Method, seen.RequestURI, body, seen.Trailer)
 		}
 		for _, name := range []string{"X-Hop", "Connection", "Te", "Authorization"} {
 			if seen.Header.Get(name) != "" {
@@ -144,7 +144,7 @@
 	}{
 		{"no such service", "/nothing/x", "", nil, pomelorelay.CodeUnknownPath},
 		{"no service", "/", "", nil, pomelorelay.CodeUnknownPath},
-		{"body over the bound", "/status/x", "123456789", nil, pomelorelay.CodeTooLarge},
+		{"body over the limit", "/status/x", "123456789", nil, pomelorelay.CodeTooLarge},
 		{"too many fields", "/status/x", "", many, pomelorelay.CodeHeaderBounds},
 		{"bad timeout", "/status/x", "", []string{"X-Timeout", "soon"}, pomelorelay.CodeBadRequest},
 		{"zero timeout", "/status/x", "", []string{"X-Timeout", "0s"}, pomelorelay.CodeBadRequest},
@@ -259,7 +259,7 @@
 	<-arrived
 	cancel()
 	<-cancelled
-	waitFor(t, "the slot was given back", func() bool {
+	waitFor(t, "the slot was released", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return len(b.results) == 1
@@ -311,7 +311,7 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Fill: "+strings.Repeat("x", 1<<20)+"\r\n\r\n")
 	}).addr())
 	if p := b.call("POST", "/booking/jobs", "r", "Idempotency-Key", "k").problem(t); p.Code != pomelorelay.CodeAnswerMalformed {
-		t.Errorf("endless header: got %+v", p)
+		t.Errorf("oversized header: got %+v", p)
 	}
 }
 
--- a/pomeloroute/bodylimit_test.go
+++ b/pomeloroute/bodylimit_test.go
@@ -36,10 +36,10 @@
 	b := newHarness(t, pomeloroute.Options{MaxBufferedBodies: 64 << 10})
 	for range 20 {
 		if code := refusalCode(t, b, 100<<10); code != pomelorelay.CodeBodiesFull {
-			t.Fatalf("a body over the bound: code %d", code)
+			t.Fatalf("a body over the limit: code %d", code)
 		}
 		if code := refusalCode(t, b, 60<<10); code != pomelorelay.CodeNoUpstream {
-			t.Fatalf("a body within the bound: code %d", code)
+			t.Fatalf("a body within the limit: code %d", code)
 		}
 	}
 }
@@ -47,9 +47,9 @@
 func TestRouterBodyLimitOverridesServiceLimit(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{MaxBody: 10 << 10})
 	if code := refusalCode(t, b, 11<<10); code != pomelorelay.CodeTooLarge {
-		t.Errorf("over the router's bound: code %d", code)
+		t.Errorf("over the router's limit: code %d", code)
 	}
 	if code := refusalCode(t, b, 9<<10); code != pomelorelay.CodeNoUpstream {
-		t.Errorf("within the router's bound: code %d", code)
+		t.Errorf("within the router's limit: code %d", code)
 	}
 }
--- a/pomeloroute/stream_test.go
+++ b/pomeloroute/stream_test.go
@@ -178,7 +178,7 @@
 		}
 		next <- struct{}{}
 	}
-	waitFor(t, "the slot was given back", func() bool {
+	waitFor(t, "the slot was released", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return len(b.results) == 1
