--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -119,8 +119,8 @@
 }
 
 // awaitClaims waits until the outcomes of all claimed requests are stored. It asks the control goroutine, since the published status may
-// not yet include the last settlement; a retry of that request would then get "outcome unknown". In a store outage the wait times
-// out, as that answer is still correct.
+// not yet include the last settlement; a retry of that request would then get "outcome unknown". In a store outage the wait ends at
+// maxClaimsWait, since that answer is then correct.
 func (n *Node) awaitClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimsWait)
 	defer cancel()
