--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -33,7 +33,7 @@
 
 func registerEntry(app *kingpin.Application) {
 	command := app.Command("entry", "Run an entry router on the users' platform until SIGTERM stops it gracefully.")
-	path := command.Flag("settings", "The platform's settings file.").Envar(pomeloplatform.SettingsVariable).Required().String()
+	path := command.Flag("settings", "The platform's settings file.").Envar(pomeloplatform.SettingsEnvVar).Required().String()
 	check := command.Flag("check", "Check the settings file and exit.").Bool()
 	without := command.Flag("without", "A mechanism of placement to switch off, to find out what it is worth; may be repeated.").Enums(pomeloplace.MechanismNames()...)
 	command.Action(func(*kingpin.ParseContext) error {
@@ -58,8 +58,8 @@
 	if err != nil {
 		return err
 	}
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.Memory)))
+	if settings.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryLimit)))
 	}
 	logger := pomelolog.New(pomelolog.Config{Node: settings.Self.Node, Level: pomelorelay.LevelInfo, Writer: os.Stdout})
 	defer logger.Close()
@@ -76,12 +76,12 @@
 	return serveEntry(entry, path, signals, logger)
 }
 
-func openEntry(settings pomelorelay.FleetSettings, without pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Entry, error) {
+func openEntry(settings pomelorelay.FleetSettings, without pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Router, error) {
 	client, err := pomelostore.New(pomelostore.Config{
-		Addresses:      []netip.AddrPort{settings.Store},
+		Addresses:      []netip.AddrPort{settings.StoreAddr},
 		Timeout:        storeTimeout,
 		CallsPerSecond: storeCalls,
-		BreakerOpen:    storeRest,
+		BreakerCooldown:    storeRest,
 		Logger:         logger,
 	})
 	if err != nil {
@@ -90,9 +90,9 @@
 	entry, err := pomeloentry.New(pomeloentry.Config{
 		Settings: settings,
 		Platform: pomeloplatform.NewStore(client, storeTimeout),
-		Wire:     pomeloplatform.Wire{},
+		Wire:     pomeloplatform.WireFormat{},
 		Logger:   logger,
-		Without:  without,
+		DisabledMechanisms:  without,
 	})
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 
 // serveEntry runs until a signal or a failure ends the router. Settings that changed are checked and told; their addresses hold
 // until the next start.
-func serveEntry(entry *pomeloentry.Entry, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
+func serveEntry(entry *pomeloentry.Router, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
 	for {
 		select {
 		case err := <-entry.Errors():
--- a/pomeloclaim/asker.go
+++ b/pomeloclaim/asker.go
@@ -11,10 +11,10 @@
 // maxBackoff bounds how often the pause before a resend doubles.
 const maxBackoff = 3
 
-// Asker asks keepers for claims on behalf of one router's requests. It alone decides whether a claimed request is
+// Requester asks keepers for claims on behalf of one router's requests. It alone decides whether a claimed request is
 // sent: once it has refused a claim it never takes it up again, whatever answer comes late, and has it released.
-type Asker struct {
-	cfg      AskerConfig
+type Requester struct {
+	cfg      RequesterConfig
 	process  pomelorelay.ClaimNonce
 	last     uint32
 	attempts map[pomelorelay.ClaimNonce]*attempt
@@ -41,10 +41,10 @@
 	sends  int
 }
 
-// NewAsker returns an Asker.
-func NewAsker(cfg AskerConfig) *Asker {
+// NewRequester returns an Asker.
+func NewRequester(cfg RequesterConfig) *Requester {
 	cfg = cfg.withDefaults()
-	return &Asker{
+	return &Requester{
 		cfg:      cfg,
 		process:  processNonce(cfg.Node, cfg.Incarnation),
 		attempts: make(map[pomelorelay.ClaimNonce]*attempt),
@@ -57,7 +57,7 @@
 }
 
 // Claim asks for a claim and returns its nonce; the verdict follows in an Output.
-func (a *Asker) Claim(now time.Time, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint, out *Output) pomelorelay.ClaimNonce {
+func (a *Requester) Claim(now time.Time, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint, out *Output) pomelorelay.ClaimNonce {
 	a.last++
 	nonce := numbered(a.process, a.last)
 	shard := ShardOf(key, a.cfg.Shards)
@@ -68,7 +68,7 @@
 	return nonce
 }
 
-func (a *Asker) track(now time.Time, nonce pomelorelay.ClaimNonce) *attempt {
+func (a *Requester) track(now time.Time, nonce pomelorelay.ClaimNonce) *attempt {
 	t := &attempt{began: now}
 	a.attempts[nonce] = t
 	a.order = append(a.order, t)
@@ -76,14 +76,14 @@
 }
 
 // Cancel gives up a claim whose verdict has not come; no verdict follows.
-func (a *Asker) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
+func (a *Requester) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
 	if t, ok := a.attempts[nonce]; ok && t.phase == phaseAsking {
 		a.release(now, t, out)
 	}
 }
 
-// Answer takes a keeper's answer.
-func (a *Asker) Answer(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
+// HandleAnswer takes a keeper's answer.
+func (a *Requester) HandleAnswer(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
 	t, ok := a.attempts[m.Nonce]
 	if !ok {
 		a.releaseStray(now, m, out)
@@ -111,7 +111,7 @@
 
 // releaseStray has a claim released that became durable after everybody had forgotten it. A keeper does not release
 // one that was settled, so a repeated answer does no harm.
-func (a *Asker) releaseStray(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
+func (a *Requester) releaseStray(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
 	if m.State != pomelorelay.ClaimFresh || !a.isOwn(m.Nonce) {
 		return
 	}
@@ -120,12 +120,12 @@
 	a.release(now, t, out)
 }
 
-func (a *Asker) isOwn(nonce pomelorelay.ClaimNonce) bool {
+func (a *Requester) isOwn(nonce pomelorelay.ClaimNonce) bool {
 	return [counterAt]byte(nonce[:counterAt]) == [counterAt]byte(a.process[:counterAt])
 }
 
 // Settle tells how the request of a fresh claim ended: released, done or unknown.
-func (a *Asker) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
+func (a *Requester) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
 	t, ok := a.attempts[nonce]
 	if !ok || t.phase != phaseRunning {
 		return
@@ -136,11 +136,11 @@
 	a.beginSettle(now, t, pomelorelay.ClaimSettle{Released: released, State: state, Outcome: outcome}, out)
 }
 
-func (a *Asker) release(now time.Time, t *attempt, out *Output) {
+func (a *Requester) release(now time.Time, t *attempt, out *Output) {
 	a.beginSettle(now, t, pomelorelay.ClaimSettle{Released: true}, out)
 }
 
-func (a *Asker) beginSettle(now time.Time, t *attempt, s pomelorelay.ClaimSettle, out *Output) {
+func (a *Requester) beginSettle(now time.Time, t *attempt, s pomelorelay.ClaimSettle, out *Output) {
 	s.Shard, s.Key, s.Nonce = t.ask.Shard, t.ask.Key, t.ask.Nonce
 	t.phase, t.settle, t.sends = phaseSettling, s, 0
 	a.settling++
@@ -149,7 +149,7 @@
 }
 
 // bound keeps an outage of all keepers from filling memory with settlements.
-func (a *Asker) bound() {
+func (a *Requester) bound() {
 	if a.settling <= a.cfg.MaxSettling/2 {
 		return
 	}
@@ -167,14 +167,14 @@
 	}
 }
 
-// Settled takes a keeper's acknowledgement.
-func (a *Asker) Settled(m *pomelorelay.ClaimSettled) {
+// HandleSettled takes a keeper's acknowledgement.
+func (a *Requester) HandleSettled(m *pomelorelay.ClaimSettled) {
 	if t, ok := a.attempts[m.Nonce]; ok && t.phase == phaseSettling {
 		a.end(m.Nonce, t)
 	}
 }
 
-func (a *Asker) end(nonce pomelorelay.ClaimNonce, t *attempt) {
+func (a *Requester) end(nonce pomelorelay.ClaimNonce, t *attempt) {
 	if t.phase == phaseSettling {
 		a.settling--
 	}
@@ -183,7 +183,7 @@
 }
 
 // Tick sends again what is due and gives up what waited too long; call it about each 50 ms.
-func (a *Asker) Tick(now time.Time, out *Output) {
+func (a *Requester) Tick(now time.Time, out *Output) {
 	a.order = slices.DeleteFunc(a.order, func(t *attempt) bool { return t.phase == phaseEnded })
 	for _, t := range a.order {
 		if t.phase == phaseAsking && now.Sub(t.began) >= a.cfg.GiveUpAfter {
@@ -197,7 +197,7 @@
 	}
 }
 
-func (a *Asker) send(now time.Time, t *attempt, out *Output) {
+func (a *Requester) send(now time.Time, t *attempt, out *Output) {
 	t.resend = now.Add(a.cfg.ResendAfter << min(t.sends, maxBackoff))
 	t.sends++
 	keeper, ok := a.cfg.Keeper(t.ask.Shard)
@@ -220,11 +220,11 @@
 	Settling int
 }
 
-// Open returns the sum.
-func (p Phases) Open() int { return p.Asking + p.Running + p.Settling }
+// Total returns the sum.
+func (p Phases) Total() int { return p.Asking + p.Running + p.Settling }
 
 // Phases counts the open claims by what they wait for.
-func (a *Asker) Phases() Phases {
+func (a *Requester) Phases() Phases {
 	var p Phases
 	for _, t := range a.attempts {
 		switch t.phase {
@@ -239,5 +239,5 @@
 	return p
 }
 
-// Open returns how many claims wait for a verdict, run, or wait for an acknowledgement; a planned stop waits until it is zero.
-func (a *Asker) Open() int { return len(a.attempts) }
+// OpenClaims returns how many claims wait for a verdict, run, or wait for an acknowledgement; a planned stop waits until it is zero.
+func (a *Requester) OpenClaims() int { return len(a.attempts) }
--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -21,21 +21,21 @@
 	store  *fleet
 }
 
-func newDirect(t *testing.T, cfg pomeloclaim.Config) *direct {
+func newDirect(t *testing.T, cfg pomeloclaim.KeeperConfig) *direct {
 	d := &direct{t: t, store: newFleet(1, 0, cfg, 1)}
 	d.now = d.store.now
-	d.keeper = pomeloclaim.New(cfg)
-	d.keeper.Own(d.now, 0, &d.out)
+	d.keeper = pomeloclaim.NewKeeper(cfg)
+	d.keeper.AddShard(d.now, 0, &d.out)
 	d.serve()
 	return d
 }
 
 // serve carries out store operations until none is wanted.
 func (d *direct) serve() {
-	for len(d.out.Store) > 0 {
-		op := d.out.Store[0]
-		d.out.Store = d.out.Store[1:]
-		d.keeper.Stored(d.now, d.store.apply(op), &d.out)
+	for len(d.out.StoreOps) > 0 {
+		op := d.out.StoreOps[0]
+		d.out.StoreOps = d.out.StoreOps[1:]
+		d.keeper.HandleStoreResult(d.now, d.store.apply(op), &d.out)
 	}
 }
 
@@ -49,12 +49,12 @@
 }
 
 func (d *direct) ask(n int, key string, content pomelorelay.Fingerprint) {
-	d.keeper.Ask(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf(key), Nonce: nonceOf(n), Content: content}, &d.out)
+	d.keeper.HandleAsk(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf(key), Nonce: nonceOf(n), Content: content}, &d.out)
 }
 
 func (d *direct) settle(n int, key string, m pomelorelay.ClaimSettle) {
 	m.Key, m.Nonce = keyOf(key), nonceOf(n)
-	d.keeper.Settle(d.now, "router-1", &m, &d.out)
+	d.keeper.HandleSettle(d.now, "router-1", &m, &d.out)
 }
 
 // answers returns and forgets the states that were answered, by nonce; an acknowledgement counts as zero.
@@ -87,7 +87,7 @@
 
 // A booking is made, sent again while it runs, with another body, and again after it ended.
 func TestRepeatsHearWhatBecameOfTheFirst(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{})
+	d := newDirect(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
 	if got := d.answers(); len(got) != 0 {
 		t.Errorf("answered before the store held the claim: %+v", got)
@@ -118,7 +118,7 @@
 
 // The store is down. A booking is refused as not run; when the store comes back, the repeat must not be blocked.
 func TestOutageRefusesAndLeavesNothingBehind(t *testing.T) {
-	f := newFleet(1, 2, pomeloclaim.Config{}, 1)
+	f := newFleet(1, 2, pomeloclaim.KeeperConfig{}, 1)
 	f.run(time.Second)
 	f.outage = true
 	f.send(1, "k")
@@ -128,7 +128,7 @@
 	}
 	f.outage = false
 	f.run(3 * time.Second)
-	if n := f.routers[1].asker.Open(); n != 0 {
+	if n := f.routers[1].asker.OpenClaims(); n != 0 {
 		t.Errorf("%d claims stay open", n)
 	}
 	f.send(1, "k")
@@ -141,20 +141,20 @@
 // A keeper stands still in the middle of a write while another takes its shard over and serves the same key. When it
 // goes on it must not tell its asker that the booking may be sent.
 func TestPausedKeeperIsFenced(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{})
+	d := newDirect(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
-	paused := d.out.Store
-	d.out.Store = nil
-	other := pomeloclaim.New(pomeloclaim.Config{})
+	paused := d.out.StoreOps
+	d.out.StoreOps = nil
+	other := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{})
 	var out pomeloclaim.Output
-	other.Own(d.now, 0, &out)
-	other.Stored(d.now, d.store.apply(out.Store[0]), &out)
-	other.Ask(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
-	other.Stored(d.now, d.store.apply(out.Store[1]), &out)
+	other.AddShard(d.now, 0, &out)
+	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[0]), &out)
+	other.HandleAsk(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
+	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[1]), &out)
 	if len(out.Messages) != 1 || out.Messages[0].Message.(*pomelorelay.ClaimAnswer).State != pomelorelay.ClaimFresh {
 		t.Fatalf("the second keeper answered %+v", out.Messages)
 	}
-	d.out.Store = paused
+	d.out.StoreOps = paused
 	d.serve()
 	d.want(1, pomelorelay.ClaimRunning)
 }
@@ -162,14 +162,14 @@
 // The store's answer to a write is lost, and the write took effect or did not. The keeper reads back.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	for _, effect := range []bool{true, false} {
-		d := newDirect(t, pomeloclaim.Config{})
+		d := newDirect(t, pomeloclaim.KeeperConfig{})
 		d.ask(1, "k", 7)
-		op := d.out.Store[0]
-		d.out.Store = nil
+		op := d.out.StoreOps[0]
+		d.out.StoreOps = nil
 		if effect {
 			d.store.apply(op)
 		}
-		d.keeper.Stored(d.now, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "", nil)}, &d.out)
+		d.keeper.HandleStoreResult(d.now, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "", nil)}, &d.out)
 		if len(d.answers()) != 0 {
 			t.Errorf("effect %v: answered without knowing", effect)
 		}
@@ -181,7 +181,7 @@
 // A router dies, or starts anew, while its booking runs. Nobody knows the outcome, and the booking must not run again.
 func TestClaimOfADeadRouterIsUnknown(t *testing.T) {
 	dead := false
-	d := newDirect(t, pomeloclaim.Config{Alive: func(pomelorelay.NodeID) bool { return !dead }})
+	d := newDirect(t, pomeloclaim.KeeperConfig{Alive: func(pomelorelay.NodeID) bool { return !dead }})
 	d.ask(1, "k", 7)
 	d.serve()
 	d.answers()
@@ -192,7 +192,7 @@
 	d.ask(3, "k", 7)
 	d.want(3, pomelorelay.ClaimRunning)
 	newer := pomelorelay.ClaimNonce{5: 1}
-	d.keeper.Ask(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf("other"), Nonce: newer, Content: 1}, &d.out)
+	d.keeper.HandleAsk(d.now, "router-1", &pomelorelay.ClaimAsk{Key: keyOf("other"), Nonce: newer, Content: 1}, &d.out)
 	d.serve()
 	d.answers()
 	d.ask(4, "k", 7)
@@ -208,7 +208,7 @@
 // Claims pile up until the head is sealed many times and old segments are dropped. Every claim within its retention
 // is found with its outcome, also by a keeper that takes over; one past it counts as never used; the store's keys stay few.
 func TestSealedClaimsAreFoundAndDroppedAfterRetention(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
+	d := newDirect(t, pomeloclaim.KeeperConfig{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
 	const claims = 600
 	for n := range claims {
 		key := fmt.Sprint("k", n)
@@ -230,8 +230,8 @@
 				t.Errorf("takeover %d: k%d has outcome %q", takeover, n, a.Outcome.Body)
 			}
 		}
-		d.keeper = pomeloclaim.New(pomeloclaim.Config{SealBytes: 3000, Retention: 10 * time.Minute})
-		d.keeper.Own(d.now, 0, &d.out)
+		d.keeper = pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{SealBytes: 3000, Retention: 10 * time.Minute})
+		d.keeper.AddShard(d.now, 0, &d.out)
 		d.serve()
 	}
 	d.ask(20000, "k0", 7)
@@ -241,16 +241,16 @@
 
 // A record of the store is damaged. To begin with an empty one would forget every booking that ran.
 func TestBrokenRecordRefuses(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{})
+	d := newDirect(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
 	d.serve()
 	d.answers()
 	record := d.store.records["claims/0"]
 	for cut := 1; cut < len(record.Value); cut += 5 {
 		d.store.records["claims/0"] = pomelorelay.Record{Key: record.Key, Value: record.Value[:cut], Revision: record.Revision}
-		d.keeper = pomeloclaim.New(pomeloclaim.Config{})
+		d.keeper = pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{})
 		d.out = pomeloclaim.Output{}
-		d.keeper.Own(d.now, 0, &d.out)
+		d.keeper.AddShard(d.now, 0, &d.out)
 		d.serve()
 		d.ask(2, "k", 7)
 		d.tick(3 * time.Second)
@@ -264,7 +264,7 @@
 
 // Callers claim and never settle. The head must not outgrow what the store holds; those past the bound are refused.
 func TestFullHeadRefuses(t *testing.T) {
-	d := newDirect(t, pomeloclaim.Config{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
+	d := newDirect(t, pomeloclaim.KeeperConfig{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
 	refused := 0
 	for n := range 200 {
 		d.ask(n, fmt.Sprint("k", n), 7)
@@ -282,22 +282,22 @@
 // A keeper that is gone leaves its router with settlements that nobody acknowledges; they must not fill its memory.
 func TestUnacknowledgedSettlementsAreBounded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	a := pomeloclaim.NewAsker(pomeloclaim.AskerConfig{MaxSettling: 100, Keeper: func(pomelorelay.ShardID) (pomelorelay.NodeID, bool) { return "", false }})
+	a := pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{MaxSettling: 100, Keeper: func(pomelorelay.ShardID) (pomelorelay.NodeID, bool) { return "", false }})
 	for n := range 300 {
 		var out pomeloclaim.Output
 		nonce := a.Claim(now, keyOf(fmt.Sprint(n)), 1, &out)
-		a.Answer(now, &pomelorelay.ClaimAnswer{Key: keyOf(fmt.Sprint(n)), Nonce: nonce, State: pomelorelay.ClaimFresh}, &out)
+		a.HandleAnswer(now, &pomelorelay.ClaimAnswer{Key: keyOf(fmt.Sprint(n)), Nonce: nonce, State: pomelorelay.ClaimFresh}, &out)
 		a.Settle(now, nonce, false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Body: []byte("x")}, &out)
 	}
-	if a.Open() != 100 {
-		t.Errorf("%d kept", a.Open())
+	if a.OpenClaims() != 100 {
+		t.Errorf("%d kept", a.OpenClaims())
 	}
 }
 
 // Writes must follow shards and commit rate, not requests: the store takes several hundred a second for everybody.
 func TestWritesDoNotGrowWithClaims(t *testing.T) {
 	const shards, seconds = 16, 20
-	cfg := pomeloclaim.Config{}
+	cfg := pomeloclaim.KeeperConfig{}
 	var lines []string
 	for _, rate := range []int{10, 100, 1000} {
 		f := newFleet(1, 8, cfg, shards)
@@ -323,19 +323,19 @@
 
 // BenchmarkCommit measures a keeper's work for one claim and its settlement in a head of 500 claims.
 func BenchmarkCommit(b *testing.B) {
-	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
-	k := pomeloclaim.New(pomeloclaim.Config{CommitsPerSecond: 1e9, SealBytes: 80 << 10})
+	f := newFleet(1, 0, pomeloclaim.KeeperConfig{}, 1)
+	k := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{CommitsPerSecond: 1e9, SealBytes: 80 << 10})
 	var out pomeloclaim.Output
 	now := f.now
 	serve := func() {
-		for len(out.Store) > 0 {
-			op := out.Store[0]
-			out.Store = out.Store[1:]
-			k.Stored(now, f.apply(op), &out)
+		for len(out.StoreOps) > 0 {
+			op := out.StoreOps[0]
+			out.StoreOps = out.StoreOps[1:]
+			k.HandleStoreResult(now, f.apply(op), &out)
 		}
 		out.Messages = nil
 	}
-	k.Own(now, 0, &out)
+	k.AddShard(now, 0, &out)
 	serve()
 	n := 0
 	b.ReportAllocs()
@@ -343,11 +343,11 @@
 		n++
 		now = now.Add(time.Second)
 		m := pomelorelay.ClaimAsk{Key: keyOf(fmt.Sprint(n)), Nonce: nonceOf(n), Content: 1}
-		k.Ask(now, "router-1", &m, &out)
+		k.HandleAsk(now, "router-1", &m, &out)
 		serve()
 		s := done("booked")
 		s.Key, s.Nonce = m.Key, m.Nonce
-		k.Settle(now, "router-1", &s, &out)
+		k.HandleSettle(now, "router-1", &s, &out)
 		now = now.Add(time.Second)
 		k.Tick(now, &out)
 		serve()
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -193,7 +193,7 @@
 	s.commit = c
 	text := encode(&c.head)
 	c.size = len(text)
-	k.op(s, opCommit, 0, StoreOp{Key: headKey(s.id), Value: text, Old: s.revision}, out)
+	k.op(s, opCommit, 0, StoreOp{Key: headKey(s.id), Value: text, ExpectedRevision: s.revision}, out)
 }
 
 func (k *Keeper) isDue(now time.Time, s *shard, out *Output) bool {
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config holds what a Keeper needs; zero durations and sizes take the defaults.
-type Config struct {
+// KeeperConfig holds what a Keeper needs; zero durations and sizes take the defaults.
+type KeeperConfig struct {
 	Logger pomelorelay.Logger
 	// Alive tells whether a router counts as alive; claims that a dead one holds are unknown. Nil means that all are.
 	Alive func(pomelorelay.NodeID) bool
@@ -35,8 +35,8 @@
 	MaxOutcome pomelorelay.Bytes
 }
 
-// AskerConfig holds what an Asker needs; zero durations and sizes take the defaults.
-type AskerConfig struct {
+// RequesterConfig holds what an Asker needs; zero durations and sizes take the defaults.
+type RequesterConfig struct {
 	// Node and Incarnation, that of the process's start, mark its nonces; no two processes may share both.
 	Node        pomelorelay.NodeID
 	Incarnation pomelorelay.Incarnation
@@ -74,7 +74,7 @@
 	defaultMaxSettling      = 10000
 )
 
-func (c Config) withDefaults() Config {
+func (c KeeperConfig) withDefaults() KeeperConfig {
 	if c.Logger == nil {
 		c.Logger = pomelorelay.NopLogger{}
 	}
@@ -101,7 +101,7 @@
 	return c
 }
 
-func (c AskerConfig) withDefaults() AskerConfig {
+func (c RequesterConfig) withDefaults() RequesterConfig {
 	if c.Shards == 0 {
 		c.Shards = defaultShards
 	}
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -22,7 +22,7 @@
 	writes  int
 	reads   int
 	routers []*router
-	cfg     pomeloclaim.Config
+	cfg     pomeloclaim.KeeperConfig
 	shards  uint32
 
 	// Faults.
@@ -51,7 +51,7 @@
 	paused bool
 	held   []func()
 	keeper *pomeloclaim.Keeper
-	asker  *pomeloclaim.Asker
+	asker  *pomeloclaim.Requester
 	life   int
 	calls  map[pomelorelay.ClaimNonce]*call
 }
@@ -85,7 +85,7 @@
 	return last
 }
 
-func newFleet(seed uint64, routers int, cfg pomeloclaim.Config, shards uint32) *fleet {
+func newFleet(seed uint64, routers int, cfg pomeloclaim.KeeperConfig, shards uint32) *fleet {
 	f := &fleet{
 		now:     time.Unix(1_700_000_000, 0),
 		rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -112,8 +112,8 @@
 	r.calls = make(map[pomelorelay.ClaimNonce]*call)
 	cfg := f.cfg
 	cfg.Alive = func(node pomelorelay.NodeID) bool { return f.byName(node).alive }
-	r.keeper = pomeloclaim.New(cfg)
-	r.asker = pomeloclaim.NewAsker(pomeloclaim.AskerConfig{
+	r.keeper = pomeloclaim.NewKeeper(cfg)
+	r.asker = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
 		Node: r.name, Incarnation: pomelorelay.Incarnation(f.now.UnixNano()), Shards: f.shards,
 		Keeper: func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 			return f.routers[f.keeperOf(shard, n)].name, true
@@ -137,9 +137,9 @@
 	var out pomeloclaim.Output
 	for shard := range pomelorelay.ShardID(f.shards) {
 		if f.keeperOf(shard, r.n) == r.n {
-			r.keeper.Own(f.now, shard, &out)
+			r.keeper.AddShard(f.now, shard, &out)
 		} else {
-			r.keeper.Disown(shard)
+			r.keeper.RemoveShard(shard)
 		}
 	}
 	f.carry(r, out)
@@ -191,7 +191,7 @@
 	for _, m := range out.Messages {
 		f.message(r, m)
 	}
-	for _, op := range out.Store {
+	for _, op := range out.StoreOps {
 		f.store(r, op)
 	}
 	for _, v := range out.Verdicts {
@@ -210,13 +210,13 @@
 			var out pomeloclaim.Output
 			switch x := m.Message.(type) {
 			case *pomelorelay.ClaimAsk:
-				to.keeper.Ask(f.now, from.name, x, &out)
+				to.keeper.HandleAsk(f.now, from.name, x, &out)
 			case *pomelorelay.ClaimSettle:
-				to.keeper.Settle(f.now, from.name, x, &out)
+				to.keeper.HandleSettle(f.now, from.name, x, &out)
 			case *pomelorelay.ClaimAnswer:
-				to.asker.Answer(f.now, x, &out)
+				to.asker.HandleAnswer(f.now, x, &out)
 			case *pomelorelay.ClaimSettled:
-				to.asker.Settled(x)
+				to.asker.HandleSettled(x)
 			}
 			f.carry(to, out)
 		})
@@ -230,7 +230,7 @@
 		f.after(d, func() {
 			f.on(r, life, func() {
 				var out pomeloclaim.Output
-				r.keeper.Stored(f.now, res, &out)
+				r.keeper.HandleStoreResult(f.now, res, &out)
 				f.carry(r, out)
 			})
 		})
@@ -264,7 +264,7 @@
 		return pomeloclaim.StoreResult{ID: op.ID, Record: record}
 	}
 	f.writes++
-	if record.Revision != op.Old {
+	if record.Revision != op.ExpectedRevision {
 		return pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreConflict, "", nil)}
 	}
 	record.Value, record.Revision = op.Value, record.Revision+1
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -10,7 +10,7 @@
 // Keeper keeps claim shards: it answers askers once the store holds their claims. Two keepers of one shard fence each
 // other by compare-and-swap on the shard's head record; a keeper never takes a claim away by its own decision.
 type Keeper struct {
-	cfg    Config
+	cfg    KeeperConfig
 	lastOp OpID
 	ops    map[OpID]storeOp
 	shards map[pomelorelay.ShardID]*shard
@@ -46,8 +46,8 @@
 	seal   *seal
 }
 
-// New returns a Keeper that keeps no shard yet.
-func New(cfg Config) *Keeper {
+// NewKeeper returns a Keeper that keeps no shard yet.
+func NewKeeper(cfg KeeperConfig) *Keeper {
 	return &Keeper{
 		cfg:    cfg.withDefaults(),
 		ops:    make(map[OpID]storeOp),
@@ -62,8 +62,8 @@
 	k.cfg.Retention = d
 }
 
-// Own begins to keep a shard; its record is read first.
-func (k *Keeper) Own(now time.Time, id pomelorelay.ShardID, out *Output) {
+// AddShard begins to keep a shard; its record is read first.
+func (k *Keeper) AddShard(now time.Time, id pomelorelay.ShardID, out *Output) {
 	if _, ok := k.shards[id]; ok {
 		return
 	}
@@ -74,9 +74,9 @@
 	k.advance(now, s, out)
 }
 
-// Disown stops keeping a shard; what waits is left to the askers' resends. A write that is under way may still take
+// RemoveShard stops keeping a shard; what waits is left to the askers' resends. A write that is under way may still take
 // effect, and the next keeper's compare-and-swap then fails and it reads again.
-func (k *Keeper) Disown(id pomelorelay.ShardID) {
+func (k *Keeper) RemoveShard(id pomelorelay.ShardID) {
 	delete(k.shards, id)
 	k.owned = slices.DeleteFunc(k.owned, func(o pomelorelay.ShardID) bool { return o == id })
 	for op, o := range k.ops {
@@ -86,9 +86,9 @@
 	}
 }
 
-// Ask takes a claim from a router; the answer follows once it is durable. One for a shard that is not kept here is
+// HandleAsk takes a claim from a router; the answer follows once it is durable. One for a shard that is not kept here is
 // dropped, because the asker sends it again to the keeper that it then knows.
-func (k *Keeper) Ask(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimAsk, out *Output) {
+func (k *Keeper) HandleAsk(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimAsk, out *Output) {
 	k.heard(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
 	if !ok || s.hasAsk(from, m.Nonce) {
@@ -102,8 +102,8 @@
 	k.advance(now, s, out)
 }
 
-// Settle takes a settlement from a router; it is acknowledged once it is durable.
-func (k *Keeper) Settle(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimSettle, out *Output) {
+// HandleSettle takes a settlement from a router; it is acknowledged once it is durable.
+func (k *Keeper) HandleSettle(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimSettle, out *Output) {
 	k.heard(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
 	if !ok || s.hasSettle(m.Nonce) || len(s.settles) >= k.cfg.MaxPending {
@@ -175,11 +175,11 @@
 	k.lastOp++
 	op.ID = k.lastOp
 	k.ops[op.ID] = storeOp{kind: kind, shard: s, slot: slot, commit: s.commit, seal: s.seal}
-	out.Store = append(out.Store, op)
+	out.StoreOps = append(out.StoreOps, op)
 }
 
-// Stored takes the result of a store operation.
-func (k *Keeper) Stored(now time.Time, r StoreResult, out *Output) {
+// HandleStoreResult takes the result of a store operation.
+func (k *Keeper) HandleStoreResult(now time.Time, r StoreResult, out *Output) {
 	o, ok := k.ops[r.ID]
 	if !ok {
 		return
--- a/pomeloclaim/output.go
+++ b/pomeloclaim/output.go
@@ -10,7 +10,7 @@
 	ID    OpID
 	Key   pomelorelay.StoreKey
 	Value []byte
-	Old   pomelorelay.Revision
+	ExpectedRevision   pomelorelay.Revision
 }
 
 // StoreResult is what a store operation returned: the record of a Get, the revision of a CompareAndSwap, or an error
@@ -34,7 +34,7 @@
 // Output collects what a decision part wants done; the caller empties it.
 type Output struct {
 	Messages []pomelorelay.Outgoing
-	Store    []StoreOp
+	StoreOps    []StoreOp
 	Verdicts []Verdict
 }
 
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -18,7 +18,7 @@
 )
 
 // smallRecords makes sealing, dropping and reuse of slots happen within a short schedule.
-var smallRecords = pomeloclaim.Config{SealBytes: 1500, CommitsPerSecond: 20, CommitBurst: 4, SettleDelay: 100 * time.Millisecond, Retention: time.Hour}
+var smallRecords = pomeloclaim.KeeperConfig{SealBytes: 1500, CommitsPerSecond: 20, CommitBurst: 4, SettleDelay: 100 * time.Millisecond, Retention: time.Hour}
 
 // Routers crash, pause and lose the store's answers, networks part, keepers change and two keep one shard, and the
 // caller sends its booking again through other routers. The customer must never pay twice, and when all is well again
--- a/pomeloclaim/seal.go
+++ b/pomeloclaim/seal.go
@@ -62,7 +62,7 @@
 	switch s.seal.step {
 	case sealWrite:
 		s.seal.step = sealWriting
-		k.op(s, opSegment, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot), Value: s.seal.text, Old: pomelorelay.Revision(s.seal.slot.Revision)}, out)
+		k.op(s, opSegment, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot), Value: s.seal.text, ExpectedRevision: pomelorelay.Revision(s.seal.slot.Revision)}, out)
 	case sealCheck:
 		s.seal.step = sealChecking
 		k.op(s, opSlot, s.seal.slot.Slot, StoreOp{Key: slotKey(s.id, s.seal.slot.Slot)}, out)
--- a/pomeloclaim/seal_list_test.go
+++ b/pomeloclaim/seal_list_test.go
@@ -12,16 +12,16 @@
 func TestManyKeptClaimsDoNotFillTheHead(t *testing.T) {
 	// A shard takes many claims within the retention. The list of its sealed segments grows until it alone is as large as the size at
 	// which the head is sealed; then segments of a few claims each fill the head, and callers see every booking refused until the next day.
-	f := newFleet(1, 0, pomeloclaim.Config{}, 1)
-	k := pomeloclaim.New(pomeloclaim.Config{CommitsPerSecond: 1e9, SealBytes: 4 << 10, MaxHeadBytes: 16 << 10})
+	f := newFleet(1, 0, pomeloclaim.KeeperConfig{}, 1)
+	k := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{CommitsPerSecond: 1e9, SealBytes: 4 << 10, MaxHeadBytes: 16 << 10})
 	var out pomeloclaim.Output
 	now := f.now
 	refused := 0
 	serve := func() {
-		for len(out.Store) > 0 {
-			op := out.Store[0]
-			out.Store = out.Store[1:]
-			k.Stored(now, f.apply(op), &out)
+		for len(out.StoreOps) > 0 {
+			op := out.StoreOps[0]
+			out.StoreOps = out.StoreOps[1:]
+			k.HandleStoreResult(now, f.apply(op), &out)
 		}
 		for _, o := range out.Messages {
 			if m, ok := o.Message.(*pomelorelay.ClaimAnswer); ok && m.State == pomelorelay.ClaimRefused {
@@ -30,17 +30,17 @@
 		}
 		out.Messages = nil
 	}
-	k.Own(now, 0, &out)
+	k.AddShard(now, 0, &out)
 	serve()
 	const claims = 4000
 	for n := range claims {
 		now = now.Add(time.Second)
 		m := pomelorelay.ClaimAsk{Key: keyOf(fmt.Sprint(n)), Nonce: nonceOf(n + 1), Content: 1}
-		k.Ask(now, "router-1", &m, &out)
+		k.HandleAsk(now, "router-1", &m, &out)
 		serve()
 		s := done("booked")
 		s.Key, s.Nonce = m.Key, m.Nonce
-		k.Settle(now, "router-1", &s, &out)
+		k.HandleSettle(now, "router-1", &s, &out)
 		now = now.Add(time.Second)
 		k.Tick(now, &out)
 		serve()
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -31,7 +31,7 @@
 
 // control is the state of the control goroutine; nothing else touches it.
 type control struct {
-	e         *Entry
+	e         *Router
 	placer    *pomeloplace.Placer
 	shares    *pomeloshare.Shares
 	residency *pomeloresidency.Policy
@@ -54,13 +54,13 @@
 	speeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
 }
 
-func newControl(e *Entry) *control {
+func newControl(e *Router) *control {
 	s := e.cfg.Settings
 	return &control{
 		e:         e,
-		placer:    pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, Cold: s.Cold, Without: e.cfg.Without}),
+		placer:    pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.ColdBounds, Disabled: e.cfg.DisabledMechanisms}),
 		shares:    pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
-		residency: pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
+		residency: pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigApplyTimeout}),
 		upstreams: newUpstreams(),
 		evacuated: make(map[pomelorelay.DomainID]bool),
 		peers:     newPeers(),
@@ -116,7 +116,7 @@
 // adjust looks at everything that follows from time.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
-	c.placer.SetUnreported(c.unreported(now))
+	c.placer.SetUnreportedRouters(c.unreported(now))
 	c.placer.Tick(now)
 	c.dropLapsed(now)
 	c.takeTurn(now)
@@ -139,8 +139,8 @@
 		m.SetGauge("generation", float64(c.config.Version))
 	}
 	for _, s := range c.placer.Speeds() {
-		m.SetGauge("read_tokens_per_ms_"+string(s.Service), float64(s.Rate))
-		m.SetGauge("first_token_overhead_ms_"+string(s.Service), float64(s.Overhead.Milliseconds()))
+		m.SetGauge("read_tokens_per_ms_"+string(s.Service), float64(s.PrefillRate))
+		m.SetGauge("first_token_overhead_ms_"+string(s.Service), float64(s.FirstTokenOverhead.Milliseconds()))
 		c.noteSpeed(s)
 	}
 }
@@ -151,12 +151,12 @@
 // noteSpeed writes a line when the estimate of a service's engines has changed: every later decision on their requests follows from it.
 func (c *control) noteSpeed(s pomeloplace.Speed) {
 	told := c.speeds[s.Service]
-	if told > 0 && s.Rate < speedNews*told && told < speedNews*s.Rate {
+	if told > 0 && s.PrefillRate < speedNews*told && told < speedNews*s.PrefillRate {
 		return
 	}
-	c.speeds[s.Service] = s.Rate
-	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.Rate)), field("OverheadMS", s.Overhead.Milliseconds()),
-		field("Pauses", s.Pauses), field("CopyPart", s.CopyPart))
+	c.speeds[s.Service] = s.PrefillRate
+	c.e.log(pomelorelay.EventSpeedLearnt, field("Service", s.Service), field("TokensPerMS", float64(s.PrefillRate)), field("OverheadMS", s.FirstTokenOverhead.Milliseconds()),
+		field("Pauses", s.PauseWeight), field("CopyPart", s.CopyFraction))
 }
 
 // place decides on a request and charges its account.
@@ -165,7 +165,7 @@
 	r := w.Place
 	// By the version in force at each attempt: one that narrows the regions binds also requests that came before it.
 	r.Residency = c.residency.Residency(now, w.Route, w.Account)
-	r.Owed = true
+	r.WithinShare = true
 	var share pomeloplace.ShareState
 	if counts {
 		if !w.Again {
@@ -173,11 +173,11 @@
 		}
 		// Only what may have run, and was charged, goes before others: were it so for each request that found an upstream down, a flood
 		// would get past its share whenever many are, and other accounts would see their requests refused.
-		r.Owed = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
-		r.Lead = c.shares.LeadOverLevel(w.Account)
-		r.Ahead = c.shares.LeadOverLeastServed(w.Account)
-		share.Cost, share.Owed = w.Cost, r.Owed
-		share.Asked, share.Served, share.Level = c.shares.Usage(w.Account)
+		r.WithinShare = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
+		r.LeadOverLevel = c.shares.LeadOverLevel(w.Account)
+		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(w.Account)
+		share.Cost, share.WithinShare = w.Cost, r.WithinShare
+		share.Requested, share.Served, share.FairShare = c.shares.Usage(w.Account)
 	}
 	d := c.placer.Place(now, r)
 	d.Share, d.Residency = share, r.Residency
@@ -188,7 +188,7 @@
 	switch {
 	case d.Reason == pomeloplace.ReasonNone && counts && !w.Charged:
 		c.shares.RecordServed(w.Account, w.Cost)
-	case d.Reason == pomeloplace.ReasonShare:
+	case d.Reason == pomeloplace.ReasonOverShare:
 		d.RetryAfter = c.returnAfter(&d, &w)
 	}
 	return d
@@ -218,13 +218,13 @@
 
 // report sends the other routers what changed here.
 func (c *control) report(now time.Time) {
-	m := &pomelorelay.LoadReport{Whole: now.Sub(c.wholeAt) >= wholeEvery}
-	if m.Whole {
+	m := &pomelorelay.LoadReport{Full: now.Sub(c.wholeAt) >= wholeEvery}
+	if m.Full {
 		c.wholeAt = now
 	}
 	c.reportedAt = now
-	c.placer.Report(m)
-	m.Accounts = c.shares.AppendReport(m.Whole, m.Accounts)
+	c.placer.FillReport(m)
+	m.Accounts = c.shares.AppendReport(m.Full, m.Accounts)
 	m.Leaving = c.upstreams.announced(now)
 	if !c.direct() {
 		c.relayOwn(now, m)
@@ -245,7 +245,7 @@
 		return
 	}
 	// A router's first report holds all that it has.
-	if m.Whole || m.Seq == 1 {
+	if m.Full || m.Seq == 1 {
 		c.peers.noteWhole(from)
 	}
 	c.apply(now, pomelorelay.Envelope{From: from, Incarnation: incarnation}, m)
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -23,14 +23,14 @@
 	Mesh     pomelorelay.Mesh
 	Clock    pomelorelay.Clock
 	Logger   pomelorelay.Logger
-	// Without are the mechanisms of placement that are switched off.
-	Without pomeloplace.Mechanisms
+	// DisabledMechanisms are the mechanisms of placement that are switched off.
+	DisabledMechanisms pomeloplace.Mechanisms
 	// Incarnation marks this start; the clock's nanoseconds when zero.
 	Incarnation pomelorelay.Incarnation
 }
 
-// Entry is one router.
-type Entry struct {
+// Router is one router.
+type Router struct {
 	cfg         Config
 	incarnation pomelorelay.Incarnation
 	mesh        pomelorelay.Mesh
@@ -75,14 +75,14 @@
 const eventQueue = 1024
 
 // New makes a router and starts its goroutines; Listen opens its ports. It fails with the mesh's code.
-func New(cfg Config) (*Entry, error) {
+func New(cfg Config) (*Router, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = pomelorelay.SystemClock{}
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
 	}
-	e := &Entry{
+	e := &Router{
 		cfg:         cfg,
 		bounds:      boundsOf(cfg.Settings),
 		incarnation: cfg.Incarnation,
@@ -118,7 +118,7 @@
 	return e, nil
 }
 
-func (e *Entry) openMesh() error {
+func (e *Router) openMesh() error {
 	if e.cfg.Mesh != nil {
 		e.mesh = e.cfg.Mesh
 		return nil
@@ -140,7 +140,7 @@
 }
 
 // start runs f in a goroutine that Close waits for.
-func (e *Entry) start(f func(ctx context.Context)) {
+func (e *Router) start(f func(ctx context.Context)) {
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -149,7 +149,7 @@
 }
 
 // post hands an event to the control goroutine; it reports false when the router has ended.
-func (e *Entry) post(ev event) bool {
+func (e *Router) post(ev event) bool {
 	select {
 	case e.events <- ev:
 		return true
@@ -158,7 +158,7 @@
 	}
 }
 
-func (e *Entry) log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
+func (e *Router) log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
 	e.cfg.Logger.Log(id, fields...)
 }
 
@@ -167,12 +167,12 @@
 }
 
 // Ready reports whether the router takes requests.
-func (e *Entry) Ready() bool {
+func (e *Router) Ready() bool {
 	return e.table.Load() != nil && e.upstreams.Load() > 0 && e.stopAt.Load() == 0 && !e.pressed()
 }
 
 // Close ends the router at once; Stop does so gracefully.
-func (e *Entry) Close() {
+func (e *Router) Close() {
 	e.once.Do(func() {
 		for _, s := range e.servers {
 			s.Close()
@@ -185,13 +185,13 @@
 }
 
 // tables implements pomeloforward.Tables.
-type tables struct{ e *Entry }
+type tables struct{ e *Router }
 
 // Current returns the table in force.
 func (t tables) Current() *pomelotable.Table { return t.e.table.Load() }
 
 // stopping implements pomeloforward.Stopping.
-type stopping struct{ e *Entry }
+type stopping struct{ e *Router }
 
 // StopsIn returns the time until the process ends, false when no stop is planned.
 func (s stopping) StopsIn() (time.Duration, bool) {
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -12,14 +12,14 @@
 )
 
 // NewLimited returns a router that does nothing but keep its limit of requests at once.
-func NewLimited(settings pomelorelay.FleetSettings) *Entry {
-	e := &Entry{bounds: boundsOf(settings)}
+func NewLimited(settings pomelorelay.FleetSettings) *Router {
+	e := &Router{bounds: boundsOf(settings)}
 	e.limit.Store(e.bounds.first)
 	return e
 }
 
 // TickWith plays a tick of the control goroutine that came late by the lag, with so many requests at once, and returns the new limit.
-func (e *Entry) TickWith(lag time.Duration, running int64) int64 {
+func (e *Router) TickWith(lag time.Duration, running int64) int64 {
 	e.tickLag.Store(int64(lag))
 	e.inFlight.Store(running)
 	e.adapt()
@@ -32,12 +32,12 @@
 // NewDecider returns a Decider that knows the configuration's limits and services, and the upstreams.
 func NewDecider(config pomelorelay.FleetConfig, upstreams ...pomelorelay.FleetUpstream) Decider {
 	settings := pomelorelay.FleetSettings{Self: pomelorelay.Peer{Node: "r", Domain: "a", Region: "ra"}, ShareWindow: 4 * time.Second}
-	c := newControl(&Entry{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
+	c := newControl(&Router{cfg: Config{Settings: settings, Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New()})
 	c.shares.SetCapacity(config.Limits.TokensPerSecond)
 	c.placer.SetConfig(&config)
 	c.residency.SetConfig(time.Time{}, &config)
 	for _, u := range upstreams {
-		c.placer.Put(time.Time{}, u)
+		c.placer.PutUpstream(time.Time{}, u)
 	}
 	return Decider{c}
 }
@@ -90,8 +90,8 @@
 
 // NewFollower returns the router named, one of the peers; all of them were just registered.
 func NewFollower(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) Follower {
-	e := &Entry{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: noMesh{}}
-	e.cfg.Settings.DrainWait = drain
+	e := &Router{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: noMesh{}}
+	e.cfg.Settings.DrainTimeout = drain
 	for _, p := range peers {
 		if p.Node == self {
 			e.cfg.Settings.Self = p
--- a/pomeloentry/follow.go
+++ b/pomeloentry/follow.go
@@ -19,7 +19,7 @@
 
 // followMost bounds the pause after failures. Only a router's reader goes on trying; its success wakes the rest. The later a router's
 // turn to read the store is, the longer it may pause: a large fleet would spend the store's rate on calls that fail.
-func (e *Entry) followMost(f *followed) time.Duration {
+func (e *Router) followMost(f *followed) time.Duration {
 	if !f.probes {
 		return followIdle
 	}
@@ -41,7 +41,7 @@
 }
 
 // follow calls again and again until ctx ends, and pauses longer after each failure in a row.
-func (e *Entry) follow(ctx context.Context, f followed) {
+func (e *Router) follow(ctx context.Context, f followed) {
 	pause := followPause
 	failed := false
 	for ctx.Err() == nil {
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -30,7 +30,7 @@
 )
 
 // Listen opens the ports; it fails with CodeListen when an address cannot be listened on.
-func (e *Entry) Listen() error {
+func (e *Router) Listen() error {
 	settings := e.cfg.Settings
 	callers := &http.Server{
 		Handler:                      http.HandlerFunc(e.serveCaller),
@@ -42,26 +42,26 @@
 		DisableGeneralOptionsHandler: true,
 	}
 	ready := mux.NewRouter()
-	ready.HandleFunc(e.cfg.Wire.ReadyPath(), e.serveReady)
+	ready.HandleFunc(e.cfg.Wire.ReadinessPath(), e.serveReady)
 	metrics := mux.NewRouter()
 	metrics.Handle("/metrics", e.metrics.Handler())
 	for _, l := range []struct {
 		addr   netip.AddrPort
 		server *http.Server
 	}{
-		{settings.Metrics, &http.Server{Handler: metrics, ReadHeaderTimeout: headerWait}},
-		{settings.Readiness, &http.Server{Handler: ready, ReadHeaderTimeout: headerWait}},
-		{settings.Callers, callers},
+		{settings.MetricsAddr, &http.Server{Handler: metrics, ReadHeaderTimeout: headerWait}},
+		{settings.ReadinessAddr, &http.Server{Handler: ready, ReadHeaderTimeout: headerWait}},
+		{settings.CallerAddr, callers},
 	} {
 		if err := e.serve(l.server, l.addr); err != nil {
 			return err
 		}
 	}
-	e.log(pomelorelay.EventStarted, field("Incarnation", uint64(e.incarnation)), field("Callers", settings.Callers.String()), field("Domain", settings.Self.Domain))
+	e.log(pomelorelay.EventStarted, field("Incarnation", uint64(e.incarnation)), field("Callers", settings.CallerAddr.String()), field("Domain", settings.Self.Domain))
 	return nil
 }
 
-func (e *Entry) serve(s *http.Server, addr netip.AddrPort) error {
+func (e *Router) serve(s *http.Server, addr netip.AddrPort) error {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return pomelorelay.NewError(pomelorelay.CodeListen, addr.String(), err)
@@ -79,9 +79,9 @@
 }
 
 // Errors returns the channel of listeners' failures.
-func (e *Entry) Errors() <-chan error { return e.errs }
+func (e *Router) Errors() <-chan error { return e.errs }
 
-func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
+func (e *Router) serveCaller(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	if !e.takes(w, r) {
@@ -90,7 +90,7 @@
 	e.forward.ServeHTTP(w, r)
 }
 
-func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (e *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !e.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -98,7 +98,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (e *Entry) countConn(_ net.Conn, state http.ConnState) {
+func (e *Router) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		e.conns.Add(1)
@@ -109,9 +109,9 @@
 
 // Stop ends the router gracefully: it is not ready any more, goes on serving the connections that it has, and ends when the last
 // is gone or shortly before the process would be killed. Closing idle connections sooner would cross requests on their way.
-func (e *Entry) Stop() {
+func (e *Router) Stop() {
 	began := e.cfg.Clock.Now()
-	end := began.Add(e.cfg.Settings.StopWait - stopMargin)
+	end := began.Add(e.cfg.Settings.StopTimeout - stopMargin)
 	e.stopAt.Store(end.UnixNano())
 	e.log(pomelorelay.EventStopping, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()))
 	for {
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -54,17 +54,17 @@
 
 func boundsOf(s pomelorelay.FleetSettings) bounds {
 	b := bounds{requests: 1 << 20, conns: 1 << 20}
-	if s.Memory > 0 {
-		b.requests = min(b.requests, int64(requestsShare*float64(s.Memory)/requestMemory))
-		b.conns = min(b.conns, int64(connsShare*float64(s.Memory)/connMemory))
+	if s.MemoryLimit > 0 {
+		b.requests = min(b.requests, int64(requestsShare*float64(s.MemoryLimit)/requestMemory))
+		b.conns = min(b.conns, int64(connsShare*float64(s.MemoryLimit)/connMemory))
 	}
 	if s.MaxFDs > systemFDs {
 		b.conns = min(b.conns, int64(fdsShare*float64(s.MaxFDs-systemFDs)))
 	}
 	b.requests = max(b.requests, leastRequests)
 	b.first = b.requests
-	if s.Self.Power > 0 {
-		b.first = min(b.first, max(int64(requestsPerCore*s.Self.Power), leastRequests))
+	if s.Self.CPUSpeed > 0 {
+		b.first = min(b.first, max(int64(requestsPerCore*s.Self.CPUSpeed), leastRequests))
 	}
 	b.conns = max(b.conns, leastRequests)
 	return b
@@ -83,13 +83,13 @@
 )
 
 // lag returns how late the control goroutine is: what waits to run on this processor waits as long.
-func (e *Entry) lag() time.Duration {
+func (e *Router) lag() time.Duration {
 	since := time.Duration(e.cfg.Clock.Now().UnixNano() - e.tickedAt.Load())
 	return max(time.Duration(e.tickLag.Load()), since-tickEvery)
 }
 
 // noteTick notes when the control goroutine ticks.
-func (e *Entry) noteTick(now time.Time) {
+func (e *Router) noteTick(now time.Time) {
 	last := e.tickedAt.Swap(now.UnixNano())
 	lag := max(0, now.UnixNano()-last-int64(tickEvery))
 	e.tickLag.Store(lag)
@@ -99,7 +99,7 @@
 }
 
 // adapt moves the limit of requests at once after a tick.
-func (e *Entry) adapt() {
+func (e *Router) adapt() {
 	limit, running := float64(e.limit.Load()), float64(e.inFlight.Load())
 	switch {
 	case e.tickLag.Load() >= int64(lagLook):
@@ -111,12 +111,12 @@
 }
 
 // lagged reports whether the control goroutine was late a moment ago: what waited meanwhile is only read now.
-func (e *Entry) lagged() bool {
+func (e *Router) lagged() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	return e.lag() >= lagLook || now-e.laggedAt.Load() < int64(laggedFor)
 }
 
-func (e *Entry) overrun() bool {
+func (e *Router) overrun() bool {
 	return e.lag() > lagMost || float64(e.conns.Load()) > connsOver*float64(e.bounds.conns)
 }
 
@@ -125,7 +125,7 @@
 // still, with everything that runs there.
 type boundListener struct {
 	net.Listener
-	e *Entry
+	e *Router
 }
 
 // Accept returns the next connection that the router has room for.
@@ -143,7 +143,7 @@
 // noteRefused counts what a request asked that is refused unread. Left out, an account whose callers come to full routers looks as if it wanted
 // nothing, the others get its share, and its shortage does not show. Where the control goroutine has more than it can take, the
 // request is not counted: the router must not wait for it.
-func (e *Entry) noteRefused(r *http.Request) {
+func (e *Router) noteRefused(r *http.Request) {
 	account, cost := e.forward.Asks(r)
 	if cost <= 0 {
 		return
@@ -163,7 +163,7 @@
 
 // left reports whether the caller closed its connection. On a processor that does not keep up, net/http notices that late: requests
 // would be sent on whose callers gave up while nobody read them.
-func (e *Entry) left(r *http.Request) bool {
+func (e *Router) left(r *http.Request) bool {
 	if !e.lagged() {
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 // pressed reports whether the router has nearly what it can take, or had a moment ago.
-func (e *Entry) pressed() bool {
+func (e *Router) pressed() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	full := e.lag() > lagMost || float64(e.inFlight.Load()) > pressedShare*float64(e.limit.Load()) || float64(e.conns.Load()) > pressedShare*float64(e.bounds.conns)
 	if full {
@@ -195,7 +195,7 @@
 }
 
 // takes counts a request in; it reports false, and has answered, when the router is full.
-func (e *Entry) takes(w http.ResponseWriter, r *http.Request) bool {
+func (e *Router) takes(w http.ResponseWriter, r *http.Request) bool {
 	if e.pressed() {
 		w.Header().Set("Connection", "close")
 	}
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -147,7 +147,7 @@
 
 // applyPeers takes in what changed among the registered routers.
 func (c *control) applyPeers(now time.Time, change *pomelorelay.FleetChange) {
-	if change.Whole {
+	if change.Full {
 		for node := range c.peers.present {
 			c.peers.unregister(node)
 		}
@@ -157,11 +157,11 @@
 			c.peers.put(now, p)
 		}
 	}
-	for _, node := range change.GonePeers {
+	for _, node := range change.RemovedPeers {
 		c.peers.unregister(node)
 	}
 	dropped := c.peers.drop(now)
-	if dropped || change.Whole || len(change.Peers)+len(change.GonePeers) > 0 {
+	if dropped || change.Full || len(change.Peers)+len(change.RemovedPeers) > 0 {
 		c.setPeers()
 	}
 }
@@ -174,11 +174,11 @@
 }
 
 // keepRegistered keeps this router's entry in the store, so that the others find it.
-func (e *Entry) keepRegistered(ctx context.Context) {
+func (e *Router) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
 	e.follow(ctx, followed{name: "registration", pace: renewEvery, call: func(bool) error {
 		if lease == 0 {
-			opened, err := e.cfg.Platform.Announce(ctx, e.cfg.Settings.Self, registrationTTL)
+			opened, err := e.cfg.Platform.Register(ctx, e.cfg.Settings.Self, registrationTTL)
 			e.metrics.CountStoreCall("announce", "registration", pomelorelay.CodeOf(err))
 			if err == nil {
 				lease = opened
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -15,13 +15,13 @@
 func TestAFloodStaysBeyondItsShareWhenUpstreamsAreDown(t *testing.T) {
 	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
-		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
+		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
 	flood := func(again, charged bool) pomeloplace.Reason {
 		now = now.Add(time.Millisecond)
 		return d.Place(now, pomeloforward.Work{Account: "flood", Cost: 1000, Again: again, Charged: charged, Place: pomeloplace.Request{
-			Service: "s", Prompt: 100, Output: 100, Target: time.Second, Left: 10 * time.Second,
+			Service: "s", PromptTokens: 100, OutputTokens: 100, Target: time.Second, MaxWait: 10 * time.Second,
 		}}).Reason
 	}
 	placed := 0
@@ -36,8 +36,8 @@
 		again, charged bool
 		want           pomeloplace.Reason
 	}{
-		{"first asked", false, false, pomeloplace.ReasonShare},
-		{"found an upstream down", true, false, pomeloplace.ReasonShare},
+		{"first asked", false, false, pomeloplace.ReasonOverShare},
+		{"found an upstream down", true, false, pomeloplace.ReasonOverShare},
 		{"ran and failed", true, true, pomeloplace.ReasonNone},
 	} {
 		if got := flood(c.again, c.charged); got != c.want {
@@ -68,13 +68,13 @@
 func TestWhatAFullRouterRefusesCountsAsAsked(t *testing.T) {
 	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
-		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}},
+		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 64})
 	now := time.Now()
 	other := func() pomeloplace.ShareState {
 		now = now.Add(500 * time.Millisecond)
 		return d.Place(now, pomeloforward.Work{Account: "other", Cost: 5000, Place: pomeloplace.Request{
-			Service: "s", Prompt: 100, Output: 10, Target: time.Second, Left: 10 * time.Second,
+			Service: "s", PromptTokens: 100, OutputTokens: 10, Target: time.Second, MaxWait: 10 * time.Second,
 		}}).Share
 	}
 	for range 6 {
@@ -84,8 +84,8 @@
 	for range 10 {
 		d.RefusedUnread(now, "short", 4000)
 	}
-	if beside := other(); !alone.Owed || beside.Owed {
-		t.Errorf("owed %v alone and %v beside an account that is refused everything; level %.0f and %.0f", alone.Owed, beside.Owed, alone.Level, beside.Level)
+	if beside := other(); !alone.WithinShare || beside.WithinShare {
+		t.Errorf("owed %v alone and %v beside an account that is refused everything; level %.0f and %.0f", alone.WithinShare, beside.WithinShare, alone.FairShare, beside.FairShare)
 	}
 }
 
@@ -94,17 +94,17 @@
 func TestLateReportsAreLeftOut(t *testing.T) {
 	d := pomeloentry.NewDecider(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
-		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
+		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
 	running := func() int {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.Work{Place: pomeloplace.Request{Service: "s", Prompt: 100, Target: time.Nanosecond, Left: time.Nanosecond}}).Running
+		return d.Place(now, pomeloforward.Work{Place: pomeloplace.Request{Service: "s", PromptTokens: 100, Target: time.Nanosecond, MaxWait: time.Nanosecond}}).Running
 	}
 	report := func(seq uint64, runs uint32, served pomelorelay.Cost) *pomelorelay.LoadReport {
 		return &pomelorelay.LoadReport{
 			Seq: seq, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: "u", Running: runs}},
-			Accounts: []pomelorelay.AccountUse{{Account: "acct", Asked: served, Served: served}},
+			Accounts: []pomelorelay.AccountUse{{Account: "acct", Requested: served, Served: served}},
 		}
 	}
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -15,7 +15,7 @@
 }
 
 // placement implements pomeloforward.Placement by events to the control goroutine.
-type placement struct{ e *Entry }
+type placement struct{ e *Router }
 
 // Place returns a ticket or a refusal; it fails when ctx ends first.
 func (p placement) Place(ctx context.Context, w pomeloforward.Work) (pomeloforward.Ticket, pomeloplace.Decision, error) {
@@ -51,7 +51,7 @@
 
 // ticket implements pomeloforward.Ticket.
 type ticket struct {
-	e    *Entry
+	e    *Router
 	run  *pomeloplace.Run
 	work pomeloforward.Work
 }
@@ -64,7 +64,7 @@
 
 type begun struct{ run *pomeloplace.Run }
 
-func (b *begun) apply(c *control, now time.Time) { c.placer.Begun(now, b.run) }
+func (b *begun) apply(c *control, now time.Time) { c.placer.RecordAnswerStart(now, b.run) }
 
 type ended struct {
 	run    *pomeloplace.Run
@@ -75,7 +75,7 @@
 // apply ends a run. What surely did not run is given back to its account: while upstreams are down, an account whose requests find
 // them first would use up its share by nothing, and see the rest refused.
 func (d *ended) apply(c *control, now time.Time) {
-	c.placer.Ended(now, d.run, d.result)
+	c.placer.RecordEnd(now, d.run, d.result)
 	if d.result.NotRun() && d.work.Cost > 0 && d.work.Account != "" && !d.work.Charged {
 		c.shares.Refund(d.work.Account, d.work.Cost)
 	}
--- a/pomeloentry/reader.go
+++ b/pomeloentry/reader.go
@@ -64,7 +64,7 @@
 func (w *cursor) misses(at pomelorelay.Revision) bool { return at > w.get() }
 
 // followStore reads the store whenever it is this router's turn.
-func (e *Entry) followStore(ctx context.Context) {
+func (e *Router) followStore(ctx context.Context) {
 	started := time.Now()
 	settle := e.settleTime()
 	e.follow(ctx, followed{name: "store", probes: true, call: func(failed bool) error {
@@ -82,8 +82,8 @@
 }
 
 // settleTime returns how long after its start the router waits for updates before it reads again.
-func (e *Entry) settleTime() time.Duration {
-	power := e.cfg.Settings.Self.Power
+func (e *Router) settleTime() time.Duration {
+	power := e.cfg.Settings.Self.CPUSpeed
 	if power <= 0 {
 		return 0
 	}
@@ -92,13 +92,13 @@
 }
 
 // readsNow reports whether it is this router's turn to read the store.
-func (e *Entry) readsNow() bool {
+func (e *Router) readsNow() bool {
 	turn := e.turn.Load()
 	return turn == 0 || e.cfg.Clock.Now().UnixNano()-e.updatedAt.Load() >= turn
 }
 
 // read reads everything at first and after the store dropped its history, and changes otherwise.
-func (e *Entry) read(ctx context.Context, failed bool) error {
+func (e *Router) read(ctx context.Context, failed bool) error {
 	after := e.cursor.get()
 	if after == 0 {
 		// What a stale read lacks comes with the first update.
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (e *Entry) readAll(ctx context.Context, cause string, stale bool) error {
+func (e *Router) readAll(ctx context.Context, cause string, stale bool) error {
 	change, err := e.cfg.Platform.Read(ctx, stale)
 	e.metrics.CountStoreCall("read", cause, pomelorelay.CodeOf(err))
 	if err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (e *Entry) turnName() string {
+func (e *Router) turnName() string {
 	if e.turn.Load() == 0 {
 		return "first"
 	}
@@ -134,7 +134,7 @@
 }
 
 // postRead hands what was read to the control goroutine and waits until it is taken in: the next read goes on from there.
-func (e *Entry) postRead(ctx context.Context, r *storeRead) {
+func (e *Router) postRead(ctx context.Context, r *storeRead) {
 	r.done = make(chan struct{})
 	if !e.post(r) {
 		return
@@ -156,7 +156,7 @@
 
 func (a *storeRead) apply(c *control, now time.Time) {
 	defer close(a.done)
-	if !c.e.cursor.advance(a.after, a.change.At, a.change.Whole) {
+	if !c.e.cursor.advance(a.after, a.change.Revision, a.change.Full) {
 		// Another router's update came first; the next read goes on from it.
 		return
 	}
@@ -168,19 +168,19 @@
 
 // updateOf returns what of a change the other routers do not have: heartbeats that change nothing are left out.
 func (c *control) updateOf(a *storeRead) *pomelorelay.FleetUpdate {
-	m := &pomelorelay.FleetUpdate{After: a.after, At: a.change.At, Whole: a.change.Whole, GoneUpstreams: a.change.GoneUpstreams, GonePeers: a.change.GonePeers, Evacuated: a.change.Evacuated, Restored: a.change.Restored}
+	m := &pomelorelay.FleetUpdate{After: a.after, Revision: a.change.Revision, Full: a.change.Full, RemovedUpstreams: a.change.RemovedUpstreams, RemovedPeers: a.change.RemovedPeers, Evacuated: a.change.Evacuated, Restored: a.change.Restored}
 	if a.change.Config != nil {
 		// The others go on from this revision: should this router die next, the configuration would not be read again.
 		m.Document = a.change.Config.Document
 	}
 	for _, u := range a.change.Upstreams {
 		_, lapses := c.upstreams.lapsed[u.ID]
-		if m.Whole || lapses || c.upstreams.present[u.ID] != u {
+		if m.Full || lapses || c.upstreams.present[u.ID] != u {
 			m.Upstreams = append(m.Upstreams, u)
 		}
 	}
 	for _, p := range a.change.Peers {
-		if known := c.peers.present[p.Node]; m.Whole || known == nil || !known.registered || known.Peer != p {
+		if known := c.peers.present[p.Node]; m.Full || known == nil || !known.registered || known.Peer != p {
 			m.Peers = append(m.Peers, p)
 		}
 	}
@@ -189,8 +189,8 @@
 
 // applyChange takes in what the store holds; source names the router that read it.
 func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, back bool, source string) {
-	if change.ConfigFault != nil {
-		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigFault))), field("Fault", change.ConfigFault.Error()))
+	if change.ConfigError != nil {
+		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigError))), field("Fault", change.ConfigError.Error()))
 	}
 	if change.Config != nil {
 		c.setConfig(now, change.Config, source)
@@ -226,9 +226,9 @@
 
 // receiveUpdate takes what another router read in the store. Where something before it is missing, the router asks for everything.
 func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
-	taken := c.e.cursor.advance(m.After, m.At, m.Whole)
-	missed := !taken && c.e.cursor.misses(m.At)
-	if taken || missed || m.At == c.e.cursor.get() {
+	taken := c.e.cursor.advance(m.After, m.Revision, m.Full)
+	missed := !taken && c.e.cursor.misses(m.Revision)
+	if taken || missed || m.Revision == c.e.cursor.get() {
 		c.e.updatedAt.Store(now.UnixNano())
 		c.e.storeBack.signal()
 	}
@@ -243,7 +243,7 @@
 	}
 	if taken {
 		change := pomelorelay.FleetChange{
-			At: m.At, Whole: m.Whole, Upstreams: m.Upstreams, GoneUpstreams: m.GoneUpstreams, Peers: m.Peers, GonePeers: m.GonePeers,
+			Revision: m.Revision, Full: m.Full, Upstreams: m.Upstreams, RemovedUpstreams: m.RemovedUpstreams, Peers: m.Peers, RemovedPeers: m.RemovedPeers,
 			Evacuated: m.Evacuated, Restored: m.Restored,
 		}
 		c.applyChange(now, &change, false, string(from))
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -60,8 +60,8 @@
 }
 
 func stronger(a, b pomelorelay.Peer) bool {
-	if a.Power != b.Power {
-		return a.Power > b.Power
+	if a.CPUSpeed != b.CPUSpeed {
+		return a.CPUSpeed > b.CPUSpeed
 	}
 	return a.Node < b.Node
 }
@@ -98,7 +98,7 @@
 		return
 	}
 	if r.from != "" {
-		c.placer.Forget(r.from)
+		c.placer.ForgetRouter(r.from)
 	}
 	*r = relays{local: newAggregate(), all: newAggregate(), seq: r.seq, domains: make(map[pomelorelay.DomainID]pomelorelay.NodeID)}
 }
@@ -139,13 +139,13 @@
 	c.beginRelay()
 	r := &c.relayed
 	if before := r.domains[domain]; before != m.From {
-		if !report.Whole {
+		if !report.Full {
 			return
 		}
-		c.placer.Forget(before)
+		c.placer.ForgetRouter(before)
 		for node, p := range c.peers.present {
 			if p.Domain == domain {
-				c.placer.Forget(node)
+				c.placer.ForgetRouter(node)
 			}
 		}
 		r.domains[domain] = m.From
@@ -159,10 +159,10 @@
 func (c *control) takeFleet(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
 	r := &c.relayed
 	if r.from != m.From || r.incarnation != m.Incarnation {
-		if !s.Report.Whole {
+		if !s.Report.Full {
 			return
 		}
-		c.placer.ForgetOthers(m.From)
+		c.placer.ForgetRoutersExcept(m.From)
 		r.from, r.incarnation, r.taken = m.From, m.Incarnation, 0
 		c.shares.SetBaseline(m.From, m.Incarnation, s.Report.Accounts)
 	}
@@ -180,7 +180,7 @@
 
 // apply takes a report or a sum of reports for decisions.
 func (c *control) apply(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
-	c.placer.TakeReport(now, m.From, m.Incarnation, report)
+	c.placer.ApplyReport(now, m.From, m.Incarnation, report)
 	c.shares.MergeReport(m.From, m.Incarnation, report.Accounts)
 	c.takeLeaving(now, m.From, report.Leaving)
 }
@@ -188,8 +188,8 @@
 // flush sends what was summed up: the own domain's sum to the other domains' relays, and to each neighbour the sum of all others.
 func (c *control) flush(now time.Time) {
 	r := &c.relayed
-	r.local.forgetSilent(now, pomeloplace.SilentAfter)
-	r.all.forgetSilent(now, pomeloplace.SilentAfter)
+	r.local.forgetSilent(now, pomeloplace.PeerTimeout)
+	r.all.forgetSilent(now, pomeloplace.PeerTimeout)
 	whole := now.Sub(r.wholeAt) >= wholeEvery
 	if now.Sub(r.flushedAt) < flushEvery || (!whole && !r.all.changed()) {
 		return
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -24,8 +24,8 @@
 )
 
 // ofDrain returns a part of the time after which an upstream that said it leaves must get no more requests.
-func (e *Entry) ofDrain(part float64) time.Duration {
-	drain := e.cfg.Settings.DrainWait
+func (e *Router) ofDrain(part float64) time.Duration {
+	drain := e.cfg.Settings.DrainTimeout
 	if drain <= 0 {
 		drain = defaultDrain
 	}
@@ -72,7 +72,7 @@
 		c.upstreams.backAt = now
 	}
 	c.upstreams.listedAt = now
-	for _, fault := range change.Faults {
+	for _, fault := range change.EntryErrors {
 		c.e.log(pomelorelay.EventUpstreamBadEntry, field("Code", int(pomelorelay.CodeOf(fault))), field("Fault", fault.Error()))
 	}
 	seen := make(map[pomelorelay.UpstreamID]bool, len(change.Upstreams))
@@ -80,10 +80,10 @@
 		seen[u.ID] = true
 		c.putUpstream(now, u, source)
 	}
-	for _, id := range change.GoneUpstreams {
+	for _, id := range change.RemovedUpstreams {
 		c.vanish(now, id)
 	}
-	if change.Whole {
+	if change.Full {
 		for id := range c.upstreams.present {
 			if !seen[id] {
 				c.vanish(now, id)
@@ -97,7 +97,7 @@
 	before, known := c.upstreams.present[u.ID]
 	c.upstreams.present[u.ID] = u
 	delete(c.upstreams.lapsed, u.ID)
-	c.placer.Put(now, u)
+	c.placer.PutUpstream(now, u)
 	if known && before == u {
 		return
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	delete(c.upstreams.leaving, u.ID)
-	c.e.log(pomelorelay.EventUpstreamListed, field("Upstream", u.ID), field("Service", u.Service), field("Address", u.Addr.String()), field("Domain", u.Domain), field("Born", u.Born), field("ColdMS", u.ColdFor.Milliseconds()), field("Source", source))
+	c.e.log(pomelorelay.EventUpstreamListed, field("Upstream", u.ID), field("Service", u.Service), field("Address", u.Addr.String()), field("Domain", u.Domain), field("Born", u.StartUnixMilli), field("ColdMS", u.ColdRemaining.Milliseconds()), field("Source", source))
 }
 
 // vanish takes an entry that is no longer there. After an outage of the store, in which leases lapse, the entries of upstreams that
@@ -165,7 +165,7 @@
 	delete(c.upstreams.lapsed, id)
 	delete(c.upstreams.present, id)
 	c.upstreams.leaving[id] = now
-	c.placer.Remove(id)
+	c.placer.RemoveUpstream(id)
 	c.e.upstreams.Store(int64(len(c.upstreams.present)))
 	c.e.log(pomelorelay.EventUpstreamGone, field("Upstream", id))
 }
@@ -183,7 +183,7 @@
 		}
 		u.Draining = true
 		c.upstreams.present[id] = u
-		c.placer.Put(now, u)
+		c.placer.PutUpstream(now, u)
 		c.e.log(pomelorelay.EventLeaving, field("Upstream", id), field("Source", from))
 	}
 }
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -8,7 +8,7 @@
 
 // noteWarmups writes a line for each upstream that was found cold or has become warm since the last look.
 func (c *control) noteWarmups(now time.Time) {
-	cold := c.placer.Warmups(now)
+	cold := c.placer.ColdUpstreams(now)
 	for id, s := range cold {
 		if before, known := c.cold[id]; known && before.Unreached == s.Unreached {
 			continue
--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -34,17 +34,17 @@
 	Count int
 	// Bytes is the sum of the bodies of waiting requests; default 16 MiB.
 	Bytes pomelorelay.Bytes
-	// Wait is the longest that a request waits; default 60 s.
-	Wait time.Duration
+	// MaxWait is the longest that a request waits; default 60 s.
+	MaxWait time.Duration
 }
 
 // PoolOptions are what differs from pool to pool: the unit of cost is a token in one and a slot second in another.
 type PoolOptions struct {
 	// CatchUp stands for ChargeOptions.CatchUp.
 	CatchUp pomelorelay.Tag
-	// Count and Bytes stand for those of LimitOptions.
-	Count int
-	Bytes pomelorelay.Bytes
+	// MaxWaiting and Bytes stand for those of LimitOptions.
+	MaxWaiting int
+	MaxWaitingBytes pomelorelay.Bytes
 }
 
 const (
@@ -84,8 +84,8 @@
 	if o.Bytes == 0 {
 		o.Bytes = defaultBytes
 	}
-	if o.Wait == 0 {
-		o.Wait = defaultWait
+	if o.MaxWait == 0 {
+		o.MaxWait = defaultWait
 	}
 	return o
 }
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -15,8 +15,8 @@
 	q.changed = append(q.changed, a)
 }
 
-// SetVirtual takes the pool's virtual time, the level at which the fleet serves it now.
-func (q *Queues) SetVirtual(id pomelorelay.PoolID, tag pomelorelay.Tag) {
+// SetVirtualTime takes the pool's virtual time, the level at which the fleet serves it now.
+func (q *Queues) SetVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	p := q.pools[id]
 	if p == nil {
 		return
@@ -25,17 +25,17 @@
 	p.crest = max(p.crest, tag)
 }
 
-// SetCrest takes the highest virtual time of the failure domains within reach. Backlogged accounts catch up with it to
+// RaiseMaxVirtualTime takes the highest virtual time of the failure domains within reach. Backlogged accounts catch up with it to
 // within the catch-up bound. The virtual time itself can't be that mark: after a partition only those that are behind
 // are granted, it falls to their level, and whoever got more would be seen to stand still until they are level.
-func (q *Queues) SetCrest(id pomelorelay.PoolID, tag pomelorelay.Tag) {
+func (q *Queues) RaiseMaxVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	if p := q.pools[id]; p != nil {
 		p.crest = max(p.crest, tag)
 	}
 }
 
-// SetFleet takes an account's fleet totals, this router's own part included.
-func (q *Queues) SetFleet(now time.Time, e pomelorelay.LedgerEntry) {
+// SetFleetTotals takes an account's fleet totals, this router's own part included.
+func (q *Queues) SetFleetTotals(now time.Time, e pomelorelay.LedgerEntry) {
 	p := q.pools[e.Pool]
 	if p == nil {
 		return
@@ -133,8 +133,8 @@
 	}
 }
 
-// Changed appends this router's own cumulative totals that changed since the last call.
-func (q *Queues) Changed(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
+// ChangedEntries appends this router's own cumulative totals that changed since the last call.
+func (q *Queues) ChangedEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
 	for i, a := range q.changed {
 		a.dirty = false
 		a.report()
@@ -156,8 +156,8 @@
 	return out
 }
 
-// Interest appends the accounts that wait here, whose fleet totals decide.
-func (q *Queues) Interest(out []pomelorelay.LedgerKey) []pomelorelay.LedgerKey {
+// WaitingAccounts appends the accounts that wait here, whose fleet totals decide.
+func (q *Queues) WaitingAccounts(out []pomelorelay.LedgerKey) []pomelorelay.LedgerKey {
 	for _, p := range q.order {
 		for _, a := range p.heap {
 			out = append(out, pomelorelay.LedgerKey{Pool: p.id, Account: a.id})
--- a/pomelofair/limits.go
+++ b/pomelofair/limits.go
@@ -16,9 +16,9 @@
 func (q *Queues) checkLimits(a *account, r Request) error {
 	code := pomelorelay.ResultCode(0)
 	switch {
-	case a.waiting >= a.pool.options.Count:
+	case a.waiting >= a.pool.options.MaxWaiting:
 		code = pomelorelay.CodeQueueCount
-	case a.bytes+r.Bytes > a.pool.options.Bytes:
+	case a.bytes+r.Bytes > a.pool.options.MaxWaitingBytes:
 		code = pomelorelay.CodeQueueBytes
 	default:
 		return nil
@@ -34,8 +34,8 @@
 	return min(max(estimate, minRetryAfter), maxRetryAfter)
 }
 
-// WaitError returns the refusal of a request that Expire returned.
-func (q *Queues) WaitError(id pomelorelay.PoolID, name pomelorelay.AccountID) *pomelorelay.Error {
+// WaitTimeoutError returns the refusal of a request that Expire returned.
+func (q *Queues) WaitTimeoutError(id pomelorelay.PoolID, name pomelorelay.AccountID) *pomelorelay.Error {
 	err := pomelorelay.NewError(pomelorelay.CodeQueueWait, "", nil)
 	err.RetryAfter = q.account(id, name).retryAfter()
 	return err
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -102,7 +102,7 @@
 
 // Expire appends the requests that waited past the bound and forgets them; each is to be refused with WaitError.
 func (q *Queues) Expire(now time.Time, out []pomelorelay.RequestID) []pomelorelay.RequestID {
-	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.Wait {
+	for q.oldest != nil && now.Sub(q.oldest.pushed) >= q.cfg.Limit.MaxWait {
 		r := q.oldest
 		out = append(out, r.id)
 		q.drop(r)
@@ -183,8 +183,8 @@
 	}
 }
 
-// SetPool sets what differs from pool to pool; zero fields take what New was given.
-func (q *Queues) SetPool(id pomelorelay.PoolID, o PoolOptions) {
+// SetPoolOptions sets what differs from pool to pool; zero fields take what New was given.
+func (q *Queues) SetPoolOptions(id pomelorelay.PoolID, o PoolOptions) {
 	q.pool(id).options = q.poolOptions(o)
 }
 
@@ -192,11 +192,11 @@
 	if o.CatchUp == 0 {
 		o.CatchUp = q.cfg.Charge.CatchUp
 	}
-	if o.Count == 0 {
-		o.Count = q.cfg.Limit.Count
+	if o.MaxWaiting == 0 {
+		o.MaxWaiting = q.cfg.Limit.Count
 	}
-	if o.Bytes == 0 {
-		o.Bytes = q.cfg.Limit.Bytes
+	if o.MaxWaitingBytes == 0 {
+		o.MaxWaitingBytes = q.cfg.Limit.Bytes
 	}
 	return o
 }
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -41,7 +41,7 @@
 }
 
 func fleet(q *pomelofair.Queues, account pomelorelay.AccountID, served pomelorelay.Cost, waiting bool) {
-	q.SetFleet(start, pomelorelay.LedgerEntry{Pool: pool, Account: account, Served: served, Waiting: waiting})
+	q.SetFleetTotals(start, pomelorelay.LedgerEntry{Pool: pool, Account: account, Served: served, Waiting: waiting})
 }
 
 func lift(q *pomelofair.Queues, account pomelorelay.AccountID) pomelorelay.Tag {
@@ -69,7 +69,7 @@
 func TestRefusals(t *testing.T) {
 	// One account floods its router with more than it may have waiting. Without bounds of its own the flood would
 	// take the router's memory and everybody else's requests would be refused too.
-	q := pomelofair.New(pomelofair.Config{Limit: pomelofair.LimitOptions{Count: 2, Bytes: 100, Wait: time.Second}})
+	q := pomelofair.New(pomelofair.Config{Limit: pomelofair.LimitOptions{Count: 2, Bytes: 100, MaxWait: time.Second}})
 	push(t, q, 1, "flood")
 	push(t, q, 2, "flood")
 	for _, c := range []struct {
@@ -95,7 +95,7 @@
 	if got := q.Expire(start.Add(time.Second), nil); len(got) != 3 {
 		t.Errorf("expired %v, want all three", got)
 	}
-	if err := q.WaitError(pool, "flood"); err.RetryAfter < time.Second || err.Ran != pomelorelay.RanNo {
+	if err := q.WaitTimeoutError(pool, "flood"); err.RetryAfter < time.Second || err.Ran != pomelorelay.RanNo {
 		t.Errorf("refusal %+v", err)
 	}
 	if _, waiting, ok := q.Head(start, pool); ok || waiting != 0 {
@@ -123,7 +123,7 @@
 	// counted, it alone would be served until it had caught up, and everybody else would see the fleet stand still.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "busy")
-	q.SetVirtual(pool, 500)
+	q.SetVirtualTime(pool, 500)
 	fleet(q, "busy", 500, true)
 	push(t, q, 2, "back")
 	push(t, q, 3, "back")
@@ -146,7 +146,7 @@
 	}{{470, 0}, {100, 340}} {
 		q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 		push(t, q, 1, "first")
-		q.SetVirtual(pool, 500)
+		q.SetVirtualTime(pool, 500)
 		push(t, q, 2, "a")
 		fleet(q, "a", c.served, true)
 		if got := lift(q, "a"); got != c.lift {
@@ -160,7 +160,7 @@
 	// lifts computed from zero would later put accounts far ahead of what they had.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "other")
-	q.SetVirtual(pool, 300)
+	q.SetVirtualTime(pool, 300)
 	push(t, q, 2, "a")
 	push(t, q, 3, "a")
 	push(t, q, 4, "a")
--- a/pomelofair/random_test.go
+++ b/pomelofair/random_test.go
@@ -108,15 +108,15 @@
 }
 
 func (m *queuesModel) totals(t *rapid.T) {
-	_ = m.q.Changed(nil)
+	_ = m.q.ChangedEntries(nil)
 	e := pomelorelay.LedgerEntry{
 		Pool:    pool,
 		Account: pomelorelay.AccountID(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "account"))),
 		Served:  pomelorelay.Cost(rapid.IntRange(0, 1000).Draw(t, "fleet")),
 		Waiting: rapid.Bool().Draw(t, "waiting"),
 	}
-	m.q.SetVirtual(pool, pomelorelay.Tag(rapid.IntRange(0, 500).Draw(t, "virtual")))
-	m.q.SetFleet(m.now, e)
+	m.q.SetVirtualTime(pool, pomelorelay.Tag(rapid.IntRange(0, 500).Draw(t, "virtual")))
+	m.q.SetFleetTotals(m.now, e)
 }
 
 func TestNothingIsLostOrServedOutOfOrder(t *testing.T) {
--- a/pomelofair/rejoin_test.go
+++ b/pomelofair/rejoin_test.go
@@ -29,9 +29,9 @@
 	// A failure domain that was cut off was served less than another. The other's accounts must not wait until it is level.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
-	q.SetVirtual(pool, 100)
+	q.SetVirtualTime(pool, 100)
 	fleet(q, "a", 100, true)
-	q.SetCrest(pool, 900)
+	q.RaiseMaxVirtualTime(pool, 900)
 	fleet(q, "a", 100, true)
 	if got := lift(q, "a"); got != 740 {
 		t.Errorf("lift %v, want 740", got)
@@ -45,7 +45,7 @@
 	push(t, q, 1, "a")
 	fleet(q, "a", 10, true)
 	pop(t, q, 1)
-	q.SetVirtual(pool, 500)
+	q.SetVirtualTime(pool, 500)
 	later := start.Add(time.Minute)
 	if err := q.Push(later, pomelofair.Request{ID: 2, Pool: pool, Account: "a"}); err != nil {
 		t.Fatal(err)
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -28,23 +28,23 @@
 
 var _ pomelorelay.WireFormat = FleetWire{}
 
-// ReadyPath is the path under which the balancer asks whether a router takes requests.
-func (FleetWire) ReadyPath() string { return "/ready" }
+// ReadinessPath is the path under which the balancer asks whether a router takes requests.
+func (FleetWire) ReadinessPath() string { return "/ready" }
 
-// IDField names the field of a request's id.
-func (FleetWire) IDField() string { return FieldRequest }
+// RequestIDField names the field of a request's id.
+func (FleetWire) RequestIDField() string { return FieldRequest }
 
-// ReadCaller reads a caller's fields.
-func (FleetWire) ReadCaller(head http.Header) pomelorelay.CallerFields {
-	f := pomelorelay.CallerFields{ID: head.Get(FieldRequest), Key: head.Get(FieldKey)}
+// ParseCallerFields reads a caller's fields.
+func (FleetWire) ParseCallerFields(head http.Header) pomelorelay.CallerFields {
+	f := pomelorelay.CallerFields{ID: head.Get(FieldRequest), APIKey: head.Get(FieldKey)}
 	if ms, err := strconv.Atoi(head.Get(FieldWait)); err == nil {
-		f.Wait = time.Duration(ms) * time.Millisecond
+		f.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	in, out, _ := strings.Cut(head.Get(FieldTokens), ",")
-	f.Prompt, f.Output = count(in), count(out)
+	f.PromptTokens, f.MaxOutputTokens = count(in), count(out)
 	for _, part := range strings.Fields(head.Get(FieldParts)) {
 		hash, tokens, _ := strings.Cut(part, ":")
-		f.Parts = append(f.Parts, pomelorelay.PromptPart{Hash: uint64(count(hash)), Tokens: count(tokens)})
+		f.PromptParts = append(f.PromptParts, pomelorelay.PromptPart{Hash: uint64(count(hash)), Tokens: count(tokens)})
 	}
 	if id, err := strconv.ParseUint(head.Get(FieldLast), 10, 64); err == nil {
 		f.LastEvent, f.HasLastEvent = id, true
@@ -60,19 +60,19 @@
 	return pomelorelay.Tokens(n)
 }
 
-// WriteUpstream writes the fields of a request to an upstream.
-func (FleetWire) WriteUpstream(head http.Header, f pomelorelay.UpstreamFields) {
+// SetUpstreamFields writes the fields of a request to an upstream.
+func (FleetWire) SetUpstreamFields(head http.Header, f pomelorelay.UpstreamFields) {
 	head.Del(FieldKey)
-	head.Set(FieldWait, strconv.FormatInt(f.Wait.Milliseconds(), 10))
-	head.Set(FieldExpected, string(f.Upstream))
+	head.Set(FieldWait, strconv.FormatInt(f.TimeLeft.Milliseconds(), 10))
+	head.Set(FieldExpected, string(f.ExpectedUpstream))
 	head.Set(FieldAccount, string(f.Account))
 	if f.HasLastEvent {
 		head.Set(FieldLast, strconv.FormatUint(f.LastEvent, 10))
 	}
 }
 
-// ReadAnswer reads the head of an answer.
-func (FleetWire) ReadAnswer(resp *http.Response) pomelorelay.AnswerFields {
+// ParseAnswerFields reads the head of an answer.
+func (FleetWire) ParseAnswerFields(resp *http.Response) pomelorelay.AnswerFields {
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
 	return pomelorelay.AnswerFields{
 		NotRun:      misdirected || resp.Header.Get(FieldNotRun) != "",
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -21,7 +21,7 @@
 // checkHead refuses heads that must not reach the caller.
 func (c *call) checkHead(x *pomelolink.Exchange) *pomelolink.Failure {
 	resp := x.Response
-	answer := c.h.cfg.Wire.ReadAnswer(resp)
+	answer := c.h.cfg.Wire.ParseAnswerFields(resp)
 	if resp.Header.Get("Content-Encoding") != "" {
 		return malformed(errEncoded)
 	}
@@ -33,7 +33,7 @@
 		// Passed on, these would promise the caller that its request never ran.
 		return malformed(errPromise)
 	}
-	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answering {
+	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.MaxAttempts && !c.answering {
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeUpstreamFailed, errFailed)
 	}
 	return nil
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -84,9 +84,9 @@
 	case pomelolink.OutcomeNotSent:
 		return c.unreached < maxUnreached
 	case pomelolink.OutcomeRefusedNotRun:
-		return c.refused < maxRefused && c.runs < max(c.route.Attempts, 1)
+		return c.refused < maxRefused && c.runs < max(c.route.MaxAttempts, 1)
 	case pomelolink.OutcomeCutShort, pomelolink.OutcomeUnknown:
-		return c.repeatable() && c.runs < c.route.Attempts
+		return c.repeatable() && c.runs < c.route.MaxAttempts
 	}
 	return false
 }
@@ -101,24 +101,24 @@
 	}
 	// Looked at as late as can be: on a processor that does not keep up, a second passes between the reading of a request and its place.
 	if c.callerLeft() {
-		ticket.Ended(pomeloplace.ResultUnsent)
+		ticket.Ended(pomeloplace.ResultNotSent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
 	before := c.ran
 	// Until the outcome is known the request counts as one that may have run, also when a defect ends this function.
 	c.ran = true
-	result := pomeloplace.ResultGone
+	result := pomeloplace.ResultCancelled
 	defer func() { ticket.Ended(result) }()
 	f = c.exchange(ctx, up, ticket)
 	result = resultOf(ctx, f)
 	if f == nil {
-		if c.route.Pause > 0 && c.longestPause > c.route.Pause {
-			result = pomeloplace.ResultPaused
+		if c.route.MaxEventGap > 0 && c.longestPause > c.route.MaxEventGap {
+			result = pomeloplace.ResultLongPause
 		}
 		return nil
 	}
-	if result == pomeloplace.ResultUnsent && c.callerLeft() {
+	if result == pomeloplace.ResultNotSent && c.callerLeft() {
 		c.ran = before
 		c.abandon()
 	}
@@ -140,13 +140,13 @@
 func resultOf(ctx context.Context, f *pomelolink.Failure) pomeloplace.Result {
 	switch {
 	case f == nil:
-		return pomeloplace.ResultGood
+		return pomeloplace.ResultCompleted
 	case f.Outcome == pomelolink.OutcomeNotSent && (f.Err.Code == pomelorelay.CodeCancelled || errors.Is(ctx.Err(), context.Canceled)):
-		return pomeloplace.ResultUnsent
+		return pomeloplace.ResultNotSent
 	case errors.Is(ctx.Err(), context.Canceled):
-		return pomeloplace.ResultGone
+		return pomeloplace.ResultCancelled
 	case f.Outcome == pomelolink.OutcomeNotSent:
-		return pomeloplace.ResultUnreached
+		return pomeloplace.ResultUnreachable
 	case f.Outcome == pomelolink.OutcomeRefusedNotRun:
 		return pomeloplace.ResultRefused
 	}
@@ -157,7 +157,7 @@
 	ticket, d, err := c.h.cfg.Placement.Place(ctx, c.work())
 	c.decision = d
 	if err != nil {
-		c.decision.Reason = pomeloplace.ReasonLate
+		c.decision.Reason = pomeloplace.ReasonTooLate
 		return nil, pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeDeadline, err)
 	}
 	if d.Reason == pomeloplace.ReasonNone {
@@ -171,10 +171,10 @@
 // reasonCodes are the codes of the refusals of placements.
 var reasonCodes = map[pomeloplace.Reason]pomelorelay.ResultCode{
 	pomeloplace.ReasonNoUpstream: pomelorelay.CodeNoUpstream,
-	pomeloplace.ReasonShare:      pomelorelay.CodeShareSpent,
-	pomeloplace.ReasonLate:       pomelorelay.CodeUpstreamsBusy,
-	pomeloplace.ReasonNoRegion:   pomelorelay.CodeNoCommonRegion,
-	pomeloplace.ReasonRegion:     pomelorelay.CodeRegionUnavailable,
+	pomeloplace.ReasonOverShare:      pomelorelay.CodeShareSpent,
+	pomeloplace.ReasonTooLate:       pomelorelay.CodeUpstreamsBusy,
+	pomeloplace.ReasonNoAllowedRegion:   pomelorelay.CodeNoCommonRegion,
+	pomeloplace.ReasonNoUpstreamInRegion:     pomelorelay.CodeRegionUnavailable,
 	pomeloplace.ReasonCold:       pomelorelay.CodeUpstreamsCold,
 	pomeloplace.ReasonEvacuated:  pomelorelay.CodeEvacuated,
 }
@@ -184,15 +184,15 @@
 
 // outputOf returns how many tokens a request probably makes its engine generate.
 func outputOf(f pomelorelay.CallerFields) pomelorelay.Tokens {
-	if f.Guess > 0 {
-		return min(max(f.Guess, 1), max(f.Output, 1))
+	if f.OutputEstimate > 0 {
+		return min(max(f.OutputEstimate, 1), max(f.MaxOutputTokens, 1))
 	}
-	return f.Output
+	return f.MaxOutputTokens
 }
 
 // costOf returns what a request counts towards its account's share.
 func costOf(f pomelorelay.CallerFields) pomelorelay.Cost {
-	return pomelorelay.Cost(f.Prompt + generatedWeight*outputOf(f))
+	return pomelorelay.Cost(f.PromptTokens + generatedWeight*outputOf(f))
 }
 
 func (c *call) work() Work {
@@ -205,11 +205,11 @@
 		Charged: c.runs > 0,
 		Place: pomeloplace.Request{
 			Service: c.service,
-			Prompt:  c.fields.Prompt,
-			Output:  outputOf(c.fields),
-			Parts:   c.fields.Parts,
-			Target:  c.route.Target,
-			Left:    c.left(),
+			PromptTokens:  c.fields.PromptTokens,
+			OutputTokens:  outputOf(c.fields),
+			Parts:   c.fields.PromptParts,
+			Target:  c.route.TargetLatency,
+			MaxWait:    c.left(),
 			Avoid:   c.avoid,
 		},
 	}
@@ -246,8 +246,8 @@
 		// An empty entry keeps net/http from adding a name of its own.
 		head["User-Agent"] = []string{""}
 	}
-	c.h.cfg.Wire.WriteUpstream(head, pomelorelay.UpstreamFields{
-		Wait: c.left(), Upstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
+	c.h.cfg.Wire.SetUpstreamFields(head, pomelorelay.UpstreamFields{
+		TimeLeft: c.left(), ExpectedUpstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
 	})
 	req := &http.Request{
 		Method:        c.r.Method,
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -30,7 +30,7 @@
 	if want := "POST /book/a%2Fb?x=1 Client-Account=acct body=hello"; u.heads[0] != want {
 		t.Errorf("the upstream got %q, want %q", u.heads[0], want)
 	}
-	if w.works[0].Account != "acct" || w.results[0] != pomeloplace.ResultGood {
+	if w.works[0].Account != "acct" || w.results[0] != pomeloplace.ResultCompleted {
 		t.Errorf("%+v %v", w.works, w.results)
 	}
 }
@@ -359,7 +359,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.results) != 1 || w.results[0] != pomeloplace.ResultUnsent {
+	if len(w.results) != 1 || w.results[0] != pomeloplace.ResultNotSent {
 		t.Errorf("the place ended with %v", w.results)
 	}
 }
@@ -371,8 +371,8 @@
 		pause time.Duration
 		want  pomeloplace.Result
 	}{
-		{0, pomeloplace.ResultGood},
-		{300 * time.Millisecond, pomeloplace.ResultPaused},
+		{0, pomeloplace.ResultCompleted},
+		{300 * time.Millisecond, pomeloplace.ResultLongPause},
 	} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 			write(conn, streamHead(r)+eventChunk(1))
@@ -409,13 +409,13 @@
 		code     pomelorelay.ResultCode
 		detail   string
 	}{
-		{pomeloplace.Decision{Reason: pomeloplace.ReasonNoRegion, RetryAfter: 30 * time.Second}, pomelorelay.CodeNoCommonRegion, ""},
-		{pomeloplace.Decision{Reason: pomeloplace.ReasonRegion, Cause: pomeloplace.ReasonNoUpstream, RetryAfter: 700 * time.Millisecond}, pomelorelay.CodeRegionUnavailable, "NoUpstream"},
+		{pomeloplace.Decision{Reason: pomeloplace.ReasonNoAllowedRegion, RetryAfter: 30 * time.Second}, pomelorelay.CodeNoCommonRegion, ""},
+		{pomeloplace.Decision{Reason: pomeloplace.ReasonNoUpstreamInRegion, Cause: pomeloplace.ReasonNoUpstream, RetryAfter: 700 * time.Millisecond}, pomelorelay.CodeRegionUnavailable, "NoUpstream"},
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonCold, RetryAfter: time.Second}, pomelorelay.CodeUpstreamsCold, ""},
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonEvacuated, RetryAfter: time.Second}, pomelorelay.CodeEvacuated, ""},
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonNoUpstream, RetryAfter: time.Second}, pomelorelay.CodeNoUpstream, ""},
-		{pomeloplace.Decision{Reason: pomeloplace.ReasonShare, RetryAfter: time.Second}, pomelorelay.CodeShareSpent, ""},
-		{pomeloplace.Decision{Reason: pomeloplace.ReasonLate, RetryAfter: time.Second}, pomelorelay.CodeUpstreamsBusy, ""},
+		{pomeloplace.Decision{Reason: pomeloplace.ReasonOverShare, RetryAfter: time.Second}, pomelorelay.CodeShareSpent, ""},
+		{pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: time.Second}, pomelorelay.CodeUpstreamsBusy, ""},
 	} {
 		w := newWorld(t)
 		w.places = []pomeloplace.Decision{c.decision}
--- a/pomeloledger/config.go
+++ b/pomeloledger/config.go
@@ -33,8 +33,8 @@
 
 // Options holds the intervals and bounds of a Ledger; a zero field takes the default that its comment gives.
 type Options struct {
-	// ExchangeEvery is the interval of components to domains of the same region; 1 s.
-	ExchangeEvery time.Duration
+	// ExchangeInterval is the interval of components to domains of the same region; 1 s.
+	ExchangeInterval time.Duration
 	// CrossEvery is the interval of components to other regions; 5 s.
 	CrossEvery time.Duration
 	// Repeats is the number of exchanges that carry a change, so that a lost message loses nothing; 2.
@@ -54,7 +54,7 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDuration(&o.ExchangeEvery, time.Second)
+	setDuration(&o.ExchangeInterval, time.Second)
 	setDuration(&o.CrossEvery, 5*time.Second)
 	setCount(&o.Repeats, 2)
 	setCount(&o.Refresh, 8)
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -21,8 +21,8 @@
 	return &Ledger{cfg: cfg, shards: make(map[pomelorelay.ShardID]*shard)}
 }
 
-// Host starts to host a shard; the next Tick asks other domains and then routers for what they know.
-func (l *Ledger) Host(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// AddShard starts to host a shard; the next Tick asks other domains and then routers for what they know.
+func (l *Ledger) AddShard(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if _, hosted := l.shards[id]; hosted {
 		return out
 	}
@@ -40,8 +40,8 @@
 	return l.rebuild(now, s, out)
 }
 
-// Drop stops hosting a shard.
-func (l *Ledger) Drop(id pomelorelay.ShardID) {
+// RemoveShard stops hosting a shard.
+func (l *Ledger) RemoveShard(id pomelorelay.ShardID) {
 	delete(l.shards, id)
 	for i, s := range l.order {
 		if s.id == id {
@@ -51,14 +51,14 @@
 	}
 }
 
-// Hosts reports whether the shard is hosted here, and whether it is rebuilt.
-func (l *Ledger) Hosts(id pomelorelay.ShardID) (hosted, ready bool) {
+// ShardStatus reports whether the shard is hosted here, and whether it is rebuilt.
+func (l *Ledger) ShardStatus(id pomelorelay.ShardID) (hosted, ready bool) {
 	s, ok := l.shards[id]
 	return ok, ok && s.phase == settled
 }
 
-// Short reports whether a shard was opened at its time limit before everybody had answered.
-func (l *Ledger) Short(id pomelorelay.ShardID) bool {
+// RebuildTimedOut reports whether a shard was opened at its time limit before everybody had answered.
+func (l *Ledger) RebuildTimedOut(id pomelorelay.ShardID) bool {
 	s, ok := l.shards[id]
 	return ok && s.short
 }
@@ -76,8 +76,8 @@
 	return a.fleet(now, s.phase), true
 }
 
-// Report merges a router's report and answers with fleet totals.
-func (l *Ledger) Report(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LedgerReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleReport merges a router's report and answers with fleet totals.
+func (l *Ledger) HandleReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LedgerReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
@@ -142,7 +142,7 @@
 		out = l.rebuild(now, s, out)
 	}
 	if !now.Before(l.nextNear) {
-		l.nextNear = now.Add(l.cfg.Options.ExchangeEvery)
+		l.nextNear = now.Add(l.cfg.Options.ExchangeInterval)
 		out = l.exchangeNear(now, out)
 	}
 	if !now.Before(l.nextCross) {
--- a/pomeloledger/ledger_test.go
+++ b/pomeloledger/ledger_test.go
@@ -116,12 +116,12 @@
 	delete(w.ledgers, w.hosts["d0"])
 	w.host(0, 1)
 	l := w.ledgers[w.hosts["d0"]]
-	out := l.Report(w.now, "r1", w.routers[1].inc, &pomelorelay.LedgerReport{Interest: accounts}, nil)
+	out := l.HandleReport(w.now, "r1", w.routers[1].inc, &pomelorelay.LedgerReport{Interest: accounts}, nil)
 	if len(out) != 1 || out[0].Message.(*pomelorelay.LedgerTotals).Ready {
 		t.Fatalf("%+v", out)
 	}
 	w.calm(time.Second)
-	if _, ready := l.Hosts(0); !ready || l.Short(0) {
+	if _, ready := l.ShardStatus(0); !ready || l.RebuildTimedOut(0) {
 		t.Error("not rebuilt within a second without faults")
 	}
 	w.exact(t)
@@ -131,7 +131,7 @@
 		w.advance()
 		w.flying = nil
 	}
-	if _, ready := w.ledgers[w.hosts["d0"]].Hosts(0); !ready || !w.ledgers[w.hosts["d0"]].Short(0) {
+	if _, ready := w.ledgers[w.hosts["d0"]].ShardStatus(0); !ready || !w.ledgers[w.hosts["d0"]].RebuildTimedOut(0) {
 		t.Error("not opened at the time limit")
 	}
 }
@@ -160,7 +160,7 @@
 	out := make([]pomelorelay.Outgoing, 0, 4)
 	allocated := testing.AllocsPerRun(100, func() {
 		report.Entries[5].Served++
-		l.Report(w.now, "r0", w.routers[0].inc, report, out)
+		l.HandleReport(w.now, "r0", w.routers[0].inc, report, out)
 	})
 	if allocated > 1 {
 		t.Errorf("%v allocations for 100 entries; the answer is one", allocated)
@@ -182,7 +182,7 @@
 	out := make([]pomelorelay.Outgoing, 0, 4)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Report(w.now, "r0", w.routers[0].inc, report, out)
+		l.HandleReport(w.now, "r0", w.routers[0].inc, report, out)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/512, "ns/entry")
 	b.ReportMetric(float64(len(data))/512, "B/entry")
@@ -199,10 +199,10 @@
 		for i := range n {
 			key := pomelorelay.AccountID(fmt.Sprintf("workshop-%05d", i))
 			report := &pomelorelay.LedgerReport{Entries: []pomelorelay.LedgerEntry{{Pool: "assistant/small", Account: key, Served: 1}}}
-			l.Report(w.now, "r0", w.routers[0].inc, report, nil)
-			l.Report(w.now, "r1", w.routers[1].inc, report, nil)
+			l.HandleReport(w.now, "r0", w.routers[0].inc, report, nil)
+			l.HandleReport(w.now, "r1", w.routers[1].inc, report, nil)
 			for d := range 5 {
-				l.Component(w.now, "x", &pomelorelay.LedgerComponent{Domain: pomelorelay.DomainID(fmt.Sprintf("x%d", d)), Entries: []pomelorelay.LedgerComponentEntry{{Pool: "assistant/small", Account: key, Sum: 1}}}, nil)
+				l.HandleComponent(w.now, "x", &pomelorelay.LedgerComponent{Domain: pomelorelay.DomainID(fmt.Sprintf("x%d", d)), Entries: []pomelorelay.LedgerComponentEntry{{Pool: "assistant/small", Account: key, Sum: 1}}}, nil)
 			}
 		}
 		b.ReportMetric(float64(heap()-before)/n, "B/account")
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -24,9 +24,9 @@
 	w := newWorld("north")
 	w.calm(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(4)}, nil)
-	l.Report(w.now, "r1", w.routers[1].inc, &pomelorelay.LedgerReport{Entries: entry(5)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(4)}, nil)
+	l.HandleReport(w.now, "r1", w.routers[1].inc, &pomelorelay.LedgerReport{Entries: entry(5)}, nil)
 	served(t, l, w.now, 15)
 }
 
@@ -36,11 +36,11 @@
 	w.calm(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
 	former := w.routers[0].inc
-	l.Report(w.now, "r0", former, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
+	l.HandleReport(w.now, "r0", former, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
 	w.restart(w.routers[0])
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(1)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(1)}, nil)
 	w.calm(2 * time.Minute)
-	l.Report(w.now, "r0", former, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
+	l.HandleReport(w.now, "r0", former, &pomelorelay.LedgerReport{Entries: entry(10)}, nil)
 	served(t, l, w.now, 11)
 }
 
@@ -59,17 +59,17 @@
 	}
 	full := func(node int, value pomelorelay.Cost) {
 		r := w.routers[node]
-		l.Report(w.now, r.node, r.inc, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entry(value)}, nil)
+		l.HandleReport(w.now, r.node, r.inc, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entry(value)}, nil)
 	}
 	full(0, 90)
 	late := &pomelorelay.LedgerComponent{Domain: "d0", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Sum: 100}}}
-	l.Component(w.now, w.hosts["d1"], late, nil)
+	l.HandleComponent(w.now, w.hosts["d1"], late, nil)
 	full(1, 0)
 	full(2, 0)
-	if _, ready := l.Hosts(0); !ready {
+	if _, ready := l.ShardStatus(0); !ready {
 		t.Fatal("not rebuilt")
 	}
-	l.Report(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(100)}, nil)
+	l.HandleReport(w.now, "r0", w.routers[0].inc, &pomelorelay.LedgerReport{Entries: entry(100)}, nil)
 	served(t, l, w.now, 100)
 }
 
@@ -79,9 +79,9 @@
 	l := w.ledgers[w.hosts["d0"]]
 	w.flying = nil
 	for _, r := range w.routers {
-		l.Report(w.now, r.node, r.inc, &pomelorelay.LedgerReport{Full: true, Round: 1, Entries: entry(1)}, nil)
+		l.HandleReport(w.now, r.node, r.inc, &pomelorelay.LedgerReport{Full: true, Round: 1, Entries: entry(1)}, nil)
 	}
-	if _, ready := l.Hosts(0); ready {
+	if _, ready := l.ShardStatus(0); ready {
 		t.Error("rebuilt from answers to a former query")
 	}
 }
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// ComponentQuery answers another domain's host with every component known here, the asker's own first: that one tells
+// HandleComponentQuery answers another domain's host with every component known here, the asker's own first: that one tells
 // the asker that this domain has answered.
-func (l *Ledger) ComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (l *Ledger) HandleComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
@@ -100,8 +100,8 @@
 	return pomelorelay.Outgoing{To: to, Message: m}
 }
 
-// Component merges what another domain's host knows.
-func (l *Ledger) Component(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleComponent merges what another domain's host knows.
+func (l *Ledger) HandleComponent(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
 		return out
--- a/pomeloledger/reporter.go
+++ b/pomeloledger/reporter.go
@@ -11,8 +11,8 @@
 	Shards uint32
 	// Host returns the router of this failure domain that hosts a shard.
 	Host func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool)
-	// Every is the interval of reports; 1 s when zero.
-	Every time.Duration
+	// Interval is the interval of reports; 1 s when zero.
+	Interval time.Duration
 	// ResendAfter is the wait for an answer before entries are sent again; 2 s when zero.
 	ResendAfter time.Duration
 	// MaxEntries bounds the entries of one report that is not full; 512 when zero.
@@ -46,16 +46,16 @@
 
 // NewReporter returns a Reporter that knows nothing yet.
 func NewReporter(cfg ReporterConfig) *Reporter {
-	setDuration(&cfg.Every, time.Second)
+	setDuration(&cfg.Interval, time.Second)
 	setDuration(&cfg.ResendAfter, 2*time.Second)
 	setCount(&cfg.MaxEntries, 512)
 	return &Reporter{cfg: cfg, shards: make(map[pomelorelay.ShardID]*reported), entries: make(map[pomelorelay.LedgerKey]*sentEntry)}
 }
 
-// SetEvery sets the interval of reports from the next one on.
-func (r *Reporter) SetEvery(every time.Duration) {
+// SetInterval sets the interval of reports from the next one on.
+func (r *Reporter) SetInterval(every time.Duration) {
 	setDuration(&every, time.Second)
-	r.cfg.Every = every
+	r.cfg.Interval = every
 }
 
 func (r *Reporter) shard(account pomelorelay.AccountID) *reported {
@@ -69,8 +69,8 @@
 	return s
 }
 
-// Changed takes entries whose cumulative totals changed.
-func (r *Reporter) Changed(entries []pomelorelay.LedgerEntry) {
+// UpdateEntries takes entries whose cumulative totals changed.
+func (r *Reporter) UpdateEntries(entries []pomelorelay.LedgerEntry) {
 	for _, entry := range entries {
 		key := pomelorelay.LedgerKey{Pool: entry.Pool, Account: entry.Account}
 		e, ok := r.entries[key]
@@ -97,8 +97,8 @@
 	}
 }
 
-// Totals takes a host's answer and reports whether its entries may be used: the host is ready and still the shard's.
-func (r *Reporter) Totals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
+// HandleTotals takes a host's answer and reports whether its entries may be used: the host is ready and still the shard's.
+func (r *Reporter) HandleTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
 	s, ok := r.shards[m.Shard]
 	if !ok || from != s.host {
 		return false
@@ -111,8 +111,8 @@
 	return m.Ready
 }
 
-// Query answers a new host with a full report.
-func (r *Reporter) Query(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleQuery answers a new host with a full report.
+func (r *Reporter) HandleQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	report := &pomelorelay.LedgerReport{Shard: m.Shard, Full: true, Round: m.Round}
 	r.seq++
 	report.Seq = r.seq
@@ -130,7 +130,7 @@
 	if now.Before(r.next) {
 		return out
 	}
-	r.next = now.Add(r.cfg.Every)
+	r.next = now.Add(r.cfg.Interval)
 	for _, id := range r.order {
 		out = r.report(now, id, out)
 	}
--- a/pomeloledger/world_test.go
+++ b/pomeloledger/world_test.go
@@ -81,7 +81,7 @@
 	l := pomeloledger.New(pomeloledger.Config{Self: pomelorelay.Peer{Node: node, Domain: info.ID, Region: info.Region}, Fleet: fleet, Shards: 1})
 	w.hosts[info.ID] = node
 	w.ledgers[node] = l
-	w.post(node, 1, l.Host(w.now, 0, nil))
+	w.post(node, 1, l.AddShard(w.now, 0, nil))
 }
 
 func (w *world) liveRouters(domain pomelorelay.DomainID) []pomelorelay.NodeID {
@@ -127,11 +127,11 @@
 	if ledger, ok := w.ledgers[l.to]; ok {
 		switch m := l.value.(type) {
 		case *pomelorelay.LedgerReport:
-			w.post(l.to, 1, ledger.Report(w.now, l.from, l.inc, m, nil))
+			w.post(l.to, 1, ledger.HandleReport(w.now, l.from, l.inc, m, nil))
 		case *pomelorelay.LedgerComponent:
-			w.post(l.to, 1, ledger.Component(w.now, l.from, m, nil))
+			w.post(l.to, 1, ledger.HandleComponent(w.now, l.from, m, nil))
 		case *pomelorelay.LedgerComponentQuery:
-			w.post(l.to, 1, ledger.ComponentQuery(w.now, l.from, m, nil))
+			w.post(l.to, 1, ledger.HandleComponentQuery(w.now, l.from, m, nil))
 		}
 		return
 	}
@@ -141,9 +141,9 @@
 		}
 		switch m := l.value.(type) {
 		case *pomelorelay.LedgerTotals:
-			r.reporter.Totals(w.now, l.from, m)
+			r.reporter.HandleTotals(w.now, l.from, m)
 		case *pomelorelay.LedgerQuery:
-			w.post(r.node, r.inc, r.reporter.Query(w.now, l.from, m, nil))
+			w.post(r.node, r.inc, r.reporter.HandleQuery(w.now, l.from, m, nil))
 		}
 	}
 }
@@ -151,7 +151,7 @@
 func (w *world) serve(r *router, key pomelorelay.LedgerKey, cost pomelorelay.Cost) {
 	r.served[key] += cost
 	w.truth[key] += cost
-	r.reporter.Changed([]pomelorelay.LedgerEntry{{Pool: key.Pool, Account: key.Account, Served: r.served[key], Waiting: true}})
+	r.reporter.UpdateEntries([]pomelorelay.LedgerEntry{{Pool: key.Pool, Account: key.Account, Served: r.served[key], Waiting: true}})
 }
 
 func (w *world) advance() {
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -187,7 +187,7 @@
 	case pomelolink.OutcomeNotSent:
 		state = pomelorelay.GrantReturned
 		if e.r.Code == pomelorelay.CodeUpstreamUnreached {
-			state = pomelorelay.GrantUnreached
+			state = pomelorelay.GrantUpstreamUnreachable
 		}
 	case pomelolink.OutcomeCutShort, pomelolink.OutcomeUnknown:
 		state = pomelorelay.GrantFailed
@@ -203,7 +203,7 @@
 
 // receiveGrant uses an owner's grant for the first request in fair queue order; it returns the grant if it cannot be used.
 func (c *control) receiveGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) {
-	usable := c.asker.Granted(now, from, g)
+	usable := c.asker.AcceptGrant(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
 	if !usable || !known || c.leaving[g.Upstream] || c.isStale(now) {
 		c.settleGrant(now, g.ID, g.Pool, pomeloslot.Settlement{State: pomelorelay.GrantReturned})
@@ -284,5 +284,5 @@
 	if ok {
 		s.Head, s.Waiting = head, waiting
 	}
-	c.outgoing = c.asker.Settled(now, id, s, c.outgoing)
+	c.outgoing = c.asker.SettleGrant(now, id, s, c.outgoing)
 }
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -52,17 +52,17 @@
 		Seeds:       seedPeers(n.cfg.Settings.Seeds),
 		Seed:        uint64(n.incarnation),
 		Options: pomelomember.Options{
-			DigestEvery:      s.DigestInterval,
-			DigestsPerSecond: pomeloconfig.MessagesPerSecond,
-			ProbeWait:        s.ProbeWait,
-			SuspectFor:       s.SuspectFor,
+			DigestInterval:      s.DigestInterval,
+			MaxDigestsPerSecond: pomeloconfig.MaxPeriodicMessagesPerSecond,
+			ProbeTimeout:        s.ProbeWait,
+			SuspicionTimeout:    s.SuspectFor,
 		},
 	})
 	c.members = c.memberView.Snapshot()
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
 		// Each wait is ended by a timer in Admit at its service's limit.
-		Limit: pomelofair.LimitOptions{Wait: maxQueueWait},
+		Limit: pomelofair.LimitOptions{MaxWait: maxQueueWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
 		Node:        n.self.Node,
@@ -70,16 +70,16 @@
 		Incarnation: n.incarnation,
 		Grant:       pomeloslot.GrantOptions{TTL: s.GrantTTL},
 	})
-	c.asker = pomeloslot.NewAsker(pomeloslot.AskerConfig{
+	c.asker = pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:    n.self.Node,
 		Domain:  n.self.Domain,
 		Regions: c.regions,
 		Seed:    uint64(n.incarnation),
 	})
-	c.spreader = pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{
-		PullWait: s.ConfigPull,
-		Seed:     uint64(n.incarnation),
-		Logger:   n.cfg.Logger,
+	c.spreader = pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{
+		PullTimeout: s.ConfigPull,
+		Seed:        uint64(n.incarnation),
+		Logger:      n.cfg.Logger,
 	})
 	c.n.mesh.SetPeers(c.memberView.Peers(nil))
 }
@@ -101,7 +101,7 @@
 	c.ledger = pomeloledger.New(pomeloledger.Config{
 		Self:    n.self,
 		Shards:  n.ledgerShards,
-		Options: pomeloledger.Options{ExchangeEvery: s.ExchangeInterval},
+		Options: pomeloledger.Options{ExchangeInterval: s.ExchangeInterval},
 		Fleet: pomeloledger.Fleet{
 			Routers: func() []pomelorelay.NodeID { return c.members.Members(n.self.Domain) },
 			Domains: c.domains,
@@ -109,8 +109,8 @@
 		},
 	})
 	c.reporter = pomeloledger.NewReporter(pomeloledger.ReporterConfig{
-		Shards: n.ledgerShards,
-		Every:  s.LedgerInterval,
+		Shards:   n.ledgerShards,
+		Interval: s.LedgerInterval,
 		Host: func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 			return host(shard, n.self.Domain)
 		},
@@ -129,12 +129,12 @@
 
 func (c *control) assembleClaims() {
 	n := c.n
-	c.keeper = pomeloclaim.New(pomeloclaim.Config{
+	c.keeper = pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{
 		Logger:           n.cfg.Logger,
 		Alive:            c.mayStillSettle,
 		CommitsPerSecond: n.cfg.Settings.Control.ClaimCommits / float64(n.cfg.Settings.Control.ClaimShards),
 	})
-	c.claimAsker = pomeloclaim.NewAsker(pomeloclaim.AskerConfig{
+	c.claimAsker = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
 		Node:        n.self.Node,
 		Incarnation: n.incarnation,
 		Shards:      uint32(n.cfg.Settings.Control.ClaimShards),
@@ -161,5 +161,5 @@
 		Members: func() []pomelorelay.NodeID { return c.jobs.peers },
 	}
 	c.quarantine = pomeloquarantine.NewTable(cfg)
-	c.arbiter = pomeloquarantine.New(cfg)
+	c.arbiter = pomeloquarantine.NewArbiter(cfg)
 }
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -82,13 +82,13 @@
 type storeOpDone struct{ result pomeloclaim.StoreResult }
 
 func (e storeOpDone) apply(c *control, now time.Time) {
-	c.keeper.Stored(now, e.result, &c.claimOut)
+	c.keeper.HandleStoreResult(now, e.result, &c.claimOut)
 }
 
 // flushClaims sends the messages, starts the store operations and delivers the verdicts that the claim components produced.
 func (c *control) flushClaims() {
 	c.outgoing = append(c.outgoing, c.claimOut.Messages...)
-	for _, op := range c.claimOut.Store {
+	for _, op := range c.claimOut.StoreOps {
 		c.n.storeOp(op)
 	}
 	for _, v := range c.claimOut.Verdicts {
@@ -98,6 +98,6 @@
 		}
 	}
 	c.claimOut.Messages = c.claimOut.Messages[:0]
-	c.claimOut.Store = c.claimOut.Store[:0]
+	c.claimOut.StoreOps = c.claimOut.StoreOps[:0]
 	c.claimOut.Verdicts = c.claimOut.Verdicts[:0]
 }
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -22,7 +22,7 @@
 type rootRead struct{ data []byte }
 
 func (e rootRead) apply(c *control, now time.Time) {
-	c.spreader.Stored(now, e.data)
+	c.spreader.HandleStoredRoot(now, e.data)
 	c.compile()
 }
 
@@ -30,13 +30,13 @@
 type partRead struct{ data []byte }
 
 func (e partRead) apply(c *control, now time.Time) {
-	c.spreader.StoredPart(now, e.data)
+	c.spreader.HandleStoredPart(now, e.data)
 	c.compile()
 }
 
 // fetchConfig reads the root and the parts that the spreader needs from the store.
 func (c *control) fetchConfig(now time.Time) {
-	wants := c.spreader.StoreWants(now)
+	wants := c.spreader.PendingStoreReads(now)
 	if wants.Root {
 		c.n.readRoot()
 	}
@@ -76,10 +76,10 @@
 
 func (e configCompiled) apply(c *control, now time.Time) {
 	if e.err != nil {
-		c.outgoing = c.spreader.Refused(e.generation, pomelorelay.CodeOf(e.err), c.outgoing)
+		c.outgoing = c.spreader.MarkRefused(e.generation, pomelorelay.CodeOf(e.err), c.outgoing)
 		return
 	}
-	c.spreader.InForce(e.generation)
+	c.spreader.MarkInForce(e.generation)
 	if c.spreader.Generation() != e.generation {
 		c.compiling = 0
 		c.compile()
@@ -121,7 +121,7 @@
 	if !ok {
 		return
 	}
-	c.queues.SetPool(pool, pomelofair.PoolOptions{CatchUp: service.CatchUp, Count: service.MaxWaiting, Bytes: service.MaxWaitingBytes})
+	c.queues.SetPoolOptions(pool, pomelofair.PoolOptions{CatchUp: service.CatchUp, MaxWaiting: service.MaxWaiting, MaxWaitingBytes: service.MaxWaitingBytes})
 	c.asker.SetSpill(pool, pomeloslot.SpillOptions{DomainMargin: service.SpillDomain, RegionMargin: service.SpillRegion})
 }
 
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -34,14 +34,14 @@
 	reachableNow []pomelorelay.DomainID
 	queues       *pomelofair.Queues
 	owner        *pomeloslot.Owner
-	asker        *pomeloslot.Asker
+	asker        *pomeloslot.Requester
 	ledger       *pomeloledger.Ledger
 	reporter     *pomeloledger.Reporter
 	keeper       *pomeloclaim.Keeper
-	claimAsker   *pomeloclaim.Asker
+	claimAsker   *pomeloclaim.Requester
 	quarantine   *pomeloquarantine.Table
 	arbiter      *pomeloquarantine.Arbiter
-	spreader     *pomeloconfig.Spreader
+	spreader     *pomeloconfig.Syncer
 
 	snapshot      *pomeloconfig.Snapshot
 	compiling     pomelorelay.Generation
@@ -68,7 +68,7 @@
 	suspectOut   pomeloquarantine.Output
 	changedPools map[pomelorelay.PoolID]bool
 
-	heads   []pomeloslot.PoolHead
+	heads   []pomeloslot.PoolDemand
 	slots   []pomelorelay.SlotDigest
 	entries []pomelorelay.LedgerEntry
 	keys    []pomelorelay.LedgerKey
@@ -150,8 +150,8 @@
 	c.outgoing = c.spreader.Tick(now, c.outgoing)
 	c.fetchConfig(now)
 	for pool := range c.pools {
-		c.queues.SetVirtual(pool, c.asker.Virtual(pool))
-		c.queues.SetCrest(pool, c.asker.Crest(now, pool))
+		c.queues.SetVirtualTime(pool, c.asker.VirtualTime(pool))
+		c.queues.RaiseMaxVirtualTime(pool, c.asker.MaxVirtualTime(now, pool))
 	}
 	if now.Sub(c.lastStatusAt) >= statusInterval {
 		c.lastStatusAt = now
@@ -163,7 +163,7 @@
 func (c *control) publishSlots(now time.Time) {
 	c.slots = c.owner.Digests(now, c.slots[:0])
 	c.memberView.SetSlots(c.slots)
-	c.asker.Slots(now, c.slots)
+	c.asker.UpdateDigests(now, c.slots)
 }
 
 // chargeProgress charges the cost accrued by running requests.
@@ -182,18 +182,18 @@
 		}
 		delete(c.waiting, id)
 		c.markChanged(w.request.Pool)
-		c.refuse(w, c.queues.WaitError(w.request.Pool, w.request.Account))
+		c.refuse(w, c.queues.WaitTimeoutError(w.request.Pool, w.request.Account))
 	}
 }
 
 func (c *control) tickLedger(now time.Time) {
-	every := pomeloconfig.Pace(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
+	every := pomeloconfig.PeriodicInterval(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
 	if now.Sub(c.lastLedgerReportAt) >= every {
 		c.lastLedgerReportAt = now
-		c.reporter.SetEvery(every)
-		c.entries = c.queues.Changed(c.entries[:0])
-		c.reporter.Changed(c.entries)
-		c.keys = c.queues.Interest(c.keys[:0])
+		c.reporter.SetInterval(every)
+		c.entries = c.queues.ChangedEntries(c.entries[:0])
+		c.reporter.UpdateEntries(c.entries)
+		c.keys = c.queues.WaitingAccounts(c.keys[:0])
 		c.reporter.SetInterest(c.keys)
 	}
 	c.outgoing = c.reporter.Tick(now, c.outgoing)
@@ -225,10 +225,10 @@
 	c.heads = c.heads[:0]
 	for pool := range c.changedPools {
 		head, waiting, _ := c.queues.Head(now, pool)
-		c.heads = append(c.heads, pomeloslot.PoolHead{Pool: pool, Head: head, Waiting: waiting})
+		c.heads = append(c.heads, pomeloslot.PoolDemand{Pool: pool, Head: head, Waiting: waiting})
 		delete(c.changedPools, pool)
 	}
-	c.outgoing = c.asker.Heads(now, c.heads, c.outgoing)
+	c.outgoing = c.asker.UpdateDemand(now, c.heads, c.outgoing)
 }
 
 // send passes a message to the mesh, or directly to receive if it is for this router. A message that the mesh refuses is lost, as on a
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -18,7 +18,7 @@
 	if !e.startedAt.Before(c.staleSince) {
 		c.staleSince = time.Time{}
 	}
-	c.outgoing = c.memberView.Hosts(now, e.hosts, c.outgoing)
+	c.outgoing = c.memberView.SetHosts(now, e.hosts, c.outgoing)
 	c.n.mesh.SetPeers(c.memberView.Peers(nil))
 	leaving := leavingUpstreams(e.hosts)
 	for id := range leaving {
@@ -44,8 +44,8 @@
 		return
 	}
 	c.leaving[id] = true
-	c.asker.Leaving(id)
-	c.owner.Leaving(c.now(), id)
+	c.asker.MarkLeaving(id)
+	c.owner.MarkLeaving(c.now(), id)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventLeaving, field("Upstream", string(id)))
 }
@@ -72,8 +72,8 @@
 func (c *control) markStaying(now time.Time, id pomelorelay.UpstreamID) {
 	delete(c.leaving, id)
 	delete(c.leavingSeenAt, id)
-	c.asker.Back(id)
-	c.outgoing = c.owner.Back(now, id, c.outgoing)
+	c.asker.ClearLeaving(id)
+	c.outgoing = c.owner.ClearLeaving(now, id, c.outgoing)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventUpstreamBack, field("Upstream", string(id)))
 }
@@ -99,7 +99,7 @@
 // host list did not contain. A new router gets no digests, and cannot serve, until its address is known. It returns false if ctx is done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
-	timer := time.NewTimer(list.Pace(n.status.Load().members) - list.Interval)
+	timer := time.NewTimer(list.ReadInterval(n.status.Load().members) - list.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -33,7 +33,7 @@
 // placeJobs recomputes which jobs this router does.
 func (c *control) placeJobs(now time.Time) {
 	c.members = c.memberView.Snapshot()
-	c.reachable = c.memberView.Reachable(now, c.reachable[:0])
+	c.reachable = c.memberView.ReachableDomains(now, c.reachable[:0])
 	c.n.mesh.SetPeers(c.memberView.Peers(nil))
 	c.jobs.peers = c.reachableMembers()
 	c.spreader.SetPeers(c.otherMembers())
@@ -96,7 +96,7 @@
 		if held {
 			stop()
 			delete(c.jobs.stopLoadReads, id)
-			c.owner.Disown(id)
+			c.owner.RemoveUpstream(id)
 			continue
 		}
 		c.ownUpstream(now, id)
@@ -105,7 +105,7 @@
 		if c.upstreams[id] == nil {
 			stop()
 			delete(c.jobs.stopLoadReads, id)
-			c.owner.Disown(id)
+			c.owner.RemoveUpstream(id)
 		}
 	}
 }
@@ -113,14 +113,14 @@
 func (c *control) ownUpstream(now time.Time, id pomelorelay.UpstreamID) {
 	u := c.upstreams[id]
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
-	c.outgoing = c.owner.Own(now, slot, c.jobs.peers, c.outgoing)
+	c.outgoing = c.owner.AddUpstream(now, slot, c.jobs.peers, c.outgoing)
 	if u.FailureDomain != c.n.self.Domain {
 		// The upstream's domain may be partitioned from this one while the owner there still grants slots, so nothing is
 		// granted here until the upstream itself has reported its load.
-		c.owner.Crashed(now, id)
+		c.owner.MarkCrashed(now, id)
 	}
 	if c.leaving[id] {
-		c.owner.Leaving(now, id)
+		c.owner.MarkLeaving(now, id)
 	}
 	c.jobs.stopLoadReads[id] = c.n.readLoads(*u)
 	c.n.log(pomelorelay.EventJobsMoved, field("Upstream", string(id)))
@@ -140,7 +140,7 @@
 		}
 		c.jobs.ledger[shard] = true
 		c.jobs.rebuilding[shard] = true
-		c.outgoing = c.ledger.Host(now, shard, c.outgoing)
+		c.outgoing = c.ledger.AddShard(now, shard, c.outgoing)
 		c.n.log(pomelorelay.EventLedgerHosted, field("Shard", uint32(shard)))
 	}
 }
@@ -148,19 +148,19 @@
 func (c *control) dropLedger(shard pomelorelay.ShardID) {
 	delete(c.jobs.ledger, shard)
 	delete(c.jobs.rebuilding, shard)
-	c.ledger.Drop(shard)
+	c.ledger.RemoveShard(shard)
 	c.n.log(pomelorelay.EventLedgerDropped, field("Shard", uint32(shard)))
 }
 
 // logRebuiltShards logs the ledger shards that became ready.
 func (c *control) logRebuiltShards() {
 	for shard := range c.jobs.rebuilding {
-		if _, ready := c.ledger.Hosts(shard); !ready {
+		if _, ready := c.ledger.ShardStatus(shard); !ready {
 			continue
 		}
 		delete(c.jobs.rebuilding, shard)
 		event := pomelorelay.EventLedgerReady
-		if c.ledger.Short(shard) {
+		if c.ledger.RebuildTimedOut(shard) {
 			event = pomelorelay.EventLedgerRebuildShort
 		}
 		c.n.log(event, field("Shard", uint32(shard)))
@@ -177,11 +177,11 @@
 		}
 		if !mine {
 			delete(c.jobs.claims, shard)
-			c.keeper.Disown(shard)
+			c.keeper.RemoveShard(shard)
 			continue
 		}
 		c.jobs.claims[shard] = true
-		c.keeper.Own(now, shard, &c.claimOut)
+		c.keeper.AddShard(now, shard, &c.claimOut)
 	}
 }
 
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -143,14 +143,14 @@
 	case open := <-answer:
 		return open
 	case <-ctx.Done():
-		return n.status.Load().Claims.Open()
+		return n.status.Load().Claims.Total()
 	}
 }
 
 // openClaimsRequested is posted to get the number of open claims after all earlier events have been applied.
 type openClaimsRequested struct{ answer chan int }
 
-func (e openClaimsRequested) apply(c *control, _ time.Time) { e.answer <- c.claimAsker.Open() }
+func (e openClaimsRequested) apply(c *control, _ time.Time) { e.answer <- c.claimAsker.OpenClaims() }
 
 // shutdownServers closes the listeners and waits for requests that arrived in the meantime.
 func (n *Node) shutdownServers(ctx context.Context) {
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -29,7 +29,7 @@
 
 func (e loadRead) apply(c *control, now time.Time) {
 	if _, held := c.jobs.stopLoadReads[e.upstream]; held {
-		c.outgoing = c.owner.Load(now, e.upstream, e.load, c.outgoing)
+		c.outgoing = c.owner.HandleLoadReport(now, e.upstream, e.load, c.outgoing)
 		c.loads[e.upstream] = e.load
 	}
 }
@@ -39,7 +39,7 @@
 
 func (e loadReadFailed) apply(c *control, now time.Time) {
 	if _, held := c.jobs.stopLoadReads[e.upstream]; held {
-		c.owner.Crashed(now, e.upstream)
+		c.owner.MarkCrashed(now, e.upstream)
 		c.n.log(pomelorelay.EventLoadLost, field("Upstream", string(e.upstream)))
 	}
 }
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -10,7 +10,7 @@
 
 // applyMemberChanges processes the membership changes since the last call.
 func (c *control) applyMemberChanges(now time.Time) {
-	c.changes = c.memberView.Changes(c.changes[:0])
+	c.changes = c.memberView.TakeChanges(c.changes[:0])
 	if len(c.changes) == 0 {
 		return
 	}
@@ -45,20 +45,20 @@
 	c.n.log(event, field("Member", string(node)))
 	c.incarnations[node] = incarnation
 	delete(c.dead, node)
-	c.quarantine.Joined(now, node, &c.suspectOut)
+	c.quarantine.MemberJoined(now, node, &c.suspectOut)
 }
 
 // reclaimFrom reclaims the grants and other state of a router that died or restarted.
 func (c *control) reclaimFrom(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
-	c.outgoing = c.owner.MemberGone(now, node, c.outgoing)
+	c.outgoing = c.owner.RemoveRouter(now, node, c.outgoing)
 	c.ledger.MemberGone(now, node)
 	c.arbiter.MemberGone(node)
 }
 
 // updateReachable processes failure domains that became unreachable or reachable.
 func (c *control) updateReachable(now time.Time) {
-	c.reachableNow = c.memberView.Reachable(now, c.reachableNow[:0])
+	c.reachableNow = c.memberView.ReachableDomains(now, c.reachableNow[:0])
 	if slices.Equal(c.reachableNow, c.reachable) {
 		return
 	}
@@ -80,7 +80,7 @@
 	c.n.log(pomelorelay.EventDomainReachable, field("Domain", string(domain)))
 	for _, node := range c.members.Members(domain) {
 		if node != c.n.self.Node {
-			c.quarantine.Joined(now, node, &c.suspectOut)
+			c.quarantine.MemberJoined(now, node, &c.suspectOut)
 		}
 	}
 }
--- a/pomelonode/node.go
+++ b/pomelonode/node.go
@@ -168,13 +168,13 @@
 		return nil
 	}
 	mesh, err := pomelomesh.New(pomelomesh.Config{
-		Self:     pomelomesh.Self{Node: n.self.Node, Incarnation: n.incarnation, Domain: n.self.Domain, Region: n.self.Region},
-		Listen:   s.Listen.Control,
-		TLS:      pomelomesh.TLSFiles{Certificate: s.TLS.CertFile, Key: s.TLS.KeyFile, Authority: s.TLS.AuthorityFile},
-		Insecure: s.TLS.Insecure,
-		Budget:   [pomelorelay.LinkClasses]pomelorelay.Bytes{s.Control.DomainBytes, s.Control.RegionBytes, s.Control.CrossBytes},
-		Seed:     uint64(n.incarnation),
-		Logger:   n.cfg.Logger,
+		Self:           pomelomesh.Self{Node: n.self.Node, Incarnation: n.incarnation, Domain: n.self.Domain, Region: n.self.Region},
+		Listen:         s.Listen.Control,
+		TLS:            pomelomesh.TLSFiles{Certificate: s.TLS.CertFile, Key: s.TLS.KeyFile, Authority: s.TLS.AuthorityFile},
+		Insecure:       s.TLS.Insecure,
+		BytesPerSecond: [pomelorelay.LinkClassCount]pomelorelay.Bytes{s.Control.DomainBytes, s.Control.RegionBytes, s.Control.CrossBytes},
+		Seed:           uint64(n.incarnation),
+		Logger:         n.cfg.Logger,
 	})
 	if err != nil {
 		return err
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -9,21 +9,21 @@
 // receive passes a message to the component that handles it.
 func (c *control) receive(now time.Time, e pomelorelay.Envelope) {
 	if e.From != c.n.self.Node {
-		c.memberView.Heard(now, e.From, e.Incarnation)
+		c.memberView.RecordMessage(now, e.From, e.Incarnation)
 		c.generations[e.From] = max(c.generations[e.From], e.Generation)
-		c.outgoing = c.spreader.Seen(now, e.From, e.Generation, c.outgoing)
+		c.outgoing = c.spreader.HandleGeneration(now, e.From, e.Generation, c.outgoing)
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
-		c.outgoing = c.owner.Demand(now, e.From, m, c.outgoing)
+		c.outgoing = c.owner.HandleDemand(now, e.From, m, c.outgoing)
 	case *pomelorelay.Grant:
 		c.receiveGrant(now, e.From, m)
 	case *pomelorelay.GrantReply:
-		c.outgoing = c.owner.Reply(now, e.From, m, c.outgoing)
+		c.outgoing = c.owner.HandleReply(now, e.From, m, c.outgoing)
 	case *pomelorelay.RunningQuery:
-		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.Running(m.Upstream)})
+		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.RunningReport(m.Upstream)})
 	case *pomelorelay.RunningReport:
-		c.outgoing = c.owner.Running(now, e.From, m, c.outgoing)
+		c.outgoing = c.owner.HandleRunningReport(now, e.From, m, c.outgoing)
 	case *pomelorelay.LeavingNotice:
 		c.markLeaving(m.Upstream)
 	default:
@@ -37,28 +37,28 @@
 	case *pomelorelay.Digest:
 		c.receiveDigest(now, e, m)
 	case *pomelorelay.Probe:
-		c.outgoing = c.memberView.Probe(now, e.From, e.Incarnation, m, c.outgoing)
+		c.outgoing = c.memberView.HandleProbe(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.ProbeAck:
-		c.outgoing = c.memberView.ProbeAck(now, e.From, e.Incarnation, m, c.outgoing)
+		c.outgoing = c.memberView.HandleProbeAck(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.Farewell:
-		c.outgoing = c.memberView.Farewell(now, e.From, e.Incarnation, m, c.outgoing)
+		c.outgoing = c.memberView.HandleFarewell(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.LedgerReport:
-		c.outgoing = c.ledger.Report(now, e.From, e.Incarnation, m, c.outgoing)
+		c.outgoing = c.ledger.HandleReport(now, e.From, e.Incarnation, m, c.outgoing)
 	case *pomelorelay.LedgerTotals:
 		c.receiveTotals(now, e.From, m)
 	case *pomelorelay.LedgerQuery:
-		c.outgoing = c.reporter.Query(now, e.From, m, c.outgoing)
+		c.outgoing = c.reporter.HandleQuery(now, e.From, m, c.outgoing)
 	case *pomelorelay.LedgerComponent:
-		c.outgoing = c.ledger.Component(now, e.From, m, c.outgoing)
+		c.outgoing = c.ledger.HandleComponent(now, e.From, m, c.outgoing)
 	case *pomelorelay.LedgerComponentQuery:
-		c.outgoing = c.ledger.ComponentQuery(now, e.From, m, c.outgoing)
+		c.outgoing = c.ledger.HandleComponentQuery(now, e.From, m, c.outgoing)
 	case *pomelorelay.ConfigPull:
-		c.outgoing = c.spreader.Pull(now, e.From, m, c.outgoing)
+		c.outgoing = c.spreader.HandlePull(now, e.From, m, c.outgoing)
 	case *pomelorelay.ConfigPush:
-		c.outgoing = c.spreader.Push(now, e.From, m, c.outgoing)
+		c.outgoing = c.spreader.HandlePush(now, e.From, m, c.outgoing)
 		c.compile()
 	case *pomelorelay.ConfigApplied:
-		c.spreader.Applied(now, e.From, m)
+		c.spreader.HandleApplied(now, e.From, m)
 	default:
 		c.receiveClaimOrSuspect(now, e)
 	}
@@ -68,42 +68,42 @@
 func (c *control) receiveClaimOrSuspect(now time.Time, e pomelorelay.Envelope) {
 	switch m := e.Message.(type) {
 	case *pomelorelay.ClaimAsk:
-		c.keeper.Ask(now, e.From, m, &c.claimOut)
+		c.keeper.HandleAsk(now, e.From, m, &c.claimOut)
 	case *pomelorelay.ClaimAnswer:
-		c.claimAsker.Answer(now, m, &c.claimOut)
+		c.claimAsker.HandleAnswer(now, m, &c.claimOut)
 	case *pomelorelay.ClaimSettle:
-		c.keeper.Settle(now, e.From, m, &c.claimOut)
+		c.keeper.HandleSettle(now, e.From, m, &c.claimOut)
 	case *pomelorelay.ClaimSettled:
-		c.claimAsker.Settled(m)
+		c.claimAsker.HandleSettled(m)
 	case *pomelorelay.SuspectNotice:
-		c.quarantine.Notice(now, m, &c.suspectOut)
+		c.quarantine.HandleSuspectNotice(now, m, &c.suspectOut)
 	case *pomelorelay.SuspectAsk:
-		c.arbiter.Ask(now, e.From, m, &c.suspectOut)
+		c.arbiter.HandleAsk(now, e.From, m, &c.suspectOut)
 	case *pomelorelay.SuspectAnswer:
-		c.quarantine.Answer(now, e.From, m, &c.suspectOut)
+		c.quarantine.HandleAnswer(now, e.From, m, &c.suspectOut)
 	case *pomelorelay.SuspectCleared:
-		c.quarantine.Cleared(m)
-		c.arbiter.Cleared(e.From, m)
+		c.quarantine.HandleCleared(m)
+		c.arbiter.HandleCleared(e.From, m)
 	case *pomelorelay.QuarantineNotice:
-		c.quarantine.Quarantine(now, m, &c.suspectOut)
+		c.quarantine.HandleQuarantineNotice(now, m, &c.suspectOut)
 	}
 }
 
 func (c *control) receiveDigest(now time.Time, e pomelorelay.Envelope, m *pomelorelay.Digest) {
-	c.outgoing = c.memberView.Digest(now, e.From, e.Incarnation, m, c.outgoing)
-	if !c.memberView.Located(e.From) {
+	c.outgoing = c.memberView.HandleDigest(now, e.From, e.Incarnation, m, c.outgoing)
+	if !c.memberView.AddressKnown(e.From) {
 		c.n.requestHostRead()
 	}
-	c.asker.Slots(now, m.Slots)
+	c.asker.UpdateDigests(now, m.Slots)
 	c.outgoing = c.asker.Tick(now, c.outgoing)
 }
 
 func (c *control) receiveTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) {
-	if !c.reporter.Totals(now, from, m) {
+	if !c.reporter.HandleTotals(now, from, m) {
 		return
 	}
 	for _, e := range m.Entries {
-		c.queues.SetFleet(now, e)
+		c.queues.SetFleetTotals(now, e)
 		c.markChanged(e.Pool)
 	}
 }
--- a/pomelonode/status.go
+++ b/pomelonode/status.go
@@ -108,7 +108,7 @@
 	var pools []poolStatus
 	for pool := range c.pools {
 		head, waiting, _ := c.queues.Head(c.now(), pool)
-		pools = append(pools, poolStatus{pool, waiting, head, c.asker.Virtual(pool), running[pool]})
+		pools = append(pools, poolStatus{pool, waiting, head, c.asker.VirtualTime(pool), running[pool]})
 	}
 	slices.SortFunc(pools, func(a, b poolStatus) int { return strings.Compare(string(a.Pool), string(b.Pool)) })
 	return pools
--- a/pomelonode/storeio.go
+++ b/pomelonode/storeio.go
@@ -27,7 +27,7 @@
 		if op.Value == nil {
 			result.Record, result.Err = n.cfg.Store.Get(ctx, op.Key)
 		} else {
-			result.Revision, result.Err = n.cfg.Store.CompareAndSwap(ctx, op.Key, op.Value, op.Old, 0)
+			result.Revision, result.Err = n.cfg.Store.CompareAndSwap(ctx, op.Key, op.Value, op.ExpectedRevision, 0)
 		}
 		n.mail.post(storeOpDone{result})
 	})
--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -14,7 +14,7 @@
 
 // CheckQuarantine fails with CodeQuarantined while the fingerprint is quarantined.
 func (a suspects) CheckQuarantine(f pomelorelay.Fingerprint) error {
-	remaining := a.n.suspects.Load().Quarantined(a.n.cfg.Clock.Now(), f)
+	remaining := a.n.suspects.Load().QuarantineRemaining(a.n.cfg.Clock.Now(), f)
 	if remaining <= 0 {
 		return nil
 	}
@@ -29,7 +29,7 @@
 
 // AwaitPermission returns nil immediately for a request that is not a suspect; a suspect waits for the decision of the arbiters.
 func (a suspects) AwaitPermission(ctx context.Context, run pomeloroute.SuspectRun) error {
-	if !run.KnownSuspect && !a.n.suspects.Load().Suspect(run.Fingerprint) {
+	if !run.KnownSuspect && !a.n.suspects.Load().IsSuspect(run.Fingerprint) {
 		return nil
 	}
 	w := &suspectWaiter{run: suspectRun(run), answer: make(chan pomeloquarantine.Verdict, 1)}
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -58,7 +58,7 @@
 	for _, r := range routes {
 		for _, s := range r.Shares {
 			e := all[s.Service]
-			e.target, e.pause = shorter(e.target, r.Target), shorter(e.pause, r.Pause)
+			e.target, e.pause = shorter(e.target, r.TargetLatency), shorter(e.pause, r.MaxEventGap)
 			all[s.Service] = e
 		}
 	}
@@ -88,20 +88,20 @@
 }
 
 func (p *Placer) allowance(u *upstream, r *Request) allowance {
-	off, target := &p.cfg.Without, r.Target
+	off, target := &p.cfg.Disabled, r.Target
 	if !off.SharedTarget {
 		target = shorter(u.pool.target, r.Target)
 	}
 	slots := u.slots()
-	a := allowance{slots: slots, queue: part(owedQueue, target), reason: ReasonLate}
-	if r.Ahead > 1 && !off.Ahead {
-		reserve := min(yieldReserve*r.Ahead, yieldMost)
+	a := allowance{slots: slots, queue: part(owedQueue, target), reason: ReasonTooLate}
+	if r.LeadOverLeastServed > 1 && !off.Ahead {
+		reserve := min(yieldReserve*r.LeadOverLeastServed, yieldMost)
 		a.slots = max(1, slots-int(math.Ceil(reserve*float64(slots))))
 	}
-	if r.Owed {
+	if r.WithinShare {
 		return a
 	}
-	a.reason = ReasonShare
+	a.reason = ReasonOverShare
 	if !off.SlotReserve {
 		reserve := min(slotReserve*math.Sqrt(float64(slots)), reserveMost*float64(slots))
 		a.slots = max(1, int(float64(slots)-reserve))
@@ -109,8 +109,8 @@
 	if !off.FreeQueue {
 		a.queue = part(freeQueue, target)
 	}
-	if r.Lead > 1 && !off.Ahead {
-		behind := max(1/(r.Lead*r.Lead), aheadLeast)
+	if r.LeadOverLevel > 1 && !off.Ahead {
+		behind := max(1/(r.LeadOverLevel*r.LeadOverLevel), aheadLeast)
 		a.queue = part(aheadQueue*behind, target)
 		a.slots = max(1, int(behind*float64(a.slots)))
 	}
@@ -133,7 +133,7 @@
 func (p *Placer) bound(c candidate, r *Request, a allowance) Bound {
 	own := c.expected - c.backlog
 	switch {
-	case !r.Owed && c.again > freeAgain && !p.cfg.Without.ReadAgain:
+	case !r.WithinShare && c.again > freeAgain && !p.cfg.Disabled.ReadAgain:
 		return BoundAgain
 	case c.up.engine != nil && c.up.running() >= a.slots:
 		return BoundSlots
@@ -141,7 +141,7 @@
 		return BoundQueue
 	case c.expected <= part(inTime, r.Target):
 		return BoundNone
-	case own > r.Target/2 && own < r.Left/2:
+	case own > r.Target/2 && own < r.MaxWait/2:
 		// A long prompt takes most of its target by itself. Held to it, the largest would never be served.
 		return BoundNone
 	}
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -12,28 +12,28 @@
 	Self pomelorelay.Peer
 	// Regions gives the region of each failure domain.
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
-	// Cold bounds what the fleet sends to cold upstreams.
-	Cold pomelorelay.ColdBounds
-	// Without are the mechanisms that are switched off.
-	Without Mechanisms
+	// ColdBounds bounds what the fleet sends to cold upstreams.
+	ColdBounds pomelorelay.ColdBounds
+	// Disabled are the mechanisms that are switched off.
+	Disabled Mechanisms
 }
 
 // Request is a request that wants a place.
 type Request struct {
 	Service pomelorelay.ServiceID
-	// Prompt is the number of the prompt's tokens, Output the expected number of generated ones.
-	Prompt pomelorelay.Tokens
-	Output pomelorelay.Tokens
+	// PromptTokens is the number of the prompt's tokens, Output the expected number of generated ones.
+	PromptTokens pomelorelay.Tokens
+	OutputTokens pomelorelay.Tokens
 	Parts  []pomelorelay.PromptPart
 	// Target is the time to the first of the answer that the caller expects; Left is how long it waits at most.
 	Target time.Duration
-	Left   time.Duration
-	// Owed tells that the request is within its account's share.
-	Owed bool
-	// Lead is how many times as much the account has had as it may beside another that is short; up to one it is not ahead.
-	Lead float64
-	// Ahead is how many times as much as it may the account has had beside another one that is short by far; above one it leaves slots to that.
-	Ahead float64
+	MaxWait   time.Duration
+	// WithinShare tells that the request is within its account's share.
+	WithinShare bool
+	// LeadOverLevel is how many times as much the account has had as it may beside another that is short; up to one it is not ahead.
+	LeadOverLevel float64
+	// LeadOverLeastServed is how many times as much as it may the account has had beside another one that is short by far; above one it leaves slots to that.
+	LeadOverLeastServed float64
 	// Residency says in which regions the request may be served.
 	Residency pomelorelay.Residency
 	// Avoid lists upstreams that failed this request.
@@ -49,18 +49,18 @@
 	ReasonNone Reason = ""
 	// ReasonNoUpstream stands for a service without an upstream that takes requests.
 	ReasonNoUpstream Reason = "NoUpstream"
-	// ReasonNoRegion stands for a request that no region may serve.
-	ReasonNoRegion Reason = "NoRegion"
-	// ReasonRegion stands for a service without an upstream that takes requests in the regions that may serve the request.
-	ReasonRegion Reason = "Region"
+	// ReasonNoAllowedRegion stands for a request that no region may serve.
+	ReasonNoAllowedRegion Reason = "NoRegion"
+	// ReasonNoUpstreamInRegion stands for a service without an upstream that takes requests in the regions that may serve the request.
+	ReasonNoUpstreamInRegion Reason = "Region"
 	// ReasonEvacuated stands for a service all of whose upstreams are in failure domains under evacuation.
 	ReasonEvacuated Reason = "Evacuated"
 	// ReasonCold stands for a service all of whose upstreams are cold and have had what they accept.
 	ReasonCold Reason = "Cold"
-	// ReasonLate stands for upstreams at which the request could not begin in time.
-	ReasonLate Reason = "Late"
-	// ReasonShare stands for a request beyond its account's share while upstreams are busy.
-	ReasonShare Reason = "Share"
+	// ReasonTooLate stands for upstreams at which the request could not begin in time.
+	ReasonTooLate Reason = "Late"
+	// ReasonOverShare stands for a request beyond its account's share while upstreams are busy.
+	ReasonOverShare Reason = "Share"
 )
 
 // Bound tells which bound a refused request was over.
@@ -94,16 +94,16 @@
 	RetryAfter time.Duration
 	Upstream   pomelorelay.FleetUpstream
 	Run        *Run
-	// Expected is the time until the answer should begin, Backlog the part of it that others cause.
-	Expected time.Duration
-	Backlog  time.Duration
-	// Missing is the work of what the upstream must read, in tokens of a short prompt; Shared are the tokens among it that belong to
+	// ExpectedLatency is the time until the answer should begin, Backlog the part of it that others cause.
+	ExpectedLatency time.Duration
+	QueueDelay  time.Duration
+	// PrefillTokens is the work of what the upstream must read, in tokens of a short prompt; Shared are the tokens among it that belong to
 	// parts which other requests share.
-	Missing pomelorelay.Tokens
-	Shared  pomelorelay.Tokens
+	PrefillTokens pomelorelay.Tokens
+	UncachedShared  pomelorelay.Tokens
 	// CopyFrom is the upstream from which Copied tokens of the prompt are copied instead of read; without an id when none are.
 	CopyFrom pomelorelay.FleetUpstream
-	Copied   pomelorelay.Tokens
+	CopiedTokens   pomelorelay.Tokens
 	// Running is what the fleet runs at the upstream.
 	Running int
 	// ReportAge is the age of the oldest report of another router that counted; zero when there was none.
@@ -117,9 +117,9 @@
 // ShareState is what an account has had of the capacity that all share, when a request of it was decided on.
 type ShareState struct {
 	Cost pomelorelay.Cost
-	// Asked and Served are the account's in the window, Level is up to where accounts are owed; zero when there is enough for all.
-	Asked, Served, Level pomelorelay.Cost
-	Owed                 bool
+	// Requested and Served are the account's in the window, Level is up to where accounts are owed; zero when there is enough for all.
+	Requested, Served, FairShare pomelorelay.Cost
+	WithinShare                 bool
 }
 
 // Run is a request at an upstream, until Ended.
@@ -143,24 +143,24 @@
 
 // The results.
 const (
-	// ResultGood is a whole answer.
-	ResultGood Result = iota
-	// ResultGone is an end that says nothing of the upstream, as when the caller left.
-	ResultGone
+	// ResultCompleted is a whole answer.
+	ResultCompleted Result = iota
+	// ResultCancelled is an end that says nothing of the upstream, as when the caller left.
+	ResultCancelled
 	// ResultFailed is an upstream that failed the request.
 	ResultFailed
-	// ResultUnreached is an upstream that took no connection.
-	ResultUnreached
+	// ResultUnreachable is an upstream that took no connection.
+	ResultUnreachable
 	// ResultRefused is an upstream that said it did not run the request.
 	ResultRefused
-	// ResultUnsent is a request whose caller left before it was sent.
-	ResultUnsent
-	// ResultPaused is a whole answer that paused for longer than its caller accepts.
-	ResultPaused
+	// ResultNotSent is a request whose caller left before it was sent.
+	ResultNotSent
+	// ResultLongPause is a whole answer that paused for longer than its caller accepts.
+	ResultLongPause
 )
 
 // NotRun reports whether the request surely did not run.
-func (r Result) NotRun() bool { return r == ResultUnreached || r == ResultRefused || r == ResultUnsent }
+func (r Result) NotRun() bool { return r == ResultUnreachable || r == ResultRefused || r == ResultNotSent }
 
 const (
 	// startRate is the first guess of how fast an engine reads where the operators do not say what all engines produce together.
@@ -191,6 +191,6 @@
 	leastUnread = 0.3
 	// fullMemory is the part of an engine's memory up to which running requests may fill it; above, it evicts what runs.
 	fullMemory = 0.9
-	// SilentAfter is the age from which another router's report does not count: it is gone, and its requests with it.
-	SilentAfter = 3 * time.Second
+	// PeerTimeout is the age from which another router's report does not count: it is gone, and its requests with it.
+	PeerTimeout = 3 * time.Second
 )
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -21,9 +21,9 @@
 // source returns the engine that keeps most of the request's prompt, of several the one that runs least. Prompts are copied only from where the
 // request itself may be served.
 func (p *Placer) source(now time.Time, s *pool, r *Request) source {
-	best := source{missing: r.Prompt}
+	best := source{missing: r.PromptTokens}
 	for _, u := range s.list {
-		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.rests(now, &p.cfg.Without) || u.kept.parts[r.Parts[0].Hash] == nil {
+		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.rests(now, &p.cfg.Disabled) || u.kept.parts[r.Parts[0].Hash] == nil {
 			continue
 		}
 		missing := u.kept.missing(r)
@@ -37,7 +37,7 @@
 // copy decides whether the candidate copies parts that it would have to read, and returns the time of it.
 func (p *Placer) copy(c *candidate, from source, missing pomelorelay.Tokens) time.Duration {
 	tokens := missing - from.missing
-	if p.cfg.Without.Copies || from.up == nil || from.up == c.up || tokens < leastCopy {
+	if p.cfg.Disabled.Copies || from.up == nil || from.up == c.up || tokens < leastCopy {
 		return 0
 	}
 	if c.up.pool.copyPart >= 1 {
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -31,12 +31,12 @@
 
 func newDarkPlay(t *testing.T, without pomeloplace.Mechanisms, perDomain int) *darkPlay {
 	p := pomeloplace.New(pomeloplace.Config{
-		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Without: without,
+		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Disabled: without,
 	})
-	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}}})
+	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}}}})
 	for i := range perDomain {
 		for _, domain := range []pomelorelay.DomainID{"a", "b"} {
-			p.Put(start, engineIn(pomelorelay.UpstreamID(fmt.Sprintf("%s%d", domain, i)), domain))
+			p.PutUpstream(start, engineIn(pomelorelay.UpstreamID(fmt.Sprintf("%s%d", domain, i)), domain))
 		}
 	}
 	return &darkPlay{t: t, p: p, now: start}
@@ -52,10 +52,10 @@
 		if got.Reason != pomeloplace.ReasonNone {
 			d.t.Fatalf("refused: %s", got.Reason)
 		}
-		one := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
+		one := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultCompleted}
 		if got.Upstream.Domain == "b" {
 			if dark {
-				one.at, one.result = d.now.Add(hangs), pomeloplace.ResultUnreached
+				one.at, one.result = d.now.Add(hangs), pomeloplace.ResultUnreachable
 				d.hung++
 			} else {
 				d.reached++
@@ -72,10 +72,10 @@
 			kept = append(kept, one)
 			continue
 		}
-		if one.result == pomeloplace.ResultGood {
-			d.p.Begun(one.at, one.run)
+		if one.result == pomeloplace.ResultCompleted {
+			d.p.RecordAnswerStart(one.at, one.run)
 		}
-		d.p.Ended(one.at, one.run, one.result)
+		d.p.RecordEnd(one.at, one.run, one.result)
 	}
 	d.pending = kept
 }
@@ -116,10 +116,10 @@
 		d.settle()
 		d.seq++
 		got := place(t, d.p, d.now, prompt(d.seq, 300, 100))
-		one := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultGood}
+		one := pendingRun{at: d.now.Add(60 * time.Millisecond), run: got.Run, result: pomeloplace.ResultCompleted}
 		switch {
 		case down(got.Upstream.ID):
-			one.at, one.result = d.now.Add(hangs), pomeloplace.ResultUnreached
+			one.at, one.result = d.now.Add(hangs), pomeloplace.ResultUnreachable
 		case got.Upstream.Domain == "b":
 			d.reached++
 		}
--- a/pomeloplace/evacuation_test.go
+++ b/pomeloplace/evacuation_test.go
@@ -11,18 +11,18 @@
 // after it was taken back.
 func TestAnEvacuatedDomainGetsNothingNew(t *testing.T) {
 	p := withEngines(2)
-	p.Put(start, engineIn("b0", "b"))
+	p.PutUpstream(start, engineIn("b0", "b"))
 	now := start
 	p.SetEvacuated(now, "a", true)
 	for range 10 {
 		d := place(t, p, now, prompt(1, 5000, 100))
-		if d.Upstream.ID != "b0" || d.Copied != 0 {
-			t.Fatalf("sent to %s, %d tokens copied", d.Upstream.ID, d.Copied)
+		if d.Upstream.ID != "b0" || d.CopiedTokens != 0 {
+			t.Fatalf("sent to %s, %d tokens copied", d.Upstream.ID, d.CopiedTokens)
 		}
-		p.Ended(now, d.Run, pomeloplace.ResultUnreached)
+		p.RecordEnd(now, d.Run, pomeloplace.ResultUnreachable)
 		now = now.Add(20 * time.Millisecond)
 	}
-	p.Remove("b0")
+	p.RemoveUpstream("b0")
 	for _, c := range []struct {
 		name    string
 		request pomeloplace.Request
@@ -30,8 +30,8 @@
 		cause   pomeloplace.Reason
 	}{
 		{"anywhere", prompt(1, 500, 100), pomeloplace.ReasonEvacuated, ""},
-		{"in the evacuated region", limited(prompt(1, 500, 100), "ra"), pomeloplace.ReasonRegion, pomeloplace.ReasonEvacuated},
-		{"elsewhere", limited(prompt(1, 500, 100), "rb"), pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
+		{"in the evacuated region", limited(prompt(1, 500, 100), "ra"), pomeloplace.ReasonNoUpstreamInRegion, pomeloplace.ReasonEvacuated},
+		{"elsewhere", limited(prompt(1, 500, 100), "rb"), pomeloplace.ReasonNoUpstreamInRegion, pomeloplace.ReasonNoUpstream},
 	} {
 		d := p.Place(now, c.request)
 		if d.Reason != c.reason || d.Cause != c.cause || d.RetryAfter <= 0 {
@@ -47,12 +47,12 @@
 // Guards against prompts that are copied from an engine of a failure domain under evacuation.
 func TestNothingIsCopiedFromAnEvacuatedDomain(t *testing.T) {
 	p := newPlacer()
-	p.Put(start, engineIn("b0", "b"))
+	p.PutUpstream(start, engineIn("b0", "b"))
 	now := start
 	now = keepShared(t, p, now)
-	p.Put(start, engineIn("a0", "a"))
+	p.PutUpstream(start, engineIn("a0", "a"))
 	p.SetEvacuated(now, "b", true)
-	if d := place(t, p, now, prompt(1, 5000, 500)); d.Upstream.ID != "a0" || d.Copied != 0 {
-		t.Errorf("sent to %s, %d tokens copied", d.Upstream.ID, d.Copied)
+	if d := place(t, p, now, prompt(1, 5000, 500)); d.Upstream.ID != "a0" || d.CopiedTokens != 0 {
+		t.Errorf("sent to %s, %d tokens copied", d.Upstream.ID, d.CopiedTokens)
 	}
 }
--- a/pomeloplace/kept.go
+++ b/pomeloplace/kept.go
@@ -102,7 +102,7 @@
 
 // missing returns the tokens of a prompt that must be read: all from the first part that is not kept.
 func (k *kept) missing(r *Request) pomelorelay.Tokens {
-	left := r.Prompt
+	left := r.PromptTokens
 	for _, p := range r.Parts {
 		if k.parts[p.Hash] == nil {
 			return left
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -45,7 +45,7 @@
 	p := newPlay(1, 33, 56)
 	p.slots, p.eventTokens, p.delay, p.scale, p.beyond = 16, 11, 110*time.Millisecond, 5, 0.5
 	for _, r := range p.routers {
-		r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 16, Memory: 386_234, EventTokens: 11}}}})
+		r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 16, KVCapacity: 386_234, TokensPerEvent: 11}}}})
 	}
 	p.run(1000, 8*time.Second)
 	got := float64(p.owedInTime) / float64(p.owedAsked)
@@ -143,8 +143,8 @@
 				now = now.Add(10 * time.Millisecond)
 				d := p.Place(now, prompt(uint64(i%75)+1, 5000, pomelorelay.Tokens(i%1000)+1))
 				if d.Run != nil {
-					p.Begun(now, d.Run)
-					p.Ended(now, d.Run, pomeloplace.ResultGood)
+					p.RecordAnswerStart(now, d.Run)
+					p.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 				}
 			}
 		})
@@ -188,7 +188,7 @@
 		p := newPlay(seed+1, 13, 30)
 		p.slots, p.eventTokens, p.delay, p.scale = 32, 10, 50*time.Millisecond, 3
 		for _, r := range p.routers {
-			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, Memory: 632_306, EventTokens: 10}}}})
+			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, KVCapacity: 632_306, TokensPerEvent: 10}}}})
 		}
 		p.run(430, 20*time.Second)
 		t.Logf("%s; first of the answer late %d", p, p.lateFirst)
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -196,7 +196,7 @@
 		return 0
 	}
 	cost := shortAtLong
-	if r.Output >= manyEvents*max(1, u.engine.EventTokens) {
+	if r.OutputTokens >= manyEvents*max(1, u.engine.TokensPerEvent) {
 		cost = streamAtLong
 	}
 	return part(u.pool.pauseWeight, cost)
--- a/pomeloplace/mechanism_test.go
+++ b/pomeloplace/mechanism_test.go
@@ -26,17 +26,17 @@
 	p := newPlacer()
 	far := engine("e0")
 	far.Domain = "b"
-	p.Put(start, far)
+	p.PutUpstream(start, far)
 	near := engine("e1")
-	p.Put(start, near)
+	p.PutUpstream(start, near)
 	now := start
 	ask := func(avoid pomelorelay.UpstreamID, way time.Duration) pomeloplace.Decision {
 		now = now.Add(200 * time.Millisecond)
 		r := prompt(uint64(now.UnixNano()), 500, 500)
 		r.Avoid = []pomelorelay.UpstreamID{avoid}
 		d := place(t, p, now, r)
-		p.Begun(now.Add(40*time.Millisecond+way), d.Run)
-		p.Ended(now.Add(50*time.Millisecond+way), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(40*time.Millisecond+way), d.Run)
+		p.RecordEnd(now.Add(50*time.Millisecond+way), d.Run, pomeloplace.ResultCompleted)
 		return d
 	}
 	const way = 100 * time.Millisecond
@@ -44,7 +44,7 @@
 	for range 1000 {
 		there, here = ask("e1", way), ask("e0", 0)
 	}
-	if got := there.Expected - here.Expected; got < way*3/4 || got > way*5/4 {
+	if got := there.ExpectedLatency - here.ExpectedLatency; got < way*3/4 || got > way*5/4 {
 		t.Errorf("the other region is taken to be %v further, want about %v", got, way)
 	}
 }
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -17,7 +17,7 @@
 )
 
 // routes say what callers expect.
-var routes = []pomelorelay.Route{{Target: 400 * time.Millisecond, Pause: pauseAllowed, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
+var routes = []pomelorelay.Route{{TargetLatency: 400 * time.Millisecond, MaxEventGap: pauseAllowed, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
 
 const pauseAllowed = 400 * time.Millisecond
 
@@ -27,7 +27,7 @@
 		Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "rb"},
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{
-		{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}},
+		{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}},
 		{Name: plain},
 	}})
 	return p
@@ -41,7 +41,7 @@
 func withEngines(n int) *pomeloplace.Placer {
 	p := newPlacer()
 	for i := range n {
-		p.Put(start, engine(pomelorelay.UpstreamID(fmt.Sprintf("e%d", i))))
+		p.PutUpstream(start, engine(pomelorelay.UpstreamID(fmt.Sprintf("e%d", i))))
 	}
 	return p
 }
@@ -49,9 +49,9 @@
 // prompt is a request with a shared part and one of its own.
 func prompt(shared uint64, tokens, own pomelorelay.Tokens) pomeloplace.Request {
 	return pomeloplace.Request{
-		Service: engines, Prompt: tokens + own, Output: 100, Owed: true,
+		Service: engines, PromptTokens: tokens + own, OutputTokens: 100, WithinShare: true,
 		Parts:  []pomelorelay.PromptPart{{Hash: shared, Tokens: tokens}, {Hash: shared<<32 | uint64(own), Tokens: own}},
-		Target: 400 * time.Millisecond, Left: 10 * time.Second,
+		Target: 400 * time.Millisecond, MaxWait: 10 * time.Second,
 	}
 }
 
@@ -71,11 +71,11 @@
 	for i := range 20 {
 		now = now.Add(200 * time.Millisecond)
 		d := place(t, p, now, prompt(1, 5000, pomelorelay.Tokens(200+i)))
-		if d.Upstream.ID != first.Upstream.ID || d.Shared != 0 {
-			t.Fatalf("request %d went to %s and reads %d shared tokens again; %s keeps them", i, d.Upstream.ID, d.Shared, first.Upstream.ID)
+		if d.Upstream.ID != first.Upstream.ID || d.UncachedShared != 0 {
+			t.Fatalf("request %d went to %s and reads %d shared tokens again; %s keeps them", i, d.Upstream.ID, d.UncachedShared, first.Upstream.ID)
 		}
-		p.Begun(now.Add(50*time.Millisecond), d.Run)
-		p.Ended(now.Add(100*time.Millisecond), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(50*time.Millisecond), d.Run)
+		p.RecordEnd(now.Add(100*time.Millisecond), d.Run, pomeloplace.ResultCompleted)
 	}
 }
 
@@ -83,8 +83,8 @@
 	a, b := withEngines(9), withEngines(9)
 	d := place(t, a, start, prompt(1, 5000, 100))
 	var m pomelorelay.LoadReport
-	a.Report(&m)
-	b.TakeReport(start, "a", 1, &m)
+	a.FillReport(&m)
+	b.ApplyReport(start, "a", 1, &m)
 	got := place(t, b, start.Add(time.Second), prompt(1, 5000, 300))
 	if got.Upstream.ID != d.Upstream.ID {
 		t.Errorf("sent to %s, though %s keeps the part", got.Upstream.ID, d.Upstream.ID)
@@ -97,7 +97,7 @@
 	p := withEngines(3)
 	leaving := engine("e0")
 	leaving.Draining = true
-	p.Put(start, leaving)
+	p.PutUpstream(start, leaving)
 	r := prompt(1, 100, 100)
 	r.Avoid = []pomelorelay.UpstreamID{"e1"}
 	for i := range 20 {
@@ -105,13 +105,13 @@
 		if d.Upstream.ID != "e2" {
 			t.Fatalf("sent to %s", d.Upstream.ID)
 		}
-		p.Ended(start, d.Run, pomeloplace.ResultGood)
+		p.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
 	}
-	p.Remove("e2")
+	p.RemoveUpstream("e2")
 	if d := place(t, p, start, r); d.Upstream.ID != "e1" {
 		t.Errorf("sent to %s, though only e1 is left", d.Upstream.ID)
 	}
-	p.Remove("e1")
+	p.RemoveUpstream("e1")
 	if d := p.Place(start, r); d.Reason != pomeloplace.ReasonNoUpstream || d.RetryAfter <= 0 {
 		t.Errorf("%s after %v", d.Reason, d.RetryAfter)
 	}
@@ -127,11 +127,11 @@
 		if refused.Reason != pomeloplace.ReasonNone {
 			break
 		}
-		if refused.Expected > 400*time.Millisecond {
-			t.Fatalf("sent, though the answer is expected after %v", refused.Expected)
+		if refused.ExpectedLatency > 400*time.Millisecond {
+			t.Fatalf("sent, though the answer is expected after %v", refused.ExpectedLatency)
 		}
 	}
-	if refused.Reason != pomeloplace.ReasonLate || refused.RetryAfter <= 0 || refused.Run != nil {
+	if refused.Reason != pomeloplace.ReasonTooLate || refused.RetryAfter <= 0 || refused.Run != nil {
 		t.Fatalf("%+v", refused)
 	}
 	if d := p.Place(start.Add(refused.RetryAfter), prompt(1, 5000, 100)); d.Reason != pomeloplace.ReasonNone {
@@ -146,11 +146,11 @@
 	}
 	now := start.Add(time.Minute)
 	r := prompt(1, 10, 10)
-	r.Owed, r.Lead = false, 1.5
-	if d := p.Place(now, r); d.Reason != pomeloplace.ReasonShare {
+	r.WithinShare, r.LeadOverLevel = false, 1.5
+	if d := p.Place(now, r); d.Reason != pomeloplace.ReasonOverShare {
 		t.Errorf("an account that is ahead of others: %q", d.Reason)
 	}
-	r.Owed = true
+	r.WithinShare = true
 	place(t, p, now, r)
 }
 
@@ -159,22 +159,22 @@
 func TestBeyondAShareNothingIsReadAgain(t *testing.T) {
 	p := withEngines(2)
 	keeper := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: keeper, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: keeper, Running: 60, PendingPrefill: 90_000, PromptTokensSent: 90_000}}})
 	flood := func(shared uint64, tokens pomelorelay.Tokens) pomeloplace.Request {
 		r := prompt(shared, tokens, 100)
-		r.Owed = false
+		r.WithinShare = false
 		return r
 	}
-	slowCopies := pomelorelay.SpeedSums{Service: engines, Copied: 1e6, CopyTook: 100e6}
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
-	if d := p.Place(start, flood(1, 5000)); d.Reason != pomeloplace.ReasonShare {
-		t.Errorf("%q at %s, which reads %d shared tokens again", d.Reason, d.Upstream.ID, d.Shared)
+	slowCopies := pomelorelay.SpeedSums{Service: engines, CopiedTokens: 1e6, CopyTimeTokens: 100e6}
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
+	if d := p.Place(start, flood(1, 5000)); d.Reason != pomeloplace.ReasonOverShare {
+		t.Errorf("%q at %s, which reads %d shared tokens again", d.Reason, d.Upstream.ID, d.UncachedShared)
 	}
 	if d := place(t, p, start, flood(2, 5000)); d.Upstream.ID == keeper {
 		t.Error("a part that no engine keeps went to the full one")
 	}
-	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == keeper || d.Shared != 5000 {
-		t.Errorf("a request within its share went to %s and reads %d shared tokens", d.Upstream.ID, d.Shared)
+	if d := place(t, p, start, prompt(1, 5000, 100)); d.Upstream.ID == keeper || d.UncachedShared != 5000 {
+		t.Errorf("a request within its share went to %s and reads %d shared tokens", d.Upstream.ID, d.UncachedShared)
 	}
 }
 
@@ -183,14 +183,14 @@
 func TestACrowdedSessionsPartsAreCopied(t *testing.T) {
 	p := withEngines(3)
 	keeper := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.TakeReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: keeper, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: keeper, Running: 60, PendingPrefill: 90_000, PromptTokensSent: 90_000}}})
 	d := place(t, p, start, prompt(1, 5000, 200))
-	if d.Upstream.ID == keeper || d.CopyFrom.ID != keeper || d.Copied != 5000 || d.Shared != 0 {
-		t.Errorf("sent to %s, which copies %d tokens from %q and reads %d shared ones", d.Upstream.ID, d.Copied, d.CopyFrom.ID, d.Shared)
+	if d.Upstream.ID == keeper || d.CopyFrom.ID != keeper || d.CopiedTokens != 5000 || d.UncachedShared != 0 {
+		t.Errorf("sent to %s, which copies %d tokens from %q and reads %d shared ones", d.Upstream.ID, d.CopiedTokens, d.CopyFrom.ID, d.UncachedShared)
 	}
 	// An engine that takes no connection gives nothing away either.
 	lost := place(t, p, start, prompt(2, 5000, 300))
-	p.Ended(start, lost.Run, pomeloplace.ResultUnreached)
+	p.RecordEnd(start, lost.Run, pomeloplace.ResultUnreachable)
 	if d := place(t, p, start, prompt(2, 5000, 400)); d.CopyFrom.ID == lost.Upstream.ID {
 		t.Errorf("copies from %s, which takes no connection", d.CopyFrom.ID)
 	}
@@ -211,17 +211,17 @@
 		now = now.Add(50 * time.Millisecond)
 		d := place(t, p, now, prompt(uint64(i+1), 0, 100))
 		sent[d.Upstream.ID]++
-		result := pomeloplace.ResultGood
+		result := pomeloplace.ResultCompleted
 		if d.Upstream.ID == "e0" {
 			result = pomeloplace.ResultFailed
 		}
-		p.Ended(now.Add(20*time.Millisecond), d.Run, result)
+		p.RecordEnd(now.Add(20*time.Millisecond), d.Run, result)
 	}
 	if sent["e0"] > 10 {
 		t.Errorf("%d of 60 requests went to the upstream that fails all", sent["e0"])
 	}
 	d := place(t, p, now, prompt(100, 0, 100))
-	p.Ended(now, d.Run, pomeloplace.ResultUnreached)
+	p.RecordEnd(now, d.Run, pomeloplace.ResultUnreachable)
 	if again := place(t, p, now.Add(100*time.Millisecond), prompt(101, 0, 100)); again.Upstream.ID == d.Upstream.ID {
 		t.Error("sent again at once to an upstream that takes no connection")
 	}
@@ -232,17 +232,17 @@
 func TestReturnedUpstreamsKeepAndRestartedOnesForget(t *testing.T) {
 	p := withEngines(1)
 	d := place(t, p, start, prompt(1, 5000, 100))
-	p.Ended(start, d.Run, pomeloplace.ResultGood)
-	p.Remove("e0")
-	p.Put(start, engine("e0"))
-	if d := place(t, p, start.Add(time.Second), prompt(1, 5000, 200)); d.Shared != 0 {
-		t.Errorf("%d tokens forgotten of an upstream that was only away", d.Shared)
+	p.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
+	p.RemoveUpstream("e0")
+	p.PutUpstream(start, engine("e0"))
+	if d := place(t, p, start.Add(time.Second), prompt(1, 5000, 200)); d.UncachedShared != 0 {
+		t.Errorf("%d tokens forgotten of an upstream that was only away", d.UncachedShared)
 	}
 	restarted := engine("e0")
-	restarted.Born = 5
-	p.Put(start, restarted)
-	if d := place(t, p, start.Add(2*time.Second), prompt(1, 5000, 300)); d.Shared != 5000 || d.Running > 1 {
-		t.Errorf("%d shared tokens to read and %d running at an upstream that has just started", d.Shared, d.Running)
+	restarted.StartUnixMilli = 5
+	p.PutUpstream(start, restarted)
+	if d := place(t, p, start.Add(2*time.Second), prompt(1, 5000, 300)); d.UncachedShared != 5000 || d.Running > 1 {
+		t.Errorf("%d shared tokens to read and %d running at an upstream that has just started", d.UncachedShared, d.Running)
 	}
 }
 
@@ -252,26 +252,26 @@
 	a, b := withEngines(1), withEngines(1)
 	d := place(t, a, start, prompt(1, 100, 100))
 	var began pomelorelay.LoadReport
-	a.Report(&began)
-	b.TakeReport(start, "a", 1, &began)
+	a.FillReport(&began)
+	b.ApplyReport(start, "a", 1, &began)
 	running := func(now time.Time) int {
 		d := place(t, b, now, prompt(2, 0, 10))
-		b.Ended(now, d.Run, pomeloplace.ResultGood)
+		b.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		return d.Running
 	}
 	if n := running(start); n != 1 {
 		t.Fatalf("%d running, want 1", n)
 	}
-	a.Ended(start, d.Run, pomeloplace.ResultGood)
+	a.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
 	var lost pomelorelay.LoadReport
-	a.Report(&lost)
-	whole := pomelorelay.LoadReport{Whole: true}
-	a.Report(&whole)
-	b.TakeReport(start, "a", 1, &whole)
+	a.FillReport(&lost)
+	whole := pomelorelay.LoadReport{Full: true}
+	a.FillReport(&whole)
+	b.ApplyReport(start, "a", 1, &whole)
 	if n := running(start); n != 0 {
 		t.Errorf("%d running after a whole report, want 0", n)
 	}
-	b.TakeReport(start, "c", 1, &began)
+	b.ApplyReport(start, "c", 1, &began)
 	b.Tick(start.Add(10 * time.Second))
 	if n := running(start.Add(10 * time.Second)); n != 0 {
 		t.Errorf("%d running of a router that is silent, want 0", n)
@@ -285,8 +285,8 @@
 	if d := p.Place(start, prompt(1, 500, 10)); d.ReportAge != 0 {
 		t.Errorf("a report of %v, none was heard", d.ReportAge)
 	}
-	p.TakeReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
-	p.TakeReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
+	p.ApplyReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Full: true})
+	p.ApplyReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Full: true})
 	at := start.Add(1200 * time.Millisecond)
 	p.Tick(at)
 	if d := p.Place(at, prompt(1, 500, 10)); d.ReportAge != 1200*time.Millisecond {
@@ -302,11 +302,11 @@
 func TestPlainServicesGoToTheLeastLoaded(t *testing.T) {
 	p := newPlacer()
 	for i := range 3 {
-		p.Put(start, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("p%d", i)), Service: plain, Domain: "a", Slots: 6})
+		p.PutUpstream(start, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("p%d", i)), Service: plain, Domain: "a", Slots: 6})
 	}
 	sent := make(map[pomelorelay.UpstreamID]int)
 	for range 12 {
-		d := place(t, p, start, pomeloplace.Request{Service: plain, Target: 300 * time.Millisecond, Left: time.Second, Owed: true})
+		d := place(t, p, start, pomeloplace.Request{Service: plain, Target: 300 * time.Millisecond, MaxWait: time.Second, WithinShare: true})
 		sent[d.Upstream.ID]++
 	}
 	for id, n := range sent {
@@ -327,12 +327,12 @@
 		if down == "" {
 			down = d.Upstream.ID
 		}
-		result := pomeloplace.ResultGood
+		result := pomeloplace.ResultCompleted
 		if d.Upstream.ID == down {
 			tries++
-			result = pomeloplace.ResultUnreached
+			result = pomeloplace.ResultUnreachable
 		}
-		p.Ended(start.Add(at+time.Millisecond), d.Run, result)
+		p.RecordEnd(start.Add(at+time.Millisecond), d.Run, result)
 	}
 	if tries > 4 {
 		t.Errorf("tried %d times in 5 s, want at most 4", tries)
@@ -342,7 +342,7 @@
 // fewSlots returns a placer before one engine of twelve slots.
 func fewSlots() *pomeloplace.Placer {
 	p := withEngines(1)
-	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, Memory: 500_000, EventTokens: 18}}}})
+	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, KVCapacity: 500_000, TokensPerEvent: 18}}}})
 	return p
 }
 
@@ -357,13 +357,13 @@
 		if d.Reason != pomeloplace.ReasonNone {
 			return n
 		}
-		p.Begun(now.Add(20*time.Millisecond), d.Run)
+		p.RecordAnswerStart(now.Add(20*time.Millisecond), d.Run)
 	}
 }
 
 // Guards against engines of few slots that stand idle because nearly all of their slots are kept free of requests beyond shares.
 func TestFewSlotsAreNotAllReserved(t *testing.T) {
-	got := runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Owed = false })
+	got := runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.WithinShare = false })
 	if got < 6 || got > 10 {
 		t.Errorf("%d of twelve slots run requests beyond shares, want more than half and not all", got)
 	}
@@ -372,7 +372,7 @@
 // Guards against an account that takes the last slots of every engine while another is short by far.
 func TestAnAccountThatIsAheadLeavesSlots(t *testing.T) {
 	fills := func(ahead float64) int {
-		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.Ahead = ahead })
+		return runsUntilRefused(fewSlots(), func(r *pomeloplace.Request) { r.LeadOverLeastServed = ahead })
 	}
 	short, little, far := fills(0), fills(1.1), fills(5)
 	if short != 12 || little < 9 || little >= short || far >= little || far < 6 {
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -52,7 +52,7 @@
 		peers:     make(map[pomelorelay.NodeID]*peer),
 		domains:   make(map[pomelorelay.DomainID]*domainState),
 		warmup: pomelowarmup.New(pomelowarmup.Config{
-			Self: cfg.Self, Regions: cfg.Regions, Bounds: cfg.Cold,
+			Self: cfg.Self, Regions: cfg.Regions, Bounds: cfg.ColdBounds,
 		}),
 	}
 }
@@ -95,15 +95,15 @@
 	}
 }
 
-// Put takes an upstream's entry. One that was born anew, or has another address, keeps nothing of before; one whose entry only was
+// PutUpstream takes an upstream's entry. One that was born anew, or has another address, keeps nothing of before; one whose entry only was
 // away for a while keeps all.
-func (p *Placer) Put(now time.Time, info pomelorelay.FleetUpstream) {
+func (p *Placer) PutUpstream(now time.Time, info pomelorelay.FleetUpstream) {
 	u := p.upstreams[info.ID]
 	if u == nil {
 		u = p.retired[info.ID]
 	}
 	if u == nil || !u.same(info) {
-		p.Remove(info.ID)
+		p.RemoveUpstream(info.ID)
 		u = newUpstream(info, p.engines[info.Service])
 		u.start = p.startOf(now, info)
 		p.recount(u, info.ID)
@@ -153,14 +153,14 @@
 
 // same reports whether an entry is of the same start of the same upstream.
 func (u *upstream) same(info pomelorelay.FleetUpstream) bool {
-	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.Born == info.Born || info.Born == 0)
+	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.StartUnixMilli == info.StartUnixMilli || info.StartUnixMilli == 0)
 }
 
 // mostRetired bounds the upstreams that are remembered after they were removed.
 const mostRetired = 256
 
-// Remove takes an upstream out; what runs there goes on, and it is remembered in case that its entry comes back.
-func (p *Placer) Remove(id pomelorelay.UpstreamID) {
+// RemoveUpstream takes an upstream out; what runs there goes on, and it is remembered in case that its entry comes back.
+func (p *Placer) RemoveUpstream(id pomelorelay.UpstreamID) {
 	u := p.upstreams[id]
 	if u == nil {
 		return
@@ -178,7 +178,7 @@
 // Place decides on a request. The run that it returns must be ended.
 func (p *Placer) Place(now time.Time, r Request) Decision {
 	if r.Residency.Empty() {
-		return Decision{Reason: ReasonNoRegion, RetryAfter: noRegionRetry, ReportAge: p.reportAge(now)}
+		return Decision{Reason: ReasonNoAllowedRegion, RetryAfter: noRegionRetry, ReportAge: p.reportAge(now)}
 	}
 	best, v, found := p.choose(now, &r)
 	if !found {
@@ -187,10 +187,10 @@
 	d := Decision{
 		Term:      best.largest,
 		ReportAge: p.reportAge(now),
-		Upstream:  best.up.info, Expected: best.expected, Backlog: best.backlog, Missing: best.missing, Shared: best.shared, Running: best.up.running(),
+		Upstream:  best.up.info, ExpectedLatency: best.expected, QueueDelay: best.backlog, PrefillTokens: best.missing, UncachedShared: best.shared, Running: best.up.running(),
 	}
 	if best.from != nil {
-		d.CopyFrom, d.Copied = best.from.info, best.copied
+		d.CopyFrom, d.CopiedTokens = best.from.info, best.copied
 	}
 	if v.bound != BoundNone {
 		d.Reason, d.Bound, d.RetryAfter = v.reason, v.bound, v.retryAfter
@@ -208,8 +208,8 @@
 	} else if p.onlyEvacuated(r) {
 		d.Reason, d.RetryAfter = ReasonEvacuated, evacuatedRetry
 	}
-	if r.Residency.Limited {
-		d.Reason, d.Cause = ReasonRegion, d.Reason
+	if r.Residency.Restricted {
+		d.Reason, d.Cause = ReasonNoUpstreamInRegion, d.Reason
 	}
 	return d
 }
@@ -240,8 +240,8 @@
 	return max(least, leastRetry), found
 }
 
-// Warmups returns the upstreams that are cold or may be.
-func (p *Placer) Warmups(now time.Time) map[pomelorelay.UpstreamID]pomelowarmup.Status {
+// ColdUpstreams returns the upstreams that are cold or may be.
+func (p *Placer) ColdUpstreams(now time.Time) map[pomelorelay.UpstreamID]pomelowarmup.Status {
 	cold := make(map[pomelorelay.UpstreamID]pomelowarmup.Status)
 	for id, u := range p.upstreams {
 		if s := u.start.Status(now); s.Cold {
@@ -300,12 +300,12 @@
 		return best, false
 	}
 	found := false
-	least := r.Prompt
+	least := r.PromptTokens
 	source := p.source(now, s, r)
 	s.renew(now)
 	for round := 0; round < 2 && !found; round++ {
 		for _, u := range s.list {
-			if !p.usable(u, r) || u.start.Admission(now) != class || (round == 0 && (u.rests(now, &p.cfg.Without) || slices.Contains(r.Avoid, u.info.ID))) {
+			if !p.usable(u, r) || u.start.Admission(now) != class || (round == 0 && (u.rests(now, &p.cfg.Disabled) || slices.Contains(r.Avoid, u.info.ID))) {
 				continue
 			}
 			c := p.weigh(now, u, source, r)
@@ -323,7 +323,7 @@
 	u := c.up
 	u.start.RecordSend(now)
 	u.domain.sent(now)
-	run := &Run{up: u, sent: now, missing: c.missing, copied: c.copied, held: r.Prompt + r.Output}
+	run := &Run{up: u, sent: now, missing: c.missing, copied: c.copied, held: r.PromptTokens + r.OutputTokens}
 	u.own.running++
 	u.changed = true
 	if u.engine == nil {
@@ -353,8 +353,8 @@
 	}
 }
 
-// Begun notes that a run's answer began.
-func (p *Placer) Begun(now time.Time, run *Run) {
+// RecordAnswerStart notes that a run's answer began.
+func (p *Placer) RecordAnswerStart(now time.Time, run *Run) {
 	if run.begun || run.ended {
 		return
 	}
@@ -366,8 +366,8 @@
 	p.learnLatency(u, u.learn(now, run, now.Sub(run.sent), p.latency(u)))
 }
 
-// Ended notes that a run ended.
-func (p *Placer) Ended(now time.Time, run *Run, result Result) {
+// RecordEnd notes that a run ended.
+func (p *Placer) RecordEnd(now time.Time, run *Run, result Result) {
 	if run.ended {
 		return
 	}
@@ -380,12 +380,12 @@
 		u.own.held -= run.held
 	}
 	u.own.running--
-	if run.begun && u.engine != nil && (result == ResultGood || result == ResultPaused) && u.longAt.After(run.sent) {
-		u.pool.notePause(now, result == ResultPaused)
+	if run.begun && u.engine != nil && (result == ResultCompleted || result == ResultLongPause) && u.longAt.After(run.sent) {
+		u.pool.notePause(now, result == ResultLongPause)
 	}
 	u.changed = true
 	u.result(now, result)
-	if result == ResultUnreached {
+	if result == ResultUnreachable {
 		p.noteUnreached(now, run)
 	}
 }
@@ -397,7 +397,7 @@
 		u.domain.hang(now, run.sent, u.info.ID)
 	}
 	if (!hung || p.answeredAt.After(run.sent)) && u.start.RecordConnectFailure(now) {
-		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
+		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreachable: true})
 	}
 }
 
@@ -407,7 +407,7 @@
 	run.up.domain.answer(now)
 	u := run.up
 	if left, news := u.start.RecordAnswer(now, run.sent); news {
-		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: left})
+		p.starts = append(p.starts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdRemaining: left})
 	}
 }
 
@@ -417,10 +417,10 @@
 		u := p.upstreams[s.Upstream]
 		switch {
 		case u == nil:
-		case s.Unreached:
+		case s.Unreachable:
 			u.start.MarkSuspect(now)
 		default:
-			u.start.MarkCold(now, s.ColdFor)
+			u.start.MarkCold(now, s.ColdRemaining)
 		}
 	}
 }
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -15,29 +15,29 @@
 	speeds      map[pomelorelay.ServiceID]pomelorelay.SpeedSums
 }
 
-// Report fills in what this router has on the upstreams: what changed since the last report, or all.
-func (p *Placer) Report(m *pomelorelay.LoadReport) {
+// FillReport fills in what this router has on the upstreams: what changed since the last report, or all.
+func (p *Placer) FillReport(m *pomelorelay.LoadReport) {
 	p.seq++
 	p.sentSince = 0
 	m.Seq = p.seq
 	for name, s := range p.services {
-		if sums := s.line.LocalSums(); s.tells(sums.Answers) || (m.Whole && sums.Answers > 0) {
+		if sums := s.line.LocalSums(); s.tells(sums.Answers) || (m.Full && sums.Answers > 0) {
 			s.told = sums.Answers
 			sums.Service = name
 			pauses := s.pauses.LocalSums()
-			sums.Beside, sums.Paused = pauses.Denominator, pauses.Numerator
+			sums.DuringPrefill, sums.Stalled = pauses.Denominator, pauses.Numerator
 			copies := s.copies.LocalSums()
-			sums.Copied, sums.CopyTook = copies.Denominator, copies.Numerator
+			sums.CopiedTokens, sums.CopyTimeTokens = copies.Denominator, copies.Numerator
 			m.Speeds = append(m.Speeds, sums)
 		}
 		for _, u := range s.list {
-			if !u.changed && (!m.Whole || u.own == (load{})) {
+			if !u.changed && (!m.Full || u.own == (load{})) {
 				continue
 			}
 			u.changed = false
 			m.Upstreams = append(m.Upstreams, pomelorelay.UpstreamLoad{
-				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), Unread: max(0, u.own.unread), Held: max(0, u.own.held), Sent: u.own.sent,
-				Expected: u.own.expected, Took: u.own.took,
+				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), PendingPrefill: max(0, u.own.unread), KVTokens: max(0, u.own.held), PromptTokensSent: u.own.sent,
+				FirstTokenExpected: u.own.expected, FirstTokenMeasured: u.own.took,
 			})
 		}
 	}
@@ -62,8 +62,8 @@
 // Urgent reports whether the other routers should have a report before the next one is due.
 func (p *Placer) Urgent() bool { return p.sentSince >= urgentTokens || len(p.starts) > 0 }
 
-// TakeReport takes another router's report.
-func (p *Placer) TakeReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
+// ApplyReport takes another router's report.
+func (p *Placer) ApplyReport(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	o := p.peers[from]
 	if o != nil && incarnation < o.incarnation {
 		return
@@ -80,11 +80,11 @@
 	for _, l := range m.Upstreams {
 		before := o.loads[l.Upstream]
 		p.take(now, o, l)
-		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Without.OthersMemory {
-			u.kept.noteUnnamed(l.Sent - before.sent - named[l.Upstream])
+		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Disabled.OthersMemory {
+			u.kept.noteUnnamed(l.PromptTokensSent - before.sent - named[l.Upstream])
 		}
 	}
-	if m.Whole {
+	if m.Full {
 		p.clearOthers(now, o, m)
 	}
 }
@@ -114,13 +114,13 @@
 	}
 	for id, l := range o.loads {
 		if !told[id] && l.running != 0 {
-			p.take(now, o, pomelorelay.UpstreamLoad{Upstream: id, Sent: l.sent, Expected: l.expected, Took: l.took})
+			p.take(now, o, pomelorelay.UpstreamLoad{Upstream: id, PromptTokensSent: l.sent, FirstTokenExpected: l.expected, FirstTokenMeasured: l.took})
 		}
 	}
 }
 
 func (p *Placer) takeSpeeds(now time.Time, o *peer, speeds []pomelorelay.SpeedSums) {
-	if p.cfg.Without.SharedSpeeds {
+	if p.cfg.Disabled.SharedSpeeds {
 		return
 	}
 	for _, sums := range speeds {
@@ -135,15 +135,15 @@
 }
 
 func pauseSums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
-	return pomelospeed.RatioSums{Numerator: s.Paused, Denominator: s.Beside}
+	return pomelospeed.RatioSums{Numerator: s.Stalled, Denominator: s.DuringPrefill}
 }
 
 func copySums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
-	return pomelospeed.RatioSums{Numerator: s.CopyTook, Denominator: s.Copied}
+	return pomelospeed.RatioSums{Numerator: s.CopyTimeTokens, Denominator: s.CopiedTokens}
 }
 
 func (p *Placer) take(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
-	next := load{running: int(l.Running), unread: l.Unread, held: l.Held, sent: l.Sent, expected: l.Expected, took: l.Took}
+	next := load{running: int(l.Running), unread: l.PendingPrefill, held: l.KVTokens, sent: l.PromptTokensSent, expected: l.FirstTokenExpected, took: l.FirstTokenMeasured}
 	before, known := o.loads[l.Upstream]
 	o.loads[l.Upstream] = next
 	u := p.known(l.Upstream)
@@ -166,11 +166,11 @@
 	}
 }
 
-// SetUnreported sets the number of registered routers without a report yet. They count as sending as much as this one: when all routers start at
+// SetUnreportedRouters sets the number of registered routers without a report yet. They count as sending as much as this one: when all routers start at
 // once, each sees idle engines, and together they would fill them several times over before the first reports arrive. What callers
 // notice are seconds of late answers after a restart of the fleet.
-func (p *Placer) SetUnreported(routers int) {
-	if p.cfg.Without.Unreported {
+func (p *Placer) SetUnreportedRouters(routers int) {
+	if p.cfg.Disabled.Unreported {
 		routers = 0
 	}
 	for _, s := range p.services {
@@ -181,11 +181,11 @@
 // Tick forgets routers that have been silent and spreads the long prompts anew.
 func (p *Placer) Tick(now time.Time) {
 	for _, s := range p.services {
-		s.spread(now, &p.cfg.Without)
+		s.spread(now, &p.cfg.Disabled)
 	}
 	p.oldest = time.Time{}
 	for node, o := range p.peers {
-		if now.Sub(o.seenAt) > SilentAfter {
+		if now.Sub(o.seenAt) > PeerTimeout {
 			p.forget(node)
 			continue
 		}
@@ -219,11 +219,11 @@
 	}
 }
 
-// Forget takes back what a router had on the upstreams.
-func (p *Placer) Forget(node pomelorelay.NodeID) { p.forget(node) }
+// ForgetRouter takes back what a router had on the upstreams.
+func (p *Placer) ForgetRouter(node pomelorelay.NodeID) { p.forget(node) }
 
-// ForgetOthers takes back what all routers but one had on the upstreams.
-func (p *Placer) ForgetOthers(but pomelorelay.NodeID) {
+// ForgetRoutersExcept takes back what all routers but one had on the upstreams.
+func (p *Placer) ForgetRoutersExcept(but pomelorelay.NodeID) {
 	for node := range p.peers {
 		if node != but {
 			p.forget(node)
--- a/pomeloplace/residency_test.go
+++ b/pomeloplace/residency_test.go
@@ -10,7 +10,7 @@
 )
 
 func limited(r pomeloplace.Request, regions ...pomelorelay.RegionID) pomeloplace.Request {
-	r.Residency = pomelorelay.Residency{Limited: true, Regions: regions}
+	r.Residency = pomelorelay.Residency{Restricted: true, Regions: regions}
 	return r
 }
 
@@ -33,15 +33,15 @@
 		cause   pomeloplace.Reason
 	}{
 		{"an idle upstream inside", []pomelorelay.RegionID{"rb"}, func(*pomeloplace.Placer) {}, "b0", pomeloplace.ReasonNone, ""},
-		{"a draining one inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Put(start, draining) }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"none inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.Remove("b0") }, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"a region that nobody names", []pomelorelay.RegionID{"rc"}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"an upstream of an unknown domain", []pomelorelay.RegionID{""}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonRegion, pomeloplace.ReasonNoUpstream},
-		{"no region in common", nil, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonNoRegion, ""},
+		{"a draining one inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.PutUpstream(start, draining) }, "", pomeloplace.ReasonNoUpstreamInRegion, pomeloplace.ReasonNoUpstream},
+		{"none inside", []pomelorelay.RegionID{"rb"}, func(p *pomeloplace.Placer) { p.RemoveUpstream("b0") }, "", pomeloplace.ReasonNoUpstreamInRegion, pomeloplace.ReasonNoUpstream},
+		{"a region that nobody names", []pomelorelay.RegionID{"rc"}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonNoUpstreamInRegion, pomeloplace.ReasonNoUpstream},
+		{"an upstream of an unknown domain", []pomelorelay.RegionID{""}, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonNoUpstreamInRegion, pomeloplace.ReasonNoUpstream},
+		{"no region in common", nil, func(*pomeloplace.Placer) {}, "", pomeloplace.ReasonNoAllowedRegion, ""},
 	} {
 		p := withEngines(3)
-		p.Put(start, engineIn("b0", "b"))
-		p.Put(start, engineIn("lost", "of no region"))
+		p.PutUpstream(start, engineIn("b0", "b"))
+		p.PutUpstream(start, engineIn("lost", "of no region"))
 		c.prepare(p)
 		d := p.Place(start, limited(prompt(1, 500, 100), c.regions...))
 		if d.Upstream.ID != c.want || d.Reason != c.reason || d.Cause != c.cause {
@@ -56,7 +56,7 @@
 // Guards against a retry that leaves the regions because those inside failed the request or take no connections.
 func TestRetriesStayInTheirRegions(t *testing.T) {
 	p := withEngines(3)
-	p.Put(start, engineIn("b0", "b"))
+	p.PutUpstream(start, engineIn("b0", "b"))
 	now := start
 	for range 5 {
 		r := limited(prompt(1, 500, 100), "rb")
@@ -66,7 +66,7 @@
 			if d.Upstream.ID != "b0" {
 				t.Fatalf("sent to %s", d.Upstream.ID)
 			}
-			p.Ended(now, d.Run, pomeloplace.ResultUnreached)
+			p.RecordEnd(now, d.Run, pomeloplace.ResultUnreachable)
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
@@ -77,8 +77,8 @@
 	t.Helper()
 	for i := range 3 {
 		d := place(t, p, now, prompt(1, 5000, pomelorelay.Tokens(100+i)))
-		p.Begun(now.Add(50*time.Millisecond), d.Run)
-		p.Ended(now.Add(90*time.Millisecond), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(50*time.Millisecond), d.Run)
+		p.RecordEnd(now.Add(90*time.Millisecond), d.Run, pomeloplace.ResultCompleted)
 		now = now.Add(time.Second)
 	}
 	return now
@@ -88,22 +88,22 @@
 func TestPromptsAreNotCopiedFromOtherRegions(t *testing.T) {
 	copies := func(regions ...pomelorelay.RegionID) bool {
 		p := newPlacer()
-		p.Put(start, engineIn("b0", "b"))
-		p.Put(start, engineIn("b1", "b"))
+		p.PutUpstream(start, engineIn("b0", "b"))
+		p.PutUpstream(start, engineIn("b1", "b"))
 		now := start
 		now = keepShared(t, p, now)
 		// The engines that keep the part stop taking requests; others must copy or read it.
 		for i := range 2 {
 			u := engineIn(pomelorelay.UpstreamID(fmt.Sprintf("b%d", i)), "b")
 			u.Draining = true
-			p.Put(start, u)
+			p.PutUpstream(start, u)
 		}
-		p.Put(start, engineIn("a0", "a"))
+		p.PutUpstream(start, engineIn("a0", "a"))
 		d := p.Place(now, limited(prompt(1, 5000, 500), regions...))
 		if d.Upstream.ID != "a0" {
 			t.Fatalf("sent to %q: %s", d.Upstream.ID, d.Reason)
 		}
-		return d.Copied > 0
+		return d.CopiedTokens > 0
 	}
 	if !copies("ra", "rb") {
 		t.Error("nothing was copied where both regions are allowed")
--- a/pomeloplace/speed_test.go
+++ b/pomeloplace/speed_test.go
@@ -15,14 +15,14 @@
 	const rate = 25.0
 	old, fresh := withEngines(4), withEngines(4)
 	now := readAt(t, old, rate)
-	if got := speedOf(t, old); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("learnt %.1f tokens a millisecond, want %.0f", got.Rate, rate)
+	if got := speedOf(t, old); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
+		t.Errorf("learnt %.1f tokens a millisecond, want %.0f", got.PrefillRate, rate)
 	}
 	var m pomelorelay.LoadReport
-	old.Report(&m)
-	fresh.TakeReport(now, "old", 1, &m)
-	if got := speedOf(t, fresh); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.Rate, rate)
+	old.FillReport(&m)
+	fresh.ApplyReport(now, "old", 1, &m)
+	if got := speedOf(t, fresh); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
+		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.PrefillRate, rate)
 	}
 }
 
@@ -32,12 +32,12 @@
 	const rate = 25.0
 	old, fresh := withEngines(4), withEngines(4)
 	readAt(t, old, rate)
-	old.Report(&pomelorelay.LoadReport{Whole: true})
-	m := pomelorelay.LoadReport{Whole: true}
-	old.Report(&m)
-	fresh.TakeReport(start, "old", 1, &m)
-	if got := speedOf(t, fresh); math.Abs(float64(got.Rate)/rate-1) > 0.1 {
-		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.Rate, rate)
+	old.FillReport(&pomelorelay.LoadReport{Full: true})
+	m := pomelorelay.LoadReport{Full: true}
+	old.FillReport(&m)
+	fresh.ApplyReport(start, "old", 1, &m)
+	if got := speedOf(t, fresh); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
+		t.Errorf("told %.1f tokens a millisecond, want %.0f", got.PrefillRate, rate)
 	}
 }
 
@@ -48,10 +48,10 @@
 	for i := range 200 {
 		now = now.Add(time.Second)
 		tokens := pomelorelay.Tokens(200 + 20*i)
-		d := place(t, p, now, pomeloplace.Request{Service: engines, Prompt: tokens, Output: 10, Owed: true, Target: time.Second, Left: 10 * time.Second})
+		d := place(t, p, now, pomeloplace.Request{Service: engines, PromptTokens: tokens, OutputTokens: 10, WithinShare: true, Target: time.Second, MaxWait: 10 * time.Second})
 		took := 30*time.Millisecond + time.Duration(float64(tokens)/rate*float64(time.Millisecond))
-		p.Begun(now.Add(took), d.Run)
-		p.Ended(now.Add(took), d.Run, pomeloplace.ResultGood)
+		p.RecordAnswerStart(now.Add(took), d.Run)
+		p.RecordEnd(now.Add(took), d.Run, pomeloplace.ResultCompleted)
 	}
 	return now
 }
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -69,7 +69,7 @@
 func (u *upstream) setEngine(engine *pomelorelay.EngineSpec) {
 	u.engine = engine
 	if engine != nil {
-		u.kept.room = engine.Memory
+		u.kept.room = engine.KVCapacity
 	}
 }
 
@@ -157,12 +157,12 @@
 
 func (u *upstream) result(now time.Time, r Result) {
 	switch r {
-	case ResultGood, ResultPaused:
+	case ResultCompleted, ResultLongPause:
 		u.failures = u.failing(now) * (1 - failShare)
 		u.downUntil, u.downFor = time.Time{}, 0
 	case ResultFailed, ResultRefused:
 		u.failures = u.failing(now)*(1-failShare) + failShare
-	case ResultUnreached:
+	case ResultUnreachable:
 		u.failures = max(u.failing(now), failShare)
 		u.rest(now)
 	default:
@@ -220,9 +220,9 @@
 
 // full reports whether running requests and the new one would overfill the engine's memory.
 func (u *upstream) full(need pomelorelay.Tokens) bool {
-	if u.engine == nil || u.engine.Memory <= 0 {
+	if u.engine == nil || u.engine.KVCapacity <= 0 {
 		return false
 	}
 	taken := u.own.held + u.others.held
-	return taken > 0 && float64(taken+need) > fullMemory*float64(u.engine.Memory)
+	return taken > 0 && float64(taken+need) > fullMemory*float64(u.engine.KVCapacity)
 }
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -26,21 +26,21 @@
 		others = append(others, p)
 	}
 	p := pomeloplace.New(pomeloplace.Config{
-		Self: own, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "rb"}, Cold: pomelorelay.ColdBounds{Ratio: 1.5, Slack: 5},
+		Self: own, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "rb"}, ColdBounds: pomelorelay.ColdBounds{Ratio: 1.5, Slack: 5},
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{
-		{Name: engines, ColdFor: coldFor, ColdRate: coldRate, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}},
+		{Name: engines, ColdPeriod: coldFor, ColdRate: coldRate, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}},
 	}})
 	p.SetRouters(others)
 	for _, u := range listed {
-		p.Put(start, u)
+		p.PutUpstream(start, u)
 	}
 	return p
 }
 
 func cold(id pomelorelay.UpstreamID, left time.Duration) pomelorelay.FleetUpstream {
 	u := engine(id)
-	u.ColdFor = left
+	u.ColdRemaining = left
 	return u
 }
 
@@ -53,12 +53,12 @@
 		if d.Upstream.ID != "e0" {
 			t.Fatalf("sent to %s after %v", d.Upstream.ID, now.Sub(start))
 		}
-		p.Ended(now, d.Run, pomeloplace.ResultGood)
+		p.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		now = now.Add(10 * time.Millisecond)
 	}
 	drained := engine("e0")
 	drained.Draining = true
-	p.Put(now, drained)
+	p.PutUpstream(now, drained)
 	if d := place(t, p, now, prompt(1, 500, 100)); d.Upstream.ID != "e1" {
 		t.Errorf("sent to %s once e1 was warm", d.Upstream.ID)
 	}
@@ -77,7 +77,7 @@
 				continue
 			}
 			sent++
-			p.Ended(now, d.Run, pomeloplace.ResultGood)
+			p.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		}
 	}
 	if most := coldFor.Seconds() * coldRate; sent < 10 || float64(sent) > most {
@@ -95,22 +95,22 @@
 	for range 100 {
 		d := near.Place(now, prompt(uint64(now.UnixNano()), 500, 100))
 		if d.Upstream.ID == "e1" {
-			near.Ended(now.Add(time.Millisecond), d.Run, pomeloplace.ResultUnreached)
+			near.RecordEnd(now.Add(time.Millisecond), d.Run, pomeloplace.ResultUnreachable)
 			break
 		}
-		near.Ended(now, d.Run, pomeloplace.ResultGood)
+		near.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		now = now.Add(20 * time.Millisecond)
 	}
 	if !near.Urgent() {
 		t.Error("the other routers are not told at once")
 	}
 	var m pomelorelay.LoadReport
-	near.Report(&m)
-	if len(m.Starts) != 1 || !m.Starts[0].Unreached || m.Starts[0].Upstream != "e1" {
+	near.FillReport(&m)
+	if len(m.Starts) != 1 || !m.Starts[0].Unreachable || m.Starts[0].Upstream != "e1" {
 		t.Fatalf("%+v", m.Starts)
 	}
-	other.TakeReport(now, "r1", 1, &m)
-	far.TakeReport(now, "r1", 1, &m)
+	other.ApplyReport(now, "r1", 1, &m)
+	far.ApplyReport(now, "r1", 1, &m)
 	for range 50 {
 		now = now.Add(20 * time.Millisecond)
 		if d := place(t, far, now, prompt(uint64(now.UnixNano()), 500, 100)); d.Upstream.ID == "e1" {
@@ -126,12 +126,12 @@
 	for range 4 {
 		d := p.Place(now, prompt(1, 500, 100))
 		if d.Reason == pomeloplace.ReasonNone {
-			p.Ended(now.Add(500*time.Millisecond), d.Run, pomeloplace.ResultUnreached)
+			p.RecordEnd(now.Add(500*time.Millisecond), d.Run, pomeloplace.ResultUnreachable)
 		}
 		now = now.Add(time.Second)
 	}
 	var m pomelorelay.LoadReport
-	p.Report(&m)
+	p.FillReport(&m)
 	if len(m.Starts) != 0 {
 		t.Errorf("reported %+v", m.Starts)
 	}
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -105,7 +105,7 @@
 func (p *Placer) weigh(now time.Time, u *upstream, from source, r *Request) candidate {
 	c := candidate{up: u, backlog: u.turnIn(now)}
 	c.expected = c.backlog + p.latency(u)
-	off := &p.cfg.Without
+	off := &p.cfg.Disabled
 	if u.foreign && !off.Regions {
 		c.add(TermRegion, u.worth(regionTokens))
 	}
@@ -123,11 +123,11 @@
 }
 
 func (p *Placer) weighEngine(now time.Time, c *candidate, from source, r *Request) {
-	u, off := c.up, &p.cfg.Without
+	u, off := c.up, &p.cfg.Disabled
 	missing := u.kept.missing(r)
 	copying := p.copy(c, from, missing)
 	missing -= c.copied
-	c.missing = work(missing, r.Prompt)
+	c.missing = work(missing, r.PromptTokens)
 	c.shared = max(0, missing-r.own())
 	read := u.reading(float64(c.missing))
 	c.expected += read + copying + u.overhead()
@@ -146,7 +146,7 @@
 	if !off.LongEngines {
 		c.add(TermLong, longCost(u, r, c.missing))
 	}
-	if u.full(r.Prompt + r.Output) {
+	if u.full(r.PromptTokens + r.OutputTokens) {
 		c.expected += slotTurn
 		c.add(TermMemory, failWeight)
 	}
@@ -177,7 +177,7 @@
 // own returns the tokens of the prompt's last part, which no other request shares.
 func (r *Request) own() pomelorelay.Tokens {
 	if len(r.Parts) == 0 {
-		return r.Prompt
+		return r.PromptTokens
 	}
 	return r.Parts[len(r.Parts)-1].Tokens
 }
--- a/pomeloplace/world_test.go
+++ b/pomeloplace/world_test.go
@@ -124,9 +124,9 @@
 	}
 	session := uint64(shared)<<32 | p.random.Uint64N(sessions*p.scale) + 1
 	r := pomeloplace.Request{
-		Service: engines, Prompt: shared + pomelorelay.Tokens(own) + 1, Output: pomelorelay.Tokens(output) + 1, Owed: true,
+		Service: engines, PromptTokens: shared + pomelorelay.Tokens(own) + 1, OutputTokens: pomelorelay.Tokens(output) + 1, WithinShare: true,
 		Parts:  []pomelorelay.PromptPart{{Hash: session, Tokens: shared}, {Hash: p.random.Uint64(), Tokens: pomelorelay.Tokens(own) + 1}},
-		Target: target, Left: 10 * time.Second,
+		Target: target, MaxWait: 10 * time.Second,
 	}
 	return r, int(output) + p.eventTokens
 }
@@ -155,9 +155,9 @@
 
 func (p *play) arrive() {
 	r, output := p.draw()
-	r.Owed = p.random.Float64() >= p.beyond
+	r.WithinShare = p.random.Float64() >= p.beyond
 	p.asked++
-	if r.Owed {
+	if r.WithinShare {
 		p.owedAsked++
 	}
 	p.ask(returning{since: p.now, request: r, output: output})
@@ -181,12 +181,12 @@
 		p.refused++
 		return
 	}
-	unread, copying := float64(r.Prompt), time.Duration(0)
+	unread, copying := float64(r.PromptTokens), time.Duration(0)
 	session := r.Parts[0]
 	switch {
 	case p.kept[d.Upstream.ID][session.Hash]:
 		unread -= float64(session.Tokens)
-	case d.Copied > 0 && p.kept[d.CopyFrom.ID][session.Hash]:
+	case d.CopiedTokens > 0 && p.kept[d.CopyFrom.ID][session.Hash]:
 		unread -= float64(session.Tokens)
 		copying = time.Duration(float64(session.Tokens) * copyPerToken)
 		p.copied += int(session.Tokens)
@@ -215,8 +215,8 @@
 
 func (p *play) report(whole bool) {
 	for i, router := range p.routers {
-		m := &pomelorelay.LoadReport{Whole: whole}
-		router.Report(m)
+		m := &pomelorelay.LoadReport{Full: whole}
+		router.FillReport(m)
 		router.Tick(p.now)
 		p.mail = append(p.mail, letter{at: p.now.Add(p.delay), from: i, m: m})
 	}
@@ -226,20 +226,20 @@
 	if p.now.Sub(start) < p.blind {
 		for _, router := range p.routers {
 			if p.knows {
-				router.SetUnreported(len(p.routers) - 1)
+				router.SetUnreportedRouters(len(p.routers) - 1)
 			}
 		}
 		return
 	}
 	for _, router := range p.routers {
-		router.SetUnreported(0)
+		router.SetUnreportedRouters(0)
 	}
 	for len(p.mail) > 0 && !p.mail[0].at.After(p.now) {
 		l := p.mail[0]
 		p.mail = p.mail[1:]
 		for i, router := range p.routers {
 			if i != l.from {
-				router.TakeReport(p.now, pomelorelay.NodeID(fmt.Sprint("r", l.from)), 1, l.m)
+				router.ApplyReport(p.now, pomelorelay.NodeID(fmt.Sprint("r", l.from)), 1, l.m)
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 	if j.made%p.eventTokens == 1 {
 		if j.made == 1 {
 			j.first = e.at.Sub(j.sent)
-			router.Begun(e.at, j.run)
+			router.RecordAnswerStart(e.at, j.run)
 		} else {
 			j.pause = max(j.pause, e.at.Sub(j.last))
 		}
@@ -299,18 +299,18 @@
 	if j.made < j.output {
 		return
 	}
-	result := pomeloplace.ResultGood
+	result := pomeloplace.ResultCompleted
 	if j.pause > pauseAllowed {
-		result = pomeloplace.ResultPaused
+		result = pomeloplace.ResultLongPause
 	}
-	router.Ended(e.at, j.run, result)
-	if j.first <= j.request.Target && result == pomeloplace.ResultGood {
+	router.RecordEnd(e.at, j.run, result)
+	if j.first <= j.request.Target && result == pomeloplace.ResultCompleted {
 		p.inTime++
-		if j.request.Owed {
+		if j.request.WithinShare {
 			p.owedInTime++
 		}
 	}
-	if result == pomeloplace.ResultPaused {
+	if result == pomeloplace.ResultLongPause {
 		p.latePause++
 	}
 	if j.first > j.request.Target {
