--- a/pomeloquarantine/arbiter.go
+++ b/pomeloquarantine/arbiter.go
@@ -22,8 +22,8 @@
 	until       time.Time
 }
 
-// New returns an Arbiter.
-func New(cfg Config) *Arbiter {
+// NewArbiter returns an Arbiter.
+func NewArbiter(cfg Config) *Arbiter {
 	return &Arbiter{
 		cfg:           cfg.withDefaults(),
 		byFingerprint: make(map[pomelorelay.Fingerprint]*place),
@@ -31,8 +31,8 @@
 	}
 }
 
-// Ask takes a router's question whether a suspect may run now, or its renewal.
-func (a *Arbiter) Ask(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk, out *Output) {
+// HandleAsk takes a router's question whether a suspect may run now, or its renewal.
+func (a *Arbiter) HandleAsk(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk, out *Output) {
 	answer := &pomelorelay.SuspectAnswer{Request: m.Request, Fingerprint: m.Fingerprint, Upstream: m.Upstream, Allowed: a.grant(now, from, m)}
 	if !answer.Allowed {
 		answer.Wait = a.cfg.AskAgain
@@ -105,8 +105,8 @@
 
 func (a *Arbiter) free(gone *place) { a.freeAll(gone.same) }
 
-// Cleared takes the end of a suspect's run.
-func (a *Arbiter) Cleared(from pomelorelay.NodeID, m *pomelorelay.SuspectCleared) {
+// HandleCleared takes the end of a suspect's run.
+func (a *Arbiter) HandleCleared(from pomelorelay.NodeID, m *pomelorelay.SuspectCleared) {
 	a.free(&place{node: from, fingerprint: m.Fingerprint, upstream: m.Upstream})
 }
 
--- a/pomeloquarantine/fleet_test.go
+++ b/pomeloquarantine/fleet_test.go
@@ -110,7 +110,7 @@
 			},
 			Members: func() []pomelorelay.NodeID { return names },
 		}
-		r := &router{name: name, table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.New(cfg), waiting: make(map[pomelorelay.RequestID]*request)}
+		r := &router{name: name, table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.NewArbiter(cfg), waiting: make(map[pomelorelay.RequestID]*request)}
 		f.routers = append(f.routers, r)
 		f.tick(r)
 	}
@@ -168,16 +168,16 @@
 		f.act(r, func(out *pomeloquarantine.Output) {
 			switch x := m.Message.(type) {
 			case *pomelorelay.SuspectNotice:
-				r.table.Notice(f.now, x, out)
+				r.table.HandleSuspectNotice(f.now, x, out)
 			case *pomelorelay.SuspectAsk:
-				r.arbiter.Ask(f.now, from, x, out)
+				r.arbiter.HandleAsk(f.now, from, x, out)
 			case *pomelorelay.SuspectAnswer:
-				r.table.Answer(f.now, from, x, out)
+				r.table.HandleAnswer(f.now, from, x, out)
 			case *pomelorelay.SuspectCleared:
-				r.arbiter.Cleared(from, x)
-				r.table.Cleared(x)
+				r.arbiter.HandleCleared(from, x)
+				r.table.HandleCleared(x)
 			case *pomelorelay.QuarantineNotice:
-				r.table.Quarantine(f.now, x, out)
+				r.table.HandleQuarantineNotice(f.now, x, out)
 			}
 		})
 	}
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -107,7 +107,7 @@
 	cfg.FingerprintArbiter = func(pomelorelay.Fingerprint) (pomelorelay.NodeID, bool) { return "a", true }
 	cfg.UpstreamArbiter = func(pomelorelay.UpstreamID) (pomelorelay.NodeID, bool) { return "a", true }
 	cfg.Members = func() []pomelorelay.NodeID { return []pomelorelay.NodeID{"a", "b"} }
-	return &harness{table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.New(cfg), now: time.Unix(1_700_000_000, 0)}
+	return &harness{table: pomeloquarantine.NewTable(cfg), arbiter: pomeloquarantine.NewArbiter(cfg), now: time.Unix(1_700_000_000, 0)}
 }
 
 // self carries the messages that the router sends itself and returns the verdicts.
@@ -117,11 +117,11 @@
 		h.out.Messages = h.out.Messages[1:]
 		switch x := m.Message.(type) {
 		case *pomelorelay.SuspectAsk:
-			h.arbiter.Ask(h.now, "a", x, &h.out)
+			h.arbiter.HandleAsk(h.now, "a", x, &h.out)
 		case *pomelorelay.SuspectAnswer:
-			h.table.Answer(h.now, "a", x, &h.out)
+			h.table.HandleAnswer(h.now, "a", x, &h.out)
 		case *pomelorelay.SuspectCleared:
-			h.arbiter.Cleared("a", x)
+			h.arbiter.HandleCleared("a", x)
 		}
 	}
 	verdicts := h.out.Verdicts
@@ -149,9 +149,9 @@
 // A quarantine ends by itself, or when an operator lifts it; a late notice of it does not bring it back.
 func TestQuarantineEndsByItselfAndByOrder(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{QuarantineFor: time.Minute})
-	refused := func() bool { return h.table.Snapshot().Quarantined(h.now, 1) > 0 }
+	refused := func() bool { return h.table.Snapshot().QuarantineRemaining(h.now, 1) > 0 }
 	h.crash(1, 1, "u1")
-	if !h.table.Snapshot().Suspect(1) || refused() {
+	if !h.table.Snapshot().IsSuspect(1) || refused() {
 		t.Fatal("one crash makes a suspect and no quarantine")
 	}
 	h.crash(2, 1, "u2")
@@ -165,10 +165,10 @@
 	}
 	h.crash(3, 1, "u3")
 	h.crash(4, 1, "u4")
-	late := &pomelorelay.QuarantineNotice{Fingerprint: 1, Seq: uint64(h.now.UnixNano()), For: time.Minute}
+	late := &pomelorelay.QuarantineNotice{Fingerprint: 1, Seq: uint64(h.now.UnixNano()), Duration: time.Minute}
 	h.now = h.now.Add(time.Second)
 	h.table.Lift(h.now, 1, &h.out)
-	h.table.Quarantine(h.now, late, &h.out)
+	h.table.HandleQuarantineNotice(h.now, late, &h.out)
 	if refused() {
 		t.Error("the lifted quarantine came back")
 	}
@@ -180,7 +180,7 @@
 	h := newHarness(pomeloquarantine.Config{})
 	ask := func(from pomelorelay.NodeID, p pomelorelay.Fingerprint, u pomelorelay.UpstreamID) bool {
 		var out pomeloquarantine.Output
-		h.arbiter.Ask(h.now, from, &pomelorelay.SuspectAsk{Fingerprint: p, Upstream: u}, &out)
+		h.arbiter.HandleAsk(h.now, from, &pomelorelay.SuspectAsk{Fingerprint: p, Upstream: u}, &out)
 		return out.Messages[0].Message.(*pomelorelay.SuspectAnswer).Allowed
 	}
 	steps := []struct {
@@ -238,8 +238,8 @@
 		c, ok := m.Message.(*pomelorelay.SuspectCleared)
 		told = told || (ok && m.To == "b" && c.Clean)
 	}
-	if !told || h.table.Snapshot().Suspect(1) {
-		t.Errorf("told %v, suspect %v", told, h.table.Snapshot().Suspect(1))
+	if !told || h.table.Snapshot().IsSuspect(1) {
+		t.Errorf("told %v, suspect %v", told, h.table.Snapshot().IsSuspect(1))
 	}
 }
 
@@ -250,16 +250,16 @@
 	h.crash(2, 1, "u2")
 	h.crash(3, 2, "u9")
 	other := newHarness(pomeloquarantine.Config{})
-	h.table.Joined(h.now, "b", &h.out)
+	h.table.MemberJoined(h.now, "b", &h.out)
 	for _, m := range h.out.Messages {
 		switch x := m.Message.(type) {
 		case *pomelorelay.QuarantineNotice:
-			other.table.Quarantine(h.now, x, &other.out)
+			other.table.HandleQuarantineNotice(h.now, x, &other.out)
 		case *pomelorelay.SuspectNotice:
-			other.table.Notice(h.now, x, &other.out)
+			other.table.HandleSuspectNotice(h.now, x, &other.out)
 		}
 	}
-	if s := other.table.Snapshot(); s.Quarantined(h.now, 1) == 0 || !s.Suspect(2) {
+	if s := other.table.Snapshot(); s.QuarantineRemaining(h.now, 1) == 0 || !s.IsSuspect(2) {
 		t.Errorf("the router learnt %+v", s.List())
 	}
 }
@@ -269,12 +269,12 @@
 	h := newHarness(pomeloquarantine.Config{MaxSuspects: 50, MaxQuarantined: 20})
 	for n := range 500 {
 		p := pomelorelay.Fingerprint(n)
-		h.table.Notice(h.now, &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(fmt.Sprint(n)), Fingerprints: []pomelorelay.Fingerprint{p}}, &h.out)
-		h.table.Quarantine(h.now, &pomelorelay.QuarantineNotice{Fingerprint: p + 1000, Seq: uint64(n + 1), For: time.Minute}, &h.out)
+		h.table.HandleSuspectNotice(h.now, &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(fmt.Sprint(n)), Fingerprints: []pomelorelay.Fingerprint{p}}, &h.out)
+		h.table.HandleQuarantineNotice(h.now, &pomelorelay.QuarantineNotice{Fingerprint: p + 1000, Seq: uint64(n + 1), Duration: time.Minute}, &h.out)
 	}
 	suspects := 0
 	for n := range 500 {
-		if h.table.Snapshot().Suspect(pomelorelay.Fingerprint(n)) {
+		if h.table.Snapshot().IsSuspect(pomelorelay.Fingerprint(n)) {
 			suspects++
 		}
 	}
--- a/pomeloquarantine/snapshot.go
+++ b/pomeloquarantine/snapshot.go
@@ -35,11 +35,11 @@
 	return s
 }
 
-// Suspect reports whether a run of the fingerprint must be checked with the Table.
-func (s *Snapshot) Suspect(f pomelorelay.Fingerprint) bool { return s.suspects[f] }
+// IsSuspect reports whether a run of the fingerprint must be checked with the Table.
+func (s *Snapshot) IsSuspect(f pomelorelay.Fingerprint) bool { return s.suspects[f] }
 
-// Quarantined returns how long a fingerprint is still refused, zero when it is not.
-func (s *Snapshot) Quarantined(now time.Time, f pomelorelay.Fingerprint) time.Duration {
+// QuarantineRemaining returns how long a fingerprint is still refused, zero when it is not.
+func (s *Snapshot) QuarantineRemaining(now time.Time, f pomelorelay.Fingerprint) time.Duration {
 	until, ok := s.quarantined[f]
 	if !ok {
 		return 0
@@ -63,15 +63,15 @@
 	return list
 }
 
-// Joined sends a router that came, or came back from a partition, what this router arbitrates.
-func (t *Table) Joined(now time.Time, node pomelorelay.NodeID, out *Output) {
+// MemberJoined sends a router that came, or came back from a partition, what this router arbitrates.
+func (t *Table) MemberJoined(now time.Time, node pomelorelay.NodeID, out *Output) {
 	for f, q := range t.quarantined {
 		if !t.arbitrates(f) {
 			continue
 		}
 		m := &pomelorelay.QuarantineNotice{Fingerprint: f, Seq: q.seq}
 		if !q.lifted {
-			m.For = q.until.Sub(now)
+			m.Duration = q.until.Sub(now)
 		}
 		out.send(node, m)
 	}
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -123,7 +123,7 @@
 	t.crashes++
 	fingerprints = unique(fingerprints)
 	t.suspect(now, run.Upstream, fingerprints, out)
-	t.spread(&pomelorelay.SuspectNotice{Upstream: run.Upstream, Crash: t.crashes, Fingerprints: fingerprints}, out)
+	t.spread(&pomelorelay.SuspectNotice{Upstream: run.Upstream, CrashSeq: t.crashes, Fingerprints: fingerprints}, out)
 	t.cfg.Logger.Log(pomelorelay.EventSuspects, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "Suspects", Value: len(fingerprints)})
 }
 
@@ -141,8 +141,8 @@
 func (t *Table) name(now time.Time, run Run, out *Output) {
 	d := run.QuarantineFor
 	setDuration(&d, t.cfg.QuarantineFor)
-	m := &pomelorelay.QuarantineNotice{Fingerprint: run.Fingerprint, Seq: uint64(now.UnixNano()), For: d, Upstream: run.Upstream}
-	t.Quarantine(now, m, out)
+	m := &pomelorelay.QuarantineNotice{Fingerprint: run.Fingerprint, Seq: uint64(now.UnixNano()), Duration: d, Upstream: run.Upstream}
+	t.HandleQuarantineNotice(now, m, out)
 	t.spread(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventQuarantined, pomelorelay.Field{Key: "Fingerprint", Value: run.Fingerprint}, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "For", Value: d})
 }
@@ -172,22 +172,22 @@
 	t.snapshot = nil
 }
 
-// Notice takes another router's suspects.
-func (t *Table) Notice(now time.Time, m *pomelorelay.SuspectNotice, out *Output) {
+// HandleSuspectNotice takes another router's suspects.
+func (t *Table) HandleSuspectNotice(now time.Time, m *pomelorelay.SuspectNotice, out *Output) {
 	if !t.isNamed(now, m.Upstream) {
 		t.suspect(now, m.Upstream, m.Fingerprints, out)
 	}
 }
 
-// Cleared takes the news that a suspect ran without a crash.
-func (t *Table) Cleared(m *pomelorelay.SuspectCleared) {
+// HandleCleared takes the news that a suspect ran without a crash.
+func (t *Table) HandleCleared(m *pomelorelay.SuspectCleared) {
 	if m.Clean {
 		t.clear(m.Fingerprint)
 	}
 }
 
-// Quarantine takes a quarantine or its lifting; the newer one of a fingerprint holds.
-func (t *Table) Quarantine(now time.Time, m *pomelorelay.QuarantineNotice, out *Output) {
+// HandleQuarantineNotice takes a quarantine or its lifting; the newer one of a fingerprint holds.
+func (t *Table) HandleQuarantineNotice(now time.Time, m *pomelorelay.QuarantineNotice, out *Output) {
 	if known, ok := t.quarantined[m.Fingerprint]; ok && known.seq >= m.Seq {
 		return
 	}
@@ -195,14 +195,14 @@
 		delete(t.quarantined, t.firstQuarantined())
 	}
 	t.snapshot = nil
-	if m.For <= 0 {
+	if m.Duration <= 0 {
 		t.quarantined[m.Fingerprint] = quarantine{seq: m.Seq, until: now.Add(t.cfg.QuarantineFor), lifted: true}
 		return
 	}
-	t.quarantined[m.Fingerprint] = quarantine{seq: m.Seq, until: now.Add(m.For)}
+	t.quarantined[m.Fingerprint] = quarantine{seq: m.Seq, until: now.Add(m.Duration)}
 	delete(t.suspects, m.Fingerprint)
 	t.acquit(now, m.Upstream)
-	t.refuseWaiting(m.Fingerprint, m.For, out)
+	t.refuseWaiting(m.Fingerprint, m.Duration, out)
 }
 
 // acquit clears those that are suspects only because of a crash that was now laid to another request.
@@ -221,7 +221,7 @@
 // Lift ends a quarantine by an operator's order, on every router.
 func (t *Table) Lift(now time.Time, f pomelorelay.Fingerprint, out *Output) {
 	m := &pomelorelay.QuarantineNotice{Fingerprint: f, Seq: uint64(now.UnixNano())}
-	t.Quarantine(now, m, out)
+	t.HandleQuarantineNotice(now, m, out)
 	t.spread(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventLifted, pomelorelay.Field{Key: "Fingerprint", Value: f})
 }
--- a/pomeloquarantine/turn.go
+++ b/pomeloquarantine/turn.go
@@ -116,9 +116,9 @@
 	out.send(node, &pomelorelay.SuspectAsk{Request: w.run.Request, Fingerprint: w.run.Fingerprint, Upstream: w.run.Upstream, Running: w.stage == stageAdopted})
 }
 
-// Answer takes an arbiter's answer. One on an earlier attempt's upstream is passed over: taken for the new one's, it
+// HandleAnswer takes an arbiter's answer. One on an earlier attempt's upstream is passed over: taken for the new one's, it
 // would let a suspect run where another does.
-func (t *Table) Answer(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAnswer, out *Output) {
+func (t *Table) HandleAnswer(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAnswer, out *Output) {
 	w, ok := t.turns[m.Request]
 	if !ok || w.run.Fingerprint != m.Fingerprint || w.run.Upstream != m.Upstream || w.asked != from || !m.Allowed {
 		return
--- a/pomeloslot/asker.go
+++ b/pomeloslot/asker.go
@@ -9,9 +9,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Asker registers one router's demand at slot owners and keeps the grants that it got.
-type Asker struct {
-	cfg    AskerConfig
+// Requester registers one router's demand at slot owners and keeps the grants that it got.
+type Requester struct {
+	cfg    RequesterConfig
 	random *rand.Rand
 	pools  map[pomelorelay.PoolID]*askerPool
 	// order is by id, so that the same calls always give the same messages.
@@ -27,7 +27,7 @@
 type askerPool struct {
 	id      pomelorelay.PoolID
 	spill   SpillOptions
-	demand  PoolHead
+	demand  PoolDemand
 	owners  []*owned
 	ranking []*owned
 	tags    []pomelorelay.Tag
@@ -65,11 +65,11 @@
 	expires  time.Time
 }
 
-// NewAsker returns an asker that knows of no owner.
-func NewAsker(cfg AskerConfig) *Asker {
+// NewRequester returns an asker that knows of no owner.
+func NewRequester(cfg RequesterConfig) *Requester {
 	cfg.Registration = cfg.Registration.withDefaults()
 	cfg.Spill = cfg.Spill.withDefaults()
-	return &Asker{
+	return &Requester{
 		cfg:    cfg,
 		random: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		pools:  make(map[pomelorelay.PoolID]*askerPool),
@@ -78,8 +78,8 @@
 	}
 }
 
-// Slots takes owners' digests, from this router's own Owner too; Tick is to be called after it.
-func (a *Asker) Slots(now time.Time, digests []pomelorelay.SlotDigest) {
+// UpdateDigests takes owners' digests, from this router's own Owner too; Tick is to be called after it.
+func (a *Requester) UpdateDigests(now time.Time, digests []pomelorelay.SlotDigest) {
 	for _, d := range digests {
 		w := a.owners[d.Upstream]
 		if w == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (a *Asker) addOwned(d pomelorelay.SlotDigest) *owned {
+func (a *Requester) addOwned(d pomelorelay.SlotDigest) *owned {
 	w := &owned{digest: d, rank: a.random.Uint64(), distance: a.distance(d.Domain)}
 	a.owners[d.Upstream] = w
 	p := a.pool(d.Pool)
@@ -100,17 +100,17 @@
 	return w
 }
 
-func (a *Asker) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
+func (a *Requester) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
 	switch {
 	case domain == a.cfg.Domain:
-		return pomelorelay.LinkDomain
+		return pomelorelay.LinkSameDomain
 	case a.cfg.Regions[domain] == a.cfg.Regions[a.cfg.Domain]:
-		return pomelorelay.LinkRegion
+		return pomelorelay.LinkSameRegion
 	}
-	return pomelorelay.LinkCross
+	return pomelorelay.LinkCrossRegion
 }
 
-func (a *Asker) pool(id pomelorelay.PoolID) *askerPool {
+func (a *Requester) pool(id pomelorelay.PoolID) *askerPool {
 	if p := a.pools[id]; p != nil {
 		return p
 	}
@@ -124,8 +124,8 @@
 	return p
 }
 
-// Heads takes what waits in the pools that changed and registers where it is worth it.
-func (a *Asker) Heads(now time.Time, heads []PoolHead, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// UpdateDemand takes what waits in the pools that changed and registers where it is worth it.
+func (a *Requester) UpdateDemand(now time.Time, heads []PoolDemand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, h := range heads {
 		p := a.pool(h.Pool)
 		p.demand = h
@@ -135,16 +135,16 @@
 }
 
 // Tick refreshes the registrations.
-func (a *Asker) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (a *Requester) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, p := range a.order {
 		out = a.register(now, p, out)
 	}
 	return out
 }
 
-// Virtual returns the pool's virtual time: the middle one of the last granted tags of the own domain's owners that have
+// VirtualTime returns the pool's virtual time: the middle one of the last granted tags of the own domain's owners that have
 // no slot idle, or the highest of all when every one has.
-func (a *Asker) Virtual(id pomelorelay.PoolID) pomelorelay.Tag {
+func (a *Requester) VirtualTime(id pomelorelay.PoolID) pomelorelay.Tag {
 	p := a.pools[id]
 	if p == nil {
 		return 0
@@ -152,11 +152,11 @@
 	return p.level(a.cfg.Domain)
 }
 
-// Crest returns the mark that accounts catch up with: the highest of the own domain's virtual time and those of the
+// MaxVirtualTime returns the mark that accounts catch up with: the highest of the own domain's virtual time and those of the
 // other domains whose owners are heard and busy, less the margin up to which demand stays at home. Without the margin,
 // every account of a domain that is a little behind would be lifted to the same place again and again, and be served in
 // no fair order.
-func (a *Asker) Crest(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
+func (a *Requester) MaxVirtualTime(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
 	p := a.pools[id]
 	if p == nil {
 		return 0
@@ -171,15 +171,15 @@
 	return highest
 }
 
-func (a *Asker) margin(p *askerPool, domain pomelorelay.DomainID) pomelorelay.Tag {
-	if a.distance(domain) == pomelorelay.LinkRegion {
+func (a *Requester) margin(p *askerPool, domain pomelorelay.DomainID) pomelorelay.Tag {
+	if a.distance(domain) == pomelorelay.LinkSameRegion {
 		return p.spill.DomainMargin
 	}
 	return p.spill.RegionMargin
 }
 
 // SetSpill sets a pool's margins, whose unit is the pool's cost divided by weight; zero fields take the Asker's.
-func (a *Asker) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
+func (a *Requester) SetSpill(id pomelorelay.PoolID, o SpillOptions) {
 	if o.DomainMargin == 0 {
 		o.DomainMargin = a.cfg.Spill.DomainMargin
 	}
@@ -227,8 +227,8 @@
 	return p.tags[len(p.tags)/2]
 }
 
-// Leaving makes the router refuse every further grant of an upstream, also one that is under way.
-func (a *Asker) Leaving(id pomelorelay.UpstreamID) {
+// MarkLeaving makes the router refuse every further grant of an upstream, also one that is under way.
+func (a *Requester) MarkLeaving(id pomelorelay.UpstreamID) {
 	if w := a.owners[id]; w != nil {
 		w.left = true
 		return
@@ -236,8 +236,8 @@
 	a.addOwned(pomelorelay.SlotDigest{Upstream: id, Leaving: true}).left = true
 }
 
-// Back takes a leaving mark back when the host list says that the upstream stays.
-func (a *Asker) Back(id pomelorelay.UpstreamID) {
+// ClearLeaving takes a leaving mark back when the host list says that the upstream stays.
+func (a *Requester) ClearLeaving(id pomelorelay.UpstreamID) {
 	if w := a.owners[id]; w != nil {
 		w.left = false
 	}
--- a/pomeloslot/asker_test.go
+++ b/pomeloslot/asker_test.go
@@ -9,8 +9,8 @@
 )
 
 // newAsker returns an asker in domain a of region north; b is another domain there, z one of another region.
-func newAsker() *pomeloslot.Asker {
-	a := pomeloslot.NewAsker(pomeloslot.AskerConfig{
+func newAsker() *pomeloslot.Requester {
+	a := pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:         "me",
 		Domain:       "a",
 		Regions:      map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "north", "b": "north", "z": "south"},
@@ -25,8 +25,8 @@
 	return pomelorelay.SlotDigest{Upstream: id, Pool: testPool, Owner: pomelorelay.NodeID("owner-" + id), Domain: domain, LastTag: last, Idle: idle, Limit: 8}
 }
 
-func heads(waiting int) []pomeloslot.PoolHead {
-	return []pomeloslot.PoolHead{{Pool: testPool, Head: 50, Waiting: waiting}}
+func heads(waiting int) []pomeloslot.PoolDemand {
+	return []pomeloslot.PoolDemand{{Pool: testPool, Head: 50, Waiting: waiting}}
 }
 
 // registered returns the upstreams at which the messages register, without those from which they withdraw.
@@ -63,8 +63,8 @@
 		{"nothing waits", []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)}, 0, nil},
 	} {
 		a := newAsker()
-		a.Slots(start, c.digests)
-		got := registered(a.Heads(start.Add(time.Millisecond), heads(c.waiting), nil))
+		a.UpdateDigests(start, c.digests)
+		got := registered(a.UpdateDemand(start.Add(time.Millisecond), heads(c.waiting), nil))
 		same := len(got) == len(c.want)
 		for _, id := range c.want {
 			same = same && got[id]
@@ -79,35 +79,35 @@
 	// An owner that has not heard of it grants on a leaving upstream, or the router's claim takes so long that the
 	// upstream left, or the grant lapsed, in the meantime. Callers would see work start there after the notice.
 	a := newAsker()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	a.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
-	a.Heads(now, heads(3), nil)
+	a.UpdateDemand(now, heads(3), nil)
 	first := &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: 500 * time.Millisecond}
-	if !a.Granted(now, "owner-u1", first) || !a.Usable(now, 1) {
+	if !a.AcceptGrant(now, "owner-u1", first) || !a.Usable(now, 1) {
 		t.Fatal("a good grant was refused")
 	}
-	if a.Granted(now, "owner-u1", first) {
+	if a.AcceptGrant(now, "owner-u1", first) {
 		t.Error("the same grant was taken twice")
 	}
 	if a.Usable(now.Add(time.Second), 1) {
 		t.Error("a lapsed grant is usable")
 	}
-	a.Leaving("u1")
+	a.MarkLeaving("u1")
 	if a.Usable(now, 1) {
 		t.Error("a grant is usable after its upstream left")
 	}
-	if a.Granted(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
+	if a.AcceptGrant(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
 		t.Error("a grant on a leaving upstream was taken")
 	}
-	out := a.Settled(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
+	out := a.SettleGrant(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
 	if m, ok := out[0].Message.(*pomelorelay.GrantReply); !ok || m.Waiting != 0 {
 		t.Errorf("reply %+v asks for more on a leaving upstream", out[0].Message)
 	}
 	if got := registered(a.Tick(now.Add(time.Second), nil)); len(got) != 0 {
 		t.Errorf("registered at %v", got)
 	}
-	a.Back("u1")
-	a.Slots(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	a.ClearLeaving("u1")
+	a.UpdateDigests(now, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	if got := registered(a.Tick(now.Add(time.Second), nil)); !got["u1"] {
 		t.Error("not registered after the upstream came back")
 	}
@@ -117,19 +117,19 @@
 	// A request runs while its upstream's owner is replaced. If only the first owner heard of its end, the new one would
 	// count its slot as taken until it asks.
 	a := newAsker()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
-	a.Granted(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
-	if m := a.Running("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
+	a.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
+	a.AcceptGrant(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
+	if m := a.RunningReport("u1"); len(m.Grants) != 1 || m.Grants[0] != 5 || m.Running != 1 {
 		t.Errorf("report %+v", m)
 	}
 	d := digest("u1", "a", 10, 4)
 	d.Owner = "successor"
-	a.Slots(start, []pomelorelay.SlotDigest{d})
-	out := a.Settled(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
+	a.UpdateDigests(start, []pomelorelay.SlotDigest{d})
+	out := a.SettleGrant(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
 	if len(out) != 2 || out[0].To != "owner-u1" || out[1].To != "successor" {
 		t.Errorf("replies %+v", out)
 	}
-	if m := a.Running("u1"); len(m.Grants) != 0 {
+	if m := a.RunningReport("u1"); len(m.Grants) != 0 {
 		t.Errorf("report %+v after the end", m)
 	}
 }
@@ -137,10 +137,10 @@
 func TestSilentOwnerIsLeftAlone(t *testing.T) {
 	// An owner is cut off. Demand that stays with it alone would wait there for ever while other owners have slots.
 	a := newAsker()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
-	a.Heads(start.Add(time.Millisecond), heads(1), nil)
+	a.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 90, 0), digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
+	a.UpdateDemand(start.Add(time.Millisecond), heads(1), nil)
 	now := start.Add(4 * time.Second)
-	a.Slots(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
+	a.UpdateDigests(now, []pomelorelay.SlotDigest{digest("u2", "a", 80, 0), digest("u3", "a", 10, 0)})
 	got := registered(a.Tick(now, nil))
 	if got["u1"] || !got["u2"] || !got["u3"] {
 		t.Errorf("registered at %v, want u2 and u3", got)
@@ -149,8 +149,8 @@
 
 func TestVirtualTimeIsTheMiddleOfBusyOwners(t *testing.T) {
 	a := newAsker()
-	a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
-	if got := a.Virtual(testPool); got != 30 {
+	a.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
+	if got := a.VirtualTime(testPool); got != 30 {
 		t.Errorf("virtual time %v, want 30", got)
 	}
 }
@@ -172,8 +172,8 @@
 		{"a domain not heard of", []pomelorelay.SlotDigest{digest("u", "a", 500, 0), digest("v", "b", 900, 0)}, time.Minute, 500},
 	} {
 		a := newAsker()
-		a.Slots(start, c.digests)
-		if got := a.Crest(start.Add(c.age), testPool); got != c.want {
+		a.UpdateDigests(start, c.digests)
+		if got := a.MaxVirtualTime(start.Add(c.age), testPool); got != c.want {
 			t.Errorf("%s: crest %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/pomeloslot/bench_test.go
+++ b/pomeloslot/bench_test.go
@@ -14,7 +14,7 @@
 	o := owning(8)
 	var out []pomelorelay.Outgoing
 	for i := range 60 {
-		out = o.Demand(start, pomelorelay.NodeID(fmt.Sprintf("r%02d", i)), demand(1, pomelorelay.Tag(i), 1<<30), out)
+		out = o.HandleDemand(start, pomelorelay.NodeID(fmt.Sprintf("r%02d", i)), demand(1, pomelorelay.Tag(i), 1<<30), out)
 	}
 	first, to := granted(out)
 	out = make([]pomelorelay.Outgoing, 0, 16)
@@ -24,10 +24,10 @@
 	for b.Loop() {
 		seq++
 		m.ID, m.Seq, m.State = id, seq, pomelorelay.GrantUsed
-		out = o.Reply(start, node, &m, out[:0])
+		out = o.HandleReply(start, node, &m, out[:0])
 		seq++
 		m.Seq, m.State, m.Head = seq, pomelorelay.GrantFinished, pomelorelay.Tag(seq)
-		out = o.Reply(start, node, &m, out[:0])
+		out = o.HandleReply(start, node, &m, out[:0])
 		if len(out) != 1 {
 			b.Fatalf("%d grants", len(out))
 		}
@@ -38,13 +38,13 @@
 // BenchmarkDemand is a registration's refresh at an owner.
 func BenchmarkDemand(b *testing.B) {
 	o := owning(8)
-	o.Demand(start, "a", demand(1, 1, 100), nil)
+	o.HandleDemand(start, "a", demand(1, 1, 100), nil)
 	m := demand(2, 5, 100)
 	out := make([]pomelorelay.Outgoing, 0, 16)
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Seq++
-		out = o.Demand(start, "a", m, out[:0])
+		out = o.HandleDemand(start, "a", m, out[:0])
 	}
 }
 
@@ -55,13 +55,13 @@
 	for i := range 100 {
 		digests = append(digests, digest(pomelorelay.UpstreamID(fmt.Sprintf("u%03d", i)), "a", pomelorelay.Tag(i*7%31), 0))
 	}
-	a.Slots(start, digests)
-	h := []pomeloslot.PoolHead{{Pool: testPool, Head: 5, Waiting: 40}}
+	a.UpdateDigests(start, digests)
+	h := []pomeloslot.PoolDemand{{Pool: testPool, Head: 5, Waiting: 40}}
 	out := make([]pomelorelay.Outgoing, 0, 128)
 	now := start.Add(time.Millisecond)
 	b.ReportAllocs()
 	for b.Loop() {
-		out = a.Heads(now, h, out[:0])
+		out = a.UpdateDemand(now, h, out[:0])
 	}
 }
 
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -127,8 +127,8 @@
 	Slots pomelorelay.Slots
 }
 
-// AskerConfig sets up an Asker.
-type AskerConfig struct {
+// RequesterConfig sets up an Asker.
+type RequesterConfig struct {
 	Node   pomelorelay.NodeID
 	Domain pomelorelay.DomainID
 	// Regions gives the region of each failure domain.
@@ -201,8 +201,8 @@
 	return o
 }
 
-// PoolHead is what a router has waiting in one pool.
-type PoolHead struct {
+// PoolDemand is what a router has waiting in one pool.
+type PoolDemand struct {
 	Pool    pomelorelay.PoolID
 	Head    pomelorelay.Tag
 	Waiting int
--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -30,7 +30,7 @@
 func (f *fleet) takeOver(dead int) {
 	for _, r := range f.routers {
 		if !r.dead {
-			f.send(r, r.owner.MemberGone(f.now, f.routers[dead].node, nil))
+			f.send(r, r.owner.RemoveRouter(f.now, f.routers[dead].node, nil))
 		}
 	}
 	for i, u := range f.upstreams {
@@ -158,14 +158,14 @@
 	// upstream's own report, each would grant the whole limit, and first tokens would come late for everybody there.
 	owners := []*pomeloslot.Owner{newOwner("r1"), newOwner("r2")}
 	for _, o := range owners {
-		o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
-		o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
-		o.Running(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil)
+		o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
+		o.HandleRunningReport(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
+		o.HandleRunningReport(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil)
 	}
-	first := owners[0].Demand(start, "a", demand(1, 10, 5), nil)
+	first := owners[0].HandleDemand(start, "a", demand(1, 10, 5), nil)
 	now := start.Add(time.Second)
-	owners[1].Load(now, "u", pomeloslot.LoadReport{Running: len(first)}, nil)
-	second := owners[1].Demand(now, "b", demand(1, 10, 20), nil)
+	owners[1].HandleLoadReport(now, "u", pomeloslot.LoadReport{Running: len(first)}, nil)
+	second := owners[1].HandleDemand(now, "b", demand(1, 10, 20), nil)
 	if len(first) != 5 || len(second) != 3 {
 		t.Errorf("granted %d and %d of 8 slots", len(first), len(second))
 	}
--- a/pomeloslot/fleet_test.go
+++ b/pomeloslot/fleet_test.go
@@ -96,7 +96,7 @@
 	node   pomelorelay.NodeID
 	queues *pomelofair.Queues
 	owner  *pomeloslot.Owner
-	asker  *pomeloslot.Asker
+	asker  *pomeloslot.Requester
 	runs   map[pomelorelay.RequestID]*run
 	starts map[pomelorelay.RequestID]int
 	nextID pomelorelay.RequestID
@@ -186,7 +186,7 @@
 		node:   node,
 		queues: pomelofair.New(pomelofair.Config{Weights: f, Charge: f.cfg.charge}),
 		owner:  pomeloslot.NewOwner(pomeloslot.OwnerConfig{Node: node, Domain: "a", Incarnation: incarnation, Grant: f.cfg.grant}),
-		asker: pomeloslot.NewAsker(pomeloslot.AskerConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
+		asker: pomeloslot.NewRequester(pomeloslot.RequesterConfig{Node: node, Domain: "a", Seed: f.cfg.seed + uint64(i),
 			Registration: f.cfg.asker}),
 		runs:   make(map[pomelorelay.RequestID]*run),
 		starts: make(map[pomelorelay.RequestID]int),
@@ -219,7 +219,7 @@
 	}
 	up := pomeloslot.Upstream{ID: f.upstreams[upstream].id, Pool: testPool, Min: 1, Max: pomelorelay.Slots(f.cfg.slots)}
 	r := f.routers[router]
-	f.send(r, r.owner.Own(f.now, up, peers, nil))
+	f.send(r, r.owner.AddUpstream(f.now, up, peers, nil))
 }
 
 func (f *fleet) at(t time.Time, do func()) {
@@ -253,7 +253,7 @@
 }
 
 func (f *fleet) tick(r *testRouter) {
-	r.queues.SetVirtual(testPool, r.asker.Virtual(testPool))
+	r.queues.SetVirtualTime(testPool, r.asker.VirtualTime(testPool))
 	f.send(r, r.owner.Tick(f.now, nil))
 	f.heads(r)
 	f.send(r, r.asker.Tick(f.now, nil))
@@ -261,7 +261,7 @@
 
 func (f *fleet) heads(r *testRouter) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.asker.Heads(f.now, []pomeloslot.PoolHead{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
+	f.send(r, r.asker.UpdateDemand(f.now, []pomeloslot.PoolDemand{{Pool: testPool, Head: tag, Waiting: waiting}}, nil))
 }
 
 // refill keeps an account's depth of requests waiting at a router.
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -54,20 +54,20 @@
 func (f *fleet) receive(r *testRouter, from pomelorelay.NodeID, m pomelorelay.Message) {
 	switch m := m.(type) {
 	case *pomelorelay.Demand:
-		f.send(r, r.owner.Demand(f.now, from, m, nil))
+		f.send(r, r.owner.HandleDemand(f.now, from, m, nil))
 	case *pomelorelay.Grant:
 		f.granted(r, from, m)
 	case *pomelorelay.GrantReply:
-		f.send(r, r.owner.Reply(f.now, from, m, nil))
+		f.send(r, r.owner.HandleReply(f.now, from, m, nil))
 	case *pomelorelay.RunningQuery:
-		f.send(r, []pomelorelay.Outgoing{{To: from, Message: r.asker.Running(m.Upstream)}})
+		f.send(r, []pomelorelay.Outgoing{{To: from, Message: r.asker.RunningReport(m.Upstream)}})
 	case *pomelorelay.RunningReport:
-		f.send(r, r.owner.Running(f.now, from, m, nil))
+		f.send(r, r.owner.HandleRunningReport(f.now, from, m, nil))
 	}
 }
 
 func (f *fleet) granted(r *testRouter, from pomelorelay.NodeID, g *pomelorelay.Grant) {
-	if !r.asker.Granted(f.now, from, g) {
+	if !r.asker.AcceptGrant(f.now, from, g) {
 		f.settle(r, g.ID, pomelorelay.GrantReturned)
 		return
 	}
@@ -83,7 +83,7 @@
 
 func (f *fleet) settle(r *testRouter, id pomelorelay.GrantID, state pomelorelay.GrantState) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.asker.Settled(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
+	f.send(r, r.asker.SettleGrant(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
 }
 
 // launch sends a request that was popped to an upstream and fills its account's queue up again.
@@ -172,7 +172,7 @@
 			if to.dead || f.parted(r, to) {
 				return
 			}
-			to.asker.Slots(f.now, digests)
+			to.asker.UpdateDigests(f.now, digests)
 			f.send(to, to.asker.Tick(f.now, nil))
 		})
 	}
@@ -183,8 +183,8 @@
 	if f.cfg.local {
 		return
 	}
-	entries := r.queues.Changed(nil)
-	interest := r.queues.Interest(nil)
+	entries := r.queues.ChangedEntries(nil)
+	interest := r.queues.WaitingAccounts(nil)
 	f.after(linkTime, func() {
 		for _, e := range entries {
 			f.ledgerOf(r)[e.Account][r.index] = e
@@ -192,7 +192,7 @@
 		totals := f.totals(f.ledgerOf(r), interest)
 		f.after(linkTime, func() {
 			for _, e := range totals {
-				r.queues.SetFleet(f.now, e)
+				r.queues.SetFleetTotals(f.now, e)
 			}
 		})
 	})
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -143,9 +143,9 @@
 	return out
 }
 
-// Running takes a router's report of the grants that it holds: unknown ones are counted from now on, and ones that were
+// HandleRunningReport takes a router's report of the grants that it holds: unknown ones are counted from now on, and ones that were
 // issued before the query and are not in the report are free.
-func (o *Owner) Running(now time.Time, from pomelorelay.NodeID, m *pomelorelay.RunningReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (o *Owner) HandleRunningReport(now time.Time, from pomelorelay.NodeID, m *pomelorelay.RunningReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
 		return out
--- a/pomeloslot/held.go
+++ b/pomeloslot/held.go
@@ -7,9 +7,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Granted takes a grant and reports whether it may be used; it is to be settled either way. It may not when its
+// AcceptGrant takes a grant and reports whether it may be used; it is to be settled either way. It may not when its
 // upstream leaves, when it arrived twice, or while nothing is known of its upstream.
-func (a *Asker) Granted(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
+func (a *Requester) AcceptGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
 	if a.held[g.ID] != nil {
 		return false
 	}
@@ -26,7 +26,7 @@
 
 // Usable reports whether a request may still leave under a grant. A claim can take long to become durable; without
 // this check a leaving upstream would be seen to get a request seconds after it was told that none comes.
-func (a *Asker) Usable(now time.Time, id pomelorelay.GrantID) bool {
+func (a *Requester) Usable(now time.Time, id pomelorelay.GrantID) bool {
 	h := a.held[id]
 	if h == nil {
 		return false
@@ -35,8 +35,8 @@
 	return w != nil && !w.left && !w.digest.Leaving && now.Before(h.expires)
 }
 
-// Settled tells the owner of a grant what became of it and what the router has waiting now.
-func (a *Asker) Settled(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// SettleGrant tells the owner of a grant what became of it and what the router has waiting now.
+func (a *Requester) SettleGrant(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	h := a.held[id]
 	if h == nil {
 		return out
@@ -73,7 +73,7 @@
 }
 
 // noteTold takes the fresh demand and remembers what of it the reply carried.
-func (a *Asker) noteTold(now time.Time, w *owned, to pomelorelay.NodeID, s Settlement, waiting int) {
+func (a *Requester) noteTold(now time.Time, w *owned, to pomelorelay.NodeID, s Settlement, waiting int) {
 	if p := a.pools[w.digest.Pool]; p != nil {
 		p.demand.Head, p.demand.Waiting = s.Head, s.Waiting
 	}
@@ -81,15 +81,15 @@
 	w.noteAsked(now, waiting)
 }
 
-func (a *Asker) release(id pomelorelay.GrantID, h *held) {
+func (a *Requester) release(id pomelorelay.GrantID, h *held) {
 	delete(a.held, id)
 	if w := a.owners[h.upstream]; w != nil && w.held > 0 {
 		w.held--
 	}
 }
 
-// Running answers an owner's query with the grants that the router holds on an upstream.
-func (a *Asker) Running(id pomelorelay.UpstreamID) *pomelorelay.RunningReport {
+// RunningReport answers an owner's query with the grants that the router holds on an upstream.
+func (a *Requester) RunningReport(id pomelorelay.UpstreamID) *pomelorelay.RunningReport {
 	m := &pomelorelay.RunningReport{Upstream: id}
 	for grantID, h := range a.held {
 		if h.upstream == id {
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -50,8 +50,8 @@
 	return pomelorelay.GrantID(mark<<grantCountBits + 1)
 }
 
-// Own takes an upstream on and asks the peers what runs there; this router is to be among them.
-func (o *Owner) Own(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// AddUpstream takes an upstream on and asks the peers what runs there; this router is to be among them.
+func (o *Owner) AddUpstream(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u := o.upstreams[up.ID]; u != nil {
 		u.pool, u.min, u.max = up.Pool, up.Min, up.Max
 		u.limit.bound(up.Min, up.Max)
@@ -72,8 +72,8 @@
 	return out
 }
 
-// Disown forgets an upstream; its new owner asks the routers what runs there.
-func (o *Owner) Disown(id pomelorelay.UpstreamID) {
+// RemoveUpstream forgets an upstream; its new owner asks the routers what runs there.
+func (o *Owner) RemoveUpstream(id pomelorelay.UpstreamID) {
 	u := o.upstreams[id]
 	if u == nil {
 		return
@@ -82,8 +82,8 @@
 	o.order = slices.DeleteFunc(o.order, func(other *upstream) bool { return other == u })
 }
 
-// Demand takes a router's registration.
-func (o *Owner) Demand(now time.Time, from pomelorelay.NodeID, m *pomelorelay.Demand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleDemand takes a router's registration.
+func (o *Owner) HandleDemand(now time.Time, from pomelorelay.NodeID, m *pomelorelay.Demand, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
 		return out
@@ -95,8 +95,8 @@
 	return o.fill(now, u, out)
 }
 
-// Reply takes what became of a grant and the router's fresh demand.
-func (o *Owner) Reply(now time.Time, from pomelorelay.NodeID, m *pomelorelay.GrantReply, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleReply takes what became of a grant and the router's fresh demand.
+func (o *Owner) HandleReply(now time.Time, from pomelorelay.NodeID, m *pomelorelay.GrantReply, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
 		return out
@@ -118,7 +118,7 @@
 		// seen to exchange grants without end, while others wait.
 		g.router.restUntil = now.Add(o.cfg.Grant.Rest)
 	}
-	if m.State == pomelorelay.GrantUnreached {
+	if m.State == pomelorelay.GrantUpstreamUnreachable {
 		// The upstream refuses connections. Granted on, its slots would be handed out and come back unused within
 		// milliseconds, and each request would spend all its attempts there while the upstream restarts.
 		u.crashed = true
@@ -129,8 +129,8 @@
 	o.drop(u, g)
 }
 
-// Load takes what an upstream reports of itself, which lags.
-func (o *Owner) Load(now time.Time, id pomelorelay.UpstreamID, load LoadReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleLoadReport takes what an upstream reports of itself, which lags.
+func (o *Owner) HandleLoadReport(now time.Time, id pomelorelay.UpstreamID, load LoadReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[id]
 	if u == nil {
 		return out
@@ -140,15 +140,15 @@
 	return o.fill(now, u, out)
 }
 
-// Leaving stops every further grant of an upstream; what runs there goes on.
-func (o *Owner) Leaving(_ time.Time, id pomelorelay.UpstreamID) {
+// MarkLeaving stops every further grant of an upstream; what runs there goes on.
+func (o *Owner) MarkLeaving(_ time.Time, id pomelorelay.UpstreamID) {
 	if u := o.upstreams[id]; u != nil {
 		u.leaving = true
 	}
 }
 
-// Back takes a leaving mark back when the host list says that the upstream stays.
-func (o *Owner) Back(now time.Time, id pomelorelay.UpstreamID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// ClearLeaving takes a leaving mark back when the host list says that the upstream stays.
+func (o *Owner) ClearLeaving(now time.Time, id pomelorelay.UpstreamID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[id]
 	if u == nil {
 		return out
@@ -157,8 +157,8 @@
 	return o.fill(now, u, out)
 }
 
-// Crashed forgets what ran on an upstream and stops its grants until it reports load again.
-func (o *Owner) Crashed(_ time.Time, id pomelorelay.UpstreamID) {
+// MarkCrashed forgets what ran on an upstream and stops its grants until it reports load again.
+func (o *Owner) MarkCrashed(_ time.Time, id pomelorelay.UpstreamID) {
 	u := o.upstreams[id]
 	if u == nil {
 		return
@@ -174,8 +174,8 @@
 	}
 }
 
-// MemberGone reclaims the grants of a dead router and forgets its demand.
-func (o *Owner) MemberGone(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// RemoveRouter reclaims the grants of a dead router and forgets its demand.
+func (o *Owner) RemoveRouter(now time.Time, node pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, u := range o.order {
 		r := u.routers[node]
 		if r == nil {
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -39,17 +39,17 @@
 // owning returns an owner of one upstream that runs nothing.
 func owning(slots pomelorelay.Slots) *pomeloslot.Owner {
 	o := newOwner("r1")
-	o.Own(start, upstream(slots), nil, nil)
+	o.AddUpstream(start, upstream(slots), nil, nil)
 	return o
 }
 
 func TestLowestTagIsGrantedFirst(t *testing.T) {
 	o := owning(1)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 30, 5), nil))
-	o.Demand(start, "b", demand(1, 10, 5), nil)
-	o.Demand(start, "c", demand(1, 20, 5), nil)
-	o.Demand(start, "c", demand(0, 1, 5), nil) // late, older than the one before
-	_, to := granted(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
+	ids, _ := granted(o.HandleDemand(start, "a", demand(1, 30, 5), nil))
+	o.HandleDemand(start, "b", demand(1, 10, 5), nil)
+	o.HandleDemand(start, "c", demand(1, 20, 5), nil)
+	o.HandleDemand(start, "c", demand(0, 1, 5), nil) // late, older than the one before
+	_, to := granted(o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 5), nil))
 	if len(to) != 1 || to[0] != "a" {
 		t.Errorf("granted to %v, want a, whose fresh tag is zero", to)
 	}
@@ -59,10 +59,10 @@
 	// Several slots are free at once. The lowest router's tag is out of date after its first grant; by it alone, that
 	// router's account would be seen to get them all.
 	o := newOwner("r1")
-	o.Own(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
-	o.Demand(start, "a", demand(1, 10, 5), nil)
-	o.Demand(start, "b", demand(1, 11, 5), nil)
-	_, to := granted(o.Running(start, "x", &pomelorelay.RunningReport{Upstream: "u"}, nil))
+	o.AddUpstream(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
+	o.HandleDemand(start, "a", demand(1, 10, 5), nil)
+	o.HandleDemand(start, "b", demand(1, 11, 5), nil)
+	_, to := granted(o.HandleRunningReport(start, "x", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(to) != 3 || to[0] != "a" || to[1] != "b" || to[2] != "a" {
 		t.Errorf("granted to %v, want a b a", to)
 	}
@@ -72,19 +72,19 @@
 	// The owner of a busy upstream is replaced. If the new one granted the whole limit at once, the upstream would run
 	// twice its limit.
 	o := newOwner("r2")
-	out := o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
+	out := o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
 	if len(out) != 2 {
 		t.Fatalf("%d queries, want 2", len(out))
 	}
-	if ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
+	if ids, _ := granted(o.HandleDemand(start, "a", demand(1, 1, 9), nil)); len(ids) != 0 {
 		t.Errorf("granted %d before anything is known", len(ids))
 	}
-	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902}, Running: 3}, nil)
-	ids, _ := granted(o.Running(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
+	o.HandleRunningReport(start, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902}, Running: 3}, nil)
+	ids, _ := granted(o.HandleRunningReport(start, "b", &pomelorelay.RunningReport{Upstream: "u"}, nil))
 	if len(ids) != 5 {
 		t.Errorf("granted %d beside 3 that run, want 5", len(ids))
 	}
-	ids, _ = granted(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
+	ids, _ = granted(o.HandleReply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 9), nil))
 	if len(ids) != 1 {
 		t.Errorf("granted %d after an earlier owner's grant ended, want 1", len(ids))
 	}
@@ -94,14 +94,14 @@
 	// The upstream's load report reaches a new owner before the routers' reports do. What they then explain must not
 	// count twice, or the slots would idle until the next load report.
 	o := newOwner("r2")
-	o.Own(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
-	o.Demand(start, "b", demand(1, 1, 9), nil)
-	if ids, _ := granted(o.Load(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
+	o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
+	o.HandleDemand(start, "b", demand(1, 1, 9), nil)
+	if ids, _ := granted(o.HandleLoadReport(start, "u", pomeloslot.LoadReport{Running: 5}, nil)); len(ids) != 3 {
 		t.Errorf("granted %d beside 5 that run, want 3", len(ids))
 	}
 	m := &pomelorelay.RunningReport{Upstream: "u", Grants: []pomelorelay.GrantID{901, 902, 903, 904, 905}, Running: 5}
-	o.Running(start, "a", m, nil)
-	ids, _ := granted(o.Reply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
+	o.HandleRunningReport(start, "a", m, nil)
+	ids, _ := granted(o.HandleReply(start, "a", reply(901, pomelorelay.GrantFinished, 2, 0), nil))
 	if len(ids) != 1 {
 		t.Errorf("granted %d when one of them ended, want 1", len(ids))
 	}
@@ -110,9 +110,9 @@
 func TestRouterThatNeverReportsDelaysANewOwnerOnlyForAWhile(t *testing.T) {
 	// One router is frozen when an upstream changes hands. Its slots would idle for as long as the freeze lasts.
 	o := newOwner("r2")
-	o.Own(start, upstream(8), []pomelorelay.NodeID{"a", "frozen"}, nil)
-	o.Running(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
-	o.Demand(start, "a", demand(1, 1, 9), nil)
+	o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a", "frozen"}, nil)
+	o.HandleRunningReport(start, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
+	o.HandleDemand(start, "a", demand(1, 1, 9), nil)
 	if ids, _ := granted(o.Tick(start.Add(499*time.Millisecond), nil)); len(ids) != 0 {
 		t.Errorf("granted %d while careful", len(ids))
 	}
@@ -124,22 +124,22 @@
 func TestLostRepliesAreReclaimed(t *testing.T) {
 	// The reply to a grant, or the one at a request's end, is lost. The slot would count as taken for ever.
 	o := owning(2)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil))
-	o.Reply(start, "a", reply(ids[0], pomelorelay.GrantUsed, 2, 9), nil)
+	ids, _ := granted(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
+	o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantUsed, 2, 9), nil)
 	now := start.Add(time.Second)
 	if out := o.Tick(now, nil); len(out) != 1 {
 		t.Fatalf("%d queries after the unanswered grant, want 1", len(out))
 	}
-	again, _ := granted(o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: ids[:1], Running: 1}, nil))
+	again, _ := granted(o.HandleRunningReport(now, "a", &pomelorelay.RunningReport{Upstream: "u", Grants: ids[:1], Running: 1}, nil))
 	if len(again) != 1 {
 		t.Fatalf("granted %d after the reclaim, want 1", len(again))
 	}
-	o.Reply(now, "a", reply(again[0], pomelorelay.GrantUsed, 3, 0), nil)
+	o.HandleReply(now, "a", reply(again[0], pomelorelay.GrantUsed, 3, 0), nil)
 	now = now.Add(2 * time.Second)
 	if out := o.Tick(now, nil); len(out) != 1 {
 		t.Fatalf("%d queries after requests that run long, want 1", len(out))
 	}
-	o.Running(now, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
+	o.HandleRunningReport(now, "a", &pomelorelay.RunningReport{Upstream: "u"}, nil)
 	if d := o.Digests(now, nil); d[0].Idle != 2 {
 		t.Errorf("%d slots idle, want 2", d[0].Idle)
 	}
@@ -148,9 +148,9 @@
 func TestDeadRouterGetsNothingAndGivesItsSlotsBack(t *testing.T) {
 	// A router dies with requests running and waiting. An owner that believes in its demand grants slots to nobody.
 	o := owning(2)
-	o.Demand(start, "dead", demand(1, 1, 9), nil)
-	o.Demand(start, "b", demand(1, 50, 9), nil)
-	_, to := granted(o.MemberGone(start, "dead", nil))
+	o.HandleDemand(start, "dead", demand(1, 1, 9), nil)
+	o.HandleDemand(start, "b", demand(1, 50, 9), nil)
+	_, to := granted(o.RemoveRouter(start, "dead", nil))
 	if len(to) != 2 || to[0] != "b" || to[1] != "b" {
 		t.Errorf("granted to %v, want b twice", to)
 	}
@@ -159,11 +159,11 @@
 func TestDemandThatIsNotRefreshedEnds(t *testing.T) {
 	// A router is cut off in one direction: its demand arrived, nothing later does.
 	o := owning(1)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 1), nil))
-	o.Demand(start, "cut", demand(1, 0, 9), nil)
+	ids, _ := granted(o.HandleDemand(start, "a", demand(1, 1, 1), nil))
+	o.HandleDemand(start, "cut", demand(1, 0, 9), nil)
 	now := start.Add(4 * time.Second)
-	o.Demand(now, "b", demand(1, 50, 1), nil)
-	_, to := granted(o.Reply(now, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
+	o.HandleDemand(now, "b", demand(1, 50, 1), nil)
+	_, to := granted(o.HandleReply(now, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
 	if len(to) != 1 || to[0] != "b" {
 		t.Errorf("granted to %v, want b", to)
 	}
@@ -172,11 +172,11 @@
 func TestLeavingUpstreamIsGrantedNoMore(t *testing.T) {
 	// The host list says that an upstream leaves while requests wait and run there.
 	o := owning(2)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil))
-	o.Leaving(start, "u")
-	out := o.Reply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 9), nil)
-	out = o.Demand(start, "b", demand(1, 1, 9), out)
-	out = o.Load(start, "u", pomeloslot.LoadReport{}, out)
+	ids, _ := granted(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
+	o.MarkLeaving(start, "u")
+	out := o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantFinished, 2, 9), nil)
+	out = o.HandleDemand(start, "b", demand(1, 1, 9), out)
+	out = o.HandleLoadReport(start, "u", pomeloslot.LoadReport{}, out)
 	if got, _ := granted(o.Tick(start, out)); len(got) != 0 {
 		t.Errorf("granted %d on a leaving upstream", len(got))
 	}
@@ -189,12 +189,12 @@
 	// An upstream crashes with all that runs on it. Grants before it is back would be refused connections; slots that
 	// stay counted after it is back would idle.
 	o := owning(2)
-	o.Demand(start, "a", demand(1, 1, 9), nil)
-	o.Crashed(start, "u")
+	o.HandleDemand(start, "a", demand(1, 1, 9), nil)
+	o.MarkCrashed(start, "u")
 	if got, _ := granted(o.Tick(start, nil)); len(got) != 0 {
 		t.Errorf("granted %d on a crashed upstream", len(got))
 	}
-	if got, _ := granted(o.Load(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
+	if got, _ := granted(o.HandleLoadReport(start, "u", pomeloslot.LoadReport{}, nil)); len(got) != 2 {
 		t.Errorf("granted %d after it is back, want 2", len(got))
 	}
 }
@@ -203,9 +203,9 @@
 	// A router whose waiting request may not run at an upstream returns each grant of it. Without a rest the two
 	// exchange grants without end while another router waits.
 	o := owning(1)
-	ids, _ := granted(o.Demand(start, "a", demand(1, 1, 9), nil))
-	o.Demand(start, "b", demand(1, 50, 9), nil)
-	_, to := granted(o.Reply(start, "a", reply(ids[0], pomelorelay.GrantReturned, 2, 9), nil))
+	ids, _ := granted(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
+	o.HandleDemand(start, "b", demand(1, 50, 9), nil)
+	_, to := granted(o.HandleReply(start, "a", reply(ids[0], pomelorelay.GrantReturned, 2, 9), nil))
 	if len(to) != 1 || to[0] != "b" {
 		t.Errorf("granted to %v, want b", to)
 	}
@@ -216,7 +216,7 @@
 	// first tokens come in time, and rises again when they do.
 	o := owning(100)
 	now, seq := start, uint64(1)
-	ids, _ := granted(o.Demand(now, "a", demand(seq, 1, 1_000_000), nil))
+	ids, _ := granted(o.HandleDemand(now, "a", demand(seq, 1, 1_000_000), nil))
 	limit := func() pomelorelay.Slots { return o.Digests(now, nil)[0].Limit }
 	lowest, highest := limit(), pomelorelay.Slots(0)
 	for round := range 600 {
@@ -227,7 +227,7 @@
 			seq++
 			m := reply(id, pomelorelay.GrantFinished, seq, 1_000_000)
 			m.FirstToken, m.TokenGap = first, 20*time.Millisecond
-			out = o.Reply(now, "a", m, out)
+			out = o.HandleReply(now, "a", m, out)
 		}
 		ids, _ = granted(o.Tick(now, out))
 		lowest = min(lowest, limit())
@@ -258,15 +258,15 @@
 		{"events missing", 10.5, nil, nil, 0, "a"},
 	} {
 		o := owning(1)
-		ids, _ := granted(o.Demand(start, "x", demand(1, 0, 1), nil))
+		ids, _ := granted(o.HandleDemand(start, "x", demand(1, 0, 1), nil))
 		o.Cached(start, "u", c.held, nil)
 		o.Cached(start, "u", nil, c.drop)
 		now := start.Add(c.age)
-		o.Demand(now, "a", demand(1, 10, 1), nil)
+		o.HandleDemand(now, "a", demand(1, 10, 1), nil)
 		b := demand(1, c.head, 1)
 		b.Prefixes = []uint64{7}
-		o.Demand(now, "b", b, nil)
-		_, to := granted(o.Reply(now, "x", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
+		o.HandleDemand(now, "b", b, nil)
+		_, to := granted(o.HandleReply(now, "x", reply(ids[0], pomelorelay.GrantFinished, 2, 0), nil))
 		if len(to) != 1 || to[0] != c.want {
 			t.Errorf("%s: granted to %v, want %v", c.name, to, c.want)
 		}
@@ -278,15 +278,15 @@
 	// within milliseconds and its caller would get an error although other upstreams, and soon this one, could serve it.
 	now := start
 	o := owning(1)
-	out := o.Demand(now, "a", demand(1, 5, 2), nil)
+	out := o.HandleDemand(now, "a", demand(1, 5, 2), nil)
 	if len(out) != 1 {
 		t.Fatalf("the demand was answered by %d messages", len(out))
 	}
 	grant := out[0].Message.(*pomelorelay.Grant)
-	if out := o.Reply(now, "a", reply(grant.ID, pomelorelay.GrantUnreached, 2, 2), nil); len(out) != 0 {
+	if out := o.HandleReply(now, "a", reply(grant.ID, pomelorelay.GrantUpstreamUnreachable, 2, 2), nil); len(out) != 0 {
 		t.Errorf("the unreached upstream was granted again at once")
 	}
-	if out := o.Load(now.Add(time.Second), "u", pomeloslot.LoadReport{Slots: 1}, nil); len(out) != 1 {
+	if out := o.HandleLoadReport(now.Add(time.Second), "u", pomeloslot.LoadReport{Slots: 1}, nil); len(out) != 1 {
 		t.Errorf("after its load report the upstream was granted %d times", len(out))
 	}
 }
--- a/pomeloslot/partition_test.go
+++ b/pomeloslot/partition_test.go
@@ -34,7 +34,7 @@
 	for _, r := range f.routers {
 		for _, other := range f.routers {
 			if f.parted(r, other) {
-				f.send(r, r.owner.MemberGone(f.now, other.node, nil))
+				f.send(r, r.owner.RemoveRouter(f.now, other.node, nil))
 			}
 		}
 	}
--- a/pomeloslot/return_test.go
+++ b/pomeloslot/return_test.go
@@ -25,7 +25,7 @@
 			level += d / float64(len(present))
 		}
 		for _, r := range f.routers {
-			virtual += float64(r.asker.Virtual(testPool)) / float64(len(f.routers))
+			virtual += float64(r.asker.VirtualTime(testPool)) / float64(len(f.routers))
 		}
 		before := f.delivered()
 		for _, a := range away {
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -9,7 +9,7 @@
 )
 
 // register chooses the owners of a pool to wait at and sends what they do not know yet.
-func (a *Asker) register(now time.Time, p *askerPool, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (a *Requester) register(now time.Time, p *askerPool, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !a.started(now) {
 		return out
 	}
@@ -26,7 +26,7 @@
 
 // started spreads the first registrations of routers that start together: without it, half a fleet that restarts would
 // be seen to send every owner a registration within the same millisecond.
-func (a *Asker) started(now time.Time) bool {
+func (a *Requester) started(now time.Time) bool {
 	if a.startAt.IsZero() {
 		a.startAt = now.Add(time.Duration(a.random.Int64N(int64(a.cfg.Registration.StartSpread))))
 	}
@@ -35,7 +35,7 @@
 
 // choose marks the owners to be registered at. Those of which grants are held stay chosen: their next free slot is
 // known there at once, while it would be seen idle for a digest's period if nobody waited.
-func (a *Asker) choose(now time.Time, p *askerPool) {
+func (a *Requester) choose(now time.Time, p *askerPool) {
 	p.ranking = p.ranking[:0]
 	for _, w := range p.owners {
 		w.idle = w.idleNow(now)
@@ -56,7 +56,7 @@
 }
 
 // usable reports whether an owner is known that may grant.
-func (a *Asker) usable(now time.Time, w *owned) bool {
+func (a *Requester) usable(now time.Time, w *owned) bool {
 	return !w.left && !w.digest.Leaving && now.Sub(w.at) <= a.cfg.Registration.DigestTTL
 }
 
@@ -78,7 +78,7 @@
 
 // widen chooses from the ranking: idle owners until their slots cover what waits, and Spare more, else Base owners and
 // one for every PerWaiting requests that wait.
-func (a *Asker) widen(p *askerPool) {
+func (a *Requester) widen(p *askerPool) {
 	waiting := p.demand.Waiting
 	width := a.cfg.Registration.Base + waiting/a.cfg.Registration.PerWaiting
 	spare, idle, busy := a.cfg.Registration.Spare, 0, 0
@@ -101,7 +101,7 @@
 }
 
 // tell refreshes an owner's view of the demand when it is out of date.
-func (a *Asker) tell(now time.Time, p *askerPool, w *owned, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (a *Requester) tell(now time.Time, p *askerPool, w *owned, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	d := &p.demand
 	age := now.Sub(w.sent.at)
 	fresh := w.sent.to == w.digest.Owner && w.sent.waiting > 0
@@ -113,14 +113,14 @@
 }
 
 // withdraw takes a registration back.
-func (a *Asker) withdraw(now time.Time, p *askerPool, w *owned, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (a *Requester) withdraw(now time.Time, p *askerPool, w *owned, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if w.sent.waiting == 0 {
 		return out
 	}
 	return a.send(now, p, w, 0, out)
 }
 
-func (a *Asker) send(now time.Time, p *askerPool, w *owned, waiting int, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (a *Requester) send(now time.Time, p *askerPool, w *owned, waiting int, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	w.sent = sentDemand{to: w.digest.Owner, head: p.demand.Head, waiting: waiting, at: now}
 	w.noteAsked(now, waiting)
 	m := &pomelorelay.Demand{
@@ -137,7 +137,7 @@
 }
 
 // nextSeq rises over restarts too: with numbers that start at one, the demand of a restarted router would be seen as older than its last.
-func (a *Asker) nextSeq(now time.Time) uint64 {
+func (a *Requester) nextSeq(now time.Time) uint64 {
 	a.seq = max(a.seq+1, uint64(now.UnixMilli()))
 	return a.seq
 }
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -18,8 +18,8 @@
 
 // reach finds how far a pool's demand goes now: slots idle nearby are used first, then those of the region, then, when
 // enough waits, those beyond; without a usable owner nearby the next distance counts as near.
-func (a *Asker) reach(now time.Time, p *askerPool) reach {
-	var known, idle [pomelorelay.LinkClasses]bool
+func (a *Requester) reach(now time.Time, p *askerPool) reach {
+	var known, idle [pomelorelay.LinkClassCount]bool
 	highest := pomelorelay.Tag(0)
 	for _, w := range p.owners {
 		if !a.usable(now, w) {
@@ -27,15 +27,15 @@
 		}
 		known[w.distance] = true
 		idle[w.distance] = idle[w.distance] || w.idle > 0
-		if w.distance == pomelorelay.LinkDomain {
+		if w.distance == pomelorelay.LinkSameDomain {
 			highest = max(highest, w.digest.LastTag)
 		}
 	}
 	r := reach{domain: highest + p.spill.DomainMargin, region: highest + p.spill.RegionMargin}
-	r.domainIdle = !idle[pomelorelay.LinkDomain]
+	r.domainIdle = !idle[pomelorelay.LinkSameDomain]
 	enough := p.demand.Waiting >= p.spill.RegionIdleWaiting
-	r.regionIdle = r.domainIdle && !idle[pomelorelay.LinkRegion] && enough
-	for r.distance < pomelorelay.LinkCross && !known[r.distance] {
+	r.regionIdle = r.domainIdle && !idle[pomelorelay.LinkSameRegion] && enough
+	for r.distance < pomelorelay.LinkCrossRegion && !known[r.distance] {
 		r.distance++
 	}
 	return r
@@ -43,7 +43,7 @@
 
 // allows reports whether an owner beyond the distance is worth its longer way.
 func (r reach) allows(w *owned) bool {
-	if w.distance == pomelorelay.LinkRegion {
+	if w.distance == pomelorelay.LinkSameRegion {
 		return r.domainIdle && w.idle > 0 || w.digest.LastTag > r.domain
 	}
 	return r.regionIdle && w.idle > 0 || w.digest.LastTag > r.region
--- a/pomeloslot/unanswered_test.go
+++ b/pomeloslot/unanswered_test.go
@@ -13,20 +13,20 @@
 	// dead, almost two seconds, beside idle slots of the region's other domain.
 	for _, c := range []struct {
 		name string
-		sign func(a *pomeloslot.Asker, at time.Time)
+		sign func(a *pomeloslot.Requester, at time.Time)
 		want bool
 	}{
-		{"no sign", func(*pomeloslot.Asker, time.Time) {}, true},
-		{"a fresh digest", func(a *pomeloslot.Asker, at time.Time) {
-			a.Slots(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
+		{"no sign", func(*pomeloslot.Requester, time.Time) {}, true},
+		{"a fresh digest", func(a *pomeloslot.Requester, at time.Time) {
+			a.UpdateDigests(at, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1)})
 		}, false},
-		{"a grant", func(a *pomeloslot.Asker, at time.Time) {
-			a.Granted(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
+		{"a grant", func(a *pomeloslot.Requester, at time.Time) {
+			a.AcceptGrant(at, "owner-u1", &pomelorelay.Grant{ID: 1, Upstream: "u1", Pool: testPool, TTL: time.Second})
 		}, false},
 	} {
 		a := newAsker()
-		a.Slots(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
-		if got := registered(a.Heads(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
+		a.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
+		if got := registered(a.UpdateDemand(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
 			t.Fatalf("%s: registered at %v first", c.name, got)
 		}
 		if got := registered(a.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
