--- a/pomelolink/config.go
+++ b/pomelolink/config.go
@@ -17,8 +17,8 @@
 	IDHeader string
 	// NotRun reports whether an answer states that the upstream did not run the request.
 	NotRun func(*http.Response) bool
-	// EndByClose accepts answers without Content-Length or chunked encoding, whose body ends when the connection closes.
-	EndByClose bool
+	// AllowCloseDelimited accepts answers without Content-Length or chunked encoding, whose body ends when the connection closes.
+	AllowCloseDelimited bool
 }
 
 // Config holds the arguments of New. All durations and counts are required except AckTimeout.
@@ -37,29 +37,29 @@
 	Logger     pomelorelay.Logger
 }
 
-// Links opens exchanges with upstreams; it is safe for concurrent use.
-type Links struct {
+// Client opens exchanges with upstreams; it is safe for concurrent use.
+type Client struct {
 	cfg     Config
 	conns   *pool
 	buffers *Buffers
 }
 
 // New creates an empty connection pool and starts a goroutine that closes expired idle connections; Close stops it.
-func New(cfg Config) *Links {
+func New(cfg Config) *Client {
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
 	}
-	return &Links{cfg: cfg, conns: newPool(cfg), buffers: NewBuffers()}
+	return &Client{cfg: cfg, conns: newPool(cfg), buffers: NewBuffers()}
 }
 
 // Buffers returns the buffer pools that all exchanges share.
-func (l *Links) Buffers() *Buffers { return l.buffers }
+func (l *Client) Buffers() *Buffers { return l.buffers }
 
 // Close closes the idle connections and stops keeping new ones; exchanges in progress continue.
-func (l *Links) Close() { l.conns.close() }
+func (l *Client) Close() { l.conns.close() }
 
-// Opened returns the number of connections opened since the start.
-func (l *Links) Opened() uint64 { return l.conns.opened.Load() }
+// ConnectionsOpened returns the number of connections opened since the start.
+func (l *Client) ConnectionsOpened() uint64 { return l.conns.opened.Load() }
 
 // Outcome classifies how far an attempt at an upstream got.
 type Outcome int
@@ -68,8 +68,8 @@
 const (
 	OutcomeNotSent       Outcome = iota + 1 // no byte was written to a connection
 	OutcomeRefusedNotRun                    // the upstream stated that it did not run the request
-	OutcomeWhole                            // the complete answer was received
-	OutcomeCutShort                         // part of an answer was received
+	OutcomeComplete                         // the complete answer was received
+	OutcomeTruncated                        // part of an answer was received
 	OutcomeUnknown                          // bytes were written and no answer was received
 )
 
--- a/pomelolink/event.go
+++ b/pomelolink/event.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Partial reports whether an incomplete event is buffered.
-func (r *EventReader) Partial() bool { return r.start < r.end }
+// HasPartialEvent reports whether an incomplete event is buffered.
+func (r *EventReader) HasPartialEvent() bool { return r.start < r.end }
 
 // Buffer returns the reader's current buffer, so that the caller can return it to its pool after the stream.
 func (r *EventReader) Buffer() []byte { return r.buf }
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -27,7 +27,7 @@
 
 // Exchange is one request on one connection, and its answer.
 type Exchange struct {
-	links     *Links
+	links     *Client
 	ctx       context.Context
 	addr      netip.AddrPort
 	conn      *upstreamConn
@@ -37,8 +37,8 @@
 	stop     func() bool
 	// writeDone receives the result of a concurrent write; nil if there was none or its result was received.
 	writeDone chan error
-	// Whole is set by the reader once the complete answer was read.
-	Whole bool
+	// Complete is set by the reader once the complete answer was read.
+	Complete bool
 	// IDEchoed is set if the answer carries the request's id.
 	IDEchoed bool
 }
@@ -60,27 +60,27 @@
 	return &Failure{Outcome: outcome, Err: e}
 }
 
-// Sending describes a request to an upstream.
-type Sending struct {
+// UpstreamRequest describes a request to an upstream.
+type UpstreamRequest struct {
 	Addr    netip.AddrPort
 	Request *http.Request
 	// Size is the length of the request's body in bytes.
 	Size int
 	// NewConnection prevents the use of an idle connection.
 	NewConnection bool
-	// Wanted is called after the connection is opened and before the request is written; the request is sent only if it returns true
+	// StillWanted is called after the connection is opened and before the request is written; the request is sent only if it returns true
 	// or is nil. Opening a connection can take a second, and the caller's disconnect may be detected late on a busy CPU.
-	Wanted func() bool
+	StillWanted func() bool
 }
 
 // Open sends a request at most once and reads the header of its answer. A request that is no longer wanted is not sent; Open
 // then fails with CodeCancelled.
-func (l *Links) Open(ctx context.Context, s Sending) (*Exchange, *Failure) {
+func (l *Client) Open(ctx context.Context, s UpstreamRequest) (*Exchange, *Failure) {
 	conn, err := l.conns.conn(ctx, s.Addr, s.NewConnection)
 	if err != nil {
 		return nil, notSentFailure(ctx, err)
 	}
-	if s.Wanted != nil && !s.Wanted() {
+	if s.StillWanted != nil && !s.StillWanted() {
 		conn.Close()
 		return nil, NewFailure(OutcomeNotSent, pomelorelay.CodeCancelled, nil)
 	}
@@ -150,7 +150,7 @@
 	for range maxResponses {
 		resp, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
-			return x.Broken(err)
+			return x.Fail(err)
 		}
 		if resp.StatusCode >= http.StatusOK {
 			x.conn.unlimitHeader()
@@ -161,8 +161,8 @@
 	return NewFailure(OutcomeUnknown, pomelorelay.CodeAnswerMalformed, errors.New("no final answer within 5 responses"))
 }
 
-// Broken closes the connection and returns the Failure for a missing or truncated answer.
-func (x *Exchange) Broken(err error) *Failure {
+// Fail closes the connection and returns the Failure for a missing or truncated answer.
+func (x *Exchange) Fail(err error) *Failure {
 	x.conn.Close()
 	x.awaitWrite()
 	if x.conn.written.Load() == 0 {
@@ -170,7 +170,7 @@
 	}
 	outcome := OutcomeUnknown
 	if x.conn.read.Load() > 0 {
-		outcome = OutcomeCutShort
+		outcome = OutcomeTruncated
 	}
 	if code := contextCode(x.ctx, err); code != 0 {
 		return NewFailure(outcome, code, err)
@@ -179,7 +179,7 @@
 		return NewFailure(outcome, pomelorelay.CodeAnswerMalformed, err)
 	}
 	code := pomelorelay.CodeAnswerUnknown
-	if outcome == OutcomeCutShort {
+	if outcome == OutcomeTruncated {
 		code = pomelorelay.CodeAnswerCutShort
 	}
 	f := NewFailure(outcome, code, err)
@@ -213,7 +213,7 @@
 	if x.links.cfg.Protocol.NotRun(x.Response) {
 		return x.refusedFailure()
 	}
-	if !x.links.cfg.Protocol.EndByClose && !x.isDelimited(req) {
+	if !x.links.cfg.Protocol.AllowCloseDelimited && !x.isDelimited(req) {
 		return NewFailure(OutcomeUnknown, pomelorelay.CodeAnswerMalformed, errors.New("answer has neither Content-Length nor chunked encoding, so truncation cannot be detected"))
 	}
 	return nil
@@ -234,7 +234,7 @@
 	}
 	if n := x.Response.ContentLength; n >= 0 && n <= maxDrainBytes {
 		_, err := io.Copy(io.Discard, x.Response.Body)
-		x.Whole = err == nil
+		x.Complete = err == nil
 	}
 	return f
 }
@@ -242,7 +242,7 @@
 // Close returns the connection to the idle pool if the exchange is complete and the upstream echoes ids, and closes it otherwise.
 func (x *Exchange) Close() {
 	released := x.stop()
-	keep := x.Whole && released && x.IDEchoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
+	keep := x.Complete && released && x.IDEchoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
 	if keep {
 		x.conn.maxIdle = x.maxIdle()
 		x.links.conns.put(x.addr, x.conn)
--- a/pomelolink/pool.go
+++ b/pomelolink/pool.go
@@ -137,7 +137,7 @@
 
 // RefusesConnections reports whether the upstream refuses connections, which distinguishes a crash from a single broken connection. It
 // probes twice, since a dying process may close its connections shortly before its listener.
-func (l *Links) RefusesConnections(ctx context.Context, addr netip.AddrPort) bool {
+func (l *Client) RefusesConnections(ctx context.Context, addr netip.AddrPort) bool {
 	for n := range crashProbes {
 		if n > 0 {
 			time.Sleep(crashProbeInterval)
--- a/pomeloroute/answer.go
+++ b/pomeloroute/answer.go
@@ -28,7 +28,7 @@
 			return c.forwardBuffered(x, buffer, m)
 		}
 		if err != nil {
-			return x.Broken(err)
+			return x.Fail(err)
 		}
 	}
 	return c.forwardUnbuffered(x, buffer, chunk)
@@ -45,7 +45,7 @@
 }
 
 func (c *call) forwardBuffered(x *pomelolink.Exchange, buffer *bytes.Buffer, m *meter) *pomelolink.Failure {
-	x.Whole = true
+	x.Complete = true
 	if c.service.Kind == pomeloconfig.ServiceModel {
 		m.readUsage(buffer.Bytes())
 	}
@@ -67,13 +67,13 @@
 			break
 		}
 		if err != nil {
-			return x.Broken(err)
+			return x.Fail(err)
 		}
 		if x.Buffered() == 0 {
 			c.flush()
 		}
 	}
-	x.Whole = true
+	x.Complete = true
 	c.recordOutcome(x.Response, nil, false)
 	c.writeTrailer(x.Response)
 	return nil
