--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -12,34 +12,34 @@
 type Config struct {
 	// GapBounds are the largest allowed differences of normalised service; a pool without one is not checked.
 	GapBounds map[pomelorelay.PoolID]pomelorelay.Tag
-	// GapStep is the time between two samples of the gap, 100 ms by default.
-	GapStep time.Duration
+	// GapSampleInterval is the time between two samples of the gap, 100 ms by default.
+	GapSampleInterval time.Duration
 	// MaxWait is how long a request with all its attempts, or a backlogged account's next service, may take, 60 s by default.
 	MaxWait time.Duration
-	// LeaveWithin is how long a leaving upstream may still get new work, 3 s by default.
-	LeaveWithin time.Duration
-	// InForceWithin is how long an accepted configuration may take to be in force everywhere, 17 s by default.
-	InForceWithin time.Duration
-	// RefuseWithin is how long a refusal may take to reach the caller once the router gave up, 1 s by default.
-	RefuseWithin time.Duration
+	// LeaveGrace is how long a leaving upstream may still get new work, 3 s by default.
+	LeaveGrace time.Duration
+	// MaxConfigDelay is how long an accepted configuration may take to be in force everywhere, 17 s by default.
+	MaxConfigDelay time.Duration
+	// MaxRefusalDelay is how long a refusal may take to reach the caller once the router gave up, 1 s by default.
+	MaxRefusalDelay time.Duration
 	// Skew is how far two observers' clocks may differ, zero by default.
 	Skew time.Duration
 }
 
 const (
-	defaultGapStep       = 100 * time.Millisecond
+	defaultGapSampleInterval       = 100 * time.Millisecond
 	defaultMaxWait       = 60 * time.Second
-	defaultLeaveWithin   = 3 * time.Second
-	defaultInForceWithin = 17 * time.Second
-	defaultRefuseWithin  = time.Second
+	defaultLeaveGrace   = 3 * time.Second
+	defaultMaxConfigDelay = 17 * time.Second
+	defaultMaxRefusalDelay  = time.Second
 )
 
 func (cfg Config) withDefaults() Config {
-	setDefault(&cfg.GapStep, defaultGapStep)
+	setDefault(&cfg.GapSampleInterval, defaultGapSampleInterval)
 	setDefault(&cfg.MaxWait, defaultMaxWait)
-	setDefault(&cfg.LeaveWithin, defaultLeaveWithin)
-	setDefault(&cfg.InForceWithin, defaultInForceWithin)
-	setDefault(&cfg.RefuseWithin, defaultRefuseWithin)
+	setDefault(&cfg.LeaveGrace, defaultLeaveGrace)
+	setDefault(&cfg.MaxConfigDelay, defaultMaxConfigDelay)
+	setDefault(&cfg.MaxRefusalDelay, defaultMaxRefusalDelay)
 	return cfg
 }
 
@@ -54,12 +54,12 @@
 	cfg      Config
 	attempts map[AttemptID]*attempt
 	contents map[ContentID]*content
-	shares   map[shareKey]*share
+	services   map[accountKey]*accountService
 	leaving  map[pomelorelay.UpstreamID]time.Time
 	stops    map[pomelorelay.NodeID]time.Time
 	kills    map[pomelorelay.NodeID]time.Time
 	frozen   map[pomelorelay.NodeID][]Frozen
-	goneOn   map[pomelorelay.NodeID][]Continued
+	continued   map[pomelorelay.NodeID][]Continued
 	accepted []Accepted
 	inForce  map[pomelorelay.NodeID][]InForce
 }
@@ -82,12 +82,12 @@
 		cfg:      cfg.withDefaults(),
 		attempts: make(map[AttemptID]*attempt),
 		contents: make(map[ContentID]*content),
-		shares:   make(map[shareKey]*share),
+		services:   make(map[accountKey]*accountService),
 		leaving:  make(map[pomelorelay.UpstreamID]time.Time),
 		stops:    make(map[pomelorelay.NodeID]time.Time),
 		kills:    make(map[pomelorelay.NodeID]time.Time),
 		frozen:   make(map[pomelorelay.NodeID][]Frozen),
-		goneOn:   make(map[pomelorelay.NodeID][]Continued),
+		continued:   make(map[pomelorelay.NodeID][]Continued),
 		inForce:  make(map[pomelorelay.NodeID][]InForce),
 	}
 }
@@ -166,7 +166,7 @@
 	t.runs = append(t.runs, e)
 }
 
-func (e Leaving) apply(c *Checker) { keepFirst(c.leaving, e.Upstream, e.At) }
+func (e Leaving) apply(c *Checker) { keepEarliest(c.leaving, e.Upstream, e.At) }
 
 func (e Stopping) apply(c *Checker) {
 	if at, ok := c.stops[e.Node]; !ok || e.At.Before(at) {
@@ -182,13 +182,13 @@
 
 func (e Frozen) apply(c *Checker) { c.frozen[e.Node] = append(c.frozen[e.Node], e) }
 
-func (e Continued) apply(c *Checker) { c.goneOn[e.Node] = append(c.goneOn[e.Node], e) }
+func (e Continued) apply(c *Checker) { c.continued[e.Node] = append(c.continued[e.Node], e) }
 
 func (e Accepted) apply(c *Checker) { c.accepted = append(c.accepted, e) }
 
 func (e InForce) apply(c *Checker) { c.inForce[e.Node] = append(c.inForce[e.Node], e) }
 
-func keepFirst(times map[pomelorelay.UpstreamID]time.Time, id pomelorelay.UpstreamID, at time.Time) {
+func keepEarliest(times map[pomelorelay.UpstreamID]time.Time, id pomelorelay.UpstreamID, at time.Time) {
 	if known, ok := times[id]; !ok || at.Before(known) {
 		times[id] = at
 	}
--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -74,13 +74,13 @@
 // A router passes on another caller's late answer, or half of the right one, as if all were well. The caller books the
 // wrong bench job or files half a narrative.
 func TestWrongAnswersAreFound(t *testing.T) {
-	crossed, short := answered("a", time.Second), answered("a", time.Second)
+	crossed, truncated := answered("a", time.Second), answered("a", time.Second)
 	crossed.Own = false
-	short.Whole = false
+	truncated.Whole = false
 	runCases(t, pomelocheck.Config{}, []checkCase{
 		{"own and whole", []pomelocheck.Event{sent("a", "x", 0), answered("a", time.Second)}, nil},
 		{"crossed", []pomelocheck.Event{sent("a", "x", 0), crossed}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
-		{"short", []pomelocheck.Event{sent("a", "x", 0), short}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
+		{"short", []pomelocheck.Event{sent("a", "x", 0), truncated}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
 		{"twice", []pomelocheck.Event{sent("a", "x", 0), answered("a", time.Second), answered("a", 2*time.Second)}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
 	})
 }
@@ -139,23 +139,23 @@
 // A router knows that it cannot serve a request and keeps the caller quiet meanwhile, with silence or with drops of an
 // answer. The caller waits where it could have gone elsewhere.
 func TestRefusalsHeldBackAreFound(t *testing.T) {
-	late, drip, mute := refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo)
+	late, slow, noRetryAfter := refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo)
 	late.GaveUp = at(8 * time.Second)
-	drip.First = at(5 * time.Second)
-	mute.RetryAfter = false
+	slow.First = at(5 * time.Second)
+	noRetryAfter.RetryAfter = false
 	bounded := sent("a", "x", 0)
 	bounded.Deadline = at(5 * time.Second)
-	halted, on := pomelocheck.Frozen{Node: bounded.Node, At: at(time.Second)}, pomelocheck.Continued{Node: bounded.Node, At: at(6 * time.Second)}
+	frozen, resumed := pomelocheck.Frozen{Node: bounded.Node, At: at(time.Second)}, pomelocheck.Continued{Node: bounded.Node, At: at(6 * time.Second)}
 	other := pomelocheck.Frozen{Node: "elsewhere", At: at(time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
 		{"at once", []pomelocheck.Event{sent("a", "x", 0), refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
 		{"late", []pomelocheck.Event{sent("a", "x", 0), late}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"dripping", []pomelocheck.Event{sent("a", "x", 0), drip}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"no time to come back", []pomelocheck.Event{sent("a", "x", 0), mute}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"dripping", []pomelocheck.Event{sent("a", "x", 0), slow}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"no time to come back", []pomelocheck.Event{sent("a", "x", 0), noRetryAfter}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"past the deadline", []pomelocheck.Event{bounded, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"as late as the router stood still", []pomelocheck.Event{bounded, halted, on, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
-		{"later than that", []pomelocheck.Event{bounded, halted, on, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"while another stood still", []pomelocheck.Event{bounded, other, on, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"as late as the router stood still", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
+		{"later than that", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"while another stood still", []pomelocheck.Event{bounded, other, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 	})
 }
 
--- a/pomelocheck/fleet.go
+++ b/pomelocheck/fleet.go
@@ -11,11 +11,11 @@
 func (c *Checker) checkLeaving(out []Violation) []Violation {
 	for id, t := range c.contents {
 		for _, run := range t.runs {
-			left, ok := c.leaving[run.Upstream]
-			if !ok || run.At.Sub(left) <= c.cfg.LeaveWithin+c.cfg.Skew {
+			leftAt, ok := c.leaving[run.Upstream]
+			if !ok || run.At.Sub(leftAt) <= c.cfg.LeaveGrace+c.cfg.Skew {
 				continue
 			}
-			out = append(out, Violation{NewWorkAfterLeave, string(run.Upstream), run.At, fmt.Sprintf("%s started %s after it left", id, run.At.Sub(left))})
+			out = append(out, Violation{NewWorkAfterLeave, string(run.Upstream), run.At, fmt.Sprintf("%s started %s after it left", id, run.At.Sub(leftAt))})
 		}
 	}
 	return out
@@ -28,30 +28,30 @@
 		if a.sent == nil || len(a.broken) == 0 {
 			continue
 		}
-		broke := a.broken[0].At
-		stop, planned := c.stops[a.sent.Node]
-		if !planned || broke.Before(stop) || c.killedBefore(a.sent.Node, a.broken[0]) {
+		brokenAt := a.broken[0].At
+		stoppedAt, planned := c.stops[a.sent.Node]
+		if !planned || brokenAt.Before(stoppedAt) || c.killedBefore(a.sent.Node, a.broken[0]) {
 			continue
 		}
-		out = append(out, Violation{CutOff, string(id), broke, "cut off by the planned stop of " + string(a.sent.Node)})
+		out = append(out, Violation{CutOff, string(id), brokenAt, "cut off by the planned stop of " + string(a.sent.Node)})
 	}
 	return out
 }
 
 func (c *Checker) killedBefore(node pomelorelay.NodeID, b Broken) bool {
-	killed, ok := c.kills[node]
-	return ok && !killed.After(b.At)
+	killedAt, ok := c.kills[node]
+	return ok && !killedAt.After(b.At)
 }
 
 func (c *Checker) checkGenerations(out []Violation) []Violation {
 	for node, seen := range c.inForce {
 		slices.SortStableFunc(seen, func(a, b InForce) int { return a.At.Compare(b.At) })
-		out = c.checkNode(node, seen, out)
+		out = c.checkNodeGenerations(node, seen, out)
 	}
 	return out
 }
 
-func (c *Checker) checkNode(node pomelorelay.NodeID, seen []InForce, out []Violation) []Violation {
+func (c *Checker) checkNodeGenerations(node pomelorelay.NodeID, seen []InForce, out []Violation) []Violation {
 	var highest pomelorelay.Generation
 	late := make(map[pomelorelay.Generation]bool)
 	for _, s := range seen {
@@ -59,7 +59,7 @@
 			out = append(out, Violation{GenerationFell, string(node), s.At, fmt.Sprintf("generation %d after %d", s.Generation, highest)})
 		}
 		highest = max(highest, s.Generation)
-		due := c.due(s)
+		due := c.dueGeneration(s)
 		if s.Generation >= due || late[due] {
 			continue
 		}
@@ -69,26 +69,26 @@
 	return out
 }
 
-// due returns the newest generation that must be in force when s was seen.
-func (c *Checker) due(s InForce) pomelorelay.Generation {
+// dueGeneration returns the newest generation that must be in force when s was seen.
+func (c *Checker) dueGeneration(s InForce) pomelorelay.Generation {
 	var newest pomelorelay.Generation
 	for _, a := range c.accepted {
-		if s.At.Sub(a.At) > c.cfg.InForceWithin+c.cfg.Skew {
+		if s.At.Sub(a.At) > c.cfg.MaxConfigDelay+c.cfg.Skew {
 			newest = max(newest, a.Generation)
 		}
 	}
 	return newest
 }
 
-// frozenWithin returns how long a router stood still between two times. It can neither answer then nor count the time for which a request
+// frozenDuration returns how long a router stood still between two times. It can neither answer then nor count the time for which a request
 // waited to be read, so that much is no fault of what it does once it goes on.
-func (c *Checker) frozenWithin(node pomelorelay.NodeID, from, to time.Time) time.Duration {
+func (c *Checker) frozenDuration(node pomelorelay.NodeID, from, to time.Time) time.Duration {
 	var total time.Duration
 	for _, f := range c.frozen[node] {
 		end := to
-		for _, on := range c.goneOn[node] {
-			if on.At.After(f.At) && on.At.Before(end) {
-				end = on.At
+		for _, resumed := range c.continued[node] {
+			if resumed.At.After(f.At) && resumed.At.Before(end) {
+				end = resumed.At
 			}
 		}
 		if begin := maxTime(f.At, from); end.After(begin) {
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -9,13 +9,13 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-type shareKey struct {
+type accountKey struct {
 	pool    pomelorelay.PoolID
 	account pomelorelay.AccountID
 }
 
-// share is what an account was served in a pool and when it was backlogged.
-type share struct {
+// accountService is what an account was served in a pool and when it was backlogged.
+type accountService struct {
 	served    []Served
 	backlogs  []Backlogged
 	intervals []interval
@@ -38,32 +38,32 @@
 	At time.Time
 }
 
-func (c *Checker) share(key shareKey) *share {
-	s, ok := c.shares[key]
+func (c *Checker) serviceOf(key accountKey) *accountService {
+	s, ok := c.services[key]
 	if !ok {
-		s = &share{}
-		c.shares[key] = s
+		s = &accountService{}
+		c.services[key] = s
 	}
 	return s
 }
 
 func (e Served) apply(c *Checker) {
-	s := c.share(shareKey{e.Pool, e.Account})
+	s := c.serviceOf(accountKey{e.Pool, e.Account})
 	s.served = append(s.served, e)
 }
 
 func (e Backlogged) apply(c *Checker) {
-	s := c.share(shareKey{e.Pool, e.Account})
+	s := c.serviceOf(accountKey{e.Pool, e.Account})
 	s.backlogs = append(s.backlogs, e)
 }
 
 // Gaps returns the largest gap of each pool up to now, ordered by pool; its cost grows with the square of the accounts.
 func (c *Checker) Gaps(now time.Time) []Gap {
-	start, ok := c.prepare(now)
+	start, ok := c.sampleAll(now)
 	if !ok {
 		return nil
 	}
-	keys := c.keys()
+	keys := c.sortedKeys()
 	var gaps []Gap
 	for i, key := range keys {
 		if len(gaps) == 0 || gaps[len(gaps)-1].Pool != key.pool {
@@ -72,7 +72,7 @@
 		last := &gaps[len(gaps)-1]
 		for _, other := range keys[i+1:] {
 			if other.pool == key.pool {
-				c.widen(last, start, key, other)
+				c.updateGap(last, start, key, other)
 			}
 		}
 	}
@@ -81,52 +81,52 @@
 
 // WindowGaps returns for each pool the difference of what the accounts that were backlogged from from to to got in that time.
 func (c *Checker) WindowGaps(from, to time.Time) map[pomelorelay.PoolID]pomelorelay.Tag {
-	least, most := make(map[pomelorelay.PoolID]pomelorelay.Tag), make(map[pomelorelay.PoolID]pomelorelay.Tag)
-	for key, s := range c.shares {
+	minService, maxService := make(map[pomelorelay.PoolID]pomelorelay.Tag), make(map[pomelorelay.PoolID]pomelorelay.Tag)
+	for key, s := range c.services {
 		if !s.backloggedThroughout(from, to) {
 			continue
 		}
-		got := s.normalised(from, to)
-		if known, ok := least[key.pool]; !ok || got < known {
-			least[key.pool] = got
+		service := s.normalisedService(from, to)
+		if known, ok := minService[key.pool]; !ok || service < known {
+			minService[key.pool] = service
 		}
-		most[key.pool] = max(most[key.pool], got)
+		maxService[key.pool] = max(maxService[key.pool], service)
 	}
-	for pool := range most {
-		most[pool] -= least[pool]
+	for pool := range maxService {
+		maxService[pool] -= minService[pool]
 	}
-	return most
+	return maxService
 }
 
-func (s *share) backloggedThroughout(from, to time.Time) bool {
+func (s *accountService) backloggedThroughout(from, to time.Time) bool {
 	return slices.ContainsFunc(backlogIntervals(s.backlogs, to), func(in interval) bool {
 		return !in.from.After(from) && !in.to.Before(to)
 	})
 }
 
-func (s *share) normalised(from, to time.Time) pomelorelay.Tag {
+func (s *accountService) normalisedService(from, to time.Time) pomelorelay.Tag {
 	var sum pomelorelay.Tag
 	for _, e := range s.served {
-		sum += e.Cost.Normalise(e.Weight) * pomelorelay.Tag(fraction(e, to)-fraction(e, from))
+		sum += e.Cost.Normalise(e.Weight) * pomelorelay.Tag(servedFraction(e, to)-servedFraction(e, from))
 	}
 	return sum
 }
 
-func (c *Checker) keys() []shareKey {
-	var keys []shareKey
-	for key := range c.shares {
+func (c *Checker) sortedKeys() []accountKey {
+	var keys []accountKey
+	for key := range c.services {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b shareKey) int {
+	slices.SortFunc(keys, func(a, b accountKey) int {
 		return cmp.Or(cmp.Compare(a.pool, b.pool), cmp.Compare(a.account, b.account))
 	})
 	return keys
 }
 
-// prepare samples every account's cumulative normalised service and returns the time of the first sample.
-func (c *Checker) prepare(now time.Time) (time.Time, bool) {
+// sampleAll samples every account's cumulative normalised service and returns the time of the first sample.
+func (c *Checker) sampleAll(now time.Time) (time.Time, bool) {
 	var start time.Time
-	for _, s := range c.shares {
+	for _, s := range c.services {
 		s.intervals = backlogIntervals(s.backlogs, now)
 		for _, in := range s.intervals {
 			if start.IsZero() || in.from.Before(start) {
@@ -137,8 +137,8 @@
 	if start.IsZero() {
 		return start, false
 	}
-	samples := int(now.Sub(start)/c.cfg.GapStep) + 1
-	for _, s := range c.shares {
+	samples := int(now.Sub(start)/c.cfg.GapSampleInterval) + 1
+	for _, s := range c.services {
 		s.cumulative = c.sample(s.served, start, samples)
 	}
 	return start, true
@@ -165,10 +165,10 @@
 	sums := make([]pomelorelay.Tag, samples)
 	for _, s := range served {
 		total := s.Cost.Normalise(s.Weight)
-		first := max(0, c.index(start, s.From))
-		last := min(samples-1, c.index(start, s.To)+1)
+		first := max(0, c.sampleIndex(start, s.From))
+		last := min(samples-1, c.sampleIndex(start, s.To)+1)
 		for i := first; i <= last; i++ {
-			sums[i] += total * pomelorelay.Tag(fraction(s, c.at(start, i))-fraction(s, c.at(start, i-1)))
+			sums[i] += total * pomelorelay.Tag(servedFraction(s, c.sampleTime(start, i))-servedFraction(s, c.sampleTime(start, i-1)))
 		}
 	}
 	for i := 1; i < samples; i++ {
@@ -177,8 +177,8 @@
 	return sums
 }
 
-// fraction returns how much of s was served by t.
-func fraction(s Served, t time.Time) float64 {
+// servedFraction returns how much of s was served by t.
+func servedFraction(s Served, t time.Time) float64 {
 	if !t.Before(s.To) {
 		return 1
 	}
@@ -188,18 +188,18 @@
 	return float64(t.Sub(s.From)) / float64(s.To.Sub(s.From))
 }
 
-func (c *Checker) index(start, t time.Time) int { return int(t.Sub(start) / c.cfg.GapStep) }
+func (c *Checker) sampleIndex(start, t time.Time) int { return int(t.Sub(start) / c.cfg.GapSampleInterval) }
 
-func (c *Checker) at(start time.Time, i int) time.Time {
-	return start.Add(time.Duration(i) * c.cfg.GapStep)
+func (c *Checker) sampleTime(start time.Time, i int) time.Time {
+	return start.Add(time.Duration(i) * c.cfg.GapSampleInterval)
 }
 
-// widen raises the gap to the largest change of the two accounts' difference within a time in which both were backlogged.
-func (c *Checker) widen(g *Gap, start time.Time, a, b shareKey) {
-	x, y := c.shares[a], c.shares[b]
+// updateGap raises the gap to the largest change of the two accounts' difference within a time in which both were backlogged.
+func (c *Checker) updateGap(g *Gap, start time.Time, a, b accountKey) {
+	x, y := c.services[a], c.services[b]
 	for _, p := range x.intervals {
 		for _, q := range y.intervals {
-			c.widenWithin(g, start, overlap(p, q), a, b)
+			c.updateGapWithin(g, start, overlap(p, q), a, b)
 		}
 	}
 }
@@ -214,13 +214,13 @@
 	return p
 }
 
-func (c *Checker) widenWithin(g *Gap, start time.Time, in interval, a, b shareKey) {
-	x, y := c.shares[a].cumulative, c.shares[b].cumulative
-	first := c.index(start, in.from)
-	if c.at(start, first).Before(in.from) {
+func (c *Checker) updateGapWithin(g *Gap, start time.Time, in interval, a, b accountKey) {
+	x, y := c.services[a].cumulative, c.services[b].cumulative
+	first := c.sampleIndex(start, in.from)
+	if c.sampleTime(start, first).Before(in.from) {
 		first++
 	}
-	last := min(c.index(start, in.to), len(x)-1)
+	last := min(c.sampleIndex(start, in.to), len(x)-1)
 	if first > last {
 		return
 	}
@@ -231,7 +231,7 @@
 		if high-low <= g.Value {
 			continue
 		}
-		g.Value, g.At = high-low, c.at(start, i)
+		g.Value, g.At = high-low, c.sampleTime(start, i)
 		g.More, g.Less = a.account, b.account
 		if d == low {
 			g.More, g.Less = b.account, a.account
@@ -256,7 +256,7 @@
 
 // checkStarvation finds accounts that had requests waiting and got no service for longer than MaxWait.
 func (c *Checker) checkStarvation(now time.Time, out []Violation) []Violation {
-	for key, s := range c.shares {
+	for key, s := range c.services {
 		slices.SortStableFunc(s.served, func(a, b Served) int { return a.From.Compare(b.From) })
 		for _, in := range backlogIntervals(s.backlogs, now) {
 			if wait := longestWait(s.served, in); wait > c.cfg.MaxWait {
--- a/pomelocheck/gap_test.go
+++ b/pomelocheck/gap_test.go
@@ -55,7 +55,7 @@
 // The gap of any history equals the one found by trying every pair of samples, whatever the accounts were served.
 func TestGapEqualsExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := pomelocheck.New(pomelocheck.Config{GapStep: time.Second})
+		c := pomelocheck.New(pomelocheck.Config{GapSampleInterval: time.Second})
 		const seconds = 20
 		difference := make([]float64, seconds+1)
 		for i := range seconds {
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -21,17 +21,17 @@
 				out = append(out, Violation{WrongAnswer, string(id), answer.At, "the answer ended as if whole and is not"})
 			}
 		}
-		if ends := a.ends(); ends > 1 {
-			out = append(out, Violation{WrongAnswer, string(id), a.ended(), fmt.Sprintf("the attempt ended %d times", ends)})
+		if endCount := a.endCount(); endCount > 1 {
+			out = append(out, Violation{WrongAnswer, string(id), a.firstEnd(), fmt.Sprintf("the attempt ended %d times", endCount)})
 		}
 	}
 	return out
 }
 
-func (a *attempt) ends() int { return len(a.answered) + len(a.refused) + len(a.broken) }
+func (a *attempt) endCount() int { return len(a.answered) + len(a.refused) + len(a.broken) }
 
-// ended returns when the attempt ended first, zero while it is open.
-func (a *attempt) ended() time.Time {
+// firstEnd returns when the attempt ended first, zero while it is open.
+func (a *attempt) firstEnd() time.Time {
 	var ends []time.Time
 	for _, e := range a.answered {
 		ends = append(ends, e.At)
@@ -48,8 +48,8 @@
 	return slices.MinFunc(ends, time.Time.Compare)
 }
 
-func (a *attempt) endedBy(now time.Time) time.Time {
-	end := a.ended()
+func (a *attempt) firstEndOr(now time.Time) time.Time {
+	end := a.firstEnd()
 	if end.IsZero() {
 		return now
 	}
@@ -60,27 +60,27 @@
 // attempts, until the first answer or the first word that the request is quarantined, which is final.
 func (c *Checker) checkWaits(now time.Time, out []Violation) []Violation {
 	for id, t := range c.contents {
-		first, end := c.waited(t, now)
+		first, end := c.waitSpan(t, now)
 		if wait := end.Sub(first); wait > c.cfg.MaxWait {
-			detail := fmt.Sprintf("waited %s in %d attempts:%s", wait, len(t.attempts), c.describe(t, first, now))
+			detail := fmt.Sprintf("waited %s in %d attempts:%s", wait, len(t.attempts), c.describeAttempts(t, first, now))
 			out = append(out, Violation{Starved, string(id), end, detail})
 		}
 	}
 	return out
 }
 
-// waited returns when the content was first sent, and when it was first answered or quarantined or else its last attempt ended.
-func (c *Checker) waited(t *content, now time.Time) (first, end time.Time) {
+// waitSpan returns when the content was first sent, and when it was first answered or quarantined or else its last attempt ended.
+func (c *Checker) waitSpan(t *content, now time.Time) (first, end time.Time) {
 	var settled time.Time
 	for _, id := range t.attempts {
 		a := c.attempts[id]
 		if first.IsZero() || a.sent.At.Before(first) {
 			first = a.sent.At
 		}
-		if last := a.endedBy(now); last.After(end) {
+		if last := a.firstEndOr(now); last.After(end) {
 			end = last
 		}
-		if when := a.settled(); !when.IsZero() && (settled.IsZero() || when.Before(settled)) {
+		if when := a.settledAt(); !when.IsZero() && (settled.IsZero() || when.Before(settled)) {
 			settled = when
 		}
 	}
@@ -90,12 +90,12 @@
 	return first, end
 }
 
-// describe tells where each attempt went and when it began and ended, so that a violation can be traced to a fault.
-func (c *Checker) describe(t *content, first, now time.Time) string {
+// describeAttempts tells where each attempt went and when it began and ended, so that a violation can be traced to a fault.
+func (c *Checker) describeAttempts(t *content, first, now time.Time) string {
 	var text strings.Builder
 	for _, id := range t.attempts {
 		a := c.attempts[id]
-		fmt.Fprintf(&text, " %s from %s to %s", a.sent.Node, a.sent.At.Sub(first), a.endedBy(now).Sub(first))
+		fmt.Fprintf(&text, " %s from %s to %s", a.sent.Node, a.sent.At.Sub(first), a.firstEndOr(now).Sub(first))
 		for _, r := range a.refused {
 			fmt.Fprintf(&text, " (%d)", r.Code)
 		}
@@ -103,8 +103,8 @@
 	return text.String()
 }
 
-// settled returns when the attempt was first answered or refused as quarantined, zero when it was neither.
-func (a *attempt) settled() time.Time {
+// settledAt returns when the attempt was first answered or refused as quarantined, zero when it was neither.
+func (a *attempt) settledAt() time.Time {
 	var when time.Time
 	if len(a.answered) > 0 {
 		when = a.answered[0].At
@@ -122,23 +122,23 @@
 func (c *Checker) checkRefusals(now time.Time, out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, r := range a.refused {
-			if detail := c.heldBack(r); detail != "" {
+			if detail := c.delayedRefusal(r); detail != "" {
 				out = append(out, Violation{HeldBack, string(id), r.At, detail})
 			}
 		}
 		if detail := c.pastDeadline(now, a); detail != "" {
-			out = append(out, Violation{HeldBack, string(id), a.endedBy(now), detail})
+			out = append(out, Violation{HeldBack, string(id), a.firstEndOr(now), detail})
 		}
 	}
 	return out
 }
 
-func (c *Checker) heldBack(r Refused) string {
-	if late := r.At.Sub(r.GaveUp); !r.GaveUp.IsZero() && late > c.cfg.RefuseWithin+c.cfg.Skew {
-		return fmt.Sprintf("the refusal came %s after the router gave up", late)
+func (c *Checker) delayedRefusal(r Refused) string {
+	if delay := r.At.Sub(r.GaveUp); !r.GaveUp.IsZero() && delay > c.cfg.MaxRefusalDelay+c.cfg.Skew {
+		return fmt.Sprintf("the refusal came %s after the router gave up", delay)
 	}
-	if drip := r.At.Sub(r.First); !r.First.IsZero() && drip > c.cfg.RefuseWithin {
-		return fmt.Sprintf("the refusal took %s from its first byte to its last", drip)
+	if duration := r.At.Sub(r.First); !r.First.IsZero() && duration > c.cfg.MaxRefusalDelay {
+		return fmt.Sprintf("the refusal took %s from its first byte to its last", duration)
 	}
 	if temporary(r.Code) && !r.RetryAfter {
 		return fmt.Sprintf("the refusal %d does not say when to come back", r.Code)
@@ -156,19 +156,19 @@
 	if a.sent == nil || a.sent.Deadline.IsZero() {
 		return ""
 	}
-	end := a.endedBy(now)
-	late := end.Sub(a.sent.Deadline) - c.frozenWithin(a.sent.Node, a.sent.At, end)
-	if late <= c.cfg.RefuseWithin+c.cfg.Skew {
+	end := a.firstEndOr(now)
+	overrun := end.Sub(a.sent.Deadline) - c.frozenDuration(a.sent.Node, a.sent.At, end)
+	if overrun <= c.cfg.MaxRefusalDelay+c.cfg.Skew {
 		return ""
 	}
-	return fmt.Sprintf("no final answer until %s after the deadline", late)
+	return fmt.Sprintf("no final answer until %s after the deadline", overrun)
 }
 
 func (c *Checker) checkRuns(out []Violation) []Violation {
 	for id, t := range c.contents {
-		out = c.checkOnce(id, t, out)
+		out = c.checkDoubleRun(id, t, out)
 		for _, run := range t.runs {
-			if len(t.attempts) == 0 || c.explained(t, run) {
+			if len(t.attempts) == 0 || c.causedByAttempt(t, run) {
 				continue
 			}
 			out = append(out, Violation{FalseNotRun, string(id), run.At, "it ran on " + string(run.Upstream) + " though every attempt was refused as not run"})
@@ -177,27 +177,27 @@
 	return out
 }
 
-func (c *Checker) checkOnce(id ContentID, t *content, out []Violation) []Violation {
-	if len(t.runs) < 2 || !c.once(t) {
+func (c *Checker) checkDoubleRun(id ContentID, t *content, out []Violation) []Violation {
+	if len(t.runs) < 2 || !c.runsAtMostOnce(t) {
 		return out
 	}
 	last := slices.MaxFunc(t.runs, func(a, b Ran) int { return a.At.Compare(b.At) })
 	return append(out, Violation{DoubleRun, string(id), last.At, fmt.Sprintf("ran %d times", len(t.runs))})
 }
 
-func (c *Checker) once(t *content) bool {
+func (c *Checker) runsAtMostOnce(t *content) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.Once })
 }
 
-// explained tells whether an attempt sent before the run was not refused as not run. A resend of the same content
+// causedByAttempt tells whether an attempt sent before the run was not refused as not run. A resend of the same content
 // may rightly run after an earlier attempt was refused, so each run is held against the attempts sent before it.
-func (c *Checker) explained(t *content, run Ran) bool {
+func (c *Checker) causedByAttempt(t *content, run Ran) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
-		return !a.sent.At.After(run.At.Add(c.cfg.Skew)) && !a.notRun()
+		return !a.sent.At.After(run.At.Add(c.cfg.Skew)) && !a.refusedAsNotRun()
 	})
 }
 
-func (a *attempt) notRun() bool {
+func (a *attempt) refusedAsNotRun() bool {
 	return slices.ContainsFunc(a.refused, func(r Refused) bool { return r.Ran == pomelorelay.RanNo })
 }
--- a/pomelofake/admin.go
+++ b/pomelofake/admin.go
@@ -56,22 +56,22 @@
 	router *mux.Router
 
 	mu   sync.Mutex
-	copy StoreCopy
+	snapshot StoreSnapshot
 }
 
 // NewAdmin returns the handler.
 func NewAdmin(cfg AdminConfig) *Admin {
 	a := &Admin{cfg: cfg, router: mux.NewRouter()}
-	a.router.HandleFunc("/fault", a.fault).Methods(http.MethodPost)
-	a.router.HandleFunc("/runs/{target}", a.runs).Methods(http.MethodGet)
-	a.router.HandleFunc("/counts", a.counts).Methods(http.MethodGet)
+	a.router.HandleFunc("/fault", a.handleFault).Methods(http.MethodPost)
+	a.router.HandleFunc("/runs/{target}", a.handleRuns).Methods(http.MethodGet)
+	a.router.HandleFunc("/counts", a.handleCounts).Methods(http.MethodGet)
 	return a
 }
 
 // ServeHTTP answers POST /fault, GET /runs/{target}?after=SEQ and GET /counts.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
-func (a *Admin) fault(w http.ResponseWriter, r *http.Request) {
+func (a *Admin) handleFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	decoder.DisallowUnknownFields()
@@ -79,16 +79,16 @@
 		http.Error(w, "the fault cannot be read: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if problem := a.check(f); problem != "" {
+	if problem := a.missingTarget(f); problem != "" {
 		http.Error(w, problem, http.StatusNotFound)
 		return
 	}
-	a.disturb(f)
-	writeJSON(w, http.StatusOK, FaultAnswer{Shows: a.changeHosts(f)})
+	a.applyFaults(f)
+	writeJSON(w, http.StatusOK, FaultAnswer{Shows: a.updateHostList(f)})
 }
 
-// check returns what of the fault has no stand-in here, so that a mistyped name does not pass for a fault that was set.
-func (a *Admin) check(f Fault) string {
+// missingTarget returns what of the fault has no stand-in here, so that a mistyped name does not pass for a fault that was set.
+func (a *Admin) missingTarget(f Fault) string {
 	upstream := pomelorelay.UpstreamID(f.Target)
 	if (f.Engine != nil || f.Crash) && a.cfg.Engines[upstream] == nil {
 		return "no engine " + f.Target
@@ -102,10 +102,10 @@
 	if (f.Store != nil || f.Copy || f.Restore) && a.cfg.Store == nil {
 		return "no store"
 	}
-	return a.checkHosts(f)
+	return a.missingHost(f)
 }
 
-func (a *Admin) checkHosts(f Fault) string {
+func (a *Admin) missingHost(f Fault) string {
 	if f.HostList == nil && f.Leave == "" && f.Remove == "" {
 		return ""
 	}
@@ -113,14 +113,14 @@
 		return "no host list"
 	}
 	for _, name := range []string{f.Leave, f.Remove} {
-		if name != "" && !a.cfg.HostList.has(name) {
+		if name != "" && !a.cfg.HostList.contains(name) {
 			return "no host " + name
 		}
 	}
 	return ""
 }
 
-func (a *Admin) disturb(f Fault) {
+func (a *Admin) applyFaults(f Fault) {
 	upstream := pomelorelay.UpstreamID(f.Target)
 	if f.Engine != nil {
 		a.cfg.Engines[upstream].SetFaults(*f.Engine)
@@ -137,36 +137,36 @@
 	if f.HostList != nil {
 		a.cfg.HostList.SetFaults(*f.HostList)
 	}
-	a.disturbStore(f)
+	a.applyStoreFaults(f)
 }
 
-func (a *Admin) disturbStore(f Fault) {
+func (a *Admin) applyStoreFaults(f Fault) {
 	if f.Store != nil {
 		a.cfg.Store.SetFaults(*f.Store)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if f.Copy {
-		a.copy = a.cfg.Store.Copy()
+		a.snapshot = a.cfg.Store.Snapshot()
 	}
 	if f.Restore {
-		a.cfg.Store.Restore(a.copy)
+		a.cfg.Store.Restore(a.snapshot)
 	}
 }
 
-func (a *Admin) changeHosts(f Fault) time.Time {
-	var shows time.Time
+func (a *Admin) updateHostList(f Fault) time.Time {
+	var visibleAt time.Time
 	if f.Leave != "" {
-		shows, _ = a.cfg.HostList.Leave(f.Leave)
+		visibleAt, _ = a.cfg.HostList.Leave(f.Leave)
 	}
 	if f.Remove != "" {
-		shows = a.cfg.HostList.Remove(f.Remove)
+		visibleAt = a.cfg.HostList.Remove(f.Remove)
 	}
-	return shows
+	return visibleAt
 }
 
-func (a *Admin) runs(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r, "after")
+func (a *Admin) handleRuns(w http.ResponseWriter, r *http.Request) {
+	after, ok := uintQuery(w, r, "after")
 	if !ok {
 		return
 	}
@@ -182,13 +182,13 @@
 	http.NotFound(w, r)
 }
 
-func (a *Admin) counts(w http.ResponseWriter, _ *http.Request) {
+func (a *Admin) handleCounts(w http.ResponseWriter, _ *http.Request) {
 	counts := Counts{Passed: make(map[string]int64)}
 	if a.cfg.Store != nil {
 		counts.Store = a.cfg.Store.Counts()
 	}
 	for name, relay := range a.cfg.Relays {
-		counts.Passed[name] = relay.Passed()
+		counts.Passed[name] = relay.BytesForwarded()
 	}
 	writeJSON(w, http.StatusOK, counts)
 }
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -21,9 +21,9 @@
 // Headers of the protocols between router and upstream.
 const (
 	headerRequestID   = "X-Request-Id"
-	headerLastEvent   = "Last-Event-ID"
+	headerLastEventID   = "Last-Event-ID"
 	headerRan         = "Ran"
-	headerKey         = "Idempotency-Key"
+	headerIdempotencyKey         = "Idempotency-Key"
 	headerContentType = "Content-Type"
 )
 
@@ -51,8 +51,8 @@
 	return strings.Join(text, "\n")
 }
 
-// tokens returns how many tokens the answer has; the proof makes it the same for each run.
-func (q chatRequest) tokens(proof Proof) int {
+// completionTokens returns how many tokens the answer has; the proof makes it the same for each run.
+func (q chatRequest) completionTokens(digest Proof) int {
 	limit := q.MaxTokens
 	if limit <= 0 {
 		limit = defaultMaxTokens
@@ -61,7 +61,7 @@
 		return limit
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(proof))
+	_, _ = hash.Write([]byte(digest))
 	return 1 + int(hash.Sum64()%uint64(limit))
 }
 
@@ -82,7 +82,7 @@
 		return
 	}
 	if e.Faults().Refuse {
-		refuse(w)
+		writeRefusal(w)
 		return
 	}
 	var q chatRequest
@@ -96,24 +96,24 @@
 		return
 	}
 	s := e.enqueue(q, body, r.Header.Get(headerRequestID))
-	defer e.detach(s)
+	defer e.detachReader(s)
 	e.answer(w, r, s, q)
 }
 
-func refuse(w http.ResponseWriter) {
+func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set(headerRan, "No")
 	http.Error(w, "refused", http.StatusServiceUnavailable)
 }
 
 func (e *Engine) enqueue(q chatRequest, body []byte, requestID string) *sequence {
-	proof := ProofOf(body)
+	digest := ProofOf(body)
 	prompt := q.prompt()
 	s := &sequence{
 		requestID: requestID,
-		proof:     proof,
+		digest:     digest,
 		prompt:    prompt,
-		promptLen: len(prompt)/bytesPerToken + 1,
-		target:    q.tokens(proof),
+		promptTokens: len(prompt)/bytesPerToken + 1,
+		targetTokens:    q.completionTokens(digest),
 		crashes:   e.cfg.CrashMarker != "" && strings.Contains(string(body), e.cfg.CrashMarker),
 		readers:   1,
 		changed:   make(chan struct{}),
@@ -123,21 +123,21 @@
 	if requestID != "" {
 		e.streams[requestID] = s
 	}
-	e.report()
+	e.recordLoad()
 	e.mu.Unlock()
-	e.signal()
+	e.wakeDecoder()
 	return s
 }
 
-func (e *Engine) detach(s *sequence) {
+func (e *Engine) detachReader(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
-	s.detached = time.Now()
+	s.detachedAt = time.Now()
 }
 
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, s *sequence, q chatRequest) {
-	if late := e.Faults().Late; late > 0 && !sleep(r, late) {
+	if delay := e.Faults().Late; delay > 0 && !sleep(r, delay) {
 		return
 	}
 	if s.requestID != "" {
@@ -147,7 +147,7 @@
 		e.stream(w, r, s, 0)
 		return
 	}
-	e.whole(w, r, s)
+	e.answerBuffered(w, r, s)
 }
 
 // sleep waits and reports false when the caller went first.
@@ -176,11 +176,11 @@
 		http.NotFound(w, r)
 		return
 	}
-	defer e.detach(s)
-	last, err := strconv.Atoi(r.Header.Get(headerLastEvent))
+	defer e.detachReader(s)
+	lastEvent, err := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if err != nil {
-		last = 0
+		lastEvent = 0
 	}
 	w.Header().Set(headerRequestID, s.requestID)
-	e.stream(w, r, s, last)
+	e.stream(w, r, s, lastEvent)
 }
--- a/pomelofake/decode.go
+++ b/pomelofake/decode.go
@@ -8,19 +8,19 @@
 // sequence is one request in an engine; the engine's mutex guards it.
 type sequence struct {
 	requestID string
-	proof     Proof
+	digest     Proof
 	prompt    string
-	promptLen int
-	cached    int
-	prefill   int
-	target    int
-	produced  int
+	promptTokens int
+	cachedTokens    int
+	prefillRemaining   int
+	targetTokens    int
+	producedTokens  int
 	crashes   bool
 	run       *Run
 	readers   int
-	// detached is when the last reader went.
-	detached  time.Time
-	ended     time.Time
+	// detachedAt is when the last reader went.
+	detachedAt  time.Time
+	endedAt     time.Time
 	done      bool
 	cancelled bool
 	// changed is closed and replaced at every change.
@@ -32,7 +32,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *sequence) over() bool { return s.done || s.cancelled }
+func (s *sequence) terminated() bool { return s.done || s.cancelled }
 
 // decode makes a step after another while there is work.
 func (e *Engine) decode() {
@@ -77,9 +77,9 @@
 		crash = crash || s.crashes
 		e.advance(s, now)
 	}
-	e.running = slices.DeleteFunc(e.running, (*sequence).over)
-	e.forget(now)
-	e.report()
+	e.running = slices.DeleteFunc(e.running, (*sequence).terminated)
+	e.evictEnded(now)
+	e.recordLoad()
 	return crash
 }
 
@@ -89,70 +89,70 @@
 			e.cancel(s)
 		}
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, (*sequence).over)
+	e.waiting = slices.DeleteFunc(e.waiting, (*sequence).terminated)
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Slots {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.begin(s)
+		e.start(s)
 		e.running = append(e.running, s)
 	}
 }
 
-func (e *Engine) begin(s *sequence) {
-	s.cached = e.prefixes.use(s.prompt) / bytesPerToken
-	s.prefill = s.promptLen - s.cached
-	s.run = e.runs.start("", s.requestID, s.proof)
-	s.run.Prompt, s.run.Cached = s.promptLen, s.cached
+func (e *Engine) start(s *sequence) {
+	s.cachedTokens = e.prefixes.lookupAndInsert(s.prompt) / bytesPerToken
+	s.prefillRemaining = s.promptTokens - s.cachedTokens
+	s.run = e.runs.start("", s.requestID, s.digest)
+	s.run.Prompt, s.run.Cached = s.promptTokens, s.cachedTokens
 }
 
 func (e *Engine) advance(s *sequence, now time.Time) {
-	if s.abandoned(now, e.cfg.Grace) {
+	if s.abandoned(now, e.cfg.ResumeGrace) {
 		e.cancel(s)
 		return
 	}
-	if s.prefill > 0 {
-		s.prefill -= e.cfg.PrefillPerStep
+	if s.prefillRemaining > 0 {
+		s.prefillRemaining -= e.cfg.PrefillPerStep
 		return
 	}
-	s.produced++
-	if s.produced >= s.target {
+	s.producedTokens++
+	if s.producedTokens >= s.targetTokens {
 		e.finish(s, now)
 	}
 	s.notify()
 }
 
 func (s *sequence) abandoned(now time.Time, grace time.Duration) bool {
-	return s.readers == 0 && !s.detached.IsZero() && now.Sub(s.detached) >= grace
+	return s.readers == 0 && !s.detachedAt.IsZero() && now.Sub(s.detachedAt) >= grace
 }
 
 func (e *Engine) finish(s *sequence, now time.Time) {
 	s.done = true
-	s.ended = now
-	s.run.Completion = s.produced
+	s.endedAt = now
+	s.run.Completion = s.producedTokens
 	e.runs.end(s.run)
-	e.over = append(e.over, s)
+	e.ended = append(e.ended, s)
 }
 
 func (e *Engine) cancel(s *sequence) {
-	if s.over() {
+	if s.terminated() {
 		return
 	}
 	s.cancelled = true
-	s.ended = time.Now()
-	e.over = append(e.over, s)
+	s.endedAt = time.Now()
+	e.ended = append(e.ended, s)
 	if s.run != nil {
-		s.run.Completion = s.produced
+		s.run.Completion = s.producedTokens
 		s.run.Cancelled = true
 		e.runs.end(s.run)
 	}
 	s.notify()
 }
 
-// forget drops streams that can no longer be taken up again, the earliest ended first.
-func (e *Engine) forget(now time.Time) {
-	for len(e.over) > 0 && now.Sub(e.over[0].ended) > e.cfg.Keep {
-		s := e.over[0]
-		e.over = e.over[1:]
+// evictEnded drops streams that can no longer be taken up again, the earliest ended first.
+func (e *Engine) evictEnded(now time.Time) {
+	for len(e.ended) > 0 && now.Sub(e.ended[0].endedAt) > e.cfg.StreamRetention {
+		s := e.ended[0]
+		e.ended = e.ended[1:]
 		if e.streams[s.requestID] == s {
 			delete(e.streams, s.requestID)
 		}
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -24,14 +24,14 @@
 	PrefixBlocks int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// Grace is how long a stream whose reader went runs on, so that it can be taken up again, 2 s by default.
-	Grace time.Duration
-	// Keep is how long an ended stream can be taken up again, 30 s by default.
-	Keep time.Duration
+	// ResumeGrace is how long a stream whose reader went runs on, so that it can be taken up again, 2 s by default.
+	ResumeGrace time.Duration
+	// StreamRetention is how long an ended stream can be taken up again, 30 s by default.
+	StreamRetention time.Duration
 	// CrashMarker in a request's body makes the engine crash when the request starts to run; empty for none.
 	CrashMarker string
-	// CrashFor is how long the engine is down after a crash, 500 ms by default.
-	CrashFor time.Duration
+	// CrashDowntime is how long the engine is down after a crash, 500 ms by default.
+	CrashDowntime time.Duration
 	// Crash is called for a crash, usually a Host's Crash.
 	Crash func(downFor time.Duration)
 }
@@ -41,9 +41,9 @@
 	defaultStepTime       = 2 * time.Millisecond
 	defaultPrefillPerStep = 256
 	defaultPrefixBlocks   = 4096
-	defaultGrace          = 2 * time.Second
-	defaultKeep           = 30 * time.Second
-	defaultCrashFor       = 500 * time.Millisecond
+	defaultResumeGrace          = 2 * time.Second
+	defaultStreamRetention           = 30 * time.Second
+	defaultCrashDowntime       = 500 * time.Millisecond
 )
 
 func (cfg EngineConfig) withDefaults() EngineConfig {
@@ -51,9 +51,9 @@
 	defaultInt(&cfg.PrefillPerStep, defaultPrefillPerStep)
 	defaultInt(&cfg.PrefixBlocks, defaultPrefixBlocks)
 	defaultDuration(&cfg.StepTime, defaultStepTime)
-	defaultDuration(&cfg.Grace, defaultGrace)
-	defaultDuration(&cfg.Keep, defaultKeep)
-	defaultDuration(&cfg.CrashFor, defaultCrashFor)
+	defaultDuration(&cfg.ResumeGrace, defaultResumeGrace)
+	defaultDuration(&cfg.StreamRetention, defaultStreamRetention)
+	defaultDuration(&cfg.CrashDowntime, defaultCrashDowntime)
 	return cfg
 }
 
@@ -98,10 +98,10 @@
 	waiting []*sequence
 	running []*sequence
 	streams map[string]*sequence
-	// over holds the sequences that have ended, in that order, until they are forgotten.
-	over     []*sequence
+	// ended holds the sequences that have ended, in that order, until they are forgotten.
+	ended     []*sequence
 	prefixes *prefixCache
-	load     lagging
+	load     laggedLoad
 }
 
 // NewEngine starts an engine; it decodes until Close.
@@ -114,9 +114,9 @@
 		closing:  make(chan struct{}),
 		streams:  make(map[string]*sequence),
 		prefixes: newPrefixCache(cfg.PrefixBlocks),
-		load:     lagging{lag: cfg.LoadLag},
+		load:     laggedLoad{lag: cfg.LoadLag},
 	}
-	e.load.set(Load{Slots: cfg.Slots})
+	e.load.record(Load{Slots: cfg.Slots})
 	e.router = e.routes()
 	e.wg.Go(e.decode)
 	return e
@@ -127,7 +127,7 @@
 	e.mu.Lock()
 	e.faults = faults
 	e.mu.Unlock()
-	e.signal()
+	e.wakeDecoder()
 }
 
 // Faults returns what goes wrong.
@@ -141,17 +141,17 @@
 func (e *Engine) Load() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.load.get()
+	return e.load.reported()
 }
 
-// RunsOf returns how often a request with the X-Request-Id ran.
-func (e *Engine) RunsOf(requestID string) int { return e.runs.count(e.runs.requestIDs, requestID) }
+// RunsByRequestID returns how often a request with the X-Request-Id ran.
+func (e *Engine) RunsByRequestID(requestID string) int { return e.runs.count(e.runs.startsByRequestID, requestID) }
 
-// RunsOfContent returns how often a body with the proof ran.
-func (e *Engine) RunsOfContent(proof Proof) int { return e.runs.countProof(proof) }
+// RunsByDigest returns how often a body with the proof ran.
+func (e *Engine) RunsByDigest(digest Proof) int { return e.runs.countDigest(digest) }
 
 // Runs returns the runs that ended after the one numbered seq.
-func (e *Engine) Runs(seq uint64) []Run { return e.runs.after(seq) }
+func (e *Engine) Runs(seq uint64) []Run { return e.runs.endedAfter(seq) }
 
 // ServeHTTP answers the OpenAI-style interface, the resumption of streams and GET /load.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
@@ -162,36 +162,36 @@
 	e.wg.Wait()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropAll()
+	e.cancelAll()
 	return nil
 }
 
 // Crash loses every request and the prefix cache, as a process that dies does, and calls the configured Crash.
 func (e *Engine) Crash() {
 	e.mu.Lock()
-	e.dropAll()
+	e.cancelAll()
 	e.mu.Unlock()
 	if e.cfg.Crash != nil {
-		e.cfg.Crash(e.cfg.CrashFor)
+		e.cfg.Crash(e.cfg.CrashDowntime)
 	}
 }
 
-func (e *Engine) dropAll() {
+func (e *Engine) cancelAll() {
 	for _, s := range append(e.waiting, e.running...) {
 		e.cancel(s)
 	}
 	e.waiting, e.running = nil, nil
 	e.streams = make(map[string]*sequence)
-	e.over = nil
+	e.ended = nil
 	e.prefixes = newPrefixCache(e.cfg.PrefixBlocks)
-	e.report()
+	e.recordLoad()
 }
 
-func (e *Engine) report() {
-	e.load.set(Load{Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots})
+func (e *Engine) recordLoad() {
+	e.load.record(Load{Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots})
 }
 
-func (e *Engine) signal() {
+func (e *Engine) wakeDecoder() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/pomelofake/engine_test.go
+++ b/pomelofake/engine_test.go
@@ -20,8 +20,8 @@
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":%d,"ignore_eos":true,"stream":%t}`, text, tokens, stream)
 }
 
-// wholeText is what a whole answer to the body says.
-func wholeText(body string, tokens int) string {
+// expectedText is what a whole answer to the body says.
+func expectedText(body string, tokens int) string {
 	var text strings.Builder
 	for n := range tokens {
 		text.WriteString(pomelofake.ProofOf([]byte(body)).Token(n))
@@ -29,8 +29,8 @@
 	return text.String()
 }
 
-// streamed returns the text of a stream's events and whether it ended as it should.
-func streamed(t *testing.T, raw string) (string, bool) {
+// streamText returns the text of a stream's events and whether it ended as it should.
+func streamText(t *testing.T, raw string) (string, bool) {
 	t.Helper()
 	var text strings.Builder
 	done := false
@@ -46,7 +46,7 @@
 	return text.String(), done
 }
 
-func testEngine(t *testing.T, cfg pomelofake.EngineConfig) (*pomelofake.Engine, *http.Client) {
+func newTestEngine(t *testing.T, cfg pomelofake.EngineConfig) (*pomelofake.Engine, *http.Client) {
 	t.Helper()
 	cfg.Model = "m"
 	var host *pomelofake.Host
@@ -60,7 +60,7 @@
 
 func TestEngineAnswersWithProofAndUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine, client := testEngine(t, pomelofake.EngineConfig{})
+		engine, client := newTestEngine(t, pomelofake.EngineConfig{})
 		for _, stream := range []bool{false, true} {
 			body := chatBody("a clasp", 5, stream)
 			id := fmt.Sprint("r", stream)
@@ -68,15 +68,15 @@
 			if status != http.StatusOK || header.Get("X-Request-Id") != id {
 				t.Fatalf("status %d, id %q", status, header.Get("X-Request-Id"))
 			}
-			got, done := streamed(t, text)
-			if got != wholeText(body, 5) || done != stream {
+			got, done := streamText(t, text)
+			if got != expectedText(body, 5) || done != stream {
 				t.Errorf("stream %v: got %q, done %v", stream, got, done)
 			}
 			if !strings.Contains(text, `"completion_tokens":5`) {
 				t.Errorf("no usage in %s", text)
 			}
-			if engine.RunsOf(id) != 1 {
-				t.Errorf("%s ran %d times", id, engine.RunsOf(id))
+			if engine.RunsByRequestID(id) != 1 {
+				t.Errorf("%s ran %d times", id, engine.RunsByRequestID(id))
 			}
 		}
 	})
@@ -85,11 +85,11 @@
 func TestEngineBatchesAndReportsLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := pomelofake.EngineConfig{Slots: 2, StepTime: 10 * time.Millisecond, LoadLag: 100 * time.Millisecond}
-		engine, client := testEngine(t, cfg)
+		engine, client := newTestEngine(t, cfg)
 		began := time.Now()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range 4 {
-			all.Go(func() { call(t, client, http.MethodPost, chatPath, chatBody(fmt.Sprint(i), 9, false)) })
+			wg.Go(func() { call(t, client, http.MethodPost, chatPath, chatBody(fmt.Sprint(i), 9, false)) })
 		}
 		time.Sleep(50 * time.Millisecond)
 		if load := engine.Load(); load.Running != 0 {
@@ -99,7 +99,7 @@
 		if load := engine.Load(); load != (pomelofake.Load{Running: 2, Waiting: 2, Slots: 2}) {
 			t.Errorf("the load is %+v after the lag", load)
 		}
-		all.Wait()
+		wg.Wait()
 		// Two batches of a prefill step and nine decode steps each.
 		if took := time.Since(began); took != 200*time.Millisecond {
 			t.Errorf("took %s, want 200ms", took)
@@ -109,7 +109,7 @@
 
 func TestEnginePrefixCacheShortensPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine, client := testEngine(t, pomelofake.EngineConfig{PrefixBlocks: 20, PrefillPerStep: 10})
+		engine, client := newTestEngine(t, pomelofake.EngineConfig{PrefixBlocks: 20, PrefillPerStep: 10})
 		long := strings.Repeat("narrative ", 100)
 		for range 2 {
 			call(t, client, http.MethodPost, chatPath, chatBody(long, 1, false))
@@ -129,7 +129,7 @@
 // A connection breaks in the middle of a stream; the caller comes back with the last event it has.
 func TestEngineResumesBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine, client := testEngine(t, pomelofake.EngineConfig{})
+		engine, client := newTestEngine(t, pomelofake.EngineConfig{})
 		engine.SetFaults(pomelofake.EngineFaults{Cuts: 1, CutAfter: 3})
 		body := chatBody("a long grant narrative", 10, true)
 		status, first, _ := call(t, client, http.MethodPost, chatPath, body, "X-Request-Id", "r1")
@@ -137,13 +137,13 @@
 			t.Fatal("the stream was not cut")
 		}
 		status, rest, _ := call(t, client, http.MethodPost, "/v1/streams/r1", "", "Last-Event-ID", "3")
-		begun, _ := streamed(t, first)
-		ended, done := streamed(t, rest)
-		if status != http.StatusOK || begun+ended != wholeText(body, 10) || !done {
-			t.Errorf("got %q and %q, done %v", begun, ended, done)
+		firstText, _ := streamText(t, first)
+		restText, done := streamText(t, rest)
+		if status != http.StatusOK || firstText+restText != expectedText(body, 10) || !done {
+			t.Errorf("got %q and %q, done %v", firstText, restText, done)
 		}
-		if engine.RunsOf("r1") != 1 {
-			t.Errorf("ran %d times", engine.RunsOf("r1"))
+		if engine.RunsByRequestID("r1") != 1 {
+			t.Errorf("ran %d times", engine.RunsByRequestID("r1"))
 		}
 		if status, _, _ := call(t, client, http.MethodPost, "/v1/streams/r2", ""); status != http.StatusNotFound {
 			t.Errorf("an unknown stream is answered %d", status)
@@ -154,7 +154,7 @@
 // A caller goes away for good. The engine must not decode to the end for nobody, but only after the time for a resume.
 func TestEngineCancelsAfterGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine, client := testEngine(t, pomelofake.EngineConfig{StepTime: 10 * time.Millisecond})
+		engine, client := newTestEngine(t, pomelofake.EngineConfig{StepTime: 10 * time.Millisecond})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://stand.in"+chatPath, strings.NewReader(chatBody("gone", 10000, true)))
@@ -182,10 +182,10 @@
 // One request makes the engine that runs it crash. Everyone's connection there breaks and none is accepted for a while.
 func TestEngineCrashesOnMarkedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := pomelofake.EngineConfig{CrashMarker: "poison", CrashFor: time.Second}
-		engine, client := testEngine(t, cfg)
-		var all sync.WaitGroup
-		all.Go(func() {
+		cfg := pomelofake.EngineConfig{CrashMarker: "poison", CrashDowntime: time.Second}
+		engine, client := newTestEngine(t, cfg)
+		var wg sync.WaitGroup
+		wg.Go(func() {
 			if status, _, _ := call(t, client, http.MethodPost, chatPath, chatBody("good", 1000, false)); status != 0 {
 				t.Errorf("the neighbour was answered %d", status)
 			}
@@ -194,7 +194,7 @@
 		if status, _, _ := call(t, client, http.MethodPost, chatPath, chatBody("poison", 5, false)); status != 0 {
 			t.Errorf("the marked request was answered %d", status)
 		}
-		all.Wait()
+		wg.Wait()
 		if status, text, _ := call(t, client, http.MethodGet, "/load", ""); status != 0 {
 			t.Errorf("answered %d %s while down", status, text)
 		}
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -14,16 +14,16 @@
 	mu        sync.Mutex
 	revision  pomelorelay.Revision
 	changed   chan struct{}
-	down      bool
+	unavailable      bool
 	config    *pomelorelay.FleetConfig
-	configAt  pomelorelay.Revision
+	configRevision  pomelorelay.Revision
 	upstreams map[pomelorelay.UpstreamID]fleetEntry
 	peers     map[pomelorelay.NodeID]fleetEntry
 	evacuated map[pomelorelay.DomainID]fleetEntry
 	leases    map[pomelorelay.LeaseID]pomelorelay.NodeID
 	nextLease pomelorelay.LeaseID
-	// oldest is the revision from which the history is kept.
-	oldest pomelorelay.Revision
+	// compactedAt is the revision from which the history is kept.
+	compactedAt pomelorelay.Revision
 	calls  FleetCalls
 	// Decode reads the documents that peers give; it is required where routers give each other configurations.
 	Decode func(document []byte) (*pomelorelay.FleetConfig, error)
@@ -31,8 +31,8 @@
 
 // fleetEntry is an upstream, a router or an evacuation at a revision, or the mark that one was removed.
 type fleetEntry struct {
-	at       pomelorelay.Revision
-	gone     bool
+	revision       pomelorelay.Revision
+	deleted     bool
 	upstream pomelorelay.FleetUpstream
 	peer     pomelorelay.Peer
 }
@@ -48,59 +48,59 @@
 	}
 }
 
-// change runs f as one change and wakes the watches.
-func (s *FleetStore) change(f func(at pomelorelay.Revision)) {
+// commit runs f as one change and wakes the watches.
+func (s *FleetStore) commit(apply func(at pomelorelay.Revision)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	f(s.revision)
+	apply(s.revision)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Publish puts a configuration into the store.
 func (s *FleetStore) Publish(config *pomelorelay.FleetConfig) {
-	s.change(func(at pomelorelay.Revision) { s.config, s.configAt = config, at })
+	s.commit(func(at pomelorelay.Revision) { s.config, s.configRevision = config, at })
 }
 
 // Put writes an upstream's entry.
 func (s *FleetStore) Put(u pomelorelay.FleetUpstream) {
-	s.change(func(at pomelorelay.Revision) { s.upstreams[u.ID] = fleetEntry{at: at, upstream: u} })
+	s.commit(func(at pomelorelay.Revision) { s.upstreams[u.ID] = fleetEntry{revision: at, upstream: u} })
 }
 
 // Drop removes an upstream's entry.
 func (s *FleetStore) Drop(id pomelorelay.UpstreamID) {
-	s.change(func(at pomelorelay.Revision) { s.upstreams[id] = fleetEntry{at: at, gone: true} })
+	s.commit(func(at pomelorelay.Revision) { s.upstreams[id] = fleetEntry{revision: at, deleted: true} })
 }
 
 // Evacuate writes the evacuation of a failure domain.
 func (s *FleetStore) Evacuate(domain pomelorelay.DomainID) {
-	s.change(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{at: at} })
+	s.commit(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{revision: at} })
 }
 
 // Restore takes an evacuation back.
 func (s *FleetStore) Restore(domain pomelorelay.DomainID) {
-	s.change(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{at: at, gone: true} })
+	s.commit(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{revision: at, deleted: true} })
 }
 
 // SetDown makes every call fail, or ends that.
-func (s *FleetStore) SetDown(down bool) {
-	s.change(func(pomelorelay.Revision) { s.down = down })
+func (s *FleetStore) SetDown(unavailable bool) {
+	s.commit(func(pomelorelay.Revision) { s.unavailable = unavailable })
 }
 
 // Lapse ends every lease of a router, as an outage does.
 func (s *FleetStore) Lapse() {
-	s.change(func(at pomelorelay.Revision) {
+	s.commit(func(at pomelorelay.Revision) {
 		for lease, node := range s.leases {
 			delete(s.leases, lease)
-			s.peers[node] = fleetEntry{at: at, gone: true}
+			s.peers[node] = fleetEntry{revision: at, deleted: true}
 		}
 	})
 }
 
 // Compact drops the history, so that watches must read everything anew.
 func (s *FleetStore) Compact() {
-	s.change(func(at pomelorelay.Revision) { s.oldest = at })
+	s.commit(func(at pomelorelay.Revision) { s.compactedAt = at })
 }
 
 // FleetCalls counts the calls that routers made, answered or not.
@@ -113,7 +113,7 @@
 	return s.calls
 }
 
-func (s *FleetStore) count(calls *int) {
+func (s *FleetStore) countCall(calls *int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*calls++
@@ -123,7 +123,7 @@
 type View struct {
 	s   *FleetStore
 	mu  sync.Mutex
-	cut bool
+	partitioned bool
 }
 
 var _ pomelorelay.Platform = (*View)(nil)
@@ -132,30 +132,30 @@
 func (s *FleetStore) View() *View { return &View{s: s} }
 
 // SetCut parts the router from the store, or ends that.
-func (v *View) SetCut(cut bool) {
+func (v *View) SetCut(partitioned bool) {
 	v.mu.Lock()
-	v.cut = cut
+	v.partitioned = partitioned
 	v.mu.Unlock()
-	v.s.change(func(pomelorelay.Revision) {})
+	v.s.commit(func(pomelorelay.Revision) {})
 }
 
-func (v *View) reaches() error {
+func (v *View) availableLocked() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.cut || v.s.down {
+	if v.partitioned || v.s.unavailable {
 		return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "", nil)
 	}
 	return nil
 }
 
 // await waits until fresh reports something, at most for the wait; it fails when the store cannot be reached.
-func (v *View) await(ctx context.Context, wait time.Duration, fresh func() bool) error {
-	over := time.NewTimer(wait)
-	defer over.Stop()
+func (v *View) await(ctx context.Context, wait time.Duration, ready func() bool) error {
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		v.s.mu.Lock()
-		err := v.reaches()
-		if err != nil || fresh() {
+		err := v.availableLocked()
+		if err != nil || ready() {
 			v.s.mu.Unlock()
 			return err
 		}
@@ -164,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 			return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "", ctx.Err())
-		case <-over.C:
+		case <-timeout.C:
 			return nil
 		case <-changed:
 		}
@@ -173,7 +173,7 @@
 
 // Read returns everything; see pomelorelay.Platform. It is never stale here.
 func (v *View) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
-	v.s.count(&v.s.calls.Reads)
+	v.s.countCall(&v.s.calls.Reads)
 	change := pomelorelay.FleetChange{Whole: true}
 	err := v.await(ctx, 0, func() bool {
 		v.s.collect(&change, 0)
@@ -184,11 +184,11 @@
 
 // Watch returns what changed after a revision; see pomelorelay.Platform.
 func (v *View) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
-	v.s.count(&v.s.calls.Watches)
+	v.s.countCall(&v.s.calls.Watches)
 	var change pomelorelay.FleetChange
 	compacted := false
 	err := v.await(ctx, wait, func() bool {
-		compacted = after < v.s.oldest
+		compacted = after < v.s.compactedAt
 		return compacted || v.s.collect(&change, after)
 	})
 	if err == nil && compacted {
@@ -200,17 +200,17 @@
 // collect adds to the change what happened after the revision; it reports whether anything did. The mutex is held.
 func (s *FleetStore) collect(change *pomelorelay.FleetChange, after pomelorelay.Revision) bool {
 	change.At = s.revision
-	if s.config != nil && s.configAt > after {
+	if s.config != nil && s.configRevision > after {
 		change.Config = s.config
 	}
 	changed := change.Config != nil
-	add := func(e fleetEntry, present, gone func()) {
-		if e.at <= after {
+	add := func(e fleetEntry, present, deleted func()) {
+		if e.revision <= after {
 			return
 		}
 		changed = true
-		if e.gone {
-			gone()
+		if e.deleted {
+			deleted()
 			return
 		}
 		present()
@@ -234,31 +234,31 @@
 
 // Announce registers a router; see pomelorelay.Platform. Leases do not lapse by themselves here.
 func (v *View) Announce(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
-	v.s.count(&v.s.calls.Announces)
-	if err := v.reachesNow(); err != nil {
+	v.s.countCall(&v.s.calls.Announces)
+	if err := v.available(); err != nil {
 		return 0, err
 	}
 	var lease pomelorelay.LeaseID
-	v.s.change(func(at pomelorelay.Revision) {
+	v.s.commit(func(at pomelorelay.Revision) {
 		v.s.nextLease++
 		lease = v.s.nextLease
 		v.s.leases[lease] = self.Node
-		v.s.peers[self.Node] = fleetEntry{at: at, peer: self}
+		v.s.peers[self.Node] = fleetEntry{revision: at, peer: self}
 	})
 	return lease, nil
 }
 
-func (v *View) reachesNow() error {
+func (v *View) available() error {
 	v.s.mu.Lock()
 	defer v.s.mu.Unlock()
-	return v.reaches()
+	return v.availableLocked()
 }
 
 // RenewLease renews a lease; it fails with CodeStoreLeaseLapsed when it has ended.
 func (v *View) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	v.s.mu.Lock()
 	defer v.s.mu.Unlock()
-	if err := v.reaches(); err != nil {
+	if err := v.availableLocked(); err != nil {
 		return err
 	}
 	if _, ok := v.s.leases[lease]; !ok {
@@ -269,13 +269,13 @@
 
 // CloseLease ends a lease and removes its router.
 func (v *View) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
-	if err := v.reachesNow(); err != nil {
+	if err := v.available(); err != nil {
 		return err
 	}
-	v.s.change(func(at pomelorelay.Revision) {
+	v.s.commit(func(at pomelorelay.Revision) {
 		if node, ok := v.s.leases[lease]; ok {
 			delete(v.s.leases, lease)
-			v.s.peers[node] = fleetEntry{at: at, gone: true}
+			v.s.peers[node] = fleetEntry{revision: at, deleted: true}
 		}
 	})
 	return nil
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -41,10 +41,10 @@
 		f.Wait = time.Duration(ms) * time.Millisecond
 	}
 	in, out, _ := strings.Cut(head.Get(FieldTokens), ",")
-	f.Prompt, f.Output = count(in), count(out)
+	f.Prompt, f.Output = parseTokens(in), parseTokens(out)
 	for _, part := range strings.Fields(head.Get(FieldParts)) {
 		hash, tokens, _ := strings.Cut(part, ":")
-		f.Parts = append(f.Parts, pomelorelay.PromptPart{Hash: uint64(count(hash)), Tokens: count(tokens)})
+		f.Parts = append(f.Parts, pomelorelay.PromptPart{Hash: uint64(parseTokens(hash)), Tokens: parseTokens(tokens)})
 	}
 	if id, err := strconv.ParseUint(head.Get(FieldLast), 10, 64); err == nil {
 		f.LastEvent, f.HasLastEvent = id, true
@@ -52,7 +52,7 @@
 	return f
 }
 
-func count(text string) pomelorelay.Tokens {
+func parseTokens(text string) pomelorelay.Tokens {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
--- a/pomelofake/host.go
+++ b/pomelofake/host.go
@@ -14,8 +14,8 @@
 	Handler http.Handler
 }
 
-// relistenPause is the time between two tries to listen again after a crash.
-const relistenPause = 10 * time.Millisecond
+// relistenInterval is the time between two tries to listen again after a crash.
+const relistenInterval = 10 * time.Millisecond
 
 // Host serves a stand-in on a listener and can crash: it closes every connection and refuses new ones for a while.
 type Host struct {
@@ -63,7 +63,7 @@
 	h.down = true
 	_ = h.server.Close()
 	h.wg.Go(func() {
-		if !h.pause(downFor) {
+		if !h.waitOrClosing(downFor) {
 			return
 		}
 		h.relisten()
@@ -76,17 +76,17 @@
 		l, err := h.cfg.Listen()
 		if err == nil {
 			h.serve(l)
-			h.closeIfClosing()
+			h.closeLateServer()
 			return
 		}
-		if !h.pause(relistenPause) {
+		if !h.waitOrClosing(relistenInterval) {
 			return
 		}
 	}
 }
 
-// closeIfClosing ends a server that came too late: Close may have passed between listening and serving; without this check the new server would outlive it.
-func (h *Host) closeIfClosing() {
+// closeLateServer ends a server that came too late: Close may have passed between listening and serving; without this check the new server would outlive it.
+func (h *Host) closeLateServer() {
 	select {
 	case <-h.closing:
 		h.mu.Lock()
@@ -96,7 +96,7 @@
 	}
 }
 
-func (h *Host) pause(d time.Duration) bool {
+func (h *Host) waitOrClosing(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/pomelofake/hostlist.go
+++ b/pomelofake/hostlist.go
@@ -35,13 +35,13 @@
 }
 
 type hostVersion struct {
-	shows time.Time
+	visibleAt time.Time
 	hosts []pomelorelay.Host
 }
 
 // NewHostList returns a list that shows its first hosts at once.
 func NewHostList(cfg HostListConfig) *HostList {
-	first := hostVersion{shows: time.Now(), hosts: slices.Clone(cfg.Hosts)}
+	first := hostVersion{visibleAt: time.Now(), hosts: slices.Clone(cfg.Hosts)}
 	return &HostList{cfg: cfg, versions: []hostVersion{first}}
 }
 
@@ -67,9 +67,9 @@
 }
 
 func (l *HostList) set(hosts []pomelorelay.Host) time.Time {
-	shows := time.Now().Add(l.cfg.Lag)
-	l.versions = append(l.versions, hostVersion{shows, hosts})
-	return shows
+	visibleAt := time.Now().Add(l.cfg.Lag)
+	l.versions = append(l.versions, hostVersion{visibleAt, hosts})
+	return visibleAt
 }
 
 // Leave marks a host as leaving and returns when that shows; it reports false when there is no such host.
@@ -85,7 +85,7 @@
 	return l.set(hosts), true
 }
 
-func (l *HostList) has(name string) bool {
+func (l *HostList) contains(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newest := l.versions[len(l.versions)-1].hosts
@@ -101,12 +101,12 @@
 	return l.set(hosts)
 }
 
-// Shown returns the list as it now shows.
-func (l *HostList) Shown() []pomelorelay.Host {
+// Visible returns the list as it now shows.
+func (l *HostList) Visible() []pomelorelay.Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for len(l.versions) > 1 && !l.versions[1].shows.After(now) {
+	for len(l.versions) > 1 && !l.versions[1].visibleAt.After(now) {
 		l.versions = l.versions[1:]
 	}
 	return slices.Clone(l.versions[0].hosts)
@@ -126,7 +126,7 @@
 	if faults.Slow > 0 && !sleep(r, faults.Slow) {
 		return
 	}
-	writeJSON(w, http.StatusOK, l.Shown())
+	writeJSON(w, http.StatusOK, l.Visible())
 }
 
 // Close does nothing; a HostList has nothing to end.
--- a/pomelofake/load.go
+++ b/pomelofake/load.go
@@ -13,25 +13,25 @@
 	Slots   int
 }
 
-// lagging keeps past loads, so that the report is as old as the lag.
-type lagging struct {
+// laggedLoad keeps past loads, so that the report is as old as the lag.
+type laggedLoad struct {
 	lag     time.Duration
-	history []loadAt
+	history []loadSample
 }
 
-type loadAt struct {
+type loadSample struct {
 	at   time.Time
 	load Load
 }
 
-func (g *lagging) set(load Load) {
+func (g *laggedLoad) record(load Load) {
 	now := time.Now()
-	g.history = append(g.history, loadAt{now, load})
+	g.history = append(g.history, loadSample{now, load})
 	g.trim(now)
 }
 
-// get returns the load as it was a lag ago.
-func (g *lagging) get() Load {
+// reported returns the load as it was a lag ago.
+func (g *laggedLoad) reported() Load {
 	g.trim(time.Now())
 	if len(g.history) == 0 {
 		return Load{}
@@ -40,7 +40,7 @@
 }
 
 // trim drops what is older than the newest load that is at least a lag old.
-func (g *lagging) trim(now time.Time) {
+func (g *laggedLoad) trim(now time.Time) {
 	for len(g.history) > 1 && now.Sub(g.history[1].at) >= g.lag {
 		g.history = g.history[1:]
 	}
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -7,15 +7,15 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// meshInbox is the number of messages that may wait for a router; further ones are lost, as on a full link.
-const meshInbox = 4096
+// meshInboxSize is the number of messages that may wait for a router; further ones are lost, as on a full link.
+const meshInboxSize = 4096
 
 // Network carries messages between the Meshes of one process, and loses those that a cut forbids.
 type Network struct {
 	mu     sync.Mutex
 	meshes map[pomelorelay.NodeID]*Mesh
-	cut    func(from, to pomelorelay.Peer) bool
-	lost   func(to pomelorelay.Peer, m pomelorelay.Message) bool
+	partitioned    func(from, to pomelorelay.Peer) bool
+	dropped   func(to pomelorelay.Peer, m pomelorelay.Message) bool
 }
 
 // NewNetwork returns a network without cuts.
@@ -24,30 +24,30 @@
 }
 
 // Cut loses every message for which lost returns true from now on; nil heals the network.
-func (n *Network) Cut(lost func(from, to pomelorelay.Peer) bool) {
+func (n *Network) Cut(partitioned func(from, to pomelorelay.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = lost
+	n.partitioned = partitioned
 }
 
 // Lose loses every single message for which lost returns true from now on; nil ends it.
-func (n *Network) Lose(lost func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
+func (n *Network) Lose(dropped func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lost = lost
+	n.dropped = dropped
 }
 
 // Join adds a router; an earlier start of the same router no longer gets messages.
 func (n *Network) Join(self pomelorelay.Peer, incarnation pomelorelay.Incarnation) *Mesh {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := &Mesh{network: n, self: self, incarnation: incarnation, inbox: make(chan pomelorelay.Envelope, meshInbox)}
+	m := &Mesh{network: n, self: self, incarnation: incarnation, inbox: make(chan pomelorelay.Envelope, meshInboxSize)}
 	n.meshes[self.Node] = m
 	return m
 }
 
-// at returns the router that joined with the address.
-func (n *Network) at(addr netip.AddrPort) (pomelorelay.NodeID, bool) {
+// nodeAt returns the router that joined with the address.
+func (n *Network) nodeAt(addr netip.AddrPort) (pomelorelay.NodeID, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for node, m := range n.meshes {
@@ -75,7 +75,7 @@
 
 // Contact sends a message to the router whose address it is.
 func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
-	node, ok := m.network.at(addr)
+	node, ok := m.network.nodeAt(addr)
 	if !ok {
 		return nil
 	}
@@ -93,16 +93,16 @@
 func (m *Mesh) Send(to pomelorelay.NodeID, message pomelorelay.Message) error {
 	m.network.mu.Lock()
 	peer, ok := m.network.meshes[to]
-	cut, lost := m.network.cut, m.network.lost
+	partitioned, dropped := m.network.partitioned, m.network.dropped
 	m.network.mu.Unlock()
 	if !ok {
 		return pomelorelay.NewError(pomelorelay.CodeMeshUnknownPeer, string(to), nil)
 	}
-	if cut != nil && cut(m.self, peer.self) || lost != nil && lost(peer.self, message) {
+	if partitioned != nil && partitioned(m.self, peer.self) || dropped != nil && dropped(peer.self, message) {
 		return nil
 	}
 	m.mu.Lock()
-	m.traffic[m.class(peer)].Sent++
+	m.traffic[m.linkClass(peer)].Sent++
 	e := pomelorelay.Envelope{From: m.self.Node, Incarnation: m.incarnation, Domain: m.self.Domain, Region: m.self.Region, Generation: m.generation, Message: message}
 	m.mu.Unlock()
 	select {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (m *Mesh) class(peer *Mesh) pomelorelay.LinkClass {
+func (m *Mesh) linkClass(peer *Mesh) pomelorelay.LinkClass {
 	switch {
 	case peer.self.Domain == m.self.Domain:
 		return pomelorelay.LinkDomain
--- a/pomelofake/network_test.go
+++ b/pomelofake/network_test.go
@@ -14,8 +14,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// network is a listener in memory, so that tests run on virtual time.
-type network struct {
+// memoryNetwork is a listener in memory, so that tests run on virtual time.
+type memoryNetwork struct {
 	mu       sync.Mutex
 	listener *pipeListener
 }
@@ -47,7 +47,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return pipeAddr{} }
 
-func (n *network) listen() (net.Listener, error) {
+func (n *memoryNetwork) listen() (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listener = &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -56,14 +56,14 @@
 
 var errRefused = errors.New("connection refused")
 
-func (n *network) dial() (net.Conn, error) {
+func (n *memoryNetwork) dial() (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listener
 	n.mu.Unlock()
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, errRefused
 	}
@@ -72,7 +72,7 @@
 // serve hosts the handler in memory and returns a client of it; both end with the test.
 func serve(t *testing.T, handler http.Handler) (*http.Client, *pomelofake.Host) {
 	t.Helper()
-	n := &network{}
+	n := &memoryNetwork{}
 	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: n.listen, Handler: handler})
 	if err != nil {
 		t.Fatal(err)
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -23,13 +23,13 @@
 	Padding int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// NoEcho leaves X-Request-Id out of the answers, as services do that do not know of it.
-	NoEcho bool
+	// OmitRequestID leaves X-Request-Id out of the answers, as services do that do not know of it.
+	OmitRequestID bool
 }
 
 const (
-	defaultMinTime = 5 * time.Millisecond
-	defaultSpread  = 20 * time.Millisecond
+	defaultMinRunTime = 5 * time.Millisecond
+	defaultRunTimeSpread  = 20 * time.Millisecond
 )
 
 // PlainFaults are what goes wrong at a Plain; the zero value is none.
@@ -76,23 +76,23 @@
 	faults   PlainFaults
 	requests int
 	waiting  int
-	load     lagging
-	// partner is the answer that waits to be crossed with the next.
-	partner *crossing
+	load     laggedLoad
+	// swap is the answer that waits to be crossed with the next.
+	swap *pendingSwap
 }
 
 // NewPlain returns a plain service; it has no goroutines of its own.
 func NewPlain(cfg PlainConfig) *Plain {
 	defaultInt(&cfg.Slots, defaultSlots)
-	defaultDuration(&cfg.MinTime, defaultMinTime)
-	defaultDuration(&cfg.Spread, defaultSpread)
+	defaultDuration(&cfg.MinTime, defaultMinRunTime)
+	defaultDuration(&cfg.Spread, defaultRunTimeSpread)
 	p := &Plain{
 		cfg:   cfg,
 		runs:  newRunLog(),
 		slots: make(chan struct{}, cfg.Slots),
-		load:  lagging{lag: cfg.LoadLag},
+		load:  laggedLoad{lag: cfg.LoadLag},
 	}
-	p.load.set(Load{Slots: cfg.Slots})
+	p.load.record(Load{Slots: cfg.Slots})
 	p.router = p.routes()
 	return p
 }
@@ -102,7 +102,7 @@
 	router.HandleFunc("/load", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, p.Load())
 	}).Methods(http.MethodGet)
-	router.PathPrefix("/").HandlerFunc(p.call)
+	router.PathPrefix("/").HandlerFunc(p.handleCall)
 	return router
 }
 
@@ -125,17 +125,17 @@
 func (p *Plain) Load() Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.load.get()
+	return p.load.reported()
 }
 
 // RunsOf returns how often a request with the Idempotency-Key ran.
-func (p *Plain) RunsOf(key string) int { return p.runs.count(p.runs.keys, key) }
+func (p *Plain) RunsOf(key string) int { return p.runs.count(p.runs.startsByKey, key) }
 
-// RunsOfContent returns how often a request with the proof ran.
-func (p *Plain) RunsOfContent(proof Proof) int { return p.runs.countProof(proof) }
+// RunsByDigest returns how often a request with the proof ran.
+func (p *Plain) RunsByDigest(digest Proof) int { return p.runs.countDigest(digest) }
 
 // Runs returns the runs that ended after the one numbered seq.
-func (p *Plain) Runs(seq uint64) []Run { return p.runs.after(seq) }
+func (p *Plain) Runs(seq uint64) []Run { return p.runs.endedAfter(seq) }
 
 // ServeHTTP runs the request, whatever its method and path, and answers GET /load.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
@@ -143,14 +143,14 @@
 // Close does nothing; a Plain has nothing to end.
 func (p *Plain) Close() error { return nil }
 
-func (p *Plain) call(w http.ResponseWriter, r *http.Request) {
+func (p *Plain) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	if err != nil {
 		return
 	}
-	faults := p.drawFaults()
+	faults := p.nextFaults()
 	if faults.Refuse {
-		refuse(w)
+		writeRefusal(w)
 		return
 	}
 	if faults.CutEarly {
@@ -164,13 +164,13 @@
 		return
 	}
 	if faults.Crossed {
-		answer = p.cross(answer)
+		answer = p.swapAnswer(answer)
 	}
-	p.send(w, answer, faults)
+	p.writeAnswer(w, answer, faults)
 }
 
-// drawFaults returns the faults that hit the next request.
-func (p *Plain) drawFaults() PlainFaults {
+// nextFaults returns the faults that hit the next request.
+func (p *Plain) nextFaults() PlainFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests++
@@ -183,17 +183,17 @@
 // run takes a slot and runs the request; it reports false when the caller went while the request waited. A request
 // that has started runs to its end, as a booking does whose caller has gone.
 func (p *Plain) run(r *http.Request, body []byte) (PlainAnswer, bool) {
-	if !p.takeSlot(r) {
+	if !p.acquireSlot(r) {
 		return PlainAnswer{}, false
 	}
-	proof := requestProof(r, body)
-	key := r.Header.Get(headerKey)
-	run := p.runs.start(key, r.Header.Get(headerRequestID), proof)
-	time.Sleep(p.slotTime(proof, body))
+	digest := requestDigest(r, body)
+	key := r.Header.Get(headerIdempotencyKey)
+	run := p.runs.start(key, r.Header.Get(headerRequestID), digest)
+	time.Sleep(p.runTime(digest, body))
 	p.runs.end(run)
-	p.freeSlot()
+	p.releaseSlot()
 	answer := PlainAnswer{
-		Proof:     proof,
+		Proof:     digest,
 		Key:       key,
 		RequestID: run.RequestID,
 		Run:       p.RunsOf(key),
@@ -202,9 +202,9 @@
 	return answer, true
 }
 
-func (p *Plain) takeSlot(r *http.Request) bool {
-	p.report(1)
-	defer p.report(-1)
+func (p *Plain) acquireSlot(r *http.Request) bool {
+	p.recordLoad(1)
+	defer p.recordLoad(-1)
 	select {
 	case p.slots <- struct{}{}:
 		return true
@@ -213,35 +213,35 @@
 	}
 }
 
-func (p *Plain) freeSlot() {
+func (p *Plain) releaseSlot() {
 	<-p.slots
-	p.report(0)
+	p.recordLoad(0)
 }
 
-func (p *Plain) report(waiting int) {
+func (p *Plain) recordLoad(waitingDelta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting += waiting
-	p.load.set(Load{Running: len(p.slots), Waiting: p.waiting, Slots: p.cfg.Slots})
+	p.waiting += waitingDelta
+	p.load.record(Load{Running: len(p.slots), Waiting: p.waiting, Slots: p.cfg.Slots})
 }
 
-// requestProof is the proof of the body, or of the path where there is none.
-func requestProof(r *http.Request, body []byte) Proof {
+// requestDigest is the proof of the body, or of the path where there is none.
+func requestDigest(r *http.Request, body []byte) Proof {
 	if len(body) == 0 {
 		return ProofOf([]byte(r.URL.RequestURI()))
 	}
 	return ProofOf(body)
 }
 
-// slotTime is what the body's SlotTime says, else drawn from the proof so that each run takes the same time.
-func (p *Plain) slotTime(proof Proof, body []byte) time.Duration {
-	var wish struct{ SlotTime string }
-	if json.Unmarshal(body, &wish) == nil && wish.SlotTime != "" {
-		if d, err := time.ParseDuration(wish.SlotTime); err == nil {
+// runTime is what the body's SlotTime says, else drawn from the proof so that each run takes the same time.
+func (p *Plain) runTime(digest Proof, body []byte) time.Duration {
+	var options struct{ SlotTime string }
+	if json.Unmarshal(body, &options) == nil && options.SlotTime != "" {
+		if d, err := time.ParseDuration(options.SlotTime); err == nil {
 			return d
 		}
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(proof))
+	_, _ = hash.Write([]byte(digest))
 	return p.cfg.MinTime + time.Duration(hash.Sum64()%uint64(p.cfg.Spread))
 }
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func book(t *testing.T, client *http.Client, key, body string) (int, pomelofake.PlainAnswer) {
+func postBooking(t *testing.T, client *http.Client, key, body string) (int, pomelofake.PlainAnswer) {
 	t.Helper()
 	status, text, _ := call(t, client, http.MethodPost, "/bookings", body, "Idempotency-Key", key, "X-Request-Id", "id-"+key)
 	var answer pomelofake.PlainAnswer
@@ -29,15 +29,15 @@
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 1})
 		client, _ := serve(t, plain)
 		began := time.Now()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for range 3 {
-			all.Go(func() { book(t, client, "k1", `{"SlotTime":"100ms"}`) })
+			wg.Go(func() { postBooking(t, client, "k1", `{"SlotTime":"100ms"}`) })
 		}
-		all.Wait()
+		wg.Wait()
 		if took := time.Since(began); took != 300*time.Millisecond {
 			t.Errorf("one slot took %s for three runs, want 300ms", took)
 		}
-		status, answer := book(t, client, "k1", "resolder")
+		status, answer := postBooking(t, client, "k1", "resolder")
 		if status != http.StatusOK || answer.Run != 4 || plain.RunsOf("k1") != 4 {
 			t.Errorf("got %d %+v, counted %d", status, answer, plain.RunsOf("k1"))
 		}
@@ -54,7 +54,7 @@
 		client, _ := serve(t, plain)
 		for at := 0; ; at++ {
 			plain.SetFaults(pomelofake.PlainFaults{Cut: true, CutAt: at})
-			status, _ := book(t, client, fmt.Sprint("k", at), "resolder")
+			status, _ := postBooking(t, client, fmt.Sprint("k", at), "resolder")
 			if status == http.StatusOK {
 				if at < 100 {
 					t.Errorf("whole after %d bytes", at)
@@ -63,11 +63,11 @@
 			}
 		}
 		plain.SetFaults(pomelofake.PlainFaults{Short: 1})
-		if status, _ := book(t, client, "short", "resolder"); status != 0 {
+		if status, _ := postBooking(t, client, "short", "resolder"); status != 0 {
 			t.Errorf("an answer without its last byte is answered %d", status)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{CutEarly: true})
-		if status, _ := book(t, client, "early", "resolder"); status != 0 || plain.RunsOf("early") != 0 {
+		if status, _ := postBooking(t, client, "early", "resolder"); status != 0 || plain.RunsOf("early") != 0 {
 			t.Errorf("cut before the run: status %d, ran %d times", status, plain.RunsOf("early"))
 		}
 	})
@@ -79,16 +79,16 @@
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Crossed: true})
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, key := range []string{"k1", "k2"} {
-			all.Go(func() {
-				if _, answer := book(t, client, key, key); answer.Key == key {
+			wg.Go(func() {
+				if _, answer := postBooking(t, client, key, key); answer.Key == key {
 					t.Errorf("%s got its own answer", key)
 				}
 			})
 		}
-		all.Wait()
-		if _, answer := book(t, client, "k3", "k3"); answer.Key != "k3" {
+		wg.Wait()
+		if _, answer := postBooking(t, client, "k3", "k3"); answer.Key != "k3" {
 			t.Errorf("without a partner the answer is %+v", answer)
 		}
 	})
@@ -100,12 +100,12 @@
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Repeat: true})
-		if status, answer := book(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
+		if status, answer := postBooking(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
 			t.Errorf("repeated: %d %+v", status, answer)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{IdleClose: time.Second, Every: 2})
 		for _, key := range []string{"k2", "k3"} {
-			if status, _ := book(t, client, key, key); status != http.StatusOK {
+			if status, _ := postBooking(t, client, key, key); status != http.StatusOK {
 				t.Errorf("%s: status %d", key, status)
 			}
 		}
--- a/pomelofake/proof.go
+++ b/pomelofake/proof.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// proofTokenLength is how much of a proof each token of an engine's answer repeats.
-const proofTokenLength = 8
+// digestPrefixLength is how much of a proof each token of an engine's answer repeats.
+const digestPrefixLength = 8
 
 // Proof identifies a request's body; a stand-in's answer carries it, so that a caller can tell that the answer is its own.
 type Proof string
@@ -20,5 +20,5 @@
 
 // Token returns the text of the n-th token, counted from zero, that an engine answers to the request.
 func (p Proof) Token(n int) string {
-	return string(p[:proofTokenLength]) + "." + strconv.Itoa(n) + " "
+	return string(p[:digestPrefixLength]) + "." + strconv.Itoa(n) + " "
 }
--- a/pomelofake/rawanswer.go
+++ b/pomelofake/rawanswer.go
@@ -8,73 +8,73 @@
 	"time"
 )
 
-// crossWait is how long an answer waits for another to be swapped with.
-const crossWait = 200 * time.Millisecond
+// swapTimeout is how long an answer waits for another to be swapped with.
+const swapTimeout = 200 * time.Millisecond
 
-// crossing is an answer that waits for a partner.
-type crossing struct {
-	mine   PlainAnswer
-	theirs chan PlainAnswer
+// pendingSwap is an answer that waits for a partner.
+type pendingSwap struct {
+	own   PlainAnswer
+	partner chan PlainAnswer
 }
 
-// cross returns the answer of another request that is crossed too, or the own one when none comes.
-func (p *Plain) cross(answer PlainAnswer) PlainAnswer {
+// swapAnswer returns the answer of another request that is crossed too, or the own one when none comes.
+func (p *Plain) swapAnswer(answer PlainAnswer) PlainAnswer {
 	p.mu.Lock()
-	if other := p.partner; other != nil {
-		p.partner = nil
+	if other := p.swap; other != nil {
+		p.swap = nil
 		p.mu.Unlock()
-		other.theirs <- answer
-		return other.mine
+		other.partner <- answer
+		return other.own
 	}
-	c := &crossing{mine: answer, theirs: make(chan PlainAnswer, 1)}
-	p.partner = c
+	s := &pendingSwap{own: answer, partner: make(chan PlainAnswer, 1)}
+	p.swap = s
 	p.mu.Unlock()
-	timer := time.NewTimer(crossWait)
+	timer := time.NewTimer(swapTimeout)
 	defer timer.Stop()
 	select {
-	case theirs := <-c.theirs:
-		return theirs
+	case partner := <-s.partner:
+		return partner
 	case <-timer.C:
-		return p.leave(c)
+		return p.withdrawSwap(s)
 	}
 }
 
-func (p *Plain) leave(c *crossing) PlainAnswer {
+func (p *Plain) withdrawSwap(s *pendingSwap) PlainAnswer {
 	p.mu.Lock()
-	waits := p.partner == c
-	if waits {
-		p.partner = nil
+	pending := p.swap == s
+	if pending {
+		p.swap = nil
 	}
 	p.mu.Unlock()
-	if waits {
-		return c.mine
+	if pending {
+		return s.own
 	}
-	return <-c.theirs
+	return <-s.partner
 }
 
-func (p *Plain) send(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
-	if faults.needsConnection() {
-		p.sendRaw(w, answer, faults)
+func (p *Plain) writeAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
+	if faults.needsHijack() {
+		p.writeRawAnswer(w, answer, faults)
 		return
 	}
-	if answer.RequestID != "" && !p.cfg.NoEcho {
+	if answer.RequestID != "" && !p.cfg.OmitRequestID {
 		w.Header().Set(headerRequestID, answer.RequestID)
 	}
 	writeJSON(w, http.StatusOK, answer)
 }
 
-func (f PlainFaults) needsConnection() bool {
+func (f PlainFaults) needsHijack() bool {
 	return f.Short > 0 || f.Repeat || f.Cut || f.IdleClose > 0
 }
 
-// sendRaw writes the answer's bytes to the connection itself, since net/http would not let a server break the protocol.
-func (p *Plain) sendRaw(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
+// writeRawAnswer writes the answer's bytes to the connection itself, since net/http would not let a server break the protocol.
+func (p *Plain) writeRawAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = conn.Close() }()
-	raw := p.rawAnswer(answer)
+	raw := p.encodeRawAnswer(answer)
 	if faults.Cut {
 		raw = raw[:min(faults.CutAt, len(raw))]
 	}
@@ -86,21 +86,21 @@
 	}
 	_, _ = conn.Write(raw)
 	if faults.IdleClose > 0 || faults.Repeat {
-		time.Sleep(max(faults.IdleClose, repeatLinger))
+		time.Sleep(max(faults.IdleClose, repeatedAnswerLinger))
 	}
 }
 
-// repeatLinger keeps a connection with a repeated answer open, so that its caller may reuse it.
-const repeatLinger = 20 * time.Millisecond
+// repeatedAnswerLinger keeps a connection with a repeated answer open, so that its caller may reuse it.
+const repeatedAnswerLinger = 20 * time.Millisecond
 
-func (p *Plain) rawAnswer(answer PlainAnswer) []byte {
+func (p *Plain) encodeRawAnswer(answer PlainAnswer) []byte {
 	body, err := json.Marshal(answer)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	var raw bytes.Buffer
 	fmt.Fprintf(&raw, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
-	if answer.RequestID != "" && !p.cfg.NoEcho {
+	if answer.RequestID != "" && !p.cfg.OmitRequestID {
 		fmt.Fprintf(&raw, "%s: %s\r\n", headerRequestID, answer.RequestID)
 	}
 	fmt.Fprintf(&raw, "Content-Length: %d\r\n\r\n", len(body))
--- a/pomelofake/relay.go
+++ b/pomelofake/relay.go
@@ -47,20 +47,20 @@
 	rules  map[netip.Addr]RelayRule
 	// changed is closed and replaced when the rules change.
 	changed chan struct{}
-	links   map[*relayLink]struct{}
-	passed  int64
+	connections   map[*relayConnection]struct{}
+	bytesForwarded  int64
 }
 
-// relayLink is one connection from a source and its counterpart to the target.
-type relayLink struct {
+// relayConnection is one connection from a source and its counterpart to the target.
+type relayConnection struct {
 	source netip.Addr
-	near   net.Conn
-	far    net.Conn
+	sourceConn   net.Conn
+	targetConn    net.Conn
 }
 
-func (l *relayLink) close() {
-	_ = l.near.Close()
-	_ = l.far.Close()
+func (l *relayConnection) close() {
+	_ = l.sourceConn.Close()
+	_ = l.targetConn.Close()
 }
 
 // NewRelay starts to pass connections on; it fails when the listener cannot be opened.
@@ -74,7 +74,7 @@
 		listener: listener,
 		rules:    make(map[netip.Addr]RelayRule),
 		changed:  make(chan struct{}),
-		links:    make(map[*relayLink]struct{}),
+		connections:    make(map[*relayConnection]struct{}),
 	}
 	r.wg.Go(r.accept)
 	return r, nil
@@ -90,18 +90,18 @@
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	for link := range r.links {
-		if r.rule(link.source).Cut {
+	for link := range r.connections {
+		if r.ruleFor(link.source).Cut {
 			link.close()
 		}
 	}
 }
 
-// Passed returns the bytes passed on both ways since the start.
-func (r *Relay) Passed() int64 {
+// BytesForwarded returns the bytes passed on both ways since the start.
+func (r *Relay) BytesForwarded() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.passed
+	return r.bytesForwarded
 }
 
 // Close ends every connection and waits until the relay's goroutines have ended.
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	r.closed = true
 	err := r.listener.Close()
-	for link := range r.links {
+	for link := range r.connections {
 		link.close()
 	}
 	close(r.changed)
@@ -119,8 +119,8 @@
 	return err
 }
 
-// rule returns the source's rule, else the one for every source; the mutex is held.
-func (r *Relay) rule(source netip.Addr) RelayRule {
+// ruleFor returns the source's rule, else the one for every source; the mutex is held.
+func (r *Relay) ruleFor(source netip.Addr) RelayRule {
 	if rule, ok := r.rules[source]; ok {
 		return rule
 	}
@@ -137,47 +137,47 @@
 	}
 }
 
-func (r *Relay) connect(near net.Conn) {
-	source := sourceOf(near)
+func (r *Relay) connect(sourceConn net.Conn) {
+	source := sourceAddr(sourceConn)
 	r.mu.Lock()
-	cut := r.rule(source).Cut
+	cut := r.ruleFor(source).Cut
 	r.mu.Unlock()
 	if cut {
-		_ = near.Close()
+		_ = sourceConn.Close()
 		return
 	}
-	far, err := r.cfg.Dial()
+	targetConn, err := r.cfg.Dial()
 	if err != nil {
-		_ = near.Close()
+		_ = sourceConn.Close()
 		return
 	}
-	link := &relayLink{source: source, near: near, far: far}
+	link := &relayConnection{source: source, sourceConn: sourceConn, targetConn: targetConn}
 	defer link.close()
 	if !r.add(link) {
 		return
 	}
 	defer r.remove(link)
-	r.pump(link)
+	r.forward(link)
 }
 
 // add reports false when the relay is closed or the source was cut while the target was dialled.
-func (r *Relay) add(link *relayLink) bool {
+func (r *Relay) add(link *relayConnection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || r.rule(link.source).Cut {
+	if r.closed || r.ruleFor(link.source).Cut {
 		return false
 	}
-	r.links[link] = struct{}{}
+	r.connections[link] = struct{}{}
 	return true
 }
 
-func (r *Relay) remove(link *relayLink) {
+func (r *Relay) remove(link *relayConnection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.links, link)
+	delete(r.connections, link)
 }
 
-func sourceOf(conn net.Conn) netip.Addr {
+func sourceAddr(conn net.Conn) netip.Addr {
 	addr, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	if err != nil {
 		return netip.Addr{}
--- a/pomelofake/relay_test.go
+++ b/pomelofake/relay_test.go
@@ -11,25 +11,25 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// relayed starts a relay in memory before a server that answers each byte with its successor.
-func relayed(t *testing.T) (*pomelofake.Relay, func() net.Conn) {
+// newTestRelay starts a relay in memory before a server that answers each byte with its successor.
+func newTestRelay(t *testing.T) (*pomelofake.Relay, func() net.Conn) {
 	t.Helper()
-	near, far := &network{}, &network{}
-	listener, err := far.listen()
+	sources, target := &memoryNetwork{}, &memoryNetwork{}
+	listener, err := target.listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay, err := pomelofake.NewRelay(pomelofake.RelayConfig{Listen: near.listen, Dial: far.dial})
+	relay, err := pomelofake.NewRelay(pomelofake.RelayConfig{Listen: sources.listen, Dial: target.dial})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go succeed(listener)
+	go serveSuccessors(listener)
 	t.Cleanup(func() {
 		_ = listener.Close()
 		_ = relay.Close()
 	})
 	return relay, func() net.Conn {
-		conn, err := near.dial()
+		conn, err := sources.dial()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-func succeed(l net.Listener) {
+func serveSuccessors(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -60,15 +60,15 @@
 	}
 }
 
-// ask sends a byte and returns the answer, zero and the error when none came within a second.
-func ask(conn net.Conn, b byte) (byte, error) {
+// exchangeByte sends a byte and returns the answer, zero and the error when none came within a second.
+func exchangeByte(conn net.Conn, b byte) (byte, error) {
 	if _, err := conn.Write([]byte{b}); err != nil {
 		return 0, err
 	}
-	return listen(conn)
+	return readByte(conn)
 }
 
-func listen(conn net.Conn) (byte, error) {
+func readByte(conn net.Conn) (byte, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(time.Second))
 	answer := make([]byte, 1)
 	_, err := io.ReadFull(conn, answer)
@@ -77,23 +77,23 @@
 
 func TestRelayPassesDelaysAndBlocksOneWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		relay, dial := relayed(t)
+		relay, dial := newTestRelay(t)
 		conn := dial()
-		if b, err := ask(conn, 1); b != 2 || err != nil {
+		if b, err := exchangeByte(conn, 1); b != 2 || err != nil {
 			t.Fatalf("got %d, %v", b, err)
 		}
 		delay := pomelofake.RelayEffect{Delay: 100 * time.Millisecond}
 		relay.SetRules([]pomelofake.RelayRule{{Toward: delay, Back: delay}})
 		began := time.Now()
-		if b, err := ask(conn, 3); b != 4 || err != nil || time.Since(began) != 200*time.Millisecond {
+		if b, err := exchangeByte(conn, 3); b != 4 || err != nil || time.Since(began) != 200*time.Millisecond {
 			t.Errorf("got %d, %v after %s", b, err, time.Since(began))
 		}
 		relay.SetRules([]pomelofake.RelayRule{{Back: pomelofake.RelayEffect{Block: true}}})
-		if b, err := ask(conn, 5); err == nil {
+		if b, err := exchangeByte(conn, 5); err == nil {
 			t.Errorf("got %d through a block", b)
 		}
 		relay.SetRules(nil)
-		if b, err := listen(conn); b != 6 || err != nil {
+		if b, err := readByte(conn); b != 6 || err != nil {
 			t.Errorf("got %d, %v after the block", b, err)
 		}
 	})
@@ -102,25 +102,25 @@
 // A network partition loses bytes and heals. A connection that lost some must not go on, as TCP would not.
 func TestRelayDropsAndCuts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		relay, dial := relayed(t)
+		relay, dial := newTestRelay(t)
 		conn := dial()
 		relay.SetRules([]pomelofake.RelayRule{{Toward: pomelofake.RelayEffect{Drop: true}}})
-		if b, err := ask(conn, 1); err == nil {
+		if b, err := exchangeByte(conn, 1); err == nil {
 			t.Errorf("got %d through a drop", b)
 		}
 		relay.SetRules(nil)
-		if _, err := ask(conn, 3); err != io.EOF {
+		if _, err := exchangeByte(conn, 3); err != io.EOF {
 			t.Errorf("after the drop: %v, want the connection to be closed", err)
 		}
 		conn = dial()
-		if b, err := ask(conn, 1); b != 2 || err != nil {
+		if b, err := exchangeByte(conn, 1); b != 2 || err != nil {
 			t.Fatalf("got %d, %v", b, err)
 		}
 		relay.SetRules([]pomelofake.RelayRule{{Cut: true}})
-		if _, err := listen(conn); err != io.EOF {
+		if _, err := readByte(conn); err != io.EOF {
 			t.Errorf("after the cut: %v", err)
 		}
-		if _, err := listen(dial()); err != io.EOF {
+		if _, err := readByte(dial()); err != io.EOF {
 			t.Errorf("connected through a cut: %v", err)
 		}
 	})
@@ -132,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go succeed(target)
+	go serveSuccessors(target)
 	defer func() { _ = target.Close() }()
 	var addr net.Addr
 	relay, err := pomelofake.NewRelay(pomelofake.RelayConfig{
@@ -156,12 +156,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ask(conn, 1); (err == nil) != open {
+		if _, err := exchangeByte(conn, 1); (err == nil) != open {
 			t.Errorf("from %s: %v, want open %v", source, err, open)
 		}
 		_ = conn.Close()
 	}
-	if relay.Passed() != 2 {
-		t.Errorf("passed %d bytes, want 2", relay.Passed())
+	if relay.BytesForwarded() != 2 {
+		t.Errorf("passed %d bytes, want 2", relay.BytesForwarded())
 	}
 }
--- /dev/null
+++ b/pomelofake/relayforward.go
@@ -0,0 +1,116 @@
+package pomelofake
+
+import (
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	relayChunkBytes = 32 << 10
+	// relayQueueChunks bounds the chunks under way in one direction; a full queue slows the sender, as a full window does.
+	relayQueueChunks = 64
+)
+
+// relayChunk is a piece of bytes that is due at a time.
+type relayChunk struct {
+	data []byte
+	due  time.Time
+}
+
+// forward passes bytes on both ways until either side ends.
+func (r *Relay) forward(link *relayConnection) {
+	var wg sync.WaitGroup
+	wg.Go(func() {
+		defer link.close()
+		r.forwardOneWay(link, link.sourceConn, link.targetConn, func(rule RelayRule) RelayEffect { return rule.Toward })
+	})
+	wg.Go(func() {
+		defer link.close()
+		r.forwardOneWay(link, link.targetConn, link.sourceConn, func(rule RelayRule) RelayEffect { return rule.Back })
+	})
+	wg.Wait()
+}
+
+// forwardOneWay reads in one goroutine and writes in another, so that a delay does not lower the throughput.
+func (r *Relay) forwardOneWay(link *relayConnection, from, to net.Conn, effect func(RelayRule) RelayEffect) {
+	chunks := make(chan relayChunk, relayQueueChunks)
+	done := make(chan struct{})
+	var writer sync.WaitGroup
+	writer.Go(func() {
+		defer close(done)
+		defer link.close()
+		r.write(link, to, chunks, effect)
+	})
+	r.read(link, from, chunks, done, effect)
+	close(chunks)
+	writer.Wait()
+}
+
+func (r *Relay) read(link *relayConnection, from net.Conn, chunks chan<- relayChunk, done <-chan struct{}, effect func(RelayRule) RelayEffect) {
+	for {
+		data := make([]byte, relayChunkBytes)
+		n, err := from.Read(data)
+		if n > 0 {
+			delay := r.currentEffect(link, effect).Delay
+			select {
+			case chunks <- relayChunk{data[:n], time.Now().Add(delay)}:
+			case <-done:
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+func (r *Relay) currentEffect(link *relayConnection, effect func(RelayRule) RelayEffect) RelayEffect {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return effect(r.ruleFor(link.source))
+}
+
+func (r *Relay) write(link *relayConnection, to net.Conn, chunks <-chan relayChunk, effect func(RelayRule) RelayEffect) {
+	dropped := false
+	for c := range chunks {
+		time.Sleep(time.Until(c.due))
+		current, open := r.waitUnblocked(link, effect)
+		if !open || dropped && !current.Drop {
+			return
+		}
+		if current.Drop {
+			dropped = true
+			continue
+		}
+		// Counted first: who has got the bytes may ask for the count before this goroutine goes on.
+		r.addForwarded(len(c.data))
+		if _, err := to.Write(c.data); err != nil {
+			return
+		}
+	}
+}
+
+func (r *Relay) addForwarded(n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.bytesForwarded += int64(n)
+}
+
+// waitUnblocked waits while the rule blocks and returns the effect then; it reports false when the relay or the link ended.
+func (r *Relay) waitUnblocked(link *relayConnection, effect func(RelayRule) RelayEffect) (RelayEffect, bool) {
+	for {
+		r.mu.Lock()
+		current := effect(r.ruleFor(link.source))
+		cut := r.closed || r.ruleFor(link.source).Cut
+		changed := r.changed
+		r.mu.Unlock()
+		if cut {
+			return current, false
+		}
+		if !current.Block {
+			return current, true
+		}
+		<-changed
+	}
+}
--- a/pomelofake/runs.go
+++ b/pomelofake/runs.go
@@ -26,34 +26,34 @@
 // runLog counts runs as they start and keeps them as they end.
 type runLog struct {
 	mu         sync.Mutex
-	keys       map[string]int
-	requestIDs map[string]int
-	proofs     map[Proof]int
+	startsByKey       map[string]int
+	startsByRequestID map[string]int
+	startsByDigest     map[Proof]int
 	running    map[*Run]struct{}
 	ended      []Run
 }
 
 func newRunLog() *runLog {
 	return &runLog{
-		keys:       make(map[string]int),
-		requestIDs: make(map[string]int),
-		proofs:     make(map[Proof]int),
+		startsByKey:       make(map[string]int),
+		startsByRequestID: make(map[string]int),
+		startsByDigest:     make(map[Proof]int),
 		running:    make(map[*Run]struct{}),
 	}
 }
 
 // start counts a run; it is counted when it starts since its effect cannot be taken back from then on.
-func (l *runLog) start(key, requestID string, proof Proof) *Run {
-	r := &Run{Key: key, RequestID: requestID, Proof: proof, Start: time.Now()}
+func (l *runLog) start(key, requestID string, digest Proof) *Run {
+	r := &Run{Key: key, RequestID: requestID, Proof: digest, Start: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if key != "" {
-		l.keys[key]++
+		l.startsByKey[key]++
 	}
 	if requestID != "" {
-		l.requestIDs[requestID]++
+		l.startsByRequestID[requestID]++
 	}
-	l.proofs[proof]++
+	l.startsByDigest[digest]++
 	l.running[r] = struct{}{}
 	return r
 }
@@ -70,8 +70,8 @@
 	l.ended = append(l.ended, *r)
 }
 
-// after returns the runs that ended after the one numbered seq.
-func (l *runLog) after(seq uint64) []Run {
+// endedAfter returns the runs that ended after the one numbered seq.
+func (l *runLog) endedAfter(seq uint64) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if seq >= uint64(len(l.ended)) {
@@ -86,8 +86,8 @@
 	return counts[id]
 }
 
-func (l *runLog) countProof(proof Proof) int {
+func (l *runLog) countDigest(digest Proof) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.proofs[proof]
+	return l.startsByDigest[digest]
 }
--- a/pomelofake/store.go
+++ b/pomelofake/store.go
@@ -60,12 +60,12 @@
 	mu       sync.Mutex
 	faults   StoreFaults
 	counts   StoreCounts
-	reads    bucket
-	writes   bucket
+	readBucket    tokenBucket
+	writeBucket   tokenBucket
 	revision pomelorelay.Revision
 	records  map[pomelorelay.StoreKey]*storeRecord
 	leases   map[pomelorelay.LeaseID]*storeLease
-	lease    pomelorelay.LeaseID
+	lastLease    pomelorelay.LeaseID
 	// changed is closed and replaced at every write.
 	changed chan struct{}
 }
@@ -81,8 +81,8 @@
 	timer *time.Timer
 }
 
-// StoreCopy is a Store's content at a time, to be restored later.
-type StoreCopy struct {
+// StoreSnapshot is a Store's content at a time, to be restored later.
+type StoreSnapshot struct {
 	records map[pomelorelay.StoreKey]storeRecord
 }
 
@@ -100,8 +100,8 @@
 	defaultDuration(&cfg.Latency, defaultStoreLatency)
 	s := &Store{
 		cfg:     cfg,
-		reads:   bucket{rate: cfg.ReadRate, left: cfg.ReadRate},
-		writes:  bucket{rate: cfg.WriteRate, left: cfg.WriteRate},
+		readBucket:   tokenBucket{rate: cfg.ReadRate, tokens: cfg.ReadRate},
+		writeBucket:  tokenBucket{rate: cfg.WriteRate, tokens: cfg.WriteRate},
 		records: make(map[pomelorelay.StoreKey]*storeRecord),
 		leases:  make(map[pomelorelay.LeaseID]*storeLease),
 		changed: make(chan struct{}),
@@ -144,19 +144,19 @@
 	return nil
 }
 
-// Copy returns the store's content as it is now.
-func (s *Store) Copy() StoreCopy {
+// Snapshot returns the store's content as it is now.
+func (s *Store) Snapshot() StoreSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records := make(map[pomelorelay.StoreKey]storeRecord)
 	for key, r := range s.records {
 		records[key] = *r
 	}
-	return StoreCopy{records: records}
+	return StoreSnapshot{records: records}
 }
 
 // Restore replaces the content by an old copy, as an operator does who brings a backup back.
-func (s *Store) Restore(old StoreCopy) {
+func (s *Store) Restore(old StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records = make(map[pomelorelay.StoreKey]*storeRecord)
@@ -164,16 +164,16 @@
 		record := r
 		s.records[key] = &record
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
-func (s *Store) wakeWatches() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// swap writes the value if the record is at revision old; it returns the record's revision and whether it was written.
-func (s *Store) swap(key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, int) {
+// compareAndSwap writes the value if the record is at revision old; it returns the record's revision and whether it was written.
+func (s *Store) compareAndSwap(key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, open := s.leases[lease]; lease != 0 && !open {
@@ -189,7 +189,7 @@
 	}
 	s.revision++
 	s.records[key] = &storeRecord{value: value, revision: s.revision, lease: lease}
-	s.wakeWatches()
+	s.notifyWatches()
 	return s.revision, http.StatusOK
 }
 
@@ -208,8 +208,8 @@
 func (s *Store) openLease(ttl time.Duration) pomelorelay.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lease++
-	id := s.lease
+	s.lastLease++
+	id := s.lastLease
 	s.leases[id] = &storeLease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.endLease(id) })}
 	return id
 }
@@ -241,25 +241,25 @@
 			delete(s.records, key)
 		}
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 	return true
 }
 
-// bucket is a rate with a second's burst.
-type bucket struct {
+// tokenBucket is a rate with a second's burst.
+type tokenBucket struct {
 	rate float64
-	left float64
+	tokens float64
 	last time.Time
 }
 
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	if !b.last.IsZero() {
-		b.left = min(b.rate, b.left+b.rate*now.Sub(b.last).Seconds())
+		b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.last).Seconds())
 	}
 	b.last = now
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func testStore(t *testing.T, cfg pomelofake.StoreConfig) (*pomelofake.Store, *http.Client) {
+func newTestStore(t *testing.T, cfg pomelofake.StoreConfig) (*pomelofake.Store, *http.Client) {
 	t.Helper()
 	store := pomelofake.NewStore(cfg)
 	t.Cleanup(func() { _ = store.Close() })
@@ -31,7 +31,7 @@
 
 func TestStoreSwapsOnlyAtTheRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, client := testStore(t, pomelofake.StoreConfig{MaxValue: 10})
+		_, client := newTestStore(t, pomelofake.StoreConfig{MaxValue: 10})
 		expect(t, client, http.MethodGet, "/v1/kv/config%2Froot", "", 404, "")
 		expect(t, client, http.MethodPut, "/v1/kv/config%2Froot?old=0", "one", 200, `"Revision":1`)
 		expect(t, client, http.MethodPut, "/v1/kv/config%2Froot?old=0", "two", 409, `"Revision":1`)
@@ -44,7 +44,7 @@
 
 func TestStoreLeaseLapsesWithItsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, client := testStore(t, pomelofake.StoreConfig{})
+		_, client := newTestStore(t, pomelofake.StoreConfig{})
 		expect(t, client, http.MethodPost, "/v1/lease?ttl=10s", "", 200, `"Lease":1`)
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0&lease=1", "v", 200, "")
 		time.Sleep(8 * time.Second)
@@ -61,7 +61,7 @@
 
 func TestStoreWatchWaitsAndCountsAsOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, client := testStore(t, pomelofake.StoreConfig{})
+		store, client := newTestStore(t, pomelofake.StoreConfig{})
 		expect(t, client, http.MethodGet, "/v1/watch/k?after=0&wait=1s", "", 204, "")
 		began := time.Now()
 		done := make(chan time.Duration)
@@ -84,7 +84,7 @@
 // failure writes again or gives up what it holds.
 func TestStoreFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, client := testStore(t, pomelofake.StoreConfig{})
+		store, client := newTestStore(t, pomelofake.StoreConfig{})
 		store.SetFaults(pomelofake.StoreFaults{Outage: true})
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 503, "")
 		store.SetFaults(pomelofake.StoreFaults{Throttle: true})
@@ -93,7 +93,7 @@
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 0, "")
 		expect(t, client, http.MethodGet, "/v1/kv/k", "", 200, `"Revision":1`)
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 409, "")
-		old := store.Copy()
+		old := store.Snapshot()
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=1", "w", 200, `"Revision":2`)
 		store.Restore(old)
 		expect(t, client, http.MethodGet, "/v1/kv/k", "", 200, `"Value":"dg==","Revision":1`)
@@ -108,7 +108,7 @@
 
 func TestStoreHoldsItsRates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, client := testStore(t, pomelofake.StoreConfig{WriteRate: 10, ReadRate: 20, Latency: time.Nanosecond})
+		store, client := newTestStore(t, pomelofake.StoreConfig{WriteRate: 10, ReadRate: 20, Latency: time.Nanosecond})
 		statuses := make(map[int]int)
 		for i := range 30 {
 			status, _, _ := call(t, client, http.MethodPut, fmt.Sprintf("/v1/kv/k%d?old=0", i), "v")
@@ -165,12 +165,12 @@
 		expect(t, client, http.MethodPost, "/fault", `{"Leave":"p2"}`, 404, "no host p2")
 		expect(t, client, http.MethodPost, "/fault", `{"Leaves":"p1"}`, 400, "Leaves")
 		expect(t, client, http.MethodPost, "/fault", `{"Leave":"p1"}`, 200, "Shows")
-		if !list.Shown()[0].Leaving {
+		if !list.Visible()[0].Leaving {
 			t.Error("the host does not leave")
 		}
 		plainClient, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{})
-		book(t, plainClient, "k1", "x")
+		postBooking(t, plainClient, "k1", "x")
 		expect(t, client, http.MethodGet, "/runs/p1?after=0", "", 200, `"Seq":1,"Key":"k1"`)
 		expect(t, client, http.MethodGet, "/runs/p1?after=1", "", 200, "null")
 		expect(t, client, http.MethodGet, "/counts", "", 200, "Store")
--- a/pomelofake/storehttp.go
+++ b/pomelofake/storehttp.go
@@ -11,8 +11,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxWatch bounds how long a watch waits, whatever it asks for.
-const maxWatch = time.Minute
+// maxWatchWait bounds how long a watch waits, whatever it asks for.
+const maxWatchWait = time.Minute
 
 type revisionAnswer struct {
 	Revision pomelorelay.Revision
@@ -24,12 +24,12 @@
 
 func (s *Store) routes() *mux.Router {
 	router := mux.NewRouter().UseEncodedPath().SkipClean(true)
-	router.HandleFunc("/v1/kv/{key:.+}", s.get).Methods(http.MethodGet)
-	router.HandleFunc("/v1/kv/{key:.+}", s.put).Methods(http.MethodPut)
-	router.HandleFunc("/v1/watch/{key:.+}", s.watch).Methods(http.MethodGet)
-	router.HandleFunc("/v1/lease", s.open).Methods(http.MethodPost)
-	router.HandleFunc("/v1/lease/{id:[0-9]+}/renew", s.renew).Methods(http.MethodPost)
-	router.HandleFunc("/v1/lease/{id:[0-9]+}", s.end).Methods(http.MethodDelete)
+	router.HandleFunc("/v1/kv/{key:.+}", s.handleGet).Methods(http.MethodGet)
+	router.HandleFunc("/v1/kv/{key:.+}", s.handlePut).Methods(http.MethodPut)
+	router.HandleFunc("/v1/watch/{key:.+}", s.handleWatch).Methods(http.MethodGet)
+	router.HandleFunc("/v1/lease", s.handleOpenLease).Methods(http.MethodPost)
+	router.HandleFunc("/v1/lease/{id:[0-9]+}/renew", s.handleRenewLease).Methods(http.MethodPost)
+	router.HandleFunc("/v1/lease/{id:[0-9]+}", s.handleEndLease).Methods(http.MethodDelete)
 	return router
 }
 
@@ -45,7 +45,7 @@
 
 // admit counts the call, lets the faults act, and reports false when it has refused it.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request, kind callKind) bool {
-	status, wait := s.judge(kind)
+	status, wait := s.decide(kind)
 	if status != http.StatusOK {
 		http.Error(w, http.StatusText(status), status)
 		return false
@@ -53,17 +53,17 @@
 	return sleep(r, wait)
 }
 
-func (s *Store) judge(kind callKind) (int, time.Duration) {
+func (s *Store) decide(kind callKind) (int, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := &s.writes
+	rate := &s.writeBucket
 	switch kind {
 	case readCall:
 		s.counts.Reads++
-		rate = &s.reads
+		rate = &s.readBucket
 	case watchCall:
 		s.counts.Watches++
-		rate = &s.reads
+		rate = &s.readBucket
 	case writeCall:
 		s.counts.Writes++
 	case leaseCall:
@@ -80,7 +80,7 @@
 	return http.StatusOK, s.cfg.Latency + s.faults.Slow
 }
 
-func keyOf(w http.ResponseWriter, r *http.Request) (pomelorelay.StoreKey, bool) {
+func requestKey(w http.ResponseWriter, r *http.Request) (pomelorelay.StoreKey, bool) {
 	key, err := url.PathUnescape(mux.Vars(r)["key"])
 	if err != nil {
 		http.Error(w, "the key is not escaped rightly", http.StatusBadRequest)
@@ -89,8 +89,8 @@
 	return pomelorelay.StoreKey(key), true
 }
 
-// number reads a numeric query value; an absent one is zero.
-func number(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
+// uintQuery reads a numeric query value; an absent one is zero.
+func uintQuery(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, true
@@ -103,8 +103,8 @@
 	return n, true
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	key, ok := keyOf(w, r)
+func (s *Store) handleGet(w http.ResponseWriter, r *http.Request) {
+	key, ok := requestKey(w, r)
 	if !ok || !s.admit(w, r, readCall) {
 		return
 	}
@@ -116,16 +116,16 @@
 	writeJSON(w, http.StatusOK, record)
 }
 
-func (s *Store) put(w http.ResponseWriter, r *http.Request) {
-	key, ok := keyOf(w, r)
+func (s *Store) handlePut(w http.ResponseWriter, r *http.Request) {
+	key, ok := requestKey(w, r)
 	if !ok {
 		return
 	}
-	old, ok := number(w, r, "old")
+	old, ok := uintQuery(w, r, "old")
 	if !ok {
 		return
 	}
-	lease, ok := number(w, r, "lease")
+	lease, ok := uintQuery(w, r, "lease")
 	if !ok {
 		return
 	}
@@ -137,7 +137,7 @@
 	if !s.admit(w, r, writeCall) {
 		return
 	}
-	revision, status := s.swap(key, value, pomelorelay.Revision(old), pomelorelay.LeaseID(lease))
+	revision, status := s.compareAndSwap(key, value, pomelorelay.Revision(old), pomelorelay.LeaseID(lease))
 	s.answerWrite(w, r, status, revisionAnswer{revision})
 }
 
@@ -160,12 +160,12 @@
 	writeJSON(w, status, answer)
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
-	key, ok := keyOf(w, r)
+func (s *Store) handleWatch(w http.ResponseWriter, r *http.Request) {
+	key, ok := requestKey(w, r)
 	if !ok {
 		return
 	}
-	after, ok := number(w, r, "after")
+	after, ok := uintQuery(w, r, "after")
 	if !ok {
 		return
 	}
@@ -177,7 +177,7 @@
 	if !s.admit(w, r, watchCall) {
 		return
 	}
-	timer := time.NewTimer(min(wait, maxWatch))
+	timer := time.NewTimer(min(wait, maxWatchWait))
 	defer timer.Stop()
 	for {
 		record, changed := s.read(key)
@@ -196,7 +196,7 @@
 	}
 }
 
-func (s *Store) open(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleOpenLease(w http.ResponseWriter, r *http.Request) {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil || ttl <= 0 {
 		http.Error(w, "ttl is not a duration above zero", http.StatusBadRequest)
@@ -208,11 +208,11 @@
 	s.answerWrite(w, r, http.StatusOK, leaseAnswer{s.openLease(ttl)})
 }
 
-func (s *Store) renew(w http.ResponseWriter, r *http.Request) { s.withLease(w, r, s.renewLease) }
+func (s *Store) handleRenewLease(w http.ResponseWriter, r *http.Request) { s.handleLease(w, r, s.renewLease) }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) { s.withLease(w, r, s.endLease) }
+func (s *Store) handleEndLease(w http.ResponseWriter, r *http.Request) { s.handleLease(w, r, s.endLease) }
 
-func (s *Store) withLease(w http.ResponseWriter, r *http.Request, do func(pomelorelay.LeaseID) bool) {
+func (s *Store) handleLease(w http.ResponseWriter, r *http.Request, do func(pomelorelay.LeaseID) bool) {
 	id, err := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	if err != nil {
 		http.Error(w, "the lease is not a number", http.StatusBadRequest)
--- a/pomelofake/stream.go
+++ b/pomelofake/stream.go
@@ -23,7 +23,7 @@
 	Index   int          `json:"index"`
 	Delta   *chatMessage `json:"delta,omitempty"`
 	Message *chatMessage `json:"message,omitempty"`
-	Finish  *string      `json:"finish_reason"`
+	FinishReason  *string      `json:"finish_reason"`
 }
 
 type chatAnswer struct {
@@ -36,10 +36,10 @@
 
 func (e *Engine) usage(s *sequence) *chatUsage {
 	return &chatUsage{
-		PromptTokens:     s.promptLen,
-		CompletionTokens: s.target,
-		TotalTokens:      s.promptLen + s.target,
-		Details:          chatPromptDetails{CachedTokens: s.cached},
+		PromptTokens:     s.promptTokens,
+		CompletionTokens: s.targetTokens,
+		TotalTokens:      s.promptTokens + s.targetTokens,
+		Details:          chatPromptDetails{CachedTokens: s.cachedTokens},
 	}
 }
 
@@ -47,11 +47,11 @@
 func (e *Engine) progress(s *sequence) (int, bool, bool, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return s.produced, s.done, s.cancelled, s.changed
+	return s.producedTokens, s.done, s.cancelled, s.changed
 }
 
-// whole answers when the request has ended.
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, s *sequence) {
+// answerBuffered answers when the request has ended.
+func (e *Engine) answerBuffered(w http.ResponseWriter, r *http.Request, s *sequence) {
 	for {
 		_, done, cancelled, changed := e.progress(s)
 		if cancelled {
@@ -67,20 +67,20 @@
 		}
 	}
 	var text strings.Builder
-	for n := range s.target {
-		text.WriteString(s.proof.Token(n))
+	for n := range s.targetTokens {
+		text.WriteString(s.digest.Token(n))
 	}
 	stop := "stop"
 	message := &chatMessage{Role: "assistant", Content: text.String()}
 	writeJSON(w, http.StatusOK, chatAnswer{
 		ID: s.requestID, Object: "chat.completion", Model: e.cfg.Model,
-		Choices: []chatChoice{{Message: message, Finish: &stop}},
+		Choices: []chatChoice{{Message: message, FinishReason: &stop}},
 		Usage:   e.usage(s),
 	})
 }
 
 // stream sends one event for each token after the one numbered last, then usage and the end.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, last int) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, lastEvent int) {
 	w.Header().Set(headerContentType, "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flush(w)
@@ -90,9 +90,9 @@
 		if cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		for ; last < produced; last++ {
-			e.cut(sent)
-			writeEvent(w, last+1, e.chunk(s, last))
+		for ; lastEvent < produced; lastEvent++ {
+			e.injectCut(sent)
+			writeEvent(w, lastEvent+1, e.chunk(s, lastEvent))
 			sent++
 		}
 		flush(w)
@@ -113,7 +113,7 @@
 		return
 	}
 	end := chatAnswer{ID: s.requestID, Object: "chat.completion.chunk", Model: e.cfg.Model, Choices: []chatChoice{}, Usage: e.usage(s)}
-	writeEvent(w, s.target+1, end)
+	writeEvent(w, s.targetTokens+1, end)
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 	flush(w)
 }
@@ -121,19 +121,19 @@
 func (e *Engine) chunk(s *sequence, n int) chatAnswer {
 	return chatAnswer{
 		ID: s.requestID, Object: "chat.completion.chunk", Model: e.cfg.Model,
-		Choices: []chatChoice{{Delta: &chatMessage{Content: s.proof.Token(n)}}},
+		Choices: []chatChoice{{Delta: &chatMessage{Content: s.digest.Token(n)}}},
 	}
 }
 
-// cut breaks the connection when the fault says so.
-func (e *Engine) cut(sent int) {
+// injectCut breaks the connection when the fault says so.
+func (e *Engine) injectCut(sent int) {
 	e.mu.Lock()
-	due := e.faults.Cuts > 0 && sent == e.faults.CutAfter
-	if due {
+	cutNow := e.faults.Cuts > 0 && sent == e.faults.CutAfter
+	if cutNow {
 		e.faults.Cuts--
 	}
 	e.mu.Unlock()
-	if due {
+	if cutNow {
 		panic(http.ErrAbortHandler)
 	}
 }
