--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -8,30 +8,30 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Config sets the bounds that a Checker holds the fleet to; a zero duration takes its default.
+// Config sets the limits that a Checker enforces; a zero duration takes its default.
 type Config struct {
-	// GapBounds are the largest allowed differences of normalised service; a pool without one is not checked.
+	// GapBounds are the maximum differences of normalised service per pool; a pool without one is not checked.
 	GapBounds map[pomelorelay.PoolID]pomelorelay.Tag
-	// GapSampleInterval is the time between two samples of the gap, 100 ms by default.
+	// GapSampleInterval is the time between samples of the normalised service, 100 ms by default.
 	GapSampleInterval time.Duration
-	// MaxWait is how long a request with all its attempts, or a backlogged account's next service, may take, 60 s by default.
+	// MaxWait limits the time of a request over all attempts, and of a backlogged account without service, 60 s by default.
 	MaxWait time.Duration
-	// LeaveGrace is how long a leaving upstream may still get new work, 3 s by default.
+	// LeaveGrace is how long a leaving upstream may still receive new requests, 3 s by default.
 	LeaveGrace time.Duration
-	// MaxConfigDelay is how long an accepted configuration may take to be in force everywhere, 17 s by default.
+	// MaxConfigDelay is the maximum time until an accepted configuration is in force on all routers, 17 s by default.
 	MaxConfigDelay time.Duration
-	// MaxRefusalDelay is how long a refusal may take to reach the caller once the router gave up, 1 s by default.
+	// MaxRefusalDelay is the maximum time from a router's decision, or the deadline, to the end of the refusal, 1 s by default.
 	MaxRefusalDelay time.Duration
-	// Skew is how far two observers' clocks may differ, zero by default.
+	// Skew is the maximum difference between the clocks of two observers, zero by default.
 	Skew time.Duration
 }
 
 const (
-	defaultGapSampleInterval       = 100 * time.Millisecond
-	defaultMaxWait       = 60 * time.Second
-	defaultLeaveGrace   = 3 * time.Second
-	defaultMaxConfigDelay = 17 * time.Second
-	defaultMaxRefusalDelay  = time.Second
+	defaultGapSampleInterval = 100 * time.Millisecond
+	defaultMaxWait           = 60 * time.Second
+	defaultLeaveGrace        = 3 * time.Second
+	defaultMaxConfigDelay    = 17 * time.Second
+	defaultMaxRefusalDelay   = time.Second
 )
 
 func (cfg Config) withDefaults() Config {
@@ -49,19 +49,19 @@
 	}
 }
 
-// Checker collects events in any order and judges them at the end; it is not safe for concurrent use.
+// Checker collects events in any order and checks them on request; it is not safe for concurrent use.
 type Checker struct {
-	cfg      Config
-	attempts map[AttemptID]*attempt
-	contents map[ContentID]*content
-	services   map[accountKey]*accountService
-	leaving  map[pomelorelay.UpstreamID]time.Time
-	stops    map[pomelorelay.NodeID]time.Time
-	kills    map[pomelorelay.NodeID]time.Time
-	frozen   map[pomelorelay.NodeID][]Frozen
-	continued   map[pomelorelay.NodeID][]Continued
-	accepted []Accepted
-	inForce  map[pomelorelay.NodeID][]InForce
+	cfg       Config
+	attempts  map[AttemptID]*attempt
+	contents  map[ContentID]*content
+	services  map[accountKey]*accountService
+	leaving   map[pomelorelay.UpstreamID]time.Time
+	stops     map[pomelorelay.NodeID]time.Time
+	kills     map[pomelorelay.NodeID]time.Time
+	frozen    map[pomelorelay.NodeID][]Frozen
+	continued map[pomelorelay.NodeID][]Continued
+	accepted  []Accepted
+	inForce   map[pomelorelay.NodeID][]InForce
 }
 
 type attempt struct {
@@ -76,26 +76,26 @@
 	runs     []Ran
 }
 
-// New returns a Checker without observations.
+// New returns a Checker without events.
 func New(cfg Config) *Checker {
 	return &Checker{
-		cfg:      cfg.withDefaults(),
-		attempts: make(map[AttemptID]*attempt),
-		contents: make(map[ContentID]*content),
-		services:   make(map[accountKey]*accountService),
-		leaving:  make(map[pomelorelay.UpstreamID]time.Time),
-		stops:    make(map[pomelorelay.NodeID]time.Time),
-		kills:    make(map[pomelorelay.NodeID]time.Time),
-		frozen:   make(map[pomelorelay.NodeID][]Frozen),
-		continued:   make(map[pomelorelay.NodeID][]Continued),
-		inForce:  make(map[pomelorelay.NodeID][]InForce),
+		cfg:       cfg.withDefaults(),
+		attempts:  make(map[AttemptID]*attempt),
+		contents:  make(map[ContentID]*content),
+		services:  make(map[accountKey]*accountService),
+		leaving:   make(map[pomelorelay.UpstreamID]time.Time),
+		stops:     make(map[pomelorelay.NodeID]time.Time),
+		kills:     make(map[pomelorelay.NodeID]time.Time),
+		frozen:    make(map[pomelorelay.NodeID][]Frozen),
+		continued: make(map[pomelorelay.NodeID][]Continued),
+		inForce:   make(map[pomelorelay.NodeID][]InForce),
 	}
 }
 
-// Observe takes one event.
+// Observe adds one event.
 func (c *Checker) Observe(e Event) { e.apply(c) }
 
-// Violations judges everything observed up to now and returns what did not hold, ordered by time.
+// Violations checks all events up to now and returns the violations in order of time.
 func (c *Checker) Violations(now time.Time) []Violation {
 	var out []Violation
 	out = c.checkAnswers(out)
@@ -111,7 +111,7 @@
 	return out
 }
 
-// The subject breaks ties so that the same observations give the same list.
+// compareViolations breaks ties by kind and subject, so that the order is deterministic.
 func compareViolations(a, b Violation) int {
 	if order := a.At.Compare(b.At); order != 0 {
 		return order
--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -12,7 +12,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// sent is an attempt at a content by a booking caller of router r1.
+// sent returns an attempt at a content that may run at most once, sent to router r1.
 func sent(attempt, content string, when time.Duration) pomelocheck.Sent {
 	return pomelocheck.Sent{
 		Attempt: pomelocheck.AttemptID(attempt), Content: pomelocheck.ContentID(content),
@@ -43,7 +43,7 @@
 	return pomelocheck.Backlogged{Pool: "p", Account: pomelorelay.AccountID(account), At: at(when), Waiting: waiting}
 }
 
-// checkCase is a history and the violations that it must give, none when Want is empty.
+// checkCase is a sequence of events and the kinds of violations expected for it.
 type checkCase struct {
 	name   string
 	events []pomelocheck.Event
@@ -71,34 +71,34 @@
 	}
 }
 
-// A router passes on another caller's late answer, or half of the right one, as if all were well. The caller books the
-// wrong bench job or files half a narrative.
-func TestWrongAnswersAreFound(t *testing.T) {
+// A router forwards the late answer to another request, or a truncated answer, as a success. The caller would act on a wrong
+// or incomplete result.
+func TestDetectsWrongAnswers(t *testing.T) {
 	crossed, truncated := answered("a", time.Second), answered("a", time.Second)
 	crossed.Own = false
 	truncated.Whole = false
 	runCases(t, pomelocheck.Config{}, []checkCase{
-		{"own and whole", []pomelocheck.Event{sent("a", "x", 0), answered("a", time.Second)}, nil},
-		{"crossed", []pomelocheck.Event{sent("a", "x", 0), crossed}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
-		{"short", []pomelocheck.Event{sent("a", "x", 0), truncated}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
-		{"twice", []pomelocheck.Event{sent("a", "x", 0), answered("a", time.Second), answered("a", 2*time.Second)}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
+		{"own and complete", []pomelocheck.Event{sent("a", "x", 0), answered("a", time.Second)}, nil},
+		{"answer to another request", []pomelocheck.Event{sent("a", "x", 0), crossed}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
+		{"truncated", []pomelocheck.Event{sent("a", "x", 0), truncated}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
+		{"answered twice", []pomelocheck.Event{sent("a", "x", 0), answered("a", time.Second), answered("a", 2*time.Second)}, []pomelocheck.Kind{pomelocheck.WrongAnswer}},
 	})
 }
 
-// A connection breaks after the request was delivered and the router sends it again, or calls it not run. The caller is
-// charged twice, or sends a paid booking again that did run.
-func TestDoubleAndFalselyRefusedRunsAreFound(t *testing.T) {
+// A connection breaks after the request was delivered, and the router resends the request or reports it as not run. The caller
+// is charged twice, or resends a paid booking that did run.
+func TestDetectsDoubleRunsAndRunsReportedAsNotRun(t *testing.T) {
 	idempotent := sent("a", "x", 0)
 	idempotent.Once = false
 	no, unknown := pomelorelay.RanNo, pomelorelay.RanUnknown
 	runCases(t, pomelocheck.Config{}, []checkCase{
-		{"once", []pomelocheck.Event{sent("a", "x", 0), ran("x", time.Second), answered("a", 2*time.Second)}, nil},
-		{"twice", []pomelocheck.Event{sent("a", "x", 0), ran("x", time.Second), ran("x", 2*time.Second), answered("a", 3*time.Second)}, []pomelocheck.Kind{pomelocheck.DoubleRun}},
-		{"idempotent twice", []pomelocheck.Event{idempotent, ran("x", time.Second), ran("x", 2*time.Second), answered("a", 3*time.Second)}, nil},
-		{"refused, ran", []pomelocheck.Event{sent("a", "x", 0), refused("a", 2*time.Second, no), ran("x", time.Second)}, []pomelocheck.Kind{pomelocheck.FalseNotRun}},
-		{"refused, ran later", []pomelocheck.Event{sent("a", "x", 0), refused("a", time.Second, no), ran("x", 2*time.Second)}, []pomelocheck.Kind{pomelocheck.FalseNotRun}},
+		{"ran once", []pomelocheck.Event{sent("a", "x", 0), ran("x", time.Second), answered("a", 2*time.Second)}, nil},
+		{"ran twice", []pomelocheck.Event{sent("a", "x", 0), ran("x", time.Second), ran("x", 2*time.Second), answered("a", 3*time.Second)}, []pomelocheck.Kind{pomelocheck.DoubleRun}},
+		{"idempotent, ran twice", []pomelocheck.Event{idempotent, ran("x", time.Second), ran("x", 2*time.Second), answered("a", 3*time.Second)}, nil},
+		{"ran before the refusal", []pomelocheck.Event{sent("a", "x", 0), refused("a", 2*time.Second, no), ran("x", time.Second)}, []pomelocheck.Kind{pomelocheck.FalseNotRun}},
+		{"ran after the refusal", []pomelocheck.Event{sent("a", "x", 0), refused("a", time.Second, no), ran("x", 2*time.Second)}, []pomelocheck.Kind{pomelocheck.FalseNotRun}},
 		{"refused as unknown", []pomelocheck.Event{sent("a", "x", 0), refused("a", time.Second, unknown), ran("x", 2*time.Second)}, nil},
-		{"ran by the resend", []pomelocheck.Event{
+		{"ran after the resend", []pomelocheck.Event{
 			sent("a", "x", 0), refused("a", time.Second, no), sent("b", "x", 2*time.Second), ran("x", 3*time.Second), answered("b", 4*time.Second),
 		}, nil},
 		{"ran before the resend", []pomelocheck.Event{
@@ -107,24 +107,24 @@
 	})
 }
 
-// A router keeps a request, or an account's queue, and nobody ever takes it up. The caller sees a connection that hangs.
-func TestEndlessWaitsAreFound(t *testing.T) {
+// A router never serves a queued request, or a whole account's queue. The caller sees a hanging connection.
+func TestDetectsStarvation(t *testing.T) {
 	quarantined := func(attempt string, when time.Duration) pomelocheck.Refused {
 		r := refused(attempt, when, pomelorelay.RanNo)
 		r.Code = pomelorelay.CodeQuarantined
 		return r
 	}
 	runCases(t, pomelocheck.Config{MaxWait: 30 * time.Second}, []checkCase{
-		{"no end", []pomelocheck.Event{sent("a", "x", 0)}, []pomelocheck.Kind{pomelocheck.Starved}},
-		{"late end", []pomelocheck.Event{sent("a", "x", 0), answered("a", 31*time.Second)}, []pomelocheck.Kind{pomelocheck.Starved}},
-		{"turned away again and again", []pomelocheck.Event{
+		{"never ended", []pomelocheck.Event{sent("a", "x", 0)}, []pomelocheck.Kind{pomelocheck.Starved}},
+		{"ended late", []pomelocheck.Event{sent("a", "x", 0), answered("a", 31*time.Second)}, []pomelocheck.Kind{pomelocheck.Starved}},
+		{"refused repeatedly", []pomelocheck.Event{
 			sent("a", "x", 0), refused("a", 20*time.Second, pomelorelay.RanNo), sent("b", "x", 21*time.Second), refused("b", 40*time.Second, pomelorelay.RanNo),
 		}, []pomelocheck.Kind{pomelocheck.Starved}},
-		{"quarantined, then repeated", []pomelocheck.Event{
+		{"quarantined, then resent", []pomelocheck.Event{
 			sent("a", "x", 0), quarantined("a", 20*time.Second), sent("b", "x", 21*time.Second), quarantined("b", 40*time.Second),
 		}, nil},
 		{"quarantined late", []pomelocheck.Event{sent("a", "x", 0), quarantined("a", 31*time.Second)}, []pomelocheck.Kind{pomelocheck.Starved}},
-		{"answered, then repeated", []pomelocheck.Event{
+		{"answered, then resent", []pomelocheck.Event{
 			sent("a", "x", 0), answered("a", time.Second), sent("b", "x", 40*time.Second), answered("b", 41*time.Second),
 		}, nil},
 		{"account without service", []pomelocheck.Event{
@@ -136,9 +136,9 @@
 	})
 }
 
-// A router knows that it cannot serve a request and keeps the caller quiet meanwhile, with silence or with drops of an
-// answer. The caller waits where it could have gone elsewhere.
-func TestRefusalsHeldBackAreFound(t *testing.T) {
+// A router knows that it cannot serve a request, but sends the refusal late or a few bytes at a time. The caller waits
+// although it could have tried elsewhere.
+func TestDetectsDelayedRefusals(t *testing.T) {
 	late, slow, noRetryAfter := refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo)
 	late.GaveUp = at(8 * time.Second)
 	slow.First = at(5 * time.Second)
@@ -148,42 +148,42 @@
 	frozen, resumed := pomelocheck.Frozen{Node: bounded.Node, At: at(time.Second)}, pomelocheck.Continued{Node: bounded.Node, At: at(6 * time.Second)}
 	other := pomelocheck.Frozen{Node: "elsewhere", At: at(time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
-		{"at once", []pomelocheck.Event{sent("a", "x", 0), refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
+		{"in time", []pomelocheck.Event{sent("a", "x", 0), refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
 		{"late", []pomelocheck.Event{sent("a", "x", 0), late}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"dripping", []pomelocheck.Event{sent("a", "x", 0), slow}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"no time to come back", []pomelocheck.Event{sent("a", "x", 0), noRetryAfter}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"sent slowly", []pomelocheck.Event{sent("a", "x", 0), slow}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"no Retry-After", []pomelocheck.Event{sent("a", "x", 0), noRetryAfter}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"past the deadline", []pomelocheck.Event{bounded, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"as late as the router stood still", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
-		{"later than that", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"while another stood still", []pomelocheck.Event{bounded, other, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"late by the time the router was suspended", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
+		{"later than the suspension explains", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"while another router was suspended", []pomelocheck.Event{bounded, other, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 	})
 }
 
-// A grant or a list of upstreams outlives the news that an upstream leaves. The work started there dies with the host.
-func TestNewWorkAfterLeaveIsFound(t *testing.T) {
+// A router uses a stale grant or upstream list after an upstream started to leave. Requests started there are lost with the host.
+func TestDetectsNewWorkAfterLeave(t *testing.T) {
 	leaving := pomelocheck.Leaving{Upstream: "u1", At: at(10 * time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
-		{"within the time", []pomelocheck.Event{leaving, sent("a", "x", 0), ran("x", 13*time.Second), answered("a", 14*time.Second)}, nil},
-		{"after it", []pomelocheck.Event{leaving, sent("a", "x", 0), ran("x", 13100*time.Millisecond), answered("a", 14*time.Second)}, []pomelocheck.Kind{pomelocheck.NewWorkAfterLeave}},
+		{"within the grace period", []pomelocheck.Event{leaving, sent("a", "x", 0), ran("x", 13*time.Second), answered("a", 14*time.Second)}, nil},
+		{"after the grace period", []pomelocheck.Event{leaving, sent("a", "x", 0), ran("x", 13100*time.Millisecond), answered("a", 14*time.Second)}, []pomelocheck.Kind{pomelocheck.NewWorkAfterLeave}},
 	})
 }
 
-// A router that is stopped by plan closes its callers' connections. They see a broken answer on an ordinary working day.
-func TestPlannedStopThatCutsOffIsFound(t *testing.T) {
+// A router closes its callers' connections during a planned stop. Callers see broken answers without any failure in the fleet.
+func TestDetectsConnectionsCutByPlannedStop(t *testing.T) {
 	stopping := pomelocheck.Stopping{Node: "r1", At: at(5 * time.Second)}
 	broken := pomelocheck.Broken{Attempt: "a", At: at(6 * time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
-		{"ended by itself", []pomelocheck.Event{stopping, sent("a", "x", 0), answered("a", 6*time.Second)}, nil},
-		{"cut off", []pomelocheck.Event{stopping, sent("a", "x", 0), broken}, []pomelocheck.Kind{pomelocheck.CutOff}},
-		{"broken before", []pomelocheck.Event{pomelocheck.Stopping{Node: "r1", At: at(7 * time.Second)}, sent("a", "x", 0), broken}, nil},
-		{"another router", []pomelocheck.Event{pomelocheck.Stopping{Node: "r2", At: at(5 * time.Second)}, sent("a", "x", 0), broken}, nil},
-		{"killed meanwhile", []pomelocheck.Event{stopping, pomelocheck.Killed{Node: "r1", At: at(6 * time.Second)}, sent("a", "x", 0), broken}, nil},
+		{"finished during the stop", []pomelocheck.Event{stopping, sent("a", "x", 0), answered("a", 6*time.Second)}, nil},
+		{"broken during the stop", []pomelocheck.Event{stopping, sent("a", "x", 0), broken}, []pomelocheck.Kind{pomelocheck.CutOff}},
+		{"broken before the stop", []pomelocheck.Event{pomelocheck.Stopping{Node: "r1", At: at(7 * time.Second)}, sent("a", "x", 0), broken}, nil},
+		{"stop of another router", []pomelocheck.Event{pomelocheck.Stopping{Node: "r2", At: at(5 * time.Second)}, sent("a", "x", 0), broken}, nil},
+		{"killed during the stop", []pomelocheck.Event{stopping, pomelocheck.Killed{Node: "r1", At: at(6 * time.Second)}, sent("a", "x", 0), broken}, nil},
 	})
 }
 
-// The store is brought back from an old copy, or a router hears an old peer, and the old configuration is in force again.
-// The operators see a removed account served again.
-func TestFallingAndLateGenerationsAreFound(t *testing.T) {
+// The store is restored from an old backup, or a peer sends an old configuration, and a router applies it. An account that
+// was removed would be served again.
+func TestDetectsRegressedAndLateGenerations(t *testing.T) {
 	inForce := func(generation pomelorelay.Generation, when time.Duration) pomelocheck.InForce {
 		return pomelocheck.InForce{Node: "r1", Generation: generation, At: at(when)}
 	}
@@ -191,7 +191,7 @@
 	runCases(t, pomelocheck.Config{}, []checkCase{
 		{"rising", []pomelocheck.Event{inForce(1, 0), accepted, inForce(2, 2*time.Second)}, nil},
 		{"falling", []pomelocheck.Event{inForce(2, 0), inForce(1, time.Second)}, []pomelocheck.Kind{pomelocheck.GenerationFell}},
-		{"just in time", []pomelocheck.Event{accepted, inForce(1, 17*time.Second), inForce(1, 18*time.Second)}, nil},
-		{"too late", []pomelocheck.Event{accepted, inForce(1, 19*time.Second), inForce(1, 20*time.Second)}, []pomelocheck.Kind{pomelocheck.GenerationLate}},
+		{"within the maximum delay", []pomelocheck.Event{accepted, inForce(1, 17*time.Second), inForce(1, 18*time.Second)}, nil},
+		{"after the maximum delay", []pomelocheck.Event{accepted, inForce(1, 19*time.Second), inForce(1, 20*time.Second)}, []pomelocheck.Kind{pomelocheck.GenerationLate}},
 	})
 }
--- a/pomelocheck/doc.go
+++ b/pomelocheck/doc.go
@@ -1,5 +1,5 @@
-// Package pomelocheck checks what must always hold of a router fleet against
-// observations of it: typed events from callers, stand-ins, upstreams and
-// routers go in, violations come out.  Tests, the bench and the audit of a
-// running fleet use the same checks.
+// Package pomelocheck checks the invariants of a router fleet.  A Checker takes
+// typed events observed at callers, stand-ins, upstreams and routers, and returns
+// the violations.  Tests, the load generator and the audit of a running fleet use
+// the same checks.
 package pomelocheck
--- a/pomelocheck/events.go
+++ b/pomelocheck/events.go
@@ -6,68 +6,68 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// AttemptID names one sending of a request by a caller; a resend is an attempt of its own.
+// AttemptID identifies one attempt of a caller at a request; each resend is a new attempt.
 type AttemptID string
 
-// ContentID names what a request asks for; every attempt at it and every run of it carry the same one.
+// ContentID identifies the content of a request; all attempts and runs of a request have the same one.
 type ContentID string
 
-// Event is one observation; every implementation is in this package.
+// Event is one observation; all implementations are in this package.
 type Event interface {
 	apply(c *Checker)
 }
 
-// Sent tells that a caller sent a request to a router.
+// Sent is the event of a caller sending a request to a router.
 type Sent struct {
 	Attempt AttemptID
 	Content ContentID
 	Account pomelorelay.AccountID
 	Node    pomelorelay.NodeID
 	At      time.Time
-	// Deadline is when the caller stops waiting, zero when it never does.
+	// Deadline is when the caller stops waiting; zero means no deadline.
 	Deadline time.Time
-	// Once tells that the content may run at most once.
+	// Once reports whether the content may run at most once.
 	Once bool
 }
 
-// Answered tells that an attempt got an answer from an upstream.
+// Answered is the event of an attempt ending with an answer from an upstream.
 type Answered struct {
 	Attempt AttemptID
 	At      time.Time
-	// Own tells that the answer's proof is the one of this request.
+	// Own reports whether the answer's digest is that of this request.
 	Own bool
-	// Whole tells that nothing of the answer is missing, though the transport called it ended.
+	// Whole reports whether the answer is complete; the transport can end a truncated answer without an error.
 	Whole bool
 }
 
-// Refused tells that a router refused an attempt.
+// Refused is the event of a router refusing an attempt.
 type Refused struct {
 	Attempt AttemptID
-	// GaveUp is when the router decided, zero when that is not known.
+	// GaveUp is when the router decided to refuse, zero if unknown.
 	GaveUp time.Time
-	// First and At are when the first and the last byte of the refusal arrived.
+	// First and At are the arrival times of the first and the last byte of the refusal.
 	First time.Time
 	At    time.Time
 	Ran   pomelorelay.Ran
 	Code  pomelorelay.ResultCode
-	// RetryAfter tells that the refusal says when to come back.
+	// RetryAfter reports whether the refusal has a Retry-After header.
 	RetryAfter bool
 }
 
-// Broken tells that an attempt's connection broke, or its stream ended with an error that its caller could tell from an end.
+// Broken is the event of an attempt ending with a broken connection, or with a stream error that the caller can distinguish from a normal end.
 type Broken struct {
 	Attempt AttemptID
 	At      time.Time
 }
 
-// Ran tells that a stand-in or an upstream started to run a request.
+// Ran is the event of a stand-in or an upstream starting to run a request.
 type Ran struct {
 	Content  ContentID
 	Upstream pomelorelay.UpstreamID
 	At       time.Time
 }
 
-// Served tells that an account's request was served evenly over a time.
+// Served is the event of an account's request being served from From to To; its cost is spread evenly over that time.
 type Served struct {
 	Pool    pomelorelay.PoolID
 	Account pomelorelay.AccountID
@@ -77,7 +77,7 @@
 	Cost    pomelorelay.Cost
 }
 
-// Backlogged tells that an account started or ceased to have requests waiting.
+// Backlogged is the event of an account starting or ceasing to have waiting requests.
 type Backlogged struct {
 	Pool    pomelorelay.PoolID
 	Account pomelorelay.AccountID
@@ -85,43 +85,43 @@
 	Waiting bool
 }
 
-// Leaving tells that the host list says from At on that an upstream leaves.
+// Leaving is the event of the host list starting to show an upstream as leaving.
 type Leaving struct {
 	Upstream pomelorelay.UpstreamID
 	At       time.Time
 }
 
-// Stopping tells that a planned stop of a router began.
+// Stopping is the event of a planned stop of a router beginning.
 type Stopping struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Killed tells that a router was ended without warning, so that what broke there is no fault of a planned stop.
+// Killed is the event of a router being killed; connections that broke after it are not attributed to a planned stop.
 type Killed struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Frozen tells that a router was halted from outside, Continued that it goes on.
+// Frozen is the event of a router process being suspended, for instance by SIGSTOP.
 type Frozen struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Continued ends what Frozen began.
+// Continued is the event of a suspended router process being resumed.
 type Continued struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Accepted tells that the store took a configuration.
+// Accepted is the event of the store accepting a configuration.
 type Accepted struct {
 	Generation pomelorelay.Generation
 	At         time.Time
 }
 
-// InForce tells which configuration a router had in force.
+// InForce is the observation of the configuration generation in force on a router.
 type InForce struct {
 	Node       pomelorelay.NodeID
 	Generation pomelorelay.Generation
--- a/pomelocheck/fleet.go
+++ b/pomelocheck/fleet.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// A planned stop that closes connections looks to the caller like a crash, which it need not be: what was in progress
-// when the stop began must end by itself. Kills excuse what broke after them.
+// checkStops finds connections that broke during a planned stop: requests in progress at its beginning must be allowed to
+// finish, since a closed connection looks like a crash to the caller. Connections that broke after a kill are ignored.
 func (c *Checker) checkStops(out []Violation) []Violation {
 	for id, a := range c.attempts {
 		if a.sent == nil || len(a.broken) == 0 {
@@ -69,7 +69,7 @@
 	return out
 }
 
-// dueGeneration returns the newest generation that must be in force when s was seen.
+// dueGeneration returns the newest generation that must be in force at the time of s.
 func (c *Checker) dueGeneration(s InForce) pomelorelay.Generation {
 	var newest pomelorelay.Generation
 	for _, a := range c.accepted {
@@ -80,8 +80,8 @@
 	return newest
 }
 
-// frozenDuration returns how long a router stood still between two times. It can neither answer then nor count the time for which a request
-// waited to be read, so that much is no fault of what it does once it goes on.
+// frozenDuration returns how long a router was suspended between two times. A suspended router can neither answer nor measure how long a
+// request waited to be read, so this time does not count against its deadlines.
 func (c *Checker) frozenDuration(node pomelorelay.NodeID, from, to time.Time) time.Duration {
 	var total time.Duration
 	for _, f := range c.frozen[node] {
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -14,12 +14,12 @@
 	account pomelorelay.AccountID
 }
 
-// accountService is what an account was served in a pool and when it was backlogged.
+// accountService records the service that an account received in a pool and when it was backlogged.
 type accountService struct {
 	served    []Served
 	backlogs  []Backlogged
 	intervals []interval
-	// cumulative is the normalised service at each sample.
+	// cumulative is the cumulative normalised service at each sample.
 	cumulative []pomelorelay.Tag
 }
 
@@ -27,14 +27,14 @@
 	from, to time.Time
 }
 
-// Gap is the largest difference of normalised service between two accounts over any time in which both were backlogged throughout.
+// Gap is the maximum difference of normalised service between two accounts of a pool over any period in which both were backlogged.
 type Gap struct {
 	Pool pomelorelay.PoolID
-	// More and Less are the accounts that had most and least.
+	// More and Less are the accounts with more and with less service.
 	More  pomelorelay.AccountID
 	Less  pomelorelay.AccountID
 	Value pomelorelay.Tag
-	// At is when the difference was reached.
+	// At is the end of the period with the maximum difference.
 	At time.Time
 }
 
@@ -57,7 +57,7 @@
 	s.backlogs = append(s.backlogs, e)
 }
 
-// Gaps returns the largest gap of each pool up to now, ordered by pool; its cost grows with the square of the accounts.
+// Gaps returns the maximum gap of each pool up to now, ordered by pool; the cost is quadratic in the number of accounts.
 func (c *Checker) Gaps(now time.Time) []Gap {
 	start, ok := c.sampleAll(now)
 	if !ok {
@@ -79,7 +79,7 @@
 	return gaps
 }
 
-// WindowGaps returns for each pool the difference of what the accounts that were backlogged from from to to got in that time.
+// WindowGaps returns per pool the maximum difference of normalised service in a window between accounts backlogged throughout it.
 func (c *Checker) WindowGaps(from, to time.Time) map[pomelorelay.PoolID]pomelorelay.Tag {
 	minService, maxService := make(map[pomelorelay.PoolID]pomelorelay.Tag), make(map[pomelorelay.PoolID]pomelorelay.Tag)
 	for key, s := range c.services {
@@ -123,7 +123,8 @@
 	return keys
 }
 
-// sampleAll samples every account's cumulative normalised service and returns the time of the first sample.
+// sampleAll samples the cumulative normalised service of all accounts; it returns the time of the first sample, and false if no account
+// was ever backlogged.
 func (c *Checker) sampleAll(now time.Time) (time.Time, bool) {
 	var start time.Time
 	for _, s := range c.services {
@@ -160,7 +161,7 @@
 	return intervals
 }
 
-// sample spreads each service evenly over its time and sums up.
+// sample returns the cumulative normalised service at each sample, with each service spread evenly over its duration.
 func (c *Checker) sample(served []Served, start time.Time, samples int) []pomelorelay.Tag {
 	sums := make([]pomelorelay.Tag, samples)
 	for _, s := range served {
@@ -177,7 +178,7 @@
 	return sums
 }
 
-// servedFraction returns how much of s was served by t.
+// servedFraction returns the fraction of s that was served by t.
 func servedFraction(s Served, t time.Time) float64 {
 	if !t.Before(s.To) {
 		return 1
@@ -188,13 +189,15 @@
 	return float64(t.Sub(s.From)) / float64(s.To.Sub(s.From))
 }
 
-func (c *Checker) sampleIndex(start, t time.Time) int { return int(t.Sub(start) / c.cfg.GapSampleInterval) }
+func (c *Checker) sampleIndex(start, t time.Time) int {
+	return int(t.Sub(start) / c.cfg.GapSampleInterval)
+}
 
 func (c *Checker) sampleTime(start time.Time, i int) time.Time {
 	return start.Add(time.Duration(i) * c.cfg.GapSampleInterval)
 }
 
-// updateGap raises the gap to the largest change of the two accounts' difference within a time in which both were backlogged.
+// updateGap raises the gap to the maximum change of the difference between the two accounts in any period in which both were backlogged.
 func (c *Checker) updateGap(g *Gap, start time.Time, a, b accountKey) {
 	x, y := c.services[a], c.services[b]
 	for _, p := range x.intervals {
@@ -248,19 +251,19 @@
 		if !ok || g.Value <= bound {
 			continue
 		}
-		detail := fmt.Sprintf("%s had %.3f more than %s, the bound is %.3f", g.More, float64(g.Value), g.Less, float64(bound))
+		detail := fmt.Sprintf("%s received %.3f more normalised service than %s, the bound is %.3f", g.More, float64(g.Value), g.Less, float64(bound))
 		out = append(out, Violation{GapOverBound, string(g.Pool), g.At, detail})
 	}
 	return out
 }
 
-// checkStarvation finds accounts that had requests waiting and got no service for longer than MaxWait.
+// checkStarvation finds accounts that were backlogged and received no service for longer than MaxWait.
 func (c *Checker) checkStarvation(now time.Time, out []Violation) []Violation {
 	for key, s := range c.services {
 		slices.SortStableFunc(s.served, func(a, b Served) int { return a.From.Compare(b.From) })
 		for _, in := range backlogIntervals(s.backlogs, now) {
 			if wait := longestWait(s.served, in); wait > c.cfg.MaxWait {
-				out = append(out, Violation{Starved, string(key.account), in.to, fmt.Sprintf("backlogged in %s and without service for %s", key.pool, wait)})
+				out = append(out, Violation{Starved, string(key.account), in.to, fmt.Sprintf("backlogged in pool %s without service for %s", key.pool, wait)})
 			}
 		}
 	}
--- a/pomelocheck/gap_test.go
+++ b/pomelocheck/gap_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// One account's requests are all at a router that gets more slots than its share. The others see it served first.
-func TestGapOverItsBoundIsFound(t *testing.T) {
+// All requests of one account are at a router that holds more slots than its share, so that they are served before those of
+// other accounts.
+func TestDetectsGapOverBound(t *testing.T) {
 	both := []pomelocheck.Event{backlogged("recife", 0, true), backlogged("olinda", 0, true)}
 	with := func(events ...pomelocheck.Event) []pomelocheck.Event {
 		return append(append([]pomelocheck.Event(nil), both...), events...)
@@ -22,20 +23,20 @@
 		{"even", with(served("recife", 0, 100*time.Second, 100), served("olinda", 0, 100*time.Second, 100)), nil},
 		{"even by weight", with(served("recife", 0, 100*time.Second, 100), half), nil},
 		{"uneven", with(served("recife", 0, 100*time.Second, 100), served("olinda", 0, 100*time.Second, 80)), []pomelocheck.Kind{pomelocheck.GapOverBound}},
-		{"uneven in the middle only", with(
+		{"uneven only within the period", with(
 			served("recife", 0, 50*time.Second, 100), served("olinda", 50*time.Second, 100*time.Second, 100),
 		), []pomelocheck.Kind{pomelocheck.GapOverBound}},
-		{"not backlogged meanwhile", with(
+		{"other account not backlogged", with(
 			backlogged("olinda", 5*time.Second, false), served("recife", 0, 100*time.Second, 100),
 		), nil},
-		{"idle one banks nothing", []pomelocheck.Event{
+		{"no credit for idle time", []pomelocheck.Event{
 			backlogged("recife", 0, true), backlogged("olinda", 50*time.Second, true),
 			served("recife", 0, 100*time.Second, 100), served("olinda", 50*time.Second, 100*time.Second, 50),
 		}, nil},
 	})
 }
 
-func TestGapNamesAccountsAndValue(t *testing.T) {
+func TestGapReportsAccountsAndValue(t *testing.T) {
 	c := pomelocheck.New(pomelocheck.Config{})
 	for _, e := range []pomelocheck.Event{
 		backlogged("recife", 0, true), backlogged("olinda", 0, true),
@@ -52,7 +53,7 @@
 	}
 }
 
-// The gap of any history equals the one found by trying every pair of samples, whatever the accounts were served.
+// The gap of a random history equals the one found by comparing every pair of samples.
 func TestGapEqualsExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := pomelocheck.New(pomelocheck.Config{GapSampleInterval: time.Second})
@@ -81,7 +82,7 @@
 	})
 }
 
-func TestWindowGapTakesOnlyAccountsBackloggedThroughout(t *testing.T) {
+func TestWindowGapsUseOnlyAccountsBackloggedThroughout(t *testing.T) {
 	c := pomelocheck.New(pomelocheck.Config{})
 	for _, e := range []pomelocheck.Event{
 		backlogged("recife", 0, true), backlogged("olinda", 0, true), backlogged("natal", 15*time.Second, true),
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -9,7 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// A caller who takes another's answer, or half of its own, for whole acts on it; only the caller's own proof shows it.
+// checkAnswers finds answers that belong to another request, are truncated without an error, or follow an earlier end of the attempt.
+// A caller would act on such an answer; only the digest of its request reveals it.
 func (c *Checker) checkAnswers(out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, answer := range a.answered {
@@ -18,11 +19,11 @@
 				continue
 			}
 			if !answer.Whole {
-				out = append(out, Violation{WrongAnswer, string(id), answer.At, "the answer ended as if whole and is not"})
+				out = append(out, Violation{WrongAnswer, string(id), answer.At, "the answer is truncated but ended without an error"})
 			}
 		}
 		if endCount := a.endCount(); endCount > 1 {
-			out = append(out, Violation{WrongAnswer, string(id), a.firstEnd(), fmt.Sprintf("the attempt ended %d times", endCount)})
+			out = append(out, Violation{WrongAnswer, string(id), a.firstEnd(), fmt.Sprintf("the attempt ended %d times, want once", endCount)})
 		}
 	}
 	return out
@@ -30,7 +31,7 @@
 
 func (a *attempt) endCount() int { return len(a.answered) + len(a.refused) + len(a.broken) }
 
-// firstEnd returns when the attempt ended first, zero while it is open.
+// firstEnd returns when the attempt first ended, zero if it has not.
 func (a *attempt) firstEnd() time.Time {
 	var ends []time.Time
 	for _, e := range a.answered {
@@ -56,8 +57,8 @@
 	return end
 }
 
-// A caller who is turned away again and again waits as one does who hears nothing; so a request's wait is taken over all its
-// attempts, until the first answer or the first word that the request is quarantined, which is final.
+// checkWaits finds requests that took longer than MaxWait. The wait spans all attempts, since a caller that is refused
+// repeatedly is not served either; it ends with the first answer or the first refusal as quarantined, which is final.
 func (c *Checker) checkWaits(now time.Time, out []Violation) []Violation {
 	for id, t := range c.contents {
 		first, end := c.waitSpan(t, now)
@@ -69,7 +70,7 @@
 	return out
 }
 
-// waitSpan returns when the content was first sent, and when it was first answered or quarantined or else its last attempt ended.
+// waitSpan returns when the content was first sent, and when it was first answered or quarantined, or else when its last attempt ended.
 func (c *Checker) waitSpan(t *content, now time.Time) (first, end time.Time) {
 	var settled time.Time
 	for _, id := range t.attempts {
@@ -90,7 +91,7 @@
 	return first, end
 }
 
-// describeAttempts tells where each attempt went and when it began and ended, so that a violation can be traced to a fault.
+// describeAttempts lists the router, start, end and refusal codes of each attempt, so that a violation can be traced to a fault.
 func (c *Checker) describeAttempts(t *content, first, now time.Time) string {
 	var text strings.Builder
 	for _, id := range t.attempts {
@@ -103,7 +104,7 @@
 	return text.String()
 }
 
-// settledAt returns when the attempt was first answered or refused as quarantined, zero when it was neither.
+// settledAt returns when the attempt was first answered or refused as quarantined, zero if neither.
 func (a *attempt) settledAt() time.Time {
 	var when time.Time
 	if len(a.answered) > 0 {
@@ -117,8 +118,8 @@
 	return when
 }
 
-// A router that has given up a request and keeps its caller waiting hides the failure: the caller could have gone
-// elsewhere. It shows as a refusal that comes late, drips, or lacks the time to come back.
+// checkRefusals finds refusals that are late, sent slowly, or without Retry-After. A router that delays a refusal after
+// giving up the request keeps the caller from trying elsewhere.
 func (c *Checker) checkRefusals(now time.Time, out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, r := range a.refused {
@@ -135,18 +136,18 @@
 
 func (c *Checker) delayedRefusal(r Refused) string {
 	if delay := r.At.Sub(r.GaveUp); !r.GaveUp.IsZero() && delay > c.cfg.MaxRefusalDelay+c.cfg.Skew {
-		return fmt.Sprintf("the refusal came %s after the router gave up", delay)
+		return fmt.Sprintf("the refusal ended %s after the router gave up the request", delay)
 	}
 	if duration := r.At.Sub(r.First); !r.First.IsZero() && duration > c.cfg.MaxRefusalDelay {
 		return fmt.Sprintf("the refusal took %s from its first byte to its last", duration)
 	}
 	if temporary(r.Code) && !r.RetryAfter {
-		return fmt.Sprintf("the refusal %d does not say when to come back", r.Code)
+		return fmt.Sprintf("the refusal with code %d has no Retry-After", r.Code)
 	}
 	return ""
 }
 
-// temporary tells whether a refusal with the code passes by itself, so that its caller should come back.
+// temporary reports whether the condition behind the code is temporary, so that the caller should retry later.
 func temporary(code pomelorelay.ResultCode) bool {
 	status := code.Info().HTTPStatus
 	return code != 0 && (status == 503 || status == 429)
@@ -171,7 +172,7 @@
 			if len(t.attempts) == 0 || c.causedByAttempt(t, run) {
 				continue
 			}
-			out = append(out, Violation{FalseNotRun, string(id), run.At, "it ran on " + string(run.Upstream) + " though every attempt was refused as not run"})
+			out = append(out, Violation{FalseNotRun, string(id), run.At, "ran on upstream " + string(run.Upstream) + " although every attempt was refused as not run"})
 		}
 	}
 	return out
@@ -189,8 +190,8 @@
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.Once })
 }
 
-// causedByAttempt tells whether an attempt sent before the run was not refused as not run. A resend of the same content
-// may rightly run after an earlier attempt was refused, so each run is held against the attempts sent before it.
+// causedByAttempt reports whether an attempt sent before the run was not refused as not run. Later attempts are ignored, since
+// a resend may run although an earlier attempt was refused, but it cannot explain a run before it was sent.
 func (c *Checker) causedByAttempt(t *content, run Ran) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
--- a/pomelocheck/violations.go
+++ b/pomelocheck/violations.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Kind names what did not hold.
+// Kind is the kind of a violation.
 type Kind string
 
-// The kinds of violation.
+// Kinds of violations.
 const (
 	GapOverBound      Kind = "GapOverBound"
 	Starved           Kind = "Starved"
@@ -22,21 +22,21 @@
 	HeldBack          Kind = "HeldBack"
 )
 
-// Violation is one observation that contradicts what must hold.
+// Violation is one violated invariant.
 type Violation struct {
 	Kind Kind
-	// Subject names the attempt, content, account, upstream or router that it is about.
+	// Subject is the ID of the attempt, content, account, upstream, router or pool concerned.
 	Subject string
 	At      time.Time
 	Detail  string
 }
 
-// String returns the violation in one line.
+// String formats the violation as one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s %s at %s: %s", v.Kind, v.Subject, v.At.Format(time.RFC3339Nano), v.Detail)
 }
 
-// Count returns how many of the violations are of the kind.
+// Count returns the number of violations of the given kind.
 func Count(violations []Violation, kind Kind) int {
 	n := 0
 	for _, v := range violations {
--- a/pomelofake/address.go
+++ b/pomelofake/address.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// minPort is the first port that FreeAddr gives out, below those that the system gives to outgoing connections.
+// minPort is the lower bound of the ports of FreeAddr, below the ephemeral ports of outgoing connections.
 const minPort = 20000
 
-// addressCount counts the addresses that this process has given out.
+// addressCount is the number of addresses that FreeAddr has returned.
 var addressCount atomic.Uint32
 
-// FreeAddr returns a loopback address that nothing listens on. Its IP number is this process's own and its port one that no outgoing
-// connection gets: an address that was merely free when it was looked for may be taken by another process's test before it is listened on.
+// FreeAddr returns an unused loopback address. The IP address is derived from the process ID and the port is not ephemeral, since a
+// port that is merely free when looked up can be taken by another process's test before it is listened on.
 func FreeAddr() netip.AddrPort {
 	pid := os.Getpid()
 	ip := netip.AddrFrom4([4]byte{127, byte(64 + pid>>16&63), byte(pid >> 8), byte(pid)})
--- a/pomelofake/admin.go
+++ b/pomelofake/admin.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// AdminConfig names the stand-ins that an Admin rules over.
+// AdminConfig holds the stand-ins that an Admin controls; a nil field means that there is none of that kind.
 type AdminConfig struct {
 	Engines  map[pomelorelay.UpstreamID]*Engine
 	Plains   map[pomelorelay.UpstreamID]*Plain
@@ -19,47 +19,48 @@
 	Relays   map[string]*Relay
 }
 
-// Fault is what POST /fault takes: only what is set is done. Durations are nanoseconds, as Go writes them.
+// Fault is the body of POST /fault; only the fields that are set are applied. Durations are in nanoseconds.
 type Fault struct {
-	// Target names the engine, plain service or relay.
+	// Target is the name of the engine, plain service or relay.
 	Target   string
 	Engine   *EngineFaults
 	Plain    *PlainFaults
 	Store    *StoreFaults
 	HostList *HostListFaults
 	Relay    []RelayRule
-	// Crash crashes the target engine.
+	// Crash makes the target engine crash.
 	Crash bool
-	// Leave and Remove name a host that leaves or goes off the host list.
+	// Leave is a host to mark as leaving, and Remove one to remove from the host list.
 	Leave  string
 	Remove string
-	// Copy keeps the store's content, and Restore brings it back.
+	// Copy takes a snapshot of the store, and Restore goes back to the last snapshot.
 	Copy    bool
 	Restore bool
 }
 
-// FaultAnswer answers POST /fault.
+// FaultAnswer is the body of the answer to POST /fault.
 type FaultAnswer struct {
-	// Shows is when a change of the host list shows.
+	// Shows is when a change of the host list becomes visible; zero if the list was not changed.
 	Shows time.Time
 }
 
-// Counts is what GET /counts answers.
+// Counts is the body of the answer to GET /counts.
 type Counts struct {
-	Store  StoreCounts
+	Store StoreCounts
+	// Passed is the number of bytes that each relay forwarded, by its name.
 	Passed map[string]int64
 }
 
-// Admin is the handler by which a script or the bench sets faults of stand-ins and reads what they counted.
+// Admin is an HTTP handler that injects faults into stand-ins and returns their counters.
 type Admin struct {
 	cfg    AdminConfig
 	router *mux.Router
 
-	mu   sync.Mutex
+	mu       sync.Mutex
 	snapshot StoreSnapshot
 }
 
-// NewAdmin returns the handler.
+// NewAdmin returns a handler for the given stand-ins.
 func NewAdmin(cfg AdminConfig) *Admin {
 	a := &Admin{cfg: cfg, router: mux.NewRouter()}
 	a.router.HandleFunc("/fault", a.handleFault).Methods(http.MethodPost)
@@ -68,7 +69,7 @@
 	return a
 }
 
-// ServeHTTP answers POST /fault, GET /runs/{target}?after=SEQ and GET /counts.
+// ServeHTTP serves POST /fault, GET /runs/{target}?after=SEQ and GET /counts.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
 func (a *Admin) handleFault(w http.ResponseWriter, r *http.Request) {
@@ -76,7 +77,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
-		http.Error(w, "the fault cannot be read: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "cannot decode the fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	if problem := a.missingTarget(f); problem != "" {
@@ -87,7 +88,8 @@
 	writeJSON(w, http.StatusOK, FaultAnswer{Shows: a.updateHostList(f)})
 }
 
-// missingTarget returns what of the fault has no stand-in here, so that a mistyped name does not pass for a fault that was set.
+// missingTarget returns an error text if a target of the fault does not exist, and an empty string otherwise. Without it
+// a mistyped name would look like a fault that was set.
 func (a *Admin) missingTarget(f Fault) string {
 	upstream := pomelorelay.UpstreamID(f.Target)
 	if (f.Engine != nil || f.Crash) && a.cfg.Engines[upstream] == nil {
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -18,23 +18,23 @@
 	maxRequestBody   = 16 << 20
 )
 
-// Headers of the protocols between router and upstream.
+// Headers exchanged between router and upstream.
 const (
-	headerRequestID   = "X-Request-Id"
-	headerLastEventID   = "Last-Event-ID"
-	headerRan         = "Ran"
-	headerIdempotencyKey         = "Idempotency-Key"
-	headerContentType = "Content-Type"
+	headerRequestID      = "X-Request-Id"
+	headerLastEventID    = "Last-Event-ID"
+	headerRan            = "Ran"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerContentType    = "Content-Type"
 )
 
-// chatRequest is what the engine reads of a request to either completion path.
+// chatRequest holds the fields that the engine uses of a request to either completion path.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
 	Prompt    string        `json:"prompt"`
 	MaxTokens int           `json:"max_tokens"`
 	Stream    bool          `json:"stream"`
-	// IgnoreEOS makes the answer exactly MaxTokens long; without it the length is any up to that and known to nobody before.
+	// IgnoreEOS makes the answer exactly MaxTokens long; otherwise its length is between 1 and MaxTokens and cannot be predicted by a router.
 	IgnoreEOS bool `json:"ignore_eos"`
 }
 
@@ -87,12 +87,12 @@
 	}
 	var q chatRequest
 	if err := json.Unmarshal(body, &q); err != nil {
-		http.Error(w, "the body is not a completion request: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "cannot decode the completion request: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	if e.cfg.Model != "" && q.Model != e.cfg.Model {
 		w.Header().Set(headerRan, "No")
-		http.Error(w, "the model "+q.Model+" is not served here", http.StatusNotFound)
+		http.Error(w, "model "+q.Model+" is not served by this engine", http.StatusNotFound)
 		return
 	}
 	s := e.enqueue(q, body, r.Header.Get(headerRequestID))
@@ -102,21 +102,21 @@
 
 func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set(headerRan, "No")
-	http.Error(w, "refused", http.StatusServiceUnavailable)
+	http.Error(w, "refused by an injected fault", http.StatusServiceUnavailable)
 }
 
 func (e *Engine) enqueue(q chatRequest, body []byte, requestID string) *sequence {
 	digest := ProofOf(body)
 	prompt := q.prompt()
 	s := &sequence{
-		requestID: requestID,
-		digest:     digest,
-		prompt:    prompt,
+		requestID:    requestID,
+		digest:       digest,
+		prompt:       prompt,
 		promptTokens: len(prompt)/bytesPerToken + 1,
-		targetTokens:    q.completionTokens(digest),
-		crashes:   e.cfg.CrashMarker != "" && strings.Contains(string(body), e.cfg.CrashMarker),
-		readers:   1,
-		changed:   make(chan struct{}),
+		targetTokens: q.completionTokens(digest),
+		crashes:      e.cfg.CrashMarker != "" && strings.Contains(string(body), e.cfg.CrashMarker),
+		readers:      1,
+		changed:      make(chan struct{}),
 	}
 	e.mu.Lock()
 	e.waiting = append(e.waiting, s)
@@ -150,7 +150,7 @@
 	e.answerBuffered(w, r, s)
 }
 
-// sleep waits and reports false when the caller went first.
+// sleep waits for d and reports whether it elapsed before the caller disconnected.
 func sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/pomelofake/decode.go
+++ b/pomelofake/decode.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// sequence is one request in an engine; the engine's mutex guards it.
+// sequence is the state of one request in an engine, guarded by the engine's mutex.
 type sequence struct {
-	requestID string
-	digest     Proof
-	prompt    string
-	promptTokens int
-	cachedTokens    int
-	prefillRemaining   int
-	targetTokens    int
-	producedTokens  int
-	crashes   bool
-	run       *Run
-	readers   int
-	// detachedAt is when the last reader went.
-	detachedAt  time.Time
-	endedAt     time.Time
-	done      bool
-	cancelled bool
-	// changed is closed and replaced at every change.
+	requestID        string
+	digest           Proof
+	prompt           string
+	promptTokens     int
+	cachedTokens     int
+	prefillRemaining int
+	targetTokens     int
+	producedTokens   int
+	crashes          bool
+	run              *Run
+	readers          int
+	// detachedAt is when a reader last disconnected.
+	detachedAt time.Time
+	endedAt    time.Time
+	done       bool
+	cancelled  bool
+	// changed is closed and replaced whenever the sequence changes.
 	changed chan struct{}
 }
 
@@ -34,7 +34,7 @@
 
 func (s *sequence) terminated() bool { return s.done || s.cancelled }
 
-// decode makes a step after another while there is work.
+// decode runs decode steps while there are requests, until the engine is closed.
 func (e *Engine) decode() {
 	for {
 		step, busy := e.stepTime()
@@ -66,7 +66,7 @@
 	return e.cfg.StepTime + time.Duration(len(e.running))*e.cfg.StepPerRequest, busy
 }
 
-// step admits, advances every running request by one token, and reports whether one of them crashes the engine.
+// step admits waiting requests, advances every running one by one step and reports whether one of them crashes the engine.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,7 +148,7 @@
 	s.notify()
 }
 
-// evictEnded drops streams that can no longer be taken up again, the earliest ended first.
+// evictEnded removes ended streams whose retention period is over, the earliest ended first.
 func (e *Engine) evictEnded(now time.Time) {
 	for len(e.ended) > 0 && now.Sub(e.ended[0].endedAt) > e.cfg.StreamRetention {
 		s := e.ended[0]
--- a/pomelofake/doc.go
+++ b/pomelofake/doc.go
@@ -1,5 +1,6 @@
-// Package pomelofake holds small stand-ins for what surrounds a router fleet:
-// a model engine, a plain service, the platform's store and host list, and a
-// TCP relay between routers.  Each can be told to fail, in code or over HTTP,
-// and counts what it did, so that a test can tell what really happened.
+// Package pomelofake provides stand-ins for the systems around a router fleet:
+// a model engine, a plain HTTP service, the platform's store and host list, and
+// a TCP relay between routers.  Faults can be injected into each in code or over
+// HTTP, and each counts what it did, so that tests can compare what a caller saw
+// with what took place.
 package pomelofake
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -8,42 +8,42 @@
 	"github.com/gorilla/mux"
 )
 
-// EngineConfig describes an Engine; a zero value takes its default.
+// EngineConfig configures an Engine; a zero field takes its default.
 type EngineConfig struct {
-	// Model is the name of the model that it serves; a request for another is answered 404. Empty serves any.
+	// Model is the name of the served model; requests for another one are answered 404. Empty serves any.
 	Model string
-	// Slots is how many requests run in one batch, 8 by default.
+	// Slots is the maximum batch size in requests, 8 by default.
 	Slots int
-	// StepTime is the time of one decode step, in which each running request gets a token, 2 ms by default.
+	// StepTime is the duration of one decode step, which yields one token per running request, 2 ms by default.
 	StepTime time.Duration
-	// StepPerRequest is what each running request adds to a step.
+	// StepPerRequest is the time that each running request adds to a step.
 	StepPerRequest time.Duration
-	// PrefillPerStep is how many prompt tokens are computed for a request in one step, 256 by default.
+	// PrefillPerStep is the number of prompt tokens processed per request and step, 256 by default.
 	PrefillPerStep int
-	// PrefixBlocks bounds the prefix cache in blocks of 64 bytes, 4096 by default.
+	// PrefixBlocks is the capacity of the prefix cache in blocks of 64 bytes, 4096 by default.
 	PrefixBlocks int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// ResumeGrace is how long a stream whose reader went runs on, so that it can be taken up again, 2 s by default.
+	// ResumeGrace is how long a stream without a reader keeps running so that it can be resumed, 2 s by default.
 	ResumeGrace time.Duration
-	// StreamRetention is how long an ended stream can be taken up again, 30 s by default.
+	// StreamRetention is how long an ended stream can be resumed, 30 s by default.
 	StreamRetention time.Duration
-	// CrashMarker in a request's body makes the engine crash when the request starts to run; empty for none.
+	// CrashMarker is a text in a request's body that makes the engine crash when the request runs; empty disables it.
 	CrashMarker string
-	// CrashDowntime is how long the engine is down after a crash, 500 ms by default.
+	// CrashDowntime is how long the engine is unavailable after a crash, 500 ms by default.
 	CrashDowntime time.Duration
-	// Crash is called for a crash, usually a Host's Crash.
+	// Crash is called on every crash, typically Host.Crash; nil only loses the engine's state.
 	Crash func(downFor time.Duration)
 }
 
 const (
-	defaultSlots          = 8
-	defaultStepTime       = 2 * time.Millisecond
-	defaultPrefillPerStep = 256
-	defaultPrefixBlocks   = 4096
-	defaultResumeGrace          = 2 * time.Second
-	defaultStreamRetention           = 30 * time.Second
-	defaultCrashDowntime       = 500 * time.Millisecond
+	defaultSlots           = 8
+	defaultStepTime        = 2 * time.Millisecond
+	defaultPrefillPerStep  = 256
+	defaultPrefixBlocks    = 4096
+	defaultResumeGrace     = 2 * time.Second
+	defaultStreamRetention = 30 * time.Second
+	defaultCrashDowntime   = 500 * time.Millisecond
 )
 
 func (cfg EngineConfig) withDefaults() EngineConfig {
@@ -69,22 +69,22 @@
 	}
 }
 
-// EngineFaults are what goes wrong at an Engine; the zero value is none.
+// EngineFaults are the faults injected into an Engine; the zero value injects none.
 type EngineFaults struct {
-	// Refuse answers 503 with Ran: No.
+	// Refuse answers completions with 503 and Ran: No.
 	Refuse bool
 	// Late delays the start of every answer.
 	Late time.Duration
-	// CutAfter breaks the connection of a stream after so many events, Cuts times.
+	// CutAfter is the number of events after which a stream's connection is closed; this happens Cuts times.
 	CutAfter int
 	Cuts     int
-	// NoEnd ends streams in good order for the transport but without usage and [DONE].
+	// NoEnd ends streams correctly at the transport level but without usage and [DONE].
 	NoEnd bool
 	// Stalled stops all decoding.
 	Stalled bool
 }
 
-// Engine is a model engine with continuous batching, an OpenAI-style interface, and no notion of priorities.
+// Engine simulates a model engine with continuous batching and an OpenAI-style API; it does not support priorities.
 type Engine struct {
 	cfg     EngineConfig
 	router  *mux.Router
@@ -98,13 +98,13 @@
 	waiting []*sequence
 	running []*sequence
 	streams map[string]*sequence
-	// ended holds the sequences that have ended, in that order, until they are forgotten.
-	ended     []*sequence
+	// ended holds the ended sequences in the order of their end, until they are evicted.
+	ended    []*sequence
 	prefixes *prefixCache
 	load     laggedLoad
 }
 
-// NewEngine starts an engine; it decodes until Close.
+// NewEngine returns an engine that runs until Close.
 func NewEngine(cfg EngineConfig) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
@@ -122,7 +122,7 @@
 	return e
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults EngineFaults) {
 	e.mu.Lock()
 	e.faults = faults
@@ -130,33 +130,35 @@
 	e.wakeDecoder()
 }
 
-// Faults returns what goes wrong.
+// Faults returns the injected faults.
 func (e *Engine) Faults() EngineFaults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// Load returns the load as reported, which lags.
+// Load returns the reported load, which is EngineConfig.LoadLag old.
 func (e *Engine) Load() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.load.reported()
 }
 
-// RunsByRequestID returns how often a request with the X-Request-Id ran.
-func (e *Engine) RunsByRequestID(requestID string) int { return e.runs.count(e.runs.startsByRequestID, requestID) }
+// RunsByRequestID returns how often a request with the given X-Request-Id was run.
+func (e *Engine) RunsByRequestID(requestID string) int {
+	return e.runs.count(e.runs.startsByRequestID, requestID)
+}
 
-// RunsByDigest returns how often a body with the proof ran.
+// RunsByDigest returns how often a request whose body has the given digest was run.
 func (e *Engine) RunsByDigest(digest Proof) int { return e.runs.countDigest(digest) }
 
-// Runs returns the runs that ended after the one numbered seq.
+// Runs returns the runs that ended after the run with sequence number seq.
 func (e *Engine) Runs(seq uint64) []Run { return e.runs.endedAfter(seq) }
 
-// ServeHTTP answers the OpenAI-style interface, the resumption of streams and GET /load.
+// ServeHTTP serves the completion paths, POST /v1/streams/{id} to resume a stream, and GET /load.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
-// Close cancels what runs and waits until decoding has ended.
+// Close stops decoding and cancels all requests.
 func (e *Engine) Close() error {
 	close(e.closing)
 	e.wg.Wait()
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// Crash loses every request and the prefix cache, as a process that dies does, and calls the configured Crash.
+// Crash drops every request and the prefix cache, as the death of a process does, and calls EngineConfig.Crash.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	e.cancelAll()
--- a/pomelofake/engine_test.go
+++ b/pomelofake/engine_test.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":%d,"ignore_eos":true,"stream":%t}`, text, tokens, stream)
 }
 
-// expectedText is what a whole answer to the body says.
+// expectedText returns the text of a complete answer to the body.
 func expectedText(body string, tokens int) string {
 	var text strings.Builder
 	for n := range tokens {
@@ -29,7 +29,7 @@
 	return text.String()
 }
 
-// streamText returns the text of a stream's events and whether it ended as it should.
+// streamText returns the text of a stream's events and whether the stream ended with [DONE].
 func streamText(t *testing.T, raw string) (string, bool) {
 	t.Helper()
 	var text strings.Builder
@@ -58,7 +58,7 @@
 	return engine, client
 }
 
-func TestEngineAnswersWithProofAndUsage(t *testing.T) {
+func TestEngineAnswersWithDigestAndUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, client := newTestEngine(t, pomelofake.EngineConfig{})
 		for _, stream := range []bool{false, true} {
@@ -76,13 +76,13 @@
 				t.Errorf("no usage in %s", text)
 			}
 			if engine.RunsByRequestID(id) != 1 {
-				t.Errorf("%s ran %d times", id, engine.RunsByRequestID(id))
+				t.Errorf("%s ran %d times, want once", id, engine.RunsByRequestID(id))
 			}
 		}
 	})
 }
 
-func TestEngineBatchesAndReportsLate(t *testing.T) {
+func TestEngineBatchesAndReportsDelayedLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := pomelofake.EngineConfig{Slots: 2, StepTime: 10 * time.Millisecond, LoadLag: 100 * time.Millisecond}
 		engine, client := newTestEngine(t, cfg)
@@ -93,14 +93,14 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 		if load := engine.Load(); load.Running != 0 {
-			t.Errorf("the load is %+v at once, want it to lag", load)
+			t.Errorf("the load is %+v before the lag, want no running requests", load)
 		}
 		time.Sleep(100 * time.Millisecond)
 		if load := engine.Load(); load != (pomelofake.Load{Running: 2, Waiting: 2, Slots: 2}) {
-			t.Errorf("the load is %+v after the lag", load)
+			t.Errorf("the load is %+v after the lag, want 2 running and 2 waiting", load)
 		}
 		wg.Wait()
-		// Two batches of a prefill step and nine decode steps each.
+		// Two batches, each with one prefill step and nine decode steps.
 		if took := time.Since(began); took != 200*time.Millisecond {
 			t.Errorf("took %s, want 200ms", took)
 		}
@@ -126,7 +126,7 @@
 	})
 }
 
-// A connection breaks in the middle of a stream; the caller comes back with the last event it has.
+// Guards against a resume that loses or repeats tokens: the connection breaks within a stream and the caller resumes after its last event.
 func TestEngineResumesBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, client := newTestEngine(t, pomelofake.EngineConfig{})
@@ -143,16 +143,16 @@
 			t.Errorf("got %q and %q, done %v", firstText, restText, done)
 		}
 		if engine.RunsByRequestID("r1") != 1 {
-			t.Errorf("ran %d times", engine.RunsByRequestID("r1"))
+			t.Errorf("ran %d times, want once", engine.RunsByRequestID("r1"))
 		}
 		if status, _, _ := call(t, client, http.MethodPost, "/v1/streams/r2", ""); status != http.StatusNotFound {
-			t.Errorf("an unknown stream is answered %d", status)
+			t.Errorf("resuming an unknown stream is answered %d, want 404", status)
 		}
 	})
 }
 
-// A caller goes away for good. The engine must not decode to the end for nobody, but only after the time for a resume.
-func TestEngineCancelsAfterGrace(t *testing.T) {
+// A disconnected caller must not keep the engine decoding, but the stream must stay resumable for the grace period.
+func TestEngineCancelsAbandonedStreamAfterGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, client := newTestEngine(t, pomelofake.EngineConfig{StepTime: 10 * time.Millisecond})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -169,7 +169,7 @@
 		_ = resp.Body.Close()
 		time.Sleep(1900 * time.Millisecond)
 		if runs := engine.Runs(0); len(runs) != 0 {
-			t.Errorf("ended within the grace: %+v", runs)
+			t.Errorf("ended within the grace period: %+v", runs)
 		}
 		time.Sleep(200 * time.Millisecond)
 		runs := engine.Runs(0)
@@ -179,7 +179,7 @@
 	})
 }
 
-// One request makes the engine that runs it crash. Everyone's connection there breaks and none is accepted for a while.
+// A marked request crashes the engine: all connections must break and new ones must be refused until the engine is back.
 func TestEngineCrashesOnMarkedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := pomelofake.EngineConfig{CrashMarker: "poison", CrashDowntime: time.Second}
@@ -187,23 +187,23 @@
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			if status, _, _ := call(t, client, http.MethodPost, chatPath, chatBody("good", 1000, false)); status != 0 {
-				t.Errorf("the neighbour was answered %d", status)
+				t.Errorf("the concurrent request was answered %d, want a broken connection", status)
 			}
 		})
 		time.Sleep(100 * time.Millisecond)
 		if status, _, _ := call(t, client, http.MethodPost, chatPath, chatBody("poison", 5, false)); status != 0 {
-			t.Errorf("the marked request was answered %d", status)
+			t.Errorf("the marked request was answered %d, want a broken connection", status)
 		}
 		wg.Wait()
 		if status, text, _ := call(t, client, http.MethodGet, "/load", ""); status != 0 {
-			t.Errorf("answered %d %s while down", status, text)
+			t.Errorf("answered %d %s during the downtime", status, text)
 		}
 		time.Sleep(1100 * time.Millisecond)
 		if status, text, _ := call(t, client, http.MethodGet, "/load", ""); status != http.StatusOK {
-			t.Errorf("answered %d %s after it came back", status, text)
+			t.Errorf("answered %d %s after the downtime", status, text)
 		}
 		if runs := engine.Runs(0); len(runs) != 2 {
-			t.Errorf("counted %d runs", len(runs))
+			t.Errorf("counted %d runs, want 2", len(runs))
 		}
 	})
 }
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -8,31 +8,31 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// FleetStore stands in for the platform's store as the entry routers use it: the operators' configuration, the upstreams' entries and
-// the routers' registrations, each with a revision. It is safe for concurrent use.
+// FleetStore is an in-memory stand-in for the platform's store as entry routers use it: it holds the configuration, the upstreams,
+// the evacuated failure domains and the routers' registrations, each with a revision. It is safe for concurrent use.
 type FleetStore struct {
-	mu        sync.Mutex
-	revision  pomelorelay.Revision
-	changed   chan struct{}
-	unavailable      bool
-	config    *pomelorelay.FleetConfig
-	configRevision  pomelorelay.Revision
-	upstreams map[pomelorelay.UpstreamID]fleetEntry
-	peers     map[pomelorelay.NodeID]fleetEntry
-	evacuated map[pomelorelay.DomainID]fleetEntry
-	leases    map[pomelorelay.LeaseID]pomelorelay.NodeID
-	nextLease pomelorelay.LeaseID
-	// compactedAt is the revision from which the history is kept.
+	mu             sync.Mutex
+	revision       pomelorelay.Revision
+	changed        chan struct{}
+	unavailable    bool
+	config         *pomelorelay.FleetConfig
+	configRevision pomelorelay.Revision
+	upstreams      map[pomelorelay.UpstreamID]fleetEntry
+	peers          map[pomelorelay.NodeID]fleetEntry
+	evacuated      map[pomelorelay.DomainID]fleetEntry
+	leases         map[pomelorelay.LeaseID]pomelorelay.NodeID
+	nextLease      pomelorelay.LeaseID
+	// compactedAt is the oldest revision from which a watch can continue.
 	compactedAt pomelorelay.Revision
-	calls  FleetCalls
-	// Decode reads the documents that peers give; it is required where routers give each other configurations.
+	calls       FleetCalls
+	// Decode decodes configuration documents; it is required if routers fetch configurations from their peers.
 	Decode func(document []byte) (*pomelorelay.FleetConfig, error)
 }
 
-// fleetEntry is an upstream, a router or an evacuation at a revision, or the mark that one was removed.
+// fleetEntry is an upstream, a router or an evacuation at a revision, or the tombstone of one.
 type fleetEntry struct {
-	revision       pomelorelay.Revision
-	deleted     bool
+	revision pomelorelay.Revision
+	deleted  bool
 	upstream pomelorelay.FleetUpstream
 	peer     pomelorelay.Peer
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// commit runs f as one change and wakes the watches.
+// commit calls apply with the next revision and notifies the watches.
 func (s *FleetStore) commit(apply func(at pomelorelay.Revision)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Publish puts a configuration into the store.
+// Publish writes the configuration.
 func (s *FleetStore) Publish(config *pomelorelay.FleetConfig) {
 	s.commit(func(at pomelorelay.Revision) { s.config, s.configRevision = config, at })
 }
@@ -68,27 +68,27 @@
 	s.commit(func(at pomelorelay.Revision) { s.upstreams[u.ID] = fleetEntry{revision: at, upstream: u} })
 }
 
-// Drop removes an upstream's entry.
+// Drop deletes an upstream's entry.
 func (s *FleetStore) Drop(id pomelorelay.UpstreamID) {
 	s.commit(func(at pomelorelay.Revision) { s.upstreams[id] = fleetEntry{revision: at, deleted: true} })
 }
 
-// Evacuate writes the evacuation of a failure domain.
+// Evacuate marks a failure domain as evacuated.
 func (s *FleetStore) Evacuate(domain pomelorelay.DomainID) {
 	s.commit(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{revision: at} })
 }
 
-// Restore takes an evacuation back.
+// Restore cancels the evacuation of a failure domain.
 func (s *FleetStore) Restore(domain pomelorelay.DomainID) {
 	s.commit(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{revision: at, deleted: true} })
 }
 
-// SetDown makes every call fail, or ends that.
+// SetDown sets whether every call fails with CodeStoreUnavailable.
 func (s *FleetStore) SetDown(unavailable bool) {
 	s.commit(func(pomelorelay.Revision) { s.unavailable = unavailable })
 }
 
-// Lapse ends every lease of a router, as an outage does.
+// Lapse expires the leases of all routers and deletes their registrations, as a long outage does.
 func (s *FleetStore) Lapse() {
 	s.commit(func(at pomelorelay.Revision) {
 		for lease, node := range s.leases {
@@ -98,15 +98,15 @@
 	})
 }
 
-// Compact drops the history, so that watches must read everything anew.
+// Compact discards the history, so that a watch from an older revision fails with CodeStoreCompacted.
 func (s *FleetStore) Compact() {
 	s.commit(func(at pomelorelay.Revision) { s.compactedAt = at })
 }
 
-// FleetCalls counts the calls that routers made, answered or not.
+// FleetCalls counts the calls that routers made, including failed ones.
 type FleetCalls struct{ Reads, Watches, Announces int }
 
-// Calls returns the counts since the start.
+// Calls returns the number of calls since the store was created.
 func (s *FleetStore) Calls() FleetCalls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,19 +119,19 @@
 	*calls++
 }
 
-// View is the store as one router reaches it.
+// View is one router's connection to a FleetStore.
 type View struct {
-	s   *FleetStore
-	mu  sync.Mutex
+	s           *FleetStore
+	mu          sync.Mutex
 	partitioned bool
 }
 
 var _ pomelorelay.Platform = (*View)(nil)
 
-// View returns the store as one router reaches it.
+// View returns a new connection to the store for one router.
 func (s *FleetStore) View() *View { return &View{s: s} }
 
-// SetCut parts the router from the store, or ends that.
+// SetCut sets whether the router is partitioned from the store.
 func (v *View) SetCut(partitioned bool) {
 	v.mu.Lock()
 	v.partitioned = partitioned
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// await waits until fresh reports something, at most for the wait; it fails when the store cannot be reached.
+// await waits until ready returns true or the wait is over; it fails if the store is unavailable.
 func (v *View) await(ctx context.Context, wait time.Duration, ready func() bool) error {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -171,7 +171,7 @@
 	}
 }
 
-// Read returns everything; see pomelorelay.Platform. It is never stale here.
+// Read returns the whole content; see pomelorelay.Platform. The result is never stale.
 func (v *View) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
 	v.s.countCall(&v.s.calls.Reads)
 	change := pomelorelay.FleetChange{Whole: true}
@@ -182,7 +182,7 @@
 	return change, err
 }
 
-// Watch returns what changed after a revision; see pomelorelay.Platform.
+// Watch returns the changes after a revision; see pomelorelay.Platform.
 func (v *View) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
 	v.s.countCall(&v.s.calls.Watches)
 	var change pomelorelay.FleetChange
@@ -197,7 +197,7 @@
 	return change, err
 }
 
-// collect adds to the change what happened after the revision; it reports whether anything did. The mutex is held.
+// collect adds the entries written after the revision and reports whether there are any. The caller holds the mutex.
 func (s *FleetStore) collect(change *pomelorelay.FleetChange, after pomelorelay.Revision) bool {
 	change.At = s.revision
 	if s.config != nil && s.configRevision > after {
@@ -227,12 +227,12 @@
 	return changed
 }
 
-// ReadConfig reads a configuration's document that a peer gave.
+// ReadConfig decodes a configuration document received from a peer.
 func (v *View) ReadConfig(document []byte) (*pomelorelay.FleetConfig, error) {
 	return v.s.Decode(document)
 }
 
-// Announce registers a router; see pomelorelay.Platform. Leases do not lapse by themselves here.
+// Announce registers a router; see pomelorelay.Platform. Its lease does not expire by itself.
 func (v *View) Announce(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
 	v.s.countCall(&v.s.calls.Announces)
 	if err := v.available(); err != nil {
@@ -254,7 +254,7 @@
 	return v.availableLocked()
 }
 
-// RenewLease renews a lease; it fails with CodeStoreLeaseLapsed when it has ended.
+// RenewLease renews a lease; it fails with CodeStoreLeaseLapsed if the lease has ended.
 func (v *View) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	v.s.mu.Lock()
 	defer v.s.mu.Unlock()
@@ -267,7 +267,7 @@
 	return nil
 }
 
-// CloseLease ends a lease and removes its router.
+// CloseLease ends a lease and deletes the registration of its router.
 func (v *View) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	if err := v.available(); err != nil {
 		return err
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// The header fields of the stand-in's wire format.
+// Header names of FleetWire.
 const (
 	FieldRequest  = "Request-Id"
 	FieldWait     = "Wait-Ms"
@@ -23,18 +23,18 @@
 	FieldLast     = "Last-Event-Id"
 )
 
-// FleetWire is a wire format of plain fields, for tests of what does not depend on a deployment's names.
+// FleetWire is a wire format with plain header values, for tests that do not depend on a deployment's header names.
 type FleetWire struct{}
 
 var _ pomelorelay.WireFormat = FleetWire{}
 
-// ReadyPath is the path under which the balancer asks whether a router takes requests.
+// ReadyPath returns the path of the readiness check for load balancers.
 func (FleetWire) ReadyPath() string { return "/ready" }
 
-// IDField names the field of a request's id.
+// IDField returns the name of the request ID header.
 func (FleetWire) IDField() string { return FieldRequest }
 
-// ReadCaller reads a caller's fields.
+// ReadCaller parses the headers of a caller's request; missing and malformed values are zero.
 func (FleetWire) ReadCaller(head http.Header) pomelorelay.CallerFields {
 	f := pomelorelay.CallerFields{ID: head.Get(FieldRequest), Key: head.Get(FieldKey)}
 	if ms, err := strconv.Atoi(head.Get(FieldWait)); err == nil {
@@ -60,7 +60,7 @@
 	return pomelorelay.Tokens(n)
 }
 
-// WriteUpstream writes the fields of a request to an upstream.
+// WriteUpstream sets the headers of a request to an upstream.
 func (FleetWire) WriteUpstream(head http.Header, f pomelorelay.UpstreamFields) {
 	head.Del(FieldKey)
 	head.Set(FieldWait, strconv.FormatInt(f.Wait.Milliseconds(), 10))
@@ -71,7 +71,7 @@
 	}
 }
 
-// ReadAnswer reads the head of an answer.
+// ReadAnswer parses status and headers of an upstream's answer.
 func (FleetWire) ReadAnswer(resp *http.Response) pomelorelay.AnswerFields {
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
 	return pomelorelay.AnswerFields{
--- a/pomelofake/host.go
+++ b/pomelofake/host.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// HostConfig describes a Host.
+// HostConfig configures a Host.
 type HostConfig struct {
-	// Listen opens the listener; it is called again when the host comes back from a crash.
+	// Listen opens the listener; it is called again after each crash.
 	Listen  func() (net.Listener, error)
 	Handler http.Handler
 }
 
-// relistenInterval is the time between two tries to listen again after a crash.
+// relistenInterval is the time between attempts to listen again after a crash.
 const relistenInterval = 10 * time.Millisecond
 
-// Host serves a stand-in on a listener and can crash: it closes every connection and refuses new ones for a while.
+// Host serves a stand-in on a listener and simulates crashes, in which all connections are closed and new ones refused.
 type Host struct {
 	cfg     HostConfig
 	closing chan struct{}
@@ -28,7 +28,7 @@
 	down   bool
 }
 
-// NewHost starts to serve; it fails when the listener cannot be opened.
+// NewHost starts serving; it fails if the listener cannot be opened.
 func NewHost(cfg HostConfig) (*Host, error) {
 	h := &Host{cfg: cfg, closing: make(chan struct{})}
 	l, err := cfg.Listen()
@@ -39,7 +39,7 @@
 	return h, nil
 }
 
-// ListenTCP returns a function that listens on the address, for HostConfig.
+// ListenTCP returns a function that listens on a TCP address, for HostConfig.Listen.
 func ListenTCP(addr string) func() (net.Listener, error) {
 	return func() (net.Listener, error) { return net.Listen("tcp", addr) }
 }
@@ -53,7 +53,7 @@
 	h.wg.Go(func() { _ = server.Serve(l) })
 }
 
-// Crash closes every connection and the listener and listens again after downFor; it does nothing while the host is down.
+// Crash closes the listener and all connections, and listens again after downFor; it does nothing while the host is down.
 func (h *Host) Crash(downFor time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	})
 }
 
-// The port may still be held for a moment after the crash, so listening is tried until it succeeds.
+// relisten retries until it succeeds, since the port may still be in use just after a crash.
 func (h *Host) relisten() {
 	for {
 		l, err := h.cfg.Listen()
@@ -85,7 +85,7 @@
 	}
 }
 
-// closeLateServer ends a server that came too late: Close may have passed between listening and serving; without this check the new server would outlive it.
+// closeLateServer closes the new server if Close was called between listening and serving; it would leak otherwise.
 func (h *Host) closeLateServer() {
 	select {
 	case <-h.closing:
@@ -107,7 +107,7 @@
 	}
 }
 
-// Close ends every connection and waits until the host's goroutines have ended.
+// Close closes all connections and waits for the host's goroutines to end.
 func (h *Host) Close() error {
 	close(h.closing)
 	h.mu.Lock()
--- a/pomelofake/hostlist.go
+++ b/pomelofake/hostlist.go
@@ -9,14 +9,14 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// HostListConfig describes a HostList.
+// HostListConfig configures a HostList.
 type HostListConfig struct {
 	Hosts []pomelorelay.Host
-	// Lag is how long a change takes to show.
+	// Lag is the delay until a change becomes visible.
 	Lag time.Duration
 }
 
-// HostListFaults are what goes wrong at a HostList; the zero value is none.
+// HostListFaults are the faults injected into a HostList; the zero value injects none.
 type HostListFaults struct {
 	// Outage answers every call with 503.
 	Outage bool
@@ -24,42 +24,42 @@
 	Slow time.Duration
 }
 
-// HostList is the platform's list of live and leaving hosts, which lags.
+// HostList is the platform's list of live and leaving hosts, whose changes become visible with a delay.
 type HostList struct {
 	cfg HostListConfig
 
 	mu     sync.Mutex
 	faults HostListFaults
-	// versions are the lists by the time at which each begins to show.
+	// versions are the lists in the order in which they become visible; the first one is visible.
 	versions []hostVersion
 }
 
 type hostVersion struct {
 	visibleAt time.Time
-	hosts []pomelorelay.Host
+	hosts     []pomelorelay.Host
 }
 
-// NewHostList returns a list that shows its first hosts at once.
+// NewHostList returns a list whose initial hosts are visible at once.
 func NewHostList(cfg HostListConfig) *HostList {
 	first := hostVersion{visibleAt: time.Now(), hosts: slices.Clone(cfg.Hosts)}
 	return &HostList{cfg: cfg, versions: []hostVersion{first}}
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (l *HostList) SetFaults(faults HostListFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = faults
 }
 
-// Faults returns what goes wrong.
+// Faults returns the injected faults.
 func (l *HostList) Faults() HostListFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// Set replaces the list and returns when the change shows.
+// Set replaces the list and returns when the change becomes visible.
 func (l *HostList) Set(hosts []pomelorelay.Host) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	return visibleAt
 }
 
-// Leave marks a host as leaving and returns when that shows; it reports false when there is no such host.
+// Leave marks a host as leaving and returns when that becomes visible; it reports false if there is no such host.
 func (l *HostList) Leave(name string) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 	return slices.ContainsFunc(newest, func(h pomelorelay.Host) bool { return h.Name == name })
 }
 
-// Remove takes a host off the list and returns when that shows.
+// Remove removes a host and returns when that becomes visible.
 func (l *HostList) Remove(name string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	return l.set(hosts)
 }
 
-// Visible returns the list as it now shows.
+// Visible returns the currently visible list.
 func (l *HostList) Visible() []pomelorelay.Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 	return slices.Clone(l.versions[0].hosts)
 }
 
-// ServeHTTP answers GET /v1/hosts.
+// ServeHTTP serves GET /v1/hosts.
 func (l *HostList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/hosts" || r.Method != http.MethodGet {
 		http.NotFound(w, r)
@@ -120,7 +120,7 @@
 	}
 	faults := l.Faults()
 	if faults.Outage {
-		http.Error(w, "outage", http.StatusServiceUnavailable)
+		http.Error(w, "injected outage of the host list", http.StatusServiceUnavailable)
 		return
 	}
 	if faults.Slow > 0 && !sleep(r, faults.Slow) {
@@ -129,5 +129,5 @@
 	writeJSON(w, http.StatusOK, l.Visible())
 }
 
-// Close does nothing; a HostList has nothing to end.
+// Close does nothing; it lets a HostList be closed like the other stand-ins.
 func (l *HostList) Close() error { return nil }
--- a/pomelofake/load.go
+++ b/pomelofake/load.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Load is what a stand-in reports of itself at GET /load.
+// Load is the load that a stand-in reports at GET /load, in requests.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// laggedLoad keeps past loads, so that the report is as old as the lag.
+// laggedLoad keeps a history of loads to report each with a delay.
 type laggedLoad struct {
 	lag     time.Duration
 	history []loadSample
@@ -30,7 +30,7 @@
 	g.trim(now)
 }
 
-// reported returns the load as it was a lag ago.
+// reported returns the load at the time now minus lag.
 func (g *laggedLoad) reported() Load {
 	g.trim(time.Now())
 	if len(g.history) == 0 {
@@ -39,7 +39,7 @@
 	return g.history[0].load
 }
 
-// trim drops what is older than the newest load that is at least a lag old.
+// trim removes all samples before the newest one that is at least lag old.
 func (g *laggedLoad) trim(now time.Time) {
 	for len(g.history) > 1 && now.Sub(g.history[1].at) >= g.lag {
 		g.history = g.history[1:]
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -7,37 +7,37 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// meshInboxSize is the number of messages that may wait for a router; further ones are lost, as on a full link.
+// meshInboxSize is the capacity of a router's inbox in messages; further ones are dropped, as on a link with a full queue.
 const meshInboxSize = 4096
 
-// Network carries messages between the Meshes of one process, and loses those that a cut forbids.
+// Network delivers messages between the Meshes of one process and simulates partitions and message loss.
 type Network struct {
-	mu     sync.Mutex
-	meshes map[pomelorelay.NodeID]*Mesh
-	partitioned    func(from, to pomelorelay.Peer) bool
-	dropped   func(to pomelorelay.Peer, m pomelorelay.Message) bool
+	mu          sync.Mutex
+	meshes      map[pomelorelay.NodeID]*Mesh
+	partitioned func(from, to pomelorelay.Peer) bool
+	dropped     func(to pomelorelay.Peer, m pomelorelay.Message) bool
 }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network without routers, partitions or loss.
 func NewNetwork() *Network {
 	return &Network{meshes: make(map[pomelorelay.NodeID]*Mesh)}
 }
 
-// Cut loses every message for which lost returns true from now on; nil heals the network.
+// Cut drops every message between routers for which the function returns true; nil ends all partitions.
 func (n *Network) Cut(partitioned func(from, to pomelorelay.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned = partitioned
 }
 
-// Lose loses every single message for which lost returns true from now on; nil ends it.
+// Lose drops every message for which the function returns true; nil ends the loss.
 func (n *Network) Lose(dropped func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropped = dropped
 }
 
-// Join adds a router; an earlier start of the same router no longer gets messages.
+// Join adds a router; it replaces an earlier incarnation of the same router, which receives no further messages.
 func (n *Network) Join(self pomelorelay.Peer, incarnation pomelorelay.Incarnation) *Mesh {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,7 +46,7 @@
 	return m
 }
 
-// nodeAt returns the router that joined with the address.
+// nodeAt returns the router with the given address.
 func (n *Network) nodeAt(addr netip.AddrPort) (pomelorelay.NodeID, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,7 +58,7 @@
 	return "", false
 }
 
-// Mesh implements pomelorelay.Mesh on a Network; it counts messages in place of bytes.
+// Mesh implements pomelorelay.Mesh on a Network; it counts messages instead of bytes.
 type Mesh struct {
 	network     *Network
 	self        pomelorelay.Peer
@@ -70,10 +70,10 @@
 	traffic    [pomelorelay.LinkClasses]pomelorelay.LinkBytes
 }
 
-// SetPeers does nothing: a network knows its routers.
+// SetPeers does nothing, since a Network knows all of its routers.
 func (m *Mesh) SetPeers([]pomelorelay.Peer) {}
 
-// Contact sends a message to the router whose address it is.
+// Contact sends a message to the router with the given address; it does nothing if there is none.
 func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
 	node, ok := m.network.nodeAt(addr)
 	if !ok {
@@ -82,14 +82,15 @@
 	return m.Send(node, message)
 }
 
-// SetGeneration sets the generation that rides on every envelope.
+// SetGeneration sets the configuration generation that is sent with every message.
 func (m *Mesh) SetGeneration(generation pomelorelay.Generation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.generation = generation
 }
 
-// Send delivers a message unless a cut or a full inbox loses it; it fails with CodeMeshUnknownPeer for a router that never joined.
+// Send delivers a message unless a partition or loss drops it. It fails with CodeMeshUnknownPeer for a router that has not joined, and
+// with CodeMeshQueueFull if its inbox is full.
 func (m *Mesh) Send(to pomelorelay.NodeID, message pomelorelay.Message) error {
 	m.network.mu.Lock()
 	peer, ok := m.network.meshes[to]
@@ -123,17 +124,17 @@
 	return pomelorelay.LinkCross
 }
 
-// Receive returns the channel of messages that arrived.
+// Receive returns the channel of received messages.
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
-// Traffic returns the messages sent by link class.
+// Traffic returns the number of sent messages per link class.
 func (m *Mesh) Traffic() [pomelorelay.LinkClasses]pomelorelay.LinkBytes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.traffic
 }
 
-// Close takes the router off the network.
+// Close removes the router from the network.
 func (m *Mesh) Close() error {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
--- a/pomelofake/network_test.go
+++ b/pomelofake/network_test.go
@@ -14,7 +14,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// memoryNetwork is a listener in memory, so that tests run on virtual time.
+// memoryNetwork is an in-memory network, so that tests run on virtual time.
 type memoryNetwork struct {
 	mu       sync.Mutex
 	listener *pipeListener
@@ -69,7 +69,7 @@
 	}
 }
 
-// serve hosts the handler in memory and returns a client of it; both end with the test.
+// serve hosts the handler on a memoryNetwork and returns a client for it; both are closed at the end of the test.
 func serve(t *testing.T, handler http.Handler) (*http.Client, *pomelofake.Host) {
 	t.Helper()
 	n := &memoryNetwork{}
@@ -81,13 +81,13 @@
 	t.Cleanup(func() {
 		transport.CloseIdleConnections()
 		_ = host.Close()
-		// net/http keeps a connection whose request it did not read to the end for half a second longer.
+		// net/http closes a connection whose request was not fully read half a second late.
 		time.Sleep(time.Second)
 	})
 	return &http.Client{Transport: transport}, host
 }
 
-// call sends a request and returns status and body, status 0 when no whole answer came.
+// call sends a request and returns status, body and headers; status 0 means that there was no complete answer.
 func call(t *testing.T, client *http.Client, method, path, body string, headers ...string) (int, string, http.Header) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://stand.in"+path, strings.NewReader(body))
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -12,60 +12,60 @@
 	"github.com/gorilla/mux"
 )
 
-// PlainConfig describes a Plain; a zero value takes its default.
+// PlainConfig configures a plain service; a zero field takes its default.
 type PlainConfig struct {
-	// Slots is how many requests run at once, 8 by default; more wait.
+	// Slots is the maximum number of concurrent requests, 8 by default; further ones wait.
 	Slots int
-	// MinTime and Spread give a run's time, from MinTime to MinTime+Spread by the request's proof; 5 ms and 20 ms by default.
+	// MinTime and Spread bound a run's duration to [MinTime, MinTime+Spread), drawn by the body's digest; 5 ms and 20 ms by default.
 	MinTime time.Duration
 	Spread  time.Duration
-	// Padding is how many bytes an answer is made longer by.
+	// Padding is the number of filler bytes in each answer.
 	Padding int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// OmitRequestID leaves X-Request-Id out of the answers, as services do that do not know of it.
+	// OmitRequestID omits X-Request-Id from answers, as services do that do not support it.
 	OmitRequestID bool
 }
 
 const (
-	defaultMinRunTime = 5 * time.Millisecond
-	defaultRunTimeSpread  = 20 * time.Millisecond
+	defaultMinRunTime    = 5 * time.Millisecond
+	defaultRunTimeSpread = 20 * time.Millisecond
 )
 
-// PlainFaults are what goes wrong at a Plain; the zero value is none.
+// PlainFaults are the faults injected into a plain service; the zero value injects none.
 type PlainFaults struct {
-	// Every makes the faults below hit each so manieth request only; zero hits all.
+	// Every applies the other faults to every n-th request only; zero and one mean all.
 	Every int
-	// Refuse answers 503 with Ran: No.
+	// Refuse answers with 503 and Ran: No.
 	Refuse bool
 	// Late delays the answer after the run.
 	Late time.Duration
-	// Crossed swaps the answers of two requests that run at the same time.
+	// Crossed swaps the answers of two concurrent requests.
 	Crossed bool
-	// Short leaves out so many bytes at the body's end, whose length was announced, and closes.
+	// Short is the number of bytes missing at the end of the body, which is shorter than its Content-Length.
 	Short int
 	// Repeat sends the answer twice on the same connection.
 	Repeat bool
-	// Cut closes the connection after CutAt bytes of the answer, status line and headers included.
+	// Cut closes the connection after CutAt bytes of the answer, including status line and headers.
 	Cut   bool
 	CutAt int
 	// CutEarly closes the connection before the request runs.
 	CutEarly bool
-	// IdleClose closes the connection so long after a whole answer that did not announce it.
+	// IdleClose closes the connection this long after a complete answer without Connection: close.
 	IdleClose time.Duration
 }
 
-// PlainAnswer is the body of a Plain's answer.
+// PlainAnswer is the body of a plain service's answer.
 type PlainAnswer struct {
 	Proof     Proof
 	Key       string
 	RequestID string
-	// Run counts the runs under the same Key, this one included.
+	// Run is the number of runs with the same Key so far, including this one.
 	Run     int
 	Padding string `json:",omitempty"`
 }
 
-// Plain is a plain service that runs each request it gets and counts the runs by Idempotency-Key.
+// Plain is an HTTP service that runs every request it receives and counts the runs per Idempotency-Key.
 type Plain struct {
 	cfg    PlainConfig
 	router *mux.Router
@@ -77,11 +77,11 @@
 	requests int
 	waiting  int
 	load     laggedLoad
-	// swap is the answer that waits to be crossed with the next.
+	// swap is the answer that waits to be swapped with the next one, nil if there is none.
 	swap *pendingSwap
 }
 
-// NewPlain returns a plain service; it has no goroutines of its own.
+// NewPlain returns a plain service; it starts no goroutines.
 func NewPlain(cfg PlainConfig) *Plain {
 	defaultInt(&cfg.Slots, defaultSlots)
 	defaultDuration(&cfg.MinTime, defaultMinRunTime)
@@ -106,7 +106,7 @@
 	return router
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults and restarts the count for Every.
 func (p *Plain) SetFaults(faults PlainFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,33 +114,33 @@
 	p.requests = 0
 }
 
-// Faults returns what goes wrong.
+// Faults returns the injected faults.
 func (p *Plain) Faults() PlainFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// Load returns the load as reported, which lags.
+// Load returns the reported load, which is PlainConfig.LoadLag old.
 func (p *Plain) Load() Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.load.reported()
 }
 
-// RunsOf returns how often a request with the Idempotency-Key ran.
+// RunsOf returns how often a request with the given Idempotency-Key was run.
 func (p *Plain) RunsOf(key string) int { return p.runs.count(p.runs.startsByKey, key) }
 
-// RunsByDigest returns how often a request with the proof ran.
+// RunsByDigest returns how often a request with the given digest was run.
 func (p *Plain) RunsByDigest(digest Proof) int { return p.runs.countDigest(digest) }
 
-// Runs returns the runs that ended after the one numbered seq.
+// Runs returns the runs that ended after the run with sequence number seq.
 func (p *Plain) Runs(seq uint64) []Run { return p.runs.endedAfter(seq) }
 
-// ServeHTTP runs the request, whatever its method and path, and answers GET /load.
+// ServeHTTP serves GET /load and runs every other request, whatever its method and path.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
 
-// Close does nothing; a Plain has nothing to end.
+// Close does nothing; it lets a plain service be closed like the other stand-ins.
 func (p *Plain) Close() error { return nil }
 
 func (p *Plain) handleCall(w http.ResponseWriter, r *http.Request) {
@@ -169,7 +169,7 @@
 	p.writeAnswer(w, answer, faults)
 }
 
-// nextFaults returns the faults that hit the next request.
+// nextFaults counts a request and returns the faults that apply to it.
 func (p *Plain) nextFaults() PlainFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +180,8 @@
 	return p.faults
 }
 
-// run takes a slot and runs the request; it reports false when the caller went while the request waited. A request
-// that has started runs to its end, as a booking does whose caller has gone.
+// run waits for a slot and runs the request; it reports false if the caller disconnected while waiting. A started
+// request runs to its end even if its caller disconnects, as a booking does.
 func (p *Plain) run(r *http.Request, body []byte) (PlainAnswer, bool) {
 	if !p.acquireSlot(r) {
 		return PlainAnswer{}, false
@@ -225,7 +225,7 @@
 	p.load.record(Load{Running: len(p.slots), Waiting: p.waiting, Slots: p.cfg.Slots})
 }
 
-// requestDigest is the proof of the body, or of the path where there is none.
+// requestDigest returns the digest of the body, or of the request URI if the body is empty.
 func requestDigest(r *http.Request, body []byte) Proof {
 	if len(body) == 0 {
 		return ProofOf([]byte(r.URL.RequestURI()))
@@ -233,7 +233,7 @@
 	return ProofOf(body)
 }
 
-// runTime is what the body's SlotTime says, else drawn from the proof so that each run takes the same time.
+// runTime returns the SlotTime given in the body, or else a duration drawn from the digest, which is the same for each run of a request.
 func (p *Plain) runTime(digest Proof, body []byte) time.Duration {
 	var options struct{ SlotTime string }
 	if json.Unmarshal(body, &options) == nil && options.SlotTime != "" {
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -24,7 +24,7 @@
 	return status, answer
 }
 
-func TestPlainRunsAndCounts(t *testing.T) {
+func TestPlainServiceRunsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 1})
 		client, _ := serve(t, plain)
@@ -42,13 +42,13 @@
 			t.Errorf("got %d %+v, counted %d", status, answer, plain.RunsOf("k1"))
 		}
 		if answer.Proof != pomelofake.ProofOf([]byte("resolder")) || answer.RequestID != "id-k1" {
-			t.Errorf("the answer %+v does not prove its request", answer)
+			t.Errorf("the answer %+v does not identify its request", answer)
 		}
 	})
 }
 
-// A connection breaks after any byte of the answer. The caller must never see a whole answer before the last one.
-func TestPlainCutsAtEveryByte(t *testing.T) {
+// The connection is closed after each possible byte of the answer; only the complete answer may be seen as successful.
+func TestPlainServiceCutsAnswerAtEveryByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
@@ -57,14 +57,14 @@
 			status, _ := postBooking(t, client, fmt.Sprint("k", at), "resolder")
 			if status == http.StatusOK {
 				if at < 100 {
-					t.Errorf("whole after %d bytes", at)
+					t.Errorf("the answer is complete after %d bytes, want at least 100", at)
 				}
 				break
 			}
 		}
 		plain.SetFaults(pomelofake.PlainFaults{Short: 1})
 		if status, _ := postBooking(t, client, "short", "resolder"); status != 0 {
-			t.Errorf("an answer without its last byte is answered %d", status)
+			t.Errorf("an answer without its last byte has status %d, want an error", status)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{CutEarly: true})
 		if status, _ := postBooking(t, client, "early", "resolder"); status != 0 || plain.RunsOf("early") != 0 {
@@ -73,8 +73,8 @@
 	})
 }
 
-// Two answers change places on their way; each caller gets a whole answer that is the other's.
-func TestPlainCrossesAnswers(t *testing.T) {
+// Each of two concurrent requests must receive the complete answer to the other one.
+func TestPlainServiceSwapsAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
@@ -83,25 +83,25 @@
 		for _, key := range []string{"k1", "k2"} {
 			wg.Go(func() {
 				if _, answer := postBooking(t, client, key, key); answer.Key == key {
-					t.Errorf("%s got its own answer", key)
+					t.Errorf("%s received its own answer, want the other one", key)
 				}
 			})
 		}
 		wg.Wait()
 		if _, answer := postBooking(t, client, "k3", "k3"); answer.Key != "k3" {
-			t.Errorf("without a partner the answer is %+v", answer)
+			t.Errorf("without a concurrent request the answer is %+v, want the own one", answer)
 		}
 	})
 }
 
-// A service repeats an answer on a connection that its caller keeps, or closes one just as it is reused.
-func TestPlainRepeatsRefusesAndClosesIdle(t *testing.T) {
+// A service may repeat an answer on a kept-alive connection, or close the connection just as it is reused.
+func TestPlainServiceRepeatsRefusesAndClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Repeat: true})
 		if status, answer := postBooking(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
-			t.Errorf("repeated: %d %+v", status, answer)
+			t.Errorf("repeated answer: status %d, %+v", status, answer)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{IdleClose: time.Second, Every: 2})
 		for _, key := range []string{"k2", "k3"} {
@@ -112,7 +112,7 @@
 		plain.SetFaults(pomelofake.PlainFaults{Refuse: true})
 		status, _, header := call(t, client, http.MethodPost, "/bookings", "x", "Idempotency-Key", "k4")
 		if status != http.StatusServiceUnavailable || header.Get("Ran") != "No" || plain.RunsOf("k4") != 0 {
-			t.Errorf("refused with %d, Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsOf("k4"))
+			t.Errorf("refused with status %d and Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsOf("k4"))
 		}
 	})
 }
--- a/pomelofake/prefix.go
+++ b/pomelofake/prefix.go
@@ -5,21 +5,21 @@
 	"hash/fnv"
 )
 
-// prefixBlockBytes is the length in bytes of a cached piece of a prompt.
+// prefixBlockBytes is the size of a cached block of a prompt.
 const prefixBlockBytes = 64
 
-// prefixCache remembers which prompt prefixes were computed, up to a number of blocks; the least recently used go first.
+// prefixCache is an LRU cache of the hashes of prompt prefixes, one for each block.
 type prefixCache struct {
-	maxBlocks  int
-	recency  *list.List
-	blocks map[uint64]*list.Element
+	maxBlocks int
+	recency   *list.List
+	blocks    map[uint64]*list.Element
 }
 
 func newPrefixCache(maxBlocks int) *prefixCache {
 	return &prefixCache{maxBlocks: maxBlocks, recency: list.New(), blocks: make(map[uint64]*list.Element)}
 }
 
-// lookupAndInsert returns how many bytes of the prompt's start were cached and caches the whole prompt.
+// lookupAndInsert returns the length in bytes of the cached prefix of the prompt, and caches all blocks of the prompt.
 func (p *prefixCache) lookupAndInsert(prompt string) int {
 	hash := fnv.New64a()
 	cached := 0
--- a/pomelofake/proof.go
+++ b/pomelofake/proof.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// digestPrefixLength is how much of a proof each token of an engine's answer repeats.
+// digestPrefixLength is the number of characters of the digest in each token of an engine's answer.
 const digestPrefixLength = 8
 
-// Proof identifies a request's body; a stand-in's answer carries it, so that a caller can tell that the answer is its own.
+// Proof is the SHA-256 of a request's body in hex; answers contain it so that a caller can detect the answer to another request.
 type Proof string
 
-// ProofOf returns the proof of a request's body.
+// ProofOf returns the digest of a request's body.
 func ProofOf(body []byte) Proof {
 	sum := sha256.Sum256(body)
 	return Proof(hex.EncodeToString(sum[:]))
 }
 
-// Token returns the text of the n-th token, counted from zero, that an engine answers to the request.
+// Token returns the text of token n, counted from zero, of an engine's answer to the request.
 func (p Proof) Token(n int) string {
 	return string(p[:digestPrefixLength]) + "." + strconv.Itoa(n) + " "
 }
--- a/pomelofake/rawanswer.go
+++ b/pomelofake/rawanswer.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// swapTimeout is how long an answer waits for another to be swapped with.
+// swapTimeout is how long an answer waits for another one to swap with.
 const swapTimeout = 200 * time.Millisecond
 
-// pendingSwap is an answer that waits for a partner.
+// pendingSwap is an answer that waits for another one to swap with.
 type pendingSwap struct {
-	own   PlainAnswer
+	own     PlainAnswer
 	partner chan PlainAnswer
 }
 
-// swapAnswer returns the answer of another request that is crossed too, or the own one when none comes.
+// swapAnswer exchanges the answer with that of a concurrent request, or returns it unchanged if there is none within swapTimeout.
 func (p *Plain) swapAnswer(answer PlainAnswer) PlainAnswer {
 	p.mu.Lock()
 	if other := p.swap; other != nil {
@@ -67,7 +67,7 @@
 	return f.Short > 0 || f.Repeat || f.Cut || f.IdleClose > 0
 }
 
-// writeRawAnswer writes the answer's bytes to the connection itself, since net/http would not let a server break the protocol.
+// writeRawAnswer writes the answer to the hijacked connection, since net/http does not let a handler violate the protocol.
 func (p *Plain) writeRawAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// repeatedAnswerLinger keeps a connection with a repeated answer open, so that its caller may reuse it.
+// repeatedAnswerLinger is how long a connection stays open after a repeated answer, so that the client can reuse it.
 const repeatedAnswerLinger = 20 * time.Millisecond
 
 func (p *Plain) encodeRawAnswer(answer PlainAnswer) []byte {
--- a/pomelofake/relay.go
+++ b/pomelofake/relay.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// RelayConfig describes a Relay.
+// RelayConfig configures a Relay.
 type RelayConfig struct {
-	// Listen opens the listener that the sources connect to.
+	// Listen opens the listener to which the sources connect.
 	Listen func() (net.Listener, error)
 	// Dial connects to the target.
 	Dial func() (net.Conn, error)
 }
 
-// RelayEffect is what happens to bytes that go one way; the zero value passes them on.
+// RelayEffect is the fault applied to one direction of a connection; the zero value forwards the bytes unchanged.
 type RelayEffect struct {
-	// Delay is how much later bytes arrive.
+	// Delay is the added latency.
 	Delay time.Duration
-	// Block holds bytes back until the rule is changed, as a network partition does under TCP.
+	// Block holds bytes back until the rules change, as TCP does during a network partition.
 	Block bool
-	// Drop swallows bytes; a connection that lost some is closed once the rule is changed, since the rest would not fit.
+	// Drop discards bytes; a connection that lost some is closed once Drop ends, since its byte stream has a gap.
 	Drop bool
 }
 
-// RelayRule is what happens to the connections of a source.
+// RelayRule defines the faults for the connections of a source.
 type RelayRule struct {
-	// Source is the connecting address; the zero value means every source that has no rule of its own.
+	// Source is the IP address that connects; the zero value applies to every source without a rule of its own.
 	Source netip.Addr
-	// Cut closes connections and lets none be made.
+	// Cut closes existing connections and rejects new ones.
 	Cut bool
-	// Toward is the way from the source to the target, Back the other.
+	// Toward applies from the source to the target, and Back from the target to the source.
 	Toward RelayEffect
 	Back   RelayEffect
 }
 
-// Relay passes TCP connections on to a target and can disturb them by their source.
+// Relay forwards TCP connections to a target and injects faults into them by source.
 type Relay struct {
 	cfg      RelayConfig
 	listener net.Listener
@@ -45,17 +45,17 @@
 	mu     sync.Mutex
 	closed bool
 	rules  map[netip.Addr]RelayRule
-	// changed is closed and replaced when the rules change.
-	changed chan struct{}
-	connections   map[*relayConnection]struct{}
-	bytesForwarded  int64
+	// changed is closed and replaced whenever the rules change.
+	changed        chan struct{}
+	connections    map[*relayConnection]struct{}
+	bytesForwarded int64
 }
 
-// relayConnection is one connection from a source and its counterpart to the target.
+// relayConnection is a connection from a source with its connection to the target.
 type relayConnection struct {
-	source netip.Addr
-	sourceConn   net.Conn
-	targetConn    net.Conn
+	source     netip.Addr
+	sourceConn net.Conn
+	targetConn net.Conn
 }
 
 func (l *relayConnection) close() {
@@ -63,24 +63,24 @@
 	_ = l.targetConn.Close()
 }
 
-// NewRelay starts to pass connections on; it fails when the listener cannot be opened.
+// NewRelay starts forwarding connections; it fails if the listener cannot be opened.
 func NewRelay(cfg RelayConfig) (*Relay, error) {
 	listener, err := cfg.Listen()
 	if err != nil {
 		return nil, err
 	}
 	r := &Relay{
-		cfg:      cfg,
-		listener: listener,
-		rules:    make(map[netip.Addr]RelayRule),
-		changed:  make(chan struct{}),
-		connections:    make(map[*relayConnection]struct{}),
+		cfg:         cfg,
+		listener:    listener,
+		rules:       make(map[netip.Addr]RelayRule),
+		changed:     make(chan struct{}),
+		connections: make(map[*relayConnection]struct{}),
 	}
 	r.wg.Go(r.accept)
 	return r, nil
 }
 
-// SetRules replaces all rules; connections that a rule cuts are closed at once.
+// SetRules replaces all rules; connections with a Cut rule are closed at once.
 func (r *Relay) SetRules(rules []RelayRule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,14 +97,14 @@
 	}
 }
 
-// BytesForwarded returns the bytes passed on both ways since the start.
+// BytesForwarded returns the number of bytes forwarded in both directions since the start.
 func (r *Relay) BytesForwarded() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bytesForwarded
 }
 
-// Close ends every connection and waits until the relay's goroutines have ended.
+// Close closes all connections and waits for the relay's goroutines to end.
 func (r *Relay) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -119,7 +119,7 @@
 	return err
 }
 
-// ruleFor returns the source's rule, else the one for every source; the mutex is held.
+// ruleFor returns the rule of a source, or else the default rule. The caller holds the mutex.
 func (r *Relay) ruleFor(source netip.Addr) RelayRule {
 	if rule, ok := r.rules[source]; ok {
 		return rule
@@ -160,7 +160,7 @@
 	r.forward(link)
 }
 
-// add reports false when the relay is closed or the source was cut while the target was dialled.
+// add registers a connection; it reports false if the relay was closed or the source cut while the target was dialled.
 func (r *Relay) add(link *relayConnection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pomelofake/relay_test.go
+++ b/pomelofake/relay_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// newTestRelay starts a relay in memory before a server that answers each byte with its successor.
+// newTestRelay starts an in-memory relay to a server that answers each byte b with b+1.
 func newTestRelay(t *testing.T) (*pomelofake.Relay, func() net.Conn) {
 	t.Helper()
 	sources, target := &memoryNetwork{}, &memoryNetwork{}
@@ -60,7 +60,7 @@
 	}
 }
 
-// exchangeByte sends a byte and returns the answer, zero and the error when none came within a second.
+// exchangeByte sends a byte and returns the answer; it fails if there is none within a second.
 func exchangeByte(conn net.Conn, b byte) (byte, error) {
 	if _, err := conn.Write([]byte{b}); err != nil {
 		return 0, err
@@ -75,7 +75,7 @@
 	return answer[0], err
 }
 
-func TestRelayPassesDelaysAndBlocksOneWay(t *testing.T) {
+func TestRelayForwardsDelaysAndBlocksOneDirection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay, dial := newTestRelay(t)
 		conn := dial()
@@ -90,23 +90,23 @@
 		}
 		relay.SetRules([]pomelofake.RelayRule{{Back: pomelofake.RelayEffect{Block: true}}})
 		if b, err := exchangeByte(conn, 5); err == nil {
-			t.Errorf("got %d through a block", b)
+			t.Errorf("got %d while the answers are blocked", b)
 		}
 		relay.SetRules(nil)
 		if b, err := readByte(conn); b != 6 || err != nil {
-			t.Errorf("got %d, %v after the block", b, err)
+			t.Errorf("got %d, %v after the block ended, want 6", b, err)
 		}
 	})
 }
 
-// A network partition loses bytes and heals. A connection that lost some must not go on, as TCP would not.
-func TestRelayDropsAndCuts(t *testing.T) {
+// After a partition that dropped bytes, a connection must not continue with a gap in its byte stream, which TCP rules out.
+func TestRelayDropsBytesAndCutsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay, dial := newTestRelay(t)
 		conn := dial()
 		relay.SetRules([]pomelofake.RelayRule{{Toward: pomelofake.RelayEffect{Drop: true}}})
 		if b, err := exchangeByte(conn, 1); err == nil {
-			t.Errorf("got %d through a drop", b)
+			t.Errorf("got %d while the requests are dropped", b)
 		}
 		relay.SetRules(nil)
 		if _, err := exchangeByte(conn, 3); err != io.EOF {
@@ -118,16 +118,16 @@
 		}
 		relay.SetRules([]pomelofake.RelayRule{{Cut: true}})
 		if _, err := readByte(conn); err != io.EOF {
-			t.Errorf("after the cut: %v", err)
+			t.Errorf("after the cut: %v, want the connection to be closed", err)
 		}
 		if _, err := readByte(dial()); err != io.EOF {
-			t.Errorf("connected through a cut: %v", err)
+			t.Errorf("new connection during the cut: %v, want it to be closed", err)
 		}
 	})
 }
 
-// Two routers reach a third through the same relay, and only one of them is cut off.
-func TestRelayTellsSourcesApart(t *testing.T) {
+// Two routers connect through the same relay and only one of them is cut off.
+func TestRelayAppliesRulesPerSource(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -162,6 +162,6 @@
 		_ = conn.Close()
 	}
 	if relay.BytesForwarded() != 2 {
-		t.Errorf("passed %d bytes, want 2", relay.BytesForwarded())
+		t.Errorf("forwarded %d bytes, want 2", relay.BytesForwarded())
 	}
 }
--- a/pomelofake/relayforward.go
+++ b/pomelofake/relayforward.go
@@ -8,17 +8,17 @@
 
 const (
 	relayChunkBytes = 32 << 10
-	// relayQueueChunks bounds the chunks under way in one direction; a full queue slows the sender, as a full window does.
+	// relayQueueChunks is the maximum number of delayed chunks per direction; a full queue blocks the sender, as a full TCP window does.
 	relayQueueChunks = 64
 )
 
-// relayChunk is a piece of bytes that is due at a time.
+// relayChunk is data to be forwarded at a given time.
 type relayChunk struct {
 	data []byte
 	due  time.Time
 }
 
-// forward passes bytes on both ways until either side ends.
+// forward copies bytes in both directions until either side closes.
 func (r *Relay) forward(link *relayConnection) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -32,7 +32,7 @@
 	wg.Wait()
 }
 
-// forwardOneWay reads in one goroutine and writes in another, so that a delay does not lower the throughput.
+// forwardOneWay reads and writes in separate goroutines, so that a delay does not reduce the throughput.
 func (r *Relay) forwardOneWay(link *relayConnection, from, to net.Conn, effect func(RelayRule) RelayEffect) {
 	chunks := make(chan relayChunk, relayQueueChunks)
 	done := make(chan struct{})
@@ -83,7 +83,7 @@
 			dropped = true
 			continue
 		}
-		// Counted first: who has got the bytes may ask for the count before this goroutine goes on.
+		// Count before writing: the receiver may read the count before this goroutine is scheduled again.
 		r.addForwarded(len(c.data))
 		if _, err := to.Write(c.data); err != nil {
 			return
@@ -97,7 +97,7 @@
 	r.bytesForwarded += int64(n)
 }
 
-// waitUnblocked waits while the rule blocks and returns the effect then; it reports false when the relay or the link ended.
+// waitUnblocked waits while the rule blocks and returns the current effect; it reports false if the relay is closed or the source cut.
 func (r *Relay) waitUnblocked(link *relayConnection, effect func(RelayRule) RelayEffect) (RelayEffect, bool) {
 	for {
 		r.mu.Lock()
--- a/pomelofake/runs.go
+++ b/pomelofake/runs.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Run is one run of a request on a stand-in.
+// Run is one execution of a request on a stand-in.
 type Run struct {
-	// Seq numbers the runs of a stand-in from one, in the order in which they ended.
+	// Seq numbers the runs of a stand-in, starting at one, in the order of their ends.
 	Seq uint64
-	// Key is the Idempotency-Key and RequestID the X-Request-Id, empty when there was none.
+	// Key is the Idempotency-Key and RequestID the X-Request-Id of the request; empty if missing.
 	Key       string
 	RequestID string
 	Proof     Proof
 	Start     time.Time
 	End       time.Time
-	// Prompt, Cached and Completion count tokens; a plain service has none.
+	// Prompt, Cached and Completion are token counts; zero for a plain service.
 	Prompt     int
 	Cached     int
 	Completion int
-	// Cancelled tells that the run ended because its caller went, or the stand-in crashed.
+	// Cancelled reports whether the run was ended by a disconnected caller, a crash or Close.
 	Cancelled bool
 }
 
-// runLog counts runs as they start and keeps them as they end.
+// runLog counts started runs and records ended ones.
 type runLog struct {
-	mu         sync.Mutex
+	mu                sync.Mutex
 	startsByKey       map[string]int
 	startsByRequestID map[string]int
-	startsByDigest     map[Proof]int
-	running    map[*Run]struct{}
-	ended      []Run
+	startsByDigest    map[Proof]int
+	running           map[*Run]struct{}
+	ended             []Run
 }
 
 func newRunLog() *runLog {
 	return &runLog{
 		startsByKey:       make(map[string]int),
 		startsByRequestID: make(map[string]int),
-		startsByDigest:     make(map[Proof]int),
-		running:    make(map[*Run]struct{}),
+		startsByDigest:    make(map[Proof]int),
+		running:           make(map[*Run]struct{}),
 	}
 }
 
-// start counts a run; it is counted when it starts since its effect cannot be taken back from then on.
+// start counts a run. Runs count from their start, since their effects cannot be undone from then on.
 func (l *runLog) start(key, requestID string, digest Proof) *Run {
 	r := &Run{Key: key, RequestID: requestID, Proof: digest, Start: time.Now()}
 	l.mu.Lock()
@@ -70,7 +70,7 @@
 	l.ended = append(l.ended, *r)
 }
 
-// endedAfter returns the runs that ended after the one numbered seq.
+// endedAfter returns the runs that ended after the run with sequence number seq.
 func (l *runLog) endedAfter(seq uint64) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pomelofake/store.go
+++ b/pomelofake/store.go
@@ -9,14 +9,14 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// StoreConfig describes a Store; a zero value takes its default.
+// StoreConfig configures a Store; a zero field takes its default.
 type StoreConfig struct {
-	// WriteRate and ReadRate bound the calls a second, 400 and 2,000 by default; a waiting watch counts as one read.
+	// WriteRate and ReadRate limit the calls per second, 400 and 2,000 by default; a watch counts as one read, lease calls as writes.
 	WriteRate float64
 	ReadRate  float64
-	// MaxValue bounds a value, one megabyte by default.
+	// MaxValue is the maximum size of a value, 1 MiB by default.
 	MaxValue pomelorelay.Bytes
-	// Latency is the time of an undisturbed call, 1 ms by default.
+	// Latency is the duration of a call without faults, 1 ms by default.
 	Latency time.Duration
 }
 
@@ -27,20 +27,20 @@
 	defaultStoreLatency = time.Millisecond
 )
 
-// StoreFaults are what goes wrong at a Store; the zero value is none.
+// StoreFaults are the faults injected into a Store; the zero value injects none.
 type StoreFaults struct {
 	// Outage answers every call with 503, without effect.
 	Outage bool
-	// Slow delays calls before they take effect, SlowAnswer after.
+	// Slow delays calls before they take effect, and SlowAnswer delays writes after they took effect.
 	Slow       time.Duration
 	SlowAnswer time.Duration
-	// LoseAnswers closes the connection of so many writes after they took effect.
+	// LoseAnswers is the number of writes whose connection is closed after they took effect.
 	LoseAnswers int
 	// Throttle answers every call with 429, without effect.
 	Throttle bool
 }
 
-// StoreCounts counts the calls that a Store got since its start, refused ones included.
+// StoreCounts counts the calls to a Store since its start, including refused ones.
 type StoreCounts struct {
 	Reads     int
 	Writes    int
@@ -52,21 +52,21 @@
 	Lost      int
 }
 
-// Store is the platform's key-value service with compare-and-swap, leases and watches.
+// Store is an in-memory stand-in for the platform's key-value store with compare-and-swap, leases and watches.
 type Store struct {
 	cfg    StoreConfig
 	router *mux.Router
 
-	mu       sync.Mutex
-	faults   StoreFaults
-	counts   StoreCounts
-	readBucket    tokenBucket
-	writeBucket   tokenBucket
-	revision pomelorelay.Revision
-	records  map[pomelorelay.StoreKey]*storeRecord
-	leases   map[pomelorelay.LeaseID]*storeLease
-	lastLease    pomelorelay.LeaseID
-	// changed is closed and replaced at every write.
+	mu          sync.Mutex
+	faults      StoreFaults
+	counts      StoreCounts
+	readBucket  tokenBucket
+	writeBucket tokenBucket
+	revision    pomelorelay.Revision
+	records     map[pomelorelay.StoreKey]*storeRecord
+	leases      map[pomelorelay.LeaseID]*storeLease
+	lastLease   pomelorelay.LeaseID
+	// changed is closed and replaced whenever the content changes.
 	changed chan struct{}
 }
 
@@ -81,12 +81,12 @@
 	timer *time.Timer
 }
 
-// StoreSnapshot is a Store's content at a time, to be restored later.
+// StoreSnapshot is a copy of a Store's content for Restore.
 type StoreSnapshot struct {
 	records map[pomelorelay.StoreKey]storeRecord
 }
 
-// NewStore returns an empty store; Close stops its leases.
+// NewStore returns an empty store.
 func NewStore(cfg StoreConfig) *Store {
 	if cfg.WriteRate == 0 {
 		cfg.WriteRate = defaultWriteRate
@@ -99,42 +99,42 @@
 	}
 	defaultDuration(&cfg.Latency, defaultStoreLatency)
 	s := &Store{
-		cfg:     cfg,
-		readBucket:   tokenBucket{rate: cfg.ReadRate, tokens: cfg.ReadRate},
-		writeBucket:  tokenBucket{rate: cfg.WriteRate, tokens: cfg.WriteRate},
-		records: make(map[pomelorelay.StoreKey]*storeRecord),
-		leases:  make(map[pomelorelay.LeaseID]*storeLease),
-		changed: make(chan struct{}),
+		cfg:         cfg,
+		readBucket:  tokenBucket{rate: cfg.ReadRate, tokens: cfg.ReadRate},
+		writeBucket: tokenBucket{rate: cfg.WriteRate, tokens: cfg.WriteRate},
+		records:     make(map[pomelorelay.StoreKey]*storeRecord),
+		leases:      make(map[pomelorelay.LeaseID]*storeLease),
+		changed:     make(chan struct{}),
 	}
 	s.router = s.routes()
 	return s
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Faults returns what goes wrong.
+// Faults returns the injected faults.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Counts returns the calls counted.
+// Counts returns the current counters.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// ServeHTTP answers the calls of the store's protocol.
+// ServeHTTP serves the store's HTTP API.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Close stops the leases.
+// Close stops the timers of the leases.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Snapshot returns the store's content as it is now.
+// Snapshot returns a copy of the current content.
 func (s *Store) Snapshot() StoreSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,7 @@
 	return StoreSnapshot{records: records}
 }
 
-// Restore replaces the content by an old copy, as an operator does who brings a backup back.
+// Restore replaces the content by a snapshot, as an operator does with a backup. The revision counter is not reset.
 func (s *Store) Restore(old StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +172,7 @@
 	s.changed = make(chan struct{})
 }
 
-// compareAndSwap writes the value if the record is at revision old; it returns the record's revision and whether it was written.
+// compareAndSwap writes the value if the record is at revision old; it returns the record's revision and the HTTP status.
 func (s *Store) compareAndSwap(key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +193,7 @@
 	return s.revision, http.StatusOK
 }
 
-// read returns the record, its revision zero when there is none, and a channel closed at the next write.
+// read returns the record, with revision zero if there is none, and a channel closed at the next change of the store.
 func (s *Store) read(key pomelorelay.StoreKey) (pomelorelay.Record, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +214,7 @@
 	return id
 }
 
-// renewLease reports false when the lease has lapsed.
+// renewLease renews a lease and reports false if it has expired.
 func (s *Store) renewLease(id pomelorelay.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +226,7 @@
 	return true
 }
 
-// endLease removes the lease with the records written under it and reports false when there was none.
+// endLease removes a lease and the records written with it; it reports false if there is no such lease.
 func (s *Store) endLease(id pomelorelay.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,11 +245,11 @@
 	return true
 }
 
-// tokenBucket is a rate with a second's burst.
+// tokenBucket is a rate limiter that allows bursts of one second's calls.
 type tokenBucket struct {
-	rate float64
+	rate   float64
 	tokens float64
-	last time.Time
+	last   time.Time
 }
 
 func (b *tokenBucket) take(now time.Time) bool {
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -20,7 +20,7 @@
 	return store, client
 }
 
-// expect sends a call and fails unless status and a part of the answer are as wanted.
+// expect sends a request and fails the test unless the answer has the status and contains the part.
 func expect(t *testing.T, client *http.Client, method, path, body string, status int, part string) {
 	t.Helper()
 	got, text, _ := call(t, client, method, path, body)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStoreSwapsOnlyAtTheRevision(t *testing.T) {
+func TestStoreCompareAndSwapChecksRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, client := newTestStore(t, pomelofake.StoreConfig{MaxValue: 10})
 		expect(t, client, http.MethodGet, "/v1/kv/config%2Froot", "", 404, "")
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestStoreLeaseLapsesWithItsRecords(t *testing.T) {
+func TestStoreLeaseExpiryDeletesItsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, client := newTestStore(t, pomelofake.StoreConfig{})
 		expect(t, client, http.MethodPost, "/v1/lease?ttl=10s", "", 200, `"Lease":1`)
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestStoreWatchWaitsAndCountsAsOne(t *testing.T) {
+func TestStoreWatchWaitsAndCountsAsOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, client := newTestStore(t, pomelofake.StoreConfig{})
 		expect(t, client, http.MethodGet, "/v1/watch/k?after=0&wait=1s", "", 204, "")
@@ -72,7 +72,7 @@
 		time.Sleep(5 * time.Second)
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 200, "")
 		if took := <-done; took < 5*time.Second || took > 6*time.Second {
-			t.Errorf("the watch took %s", took)
+			t.Errorf("the watch took %s, want 5s to 6s", took)
 		}
 		if counts := store.Counts(); counts.Watches != 2 || counts.Writes != 1 || counts.Reads != 0 {
 			t.Errorf("counted %+v", counts)
@@ -80,8 +80,8 @@
 	})
 }
 
-// The store is down, refuses, or loses an answer whose write took effect. A client that takes the lost answer for a
-// failure writes again or gives up what it holds.
+// The store is down, throttles, or loses the answer to a write that took effect. A client that treats the lost answer as a
+// failed write would write again or give up what it holds.
 func TestStoreFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, client := newTestStore(t, pomelofake.StoreConfig{})
@@ -101,12 +101,12 @@
 		began := time.Now()
 		expect(t, client, http.MethodGet, "/v1/kv/k", "", 200, "")
 		if time.Since(began) < time.Minute {
-			t.Errorf("slow took %s", time.Since(began))
+			t.Errorf("a slow call took %s, want at least 1m", time.Since(began))
 		}
 	})
 }
 
-func TestStoreHoldsItsRates(t *testing.T) {
+func TestStoreEnforcesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, client := newTestStore(t, pomelofake.StoreConfig{WriteRate: 10, ReadRate: 20, Latency: time.Nanosecond})
 		statuses := make(map[int]int)
@@ -115,14 +115,14 @@
 			statuses[status]++
 		}
 		if statuses[200] != 10 || statuses[429] != 20 || store.Counts().Throttled != 20 {
-			t.Errorf("answered %v, counted %+v", statuses, store.Counts())
+			t.Errorf("answered %v, counted %+v, want 10 writes and 20 throttled", statuses, store.Counts())
 		}
 		time.Sleep(time.Second)
 		expect(t, client, http.MethodPut, "/v1/kv/later?old=0", "v", 200, "")
 	})
 }
 
-func TestHostListLags(t *testing.T) {
+func TestHostListDelaysChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := pomelofake.NewHostList(pomelofake.HostListConfig{
 			Hosts: []pomelorelay.Host{{Name: "u1", Kind: pomelorelay.HostUpstream}}, Lag: 2 * time.Second,
@@ -131,13 +131,13 @@
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":false`)
 		shows, ok := list.Leave("u1")
 		if !ok || time.Until(shows) != 2*time.Second {
-			t.Errorf("shows in %s, %v", time.Until(shows), ok)
+			t.Errorf("visible in %s, known host %v, want 2s and true", time.Until(shows), ok)
 		}
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":false`)
 		time.Sleep(2 * time.Second)
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":true`)
 		if _, ok := list.Leave("u2"); ok {
-			t.Error("an unknown host leaves")
+			t.Error("an unknown host was marked as leaving")
 		}
 		list.Remove("u1")
 		time.Sleep(2 * time.Second)
@@ -147,7 +147,7 @@
 	})
 }
 
-func TestAdminSetsFaultsAndRefusesUnknownOnes(t *testing.T) {
+func TestAdminSetsFaultsAndRejectsUnknownTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		list := pomelofake.NewHostList(pomelofake.HostListConfig{Hosts: []pomelorelay.Host{{Name: "p1"}}})
@@ -158,7 +158,7 @@
 		client, _ := serve(t, admin)
 		expect(t, client, http.MethodPost, "/fault", `{"Target":"p1","Plain":{"Refuse":true}}`, 200, "")
 		if !plain.Faults().Refuse {
-			t.Error("the fault is not set")
+			t.Error("the fault was not set")
 		}
 		expect(t, client, http.MethodPost, "/fault", `{"Target":"p2","Plain":{"Refuse":true}}`, 404, "no plain service p2")
 		expect(t, client, http.MethodPost, "/fault", `{"Store":{"Outage":true}}`, 404, "no store")
@@ -166,7 +166,7 @@
 		expect(t, client, http.MethodPost, "/fault", `{"Leaves":"p1"}`, 400, "Leaves")
 		expect(t, client, http.MethodPost, "/fault", `{"Leave":"p1"}`, 200, "Shows")
 		if !list.Visible()[0].Leaving {
-			t.Error("the host does not leave")
+			t.Error("the host is not marked as leaving")
 		}
 		plainClient, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{})
--- a/pomelofake/storehttp.go
+++ b/pomelofake/storehttp.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxWatchWait bounds how long a watch waits, whatever it asks for.
+// maxWatchWait is the maximum time that a watch waits.
 const maxWatchWait = time.Minute
 
 type revisionAnswer struct {
@@ -33,7 +33,7 @@
 	return router
 }
 
-// callKind tells which rate a call counts against.
+// callKind selects the counter and the rate limit of a call.
 type callKind int
 
 const (
@@ -43,7 +43,7 @@
 	leaseCall
 )
 
-// admit counts the call, lets the faults act, and reports false when it has refused it.
+// admit counts the call and applies rate limits and faults; it reports false if the call was refused or its caller disconnected.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request, kind callKind) bool {
 	status, wait := s.decide(kind)
 	if status != http.StatusOK {
@@ -83,13 +83,13 @@
 func requestKey(w http.ResponseWriter, r *http.Request) (pomelorelay.StoreKey, bool) {
 	key, err := url.PathUnescape(mux.Vars(r)["key"])
 	if err != nil {
-		http.Error(w, "the key is not escaped rightly", http.StatusBadRequest)
+		http.Error(w, "cannot unescape the key in the path", http.StatusBadRequest)
 		return "", false
 	}
 	return pomelorelay.StoreKey(key), true
 }
 
-// uintQuery reads a numeric query value; an absent one is zero.
+// uintQuery parses an unsigned query parameter; a missing one is zero.
 func uintQuery(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -97,7 +97,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		http.Error(w, name+" is not a number", http.StatusBadRequest)
+		http.Error(w, "query parameter "+name+" is not an unsigned number", http.StatusBadRequest)
 		return 0, false
 	}
 	return n, true
@@ -131,7 +131,7 @@
 	}
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.cfg.MaxValue)))
 	if err != nil {
-		http.Error(w, "the value is too large or broke off", http.StatusRequestEntityTooLarge)
+		http.Error(w, "the value is too large or was truncated", http.StatusRequestEntityTooLarge)
 		return
 	}
 	if !s.admit(w, r, writeCall) {
@@ -141,7 +141,7 @@
 	s.answerWrite(w, r, status, revisionAnswer{revision})
 }
 
-// answerWrite answers a write that may have taken effect, late or not at all when the faults say so.
+// answerWrite answers a write; faults may delay or lose the answer although the write took effect.
 func (s *Store) answerWrite(w http.ResponseWriter, r *http.Request, status int, answer any) {
 	s.mu.Lock()
 	lost := s.faults.LoseAnswers > 0
@@ -171,7 +171,7 @@
 	}
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
-		http.Error(w, "wait is not a duration", http.StatusBadRequest)
+		http.Error(w, "query parameter wait is not a duration", http.StatusBadRequest)
 		return
 	}
 	if !s.admit(w, r, watchCall) {
@@ -199,7 +199,7 @@
 func (s *Store) handleOpenLease(w http.ResponseWriter, r *http.Request) {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil || ttl <= 0 {
-		http.Error(w, "ttl is not a duration above zero", http.StatusBadRequest)
+		http.Error(w, "query parameter ttl is not a positive duration", http.StatusBadRequest)
 		return
 	}
 	if !s.admit(w, r, leaseCall) {
@@ -208,14 +208,18 @@
 	s.answerWrite(w, r, http.StatusOK, leaseAnswer{s.openLease(ttl)})
 }
 
-func (s *Store) handleRenewLease(w http.ResponseWriter, r *http.Request) { s.handleLease(w, r, s.renewLease) }
+func (s *Store) handleRenewLease(w http.ResponseWriter, r *http.Request) {
+	s.handleLease(w, r, s.renewLease)
+}
 
-func (s *Store) handleEndLease(w http.ResponseWriter, r *http.Request) { s.handleLease(w, r, s.endLease) }
+func (s *Store) handleEndLease(w http.ResponseWriter, r *http.Request) {
+	s.handleLease(w, r, s.endLease)
+}
 
 func (s *Store) handleLease(w http.ResponseWriter, r *http.Request, do func(pomelorelay.LeaseID) bool) {
 	id, err := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	if err != nil {
-		http.Error(w, "the lease is not a number", http.StatusBadRequest)
+		http.Error(w, "the lease ID is not a number", http.StatusBadRequest)
 		return
 	}
 	if !s.admit(w, r, leaseCall) {
--- a/pomelofake/stream.go
+++ b/pomelofake/stream.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// chatUsage counts the tokens of a request.
+// chatUsage is the token usage of a request.
 type chatUsage struct {
 	PromptTokens     int               `json:"prompt_tokens"`
 	CompletionTokens int               `json:"completion_tokens"`
@@ -20,10 +20,10 @@
 }
 
 type chatChoice struct {
-	Index   int          `json:"index"`
-	Delta   *chatMessage `json:"delta,omitempty"`
-	Message *chatMessage `json:"message,omitempty"`
-	FinishReason  *string      `json:"finish_reason"`
+	Index        int          `json:"index"`
+	Delta        *chatMessage `json:"delta,omitempty"`
+	Message      *chatMessage `json:"message,omitempty"`
+	FinishReason *string      `json:"finish_reason"`
 }
 
 type chatAnswer struct {
@@ -43,14 +43,14 @@
 	}
 }
 
-// progress returns how many tokens there are and whether the sequence is done or cancelled, and a channel closed at the next change.
+// progress returns the number of produced tokens, whether the sequence is done or cancelled, and a channel closed at the next change.
 func (e *Engine) progress(s *sequence) (int, bool, bool, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.producedTokens, s.done, s.cancelled, s.changed
 }
 
-// answerBuffered answers when the request has ended.
+// answerBuffered writes the answer as one JSON document once the request is done.
 func (e *Engine) answerBuffered(w http.ResponseWriter, r *http.Request, s *sequence) {
 	for {
 		_, done, cancelled, changed := e.progress(s)
@@ -79,7 +79,7 @@
 	})
 }
 
-// stream sends one event for each token after the one numbered last, then usage and the end.
+// stream sends an event for each token after event lastEvent, then the usage and the end marker.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, lastEvent int) {
 	w.Header().Set(headerContentType, "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -125,7 +125,7 @@
 	}
 }
 
-// injectCut breaks the connection when the fault says so.
+// injectCut aborts the connection if a cut is due after the events sent so far.
 func (e *Engine) injectCut(sent int) {
 	e.mu.Lock()
 	cutNow := e.faults.Cuts > 0 && sent == e.faults.CutAfter
