--- a/pomelocheck/fleet.go
+++ b/pomelocheck/fleet.go
@@ -11,11 +11,11 @@
 func (c *Checker) checkLeaving(out []Violation) []Violation {
 	for id, t := range c.contents {
 		for _, run := range t.runs {
-			leftAt, ok := c.leaving[run.Upstream]
-			if !ok || run.At.Sub(leftAt) <= c.cfg.LeaveGrace+c.cfg.Skew {
+			leavingSince, ok := c.leaving[run.Upstream]
+			if !ok || run.At.Sub(leavingSince) <= c.cfg.LeaveGrace+c.cfg.Skew {
 				continue
 			}
-			out = append(out, Violation{NewWorkAfterLeave, string(run.Upstream), run.At, fmt.Sprintf("%s started %s after it left", id, run.At.Sub(leftAt))})
+			out = append(out, Violation{NewWorkAfterLeave, string(run.Upstream), run.At, fmt.Sprintf("request %s started %s after the upstream began to leave", id, run.At.Sub(leavingSince))})
 		}
 	}
 	return out
@@ -33,7 +33,7 @@
 		if !planned || brokenAt.Before(stoppedAt) || c.killedBefore(a.sent.Node, a.broken[0]) {
 			continue
 		}
-		out = append(out, Violation{CutOff, string(id), brokenAt, "cut off by the planned stop of " + string(a.sent.Node)})
+		out = append(out, Violation{CutOff, string(id), brokenAt, "connection broken during the planned stop of " + string(a.sent.Node)})
 	}
 	return out
 }
@@ -56,7 +56,7 @@
 	late := make(map[pomelorelay.Generation]bool)
 	for _, s := range seen {
 		if s.Generation < highest {
-			out = append(out, Violation{GenerationFell, string(node), s.At, fmt.Sprintf("generation %d after %d", s.Generation, highest)})
+			out = append(out, Violation{GenerationFell, string(node), s.At, fmt.Sprintf("generation %d in force after generation %d", s.Generation, highest)})
 		}
 		highest = max(highest, s.Generation)
 		due := c.dueGeneration(s)
@@ -64,7 +64,7 @@
 			continue
 		}
 		late[due] = true
-		out = append(out, Violation{GenerationLate, string(node), s.At, fmt.Sprintf("generation %d when %d was due", s.Generation, due)})
+		out = append(out, Violation{GenerationLate, string(node), s.At, fmt.Sprintf("generation %d in force when generation %d was due", s.Generation, due)})
 	}
 	return out
 }
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -51,7 +51,7 @@
 	return strings.Join(text, "\n")
 }
 
-// completionTokens returns how many tokens the answer has; the proof makes it the same for each run.
+// completionTokens returns the length of the answer in tokens; drawing it from the digest makes it the same for each run of a request.
 func (q chatRequest) completionTokens(digest Proof) int {
 	limit := q.MaxTokens
 	if limit <= 0 {
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -32,7 +32,7 @@
 	CrashMarker string
 	// CrashDowntime is how long the engine is unavailable after a crash, 500 ms by default.
 	CrashDowntime time.Duration
-	// Crash is called on every crash, typically Host.Crash; nil only loses the engine's state.
+	// Crash is called on every crash, typically Host.Crash; if nil, a crash only drops the requests and the prefix cache.
 	Crash func(downFor time.Duration)
 }
 
--- a/pomelofake/load.go
+++ b/pomelofake/load.go
@@ -30,7 +30,7 @@
 	g.trim(now)
 }
 
-// reported returns the load at the time now minus lag.
+// reported returns the load as it was lag ago.
 func (g *laggedLoad) reported() Load {
 	g.trim(time.Now())
 	if len(g.history) == 0 {
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -57,6 +57,7 @@
 
 // PlainAnswer is the body of a plain service's answer.
 type PlainAnswer struct {
+	// Proof is the digest of the request.
 	Proof     Proof
 	Key       string
 	RequestID string
--- a/pomelofake/relay.go
+++ b/pomelofake/relay.go
@@ -58,9 +58,9 @@
 	targetConn net.Conn
 }
 
-func (l *relayConnection) close() {
-	_ = l.sourceConn.Close()
-	_ = l.targetConn.Close()
+func (c *relayConnection) close() {
+	_ = c.sourceConn.Close()
+	_ = c.targetConn.Close()
 }
 
 // NewRelay starts forwarding connections; it fails if the listener cannot be opened.
@@ -90,9 +90,9 @@
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	for link := range r.connections {
-		if r.ruleFor(link.source).Cut {
-			link.close()
+	for conn := range r.connections {
+		if r.ruleFor(conn.source).Cut {
+			conn.close()
 		}
 	}
 }
@@ -109,8 +109,8 @@
 	r.mu.Lock()
 	r.closed = true
 	err := r.listener.Close()
-	for link := range r.connections {
-		link.close()
+	for conn := range r.connections {
+		conn.close()
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -151,30 +151,30 @@
 		_ = sourceConn.Close()
 		return
 	}
-	link := &relayConnection{source: source, sourceConn: sourceConn, targetConn: targetConn}
-	defer link.close()
-	if !r.add(link) {
+	conn := &relayConnection{source: source, sourceConn: sourceConn, targetConn: targetConn}
+	defer conn.close()
+	if !r.add(conn) {
 		return
 	}
-	defer r.remove(link)
-	r.forward(link)
+	defer r.remove(conn)
+	r.forward(conn)
 }
 
 // add registers a connection; it reports false if the relay was closed or the source cut while the target was dialled.
-func (r *Relay) add(link *relayConnection) bool {
+func (r *Relay) add(conn *relayConnection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || r.ruleFor(link.source).Cut {
+	if r.closed || r.ruleFor(conn.source).Cut {
 		return false
 	}
-	r.connections[link] = struct{}{}
+	r.connections[conn] = struct{}{}
 	return true
 }
 
-func (r *Relay) remove(link *relayConnection) {
+func (r *Relay) remove(conn *relayConnection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.connections, link)
+	delete(r.connections, conn)
 }
 
 func sourceAddr(conn net.Conn) netip.Addr {
--- a/pomelofake/relayforward.go
+++ b/pomelofake/relayforward.go
@@ -19,40 +19,40 @@
 }
 
 // forward copies bytes in both directions until either side closes.
-func (r *Relay) forward(link *relayConnection) {
+func (r *Relay) forward(conn *relayConnection) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		defer link.close()
-		r.forwardOneWay(link, link.sourceConn, link.targetConn, func(rule RelayRule) RelayEffect { return rule.Toward })
+		defer conn.close()
+		r.forwardOneWay(conn, conn.sourceConn, conn.targetConn, func(rule RelayRule) RelayEffect { return rule.Toward })
 	})
 	wg.Go(func() {
-		defer link.close()
-		r.forwardOneWay(link, link.targetConn, link.sourceConn, func(rule RelayRule) RelayEffect { return rule.Back })
+		defer conn.close()
+		r.forwardOneWay(conn, conn.targetConn, conn.sourceConn, func(rule RelayRule) RelayEffect { return rule.Back })
 	})
 	wg.Wait()
 }
 
 // forwardOneWay reads and writes in separate goroutines, so that a delay does not reduce the throughput.
-func (r *Relay) forwardOneWay(link *relayConnection, from, to net.Conn, effect func(RelayRule) RelayEffect) {
+func (r *Relay) forwardOneWay(conn *relayConnection, from, to net.Conn, effect func(RelayRule) RelayEffect) {
 	chunks := make(chan relayChunk, relayQueueChunks)
 	done := make(chan struct{})
 	var writer sync.WaitGroup
 	writer.Go(func() {
 		defer close(done)
-		defer link.close()
-		r.write(link, to, chunks, effect)
+		defer conn.close()
+		r.write(conn, to, chunks, effect)
 	})
-	r.read(link, from, chunks, done, effect)
+	r.read(conn, from, chunks, done, effect)
 	close(chunks)
 	writer.Wait()
 }
 
-func (r *Relay) read(link *relayConnection, from net.Conn, chunks chan<- relayChunk, done <-chan struct{}, effect func(RelayRule) RelayEffect) {
+func (r *Relay) read(conn *relayConnection, from net.Conn, chunks chan<- relayChunk, done <-chan struct{}, effect func(RelayRule) RelayEffect) {
 	for {
 		data := make([]byte, relayChunkBytes)
 		n, err := from.Read(data)
 		if n > 0 {
-			delay := r.currentEffect(link, effect).Delay
+			delay := r.currentEffect(conn, effect).Delay
 			select {
 			case chunks <- relayChunk{data[:n], time.Now().Add(delay)}:
 			case <-done:
@@ -65,17 +65,17 @@
 	}
 }
 
-func (r *Relay) currentEffect(link *relayConnection, effect func(RelayRule) RelayEffect) RelayEffect {
+func (r *Relay) currentEffect(conn *relayConnection, effect func(RelayRule) RelayEffect) RelayEffect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return effect(r.ruleFor(link.source))
+	return effect(r.ruleFor(conn.source))
 }
 
-func (r *Relay) write(link *relayConnection, to net.Conn, chunks <-chan relayChunk, effect func(RelayRule) RelayEffect) {
+func (r *Relay) write(conn *relayConnection, to net.Conn, chunks <-chan relayChunk, effect func(RelayRule) RelayEffect) {
 	dropped := false
 	for c := range chunks {
 		time.Sleep(time.Until(c.due))
-		current, open := r.waitUnblocked(link, effect)
+		current, open := r.waitUnblocked(conn, effect)
 		if !open || dropped && !current.Drop {
 			return
 		}
@@ -98,11 +98,11 @@
 }
 
 // waitUnblocked waits while the rule blocks and returns the current effect; it reports false if the relay is closed or the source cut.
-func (r *Relay) waitUnblocked(link *relayConnection, effect func(RelayRule) RelayEffect) (RelayEffect, bool) {
+func (r *Relay) waitUnblocked(conn *relayConnection, effect func(RelayRule) RelayEffect) (RelayEffect, bool) {
 	for {
 		r.mu.Lock()
-		current := effect(r.ruleFor(link.source))
-		cut := r.closed || r.ruleFor(link.source).Cut
+		current := effect(r.ruleFor(conn.source))
+		cut := r.closed || r.ruleFor(conn.source).Cut
 		changed := r.changed
 		r.mu.Unlock()
 		if cut {
--- a/pomelofake/storehttp.go
+++ b/pomelofake/storehttp.go
@@ -53,6 +53,7 @@
 	return sleep(r, wait)
 }
 
+// decide counts the call and returns the HTTP status and, if it is 200, the delay before the call takes effect.
 func (s *Store) decide(kind callKind) (int, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
