--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -107,7 +107,7 @@
 	})
 }
 
-// A router never serves a queued request, or a whole account's queue. The caller sees a hanging connection.
+// A router never serves a queued request, or any request of an account. The caller sees a hanging connection.
 func TestDetectsStarvation(t *testing.T) {
 	quarantined := func(attempt string, when time.Duration) pomelocheck.Refused {
 		r := refused(attempt, when, pomelorelay.RanNo)
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -30,7 +30,7 @@
 // Gap is the maximum difference of normalised service between two accounts of a pool over any period in which both were backlogged.
 type Gap struct {
 	Pool pomelorelay.PoolID
-	// More and Less are the accounts with more and with less service.
+	// The accounts that received more and less service during the period.
 	More  pomelorelay.AccountID
 	Less  pomelorelay.AccountID
 	Value pomelorelay.Tag
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Header names of FleetWire.
+// Header names of the wire format for tests.
 const (
 	FieldRequest  = "Request-Id"
 	FieldWait     = "Wait-Ms"
--- a/pomelofake/host.go
+++ b/pomelofake/host.go
@@ -96,6 +96,7 @@
 	}
 }
 
+// waitOrClosing waits for d and reports false if the host was closed before it elapsed.
 func (h *Host) waitOrClosing(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/pomelofake/network_test.go
+++ b/pomelofake/network_test.go
@@ -81,7 +81,7 @@
 	t.Cleanup(func() {
 		transport.CloseIdleConnections()
 		_ = host.Close()
-		// net/http closes a connection whose request was not fully read half a second late.
+		// net/http closes a connection with an unread request body only after half a second.
 		time.Sleep(time.Second)
 	})
 	return &http.Client{Transport: transport}, host
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -16,7 +16,7 @@
 type PlainConfig struct {
 	// Slots is the maximum number of concurrent requests, 8 by default; further ones wait.
 	Slots int
-	// MinTime and Spread bound a run's duration to [MinTime, MinTime+Spread), drawn by the body's digest; 5 ms and 20 ms by default.
+	// A run takes the first duration plus up to the second, chosen by the body's digest; 5 ms and 20 ms by default.
 	MinTime time.Duration
 	Spread  time.Duration
 	// Padding is the number of filler bytes in each answer.
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -83,13 +83,13 @@
 		for _, key := range []string{"k1", "k2"} {
 			wg.Go(func() {
 				if _, answer := postBooking(t, client, key, key); answer.Key == key {
-					t.Errorf("%s received its own answer, want the other one", key)
+					t.Errorf("%s received its own answer, want that of the other request", key)
 				}
 			})
 		}
 		wg.Wait()
 		if _, answer := postBooking(t, client, "k3", "k3"); answer.Key != "k3" {
-			t.Errorf("without a concurrent request the answer is %+v, want the own one", answer)
+			t.Errorf("without a concurrent request the answer is %+v, want that of k3", answer)
 		}
 	})
 }
--- a/pomelofake/relay_test.go
+++ b/pomelofake/relay_test.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// newTestRelay starts an in-memory relay to a server that answers each byte b with b+1.
+// newTestRelay starts an in-memory relay to serveSuccessors and returns it with a function that connects to it.
 func newTestRelay(t *testing.T) (*pomelofake.Relay, func() net.Conn) {
 	t.Helper()
 	sources, target := &memoryNetwork{}, &memoryNetwork{}
@@ -38,6 +38,7 @@
 	}
 }
 
+// serveSuccessors answers each byte b with b+1 on every connection, until the listener is closed.
 func serveSuccessors(l net.Listener) {
 	for {
 		conn, err := l.Accept()
