--- a/pomelofake/storehttp.go
+++ b/pomelofake/storehttp.go
@@ -98,7 +98,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		http.Error(w, "query parameter "+name+" is not an unsigned number", http.StatusBadRequest)
+		http.Error(w, name+" is not an unsigned number", http.StatusBadRequest)
 		return 0, false
 	}
 	return n, true
