--- a/cmd/pomeloctl/pomelocommand/diff.go
+++ b/cmd/pomeloctl/pomelocommand/diff.go
@@ -42,7 +42,7 @@
 		return pomeloconfig.Configuration{}, err
 	}
 	_, c, err := pomeloconfig.Load(ctx, store)
-	if pomeloconfig.IsErrNone(err) {
+	if pomeloconfig.IsErrNoConfiguration(err) {
 		return pomeloconfig.Configuration{}, nil
 	}
 	return c, err
--- a/cmd/pomeloctl/pomelocommand/evacuate.go
+++ b/cmd/pomeloctl/pomelocommand/evacuate.go
@@ -50,7 +50,7 @@
 	}
 	return a.publish(ctx, publishing{
 		store: store, configuration: c, routers: routers, wait: o.wait, headline: evacuateText(o),
-		change: pomeloconfig.Change{Author: o.author, Why: o.why, Base: root.Generation},
+		change: pomeloconfig.Change{Author: o.author, Why: o.why, BaseGeneration: root.Generation},
 	})
 }
 
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -37,7 +37,7 @@
 func (a *app) publish(ctx context.Context, p publishing) error {
 	// Routers that do not answer do not keep a change from being accepted; the others tell what it has to be above.
 	lines, _ := askAll(ctx, p.routers)
-	p.change.Floor = highestGeneration(lines)
+	p.change.FleetGeneration = highestGeneration(lines)
 	root, err := pomeloconfig.NewPublisher(pomeloconfig.PublisherConfig{Store: p.store}).Publish(ctx, p.configuration, p.change)
 	if err != nil {
 		return err
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -26,7 +26,7 @@
 	if status, _ := f.call(n, "/b/"); status != 404 {
 		t.Errorf("an unknown route: %d", status)
 	}
-	status, text := f.get(n.settings.Metrics, "/metrics")
+	status, text := f.get(n.settings.MetricsAddr, "/metrics")
 	if status != 200 || !strings.Contains(text, `pomelorelay_requests_total{ending="served",kind="Once"}`) {
 		t.Errorf("metrics: %d\n%s", status, text)
 	}
@@ -185,14 +185,14 @@
 	a, b := f.start(8*time.Second), f.start(3*time.Second)
 	f.awaitStatus(a, "/a/", 200)
 	f.awaitStatus(b, "/a/", 200)
-	_, text := f.get(a.settings.Metrics, "/metrics")
+	_, text := f.get(a.settings.MetricsAddr, "/metrics")
 	f.await("a knows b", func() bool {
-		_, text = f.get(a.settings.Metrics, "/metrics")
+		_, text = f.get(a.settings.MetricsAddr, "/metrics")
 		return strings.Contains(text, `pomelorelay_state{name="peers"} 1`)
 	})
 	b.entry.Stop()
 	f.await("a forgets b", func() bool {
-		_, text = f.get(a.settings.Metrics, "/metrics")
+		_, text = f.get(a.settings.MetricsAddr, "/metrics")
 		return strings.Contains(text, `pomelorelay_state{name="peers"} 0`)
 	})
 }
@@ -203,7 +203,7 @@
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 400*time.Millisecond)
-	n := f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) { s.Self.Power = 0.01 })
+	n := f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) { s.Self.CPUSpeed = 0.01 })
 	f.awaitStatus(n, "/a/", 200)
 	const flood = 150
 	got := make(chan int, flood)
@@ -240,9 +240,9 @@
 	f.upstream("u1", 0)
 	for i := range routers {
 		f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) {
-			s.Self.Power = 1
+			s.Self.CPUSpeed = 1
 			if i == 3 {
-				s.Self.Power = 2
+				s.Self.CPUSpeed = 2
 			}
 		})
 	}
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -58,7 +58,7 @@
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
-	m := f.UpdateFrom(pomelorelay.FleetChange{At: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
+	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
 	if len(m.Evacuated) != 1 || len(m.Restored) != 1 {
 		t.Fatalf("%+v", m)
 	}
@@ -68,19 +68,19 @@
 		want int
 	}{
 		{"an update of everything", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{At: 10, Whole: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
 		}, 2},
 		{"an update that says nothing", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, At: 11})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 11})
 		}, 2},
 		{"an update that takes one back", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, At: 12, Restored: []pomelorelay.DomainID{"c"}})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, Revision: 12, Restored: []pomelorelay.DomainID{"c"}})
 		}, 1},
 		{"an old state", func() pomelorelay.Revision {
-			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 11})
+			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 11})
 		}, 1},
 		{"a newer state without it", func() pomelorelay.Revision {
-			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 14})
+			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 14})
 		}, 0},
 	} {
 		at := c.take()
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -103,7 +103,7 @@
 	}
 	for _, p := range paths {
 		c.Routes = append(c.Routes, pomelorelay.Route{
-			Name: pomelorelay.RouteID(p), Host: "h.example", Prefix: p, Kind: pomelorelay.RouteOnce, Timeout: 5 * time.Second, Target: time.Second, Attempts: 1,
+			Name: pomelorelay.RouteID(p), Host: "h.example", Prefix: p, Kind: pomelorelay.RouteOnce, Timeout: 5 * time.Second, TargetLatency: time.Second, MaxAttempts: 1,
 			Shares: []pomelorelay.RouteShare{{Service: "s", Weight: 1}},
 		})
 	}
@@ -131,8 +131,8 @@
 	n.settings = pomelorelay.FleetSettings{
 		Self:    pomelorelay.Peer{Node: pomelorelay.NodeID(fmt.Sprintf("r%d", len(f.nodes))), Addr: pomelofake.FreeAddr(), Domain: "a", Region: "ra"},
 		Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra"},
-		Callers: pomelofake.FreeAddr(), Readiness: pomelofake.FreeAddr(), Metrics: pomelofake.FreeAddr(),
-		StopWait: stopWait, RetryRatio: 0.2, RetrySlack: 50, ShareWindow: 4 * time.Second,
+		CallerAddr: pomelofake.FreeAddr(), ReadinessAddr: pomelofake.FreeAddr(), MetricsAddr: pomelofake.FreeAddr(),
+		StopTimeout: stopWait, RetryRatio: 0.2, RetrySlack: 50, ShareWindow: 4 * time.Second,
 	}
 	change(&n.settings)
 	entry, err := pomeloentry.New(pomeloentry.Config{Settings: n.settings, Platform: n.view, Wire: pomelofake.FleetWire{}, Logger: n.log})
@@ -178,7 +178,7 @@
 // call sends a request and returns the status and the id of the upstream that answered; the status is 0 when the connection broke.
 func (f *fleet) call(n *node, path string) (int, string) {
 	f.t.Helper()
-	req, err := http.NewRequest("POST", "http://"+n.settings.Callers.String()+path, strings.NewReader("x"))
+	req, err := http.NewRequest("POST", "http://"+n.settings.CallerAddr.String()+path, strings.NewReader("x"))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -212,7 +212,7 @@
 }
 
 func (f *fleet) ready(n *node) bool {
-	status, _ := f.get(n.settings.Readiness, "/ready")
+	status, _ := f.get(n.settings.ReadinessAddr, "/ready")
 	return status == http.StatusOK
 }
 
@@ -239,7 +239,7 @@
 	f.t.Helper()
 	f.await("all routers have each other", func() bool {
 		for _, n := range f.nodes {
-			if _, text := f.get(n.settings.Metrics, "/metrics"); !strings.Contains(text, fmt.Sprintf("pomelorelay_state{name=\"peers\"} %d\n", count)) {
+			if _, text := f.get(n.settings.MetricsAddr, "/metrics"); !strings.Contains(text, fmt.Sprintf("pomelorelay_state{name=\"peers\"} %d\n", count)) {
 				return false
 			}
 		}
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -174,7 +174,7 @@
 // Read returns the whole content; see pomelorelay.Platform. The result is never stale.
 func (v *View) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
 	v.s.countCall(&v.s.calls.Reads)
-	change := pomelorelay.FleetChange{Whole: true}
+	change := pomelorelay.FleetChange{Full: true}
 	err := v.await(ctx, 0, func() bool {
 		v.s.collect(&change, 0)
 		return true
@@ -199,7 +199,7 @@
 
 // collect adds the entries written after the revision and reports whether there are any. The caller holds the mutex.
 func (s *FleetStore) collect(change *pomelorelay.FleetChange, after pomelorelay.Revision) bool {
-	change.At = s.revision
+	change.Revision = s.revision
 	if s.config != nil && s.configRevision > after {
 		change.Config = s.config
 	}
@@ -216,10 +216,10 @@
 		present()
 	}
 	for id, e := range s.upstreams {
-		add(e, func() { change.Upstreams = append(change.Upstreams, e.upstream) }, func() { change.GoneUpstreams = append(change.GoneUpstreams, id) })
+		add(e, func() { change.Upstreams = append(change.Upstreams, e.upstream) }, func() { change.RemovedUpstreams = append(change.RemovedUpstreams, id) })
 	}
 	for node, e := range s.peers {
-		add(e, func() { change.Peers = append(change.Peers, e.peer) }, func() { change.GonePeers = append(change.GonePeers, node) })
+		add(e, func() { change.Peers = append(change.Peers, e.peer) }, func() { change.RemovedPeers = append(change.RemovedPeers, node) })
 	}
 	for domain, e := range s.evacuated {
 		add(e, func() { change.Evacuated = append(change.Evacuated, domain) }, func() { change.Restored = append(change.Restored, domain) })
@@ -227,13 +227,13 @@
 	return changed
 }
 
-// ReadConfig decodes a configuration document received from a peer.
-func (v *View) ReadConfig(document []byte) (*pomelorelay.FleetConfig, error) {
+// ParseConfig decodes a configuration document received from a peer.
+func (v *View) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
 	return v.s.Decode(document)
 }
 
-// Announce registers a router; see pomelorelay.Platform. Its lease does not expire by itself.
-func (v *View) Announce(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
+// Register registers a router; see pomelorelay.Platform. Its lease does not expire by itself.
+func (v *View) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
 	v.s.countCall(&v.s.calls.Announces)
 	if err := v.available(); err != nil {
 		return 0, err
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -28,23 +28,23 @@
 
 var _ pomelorelay.WireFormat = FleetWire{}
 
-// ReadyPath returns the path of the readiness check for load balancers.
-func (FleetWire) ReadyPath() string { return "/ready" }
+// ReadinessPath returns the path of the readiness check for load balancers.
+func (FleetWire) ReadinessPath() string { return "/ready" }
 
-// IDField returns the name of the request ID header.
-func (FleetWire) IDField() string { return FieldRequest }
+// RequestIDField returns the name of the request ID header.
+func (FleetWire) RequestIDField() string { return FieldRequest }
 
-// ReadCaller parses the headers of a caller's request; missing and malformed values are zero.
-func (FleetWire) ReadCaller(head http.Header) pomelorelay.CallerFields {
-	f := pomelorelay.CallerFields{ID: head.Get(FieldRequest), Key: head.Get(FieldKey)}
+// ParseCallerFields parses the headers of a caller's request; missing and malformed values are zero.
+func (FleetWire) ParseCallerFields(head http.Header) pomelorelay.CallerFields {
+	f := pomelorelay.CallerFields{ID: head.Get(FieldRequest), APIKey: head.Get(FieldKey)}
 	if ms, err := strconv.Atoi(head.Get(FieldWait)); err == nil {
-		f.Wait = time.Duration(ms) * time.Millisecond
+		f.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	in, out, _ := strings.Cut(head.Get(FieldTokens), ",")
-	f.Prompt, f.Output = parseTokens(in), parseTokens(out)
+	f.PromptTokens, f.MaxOutputTokens = parseTokens(in), parseTokens(out)
 	for _, part := range strings.Fields(head.Get(FieldParts)) {
 		hash, tokens, _ := strings.Cut(part, ":")
-		f.Parts = append(f.Parts, pomelorelay.PromptPart{Hash: uint64(parseTokens(hash)), Tokens: parseTokens(tokens)})
+		f.PromptParts = append(f.PromptParts, pomelorelay.PromptPart{Hash: uint64(parseTokens(hash)), Tokens: parseTokens(tokens)})
 	}
 	if id, err := strconv.ParseUint(head.Get(FieldLast), 10, 64); err == nil {
 		f.LastEvent, f.HasLastEvent = id, true
@@ -60,19 +60,19 @@
 	return pomelorelay.Tokens(n)
 }
 
-// WriteUpstream sets the headers of a request to an upstream.
-func (FleetWire) WriteUpstream(head http.Header, f pomelorelay.UpstreamFields) {
+// SetUpstreamFields sets the headers of a request to an upstream.
+func (FleetWire) SetUpstreamFields(head http.Header, f pomelorelay.UpstreamFields) {
 	head.Del(FieldKey)
-	head.Set(FieldWait, strconv.FormatInt(f.Wait.Milliseconds(), 10))
-	head.Set(FieldExpected, string(f.Upstream))
+	head.Set(FieldWait, strconv.FormatInt(f.TimeLeft.Milliseconds(), 10))
+	head.Set(FieldExpected, string(f.ExpectedUpstream))
 	head.Set(FieldAccount, string(f.Account))
 	if f.HasLastEvent {
 		head.Set(FieldLast, strconv.FormatUint(f.LastEvent, 10))
 	}
 }
 
-// ReadAnswer parses status and headers of an upstream's answer.
-func (FleetWire) ReadAnswer(resp *http.Response) pomelorelay.AnswerFields {
+// ParseAnswerFields parses status and headers of an upstream's answer.
+func (FleetWire) ParseAnswerFields(resp *http.Response) pomelorelay.AnswerFields {
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
 	return pomelorelay.AnswerFields{
 		NotRun:      misdirected || resp.Header.Get(FieldNotRun) != "",
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -67,14 +67,14 @@
 
 	mu         sync.Mutex
 	generation pomelorelay.Generation
-	traffic    [pomelorelay.LinkClasses]pomelorelay.LinkBytes
+	traffic    [pomelorelay.LinkClassCount]pomelorelay.LinkBytes
 }
 
 // SetPeers does nothing, since a Network knows all of its routers.
 func (m *Mesh) SetPeers([]pomelorelay.Peer) {}
 
-// Contact sends a message to the router with the given address; it does nothing if there is none.
-func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
+// SendToAddr sends a message to the router with the given address; it does nothing if there is none.
+func (m *Mesh) SendToAddr(addr netip.AddrPort, message pomelorelay.Message) error {
 	node, ok := m.network.nodeAt(addr)
 	if !ok {
 		return nil
@@ -117,18 +117,18 @@
 func (m *Mesh) linkClass(peer *Mesh) pomelorelay.LinkClass {
 	switch {
 	case peer.self.Domain == m.self.Domain:
-		return pomelorelay.LinkDomain
+		return pomelorelay.LinkSameDomain
 	case peer.self.Region == m.self.Region:
-		return pomelorelay.LinkRegion
+		return pomelorelay.LinkSameRegion
 	}
-	return pomelorelay.LinkCross
+	return pomelorelay.LinkCrossRegion
 }
 
 // Receive returns the channel of received messages.
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
 // Traffic returns the number of sent messages per link class.
-func (m *Mesh) Traffic() [pomelorelay.LinkClasses]pomelorelay.LinkBytes {
+func (m *Mesh) Traffic() [pomelorelay.LinkClassCount]pomelorelay.LinkBytes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.traffic
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -21,7 +21,7 @@
 // checkHead fails when the head of an answer must not reach the caller.
 func (c *call) checkHead(x *pomelolink.Exchange) *pomelolink.Failure {
 	resp := x.Response
-	answer := c.h.cfg.Wire.ReadAnswer(resp)
+	answer := c.h.cfg.Wire.ParseAnswerFields(resp)
 	if resp.Header.Get("Content-Encoding") != "" {
 		return malformed(errEncoded)
 	}
@@ -33,7 +33,7 @@
 		// Callers interpret these statuses as proof that the request never ran.
 		return malformed(errFalseNotRun)
 	}
-	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.Attempts && !c.answerStarted {
+	if resp.StatusCode >= http.StatusInternalServerError && c.repeatable() && c.runs+1 < c.route.MaxAttempts && !c.answerStarted {
 		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeUpstreamFailed, errFailed)
 	}
 	return nil
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -26,8 +26,8 @@
 	h := &Handler{cfg: cfg, budgets: make(map[pomelorelay.ServiceID]*pomelobudget.Budget)}
 	h.links = pomelolink.New(pomelolink.Config{
 		Protocol: pomelolink.Protocol{
-			IDHeader:   cfg.Wire.IDField(),
-			NotRun:     func(resp *http.Response) bool { return cfg.Wire.ReadAnswer(resp).NotRun },
+			IDHeader:   cfg.Wire.RequestIDField(),
+			NotRun:     func(resp *http.Response) bool { return cfg.Wire.ParseAnswerFields(resp).NotRun },
 			EndByClose: true,
 		},
 		MaxHeaderBytes: maxAnswerHeaderBytes,
@@ -69,8 +69,8 @@
 	if table == nil {
 		return "", 0
 	}
-	fields := h.cfg.Wire.ReadCaller(r.Header)
-	account, ok := table.Account(fields.Key)
+	fields := h.cfg.Wire.ParseCallerFields(r.Header)
+	account, ok := table.Account(fields.APIKey)
 	if !ok {
 		return "", 0
 	}
--- a/pomeloforward/harness_test.go
+++ b/pomeloforward/harness_test.go
@@ -122,12 +122,12 @@
 }
 
 var routes = []pomelorelay.Route{
-	{Name: "read", Host: "h.example", Prefix: "/read/", Kind: pomelorelay.RouteIdempotent, Timeout: 2 * time.Second, Attempts: 2},
-	{Name: "book", Host: "h.example", Prefix: "/book/", Kind: pomelorelay.RouteOnce, Timeout: 2 * time.Second, Attempts: 1},
-	{Name: "draft", Host: "h.example", Prefix: "/draft/", Kind: pomelorelay.RouteStream, Timeout: 5 * time.Second, Attempts: 1},
-	{Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: pomelorelay.RouteStream, Timeout: 5 * time.Second, Attempts: 2, Resumable: true},
-	{Name: "talk", Host: "h.example", Prefix: "/talk/", Kind: pomelorelay.RouteStream, Timeout: 5 * time.Second, Pause: 100 * time.Millisecond, Attempts: 1},
-	{Name: "open", Host: "h.example", Prefix: "/open/", Kind: pomelorelay.RouteIdempotent, Timeout: 2 * time.Second, Attempts: 1, Public: true},
+	{Name: "read", Host: "h.example", Prefix: "/read/", Kind: pomelorelay.RouteIdempotent, Timeout: 2 * time.Second, MaxAttempts: 2},
+	{Name: "book", Host: "h.example", Prefix: "/book/", Kind: pomelorelay.RouteOnce, Timeout: 2 * time.Second, MaxAttempts: 1},
+	{Name: "draft", Host: "h.example", Prefix: "/draft/", Kind: pomelorelay.RouteStream, Timeout: 5 * time.Second, MaxAttempts: 1},
+	{Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: pomelorelay.RouteStream, Timeout: 5 * time.Second, MaxAttempts: 2, Resumable: true},
+	{Name: "talk", Host: "h.example", Prefix: "/talk/", Kind: pomelorelay.RouteStream, Timeout: 5 * time.Second, MaxEventGap: 100 * time.Millisecond, MaxAttempts: 1},
+	{Name: "open", Host: "h.example", Prefix: "/open/", Kind: pomelorelay.RouteIdempotent, Timeout: 2 * time.Second, MaxAttempts: 1, Public: true},
 }
 
 func newHarness(t *testing.T, upstreams ...pomelorelay.FleetUpstream) *harness {
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -187,7 +187,7 @@
 	case pomelolink.OutcomeNotSent:
 		state = pomelorelay.GrantReturned
 		if e.r.Code == pomelorelay.CodeUpstreamUnreached {
-			state = pomelorelay.GrantUnreached
+			state = pomelorelay.GrantUpstreamUnreachable
 		}
 	case pomelolink.OutcomeCutShort, pomelolink.OutcomeUnknown:
 		state = pomelorelay.GrantFailed
