--- a/pomelofake/admin.go
+++ b/pomelofake/admin.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// AdminConfig names the stand-ins that an Admin rules over.
+// AdminConfig holds the stand-ins that an Admin controls; a nil field means that there is none of that kind.
 type AdminConfig struct {
 	Engines  map[pomelorelay.UpstreamID]*Engine
 	Plains   map[pomelorelay.UpstreamID]*Plain
@@ -19,76 +19,78 @@
 	Relays   map[string]*Relay
 }
 
-// Fault is what POST /fault takes: only what is set is done. Durations are nanoseconds, as Go writes them.
+// Fault is the body of POST /fault; only the fields that are set are applied. Durations are in nanoseconds.
 type Fault struct {
-	// Target names the engine, plain service or relay.
+	// Target is the name of the engine, plain service or relay.
 	Target   string
 	Engine   *EngineFaults
 	Plain    *PlainFaults
 	Store    *StoreFaults
 	HostList *HostListFaults
 	Relay    []RelayRule
-	// Crash crashes the target engine.
+	// Crash makes the target engine crash.
 	Crash bool
-	// Leave and Remove name a host that leaves or goes off the host list.
+	// Leave is a host to mark as leaving, and Remove one to remove from the host list.
 	Leave  string
 	Remove string
-	// Copy keeps the store's content, and Restore brings it back.
+	// Copy takes a snapshot of the store, and Restore goes back to the last snapshot.
 	Copy    bool
 	Restore bool
 }
 
-// FaultAnswer answers POST /fault.
+// FaultAnswer is the body of the answer to POST /fault.
 type FaultAnswer struct {
-	// Shows is when a change of the host list shows.
+	// Shows is when a change of the host list becomes visible; zero if the list was not changed.
 	Shows time.Time
 }
 
-// Counts is what GET /counts answers.
+// Counts is the body of the answer to GET /counts.
 type Counts struct {
-	Store  StoreCounts
+	Store StoreCounts
+	// Passed is the number of bytes that each relay forwarded, by its name.
 	Passed map[string]int64
 }
 
-// Admin is the handler by which a script or the bench sets faults of stand-ins and reads what they counted.
+// Admin is an HTTP handler that injects faults into stand-ins and returns their counters.
 type Admin struct {
 	cfg    AdminConfig
 	router *mux.Router
 
-	mu   sync.Mutex
-	copy StoreCopy
+	mu       sync.Mutex
+	snapshot StoreSnapshot
 }
 
-// NewAdmin returns the handler.
+// NewAdmin returns a handler for the given stand-ins.
 func NewAdmin(cfg AdminConfig) *Admin {
 	a := &Admin{cfg: cfg, router: mux.NewRouter()}
-	a.router.HandleFunc("/fault", a.fault).Methods(http.MethodPost)
-	a.router.HandleFunc("/runs/{target}", a.runs).Methods(http.MethodGet)
-	a.router.HandleFunc("/counts", a.counts).Methods(http.MethodGet)
+	a.router.HandleFunc("/fault", a.handleFault).Methods(http.MethodPost)
+	a.router.HandleFunc("/runs/{target}", a.handleRuns).Methods(http.MethodGet)
+	a.router.HandleFunc("/counts", a.handleCounts).Methods(http.MethodGet)
 	return a
 }
 
-// ServeHTTP answers POST /fault, GET /runs/{target}?after=SEQ and GET /counts.
+// ServeHTTP serves POST /fault, GET /runs/{target}?after=SEQ and GET /counts.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
-func (a *Admin) fault(w http.ResponseWriter, r *http.Request) {
+func (a *Admin) handleFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
-		http.Error(w, "the fault cannot be read: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "cannot decode the fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if problem := a.check(f); problem != "" {
+	if problem := a.missingTarget(f); problem != "" {
 		http.Error(w, problem, http.StatusNotFound)
 		return
 	}
-	a.disturb(f)
-	writeJSON(w, http.StatusOK, FaultAnswer{Shows: a.changeHosts(f)})
+	a.applyFaults(f)
+	writeJSON(w, http.StatusOK, FaultAnswer{Shows: a.updateHostList(f)})
 }
 
-// check returns what of the fault has no stand-in here, so that a mistyped name does not pass for a fault that was set.
-func (a *Admin) check(f Fault) string {
+// missingTarget returns an error text if a target of the fault does not exist, and an empty string otherwise. Without it
+// a mistyped name would look like a fault that was set.
+func (a *Admin) missingTarget(f Fault) string {
 	upstream := pomelorelay.UpstreamID(f.Target)
 	if (f.Engine != nil || f.Crash) && a.cfg.Engines[upstream] == nil {
 		return "no engine " + f.Target
@@ -102,10 +104,10 @@
 	if (f.Store != nil || f.Copy || f.Restore) && a.cfg.Store == nil {
 		return "no store"
 	}
-	return a.checkHosts(f)
+	return a.missingHost(f)
 }
 
-func (a *Admin) checkHosts(f Fault) string {
+func (a *Admin) missingHost(f Fault) string {
 	if f.HostList == nil && f.Leave == "" && f.Remove == "" {
 		return ""
 	}
@@ -113,14 +115,14 @@
 		return "no host list"
 	}
 	for _, name := range []string{f.Leave, f.Remove} {
-		if name != "" && !a.cfg.HostList.has(name) {
+		if name != "" && !a.cfg.HostList.contains(name) {
 			return "no host " + name
 		}
 	}
 	return ""
 }
 
-func (a *Admin) disturb(f Fault) {
+func (a *Admin) applyFaults(f Fault) {
 	upstream := pomelorelay.UpstreamID(f.Target)
 	if f.Engine != nil {
 		a.cfg.Engines[upstream].SetFaults(*f.Engine)
@@ -137,36 +139,36 @@
 	if f.HostList != nil {
 		a.cfg.HostList.SetFaults(*f.HostList)
 	}
-	a.disturbStore(f)
+	a.applyStoreFaults(f)
 }
 
-func (a *Admin) disturbStore(f Fault) {
+func (a *Admin) applyStoreFaults(f Fault) {
 	if f.Store != nil {
 		a.cfg.Store.SetFaults(*f.Store)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if f.Copy {
-		a.copy = a.cfg.Store.Copy()
+		a.snapshot = a.cfg.Store.Snapshot()
 	}
 	if f.Restore {
-		a.cfg.Store.Restore(a.copy)
+		a.cfg.Store.Restore(a.snapshot)
 	}
 }
 
-func (a *Admin) changeHosts(f Fault) time.Time {
-	var shows time.Time
+func (a *Admin) updateHostList(f Fault) time.Time {
+	var visibleAt time.Time
 	if f.Leave != "" {
-		shows, _ = a.cfg.HostList.Leave(f.Leave)
+		visibleAt, _ = a.cfg.HostList.Leave(f.Leave)
 	}
 	if f.Remove != "" {
-		shows = a.cfg.HostList.Remove(f.Remove)
+		visibleAt = a.cfg.HostList.Remove(f.Remove)
 	}
-	return shows
+	return visibleAt
 }
 
-func (a *Admin) runs(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r, "after")
+func (a *Admin) handleRuns(w http.ResponseWriter, r *http.Request) {
+	after, ok := uintQuery(w, r, "after")
 	if !ok {
 		return
 	}
@@ -182,13 +184,13 @@
 	http.NotFound(w, r)
 }
 
-func (a *Admin) counts(w http.ResponseWriter, _ *http.Request) {
+func (a *Admin) handleCounts(w http.ResponseWriter, _ *http.Request) {
 	counts := Counts{Passed: make(map[string]int64)}
 	if a.cfg.Store != nil {
 		counts.Store = a.cfg.Store.Counts()
 	}
 	for name, relay := range a.cfg.Relays {
-		counts.Passed[name] = relay.Passed()
+		counts.Passed[name] = relay.BytesForwarded()
 	}
 	writeJSON(w, http.StatusOK, counts)
 }
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -18,23 +18,23 @@
 	maxRequestBody   = 16 << 20
 )
 
-// Headers of the protocols between router and upstream.
+// Headers exchanged between router and upstream.
 const (
-	headerRequestID   = "X-Request-Id"
-	headerLastEvent   = "Last-Event-ID"
-	headerRan         = "Ran"
-	headerKey         = "Idempotency-Key"
-	headerContentType = "Content-Type"
+	headerRequestID      = "X-Request-Id"
+	headerLastEventID    = "Last-Event-ID"
+	headerRan            = "Ran"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerContentType    = "Content-Type"
 )
 
-// chatRequest is what the engine reads of a request to either completion path.
+// chatRequest holds the fields that the engine uses of a request to either completion path.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
 	Prompt    string        `json:"prompt"`
 	MaxTokens int           `json:"max_tokens"`
 	Stream    bool          `json:"stream"`
-	// IgnoreEOS makes the answer exactly MaxTokens long; without it the length is any up to that and known to nobody before.
+	// IgnoreEOS makes the answer exactly MaxTokens long; otherwise its length is between 1 and MaxTokens and cannot be predicted by a router.
 	IgnoreEOS bool `json:"ignore_eos"`
 }
 
@@ -51,8 +51,8 @@
 	return strings.Join(text, "\n")
 }
 
-// tokens returns how many tokens the answer has; the proof makes it the same for each run.
-func (q chatRequest) tokens(proof Proof) int {
+// completionTokens returns the length of the answer in tokens; drawing it from the digest makes it the same for each run of a request.
+func (q chatRequest) completionTokens(digest Proof) int {
 	limit := q.MaxTokens
 	if limit <= 0 {
 		limit = defaultMaxTokens
@@ -61,7 +61,7 @@
 		return limit
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(proof))
+	_, _ = hash.Write([]byte(digest))
 	return 1 + int(hash.Sum64()%uint64(limit))
 }
 
@@ -82,62 +82,62 @@
 		return
 	}
 	if e.Faults().Refuse {
-		refuse(w)
+		writeRefusal(w)
 		return
 	}
 	var q chatRequest
 	if err := json.Unmarshal(body, &q); err != nil {
-		http.Error(w, "the body is not a completion request: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "cannot decode the completion request: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	if e.cfg.Model != "" && q.Model != e.cfg.Model {
 		w.Header().Set(headerRan, "No")
-		http.Error(w, "the model "+q.Model+" is not served here", http.StatusNotFound)
+		http.Error(w, "model "+q.Model+" is not served by this engine", http.StatusNotFound)
 		return
 	}
 	s := e.enqueue(q, body, r.Header.Get(headerRequestID))
-	defer e.detach(s)
+	defer e.detachReader(s)
 	e.answer(w, r, s, q)
 }
 
-func refuse(w http.ResponseWriter) {
+func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set(headerRan, "No")
-	http.Error(w, "refused", http.StatusServiceUnavailable)
+	http.Error(w, "refused by an injected fault", http.StatusServiceUnavailable)
 }
 
 func (e *Engine) enqueue(q chatRequest, body []byte, requestID string) *sequence {
-	proof := ProofOf(body)
+	digest := ProofOf(body)
 	prompt := q.prompt()
 	s := &sequence{
-		requestID: requestID,
-		proof:     proof,
-		prompt:    prompt,
-		promptLen: len(prompt)/bytesPerToken + 1,
-		target:    q.tokens(proof),
-		crashes:   e.cfg.CrashMarker != "" && strings.Contains(string(body), e.cfg.CrashMarker),
-		readers:   1,
-		changed:   make(chan struct{}),
+		requestID:    requestID,
+		digest:       digest,
+		prompt:       prompt,
+		promptTokens: len(prompt)/bytesPerToken + 1,
+		targetTokens: q.completionTokens(digest),
+		crashes:      e.cfg.CrashMarker != "" && strings.Contains(string(body), e.cfg.CrashMarker),
+		readers:      1,
+		changed:      make(chan struct{}),
 	}
 	e.mu.Lock()
 	e.waiting = append(e.waiting, s)
 	if requestID != "" {
 		e.streams[requestID] = s
 	}
-	e.report()
+	e.recordLoad()
 	e.mu.Unlock()
-	e.signal()
+	e.wakeDecoder()
 	return s
 }
 
-func (e *Engine) detach(s *sequence) {
+func (e *Engine) detachReader(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
-	s.detached = time.Now()
+	s.detachedAt = time.Now()
 }
 
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, s *sequence, q chatRequest) {
-	if late := e.Faults().Late; late > 0 && !sleep(r, late) {
+	if delay := e.Faults().Late; delay > 0 && !sleep(r, delay) {
 		return
 	}
 	if s.requestID != "" {
@@ -147,10 +147,10 @@
 		e.stream(w, r, s, 0)
 		return
 	}
-	e.whole(w, r, s)
+	e.answerBuffered(w, r, s)
 }
 
-// sleep waits and reports false when the caller went first.
+// sleep waits for d and reports whether it elapsed before the caller disconnected.
 func sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -176,11 +176,11 @@
 		http.NotFound(w, r)
 		return
 	}
-	defer e.detach(s)
-	last, err := strconv.Atoi(r.Header.Get(headerLastEvent))
+	defer e.detachReader(s)
+	lastEvent, err := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if err != nil {
-		last = 0
+		lastEvent = 0
 	}
 	w.Header().Set(headerRequestID, s.requestID)
-	e.stream(w, r, s, last)
+	e.stream(w, r, s, lastEvent)
 }
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -8,42 +8,42 @@
 	"github.com/gorilla/mux"
 )
 
-// EngineConfig describes an Engine; a zero value takes its default.
+// EngineConfig configures an Engine; a zero field takes its default.
 type EngineConfig struct {
-	// Model is the name of the model that it serves; a request for another is answered 404. Empty serves any.
+	// Model is the name of the served model; requests for another one are answered 404. Empty serves any.
 	Model string
-	// Slots is how many requests run in one batch, 8 by default.
+	// Slots is the maximum batch size in requests, 8 by default.
 	Slots int
-	// StepTime is the time of one decode step, in which each running request gets a token, 2 ms by default.
+	// StepTime is the duration of one decode step, which yields one token per running request, 2 ms by default.
 	StepTime time.Duration
-	// StepPerRequest is what each running request adds to a step.
+	// StepPerRequest is the time that each running request adds to a step.
 	StepPerRequest time.Duration
-	// PrefillPerStep is how many prompt tokens are computed for a request in one step, 256 by default.
+	// PrefillPerStep is the number of prompt tokens processed per request and step, 256 by default.
 	PrefillPerStep int
-	// PrefixBlocks bounds the prefix cache in blocks of 64 bytes, 4096 by default.
+	// PrefixBlocks is the capacity of the prefix cache in blocks of 64 bytes, 4096 by default.
 	PrefixBlocks int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// Grace is how long a stream whose reader went runs on, so that it can be taken up again, 2 s by default.
-	Grace time.Duration
-	// Keep is how long an ended stream can be taken up again, 30 s by default.
-	Keep time.Duration
-	// CrashMarker in a request's body makes the engine crash when the request starts to run; empty for none.
+	// ResumeGrace is how long a stream without a reader keeps running so that it can be resumed, 2 s by default.
+	ResumeGrace time.Duration
+	// StreamRetention is how long an ended stream can be resumed, 30 s by default.
+	StreamRetention time.Duration
+	// CrashMarker is a text in a request's body that makes the engine crash when the request runs; empty disables it.
 	CrashMarker string
-	// CrashFor is how long the engine is down after a crash, 500 ms by default.
-	CrashFor time.Duration
-	// Crash is called for a crash, usually a Host's Crash.
+	// CrashDowntime is how long the engine is unavailable after a crash, 500 ms by default.
+	CrashDowntime time.Duration
+	// Crash is called on every crash, typically Host.Crash; if nil, a crash only drops the requests and the prefix cache.
 	Crash func(downFor time.Duration)
 }
 
 const (
-	defaultSlots          = 8
-	defaultStepTime       = 2 * time.Millisecond
-	defaultPrefillPerStep = 256
-	defaultPrefixBlocks   = 4096
-	defaultGrace          = 2 * time.Second
-	defaultKeep           = 30 * time.Second
-	defaultCrashFor       = 500 * time.Millisecond
+	defaultSlots           = 8
+	defaultStepTime        = 2 * time.Millisecond
+	defaultPrefillPerStep  = 256
+	defaultPrefixBlocks    = 4096
+	defaultResumeGrace     = 2 * time.Second
+	defaultStreamRetention = 30 * time.Second
+	defaultCrashDowntime   = 500 * time.Millisecond
 )
 
 func (cfg EngineConfig) withDefaults() EngineConfig {
@@ -51,9 +51,9 @@
 	defaultInt(&cfg.PrefillPerStep, defaultPrefillPerStep)
 	defaultInt(&cfg.PrefixBlocks, defaultPrefixBlocks)
 	defaultDuration(&cfg.StepTime, defaultStepTime)
-	defaultDuration(&cfg.Grace, defaultGrace)
-	defaultDuration(&cfg.Keep, defaultKeep)
-	defaultDuration(&cfg.CrashFor, defaultCrashFor)
+	defaultDuration(&cfg.ResumeGrace, defaultResumeGrace)
+	defaultDuration(&cfg.StreamRetention, defaultStreamRetention)
+	defaultDuration(&cfg.CrashDowntime, defaultCrashDowntime)
 	return cfg
 }
 
@@ -69,22 +69,22 @@
 	}
 }
 
-// EngineFaults are what goes wrong at an Engine; the zero value is none.
+// EngineFaults are the faults injected into an Engine; the zero value injects none.
 type EngineFaults struct {
-	// Refuse answers 503 with Ran: No.
+	// Refuse answers completions with 503 and Ran: No.
 	Refuse bool
 	// Late delays the start of every answer.
 	Late time.Duration
-	// CutAfter breaks the connection of a stream after so many events, Cuts times.
+	// CutAfter is the number of events after which a stream's connection is closed; this happens Cuts times.
 	CutAfter int
 	Cuts     int
-	// NoEnd ends streams in good order for the transport but without usage and [DONE].
+	// NoEnd ends streams correctly at the transport level but without usage and [DONE].
 	NoEnd bool
 	// Stalled stops all decoding.
 	Stalled bool
 }
 
-// Engine is a model engine with continuous batching, an OpenAI-style interface, and no notion of priorities.
+// Engine simulates a model engine with continuous batching and an OpenAI-style API; it does not support priorities.
 type Engine struct {
 	cfg     EngineConfig
 	router  *mux.Router
@@ -98,13 +98,13 @@
 	waiting []*sequence
 	running []*sequence
 	streams map[string]*sequence
-	// over holds the sequences that have ended, in that order, until they are forgotten.
-	over     []*sequence
+	// ended holds the ended sequences in the order of their end, until they are evicted.
+	ended    []*sequence
 	prefixes *prefixCache
-	load     lagging
+	load     laggedLoad
 }
 
-// NewEngine starts an engine; it decodes until Close.
+// NewEngine returns an engine that runs until Close.
 func NewEngine(cfg EngineConfig) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
@@ -114,84 +114,86 @@
 		closing:  make(chan struct{}),
 		streams:  make(map[string]*sequence),
 		prefixes: newPrefixCache(cfg.PrefixBlocks),
-		load:     lagging{lag: cfg.LoadLag},
+		load:     laggedLoad{lag: cfg.LoadLag},
 	}
-	e.load.set(Load{Slots: cfg.Slots})
+	e.load.record(Load{Slots: cfg.Slots})
 	e.router = e.routes()
 	e.wg.Go(e.decode)
 	return e
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults EngineFaults) {
 	e.mu.Lock()
 	e.faults = faults
 	e.mu.Unlock()
-	e.signal()
+	e.wakeDecoder()
 }
 
-// Faults returns what goes wrong.
+// Faults returns the injected faults.
 func (e *Engine) Faults() EngineFaults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// Load returns the load as reported, which lags.
+// Load returns the reported load, which is EngineConfig.LoadLag old.
 func (e *Engine) Load() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.load.get()
+	return e.load.reported()
 }
 
-// RunsOf returns how often a request with the X-Request-Id ran.
-func (e *Engine) RunsOf(requestID string) int { return e.runs.count(e.runs.requestIDs, requestID) }
+// RunsByRequestID returns how often a request with the given X-Request-Id was run.
+func (e *Engine) RunsByRequestID(requestID string) int {
+	return e.runs.count(e.runs.startsByRequestID, requestID)
+}
 
-// RunsOfContent returns how often a body with the proof ran.
-func (e *Engine) RunsOfContent(proof Proof) int { return e.runs.countProof(proof) }
+// RunsByDigest returns how often a request whose body has the given digest was run.
+func (e *Engine) RunsByDigest(digest Proof) int { return e.runs.countDigest(digest) }
 
-// Runs returns the runs that ended after the one numbered seq.
-func (e *Engine) Runs(seq uint64) []Run { return e.runs.after(seq) }
+// Runs returns the runs that ended after the run with sequence number seq.
+func (e *Engine) Runs(seq uint64) []Run { return e.runs.endedAfter(seq) }
 
-// ServeHTTP answers the OpenAI-style interface, the resumption of streams and GET /load.
+// ServeHTTP serves the completion paths, POST /v1/streams/{id} to resume a stream, and GET /load.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
-// Close cancels what runs and waits until decoding has ended.
+// Close stops decoding and cancels all requests.
 func (e *Engine) Close() error {
 	close(e.closing)
 	e.wg.Wait()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropAll()
+	e.cancelAll()
 	return nil
 }
 
-// Crash loses every request and the prefix cache, as a process that dies does, and calls the configured Crash.
+// Crash drops every request and the prefix cache, as the death of a process does, and calls EngineConfig.Crash.
 func (e *Engine) Crash() {
 	e.mu.Lock()
-	e.dropAll()
+	e.cancelAll()
 	e.mu.Unlock()
 	if e.cfg.Crash != nil {
-		e.cfg.Crash(e.cfg.CrashFor)
+		e.cfg.Crash(e.cfg.CrashDowntime)
 	}
 }
 
-func (e *Engine) dropAll() {
+func (e *Engine) cancelAll() {
 	for _, s := range append(e.waiting, e.running...) {
 		e.cancel(s)
 	}
 	e.waiting, e.running = nil, nil
 	e.streams = make(map[string]*sequence)
-	e.over = nil
+	e.ended = nil
 	e.prefixes = newPrefixCache(e.cfg.PrefixBlocks)
-	e.report()
+	e.recordLoad()
 }
 
-func (e *Engine) report() {
-	e.load.set(Load{Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots})
+func (e *Engine) recordLoad() {
+	e.load.record(Load{Running: len(e.running), Waiting: len(e.waiting), Slots: e.cfg.Slots})
 }
 
-func (e *Engine) signal() {
+func (e *Engine) wakeDecoder() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// The header fields of the stand-in's wire format.
+// Header names of the wire format for tests.
 const (
 	FieldRequest  = "Request-Id"
 	FieldWait     = "Wait-Ms"
@@ -23,28 +23,28 @@
 	FieldLast     = "Last-Event-Id"
 )
 
-// FleetWire is a wire format of plain fields, for tests of what does not depend on a deployment's names.
+// FleetWire is a wire format with plain header values, for tests that do not depend on a deployment's header names.
 type FleetWire struct{}
 
 var _ pomelorelay.WireFormat = FleetWire{}
 
-// ReadinessPath is the path under which the balancer asks whether a router takes requests.
+// ReadinessPath returns the path of the readiness check for load balancers.
 func (FleetWire) ReadinessPath() string { return "/ready" }
 
-// RequestIDField names the field of a request's id.
+// RequestIDField returns the name of the request ID header.
 func (FleetWire) RequestIDField() string { return FieldRequest }
 
-// ParseCallerFields reads a caller's fields.
+// ParseCallerFields parses the headers of a caller's request; missing and malformed values are zero.
 func (FleetWire) ParseCallerFields(head http.Header) pomelorelay.CallerFields {
 	f := pomelorelay.CallerFields{ID: head.Get(FieldRequest), APIKey: head.Get(FieldKey)}
 	if ms, err := strconv.Atoi(head.Get(FieldWait)); err == nil {
 		f.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	in, out, _ := strings.Cut(head.Get(FieldTokens), ",")
-	f.PromptTokens, f.MaxOutputTokens = count(in), count(out)
+	f.PromptTokens, f.MaxOutputTokens = parseTokens(in), parseTokens(out)
 	for _, part := range strings.Fields(head.Get(FieldParts)) {
 		hash, tokens, _ := strings.Cut(part, ":")
-		f.PromptParts = append(f.PromptParts, pomelorelay.PromptPart{Hash: uint64(count(hash)), Tokens: count(tokens)})
+		f.PromptParts = append(f.PromptParts, pomelorelay.PromptPart{Hash: uint64(parseTokens(hash)), Tokens: parseTokens(tokens)})
 	}
 	if id, err := strconv.ParseUint(head.Get(FieldLast), 10, 64); err == nil {
 		f.LastEvent, f.HasLastEvent = id, true
@@ -52,7 +52,7 @@
 	return f
 }
 
-func count(text string) pomelorelay.Tokens {
+func parseTokens(text string) pomelorelay.Tokens {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
@@ -60,7 +60,7 @@
 	return pomelorelay.Tokens(n)
 }
 
-// SetUpstreamFields writes the fields of a request to an upstream.
+// SetUpstreamFields sets the headers of a request to an upstream.
 func (FleetWire) SetUpstreamFields(head http.Header, f pomelorelay.UpstreamFields) {
 	head.Del(FieldKey)
 	head.Set(FieldWait, strconv.FormatInt(f.TimeLeft.Milliseconds(), 10))
@@ -71,7 +71,7 @@
 	}
 }
 
-// ParseAnswerFields reads the head of an answer.
+// ParseAnswerFields parses status and headers of an upstream's answer.
 func (FleetWire) ParseAnswerFields(resp *http.Response) pomelorelay.AnswerFields {
 	misdirected := resp.StatusCode == http.StatusMisdirectedRequest
 	return pomelorelay.AnswerFields{
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -7,47 +7,47 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// meshInbox is the number of messages that may wait for a router; further ones are lost, as on a full link.
-const meshInbox = 4096
+// meshInboxSize is the capacity of a router's inbox in messages; further ones are dropped, as on a link with a full queue.
+const meshInboxSize = 4096
 
-// Network carries messages between the Meshes of one process, and loses those that a cut forbids.
+// Network delivers messages between the Meshes of one process and simulates partitions and message loss.
 type Network struct {
-	mu     sync.Mutex
-	meshes map[pomelorelay.NodeID]*Mesh
-	cut    func(from, to pomelorelay.Peer) bool
-	lost   func(to pomelorelay.Peer, m pomelorelay.Message) bool
+	mu          sync.Mutex
+	meshes      map[pomelorelay.NodeID]*Mesh
+	partitioned func(from, to pomelorelay.Peer) bool
+	dropped     func(to pomelorelay.Peer, m pomelorelay.Message) bool
 }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network without routers, partitions or loss.
 func NewNetwork() *Network {
 	return &Network{meshes: make(map[pomelorelay.NodeID]*Mesh)}
 }
 
-// Cut loses every message for which lost returns true from now on; nil heals the network.
-func (n *Network) Cut(lost func(from, to pomelorelay.Peer) bool) {
+// Cut drops every message between routers for which the function returns true; nil ends all partitions.
+func (n *Network) Cut(partitioned func(from, to pomelorelay.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = lost
+	n.partitioned = partitioned
 }
 
-// Lose loses every single message for which lost returns true from now on; nil ends it.
-func (n *Network) Lose(lost func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
+// Lose drops every message for which the function returns true; nil ends the loss.
+func (n *Network) Lose(dropped func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lost = lost
+	n.dropped = dropped
 }
 
-// Join adds a router; an earlier start of the same router no longer gets messages.
+// Join adds a router; it replaces an earlier incarnation of the same router, which receives no further messages.
 func (n *Network) Join(self pomelorelay.Peer, incarnation pomelorelay.Incarnation) *Mesh {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := &Mesh{network: n, self: self, incarnation: incarnation, inbox: make(chan pomelorelay.Envelope, meshInbox)}
+	m := &Mesh{network: n, self: self, incarnation: incarnation, inbox: make(chan pomelorelay.Envelope, meshInboxSize)}
 	n.meshes[self.Node] = m
 	return m
 }
 
-// at returns the router that joined with the address.
-func (n *Network) at(addr netip.AddrPort) (pomelorelay.NodeID, bool) {
+// nodeAt returns the router with the given address.
+func (n *Network) nodeAt(addr netip.AddrPort) (pomelorelay.NodeID, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for node, m := range n.meshes {
@@ -58,7 +58,7 @@
 	return "", false
 }
 
-// Mesh implements pomelorelay.Mesh on a Network; it counts messages in place of bytes.
+// Mesh implements pomelorelay.Mesh on a Network; it counts messages instead of bytes.
 type Mesh struct {
 	network     *Network
 	self        pomelorelay.Peer
@@ -70,39 +70,40 @@
 	traffic    [pomelorelay.LinkClassCount]pomelorelay.LinkBytes
 }
 
-// SetPeers does nothing: a network knows its routers.
+// SetPeers does nothing, since a Network knows all of its routers.
 func (m *Mesh) SetPeers([]pomelorelay.Peer) {}
 
-// SendToAddr sends a message to the router whose address it is.
+// SendToAddr sends a message to the router with the given address; it does nothing if there is none.
 func (m *Mesh) SendToAddr(addr netip.AddrPort, message pomelorelay.Message) error {
-	node, ok := m.network.at(addr)
+	node, ok := m.network.nodeAt(addr)
 	if !ok {
 		return nil
 	}
 	return m.Send(node, message)
 }
 
-// SetGeneration sets the generation that rides on every envelope.
+// SetGeneration sets the configuration generation that is sent with every message.
 func (m *Mesh) SetGeneration(generation pomelorelay.Generation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.generation = generation
 }
 
-// Send delivers a message unless a cut or a full inbox loses it; it fails with CodeMeshUnknownPeer for a router that never joined.
+// Send delivers a message unless a partition or loss drops it. It fails with CodeMeshUnknownPeer for a router that has not joined, and
+// with CodeMeshQueueFull if its inbox is full.
 func (m *Mesh) Send(to pomelorelay.NodeID, message pomelorelay.Message) error {
 	m.network.mu.Lock()
 	peer, ok := m.network.meshes[to]
-	cut, lost := m.network.cut, m.network.lost
+	partitioned, dropped := m.network.partitioned, m.network.dropped
 	m.network.mu.Unlock()
 	if !ok {
 		return pomelorelay.NewError(pomelorelay.CodeMeshUnknownPeer, string(to), nil)
 	}
-	if cut != nil && cut(m.self, peer.self) || lost != nil && lost(peer.self, message) {
+	if partitioned != nil && partitioned(m.self, peer.self) || dropped != nil && dropped(peer.self, message) {
 		return nil
 	}
 	m.mu.Lock()
-	m.traffic[m.class(peer)].Sent++
+	m.traffic[m.linkClass(peer)].Sent++
 	e := pomelorelay.Envelope{From: m.self.Node, Incarnation: m.incarnation, Domain: m.self.Domain, Region: m.self.Region, Generation: m.generation, Message: message}
 	m.mu.Unlock()
 	select {
@@ -113,7 +114,7 @@
 	}
 }
 
-func (m *Mesh) class(peer *Mesh) pomelorelay.LinkClass {
+func (m *Mesh) linkClass(peer *Mesh) pomelorelay.LinkClass {
 	switch {
 	case peer.self.Domain == m.self.Domain:
 		return pomelorelay.LinkSameDomain
@@ -123,17 +124,17 @@
 	return pomelorelay.LinkCrossRegion
 }
 
-// Receive returns the channel of messages that arrived.
+// Receive returns the channel of received messages.
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
-// Traffic returns the messages sent by link class.
+// Traffic returns the number of sent messages per link class.
 func (m *Mesh) Traffic() [pomelorelay.LinkClassCount]pomelorelay.LinkBytes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.traffic
 }
 
-// Close takes the router off the network.
+// Close removes the router from the network.
 func (m *Mesh) Close() error {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
--- a/pomelofake/network_test.go
+++ b/pomelofake/network_test.go
@@ -14,8 +14,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// network is a listener in memory, so that tests run on virtual time.
-type network struct {
+// memoryNetwork is an in-memory network, so that tests run on virtual time.
+type memoryNetwork struct {
 	mu       sync.Mutex
 	listener *pipeListener
 }
@@ -47,7 +47,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return pipeAddr{} }
 
-func (n *network) listen() (net.Listener, error) {
+func (n *memoryNetwork) listen() (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listener = &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -56,23 +56,23 @@
 
 var errRefused = errors.New("connection refused")
 
-func (n *network) dial() (net.Conn, error) {
+func (n *memoryNetwork) dial() (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listener
 	n.mu.Unlock()
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, errRefused
 	}
 }
 
-// serve hosts the handler in memory and returns a client of it; both end with the test.
+// serve hosts the handler on a memoryNetwork and returns a client for it; both are closed at the end of the test.
 func serve(t *testing.T, handler http.Handler) (*http.Client, *pomelofake.Host) {
 	t.Helper()
-	n := &network{}
+	n := &memoryNetwork{}
 	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: n.listen, Handler: handler})
 	if err != nil {
 		t.Fatal(err)
@@ -81,13 +81,13 @@
 	t.Cleanup(func() {
 		transport.CloseIdleConnections()
 		_ = host.Close()
-		// net/http keeps a connection whose request it did not read to the end for half a second longer.
+		// net/http closes a connection with an unread request body only after half a second.
 		time.Sleep(time.Second)
 	})
 	return &http.Client{Transport: transport}, host
 }
 
-// call sends a request and returns status and body, status 0 when no whole answer came.
+// call sends a request and returns status, body and headers; status 0 means that there was no complete answer.
 func call(t *testing.T, client *http.Client, method, path, body string, headers ...string) (int, string, http.Header) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://stand.in"+path, strings.NewReader(body))
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func book(t *testing.T, client *http.Client, key, body string) (int, pomelofake.PlainAnswer) {
+func postBooking(t *testing.T, client *http.Client, key, body string) (int, pomelofake.PlainAnswer) {
 	t.Helper()
 	status, text, _ := call(t, client, http.MethodPost, "/bookings", body, "Idempotency-Key", key, "X-Request-Id", "id-"+key)
 	var answer pomelofake.PlainAnswer
@@ -24,95 +24,95 @@
 	return status, answer
 }
 
-func TestPlainRunsAndCounts(t *testing.T) {
+func TestPlainServiceRunsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 1})
 		client, _ := serve(t, plain)
 		began := time.Now()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for range 3 {
-			all.Go(func() { book(t, client, "k1", `{"SlotTime":"100ms"}`) })
+			wg.Go(func() { postBooking(t, client, "k1", `{"SlotTime":"100ms"}`) })
 		}
-		all.Wait()
+		wg.Wait()
 		if took := time.Since(began); took != 300*time.Millisecond {
 			t.Errorf("one slot took %s for three runs, want 300ms", took)
 		}
-		status, answer := book(t, client, "k1", "resolder")
+		status, answer := postBooking(t, client, "k1", "resolder")
 		if status != http.StatusOK || answer.Run != 4 || plain.RunsOf("k1") != 4 {
 			t.Errorf("got %d %+v, counted %d", status, answer, plain.RunsOf("k1"))
 		}
 		if answer.Proof != pomelofake.ProofOf([]byte("resolder")) || answer.RequestID != "id-k1" {
-			t.Errorf("the answer %+v does not prove its request", answer)
+			t.Errorf("the answer %+v does not identify its request", answer)
 		}
 	})
 }
 
-// A connection breaks after any byte of the answer. The caller must never see a whole answer before the last one.
-func TestPlainCutsAtEveryByte(t *testing.T) {
+// The connection is closed after each possible byte of the answer; only the complete answer may be seen as successful.
+func TestPlainServiceCutsAnswerAtEveryByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		for at := 0; ; at++ {
 			plain.SetFaults(pomelofake.PlainFaults{Cut: true, CutAt: at})
-			status, _ := book(t, client, fmt.Sprint("k", at), "resolder")
+			status, _ := postBooking(t, client, fmt.Sprint("k", at), "resolder")
 			if status == http.StatusOK {
 				if at < 100 {
-					t.Errorf("whole after %d bytes", at)
+					t.Errorf("the answer is complete after %d bytes, want at least 100", at)
 				}
 				break
 			}
 		}
 		plain.SetFaults(pomelofake.PlainFaults{Short: 1})
-		if status, _ := book(t, client, "short", "resolder"); status != 0 {
-			t.Errorf("an answer without its last byte is answered %d", status)
+		if status, _ := postBooking(t, client, "short", "resolder"); status != 0 {
+			t.Errorf("an answer without its last byte has status %d, want an error", status)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{CutEarly: true})
-		if status, _ := book(t, client, "early", "resolder"); status != 0 || plain.RunsOf("early") != 0 {
+		if status, _ := postBooking(t, client, "early", "resolder"); status != 0 || plain.RunsOf("early") != 0 {
 			t.Errorf("cut before the run: status %d, ran %d times", status, plain.RunsOf("early"))
 		}
 	})
 }
 
-// Two answers change places on their way; each caller gets a whole answer that is the other's.
-func TestPlainCrossesAnswers(t *testing.T) {
+// Each of two concurrent requests must receive the complete answer to the other one.
+func TestPlainServiceSwapsAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Crossed: true})
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, key := range []string{"k1", "k2"} {
-			all.Go(func() {
-				if _, answer := book(t, client, key, key); answer.Key == key {
-					t.Errorf("%s got its own answer", key)
+			wg.Go(func() {
+				if _, answer := postBooking(t, client, key, key); answer.Key == key {
+					t.Errorf("%s received its own answer, want that of the other request", key)
 				}
 			})
 		}
-		all.Wait()
-		if _, answer := book(t, client, "k3", "k3"); answer.Key != "k3" {
-			t.Errorf("without a partner the answer is %+v", answer)
+		wg.Wait()
+		if _, answer := postBooking(t, client, "k3", "k3"); answer.Key != "k3" {
+			t.Errorf("without a concurrent request the answer is %+v, want that of k3", answer)
 		}
 	})
 }
 
-// A service repeats an answer on a connection that its caller keeps, or closes one just as it is reused.
-func TestPlainRepeatsRefusesAndClosesIdle(t *testing.T) {
+// A service may repeat an answer on a kept-alive connection, or close the connection just as it is reused.
+func TestPlainServiceRepeatsRefusesAndClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Repeat: true})
-		if status, answer := book(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
-			t.Errorf("repeated: %d %+v", status, answer)
+		if status, answer := postBooking(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
+			t.Errorf("repeated answer: status %d, %+v", status, answer)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{IdleClose: time.Second, Every: 2})
 		for _, key := range []string{"k2", "k3"} {
-			if status, _ := book(t, client, key, key); status != http.StatusOK {
+			if status, _ := postBooking(t, client, key, key); status != http.StatusOK {
 				t.Errorf("%s: status %d", key, status)
 			}
 		}
 		plain.SetFaults(pomelofake.PlainFaults{Refuse: true})
 		status, _, header := call(t, client, http.MethodPost, "/bookings", "x", "Idempotency-Key", "k4")
 		if status != http.StatusServiceUnavailable || header.Get("Ran") != "No" || plain.RunsOf("k4") != 0 {
-			t.Errorf("refused with %d, Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsOf("k4"))
+			t.Errorf("refused with status %d and Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsOf("k4"))
 		}
 	})
 }
--- a/pomelofake/store.go
+++ b/pomelofake/store.go
@@ -9,14 +9,14 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// StoreConfig describes a Store; a zero value takes its default.
+// StoreConfig configures a Store; a zero field takes its default.
 type StoreConfig struct {
-	// WriteRate and ReadRate bound the calls a second, 400 and 2,000 by default; a waiting watch counts as one read.
+	// WriteRate and ReadRate limit the calls per second, 400 and 2,000 by default; a watch counts as one read, lease calls as writes.
 	WriteRate float64
 	ReadRate  float64
-	// MaxValue bounds a value, one megabyte by default.
+	// MaxValue is the maximum size of a value, 1 MiB by default.
 	MaxValue pomelorelay.Bytes
-	// Latency is the time of an undisturbed call, 1 ms by default.
+	// Latency is the duration of a call without faults, 1 ms by default.
 	Latency time.Duration
 }
 
@@ -27,20 +27,20 @@
 	defaultStoreLatency = time.Millisecond
 )
 
-// StoreFaults are what goes wrong at a Store; the zero value is none.
+// StoreFaults are the faults injected into a Store; the zero value injects none.
 type StoreFaults struct {
 	// Outage answers every call with 503, without effect.
 	Outage bool
-	// Slow delays calls before they take effect, SlowAnswer after.
+	// Slow delays calls before they take effect, and SlowAnswer delays writes after they took effect.
 	Slow       time.Duration
 	SlowAnswer time.Duration
-	// LoseAnswers closes the connection of so many writes after they took effect.
+	// LoseAnswers is the number of writes whose connection is closed after they took effect.
 	LoseAnswers int
 	// Throttle answers every call with 429, without effect.
 	Throttle bool
 }
 
-// StoreCounts counts the calls that a Store got since its start, refused ones included.
+// StoreCounts counts the calls to a Store since its start, including refused ones.
 type StoreCounts struct {
 	Reads     int
 	Writes    int
@@ -52,21 +52,21 @@
 	Lost      int
 }
 
-// Store is the platform's key-value service with compare-and-swap, leases and watches.
+// Store is an in-memory stand-in for the platform's key-value store with compare-and-swap, leases and watches.
 type Store struct {
 	cfg    StoreConfig
 	router *mux.Router
 
-	mu       sync.Mutex
-	faults   StoreFaults
-	counts   StoreCounts
-	reads    bucket
-	writes   bucket
-	revision pomelorelay.Revision
-	records  map[pomelorelay.StoreKey]*storeRecord
-	leases   map[pomelorelay.LeaseID]*storeLease
-	lease    pomelorelay.LeaseID
-	// changed is closed and replaced at every write.
+	mu          sync.Mutex
+	faults      StoreFaults
+	counts      StoreCounts
+	readBucket  tokenBucket
+	writeBucket tokenBucket
+	revision    pomelorelay.Revision
+	records     map[pomelorelay.StoreKey]*storeRecord
+	leases      map[pomelorelay.LeaseID]*storeLease
+	lastLease   pomelorelay.LeaseID
+	// changed is closed and replaced whenever the content changes.
 	changed chan struct{}
 }
 
@@ -81,12 +81,12 @@
 	timer *time.Timer
 }
 
-// StoreCopy is a Store's content at a time, to be restored later.
-type StoreCopy struct {
+// StoreSnapshot is a copy of a Store's content for Restore.
+type StoreSnapshot struct {
 	records map[pomelorelay.StoreKey]storeRecord
 }
 
-// NewStore returns an empty store; Close stops its leases.
+// NewStore returns an empty store.
 func NewStore(cfg StoreConfig) *Store {
 	if cfg.WriteRate == 0 {
 		cfg.WriteRate = defaultWriteRate
@@ -99,42 +99,42 @@
 	}
 	defaultDuration(&cfg.Latency, defaultStoreLatency)
 	s := &Store{
-		cfg:     cfg,
-		reads:   bucket{rate: cfg.ReadRate, left: cfg.ReadRate},
-		writes:  bucket{rate: cfg.WriteRate, left: cfg.WriteRate},
-		records: make(map[pomelorelay.StoreKey]*storeRecord),
-		leases:  make(map[pomelorelay.LeaseID]*storeLease),
-		changed: make(chan struct{}),
+		cfg:         cfg,
+		readBucket:  tokenBucket{rate: cfg.ReadRate, tokens: cfg.ReadRate},
+		writeBucket: tokenBucket{rate: cfg.WriteRate, tokens: cfg.WriteRate},
+		records:     make(map[pomelorelay.StoreKey]*storeRecord),
+		leases:      make(map[pomelorelay.LeaseID]*storeLease),
+		changed:     make(chan struct{}),
 	}
 	s.router = s.routes()
 	return s
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Faults returns what goes wrong.
+// Faults returns the injected faults.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Counts returns the calls counted.
+// Counts returns the current counters.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// ServeHTTP answers the calls of the store's protocol.
+// ServeHTTP serves the store's HTTP API.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Close stops the leases.
+// Close stops the timers of the leases.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,19 +144,19 @@
 	return nil
 }
 
-// Copy returns the store's content as it is now.
-func (s *Store) Copy() StoreCopy {
+// Snapshot returns a copy of the current content.
+func (s *Store) Snapshot() StoreSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records := make(map[pomelorelay.StoreKey]storeRecord)
 	for key, r := range s.records {
 		records[key] = *r
 	}
-	return StoreCopy{records: records}
+	return StoreSnapshot{records: records}
 }
 
-// Restore replaces the content by an old copy, as an operator does who brings a backup back.
-func (s *Store) Restore(old StoreCopy) {
+// Restore replaces the content by a snapshot, as an operator does with a backup. The revision counter is not reset.
+func (s *Store) Restore(old StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records = make(map[pomelorelay.StoreKey]*storeRecord)
@@ -164,16 +164,16 @@
 		record := r
 		s.records[key] = &record
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
-func (s *Store) wakeWatches() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// swap writes the value if the record is at revision old; it returns the record's revision and whether it was written.
-func (s *Store) swap(key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, int) {
+// compareAndSwap writes the value if the record is at revision old; it returns the record's revision and the HTTP status.
+func (s *Store) compareAndSwap(key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, open := s.leases[lease]; lease != 0 && !open {
@@ -189,11 +189,11 @@
 	}
 	s.revision++
 	s.records[key] = &storeRecord{value: value, revision: s.revision, lease: lease}
-	s.wakeWatches()
+	s.notifyWatches()
 	return s.revision, http.StatusOK
 }
 
-// read returns the record, its revision zero when there is none, and a channel closed at the next write.
+// read returns the record, with revision zero if there is none, and a channel closed at the next change of the store.
 func (s *Store) read(key pomelorelay.StoreKey) (pomelorelay.Record, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,13 +208,13 @@
 func (s *Store) openLease(ttl time.Duration) pomelorelay.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lease++
-	id := s.lease
+	s.lastLease++
+	id := s.lastLease
 	s.leases[id] = &storeLease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.endLease(id) })}
 	return id
 }
 
-// renewLease reports false when the lease has lapsed.
+// renewLease renews a lease and reports false if it has expired.
 func (s *Store) renewLease(id pomelorelay.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +226,7 @@
 	return true
 }
 
-// endLease removes the lease with the records written under it and reports false when there was none.
+// endLease removes a lease and the records written with it; it reports false if there is no such lease.
 func (s *Store) endLease(id pomelorelay.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,25 +241,25 @@
 			delete(s.records, key)
 		}
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 	return true
 }
 
-// bucket is a rate with a second's burst.
-type bucket struct {
-	rate float64
-	left float64
-	last time.Time
+// tokenBucket is a rate limiter that allows bursts of one second's calls.
+type tokenBucket struct {
+	rate   float64
+	tokens float64
+	last   time.Time
 }
 
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	if !b.last.IsZero() {
-		b.left = min(b.rate, b.left+b.rate*now.Sub(b.last).Seconds())
+		b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.last).Seconds())
 	}
 	b.last = now
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func testStore(t *testing.T, cfg pomelofake.StoreConfig) (*pomelofake.Store, *http.Client) {
+func newTestStore(t *testing.T, cfg pomelofake.StoreConfig) (*pomelofake.Store, *http.Client) {
 	t.Helper()
 	store := pomelofake.NewStore(cfg)
 	t.Cleanup(func() { _ = store.Close() })
@@ -20,7 +20,7 @@
 	return store, client
 }
 
-// expect sends a call and fails unless status and a part of the answer are as wanted.
+// expect sends a request and fails the test unless the answer has the status and contains the part.
 func expect(t *testing.T, client *http.Client, method, path, body string, status int, part string) {
 	t.Helper()
 	got, text, _ := call(t, client, method, path, body)
@@ -29,9 +29,9 @@
 	}
 }
 
-func TestStoreSwapsOnlyAtTheRevision(t *testing.T) {
+func TestStoreCompareAndSwapChecksRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, client := testStore(t, pomelofake.StoreConfig{MaxValue: 10})
+		_, client := newTestStore(t, pomelofake.StoreConfig{MaxValue: 10})
 		expect(t, client, http.MethodGet, "/v1/kv/config%2Froot", "", 404, "")
 		expect(t, client, http.MethodPut, "/v1/kv/config%2Froot?old=0", "one", 200, `"Revision":1`)
 		expect(t, client, http.MethodPut, "/v1/kv/config%2Froot?old=0", "two", 409, `"Revision":1`)
@@ -42,9 +42,9 @@
 	})
 }
 
-func TestStoreLeaseLapsesWithItsRecords(t *testing.T) {
+func TestStoreLeaseExpiryDeletesItsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, client := testStore(t, pomelofake.StoreConfig{})
+		_, client := newTestStore(t, pomelofake.StoreConfig{})
 		expect(t, client, http.MethodPost, "/v1/lease?ttl=10s", "", 200, `"Lease":1`)
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0&lease=1", "v", 200, "")
 		time.Sleep(8 * time.Second)
@@ -59,9 +59,9 @@
 	})
 }
 
-func TestStoreWatchWaitsAndCountsAsOne(t *testing.T) {
+func TestStoreWatchWaitsAndCountsAsOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, client := testStore(t, pomelofake.StoreConfig{})
+		store, client := newTestStore(t, pomelofake.StoreConfig{})
 		expect(t, client, http.MethodGet, "/v1/watch/k?after=0&wait=1s", "", 204, "")
 		began := time.Now()
 		done := make(chan time.Duration)
@@ -72,7 +72,7 @@
 		time.Sleep(5 * time.Second)
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 200, "")
 		if took := <-done; took < 5*time.Second || took > 6*time.Second {
-			t.Errorf("the watch took %s", took)
+			t.Errorf("the watch took %s, want 5s to 6s", took)
 		}
 		if counts := store.Counts(); counts.Watches != 2 || counts.Writes != 1 || counts.Reads != 0 {
 			t.Errorf("counted %+v", counts)
@@ -80,11 +80,11 @@
 	})
 }
 
-// The store is down, refuses, or loses an answer whose write took effect. A client that takes the lost answer for a
-// failure writes again or gives up what it holds.
+// The store is down, throttles, or loses the answer to a write that took effect. A client that treats the lost answer as a
+// failed write would write again or give up what it holds.
 func TestStoreFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, client := testStore(t, pomelofake.StoreConfig{})
+		store, client := newTestStore(t, pomelofake.StoreConfig{})
 		store.SetFaults(pomelofake.StoreFaults{Outage: true})
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 503, "")
 		store.SetFaults(pomelofake.StoreFaults{Throttle: true})
@@ -93,7 +93,7 @@
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 0, "")
 		expect(t, client, http.MethodGet, "/v1/kv/k", "", 200, `"Revision":1`)
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=0", "v", 409, "")
-		old := store.Copy()
+		old := store.Snapshot()
 		expect(t, client, http.MethodPut, "/v1/kv/k?old=1", "w", 200, `"Revision":2`)
 		store.Restore(old)
 		expect(t, client, http.MethodGet, "/v1/kv/k", "", 200, `"Value":"dg==","Revision":1`)
@@ -101,28 +101,28 @@
 		began := time.Now()
 		expect(t, client, http.MethodGet, "/v1/kv/k", "", 200, "")
 		if time.Since(began) < time.Minute {
-			t.Errorf("slow took %s", time.Since(began))
+			t.Errorf("a slow call took %s, want at least 1m", time.Since(began))
 		}
 	})
 }
 
-func TestStoreHoldsItsRates(t *testing.T) {
+func TestStoreEnforcesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, client := testStore(t, pomelofake.StoreConfig{WriteRate: 10, ReadRate: 20, Latency: time.Nanosecond})
+		store, client := newTestStore(t, pomelofake.StoreConfig{WriteRate: 10, ReadRate: 20, Latency: time.Nanosecond})
 		statuses := make(map[int]int)
 		for i := range 30 {
 			status, _, _ := call(t, client, http.MethodPut, fmt.Sprintf("/v1/kv/k%d?old=0", i), "v")
 			statuses[status]++
 		}
 		if statuses[200] != 10 || statuses[429] != 20 || store.Counts().Throttled != 20 {
-			t.Errorf("answered %v, counted %+v", statuses, store.Counts())
+			t.Errorf("answered %v, counted %+v, want 10 writes and 20 throttled", statuses, store.Counts())
 		}
 		time.Sleep(time.Second)
 		expect(t, client, http.MethodPut, "/v1/kv/later?old=0", "v", 200, "")
 	})
 }
 
-func TestHostListLags(t *testing.T) {
+func TestHostListDelaysChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := pomelofake.NewHostList(pomelofake.HostListConfig{
 			Hosts: []pomelorelay.Host{{Name: "u1", Kind: pomelorelay.HostUpstream}}, Lag: 2 * time.Second,
@@ -131,13 +131,13 @@
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":false`)
 		shows, ok := list.Leave("u1")
 		if !ok || time.Until(shows) != 2*time.Second {
-			t.Errorf("shows in %s, %v", time.Until(shows), ok)
+			t.Errorf("visible in %s, known host %v, want 2s and true", time.Until(shows), ok)
 		}
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":false`)
 		time.Sleep(2 * time.Second)
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":true`)
 		if _, ok := list.Leave("u2"); ok {
-			t.Error("an unknown host leaves")
+			t.Error("an unknown host was marked as leaving")
 		}
 		list.Remove("u1")
 		time.Sleep(2 * time.Second)
@@ -147,7 +147,7 @@
 	})
 }
 
-func TestAdminSetsFaultsAndRefusesUnknownOnes(t *testing.T) {
+func TestAdminSetsFaultsAndRejectsUnknownTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
 		list := pomelofake.NewHostList(pomelofake.HostListConfig{Hosts: []pomelorelay.Host{{Name: "p1"}}})
@@ -158,19 +158,19 @@
 		client, _ := serve(t, admin)
 		expect(t, client, http.MethodPost, "/fault", `{"Target":"p1","Plain":{"Refuse":true}}`, 200, "")
 		if !plain.Faults().Refuse {
-			t.Error("the fault is not set")
+			t.Error("the fault was not set")
 		}
 		expect(t, client, http.MethodPost, "/fault", `{"Target":"p2","Plain":{"Refuse":true}}`, 404, "no plain service p2")
 		expect(t, client, http.MethodPost, "/fault", `{"Store":{"Outage":true}}`, 404, "no store")
 		expect(t, client, http.MethodPost, "/fault", `{"Leave":"p2"}`, 404, "no host p2")
 		expect(t, client, http.MethodPost, "/fault", `{"Leaves":"p1"}`, 400, "Leaves")
 		expect(t, client, http.MethodPost, "/fault", `{"Leave":"p1"}`, 200, "Shows")
-		if !list.Shown()[0].Leaving {
-			t.Error("the host does not leave")
+		if !list.Visible()[0].Leaving {
+			t.Error("the host is not marked as leaving")
 		}
 		plainClient, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{})
-		book(t, plainClient, "k1", "x")
+		postBooking(t, plainClient, "k1", "x")
 		expect(t, client, http.MethodGet, "/runs/p1?after=0", "", 200, `"Seq":1,"Key":"k1"`)
 		expect(t, client, http.MethodGet, "/runs/p1?after=1", "", 200, "null")
 		expect(t, client, http.MethodGet, "/counts", "", 200, "Store")
--- a/pomelofake/storehttp.go
+++ b/pomelofake/storehttp.go
@@ -11,8 +11,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxWatch bounds how long a watch waits, whatever it asks for.
-const maxWatch = time.Minute
+// maxWatchWait is the maximum time that a watch waits.
+const maxWatchWait = time.Minute
 
 type revisionAnswer struct {
 	Revision pomelorelay.Revision
@@ -24,16 +24,16 @@
 
 func (s *Store) routes() *mux.Router {
 	router := mux.NewRouter().UseEncodedPath().SkipClean(true)
-	router.HandleFunc("/v1/kv/{key:.+}", s.get).Methods(http.MethodGet)
-	router.HandleFunc("/v1/kv/{key:.+}", s.put).Methods(http.MethodPut)
-	router.HandleFunc("/v1/watch/{key:.+}", s.watch).Methods(http.MethodGet)
-	router.HandleFunc("/v1/lease", s.open).Methods(http.MethodPost)
-	router.HandleFunc("/v1/lease/{id:[0-9]+}/renew", s.renew).Methods(http.MethodPost)
-	router.HandleFunc("/v1/lease/{id:[0-9]+}", s.end).Methods(http.MethodDelete)
+	router.HandleFunc("/v1/kv/{key:.+}", s.handleGet).Methods(http.MethodGet)
+	router.HandleFunc("/v1/kv/{key:.+}", s.handlePut).Methods(http.MethodPut)
+	router.HandleFunc("/v1/watch/{key:.+}", s.handleWatch).Methods(http.MethodGet)
+	router.HandleFunc("/v1/lease", s.handleOpenLease).Methods(http.MethodPost)
+	router.HandleFunc("/v1/lease/{id:[0-9]+}/renew", s.handleRenewLease).Methods(http.MethodPost)
+	router.HandleFunc("/v1/lease/{id:[0-9]+}", s.handleEndLease).Methods(http.MethodDelete)
 	return router
 }
 
-// callKind tells which rate a call counts against.
+// callKind selects the counter and the rate limit of a call.
 type callKind int
 
 const (
@@ -43,9 +43,9 @@
 	leaseCall
 )
 
-// admit counts the call, lets the faults act, and reports false when it has refused it.
+// admit counts the call and applies rate limits and faults; it reports false if the call was refused or its caller disconnected.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request, kind callKind) bool {
-	status, wait := s.judge(kind)
+	status, wait := s.decide(kind)
 	if status != http.StatusOK {
 		http.Error(w, http.StatusText(status), status)
 		return false
@@ -53,17 +53,18 @@
 	return sleep(r, wait)
 }
 
-func (s *Store) judge(kind callKind) (int, time.Duration) {
+// decide counts the call and returns the HTTP status and, if it is 200, the delay before the call takes effect.
+func (s *Store) decide(kind callKind) (int, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := &s.writes
+	rate := &s.writeBucket
 	switch kind {
 	case readCall:
 		s.counts.Reads++
-		rate = &s.reads
+		rate = &s.readBucket
 	case watchCall:
 		s.counts.Watches++
-		rate = &s.reads
+		rate = &s.readBucket
 	case writeCall:
 		s.counts.Writes++
 	case leaseCall:
@@ -80,31 +81,31 @@
 	return http.StatusOK, s.cfg.Latency + s.faults.Slow
 }
 
-func keyOf(w http.ResponseWriter, r *http.Request) (pomelorelay.StoreKey, bool) {
+func requestKey(w http.ResponseWriter, r *http.Request) (pomelorelay.StoreKey, bool) {
 	key, err := url.PathUnescape(mux.Vars(r)["key"])
 	if err != nil {
-		http.Error(w, "the key is not escaped rightly", http.StatusBadRequest)
+		http.Error(w, "cannot unescape the key in the path", http.StatusBadRequest)
 		return "", false
 	}
 	return pomelorelay.StoreKey(key), true
 }
 
-// number reads a numeric query value; an absent one is zero.
-func number(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
+// uintQuery parses an unsigned query parameter; a missing one is zero.
+func uintQuery(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, true
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		http.Error(w, name+" is not a number", http.StatusBadRequest)
+		http.Error(w, name+" is not an unsigned number", http.StatusBadRequest)
 		return 0, false
 	}
 	return n, true
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	key, ok := keyOf(w, r)
+func (s *Store) handleGet(w http.ResponseWriter, r *http.Request) {
+	key, ok := requestKey(w, r)
 	if !ok || !s.admit(w, r, readCall) {
 		return
 	}
@@ -116,32 +117,32 @@
 	writeJSON(w, http.StatusOK, record)
 }
 
-func (s *Store) put(w http.ResponseWriter, r *http.Request) {
-	key, ok := keyOf(w, r)
+func (s *Store) handlePut(w http.ResponseWriter, r *http.Request) {
+	key, ok := requestKey(w, r)
 	if !ok {
 		return
 	}
-	old, ok := number(w, r, "old")
+	old, ok := uintQuery(w, r, "old")
 	if !ok {
 		return
 	}
-	lease, ok := number(w, r, "lease")
+	lease, ok := uintQuery(w, r, "lease")
 	if !ok {
 		return
 	}
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.cfg.MaxValue)))
 	if err != nil {
-		http.Error(w, "the value is too large or broke off", http.StatusRequestEntityTooLarge)
+		http.Error(w, "the value is too large or was truncated", http.StatusRequestEntityTooLarge)
 		return
 	}
 	if !s.admit(w, r, writeCall) {
 		return
 	}
-	revision, status := s.swap(key, value, pomelorelay.Revision(old), pomelorelay.LeaseID(lease))
+	revision, status := s.compareAndSwap(key, value, pomelorelay.Revision(old), pomelorelay.LeaseID(lease))
 	s.answerWrite(w, r, status, revisionAnswer{revision})
 }
 
-// answerWrite answers a write that may have taken effect, late or not at all when the faults say so.
+// answerWrite answers a write; faults may delay or lose the answer although the write took effect.
 func (s *Store) answerWrite(w http.ResponseWriter, r *http.Request, status int, answer any) {
 	s.mu.Lock()
 	lost := s.faults.LoseAnswers > 0
@@ -160,24 +161,24 @@
 	writeJSON(w, status, answer)
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
-	key, ok := keyOf(w, r)
+func (s *Store) handleWatch(w http.ResponseWriter, r *http.Request) {
+	key, ok := requestKey(w, r)
 	if !ok {
 		return
 	}
-	after, ok := number(w, r, "after")
+	after, ok := uintQuery(w, r, "after")
 	if !ok {
 		return
 	}
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
-		http.Error(w, "wait is not a duration", http.StatusBadRequest)
+		http.Error(w, "query parameter wait is not a duration", http.StatusBadRequest)
 		return
 	}
 	if !s.admit(w, r, watchCall) {
 		return
 	}
-	timer := time.NewTimer(min(wait, maxWatch))
+	timer := time.NewTimer(min(wait, maxWatchWait))
 	defer timer.Stop()
 	for {
 		record, changed := s.read(key)
@@ -196,10 +197,10 @@
 	}
 }
 
-func (s *Store) open(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleOpenLease(w http.ResponseWriter, r *http.Request) {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil || ttl <= 0 {
-		http.Error(w, "ttl is not a duration above zero", http.StatusBadRequest)
+		http.Error(w, "query parameter ttl is not a positive duration", http.StatusBadRequest)
 		return
 	}
 	if !s.admit(w, r, leaseCall) {
@@ -208,14 +209,18 @@
 	s.answerWrite(w, r, http.StatusOK, leaseAnswer{s.openLease(ttl)})
 }
 
-func (s *Store) renew(w http.ResponseWriter, r *http.Request) { s.withLease(w, r, s.renewLease) }
+func (s *Store) handleRenewLease(w http.ResponseWriter, r *http.Request) {
+	s.handleLease(w, r, s.renewLease)
+}
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) { s.withLease(w, r, s.endLease) }
+func (s *Store) handleEndLease(w http.ResponseWriter, r *http.Request) {
+	s.handleLease(w, r, s.endLease)
+}
 
-func (s *Store) withLease(w http.ResponseWriter, r *http.Request, do func(pomelorelay.LeaseID) bool) {
+func (s *Store) handleLease(w http.ResponseWriter, r *http.Request, do func(pomelorelay.LeaseID) bool) {
 	id, err := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	if err != nil {
-		http.Error(w, "the lease is not a number", http.StatusBadRequest)
+		http.Error(w, "the lease ID is not a number", http.StatusBadRequest)
 		return
 	}
 	if !s.admit(w, r, leaseCall) {
