--- a/pomelocheck/events.go
+++ b/pomelocheck/events.go
@@ -17,8 +17,8 @@
 	apply(c *Checker)
 }
 
-// Sent is the event of a caller sending a request to a router.
-type Sent struct {
+// RequestSent is the event of a caller sending a request to a router.
+type RequestSent struct {
 	Attempt AttemptID
 	Content ContentID
 	Account pomelorelay.AccountID
@@ -26,49 +26,49 @@
 	At      time.Time
 	// Deadline is when the caller stops waiting; zero means no deadline.
 	Deadline time.Time
-	// Once reports whether the content may run at most once.
-	Once bool
+	// AtMostOnce reports whether the content may run at most once.
+	AtMostOnce bool
 }
 
-// Answered is the event of an attempt ending with an answer from an upstream.
-type Answered struct {
+// RequestAnswered is the event of an attempt ending with an answer from an upstream.
+type RequestAnswered struct {
 	Attempt AttemptID
 	At      time.Time
-	// Own reports whether the answer's digest is that of this request.
-	Own bool
-	// Whole reports whether the answer is complete; the transport can end a truncated answer without an error.
-	Whole bool
+	// MatchesRequest reports whether the answer's digest is that of this request.
+	MatchesRequest bool
+	// Complete reports whether the answer is complete; the transport can end a truncated answer without an error.
+	Complete bool
 }
 
-// Refused is the event of a router refusing an attempt.
-type Refused struct {
+// RequestRefused is the event of a router refusing an attempt.
+type RequestRefused struct {
 	Attempt AttemptID
-	// GaveUp is when the router decided to refuse, zero if unknown.
-	GaveUp time.Time
-	// First and At are the arrival times of the first and the last byte of the refusal.
-	First time.Time
-	At    time.Time
-	Ran   pomelorelay.Ran
-	Code  pomelorelay.ResultCode
+	// DecidedAt is when the router decided to refuse, zero if unknown.
+	DecidedAt time.Time
+	// FirstByteAt and At are the arrival times of the first and the last byte of the refusal.
+	FirstByteAt time.Time
+	At          time.Time
+	Ran         pomelorelay.Ran
+	Code        pomelorelay.ResultCode
 	// RetryAfter reports whether the refusal has a Retry-After header.
 	RetryAfter bool
 }
 
-// Broken is the event of an attempt ending with a broken connection, or with a stream error that the caller can distinguish from a normal end.
-type Broken struct {
+// RequestBroken is the event of an attempt ending with a broken connection, or with a stream error that the caller can distinguish from a normal end.
+type RequestBroken struct {
 	Attempt AttemptID
 	At      time.Time
 }
 
-// Ran is the event of a stand-in or an upstream starting to run a request.
-type Ran struct {
+// RunStarted is the event of a stand-in or an upstream starting to run a request.
+type RunStarted struct {
 	Content  ContentID
 	Upstream pomelorelay.UpstreamID
 	At       time.Time
 }
 
-// Served is the event of an account's request being served from From to To; its cost is spread evenly over that time.
-type Served struct {
+// AccountServed is the event of an account's request being served from From to To; its cost is spread evenly over that time.
+type AccountServed struct {
 	Pool    pomelorelay.PoolID
 	Account pomelorelay.AccountID
 	Weight  pomelorelay.Weight
@@ -77,52 +77,52 @@
 	Cost    pomelorelay.Cost
 }
 
-// Backlogged is the event of an account starting or ceasing to have waiting requests.
-type Backlogged struct {
+// BacklogChanged is the event of an account starting or ceasing to have waiting requests.
+type BacklogChanged struct {
 	Pool    pomelorelay.PoolID
 	Account pomelorelay.AccountID
 	At      time.Time
 	Waiting bool
 }
 
-// Leaving is the event of the host list starting to show an upstream as leaving.
-type Leaving struct {
+// UpstreamLeaving is the event of the host list starting to show an upstream as leaving.
+type UpstreamLeaving struct {
 	Upstream pomelorelay.UpstreamID
 	At       time.Time
 }
 
-// Stopping is the event of a planned stop of a router beginning.
-type Stopping struct {
+// RouterStopping is the event of a planned stop of a router beginning.
+type RouterStopping struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Killed is the event of a router being killed; connections that broke after it are not attributed to a planned stop.
-type Killed struct {
+// RouterKilled is the event of a router being killed; connections that broke after it are not attributed to a planned stop.
+type RouterKilled struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Frozen is the event of a router process being suspended, for instance by SIGSTOP.
-type Frozen struct {
+// RouterSuspended is the event of a router process being suspended, for instance by SIGSTOP.
+type RouterSuspended struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Continued is the event of a suspended router process being resumed.
-type Continued struct {
+// RouterResumed is the event of a suspended router process being resumed.
+type RouterResumed struct {
 	Node pomelorelay.NodeID
 	At   time.Time
 }
 
-// Accepted is the event of the store accepting a configuration.
-type Accepted struct {
+// ConfigAccepted is the event of the store accepting a configuration.
+type ConfigAccepted struct {
 	Generation pomelorelay.Generation
 	At         time.Time
 }
 
-// InForce is the observation of the configuration generation in force on a router.
-type InForce struct {
+// ConfigInForce is the observation of the configuration generation in force on a router.
+type ConfigInForce struct {
 	Node       pomelorelay.NodeID
 	Generation pomelorelay.Generation
 	At         time.Time
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -16,8 +16,8 @@
 
 // accountService records the service that an account received in a pool and when it was backlogged.
 type accountService struct {
-	served    []Served
-	backlogs  []Backlogged
+	served    []AccountServed
+	backlogs  []BacklogChanged
 	intervals []interval
 	// cumulative is the cumulative normalised service at each sample.
 	cumulative []pomelorelay.Tag
@@ -31,9 +31,9 @@
 type Gap struct {
 	Pool pomelorelay.PoolID
 	// The accounts that received more and less service during the period.
-	More  pomelorelay.AccountID
-	Less  pomelorelay.AccountID
-	Value pomelorelay.Tag
+	MostServed  pomelorelay.AccountID
+	LeastServed pomelorelay.AccountID
+	Value       pomelorelay.Tag
 	// At is the end of the period with the maximum difference.
 	At time.Time
 }
@@ -47,12 +47,12 @@
 	return s
 }
 
-func (e Served) apply(c *Checker) {
+func (e AccountServed) apply(c *Checker) {
 	s := c.serviceOf(accountKey{e.Pool, e.Account})
 	s.served = append(s.served, e)
 }
 
-func (e Backlogged) apply(c *Checker) {
+func (e BacklogChanged) apply(c *Checker) {
 	s := c.serviceOf(accountKey{e.Pool, e.Account})
 	s.backlogs = append(s.backlogs, e)
 }
@@ -145,8 +145,8 @@
 	return start, true
 }
 
-func backlogIntervals(events []Backlogged, now time.Time) []interval {
-	slices.SortStableFunc(events, func(a, b Backlogged) int { return a.At.Compare(b.At) })
+func backlogIntervals(events []BacklogChanged, now time.Time) []interval {
+	slices.SortStableFunc(events, func(a, b BacklogChanged) int { return a.At.Compare(b.At) })
 	var intervals []interval
 	open := false
 	for _, e := range events {
@@ -162,7 +162,7 @@
 }
 
 // sample returns the cumulative normalised service at each sample, with each service spread evenly over its duration.
-func (c *Checker) sample(served []Served, start time.Time, samples int) []pomelorelay.Tag {
+func (c *Checker) sample(served []AccountServed, start time.Time, samples int) []pomelorelay.Tag {
 	sums := make([]pomelorelay.Tag, samples)
 	for _, s := range served {
 		total := s.Cost.Normalise(s.Weight)
@@ -179,7 +179,7 @@
 }
 
 // servedFraction returns the fraction of s that was served by t.
-func servedFraction(s Served, t time.Time) float64 {
+func servedFraction(s AccountServed, t time.Time) float64 {
 	if !t.Before(s.To) {
 		return 1
 	}
@@ -235,9 +235,9 @@
 			continue
 		}
 		g.Value, g.At = high-low, c.sampleTime(start, i)
-		g.More, g.Less = a.account, b.account
+		g.MostServed, g.LeastServed = a.account, b.account
 		if d == low {
-			g.More, g.Less = b.account, a.account
+			g.MostServed, g.LeastServed = b.account, a.account
 		}
 	}
 }
@@ -251,7 +251,7 @@
 		if !ok || g.Value <= bound {
 			continue
 		}
-		detail := fmt.Sprintf("%s received %.3f more normalised service than %s, the bound is %.3f", g.More, float64(g.Value), g.Less, float64(bound))
+		detail := fmt.Sprintf("%s received %.3f more normalised service than %s, the bound is %.3f", g.MostServed, float64(g.Value), g.LeastServed, float64(bound))
 		out = append(out, Violation{GapOverBound, string(g.Pool), g.At, detail})
 	}
 	return out
@@ -260,7 +260,7 @@
 // checkStarvation finds accounts that were backlogged and received no service for longer than MaxWait.
 func (c *Checker) checkStarvation(now time.Time, out []Violation) []Violation {
 	for key, s := range c.services {
-		slices.SortStableFunc(s.served, func(a, b Served) int { return a.From.Compare(b.From) })
+		slices.SortStableFunc(s.served, func(a, b AccountServed) int { return a.From.Compare(b.From) })
 		for _, in := range backlogIntervals(s.backlogs, now) {
 			if wait := longestWait(s.served, in); wait > c.cfg.MaxWait {
 				out = append(out, Violation{Starved, string(key.account), in.to, fmt.Sprintf("backlogged in pool %s without service for %s", key.pool, wait)})
@@ -270,7 +270,7 @@
 	return out
 }
 
-func longestWait(served []Served, in interval) time.Duration {
+func longestWait(served []AccountServed, in interval) time.Duration {
 	var longest time.Duration
 	since := in.from
 	for _, s := range served {
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -14,11 +14,11 @@
 func (c *Checker) checkAnswers(out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, answer := range a.answered {
-			if !answer.Own {
+			if !answer.MatchesRequest {
 				out = append(out, Violation{WrongAnswer, string(id), answer.At, "the answer belongs to another request"})
 				continue
 			}
-			if !answer.Whole {
+			if !answer.Complete {
 				out = append(out, Violation{WrongAnswer, string(id), answer.At, "the answer is truncated but ended without an error"})
 			}
 		}
@@ -134,11 +134,11 @@
 	return out
 }
 
-func (c *Checker) delayedRefusal(r Refused) string {
-	if delay := r.At.Sub(r.GaveUp); !r.GaveUp.IsZero() && delay > c.cfg.MaxRefusalDelay+c.cfg.Skew {
+func (c *Checker) delayedRefusal(r RequestRefused) string {
+	if delay := r.At.Sub(r.DecidedAt); !r.DecidedAt.IsZero() && delay > c.cfg.MaxRefusalDelay+c.cfg.MaxClockSkew {
 		return fmt.Sprintf("the refusal ended %s after the router gave up the request", delay)
 	}
-	if duration := r.At.Sub(r.First); !r.First.IsZero() && duration > c.cfg.MaxRefusalDelay {
+	if duration := r.At.Sub(r.FirstByteAt); !r.FirstByteAt.IsZero() && duration > c.cfg.MaxRefusalDelay {
 		return fmt.Sprintf("the refusal took %s from its first byte to its last", duration)
 	}
 	if temporary(r.Code) && !r.RetryAfter {
@@ -159,7 +159,7 @@
 	}
 	end := a.firstEndOr(now)
 	overrun := end.Sub(a.sent.Deadline) - c.frozenDuration(a.sent.Node, a.sent.At, end)
-	if overrun <= c.cfg.MaxRefusalDelay+c.cfg.Skew {
+	if overrun <= c.cfg.MaxRefusalDelay+c.cfg.MaxClockSkew {
 		return ""
 	}
 	return fmt.Sprintf("no final answer until %s after the deadline", overrun)
@@ -182,23 +182,23 @@
 	if len(t.runs) < 2 || !c.runsAtMostOnce(t) {
 		return out
 	}
-	last := slices.MaxFunc(t.runs, func(a, b Ran) int { return a.At.Compare(b.At) })
+	last := slices.MaxFunc(t.runs, func(a, b RunStarted) int { return a.At.Compare(b.At) })
 	return append(out, Violation{DoubleRun, string(id), last.At, fmt.Sprintf("ran %d times", len(t.runs))})
 }
 
 func (c *Checker) runsAtMostOnce(t *content) bool {
-	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.Once })
+	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.AtMostOnce })
 }
 
 // causedByAttempt reports whether an attempt sent before the run was not refused as not run. Later attempts are ignored, since
 // a resend may run although an earlier attempt was refused, but it cannot explain a run before it was sent.
-func (c *Checker) causedByAttempt(t *content, run Ran) bool {
+func (c *Checker) causedByAttempt(t *content, run RunStarted) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
-		return !a.sent.At.After(run.At.Add(c.cfg.Skew)) && !a.refusedAsNotRun()
+		return !a.sent.At.After(run.At.Add(c.cfg.MaxClockSkew)) && !a.refusedAsNotRun()
 	})
 }
 
 func (a *attempt) refusedAsNotRun() bool {
-	return slices.ContainsFunc(a.refused, func(r Refused) bool { return r.Ran == pomelorelay.RanNo })
+	return slices.ContainsFunc(a.refused, func(r RequestRefused) bool { return r.Ran == pomelorelay.RanNo })
 }
--- a/pomelofake/admin.go
+++ b/pomelofake/admin.go
@@ -13,7 +13,7 @@
 // AdminConfig holds the stand-ins that an Admin controls; a nil field means that there is none of that kind.
 type AdminConfig struct {
 	Engines  map[pomelorelay.UpstreamID]*Engine
-	Plains   map[pomelorelay.UpstreamID]*Plain
+	Plains   map[pomelorelay.UpstreamID]*PlainService
 	Store    *Store
 	HostList *HostList
 	Relays   map[string]*Relay
@@ -159,7 +159,7 @@
 func (a *Admin) updateHostList(f Fault) time.Time {
 	var visibleAt time.Time
 	if f.Leave != "" {
-		visibleAt, _ = a.cfg.HostList.Leave(f.Leave)
+		visibleAt, _ = a.cfg.HostList.MarkLeaving(f.Leave)
 	}
 	if f.Remove != "" {
 		visibleAt = a.cfg.HostList.Remove(f.Remove)
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -52,7 +52,7 @@
 }
 
 // completionTokens returns the length of the answer in tokens; drawing it from the digest makes it the same for each run of a request.
-func (q chatRequest) completionTokens(digest Proof) int {
+func (q chatRequest) completionTokens(digest BodyDigest) int {
 	limit := q.MaxTokens
 	if limit <= 0 {
 		limit = defaultMaxTokens
@@ -106,7 +106,7 @@
 }
 
 func (e *Engine) enqueue(q chatRequest, body []byte, requestID string) *sequence {
-	digest := ProofOf(body)
+	digest := DigestBody(body)
 	prompt := q.prompt()
 	s := &sequence{
 		requestID:    requestID,
--- a/pomelofake/decode.go
+++ b/pomelofake/decode.go
@@ -8,7 +8,7 @@
 // sequence is the state of one request in an engine, guarded by the engine's mutex.
 type sequence struct {
 	requestID        string
-	digest           Proof
+	digest           BodyDigest
 	prompt           string
 	promptTokens     int
 	cachedTokens     int
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -150,7 +150,7 @@
 }
 
 // RunsByDigest returns how often a request whose body has the given digest was run.
-func (e *Engine) RunsByDigest(digest Proof) int { return e.runs.countDigest(digest) }
+func (e *Engine) RunsByDigest(digest BodyDigest) int { return e.runs.countDigest(digest) }
 
 // Runs returns the runs that ended after the run with sequence number seq.
 func (e *Engine) Runs(seq uint64) []Run { return e.runs.endedAfter(seq) }
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -25,8 +25,8 @@
 	// compactedAt is the oldest revision from which a watch can continue.
 	compactedAt pomelorelay.Revision
 	calls       FleetCalls
-	// Decode decodes configuration documents; it is required if routers fetch configurations from their peers.
-	Decode func(document []byte) (*pomelorelay.FleetConfig, error)
+	// DecodeConfig decodes configuration documents; it is required if routers fetch configurations from their peers.
+	DecodeConfig func(document []byte) (*pomelorelay.FleetConfig, error)
 }
 
 // fleetEntry is an upstream, a router or an evacuation at a revision, or the tombstone of one.
@@ -58,18 +58,18 @@
 	s.changed = make(chan struct{})
 }
 
-// Publish writes the configuration.
-func (s *FleetStore) Publish(config *pomelorelay.FleetConfig) {
+// PublishConfig writes the configuration.
+func (s *FleetStore) PublishConfig(config *pomelorelay.FleetConfig) {
 	s.commit(func(at pomelorelay.Revision) { s.config, s.configRevision = config, at })
 }
 
-// Put writes an upstream's entry.
-func (s *FleetStore) Put(u pomelorelay.FleetUpstream) {
+// PutUpstream writes an upstream's entry.
+func (s *FleetStore) PutUpstream(u pomelorelay.FleetUpstream) {
 	s.commit(func(at pomelorelay.Revision) { s.upstreams[u.ID] = fleetEntry{revision: at, upstream: u} })
 }
 
-// Drop deletes an upstream's entry.
-func (s *FleetStore) Drop(id pomelorelay.UpstreamID) {
+// DeleteUpstream deletes an upstream's entry.
+func (s *FleetStore) DeleteUpstream(id pomelorelay.UpstreamID) {
 	s.commit(func(at pomelorelay.Revision) { s.upstreams[id] = fleetEntry{revision: at, deleted: true} })
 }
 
@@ -78,18 +78,18 @@
 	s.commit(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{revision: at} })
 }
 
-// Restore cancels the evacuation of a failure domain.
-func (s *FleetStore) Restore(domain pomelorelay.DomainID) {
+// CancelEvacuation cancels the evacuation of a failure domain.
+func (s *FleetStore) CancelEvacuation(domain pomelorelay.DomainID) {
 	s.commit(func(at pomelorelay.Revision) { s.evacuated[domain] = fleetEntry{revision: at, deleted: true} })
 }
 
-// SetDown sets whether every call fails with CodeStoreUnavailable.
-func (s *FleetStore) SetDown(unavailable bool) {
+// SetUnavailable sets whether every call fails with CodeStoreUnavailable.
+func (s *FleetStore) SetUnavailable(unavailable bool) {
 	s.commit(func(pomelorelay.Revision) { s.unavailable = unavailable })
 }
 
-// Lapse expires the leases of all routers and deletes their registrations, as a long outage does.
-func (s *FleetStore) Lapse() {
+// ExpireLeases expires the leases of all routers and deletes their registrations, as a long outage does.
+func (s *FleetStore) ExpireLeases() {
 	s.commit(func(at pomelorelay.Revision) {
 		for lease, node := range s.leases {
 			delete(s.leases, lease)
@@ -119,27 +119,27 @@
 	*calls++
 }
 
-// View is one router's connection to a FleetStore.
-type View struct {
+// StoreClient is one router's connection to a FleetStore.
+type StoreClient struct {
 	s           *FleetStore
 	mu          sync.Mutex
 	partitioned bool
 }
 
-var _ pomelorelay.Platform = (*View)(nil)
+var _ pomelorelay.Platform = (*StoreClient)(nil)
 
-// View returns a new connection to the store for one router.
-func (s *FleetStore) View() *View { return &View{s: s} }
+// NewClient returns a new connection to the store for one router.
+func (s *FleetStore) NewClient() *StoreClient { return &StoreClient{s: s} }
 
-// SetCut sets whether the router is partitioned from the store.
-func (v *View) SetCut(partitioned bool) {
+// SetPartitioned sets whether the router is partitioned from the store.
+func (v *StoreClient) SetPartitioned(partitioned bool) {
 	v.mu.Lock()
 	v.partitioned = partitioned
 	v.mu.Unlock()
 	v.s.commit(func(pomelorelay.Revision) {})
 }
 
-func (v *View) availableLocked() error {
+func (v *StoreClient) availableLocked() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.partitioned || v.s.unavailable {
@@ -149,7 +149,7 @@
 }
 
 // await waits until ready returns true or the wait is over; it fails if the store is unavailable.
-func (v *View) await(ctx context.Context, wait time.Duration, ready func() bool) error {
+func (v *StoreClient) await(ctx context.Context, wait time.Duration, ready func() bool) error {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -172,7 +172,7 @@
 }
 
 // Read returns the whole content; see pomelorelay.Platform. The result is never stale.
-func (v *View) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
+func (v *StoreClient) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
 	v.s.countCall(&v.s.calls.Reads)
 	change := pomelorelay.FleetChange{Full: true}
 	err := v.await(ctx, 0, func() bool {
@@ -183,7 +183,7 @@
 }
 
 // Watch returns the changes after a revision; see pomelorelay.Platform.
-func (v *View) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
+func (v *StoreClient) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
 	v.s.countCall(&v.s.calls.Watches)
 	var change pomelorelay.FleetChange
 	compacted := false
@@ -228,12 +228,12 @@
 }
 
 // ParseConfig decodes a configuration document received from a peer.
-func (v *View) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
-	return v.s.Decode(document)
+func (v *StoreClient) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
+	return v.s.DecodeConfig(document)
 }
 
 // Register registers a router; see pomelorelay.Platform. Its lease does not expire by itself.
-func (v *View) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
+func (v *StoreClient) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
 	v.s.countCall(&v.s.calls.Announces)
 	if err := v.available(); err != nil {
 		return 0, err
@@ -248,14 +248,14 @@
 	return lease, nil
 }
 
-func (v *View) available() error {
+func (v *StoreClient) available() error {
 	v.s.mu.Lock()
 	defer v.s.mu.Unlock()
 	return v.availableLocked()
 }
 
 // RenewLease renews a lease; it fails with CodeStoreLeaseLapsed if the lease has ended.
-func (v *View) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
+func (v *StoreClient) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	v.s.mu.Lock()
 	defer v.s.mu.Unlock()
 	if err := v.availableLocked(); err != nil {
@@ -268,7 +268,7 @@
 }
 
 // CloseLease ends a lease and deletes the registration of its router.
-func (v *View) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
+func (v *StoreClient) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	if err := v.available(); err != nil {
 		return err
 	}
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -23,15 +23,15 @@
 	return &Network{meshes: make(map[pomelorelay.NodeID]*Mesh)}
 }
 
-// Cut drops every message between routers for which the function returns true; nil ends all partitions.
-func (n *Network) Cut(partitioned func(from, to pomelorelay.Peer) bool) {
+// SetPartition drops every message between routers for which the function returns true; nil ends all partitions.
+func (n *Network) SetPartition(partitioned func(from, to pomelorelay.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned = partitioned
 }
 
-// Lose drops every message for which the function returns true; nil ends the loss.
-func (n *Network) Lose(dropped func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
+// SetMessageLoss drops every message for which the function returns true; nil ends the loss.
+func (n *Network) SetMessageLoss(dropped func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropped = dropped
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -17,8 +17,8 @@
 	// Slots is the maximum number of concurrent requests, 8 by default; further ones wait.
 	Slots int
 	// A run takes the first duration plus up to the second, chosen by the body's digest; 5 ms and 20 ms by default.
-	MinTime time.Duration
-	Spread  time.Duration
+	MinRunTime    time.Duration
+	RunTimeSpread time.Duration
 	// Padding is the number of filler bytes in each answer.
 	Padding int
 	// LoadLag is the age of the reported load.
@@ -58,7 +58,7 @@
 // PlainAnswer is the body of a plain service's answer.
 type PlainAnswer struct {
 	// Proof is the digest of the request.
-	Proof     Proof
+	Proof     BodyDigest
 	Key       string
 	RequestID string
 	// Run is the number of runs with the same Key so far, including this one.
@@ -66,8 +66,8 @@
 	Padding string `json:",omitempty"`
 }
 
-// Plain is an HTTP service that runs every request it receives and counts the runs per Idempotency-Key.
-type Plain struct {
+// PlainService is an HTTP service that runs every request it receives and counts the runs per Idempotency-Key.
+type PlainService struct {
 	cfg    PlainConfig
 	router *mux.Router
 	runs   *runLog
@@ -82,12 +82,12 @@
 	swap *pendingSwap
 }
 
-// NewPlain returns a plain service; it starts no goroutines.
-func NewPlain(cfg PlainConfig) *Plain {
+// NewPlainService returns a plain service; it starts no goroutines.
+func NewPlainService(cfg PlainConfig) *PlainService {
 	defaultInt(&cfg.Slots, defaultSlots)
-	defaultDuration(&cfg.MinTime, defaultMinRunTime)
-	defaultDuration(&cfg.Spread, defaultRunTimeSpread)
-	p := &Plain{
+	defaultDuration(&cfg.MinRunTime, defaultMinRunTime)
+	defaultDuration(&cfg.RunTimeSpread, defaultRunTimeSpread)
+	p := &PlainService{
 		cfg:   cfg,
 		runs:  newRunLog(),
 		slots: make(chan struct{}, cfg.Slots),
@@ -98,7 +98,7 @@
 	return p
 }
 
-func (p *Plain) routes() *mux.Router {
+func (p *PlainService) routes() *mux.Router {
 	router := mux.NewRouter()
 	router.HandleFunc("/load", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, p.Load())
@@ -108,7 +108,7 @@
 }
 
 // SetFaults replaces the injected faults and restarts the count for Every.
-func (p *Plain) SetFaults(faults PlainFaults) {
+func (p *PlainService) SetFaults(faults PlainFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = faults
@@ -116,35 +116,35 @@
 }
 
 // Faults returns the injected faults.
-func (p *Plain) Faults() PlainFaults {
+func (p *PlainService) Faults() PlainFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
 // Load returns the reported load, which is PlainConfig.LoadLag old.
-func (p *Plain) Load() Load {
+func (p *PlainService) Load() Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.load.reported()
 }
 
-// RunsOf returns how often a request with the given Idempotency-Key was run.
-func (p *Plain) RunsOf(key string) int { return p.runs.count(p.runs.startsByKey, key) }
+// RunsByKey returns how often a request with the given Idempotency-Key was run.
+func (p *PlainService) RunsByKey(key string) int { return p.runs.count(p.runs.startsByKey, key) }
 
 // RunsByDigest returns how often a request with the given digest was run.
-func (p *Plain) RunsByDigest(digest Proof) int { return p.runs.countDigest(digest) }
+func (p *PlainService) RunsByDigest(digest BodyDigest) int { return p.runs.countDigest(digest) }
 
 // Runs returns the runs that ended after the run with sequence number seq.
-func (p *Plain) Runs(seq uint64) []Run { return p.runs.endedAfter(seq) }
+func (p *PlainService) Runs(seq uint64) []Run { return p.runs.endedAfter(seq) }
 
 // ServeHTTP serves GET /load and runs every other request, whatever its method and path.
-func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
+func (p *PlainService) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
 
 // Close does nothing; it lets a plain service be closed like the other stand-ins.
-func (p *Plain) Close() error { return nil }
+func (p *PlainService) Close() error { return nil }
 
-func (p *Plain) handleCall(w http.ResponseWriter, r *http.Request) {
+func (p *PlainService) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	if err != nil {
 		return
@@ -171,7 +171,7 @@
 }
 
 // nextFaults counts a request and returns the faults that apply to it.
-func (p *Plain) nextFaults() PlainFaults {
+func (p *PlainService) nextFaults() PlainFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests++
@@ -183,7 +183,7 @@
 
 // run waits for a slot and runs the request; it reports false if the caller disconnected while waiting. A started
 // request runs to its end even if its caller disconnects, as a booking does.
-func (p *Plain) run(r *http.Request, body []byte) (PlainAnswer, bool) {
+func (p *PlainService) run(r *http.Request, body []byte) (PlainAnswer, bool) {
 	if !p.acquireSlot(r) {
 		return PlainAnswer{}, false
 	}
@@ -197,13 +197,13 @@
 		Proof:     digest,
 		Key:       key,
 		RequestID: run.RequestID,
-		Run:       p.RunsOf(key),
+		Run:       p.RunsByKey(key),
 		Padding:   strings.Repeat("p", p.cfg.Padding),
 	}
 	return answer, true
 }
 
-func (p *Plain) acquireSlot(r *http.Request) bool {
+func (p *PlainService) acquireSlot(r *http.Request) bool {
 	p.recordLoad(1)
 	defer p.recordLoad(-1)
 	select {
@@ -214,12 +214,12 @@
 	}
 }
 
-func (p *Plain) releaseSlot() {
+func (p *PlainService) releaseSlot() {
 	<-p.slots
 	p.recordLoad(0)
 }
 
-func (p *Plain) recordLoad(waitingDelta int) {
+func (p *PlainService) recordLoad(waitingDelta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.waiting += waitingDelta
@@ -227,15 +227,15 @@
 }
 
 // requestDigest returns the digest of the body, or of the request URI if the body is empty.
-func requestDigest(r *http.Request, body []byte) Proof {
+func requestDigest(r *http.Request, body []byte) BodyDigest {
 	if len(body) == 0 {
-		return ProofOf([]byte(r.URL.RequestURI()))
+		return DigestBody([]byte(r.URL.RequestURI()))
 	}
-	return ProofOf(body)
+	return DigestBody(body)
 }
 
 // runTime returns the SlotTime given in the body, or else a duration drawn from the digest, which is the same for each run of a request.
-func (p *Plain) runTime(digest Proof, body []byte) time.Duration {
+func (p *PlainService) runTime(digest BodyDigest, body []byte) time.Duration {
 	var options struct{ SlotTime string }
 	if json.Unmarshal(body, &options) == nil && options.SlotTime != "" {
 		if d, err := time.ParseDuration(options.SlotTime); err == nil {
@@ -244,5 +244,5 @@
 	}
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(digest))
-	return p.cfg.MinTime + time.Duration(hash.Sum64()%uint64(p.cfg.Spread))
+	return p.cfg.MinRunTime + time.Duration(hash.Sum64()%uint64(p.cfg.RunTimeSpread))
 }
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -26,7 +26,7 @@
 
 func TestPlainServiceRunsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		plain := pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 1})
+		plain := pomelofake.NewPlainService(pomelofake.PlainConfig{Slots: 1})
 		client, _ := serve(t, plain)
 		began := time.Now()
 		var wg sync.WaitGroup
@@ -38,10 +38,10 @@
 			t.Errorf("one slot took %s for three runs, want 300ms", took)
 		}
 		status, answer := postBooking(t, client, "k1", "resolder")
-		if status != http.StatusOK || answer.Run != 4 || plain.RunsOf("k1") != 4 {
-			t.Errorf("got %d %+v, counted %d", status, answer, plain.RunsOf("k1"))
+		if status != http.StatusOK || answer.Run != 4 || plain.RunsByKey("k1") != 4 {
+			t.Errorf("got %d %+v, counted %d", status, answer, plain.RunsByKey("k1"))
 		}
-		if answer.Proof != pomelofake.ProofOf([]byte("resolder")) || answer.RequestID != "id-k1" {
+		if answer.Proof != pomelofake.DigestBody([]byte("resolder")) || answer.RequestID != "id-k1" {
 			t.Errorf("the answer %+v does not identify its request", answer)
 		}
 	})
@@ -50,7 +50,7 @@
 // The connection is closed after each possible byte of the answer; only the complete answer may be seen as successful.
 func TestPlainServiceCutsAnswerAtEveryByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
+		plain := pomelofake.NewPlainService(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		for at := 0; ; at++ {
 			plain.SetFaults(pomelofake.PlainFaults{Cut: true, CutAt: at})
@@ -67,8 +67,8 @@
 			t.Errorf("an answer without its last byte has status %d, want an error", status)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{CutEarly: true})
-		if status, _ := postBooking(t, client, "early", "resolder"); status != 0 || plain.RunsOf("early") != 0 {
-			t.Errorf("cut before the run: status %d, ran %d times", status, plain.RunsOf("early"))
+		if status, _ := postBooking(t, client, "early", "resolder"); status != 0 || plain.RunsByKey("early") != 0 {
+			t.Errorf("cut before the run: status %d, ran %d times", status, plain.RunsByKey("early"))
 		}
 	})
 }
@@ -76,7 +76,7 @@
 // Each of two concurrent requests must receive the complete answer to the other one.
 func TestPlainServiceSwapsAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
+		plain := pomelofake.NewPlainService(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Crossed: true})
 		var wg sync.WaitGroup
@@ -97,7 +97,7 @@
 // A service may repeat an answer on a kept-alive connection, or close the connection just as it is reused.
 func TestPlainServiceRepeatsRefusesAndClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		plain := pomelofake.NewPlain(pomelofake.PlainConfig{})
+		plain := pomelofake.NewPlainService(pomelofake.PlainConfig{})
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Repeat: true})
 		if status, answer := postBooking(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
@@ -111,8 +111,8 @@
 		}
 		plain.SetFaults(pomelofake.PlainFaults{Refuse: true})
 		status, _, header := call(t, client, http.MethodPost, "/bookings", "x", "Idempotency-Key", "k4")
-		if status != http.StatusServiceUnavailable || header.Get("Ran") != "No" || plain.RunsOf("k4") != 0 {
-			t.Errorf("refused with status %d and Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsOf("k4"))
+		if status != http.StatusServiceUnavailable || header.Get("Ran") != "No" || plain.RunsByKey("k4") != 0 {
+			t.Errorf("refused with status %d and Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsByKey("k4"))
 		}
 	})
 }
--- a/pomelofake/rawanswer.go
+++ b/pomelofake/rawanswer.go
@@ -18,7 +18,7 @@
 }
 
 // swapAnswer exchanges the answer with that of a concurrent request, or returns it unchanged if there is none within swapTimeout.
-func (p *Plain) swapAnswer(answer PlainAnswer) PlainAnswer {
+func (p *PlainService) swapAnswer(answer PlainAnswer) PlainAnswer {
 	p.mu.Lock()
 	if other := p.swap; other != nil {
 		p.swap = nil
@@ -39,7 +39,7 @@
 	}
 }
 
-func (p *Plain) withdrawSwap(s *pendingSwap) PlainAnswer {
+func (p *PlainService) withdrawSwap(s *pendingSwap) PlainAnswer {
 	p.mu.Lock()
 	pending := p.swap == s
 	if pending {
@@ -52,7 +52,7 @@
 	return <-s.partner
 }
 
-func (p *Plain) writeAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
+func (p *PlainService) writeAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
 	if faults.needsHijack() {
 		p.writeRawAnswer(w, answer, faults)
 		return
@@ -68,7 +68,7 @@
 }
 
 // writeRawAnswer writes the answer to the hijacked connection, since net/http does not let a handler violate the protocol.
-func (p *Plain) writeRawAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
+func (p *PlainService) writeRawAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -93,7 +93,7 @@
 // repeatedAnswerLinger is how long a connection stays open after a repeated answer, so that the client can reuse it.
 const repeatedAnswerLinger = 20 * time.Millisecond
 
-func (p *Plain) encodeRawAnswer(answer PlainAnswer) []byte {
+func (p *PlainService) encodeRawAnswer(answer PlainAnswer) []byte {
 	body, err := json.Marshal(answer)
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/pomelofake/runs.go
+++ b/pomelofake/runs.go
@@ -12,7 +12,7 @@
 	// Key is the Idempotency-Key and RequestID the X-Request-Id of the request; empty if missing.
 	Key       string
 	RequestID string
-	Proof     Proof
+	Proof     BodyDigest
 	Start     time.Time
 	End       time.Time
 	// Prompt, Cached and Completion are token counts; zero for a plain service.
@@ -28,7 +28,7 @@
 	mu                sync.Mutex
 	startsByKey       map[string]int
 	startsByRequestID map[string]int
-	startsByDigest    map[Proof]int
+	startsByDigest    map[BodyDigest]int
 	running           map[*Run]struct{}
 	ended             []Run
 }
@@ -37,13 +37,13 @@
 	return &runLog{
 		startsByKey:       make(map[string]int),
 		startsByRequestID: make(map[string]int),
-		startsByDigest:    make(map[Proof]int),
+		startsByDigest:    make(map[BodyDigest]int),
 		running:           make(map[*Run]struct{}),
 	}
 }
 
 // start counts a run. Runs count from their start, since their effects cannot be undone from then on.
-func (l *runLog) start(key, requestID string, digest Proof) *Run {
+func (l *runLog) start(key, requestID string, digest BodyDigest) *Run {
 	r := &Run{Key: key, RequestID: requestID, Proof: digest, Start: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	return counts[id]
 }
 
-func (l *runLog) countDigest(digest Proof) int {
+func (l *runLog) countDigest(digest BodyDigest) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.startsByDigest[digest]
--- a/pomelonode/leaving_test.go
+++ b/pomelonode/leaving_test.go
@@ -17,7 +17,7 @@
 func (f *fleet) checkLeaving(t *testing.T, routers ...int) {
 	t.Helper()
 	server := f.statuses[domains[0]]
-	shown, _ := f.hosts.Leave("status-" + string(domains[0]))
+	shown, _ := f.hosts.MarkLeaving("status-" + string(domains[0]))
 	for n := 0; time.Since(shown) < maxLeaveDelay; n++ {
 		f.routers[routers[n%len(routers)]].call(http.MethodPost, "/status/jobs", "", fmt.Sprintf(`{"before":%d}`, n))
 	}
@@ -40,7 +40,7 @@
 	f.awaitReady()
 	uninformed := f.routers[2]
 	uninformed.hosts.unreachable.Store(true)
-	f.network.Lose(func(to pomelorelay.Peer, m pomelorelay.Message) bool {
+	f.network.SetMessageLoss(func(to pomelorelay.Peer, m pomelorelay.Message) bool {
 		_, notice := m.(*pomelorelay.LeavingNotice)
 		return notice && to.Node == uninformed.settings.Host.Name
 	})
@@ -70,6 +70,6 @@
 	}
 	ownerNode := f.routers[owner].settings.Host.Name
 	f.routers[owner].hosts.unreachable.Store(true)
-	f.network.Cut(func(from, to pomelorelay.Peer) bool { return from.Node == ownerNode || to.Node == ownerNode })
+	f.network.SetPartition(func(from, to pomelorelay.Peer) bool { return from.Node == ownerNode || to.Node == ownerNode })
 	f.checkLeaving(t, others...)
 }
--- a/pomelonode/partition_test.go
+++ b/pomelonode/partition_test.go
@@ -27,7 +27,7 @@
 	// change must become active on every router.
 	f := newFleet(t, 4)
 	f.awaitReady()
-	f.network.Cut(crossesDomains)
+	f.network.SetPartition(crossesDomains)
 	for _, r := range f.routers {
 		if r.settings.Host.FailureDomain == domains[1] {
 			r.store.unreachable.Store(true)
@@ -50,7 +50,7 @@
 	if outside.status != http.StatusServiceUnavailable || outside.header.Get("Ran") != "No" {
 		t.Errorf("the side without the store answered a booking with %d, Ran %q", outside.status, outside.header.Get("Ran"))
 	}
-	f.network.Cut(nil)
+	f.network.SetPartition(nil)
 	healed := time.Now()
 	f.start(2)
 	await(t, "the change is active on every router", func() bool { return f.allHaveGeneration(root.Generation) })
--- a/pomelonode/pause_test.go
+++ b/pomelonode/pause_test.go
@@ -23,13 +23,13 @@
 	var once sync.Once
 	resume := func() { once.Do(func() { close(release) }) }
 	defer resume()
-	f.network.Cut(func(from, _ pomelorelay.Peer) bool {
+	f.network.SetPartition(func(from, _ pomelorelay.Peer) bool {
 		if from.Node == r.settings.Host.Name {
 			<-release
 		}
 		return false
 	})
-	shown, _ := f.hosts.Leave("status-" + string(domains[0]))
+	shown, _ := f.hosts.MarkLeaving("status-" + string(domains[0]))
 	await(t, "3 s have passed since the upstream started leaving", func() bool { return time.Since(shown) > 3*time.Second })
 	before := len(f.statuses[domains[0]].Runs(0))
 	var waiting sync.WaitGroup
@@ -42,7 +42,7 @@
 		})
 	}
 	time.Sleep(time.Second)
-	f.network.Cut(nil)
+	f.network.SetPartition(nil)
 	resume()
 	waiting.Wait()
 	if n := len(f.statuses[domains[0]].Runs(0)) - before; n != 0 {
--- a/pomelonode/stall_test.go
+++ b/pomelonode/stall_test.go
@@ -81,7 +81,7 @@
 		active, paused = paused, active
 	}
 	before := medianLatency(t, active)
-	f.network.Cut(func(from, to pomelorelay.Peer) bool {
+	f.network.SetPartition(func(from, to pomelorelay.Peer) bool {
 		return from.Node == paused.settings.Host.Name || to.Node == paused.settings.Host.Name
 	})
 	began := time.Now()
@@ -90,7 +90,7 @@
 	}
 	first := time.Since(began)
 	during := medianLatency(t, active)
-	f.network.Cut(nil)
+	f.network.SetPartition(nil)
 	t.Logf("median %v before; with the owner paused first call %v, median %v", before, first, during)
 }
 
