--- a/cmd/pomelobench/bounds.go
+++ b/cmd/pomelobench/bounds.go
@@ -12,35 +12,35 @@
 
 // boundsCommand compares benchmarks with their committed bounds.
 type boundsCommand struct {
-	bounds string
-	runs   string
+	boundsPath string
+	runsPath   string
 }
 
 func newBoundsCommand(cmd *kingpin.CmdClause) *boundsCommand {
 	c := &boundsCommand{}
-	cmd.Flag("bounds", "The file of bounds.").Default("bench/bounds.yaml").StringVar(&c.bounds)
-	cmd.Arg("runs", "The output of go test -bench.").Required().StringVar(&c.runs)
+	cmd.Flag("bounds", "The file of bounds.").Default("bench/bounds.yaml").StringVar(&c.boundsPath)
+	cmd.Arg("runs", "The output of go test -bench.").Required().StringVar(&c.runsPath)
 	return c
 }
 
 func (c *boundsCommand) run(context.Context) error {
-	bounds, err := pomelobounds.Read(c.bounds)
+	bounds, err := pomelobounds.Read(c.boundsPath)
 	if err != nil {
 		return err
 	}
-	runs, err := pomelobounds.ReadRuns(c.runs)
+	runs, err := pomelobounds.ReadRuns(c.runsPath)
 	if err != nil {
 		return err
 	}
-	broken := 0
+	violated := 0
 	for _, v := range bounds.Compare(runs) {
 		fmt.Println(v)
-		if !v.Kept {
-			broken++
+		if !v.Met {
+			violated++
 		}
 	}
-	if broken > 0 {
-		return pomelorelay.NewError(pomelorelay.CodeBenchViolated, fmt.Sprintf("%d bounds are not kept", broken), nil)
+	if violated > 0 {
+		return pomelorelay.NewError(pomelorelay.CodeBenchViolated, fmt.Sprintf("%d bounds are not kept", violated), nil)
 	}
 	return nil
 }
--- a/cmd/pomelobench/latency.go
+++ b/cmd/pomelobench/latency.go
@@ -38,19 +38,19 @@
 		return err
 	}
 	plain := pomelofake.PlainConfig{Slots: 64, MinTime: c.runTime, Spread: time.Nanosecond}
-	one, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{Address: addr, Port: 8400, Routers: 1, Plain: plain})
+	one, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{Address: addr, FirstPort: 8400, Routers: 1, Plain: plain})
 	if err != nil {
 		return err
 	}
 	defer one.Close()
-	two, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{Address: addr, Port: 8500, Routers: 2, Plain: plain})
+	two, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{Address: addr, FirstPort: 8500, Routers: 2, Plain: plain})
 	if err != nil {
 		return err
 	}
 	defer two.Close()
-	results, err := pomelomeasure.Latency(ctx, pomelomeasure.LatencyConfig{
-		Targets: []pomelomeasure.Target{one.Direct("direct"), one.Routed("one router"), two.Routed("two routers")},
-		Token:   one.Token(), Body: `{"n":1}`, Rate: c.rate, Duration: c.duration, Slice: c.slice,
+	results, err := pomelomeasure.MeasureLatency(ctx, pomelomeasure.LatencyConfig{
+		Targets: []pomelomeasure.Target{one.DirectTarget("direct"), one.RoutedTarget("one router"), two.RoutedTarget("two routers")},
+		Token:   one.Token(), Body: `{"n":1}`, RequestsPerSecond: c.rate, DurationPerTarget: c.duration, SliceDuration: c.slice,
 	})
 	if err != nil {
 		return err
--- a/cmd/pomelobench/pomelobounds/bounds.go
+++ b/cmd/pomelobench/pomelobounds/bounds.go
@@ -15,8 +15,8 @@
 	Package   string   `yaml:"Package"`
 	Benchmark string   `yaml:"Benchmark"`
 	Metric    string   `yaml:"Metric"`
-	Least     *float64 `yaml:"Least,omitempty"`
-	Most      *float64 `yaml:"Most,omitempty"`
+	Min       *float64 `yaml:"Least,omitempty"`
+	Max       *float64 `yaml:"Most,omitempty"`
 }
 
 // File is what a file of bounds holds.
@@ -35,41 +35,41 @@
 		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "decode the bounds", err)
 	}
 	for _, b := range f.Bounds {
-		if b.Least == nil && b.Most == nil {
-			return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, b.name()+" has neither Least nor Most", nil)
+		if b.Min == nil && b.Max == nil {
+			return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, b.label()+" has neither Least nor Most", nil)
 		}
 	}
 	return f, nil
 }
 
-func (b Bound) name() string { return b.Package + " " + b.Benchmark + " " + b.Metric }
+func (b Bound) label() string { return b.Package + " " + b.Benchmark + " " + b.Metric }
 
 // Verdict is a bound with what was measured.
 type Verdict struct {
 	Bound Bound
 	// Values are those of every run; none means that the benchmark did not run.
 	Values []float64
-	Kept   bool
+	Met    bool
 }
 
 // String tells the verdict in one line.
 func (v Verdict) String() string {
 	state := "kept    "
-	if !v.Kept {
+	if !v.Met {
 		state = "BROKEN  "
 	}
-	text := state + v.Bound.name() + ":"
+	text := state + v.Bound.label() + ":"
 	if len(v.Values) == 0 {
 		return text + " not measured"
 	}
 	for _, value := range v.Values {
 		text += fmt.Sprintf(" %g", value)
 	}
-	if v.Bound.Least != nil {
-		text += fmt.Sprintf(", at least %g", *v.Bound.Least)
+	if v.Bound.Min != nil {
+		text += fmt.Sprintf(", at least %g", *v.Bound.Min)
 	}
-	if v.Bound.Most != nil {
-		text += fmt.Sprintf(", at most %g", *v.Bound.Most)
+	if v.Bound.Max != nil {
+		text += fmt.Sprintf(", at most %g", *v.Bound.Max)
 	}
 	return text
 }
@@ -84,9 +84,9 @@
 				v.Values = append(v.Values, value)
 			}
 		}
-		v.Kept = len(v.Values) > 0
+		v.Met = len(v.Values) > 0
 		for _, value := range v.Values {
-			v.Kept = v.Kept && (b.Least == nil || value >= *b.Least) && (b.Most == nil || value <= *b.Most)
+			v.Met = v.Met && (b.Min == nil || value >= *b.Min) && (b.Max == nil || value <= *b.Max)
 		}
 		verdicts = append(verdicts, v)
 	}
--- a/cmd/pomelobench/pomelobounds/bounds_test.go
+++ b/cmd/pomelobench/pomelobounds/bounds_test.go
@@ -19,7 +19,7 @@
 BenchmarkGrant-12    	  1000	       412.5 ns/op	       7 allocs/op
 `
 
-func TestBounds(t *testing.T) {
+func TestCompare(t *testing.T) {
 	runs, err := pomelobounds.ParseRuns(strings.NewReader(output))
 	if err != nil {
 		t.Fatal(err)
@@ -40,13 +40,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := bounds.Compare(runs)[0]; v.Kept != c.kept {
+		if v := bounds.Compare(runs)[0]; v.Met != c.kept {
 			t.Errorf("%s: %v", c.name, v)
 		}
 	}
 }
 
-func TestBoundWithoutEndIsRefused(t *testing.T) {
+func TestBoundWithoutLimitIsRejected(t *testing.T) {
 	// A bound whose line lost its number would be kept by every run, and nobody would notice that it checks nothing.
 	for _, text := range []string{"{Package: a, Benchmark: b, Metric: c}", "{Package: a, Benchmark: b, Metric: c, Mots: 1}"} {
 		if _, err := pomelobounds.Read(write(t, "Bounds:\n- "+text+"\n")); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
--- a/cmd/pomelobench/pomelobounds/runs.go
+++ b/cmd/pomelobench/pomelobounds/runs.go
@@ -26,8 +26,8 @@
 // Runs are the lines of one or more go test -bench.
 type Runs []Run
 
-// cores is the number of processors that go test appends to a benchmark's name.
-var cores = regexp.MustCompile(`-\d+$`)
+// processorSuffix is the number of processors that go test appends to a benchmark's name.
+var processorSuffix = regexp.MustCompile(`-\d+$`)
 
 // ReadRuns reads the output of go test -bench from a file; it fails with CodeBenchRecord.
 func ReadRuns(name string) (Runs, error) {
@@ -70,7 +70,7 @@
 	if len(words) < 4 || !strings.HasPrefix(words[0], "Benchmark") {
 		return Run{}, false, nil
 	}
-	run := Run{Benchmark: cores.ReplaceAllString(words[0], ""), Metrics: make(map[string]float64)}
+	run := Run{Benchmark: processorSuffix.ReplaceAllString(words[0], ""), Metrics: make(map[string]float64)}
 	for i := 2; i+1 < len(words); i += 2 {
 		value, err := strconv.ParseFloat(words[i], 64)
 		if err != nil {
@@ -81,8 +81,8 @@
 	return run, true, nil
 }
 
-// Value returns a metric's mean over the runs of a benchmark; it fails when there is none.
-func (runs Runs) Value(benchmark, metric string) (float64, error) {
+// Mean returns a metric's mean over the runs of a benchmark; it fails when there is none.
+func (runs Runs) Mean(benchmark, metric string) (float64, error) {
 	sum, n := 0.0, 0.0
 	for _, run := range runs {
 		if value, found := run.Metrics[metric]; found && run.Benchmark == benchmark {
--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -16,26 +16,26 @@
 // outcome is how an attempt ended for its caller.
 type outcome struct {
 	kind outcomeKind
-	// own and whole are told of an answer.
-	own   bool
-	whole bool
+	// matchesRequest and whole are told of an answer.
+	matchesRequest bool
+	complete       bool
 	// ran, code and retryAfter are told of a refusal.
-	ran        pomelorelay.Ran
-	code       pomelorelay.ResultCode
-	retryAfter time.Duration
-	hasRetry   bool
-	// first and at are when the first byte and the end arrived.
-	first  time.Time
-	at     time.Time
-	detail string
+	ran           pomelorelay.Ran
+	code          pomelorelay.ResultCode
+	retryAfter    time.Duration
+	hasRetryAfter bool
+	// firstByteAt and at are when the first byte and the end arrived.
+	firstByteAt time.Time
+	endedAt     time.Time
+	detail      string
 }
 
 type outcomeKind int
 
 const (
-	answeredOutcome outcomeKind = iota + 1
-	refusedOutcome
-	brokenOutcome
+	outcomeAnswered outcomeKind = iota + 1
+	outcomeRefused
+	outcomeBroken
 )
 
 // problem is the body of a router's refusal.
@@ -47,49 +47,49 @@
 }
 
 const (
-	problemType = "application/problem+json"
-	streamType  = "text/event-stream"
-	maxLine     = 1 << 20
+	problemType  = "application/problem+json"
+	streamType   = "text/event-stream"
+	maxLineBytes = 1 << 20
 )
 
-// read takes the answer in and tells what it is worth to the caller of q.
-func read(resp *http.Response, q request) outcome {
-	o := outcome{first: time.Now()}
+// readAnswer takes the answer in and tells what it is worth to the caller of q.
+func readAnswer(resp *http.Response, q request) outcome {
+	o := outcome{firstByteAt: time.Now()}
 	contentType := resp.Header.Get("Content-Type")
 	switch {
 	case strings.HasPrefix(contentType, problemType) || resp.StatusCode != http.StatusOK:
-		o.refusal(resp)
+		o.readRefusal(resp)
 	case strings.HasPrefix(contentType, streamType):
-		o.stream(resp.Body, q)
+		o.readStream(resp.Body, q)
 	case q.service.Kind == Plain:
-		o.booking(resp.Body, q)
+		o.readBooking(resp.Body, q)
 	default:
-		o.completion(resp.Body, q)
+		o.readCompletion(resp.Body, q)
 	}
-	o.at = time.Now()
+	o.endedAt = time.Now()
 	return o
 }
 
-func (o *outcome) breaks(err error) {
-	o.kind = brokenOutcome
+func (o *outcome) setBroken(err error) {
+	o.kind = outcomeBroken
 	o.detail = err.Error()
 }
 
-// refusal reads the numbered refusal of a router, or of a stand-in that is called directly.
-func (o *outcome) refusal(resp *http.Response) {
+// readRefusal reads the numbered refusal of a router, or of a stand-in that is called directly.
+func (o *outcome) readRefusal(resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		o.breaks(err)
+		o.setBroken(err)
 		return
 	}
 	var p problem
 	_ = json.Unmarshal(body, &p)
-	o.kind = refusedOutcome
+	o.kind = outcomeRefused
 	o.code = p.Code
 	o.ran = pomelorelay.Ran(resp.Header.Get("Ran"))
 	o.detail = strconv.Itoa(resp.StatusCode) + " " + p.Title + " " + p.Detail
 	if text := resp.Header.Get("Retry-After"); text != "" {
-		o.hasRetry = true
+		o.hasRetryAfter = true
 		seconds, err := strconv.Atoi(text)
 		if err == nil {
 			o.retryAfter = time.Duration(seconds) * time.Second
@@ -97,16 +97,16 @@
 	}
 }
 
-func (o *outcome) booking(body io.Reader, q request) {
+func (o *outcome) readBooking(body io.Reader, q request) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		o.breaks(err)
+		o.setBroken(err)
 		return
 	}
 	var answer pomelofake.PlainAnswer
-	o.kind = answeredOutcome
-	o.whole = json.Unmarshal(data, &answer) == nil
-	o.own = !o.whole || answer.Proof == q.proof
+	o.kind = outcomeAnswered
+	o.complete = json.Unmarshal(data, &answer) == nil
+	o.matchesRequest = !o.complete || answer.Proof == q.proof
 }
 
 // chatAnswer is what the caller reads of an engine's answer or event.
@@ -120,37 +120,37 @@
 	} `json:"usage"`
 }
 
-func (o *outcome) completion(body io.Reader, q request) {
+func (o *outcome) readCompletion(body io.Reader, q request) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		o.breaks(err)
+		o.setBroken(err)
 		return
 	}
-	o.kind = answeredOutcome
+	o.kind = outcomeAnswered
 	var answer chatAnswer
 	if json.Unmarshal(data, &answer) != nil || len(answer.Choices) == 0 || answer.Usage == nil {
-		o.own = true
+		o.matchesRequest = true
 		return
 	}
-	o.compare(answer.Choices[0].Message.Content, answer.Usage.CompletionTokens, q)
+	o.compareText(answer.Choices[0].Message.Content, answer.Usage.CompletionTokens, q)
 }
 
-// compare holds the text against the one that the stand-in gives to the request.
-func (o *outcome) compare(text string, tokens int, q request) {
-	o.own = strings.HasPrefix(text, q.proof.Token(0)) || text == ""
+// compareText holds the text against the one that the stand-in gives to the request.
+func (o *outcome) compareText(text string, tokens int, q request) {
+	o.matchesRequest = strings.HasPrefix(text, q.proof.Token(0)) || text == ""
 	var want strings.Builder
 	for n := range tokens {
 		want.WriteString(q.proof.Token(n))
 	}
-	o.whole = text == want.String()
+	o.complete = text == want.String()
 }
 
-// stream reads events until the end; a stream that ends in good order without usage and [DONE] is not whole.
-func (o *outcome) stream(body io.Reader, q request) {
+// readStream reads events until the end; a stream that ends in good order without usage and [DONE] is not whole.
+func (o *outcome) readStream(body io.Reader, q request) {
 	var text strings.Builder
 	tokens, done, failed := 0, false, false
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
 		data, isData := strings.CutPrefix(line, "data: ")
@@ -159,7 +159,7 @@
 			failed = true
 		case !isData:
 		case failed:
-			o.streamError(data)
+			o.readStreamError(data)
 			return
 		case data == "[DONE]":
 			done = true
@@ -168,12 +168,12 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		o.breaks(err)
+		o.setBroken(err)
 		return
 	}
-	o.kind = answeredOutcome
-	o.compare(text.String(), tokens, q)
-	o.whole = o.whole && done
+	o.kind = outcomeAnswered
+	o.compareText(text.String(), tokens, q)
+	o.complete = o.complete && done
 }
 
 // readEvent appends the event's text and returns the number of tokens that it says the whole answer has, if any.
@@ -191,11 +191,11 @@
 	return event.Usage.CompletionTokens
 }
 
-// streamError is a stream's end that its caller can tell from a whole one.
-func (o *outcome) streamError(data string) {
+// readStreamError is a stream's end that its caller can tell from a whole one.
+func (o *outcome) readStreamError(data string) {
 	var p problem
 	_ = json.Unmarshal([]byte(data), &p)
-	o.kind = brokenOutcome
+	o.kind = outcomeBroken
 	o.code = p.Code
 	o.ran = p.Ran
 	o.detail = p.Title + " " + p.Detail
--- a/cmd/pomelobench/pomeloload/balancer.go
+++ b/cmd/pomelobench/pomeloload/balancer.go
@@ -19,12 +19,12 @@
 
 // target is a router, or in direct mode an upstream.
 type target struct {
-	name     pomelorelay.NodeID
-	service  pomelorelay.ServiceID
-	addr     netip.AddrPort
-	operator netip.AddrPort
-	ready    atomic.Bool
-	client   *http.Client
+	name         pomelorelay.NodeID
+	service      pomelorelay.ServiceID
+	addr         netip.AddrPort
+	operatorAddr netip.AddrPort
+	ready        atomic.Bool
+	client       *http.Client
 }
 
 // balancer stands in the place of the platform's: it sends callers to routers that say they are ready.
@@ -34,13 +34,13 @@
 }
 
 const (
-	readyInterval  = 200 * time.Millisecond
-	probeTimeout   = time.Second
-	idlePerRouter  = 256
-	dialTimeout    = time.Second
-	headerIdemKey  = "Idempotency-Key"
-	headerRequest  = "X-Request-Id"
-	headerDeadline = "X-Timeout"
+	readyInterval        = 200 * time.Millisecond
+	probeTimeout         = time.Second
+	maxIdlePerHost       = 256
+	dialTimeout          = time.Second
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRequestID      = "X-Request-Id"
+	headerDeadline       = "X-Timeout"
 )
 
 func newBalancer(p Plan, dial DialFunc) *balancer {
@@ -52,13 +52,13 @@
 		return b
 	}
 	for _, r := range p.Routers {
-		b.add(&target{name: r.Name, addr: r.Caller, operator: r.Operator}, dial)
+		b.add(&target{name: r.Name, addr: r.CallerAddr, operatorAddr: r.OperatorAddr}, dial)
 	}
 	return b
 }
 
 func newTransport(dial DialFunc) *http.Transport {
-	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerRouter, DisableCompression: true}
+	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true}
 }
 
 func (b *balancer) add(t *target, dial DialFunc) {
@@ -68,8 +68,8 @@
 }
 
 // pick draws a ready target that serves the service and is among the names; none ready leaves the choice among all of those.
-func (b *balancer) pick(service pomelorelay.ServiceID, names []pomelorelay.NodeID, random *rand.Rand) *target {
-	var ready, fitting []*target
+func (b *balancer) pick(service pomelorelay.ServiceID, names []pomelorelay.NodeID, rng *rand.Rand) *target {
+	var ready, matching []*target
 	for _, t := range b.targets {
 		if t.service != "" && t.service != service {
 			continue
@@ -77,19 +77,19 @@
 		if len(names) > 0 && !slices.Contains(names, t.name) {
 			continue
 		}
-		fitting = append(fitting, t)
+		matching = append(matching, t)
 		if t.ready.Load() {
 			ready = append(ready, t)
 		}
 	}
 	if len(ready) == 0 {
-		ready = b.elsewhere(fitting)
+		ready = b.fallback(matching)
 	}
-	return ready[random.IntN(len(ready))]
+	return ready[rng.IntN(len(ready))]
 }
 
-// elsewhere is where callers go whose own routers are all gone: any that is ready, as a balancer would send them.
-func (b *balancer) elsewhere(fitting []*target) []*target {
+// fallback is where callers go whose own routers are all gone: any that is ready, as a balancer would send them.
+func (b *balancer) fallback(matching []*target) []*target {
 	var ready []*target
 	for _, t := range b.targets {
 		if t.ready.Load() && t.service == "" {
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(ready) == 0 {
-		return fitting
+		return matching
 	}
 	return ready
 }
@@ -110,8 +110,8 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for _, t := range b.targets {
-		for t.operator.IsValid() && !b.isReady(ctx, t) {
-			if !wait(ctx, readyInterval) {
+		for t.operatorAddr.IsValid() && !b.isReady(ctx, t) {
+			if !sleep(ctx, readyInterval) {
 				return pomelorelay.NewError(pomelorelay.CodeBenchStandIn, "router "+string(t.name)+" is not ready", ctx.Err())
 			}
 		}
@@ -125,7 +125,7 @@
 	defer ticker.Stop()
 	for {
 		for _, t := range b.targets {
-			if t.operator.IsValid() {
+			if t.operatorAddr.IsValid() {
 				t.ready.Store(b.isReady(ctx, t))
 			}
 		}
@@ -138,7 +138,7 @@
 }
 
 func (b *balancer) isReady(ctx context.Context, t *target) bool {
-	resp, err := get(ctx, b.probe, "http://"+t.operator.String()+"/ready")
+	resp, err := get(ctx, b.probe, "http://"+t.operatorAddr.String()+"/ready")
 	if err != nil {
 		return false
 	}
--- a/cmd/pomelobench/pomeloload/caller.go
+++ b/cmd/pomelobench/pomeloload/caller.go
@@ -18,60 +18,60 @@
 )
 
 const (
-	// answerGrace is how much longer than its deadline a caller listens, to see an answer that is held back.
-	answerGrace = 3 * time.Second
-	maxPause    = time.Second
-	minPause    = 50 * time.Millisecond
+	// lateAnswerGrace is how much longer than its deadline a caller listens, to see an answer that is held back.
+	lateAnswerGrace = 3 * time.Second
+	maxRetryPause   = time.Second
+	minRetryPause   = 50 * time.Millisecond
 )
 
 // callers send requests and record what becomes of them.
 type callers struct {
-	plan     Plan
-	balancer *balancer
-	recorder *recorder
-	number   atomic.Uint64
-	attempts atomic.Uint64
-	wg       sync.WaitGroup
+	plan        Plan
+	balancer    *balancer
+	recorder    *recorder
+	lastRequest atomic.Uint64
+	lastAttempt atomic.Uint64
+	wg          sync.WaitGroup
 }
 
 // start starts the callers of every account; they take up no new request once issuing ends.
-func (c *callers) start(ctx, issuing context.Context) {
+func (c *callers) start(ctx, issueCtx context.Context) {
 	seed := c.plan.Seed
 	for _, account := range c.plan.Accounts {
 		for _, load := range account.Loads {
 			service := c.plan.service(load.Service)
 			for range load.Callers {
 				seed++
-				random := rand.New(rand.NewPCG(seed, seed))
-				c.wg.Go(func() { c.closedLoop(ctx, issuing, account, service, load, random) })
+				rng := rand.New(rand.NewPCG(seed, seed))
+				c.wg.Go(func() { c.closedLoop(ctx, issueCtx, account, service, load, rng) })
 			}
-			if load.Rate > 0 {
+			if load.ArrivalRate > 0 {
 				seed++
-				random := rand.New(rand.NewPCG(seed, seed))
-				c.wg.Go(func() { c.openLoop(ctx, issuing, account, service, load, random) })
+				rng := rand.New(rand.NewPCG(seed, seed))
+				c.wg.Go(func() { c.openLoop(ctx, issueCtx, account, service, load, rng) })
 			}
 		}
 	}
 }
 
-func (c *callers) closedLoop(ctx, issuing context.Context, account Account, service Service, load Load, random *rand.Rand) {
-	for sent := 0; issuing.Err() == nil && (load.Requests == 0 || sent < load.Requests); sent++ {
-		c.one(ctx, issuing, account, service, load, random)
+func (c *callers) closedLoop(ctx, issueCtx context.Context, account Account, service Service, load Load, rng *rand.Rand) {
+	for sent := 0; issueCtx.Err() == nil && (load.MaxRequestsPerCaller == 0 || sent < load.MaxRequestsPerCaller); sent++ {
+		c.sendRequest(ctx, issueCtx, account, service, load, rng)
 	}
 }
 
-func (c *callers) openLoop(ctx, issuing context.Context, account Account, service Service, load Load, random *rand.Rand) {
+func (c *callers) openLoop(ctx, issueCtx context.Context, account Account, service Service, load Load, rng *rand.Rand) {
 	for {
-		pause := time.Duration(random.ExpFloat64() / load.Rate * float64(time.Second))
-		if !wait(issuing, pause) {
+		pause := time.Duration(rng.ExpFloat64() / load.ArrivalRate * float64(time.Second))
+		if !sleep(issueCtx, pause) {
 			return
 		}
-		own := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
-		c.wg.Go(func() { c.one(ctx, issuing, account, service, load, own) })
+		attemptRandom := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		c.wg.Go(func() { c.sendRequest(ctx, issueCtx, account, service, load, attemptRandom) })
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -82,73 +82,73 @@
 	}
 }
 
-// one takes a request to its end: it is sent again while it may run and has not been answered.
-func (c *callers) one(ctx, issuing context.Context, account Account, service Service, load Load, random *rand.Rand) {
-	q, err := newRequest(account, service, load, c.number.Add(1))
+// sendRequest takes a request to its end: it is sent again while it may run and has not been answered.
+func (c *callers) sendRequest(ctx, issueCtx context.Context, account Account, service Service, load Load, rng *rand.Rand) {
+	q, err := newRequest(account, service, load, c.lastRequest.Add(1))
 	if err != nil {
 		return
 	}
-	c.recorder.request(q)
-	if service.Once && random.Float64() < load.Overlap {
-		own := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
-		c.recorder.resent()
-		c.wg.Go(func() { c.attempt(ctx, q, own) })
+	c.recorder.addRequest(q)
+	if service.AtMostOnce && rng.Float64() < load.OverlapFraction {
+		attemptRandom := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		c.recorder.addResend()
+		c.wg.Go(func() { c.sendAttempt(ctx, q, attemptRandom) })
 	}
 	for range c.plan.MaxAttempts {
-		o := c.attempt(ctx, q, random)
-		if o.kind == answeredOutcome {
+		o := c.sendAttempt(ctx, q, rng)
+		if o.kind == outcomeAnswered {
 			break
 		}
-		if !mayResend(q, o) || !wait(issuing, pauseFor(o)) {
+		if !mayResend(q, o) || !sleep(issueCtx, retryPause(o)) {
 			return
 		}
-		c.recorder.resent()
+		c.recorder.addResend()
 	}
-	if service.Once && random.Float64() < load.Resend && issuing.Err() == nil {
-		c.recorder.resent()
-		c.attempt(ctx, q, random)
+	if service.AtMostOnce && rng.Float64() < load.ResendFraction && issueCtx.Err() == nil {
+		c.recorder.addResend()
+		c.sendAttempt(ctx, q, rng)
 	}
 }
 
 // mayResend tells whether a careful caller sends again: what carries a key, what is idempotent, and what was not run. One with
 // a marker sends again whatever it was told, as people do whose request fails.
 func mayResend(q request, o outcome) bool {
-	if o.kind == refusedOutcome && o.ran == pomelorelay.RanNo {
+	if o.kind == outcomeRefused && o.ran == pomelorelay.RanNo {
 		return true
 	}
-	return o.kind == brokenOutcome || q.service.Once || q.load.Marker != ""
+	return o.kind == outcomeBroken || q.service.AtMostOnce || q.load.PromptMarker != ""
 }
 
-func pauseFor(o outcome) time.Duration {
-	return min(max(o.retryAfter, minPause), maxPause)
+func retryPause(o outcome) time.Duration {
+	return min(max(o.retryAfter, minRetryPause), maxRetryPause)
 }
 
-func (c *callers) attempt(ctx context.Context, q request, random *rand.Rand) outcome {
-	t := c.balancer.pick(q.service.Name, q.load.Routers, random)
-	id := pomelocheck.AttemptID(fmt.Sprintf("%s/%d", q.id, c.attempts.Add(1)))
+func (c *callers) sendAttempt(ctx context.Context, q request, rng *rand.Rand) outcome {
+	t := c.balancer.pick(q.service.Name, q.load.Routers, rng)
+	id := pomelocheck.AttemptID(fmt.Sprintf("%s/%d", q.id, c.lastAttempt.Add(1)))
 	sent := pomelocheck.Sent{
 		Attempt: id, Content: q.content(), Account: q.account.Name, Node: t.name, At: time.Now(),
-		Deadline: time.Now().Add(c.plan.Timeout), Once: q.service.Once,
+		Deadline: time.Now().Add(c.plan.Timeout), Once: q.service.AtMostOnce,
 	}
-	c.recorder.sent(q, sent)
+	c.recorder.attemptSent(q, sent)
 	o := c.exchange(ctx, t, q, string(id))
-	c.recorder.ended(q, sent, o)
+	c.recorder.attemptEnded(q, sent, o)
 	return o
 }
 
 func (c *callers) exchange(ctx context.Context, t *target, q request, id string) outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.plan.Timeout+answerGrace)
+	ctx, cancel := context.WithTimeout(ctx, c.plan.Timeout+lateAnswerGrace)
 	defer cancel()
 	r, err := c.newHTTPRequest(ctx, t, q, id)
 	if err != nil {
-		return outcome{kind: brokenOutcome, at: time.Now(), detail: err.Error()}
+		return outcome{kind: outcomeBroken, endedAt: time.Now(), detail: err.Error()}
 	}
 	resp, err := t.client.Do(r)
 	if err != nil {
-		return failed(err)
+		return transportFailure(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return read(resp, q)
+	return readAnswer(resp, q)
 }
 
 // newHTTPRequest hides the body's type from net/http: a body that can be read again, together with an Idempotency-Key,
@@ -167,21 +167,21 @@
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set("Authorization", "Bearer "+q.account.Token)
 	r.Header.Set(headerDeadline, c.plan.Timeout.String())
-	if q.service.Once {
-		r.Header.Set(headerIdemKey, q.id)
+	if q.service.AtMostOnce {
+		r.Header.Set(headerIdempotencyKey, q.id)
 	}
 	if c.plan.Direct {
-		r.Header.Set(headerRequest, id)
+		r.Header.Set(headerRequestID, id)
 	}
 	return r, nil
 }
 
-// failed tells a connection that was never made, so that nothing ran, from one that broke.
-func failed(err error) outcome {
-	o := outcome{kind: brokenOutcome, at: time.Now(), detail: err.Error()}
+// transportFailure tells a connection that was never made, so that nothing ran, from one that broke.
+func transportFailure(err error) outcome {
+	o := outcome{kind: outcomeBroken, endedAt: time.Now(), detail: err.Error()}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		o.kind = refusedOutcome
+		o.kind = outcomeRefused
 		o.ran = pomelorelay.RanNo
 	}
 	return o
--- a/cmd/pomelobench/pomeloload/marks.go
+++ b/cmd/pomelobench/pomeloload/marks.go
@@ -30,8 +30,8 @@
 
 const marksInterval = 50 * time.Millisecond
 
-// follow reads lines that are appended to the file until ctx ends.
-func (r *recorder) follow(ctx context.Context, path string, logf func(string, ...any)) {
+// followMarks reads lines that are appended to the file until ctx ends.
+func (r *recorder) followMarks(ctx context.Context, path string, logf func(string, ...any)) {
 	var offset int64
 	for {
 		n, err := r.readMarks(path, offset, logf)
@@ -39,7 +39,7 @@
 			logf("marks file: %v", err)
 		}
 		offset += n
-		if !wait(ctx, marksInterval) {
+		if !sleep(ctx, marksInterval) {
 			return
 		}
 	}
@@ -56,46 +56,46 @@
 		return 0, err
 	}
 	reader := bufio.NewReader(file)
-	var taken int64
+	var consumed int64
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return taken, nil
+			return consumed, nil
 		}
-		taken += int64(len(line))
+		consumed += int64(len(line))
 		var m Mark
 		if err := json.Unmarshal(bytes.TrimSpace(line), &m); err != nil {
 			logf("mark %q: %v", line, err)
 			continue
 		}
-		r.takeMark(m, time.Now())
+		r.addMark(m, time.Now())
 	}
 }
 
 // A mark is read a little after it was written; what broke within that time counts as after it.
-func (r *recorder) takeMark(m Mark, now time.Time) {
+func (r *recorder) addMark(m Mark, now time.Time) {
 	at := now.Add(-2 * marksInterval)
 	if m.Killed != "" {
 		r.observe(pomelocheck.Killed{Node: m.Killed, At: at})
-		r.mark(at, "kill "+string(m.Killed))
+		r.addFault(at, "kill "+string(m.Killed))
 	}
 	if m.Stopping != "" {
 		r.observe(pomelocheck.Stopping{Node: m.Stopping, At: at})
-		r.mark(at, "stop "+string(m.Stopping))
+		r.addFault(at, "stop "+string(m.Stopping))
 	}
 	if m.Frozen != "" {
 		r.observe(pomelocheck.Frozen{Node: m.Frozen, At: at})
-		r.mark(at, "freeze "+string(m.Frozen))
+		r.addFault(at, "freeze "+string(m.Frozen))
 	}
 	if m.Continued != "" {
 		r.observe(pomelocheck.Continued{Node: m.Continued, At: now})
-		r.mark(now, "continue "+string(m.Continued))
+		r.addFault(now, "continue "+string(m.Continued))
 	}
 	if m.Accepted > 0 {
 		r.observe(pomelocheck.Accepted{Generation: m.Accepted, At: now})
-		r.mark(now, "configuration accepted")
+		r.addFault(now, "configuration accepted")
 	}
 	if m.Text != "" {
-		r.mark(now, m.Text)
+		r.addFault(now, m.Text)
 	}
 }
--- a/cmd/pomelobench/pomeloload/world_test.go
+++ b/cmd/pomelobench/pomeloload/network_test.go
@@ -15,8 +15,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// world is a network in memory with stand-ins at addresses, so that loads run on virtual time.
-type world struct {
+// testNetwork is a network in memory with stand-ins at addresses, so that loads run on virtual time.
+type testNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	plain     *pomelofake.Plain
@@ -47,7 +47,7 @@
 
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(l.addr)) }
 
-func (w *world) listen(addr string) func() (net.Listener, error) {
+func (w *testNetwork) listen(addr string) func() (net.Listener, error) {
 	return func() (net.Listener, error) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-func (w *world) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (w *testNetwork) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	w.mu.Lock()
 	l := w.listeners[addr]
 	w.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-func (w *world) serve(t *testing.T, addr string, handler http.Handler) *pomelofake.Host {
+func (w *testNetwork) serve(t *testing.T, addr string, handler http.Handler) *pomelofake.Host {
 	t.Helper()
 	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: w.listen(addr), Handler: handler})
 	if err != nil {
@@ -91,10 +91,10 @@
 	adminAddr  = "127.0.1.3:80"
 )
 
-// newWorld starts a plain service, an engine, a host list and their admin handler.
-func newWorld(t *testing.T) *world {
+// newTestNetwork starts a plain service, an engine, a host list and their admin handler.
+func newTestNetwork(t *testing.T) *testNetwork {
 	t.Helper()
-	w := &world{
+	w := &testNetwork{
 		listeners: make(map[string]*listener),
 		plain:     pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 4}),
 		engine:    pomelofake.NewEngine(pomelofake.EngineConfig{Slots: 4}),
@@ -116,12 +116,12 @@
 	admin := netip.MustParseAddrPort(adminAddr)
 	loads := []pomeloload.Load{
 		{Service: "booking", Callers: 4, SlotTime: 40 * time.Millisecond},
-		{Service: "assistant", Callers: 4, Prompt: 20, MaxTokens: 30, Stream: true},
+		{Service: "assistant", Callers: 4, PromptTokens: 20, MaxTokens: 30, Stream: true},
 	}
 	return pomeloload.Plan{
-		Seed: 1, Duration: 10 * time.Second, Timeout: 5 * time.Second, Direct: true, HostAdmin: admin,
+		Seed: 1, Duration: 10 * time.Second, Timeout: 5 * time.Second, Direct: true, HostListAdmin: admin,
 		Services: []pomeloload.Service{
-			{Name: "booking", Kind: pomeloload.Plain, Path: "/bookings", Once: true, GapBound: 10},
+			{Name: "booking", Kind: pomeloload.Plain, Path: "/bookings", AtMostOnce: true, GapBound: 10},
 			{Name: "assistant", Kind: pomeloload.ModelEngine, InputCost: 0.25, OutputCost: 1, GapBound: 1e6},
 		},
 		Upstreams: []pomeloload.Upstream{
@@ -135,13 +135,13 @@
 	}
 }
 
-func runPlan(t *testing.T, w *world, p pomeloload.Plan) pomeloload.Judgement {
+func runPlan(t *testing.T, w *testNetwork, p pomeloload.Plan) pomeloload.Report {
 	t.Helper()
-	j, err := pomeloload.Run(t.Context(), p, pomeloload.Options{Dial: w.dial})
+	report, err := pomeloload.Run(t.Context(), p, pomeloload.Options{Dial: w.dial})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// net/http lingers over connections that it closes itself.
 	time.Sleep(time.Second)
-	return j
+	return report
 }
--- a/cmd/pomelobench/pomeloload/plan.go
+++ b/cmd/pomelobench/pomeloload/plan.go
@@ -29,17 +29,17 @@
 	Steps     []Step     `yaml:"Steps"`
 	// MaxWait is how long a request may take with all its attempts before its account counts as starved; Timeout and 3 s by default.
 	MaxWait time.Duration `yaml:"MaxWait"`
-	// GapFrom is the time after the start from which the fairness gap is judged, to judge what is left of it after a fault.
-	GapFrom time.Duration `yaml:"GapFrom"`
-	// HostAdmin is the admin address of the stand-in that holds the host list.
-	HostAdmin netip.AddrPort `yaml:"HostAdmin"`
+	// GapCheckFrom is the time after the start from which the fairness gap is judged, to judge what is left of it after a fault.
+	GapCheckFrom time.Duration `yaml:"GapFrom"`
+	// HostListAdmin is the admin address of the stand-in that holds the host list.
+	HostListAdmin netip.AddrPort `yaml:"HostAdmin"`
 }
 
 // Router is a router under load.
 type Router struct {
-	Name     pomelorelay.NodeID `yaml:"Name"`
-	Caller   netip.AddrPort     `yaml:"Caller"`
-	Operator netip.AddrPort     `yaml:"Operator"`
+	Name         pomelorelay.NodeID `yaml:"Name"`
+	CallerAddr   netip.AddrPort     `yaml:"Caller"`
+	OperatorAddr netip.AddrPort     `yaml:"Operator"`
 }
 
 // ServiceKind tells how a service is called.
@@ -58,8 +58,8 @@
 	Model pomelorelay.ModelID   `yaml:"Model"`
 	// Path is what is called at a plain service.
 	Path string `yaml:"Path"`
-	// Once tells that a request may run at most once; it carries an Idempotency-Key.
-	Once bool `yaml:"Once"`
+	// AtMostOnce tells that a request may run at most once; it carries an Idempotency-Key.
+	AtMostOnce bool `yaml:"Once"`
 	// InputCost and OutputCost weigh one token; a plain service costs its slot seconds.
 	InputCost  pomelorelay.Cost `yaml:"InputCost"`
 	OutputCost pomelorelay.Cost `yaml:"OutputCost"`
@@ -91,35 +91,35 @@
 type Load struct {
 	Service pomelorelay.ServiceID `yaml:"Service"`
 	// Callers send one request after another; Rate callers a second come on their own beside them.
-	Callers int     `yaml:"Callers"`
-	Rate    float64 `yaml:"Rate"`
+	Callers     int     `yaml:"Callers"`
+	ArrivalRate float64 `yaml:"Rate"`
 	// Routers are where this load lands; empty for all.
 	Routers []pomelorelay.NodeID `yaml:"Routers"`
-	// Prompt and MaxTokens shape a model engine's requests; SlotTime is a plain service's time.
-	Prompt    int           `yaml:"Prompt"`
-	MaxTokens int           `yaml:"MaxTokens"`
-	SlotTime  time.Duration `yaml:"SlotTime"`
-	Stream    bool          `yaml:"Stream"`
-	// Resend is the fraction of answered requests with an Idempotency-Key that are sent once more.
-	Resend float64 `yaml:"Resend"`
-	// Overlap is the fraction of requests with an Idempotency-Key that are sent twice at the same time.
-	Overlap float64 `yaml:"Overlap"`
-	// Requests bounds how many requests each caller sends, zero for no bound.
-	Requests int `yaml:"Requests"`
-	// Marker is a text in the prompts, such as the one at which a stand-in crashes.
-	Marker string `yaml:"Marker"`
+	// PromptTokens and MaxTokens shape a model engine's requests; SlotTime is a plain service's time.
+	PromptTokens int           `yaml:"Prompt"`
+	MaxTokens    int           `yaml:"MaxTokens"`
+	SlotTime     time.Duration `yaml:"SlotTime"`
+	Stream       bool          `yaml:"Stream"`
+	// ResendFraction is the fraction of answered requests with an Idempotency-Key that are sent once more.
+	ResendFraction float64 `yaml:"Resend"`
+	// OverlapFraction is the fraction of requests with an Idempotency-Key that are sent twice at the same time.
+	OverlapFraction float64 `yaml:"Overlap"`
+	// MaxRequestsPerCaller bounds how many requests each caller sends, zero for no bound.
+	MaxRequestsPerCaller int `yaml:"Requests"`
+	// PromptMarker is a text in the prompts, such as the one at which a stand-in crashes.
+	PromptMarker string `yaml:"Marker"`
 }
 
 // Step is a disturbance at a time after the start.
 type Step struct {
 	After time.Duration `yaml:"After"`
-	// Drain names a router that is asked to stop gracefully.
-	Drain pomelorelay.NodeID `yaml:"Drain"`
-	// Leave names an upstream that leaves the host list.
-	Leave pomelorelay.UpstreamID `yaml:"Leave"`
+	// DrainRouter names a router that is asked to stop gracefully.
+	DrainRouter pomelorelay.NodeID `yaml:"Drain"`
+	// LeavingUpstream names an upstream that leaves the host list.
+	LeavingUpstream pomelorelay.UpstreamID `yaml:"Leave"`
 	// Fault is a JSON body for /fault at Admin.
-	Fault string         `yaml:"Fault"`
-	Admin netip.AddrPort `yaml:"Admin"`
+	Fault      string         `yaml:"Fault"`
+	FaultAdmin netip.AddrPort `yaml:"Admin"`
 }
 
 const (
@@ -138,11 +138,11 @@
 	if err := yaml.UnmarshalWithOptions(data, &p, yaml.DisallowUnknownField()); err != nil {
 		return Plan{}, pomelorelay.NewError(pomelorelay.CodeBenchPlan, path, err)
 	}
-	return p, p.Check()
+	return p, p.Validate()
 }
 
-// Check reports the first thing in the plan that does not fit.
-func (p Plan) Check() error {
+// Validate reports the first thing in the plan that does not fit.
+func (p Plan) Validate() error {
 	services := make(map[pomelorelay.ServiceID]bool)
 	for _, s := range p.Services {
 		services[s.Name] = true
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, a := range p.Accounts {
-		if err := a.check(services, routers); err != nil {
+		if err := a.validate(services, routers); err != nil {
 			return err
 		}
 	}
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func (a Account) check(services map[pomelorelay.ServiceID]bool, routers map[pomelorelay.NodeID]bool) error {
+func (a Account) validate(services map[pomelorelay.ServiceID]bool, routers map[pomelorelay.NodeID]bool) error {
 	for _, l := range a.Loads {
 		if !services[l.Service] {
 			return planError("account %s calls the unknown service %s", a.Name, l.Service)
@@ -190,7 +190,7 @@
 		p.Timeout = defaultTimeout
 	}
 	if p.MaxWait == 0 {
-		p.MaxWait = p.Timeout + answerGrace
+		p.MaxWait = p.Timeout + lateAnswerGrace
 	}
 	if p.MaxAttempts == 0 {
 		p.MaxAttempts = defaultAttempts
@@ -210,9 +210,9 @@
 	return Service{}
 }
 
-// ForDirect returns the plan without routers and steps, each load landing on any upstream of its service. Nothing is sent
+// WithoutRouters returns the plan without routers and steps, each load landing on any upstream of its service. Nothing is sent
 // twice on purpose, since without a router nothing keeps a repeat from running.
-func (p Plan) ForDirect() Plan {
+func (p Plan) WithoutRouters() Plan {
 	p.Direct = true
 	p.Routers = nil
 	p.Steps = nil
@@ -221,8 +221,8 @@
 		loads := append([]Load(nil), a.Loads...)
 		for n := range loads {
 			loads[n].Routers = nil
-			loads[n].Resend = 0
-			loads[n].Overlap = 0
+			loads[n].ResendFraction = 0
+			loads[n].OverlapFraction = 0
 		}
 		a.Loads = loads
 		accounts[i] = a
--- a/cmd/pomelobench/pomeloload/random_test.go
+++ b/cmd/pomelobench/pomeloload/random_test.go
@@ -11,7 +11,7 @@
 )
 
 // The same seed gives the same faults, each of them is taken back, and none lasts into the quiet end.
-func TestRandomStepsRepeatBySeedAndEnd(t *testing.T) {
+func TestRandomStepsAreReproducibleAndCleared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := directPlan()
 		p.Seed = rapid.Uint64().Draw(t, "seed")
@@ -37,10 +37,10 @@
 
 // Faults that no router guards against must show in the result. Of these seeds each draws some that do harm; a short run may
 // draw harmless ones only, such as refusals.
-func TestRandomFaultsWithoutRouterAreSeen(t *testing.T) {
+func TestRandomFaultsWithoutRouterAreDetected(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestNetwork(t)
 			p := directPlan()
 			p.Seed = seed
 			p.Duration = 40 * time.Second
@@ -50,8 +50,8 @@
 				t.Fatal(err)
 			}
 			p.Steps = steps
-			j := runPlan(t, w, p)
-			if len(j.Result.Failures()) == 0 {
+			report := runPlan(t, w, p)
+			if len(report.Result.Failures()) == 0 {
 				t.Errorf("seed %d: %d faults and no failure", seed, len(steps)/2)
 			}
 		})
--- a/cmd/pomelobench/pomeloload/record.go
+++ b/cmd/pomelobench/pomeloload/record.go
@@ -19,12 +19,12 @@
 }
 
 // WriteRecord writes what a run showed as JSON lines, the result last; it fails with CodeBenchRecord.
-func WriteRecord(path string, j Judgement) error {
+func WriteRecord(path string, report Report) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return recordError(path, err)
 	}
-	if err := writeLines(file, j); err != nil {
+	if err := writeLines(file, report); err != nil {
 		_ = file.Close()
 		return recordError(path, err)
 	}
@@ -38,19 +38,19 @@
 	return pomelorelay.NewError(pomelorelay.CodeBenchRecord, path, cause)
 }
 
-func writeLines(w io.Writer, j Judgement) error {
+func writeLines(w io.Writer, report Report) error {
 	encoder := json.NewEncoder(w)
 	var lines []recordLine
-	for i := range j.Samples {
-		lines = append(lines, recordLine{Sample: &j.Samples[i]})
+	for i := range report.Samples {
+		lines = append(lines, recordLine{Sample: &report.Samples[i]})
 	}
-	for i := range j.Faults {
-		lines = append(lines, recordLine{Fault: &j.Faults[i]})
+	for i := range report.Faults {
+		lines = append(lines, recordLine{Fault: &report.Faults[i]})
 	}
-	for i := range j.Violations {
-		lines = append(lines, recordLine{Violation: &j.Violations[i]})
+	for i := range report.Violations {
+		lines = append(lines, recordLine{Violation: &report.Violations[i]})
 	}
-	lines = append(lines, recordLine{Result: &j.Result})
+	lines = append(lines, recordLine{Result: &report.Result})
 	for _, line := range lines {
 		if err := encoder.Encode(line); err != nil {
 			return err
@@ -60,35 +60,35 @@
 }
 
 // ReadRecord reads a record; it fails with CodeBenchRecord, also when the result is missing since the run broke off.
-func ReadRecord(path string) (Judgement, error) {
+func ReadRecord(path string) (Report, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return Judgement{}, recordError(path, err)
+		return Report{}, recordError(path, err)
 	}
 	defer func() { _ = file.Close() }()
 	decoder := json.NewDecoder(bufio.NewReader(file))
-	var j Judgement
+	var report Report
 	for {
 		var line recordLine
 		if err := decoder.Decode(&line); err != nil {
-			return Judgement{}, recordError(path, err)
+			return Report{}, recordError(path, err)
 		}
 		if line.Result != nil {
-			j.Result = *line.Result
-			return j, nil
+			report.Result = *line.Result
+			return report, nil
 		}
-		j.take(line)
+		report.add(line)
 	}
 }
 
-func (j *Judgement) take(line recordLine) {
+func (report *Report) add(line recordLine) {
 	if line.Sample != nil {
-		j.Samples = append(j.Samples, *line.Sample)
+		report.Samples = append(report.Samples, *line.Sample)
 	}
 	if line.Fault != nil {
-		j.Faults = append(j.Faults, *line.Fault)
+		report.Faults = append(report.Faults, *line.Fault)
 	}
 	if line.Violation != nil {
-		j.Violations = append(j.Violations, *line.Violation)
+		report.Violations = append(report.Violations, *line.Violation)
 	}
 }
--- a/cmd/pomelobench/pomeloload/recorder.go
+++ b/cmd/pomelobench/pomeloload/recorder.go
@@ -13,20 +13,20 @@
 
 // recorder keeps what callers, stand-ins and routers saw, for the checks and the report.
 type recorder struct {
-	mu       sync.Mutex
-	events   []pomelocheck.Event
-	requests map[pomelocheck.ContentID]request
-	attempts []attemptRecord
-	runs     []runRecord
-	control  []controlRecord
-	faults   []FaultMark
-	tally    Tally
-	seconds  map[int]*second
-	start    time.Time
-	// left is when an upstream's leaving showed.
-	left map[pomelorelay.UpstreamID]time.Time
-	// examples are the first few broken or refused attempts of each sort, for whoever looks into a run.
-	examples map[string]int
+	mu           sync.Mutex
+	events       []pomelocheck.Event
+	requests     map[pomelocheck.ContentID]request
+	attempts     []attemptRecord
+	runs         []runRecord
+	controlBytes []controlRecord
+	faults       []FaultMark
+	tally        Tally
+	seconds      map[int]*secondStats
+	start        time.Time
+	// leftAt is when an upstream's leaving showed.
+	leftAt map[pomelorelay.UpstreamID]time.Time
+	// failureCounts are the first few broken or refused attempts of each sort, for whoever looks into a run.
+	failureCounts map[string]int
 }
 
 // attemptRecord is an attempt from its sending to its end.
@@ -44,11 +44,11 @@
 
 // controlRecord is the control bytes counted by one router between two looks.
 type controlRecord struct {
-	at      time.Time
-	node    pomelorelay.NodeID
-	all     pomelorelay.Bytes
-	cross   pomelorelay.Bytes
-	between time.Duration
+	at          time.Time
+	node        pomelorelay.NodeID
+	total       pomelorelay.Bytes
+	crossRegion pomelorelay.Bytes
+	interval    time.Duration
 }
 
 // FaultMark tells what was disturbed when, for plots.
@@ -71,31 +71,31 @@
 	Runs      int
 }
 
-// second is what ended within one second of a run.
-type second struct {
-	tally   Tally
-	latency *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram
+// secondStats is what ended within one second of a run.
+type secondStats struct {
+	tally     Tally
+	latency   *hdrhistogram.Histogram
+	firstByte *hdrhistogram.Histogram
 }
 
 // Histograms hold microseconds.
 const (
-	latencyLowest  = 1
-	latencyHighest = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits  = 3
+	minLatencyMicros         = 1
+	maxLatencyMicros         = int64(10 * time.Minute / time.Microsecond)
+	latencySignificantDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantDigits)
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		requests: make(map[pomelocheck.ContentID]request),
-		seconds:  make(map[int]*second),
-		left:     make(map[pomelorelay.UpstreamID]time.Time),
-		examples: make(map[string]int),
-		start:    time.Now(),
+		requests:      make(map[pomelocheck.ContentID]request),
+		seconds:       make(map[int]*secondStats),
+		leftAt:        make(map[pomelorelay.UpstreamID]time.Time),
+		failureCounts: make(map[string]int),
+		start:         time.Now(),
 	}
 }
 
@@ -105,80 +105,80 @@
 	r.events = append(r.events, events...)
 }
 
-func (r *recorder) request(q request) {
+func (r *recorder) addRequest(q request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests[q.content()] = q
 	r.tally.Requests++
 }
 
-func (r *recorder) resent() {
+func (r *recorder) addResend() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.Resends++
 }
 
-func (r *recorder) sent(_ request, sent pomelocheck.Sent) {
+func (r *recorder) attemptSent(_ request, sent pomelocheck.Sent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.Attempts++
 	r.events = append(r.events, sent)
 }
 
-func (r *recorder) ended(q request, sent pomelocheck.Sent, o outcome) {
+func (r *recorder) attemptEnded(q request, sent pomelocheck.Sent, o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.attempts = append(r.attempts, attemptRecord{q.content(), sent.At, o.at, o.kind == answeredOutcome})
-	s := r.second(o.at)
+	r.attempts = append(r.attempts, attemptRecord{q.content(), sent.At, o.endedAt, o.kind == outcomeAnswered})
+	s := r.statsAt(o.endedAt)
 	switch {
-	case o.kind == answeredOutcome:
+	case o.kind == outcomeAnswered:
 		r.tally.Answers++
 		s.tally.Answers++
-		_ = s.latency.RecordValue(o.at.Sub(sent.At).Microseconds())
-		_ = s.first.RecordValue(o.first.Sub(sent.At).Microseconds())
-		r.events = append(r.events, pomelocheck.Answered{Attempt: sent.Attempt, At: o.at, Own: o.own, Whole: o.whole})
-	case o.kind == refusedOutcome:
-		r.refused(s, sent, o)
+		_ = s.latency.RecordValue(o.endedAt.Sub(sent.At).Microseconds())
+		_ = s.firstByte.RecordValue(o.firstByteAt.Sub(sent.At).Microseconds())
+		r.events = append(r.events, pomelocheck.Answered{Attempt: sent.Attempt, At: o.endedAt, Own: o.matchesRequest, Whole: o.complete})
+	case o.kind == outcomeRefused:
+		r.attemptRefused(s, sent, o)
 	default:
 		r.tally.Broken++
 		s.tally.Broken++
-		r.examples["broken at "+string(sent.Node)+": "+o.detail]++
-		r.events = append(r.events, pomelocheck.Broken{Attempt: sent.Attempt, At: o.at})
+		r.failureCounts["broken at "+string(sent.Node)+": "+o.detail]++
+		r.events = append(r.events, pomelocheck.Broken{Attempt: sent.Attempt, At: o.endedAt})
 	}
 }
 
-func (r *recorder) refused(s *second, sent pomelocheck.Sent, o outcome) {
-	if o.code == 0 && o.first.IsZero() {
+func (r *recorder) attemptRefused(s *secondStats, sent pomelocheck.Sent, o outcome) {
+	if o.code == 0 && o.firstByteAt.IsZero() {
 		r.tally.Unreached++
 	} else {
 		r.tally.Refusals++
 		s.tally.Refusals++
-		r.examples["refused: "+o.detail]++
+		r.failureCounts["refused: "+o.detail]++
 	}
 	r.events = append(r.events, pomelocheck.Refused{
-		Attempt: sent.Attempt, GaveUp: gaveUp(sent, o), First: o.first, At: o.at, Ran: o.ran, Code: o.code, RetryAfter: o.hasRetry,
+		Attempt: sent.Attempt, GaveUp: refusalDecidedAt(sent, o), First: o.firstByteAt, At: o.endedAt, Ran: o.ran, Code: o.code, RetryAfter: o.hasRetryAfter,
 	})
 }
 
-// gaveUp returns when the router gave the request up, where its code tells: a full queue is seen on arrival.
-func gaveUp(sent pomelocheck.Sent, o outcome) time.Time {
+// refusalDecidedAt returns when the router gave the request up, where its code tells: a full queue is seen on arrival.
+func refusalDecidedAt(sent pomelocheck.Sent, o outcome) time.Time {
 	if o.code == pomelorelay.CodeQueueCount || o.code == pomelorelay.CodeQueueBytes {
 		return sent.At
 	}
 	return time.Time{}
 }
 
-func (r *recorder) second(at time.Time) *second {
+func (r *recorder) statsAt(at time.Time) *secondStats {
 	n := int(at.Sub(r.start) / time.Second)
 	s, ok := r.seconds[n]
 	if !ok {
-		s = &second{latency: newHistogram(), first: newHistogram()}
+		s = &secondStats{latency: newHistogram(), firstByte: newHistogram()}
 		r.seconds[n] = s
 	}
 	return s
 }
 
-func (r *recorder) ran(u Upstream, runs []pomelofake.Run) {
+func (r *recorder) addRuns(u Upstream, runs []pomelofake.Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, run := range runs {
@@ -188,26 +188,26 @@
 	}
 }
 
-func (r *recorder) controlled(c controlRecord) {
+func (r *recorder) addControlBytes(c controlRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.control = append(r.control, c)
+	r.controlBytes = append(r.controlBytes, c)
 }
 
-func (r *recorder) mark(at time.Time, text string) {
+func (r *recorder) addFault(at time.Time, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = append(r.faults, FaultMark{at, text})
 }
 
-func (r *recorder) leaves(u pomelorelay.UpstreamID, shows time.Time) {
+func (r *recorder) upstreamLeaving(u pomelorelay.UpstreamID, visibleAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left[u] = shows
-	r.events = append(r.events, pomelocheck.Leaving{Upstream: u, At: shows})
+	r.leftAt[u] = visibleAt
+	r.events = append(r.events, pomelocheck.Leaving{Upstream: u, At: visibleAt})
 }
 
-func (r *recorder) counted() Tally {
+func (r *recorder) currentTally() Tally {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tally
--- a/cmd/pomelobench/pomeloload/request.go
+++ b/cmd/pomelobench/pomeloload/request.go
@@ -49,7 +49,7 @@
 func newRequest(account Account, service Service, load Load, n uint64) (request, error) {
 	id := fmt.Sprintf("%s-%s-%d", account.Name, service.Name, n)
 	q := request{account: account, service: service, load: load, id: id}
-	body, err := json.Marshal(q.document())
+	body, err := json.Marshal(q.payload())
 	if err != nil {
 		return request{}, err
 	}
@@ -58,11 +58,11 @@
 	return q, nil
 }
 
-func (q request) document() any {
+func (q request) payload() any {
 	if q.service.Kind == Plain {
 		return bookingBody{Booking: q.id, SlotTime: slotTime(q.load.SlotTime)}
 	}
-	prompt := string(q.account.Name) + ": " + strings.Repeat(promptWord, q.load.Prompt*4/len(promptWord)) + q.load.Marker + q.id
+	prompt := string(q.account.Name) + ": " + strings.Repeat(promptWord, q.load.PromptTokens*4/len(promptWord)) + q.load.PromptMarker + q.id
 	return chatBody{
 		Model:     q.service.Model,
 		Messages:  []chatMessage{{"user", prompt}},
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -14,8 +14,8 @@
 	// FairnessGap and FairnessBound are normalised service: cost over weight.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
-	More          pomelorelay.AccountID
-	Less          pomelorelay.AccountID
+	MostServed    pomelorelay.AccountID `json:"More"`
+	LeastServed   pomelorelay.AccountID `json:"Less"`
 	// Utilisation is busy over existing slots while work waited, WaitingSeconds how long that was.
 	Utilisation    float64
 	WaitingSeconds float64
@@ -43,12 +43,12 @@
 	HeldBack          int
 	Starved           int
 	GapOverBound      int
-	// LeastAnswers is the fewest answers that an account got of a service it called.
-	LeastAnswers int
-	// MostMarkedRuns is how often the same request with a marker ran at most.
-	MostMarkedRuns int
-	// GenerationsSeen counts the looks at a router that told a configuration in force, so that a zero above is not mistaken for a check.
-	GenerationsSeen int
+	// MinAnswers is the fewest answers that an account got of a service it called.
+	MinAnswers int `json:"LeastAnswers"`
+	// MaxMarkedRuns is how often the same request with a marker ran at most.
+	MaxMarkedRuns int `json:"MostMarkedRuns"`
+	// GenerationReadings counts the looks at a router that told a configuration in force, so that a zero above is not mistaken for a check.
+	GenerationReadings int `json:"GenerationsSeen"`
 	// Latency counts from the sending of an answered attempt, to its first byte and to its end, waiting included.
 	FirstByteP50Milliseconds float64
 	FirstByteP99Milliseconds float64
@@ -61,7 +61,7 @@
 
 // Failures returns the names of the counts that must be zero and are not.
 func (r Result) Failures() []string {
-	must := []struct {
+	counts := []struct {
 		name  string
 		count int
 	}{
@@ -70,7 +70,7 @@
 		{"HeldBack", r.HeldBack}, {"Starved", r.Starved}, {"GapOverBound", r.GapOverBound},
 	}
 	var failures []string
-	for _, m := range must {
+	for _, m := range counts {
 		if m.count != 0 {
 			failures = append(failures, m.name)
 		}
@@ -97,25 +97,25 @@
 const gapWindow = 5 * time.Second
 
 const (
-	median       = 50
-	ninetyNinth  = 99
-	usInMs       = 1000.0
-	useInASecond = int(time.Second / useStep)
+	median           = 50
+	ninetyNinth      = 99
+	microsPerMilli   = 1000.0
+	samplesPerSecond = int(time.Second / sampleInterval)
 )
 
-func (r *recorder) result(p Plan, checker *pomelocheck.Checker, violations []pomelocheck.Violation, uses map[pomelorelay.PoolID]*use, issued time.Time) Result {
-	res := Result{Tally: r.tally, Seconds: issued.Sub(r.start).Seconds(), Direct: p.Direct, GenerationsSeen: r.generationsSeen()}
+func (r *recorder) result(p Plan, checker *pomelocheck.Checker, violations []pomelocheck.Violation, uses map[pomelorelay.PoolID]*slotUse, issueEnd time.Time) Result {
+	res := Result{Tally: r.tally, Seconds: issueEnd.Sub(r.start).Seconds(), Direct: p.Direct, GenerationReadings: r.generationReadings()}
 	res.countViolations(violations)
-	res.MostMarkedRuns = r.mostMarkedRuns()
-	res.LeastAnswers = r.leastAnswers()
-	res.Pools = poolResults(p, checker.Gaps(issued), uses)
-	res.FairnessGap, res.FairnessBound = tightest(res.Pools)
-	res.Utilisation = overall(uses)
-	res.ControlBytesPerNodeSecond, res.ControlBytesCrossRegion = r.controlBytes()
+	res.MaxMarkedRuns = r.maxMarkedRuns()
+	res.MinAnswers = r.minAnswers()
+	res.Pools = poolResults(p, checker.Gaps(issueEnd), uses)
+	res.FairnessGap, res.FairnessBound = largestRelativeGap(res.Pools)
+	res.Utilisation = overallUtilisation(uses)
+	res.ControlBytesPerNodeSecond, res.ControlBytesCrossRegion = r.totalControlBytes()
 	latency, first := newHistogram(), newHistogram()
 	for _, s := range r.seconds {
 		latency.Merge(s.latency)
-		first.Merge(s.first)
+		first.Merge(s.firstByte)
 	}
 	res.FirstByteP50Milliseconds, res.FirstByteP99Milliseconds = quantile(first, median), quantile(first, ninetyNinth)
 	res.LatencyP50Milliseconds, res.LatencyP99Milliseconds = quantile(latency, median), quantile(latency, ninetyNinth)
@@ -123,7 +123,7 @@
 }
 
 func quantile(h *hdrhistogram.Histogram, percent float64) float64 {
-	return float64(h.ValueAtPercentile(percent)) / usInMs
+	return float64(h.ValueAtPercentile(percent)) / microsPerMilli
 }
 
 func (r *Result) countViolations(violations []pomelocheck.Violation) {
@@ -138,40 +138,40 @@
 	}
 }
 
-func (r *recorder) mostMarkedRuns() int {
-	most := 0
+func (r *recorder) maxMarkedRuns() int {
+	highest := 0
 	runs := make(map[pomelocheck.ContentID]int)
 	for _, run := range r.runs {
 		id := pomelocheck.ContentID(run.run.Proof)
-		if r.requests[id].load.Marker != "" {
+		if r.requests[id].load.PromptMarker != "" {
 			runs[id]++
-			most = max(most, runs[id])
+			highest = max(highest, runs[id])
 		}
 	}
-	return most
+	return highest
 }
 
-func (r *recorder) leastAnswers() int {
-	answers := make(map[waiter]int)
+func (r *recorder) minAnswers() int {
+	answers := make(map[poolAccount]int)
 	for _, q := range r.requests {
-		answers[waiter{q.service.Pool(), q.account.Name}] = 0
+		answers[poolAccount{q.service.Pool(), q.account.Name}] = 0
 	}
 	for _, a := range r.attempts {
 		if a.answered {
 			q := r.requests[a.content]
-			answers[waiter{q.service.Pool(), q.account.Name}]++
+			answers[poolAccount{q.service.Pool(), q.account.Name}]++
 		}
 	}
-	least := -1
+	lowest := -1
 	for _, n := range answers {
-		if least < 0 || n < least {
-			least = n
+		if lowest < 0 || n < lowest {
+			lowest = n
 		}
 	}
-	return max(least, 0)
+	return max(lowest, 0)
 }
 
-func (r *recorder) generationsSeen() int {
+func (r *recorder) generationReadings() int {
 	n := 0
 	for _, e := range r.events {
 		if _, ok := e.(pomelocheck.InForce); ok {
@@ -181,16 +181,16 @@
 	return n
 }
 
-func poolResults(p Plan, gaps []pomelocheck.Gap, uses map[pomelorelay.PoolID]*use) []PoolResult {
+func poolResults(p Plan, gaps []pomelocheck.Gap, uses map[pomelorelay.PoolID]*slotUse) []PoolResult {
 	var results []PoolResult
 	for _, s := range sortedPools(p) {
 		res := PoolResult{Pool: s.Pool(), FairnessBound: s.GapBound}
 		u := uses[s.Pool()]
-		res.Utilisation = u.share(0, len(u.busy))
+		res.Utilisation = u.utilisation(0, len(u.busy))
 		res.WaitingSeconds = u.waitingSeconds()
 		for _, g := range gaps {
 			if g.Pool == res.Pool {
-				res.FairnessGap, res.More, res.Less = g.Value, g.More, g.Less
+				res.FairnessGap, res.MostServed, res.LeastServed = g.Value, g.More, g.Less
 			}
 		}
 		results = append(results, res)
@@ -198,18 +198,18 @@
 	return results
 }
 
-func (u *use) waitingSeconds() float64 {
+func (u *slotUse) waitingSeconds() float64 {
 	n := 0
 	for _, slots := range u.slots {
 		if slots > 0 {
 			n++
 		}
 	}
-	return float64(n) * useStep.Seconds()
+	return float64(n) * sampleInterval.Seconds()
 }
 
-// tightest returns gap and bound of the pool whose gap is the largest part of its bound.
-func tightest(pools []PoolResult) (pomelorelay.Tag, pomelorelay.Tag) {
+// largestRelativeGap returns gap and bound of the pool whose gap is the largest part of its bound.
+func largestRelativeGap(pools []PoolResult) (pomelorelay.Tag, pomelorelay.Tag) {
 	var gap, bound pomelorelay.Tag
 	for _, p := range pools {
 		if p.FairnessBound <= 0 {
@@ -222,7 +222,7 @@
 	return gap, bound
 }
 
-func overall(uses map[pomelorelay.PoolID]*use) float64 {
+func overallUtilisation(uses map[pomelorelay.PoolID]*slotUse) float64 {
 	busy, slots := 0.0, 0.0
 	for _, u := range uses {
 		for i := range u.busy {
@@ -236,54 +236,54 @@
 	return busy / slots
 }
 
-// controlBytes returns the average a node and second, and the sum between regions.
-func (r *recorder) controlBytes() (float64, pomelorelay.Bytes) {
-	var all, cross pomelorelay.Bytes
-	var watched time.Duration
-	for _, c := range r.control {
-		all += c.all
-		cross += c.cross
-		watched += c.between
+// totalControlBytes returns the average a node and second, and the sum between regions.
+func (r *recorder) totalControlBytes() (float64, pomelorelay.Bytes) {
+	var total, crossRegion pomelorelay.Bytes
+	var observed time.Duration
+	for _, c := range r.controlBytes {
+		total += c.total
+		crossRegion += c.crossRegion
+		observed += c.interval
 	}
-	if watched == 0 {
+	if observed == 0 {
 		return 0, 0
 	}
-	return float64(all) / watched.Seconds(), cross
+	return float64(total) / observed.Seconds(), crossRegion
 }
 
-func (r *recorder) samples(p Plan, checker *pomelocheck.Checker, uses map[pomelorelay.PoolID]*use, issued time.Time) []Sample {
+func (r *recorder) samples(p Plan, checker *pomelocheck.Checker, uses map[pomelorelay.PoolID]*slotUse, issueEnd time.Time) []Sample {
 	var samples []Sample
-	for n := range int(issued.Sub(r.start) / time.Second) {
+	for n := range int(issueEnd.Sub(r.start) / time.Second) {
 		at := r.start.Add(time.Duration(n+1) * time.Second)
 		s := Sample{Second: n + 1, At: at, Utilisation: make(map[pomelorelay.PoolID]float64)}
 		s.Gaps = checker.WindowGaps(at.Add(-gapWindow), at)
 		for _, service := range sortedPools(p) {
-			s.Utilisation[service.Pool()] = uses[service.Pool()].share(n*useInASecond, (n+1)*useInASecond)
+			s.Utilisation[service.Pool()] = uses[service.Pool()].utilisation(n*samplesPerSecond, (n+1)*samplesPerSecond)
 		}
-		s.ControlBytesPerNode, s.ControlBytesCrossRegion = r.controlWithin(at.Add(-time.Second), at)
-		if of, ok := r.seconds[n]; ok {
-			s.Tally = of.tally
-			s.FirstByteP50Milliseconds = quantile(of.first, median)
-			s.LatencyP50Milliseconds, s.LatencyP99Milliseconds = quantile(of.latency, median), quantile(of.latency, ninetyNinth)
+		s.ControlBytesPerNode, s.ControlBytesCrossRegion = r.controlRates(at.Add(-time.Second), at)
+		if stats, ok := r.seconds[n]; ok {
+			s.Tally = stats.tally
+			s.FirstByteP50Milliseconds = quantile(stats.firstByte, median)
+			s.LatencyP50Milliseconds, s.LatencyP99Milliseconds = quantile(stats.latency, median), quantile(stats.latency, ninetyNinth)
 		}
 		samples = append(samples, s)
 	}
 	return samples
 }
 
-// controlWithin returns control bytes a node and second, and between regions a second.
-func (r *recorder) controlWithin(from, to time.Time) (float64, float64) {
-	var all, cross pomelorelay.Bytes
-	var watched time.Duration
-	for _, c := range r.control {
+// controlRates returns control bytes a node and second, and between regions a second.
+func (r *recorder) controlRates(from, to time.Time) (float64, float64) {
+	var total, crossRegion pomelorelay.Bytes
+	var observed time.Duration
+	for _, c := range r.controlBytes {
 		if c.at.After(from) && !c.at.After(to) {
-			all += c.all
-			cross += c.cross
-			watched += c.between
+			total += c.total
+			crossRegion += c.crossRegion
+			observed += c.interval
 		}
 	}
-	if watched == 0 {
+	if observed == 0 {
 		return 0, 0
 	}
-	return float64(all) / watched.Seconds(), float64(cross) / to.Sub(from).Seconds()
+	return float64(total) / observed.Seconds(), float64(crossRegion) / to.Sub(from).Seconds()
 }
--- a/cmd/pomelobench/pomeloload/run.go
+++ b/cmd/pomelobench/pomeloload/run.go
@@ -12,10 +12,10 @@
 type Options struct {
 	// Dial connects to routers and stand-ins; the machine's network when it is nil.
 	Dial DialFunc
-	// Marks is a file to which a script appends Mark lines; none when empty.
-	Marks string
-	// ReadyWithin is how long every router may take to be ready before the load starts; zero starts at once.
-	ReadyWithin time.Duration
+	// MarksPath is a file to which a script appends Mark lines; none when empty.
+	MarksPath string
+	// ReadyTimeout is how long every router may take to be ready before the load starts; zero starts at once.
+	ReadyTimeout time.Duration
 	// Logf prints progress and failures; nil prints nothing.
 	Logf func(format string, args ...any)
 }
@@ -25,9 +25,9 @@
 
 // Run puts the plan's load on, waits until what is in progress has ended, and judges what was seen; it fails when the
 // plan does not fit together or the stand-ins' runs cannot be read.
-func Run(ctx context.Context, p Plan, opts Options) (Judgement, error) {
-	if err := p.Check(); err != nil {
-		return Judgement{}, err
+func Run(ctx context.Context, p Plan, opts Options) (Report, error) {
+	if err := p.Validate(); err != nil {
+		return Report{}, err
 	}
 	p = p.withDefaults()
 	if opts.Dial == nil {
@@ -36,78 +36,78 @@
 	if opts.Logf == nil {
 		opts.Logf = func(string, ...any) {}
 	}
-	l := newLoad(p, opts)
-	defer l.close()
-	return l.run(ctx)
+	r := newRunner(p, opts)
+	defer r.close()
+	return r.run(ctx)
 }
 
-// load is one run of a plan.
-type load struct {
+// runner is one run of a plan.
+type runner struct {
 	plan     Plan
 	opts     Options
 	recorder *recorder
 	balancer *balancer
 	callers  *callers
 	watcher  *watcher
-	stepper  *stepper
+	steps    *stepRunner
 }
 
-func newLoad(p Plan, opts Options) *load {
-	l := &load{plan: p, opts: opts, recorder: newRecorder(), balancer: newBalancer(p, opts.Dial)}
-	l.callers = &callers{plan: p, balancer: l.balancer, recorder: l.recorder}
-	l.watcher = newWatcher(p, opts.Dial, l.recorder)
+func newRunner(p Plan, opts Options) *runner {
+	r := &runner{plan: p, opts: opts, recorder: newRecorder(), balancer: newBalancer(p, opts.Dial)}
+	r.callers = &callers{plan: p, balancer: r.balancer, recorder: r.recorder}
+	r.watcher = newWatcher(p, opts.Dial, r.recorder)
 	client := &http.Client{Timeout: dialTimeout + probeTimeout, Transport: newTransport(opts.Dial)}
-	l.stepper = &stepper{plan: p, client: client, recorder: l.recorder, logf: opts.Logf}
-	return l
+	r.steps = &stepRunner{plan: p, client: client, recorder: r.recorder, logf: opts.Logf}
+	return r
 }
 
-func (l *load) close() {
-	l.balancer.close()
-	l.watcher.client.CloseIdleConnections()
-	l.stepper.client.CloseIdleConnections()
+func (r *runner) close() {
+	r.balancer.close()
+	r.watcher.client.CloseIdleConnections()
+	r.steps.client.CloseIdleConnections()
 }
 
-func (l *load) run(ctx context.Context) (Judgement, error) {
-	if err := l.balancer.awaitReady(ctx, l.opts.ReadyWithin); err != nil {
-		return Judgement{}, err
+func (r *runner) run(ctx context.Context) (Report, error) {
+	if err := r.balancer.awaitReady(ctx, r.opts.ReadyTimeout); err != nil {
+		return Report{}, err
 	}
-	l.recorder.start = time.Now()
-	watching, stopWatching := context.WithCancel(ctx)
-	defer stopWatching()
-	issuing, stopIssuing := context.WithTimeout(ctx, l.plan.Duration)
+	r.recorder.start = time.Now()
+	pollCtx, stopPolling := context.WithCancel(ctx)
+	defer stopPolling()
+	issueCtx, stopIssuing := context.WithTimeout(ctx, r.plan.Duration)
 	defer stopIssuing()
 	var background sync.WaitGroup
-	background.Go(func() { l.watcher.routers(watching) })
-	background.Go(func() { l.balancer.poll(watching) })
-	background.Go(func() { l.stepper.run(issuing) })
-	background.Go(func() { l.progress(watching) })
-	if l.opts.Marks != "" {
-		background.Go(func() { l.recorder.follow(watching, l.opts.Marks, l.opts.Logf) })
+	background.Go(func() { r.watcher.pollRouters(pollCtx) })
+	background.Go(func() { r.balancer.poll(pollCtx) })
+	background.Go(func() { r.steps.run(issueCtx) })
+	background.Go(func() { r.logProgress(pollCtx) })
+	if r.opts.MarksPath != "" {
+		background.Go(func() { r.recorder.followMarks(pollCtx, r.opts.MarksPath, r.opts.Logf) })
 	}
 	var reading sync.WaitGroup
-	reading.Go(func() { l.watcher.standIns(watching) })
-	l.callers.start(ctx, issuing)
-	<-issuing.Done()
-	issued := time.Now()
-	l.callers.wg.Wait()
-	stopWatching()
+	reading.Go(func() { r.watcher.pollStandIns(pollCtx) })
+	r.callers.start(ctx, issueCtx)
+	<-issueCtx.Done()
+	issueEnd := time.Now()
+	r.callers.wg.Wait()
+	stopPolling()
 	background.Wait()
 	reading.Wait()
-	if err := l.lastRuns(ctx); err != nil {
-		return Judgement{}, err
+	if err := r.readFinalRuns(ctx); err != nil {
+		return Report{}, err
 	}
-	return l.recorder.judge(l.plan, issued), nil
+	return r.recorder.evaluate(r.plan, issueEnd), nil
 }
 
 // settleTime lets runs end whose callers have gone, such as those an engine keeps for a resume.
 const settleTime = 3 * time.Second
 
-func (l *load) lastRuns(ctx context.Context) error {
-	wait(ctx, settleTime)
-	return l.watcher.runs(ctx)
+func (r *runner) readFinalRuns(ctx context.Context) error {
+	sleep(ctx, settleTime)
+	return r.watcher.readRuns(ctx)
 }
 
-func (l *load) progress(ctx context.Context) {
+func (r *runner) logProgress(ctx context.Context) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	began := time.Now()
@@ -117,9 +117,9 @@
 		case <-ctx.Done():
 			return
 		}
-		t := l.recorder.counted()
-		open := t.Attempts - t.Answers - t.Refusals - t.Broken - t.Unreached
-		l.opts.Logf("%3.0f s: %d requests, %d answered, %d open, %d refused, %d broken, %d resent, %d runs",
-			time.Since(began).Seconds(), t.Requests, t.Answers, open, t.Refusals, t.Broken, t.Resends, t.Runs)
+		t := r.recorder.currentTally()
+		inFlight := t.Attempts - t.Answers - t.Refusals - t.Broken - t.Unreached
+		r.opts.Logf("%3.0f s: %d requests, %d answered, %d open, %d refused, %d broken, %d resent, %d runs",
+			time.Since(began).Seconds(), t.Requests, t.Answers, inFlight, t.Refusals, t.Broken, t.Resends, t.Runs)
 	}
 }
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	watchInterval = 500 * time.Millisecond
-	runsInterval  = time.Second
+	routerPollInterval = 500 * time.Millisecond
+	runPollInterval    = time.Second
 )
 
 // routerVars is what is read of a router's /debug/vars.
@@ -29,46 +29,46 @@
 	}
 }
 
-func (v routerVars) all() pomelorelay.Bytes {
+func (v routerVars) total() pomelorelay.Bytes {
 	c := v.Pomelo.ControlBytes
 	return c.DomainSent + c.DomainReceived + c.RegionSent + c.RegionReceived + c.CrossSent + c.CrossReceived
 }
 
-// cross counts each byte between regions once, at its sender.
-func (v routerVars) cross() pomelorelay.Bytes { return v.Pomelo.ControlBytes.CrossSent }
+// crossRegion counts each byte between regions once, at its sender.
+func (v routerVars) crossRegion() pomelorelay.Bytes { return v.Pomelo.ControlBytes.CrossSent }
 
 // watcher reads what routers and stand-ins count.
 type watcher struct {
-	plan     Plan
-	client   *http.Client
-	recorder *recorder
-	last     map[pomelorelay.NodeID]routerLook
-	// after is the number of the last run read of each upstream.
-	after map[pomelorelay.UpstreamID]uint64
+	plan         Plan
+	client       *http.Client
+	recorder     *recorder
+	lastReadings map[pomelorelay.NodeID]routerReading
+	// lastSeq is the number of the last run read of each upstream.
+	lastSeq map[pomelorelay.UpstreamID]uint64
 }
 
-type routerLook struct {
-	at   time.Time
-	vars routerVars
+type routerReading struct {
+	readAt time.Time
+	vars   routerVars
 }
 
 func newWatcher(p Plan, dial DialFunc, r *recorder) *watcher {
 	return &watcher{
-		plan:     p,
-		client:   &http.Client{Timeout: probeTimeout, Transport: newTransport(dial)},
-		recorder: r,
-		last:     make(map[pomelorelay.NodeID]routerLook),
-		after:    make(map[pomelorelay.UpstreamID]uint64),
+		plan:         p,
+		client:       &http.Client{Timeout: probeTimeout, Transport: newTransport(dial)},
+		recorder:     r,
+		lastReadings: make(map[pomelorelay.NodeID]routerReading),
+		lastSeq:      make(map[pomelorelay.UpstreamID]uint64),
 	}
 }
 
-// routers looks at each router until ctx ends.
-func (w *watcher) routers(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+// pollRouters looks at each router until ctx ends.
+func (w *watcher) pollRouters(ctx context.Context) {
+	ticker := time.NewTicker(routerPollInterval)
 	defer ticker.Stop()
 	for {
 		for _, r := range w.plan.Routers {
-			w.router(ctx, r)
+			w.pollRouter(ctx, r)
 		}
 		select {
 		case <-ticker.C:
@@ -78,32 +78,32 @@
 	}
 }
 
-func (w *watcher) router(ctx context.Context, r Router) {
-	asked := time.Now()
+func (w *watcher) pollRouter(ctx context.Context, r Router) {
+	requestedAt := time.Now()
 	var vars routerVars
-	if err := w.read(ctx, "http://"+r.Operator.String()+"/debug/vars", &vars); err != nil {
+	if err := w.getJSON(ctx, "http://"+r.OperatorAddr.String()+"/debug/vars", &vars); err != nil {
 		return
 	}
 	now := time.Now()
 	if vars.Pomelo.Generation > 0 {
-		w.recorder.observe(pomelocheck.InForce{Node: r.Name, Generation: vars.Pomelo.Generation, At: asked})
+		w.recorder.observe(pomelocheck.InForce{Node: r.Name, Generation: vars.Pomelo.Generation, At: requestedAt})
 	}
-	last, known := w.last[r.Name]
-	w.last[r.Name] = routerLook{now, vars}
+	last, known := w.lastReadings[r.Name]
+	w.lastReadings[r.Name] = routerReading{now, vars}
 	if !known {
 		return
 	}
-	all, cross := vars.all()-last.vars.all(), vars.cross()-last.vars.cross()
-	if all < 0 || cross < 0 {
+	total, crossRegion := vars.total()-last.vars.total(), vars.crossRegion()-last.vars.crossRegion()
+	if total < 0 || crossRegion < 0 {
 		// The router was started anew and counts from zero.
-		all, cross = vars.all(), vars.cross()
+		total, crossRegion = vars.total(), vars.crossRegion()
 	}
-	w.recorder.controlled(controlRecord{at: now, node: r.Name, all: all, cross: cross, between: now.Sub(last.at)})
+	w.recorder.addControlBytes(controlRecord{at: now, node: r.Name, total: total, crossRegion: crossRegion, interval: now.Sub(last.readAt)})
 }
 
-// standIns reads the runs of every stand-in until ctx ends.
-func (w *watcher) standIns(ctx context.Context) {
-	ticker := time.NewTicker(runsInterval)
+// pollStandIns reads the runs of every stand-in until ctx ends.
+func (w *watcher) pollStandIns(ctx context.Context) {
+	ticker := time.NewTicker(runPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -111,31 +111,31 @@
 		case <-ctx.Done():
 			return
 		}
-		_ = w.runs(ctx)
+		_ = w.readRuns(ctx)
 	}
 }
 
-// runs reads the runs that ended since the last reading and returns the first failure.
-func (w *watcher) runs(ctx context.Context) error {
-	var first error
+// readRuns reads the runs that ended since the last reading and returns the first failure.
+func (w *watcher) readRuns(ctx context.Context) error {
+	var firstErr error
 	for _, u := range w.plan.Upstreams {
 		var runs []pomelofake.Run
-		url := fmt.Sprintf("http://%s/runs/%s?after=%d", u.Admin, u.Name, w.after[u.Name])
-		if err := w.read(ctx, url, &runs); err != nil {
-			if first == nil {
-				first = err
+		url := fmt.Sprintf("http://%s/runs/%s?after=%d", u.Admin, u.Name, w.lastSeq[u.Name])
+		if err := w.getJSON(ctx, url, &runs); err != nil {
+			if firstErr == nil {
+				firstErr = err
 			}
 			continue
 		}
 		if len(runs) > 0 {
-			w.after[u.Name] = runs[len(runs)-1].Seq
-			w.recorder.ran(u, runs)
+			w.lastSeq[u.Name] = runs[len(runs)-1].Seq
+			w.recorder.addRuns(u, runs)
 		}
 	}
-	return first
+	return firstErr
 }
 
-func (w *watcher) read(ctx context.Context, url string, value any) error {
+func (w *watcher) getJSON(ctx context.Context, url string, value any) error {
 	resp, err := get(ctx, w.client, url)
 	if err != nil {
 		return err
--- a/cmd/pomelobench/pomelomeasure/bench_test.go
+++ b/cmd/pomelobench/pomelomeasure/bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkTwoRouters is there to be profiled: the load of the latency command through two routers for 3 s.
 func BenchmarkTwoRouters(b *testing.B) {
 	fleet, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{
-		Address: netip.MustParseAddr("127.8.9.2"), Port: 8400, Routers: 2,
+		Address: netip.MustParseAddr("127.8.9.2"), FirstPort: 8400, Routers: 2,
 		Plain: pomelofake.PlainConfig{Slots: 64, MinTime: time.Nanosecond, Spread: time.Nanosecond},
 	})
 	if err != nil {
@@ -21,9 +21,9 @@
 	}
 	defer fleet.Close()
 	for b.Loop() {
-		results, err := pomelomeasure.Latency(context.Background(), pomelomeasure.LatencyConfig{
-			Targets: []pomelomeasure.Target{fleet.Direct("direct"), fleet.Routed("routed")},
-			Token:   fleet.Token(), Body: "{}", Rate: 1000, Duration: 3 * time.Second, Slice: time.Second,
+		results, err := pomelomeasure.MeasureLatency(context.Background(), pomelomeasure.LatencyConfig{
+			Targets: []pomelomeasure.Target{fleet.DirectTarget("direct"), fleet.RoutedTarget("routed")},
+			Token:   fleet.Token(), Body: "{}", RequestsPerSecond: 1000, DurationPerTarget: 3 * time.Second, SliceDuration: time.Second,
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/cmd/pomelobench/pomelomeasure/fleet.go
+++ b/cmd/pomelobench/pomelomeasure/fleet.go
@@ -18,35 +18,35 @@
 // FleetConfig describes a small fleet in one process on one address, with one plain service of its own.
 type FleetConfig struct {
 	// Address is the IP number that everything listens on, from Port upwards.
-	Address netip.Addr
-	Port    uint16
-	Routers int
+	Address   netip.Addr
+	FirstPort uint16
+	Routers   int
 	// Plain is the service's stand-in.
 	Plain pomelofake.PlainConfig
-	// Wrap, when it is set, changes what a router's Config holds.
-	Wrap func(*pomelonode.Config)
+	// EditNodeConfig, when it is set, changes what a router's Config holds.
+	EditNodeConfig func(*pomelonode.Config)
 }
 
 const (
 	fleetToken   = "latency-token"
 	fleetService = "status"
-	readyWithin  = 20 * time.Second
+	readyTimeout = 20 * time.Second
 )
 
 // Fleet is a small fleet of real routers on real links.
 type Fleet struct {
-	cfg     FleetConfig
-	port    uint16
-	closers []io.Closer
-	service netip.AddrPort
-	store   netip.AddrPort
-	callers []string
-	nodes   []*pomelonode.Node
+	cfg         FleetConfig
+	nextPort    uint16
+	closers     []io.Closer
+	serviceAddr netip.AddrPort
+	storeAddr   netip.AddrPort
+	callerURLs  []string
+	nodes       []*pomelonode.Node
 }
 
 // NewFleet starts a fleet and waits until its routers are ready; it fails as pomelonode.New does, or with CodeNotReady.
 func NewFleet(cfg FleetConfig) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, port: cfg.Port}
+	f := &Fleet{cfg: cfg, nextPort: cfg.FirstPort}
 	err := f.start()
 	if err != nil {
 		f.Close()
@@ -56,40 +56,40 @@
 }
 
 func (f *Fleet) start() error {
-	f.service, f.store = f.next(), f.next()
+	f.serviceAddr, f.storeAddr = f.nextAddr(), f.nextAddr()
 	store := pomelofake.NewStore(pomelofake.StoreConfig{})
 	f.closers = append(f.closers, store)
 	hosts := pomelofake.NewHostList(pomelofake.HostListConfig{})
 	platform := http.NewServeMux()
 	platform.Handle("/v1/hosts", hosts)
 	platform.Handle("/", store)
-	if err := f.host(f.service, pomelofake.NewPlain(f.cfg.Plain)); err != nil {
+	if err := f.serve(f.serviceAddr, pomelofake.NewPlain(f.cfg.Plain)); err != nil {
 		return err
 	}
-	if err := f.host(f.store, platform); err != nil {
+	if err := f.serve(f.storeAddr, platform); err != nil {
 		return err
 	}
 	if err := f.publish(); err != nil {
 		return err
 	}
-	listed := []pomelorelay.Host{{Name: fleetService, Kind: pomelorelay.HostUpstream, Addr: f.service, Domain: "recife-a", Region: "recife"}}
+	entries := []pomelorelay.Host{{Name: fleetService, Kind: pomelorelay.HostUpstream, Addr: f.serviceAddr, Domain: "recife-a", Region: "recife"}}
 	for i := range f.cfg.Routers {
 		s, err := f.startRouter(i)
 		if err != nil {
 			return err
 		}
-		listed = append(listed, pomelorelay.Host{Name: string(s.Host.Name), Kind: pomelorelay.HostRouter, Addr: s.Listen.Control, Domain: "recife-a", Region: "recife"})
+		entries = append(entries, pomelorelay.Host{Name: string(s.Host.Name), Kind: pomelorelay.HostRouter, Addr: s.Listen.Control, Domain: "recife-a", Region: "recife"})
 	}
-	hosts.Set(listed)
+	hosts.Set(entries)
 	return f.awaitReady()
 }
 
-func (f *Fleet) next() netip.AddrPort {
-	f.port++
-	return netip.AddrPortFrom(f.cfg.Address, f.port-1)
+func (f *Fleet) nextAddr() netip.AddrPort {
+	f.nextPort++
+	return netip.AddrPortFrom(f.cfg.Address, f.nextPort-1)
 }
 
-func (f *Fleet) host(addr netip.AddrPort, h http.Handler) error {
+func (f *Fleet) serve(addr netip.AddrPort, h http.Handler) error {
 	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: pomelofake.ListenTCP(addr.String()), Handler: h})
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 }
 
 func (f *Fleet) publish() error {
-	client, err := pomelostore.New(pomelostore.Config{Addresses: []netip.AddrPort{f.store}, CallsPerSecond: 1000})
+	client, err := pomelostore.New(pomelostore.Config{Addresses: []netip.AddrPort{f.storeAddr}, CallsPerSecond: 1000})
 	if err != nil {
 		return err
 	}
@@ -114,25 +114,25 @@
 		Services: []pomeloconfig.Service{{Name: fleetService, Team: "jewellers", Kind: pomeloconfig.ServicePlain}},
 		Accounts: []pomeloconfig.Account{{Name: "workshop", Team: "jewellers", Share: 1, TokenHashes: []string{pomeloconfig.HashToken(fleetToken)}}},
 		Upstreams: []pomeloconfig.Upstream{{
-			Name: fleetService, Service: fleetService, Address: f.service, FailureDomain: "recife-a", Region: "recife", MinSlots: 1, MaxSlots: pomelorelay.Slots(f.cfg.Plain.Slots),
+			Name: fleetService, Service: fleetService, Address: f.serviceAddr, FailureDomain: "recife-a", Region: "recife", MinSlots: 1, MaxSlots: pomelorelay.Slots(f.cfg.Plain.Slots),
 		}},
 	}
 }
 
 func (f *Fleet) startRouter(i int) (pomeloconfig.Settings, error) {
-	caller, control, operator := f.next(), f.next(), f.next()
+	caller, control, operator := f.nextAddr(), f.nextAddr(), f.nextAddr()
 	s, err := pomeloconfig.ParseSettings(fmt.Appendf(nil, `
 Host: {Name: router-%d, FailureDomain: recife-a, Region: recife}
 Listen: {Caller: "%s", Control: "%s", Operator: "%s"}
 Store: {Addresses: ["%s"]}
 TLS: {Insecure: true}
-`, i, caller, control, operator, f.store))
+`, i, caller, control, operator, f.storeAddr))
 	if err != nil {
 		return s, err
 	}
 	cfg := pomelonode.Config{Settings: s}
-	if f.cfg.Wrap != nil {
-		f.cfg.Wrap(&cfg)
+	if f.cfg.EditNodeConfig != nil {
+		f.cfg.EditNodeConfig(&cfg)
 	}
 	node, err := pomelonode.New(cfg)
 	if err != nil {
@@ -140,12 +140,12 @@
 	}
 	f.closers = append(f.closers, node)
 	f.nodes = append(f.nodes, node)
-	f.callers = append(f.callers, "http://"+caller.String()+"/"+fleetService+"/jobs")
+	f.callerURLs = append(f.callerURLs, "http://"+caller.String()+"/"+fleetService+"/jobs")
 	return s, node.Listen()
 }
 
 func (f *Fleet) awaitReady() error {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		ready := true
 		for _, n := range f.nodes {
 			ready = ready && n.Ready()
@@ -157,12 +157,12 @@
 	return pomelorelay.NewError(pomelorelay.CodeNotReady, "the fleet", nil)
 }
 
-// Routed returns the target that goes through the fleet's routers, and Direct the one that goes to its service.
-func (f *Fleet) Routed(name string) Target { return Target{Name: name, URLs: f.callers} }
+// RoutedTarget returns the target that goes through the fleet's routers, and Direct the one that goes to its service.
+func (f *Fleet) RoutedTarget(name string) Target { return Target{Name: name, URLs: f.callerURLs} }
 
-// Direct returns the target without routers.
-func (f *Fleet) Direct(name string) Target {
-	return Target{Name: name, URLs: []string{"http://" + f.service.String() + "/jobs"}}
+// DirectTarget returns the target without routers.
+func (f *Fleet) DirectTarget(name string) Target {
+	return Target{Name: name, URLs: []string{"http://" + f.serviceAddr.String() + "/jobs"}}
 }
 
 // Token returns the bearer token that the fleet's configuration knows.
--- a/cmd/pomelobench/pomelomeasure/histogram.go
+++ b/cmd/pomelobench/pomelomeasure/histogram.go
@@ -7,12 +7,14 @@
 )
 
 const (
-	lowest  = int64(time.Microsecond)
-	highest = int64(10 * time.Minute)
-	digits  = 3
+	minLatencyNanos   = int64(time.Microsecond)
+	maxLatencyNanos   = int64(10 * time.Minute)
+	significantDigits = 3
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyNanos, maxLatencyNanos, significantDigits)
+}
 
 func milliseconds(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / float64(time.Millisecond)
--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -24,10 +24,10 @@
 	Targets []Target
 	Token   string
 	Body    string
-	// Rate is in requests a second and Duration how long each target gets them, in slices of Slice that take turns.
-	Rate     int
-	Duration time.Duration
-	Slice    time.Duration
+	// RequestsPerSecond is in requests a second and Duration how long each target gets them, in slices of Slice that take turns.
+	RequestsPerSecond int
+	DurationPerTarget time.Duration
+	SliceDuration     time.Duration
 }
 
 // TargetLatency is what was measured at a target, in milliseconds; Added is the difference from the first target.
@@ -41,78 +41,78 @@
 	AddedP99Milliseconds float64
 }
 
-// maxOpen bounds the requests that are open at once; past it the load is held back.
-const maxOpen = 256
+// maxInFlight bounds the requests that are open at once; past it the load is held back.
+const maxInFlight = 256
 
-// meter is one target's histogram.
-type meter struct {
-	target Target
-	mu     sync.Mutex
-	times  *hdrhistogram.Histogram
-	failed int64
-	next   int
+// targetMeter is one target's histogram.
+type targetMeter struct {
+	target       Target
+	mu           sync.Mutex
+	latencies    *hdrhistogram.Histogram
+	failures     int64
+	requestsSent int
 }
 
-// Latency puts the load on the targets in turn and returns what each took; it fails with CodeBenchPlan without targets.
-func Latency(ctx context.Context, cfg LatencyConfig) ([]TargetLatency, error) {
-	if len(cfg.Targets) == 0 || cfg.Rate <= 0 || cfg.Slice <= 0 {
+// MeasureLatency puts the load on the targets in turn and returns what each took; it fails with CodeBenchPlan without targets.
+func MeasureLatency(ctx context.Context, cfg LatencyConfig) ([]TargetLatency, error) {
+	if len(cfg.Targets) == 0 || cfg.RequestsPerSecond <= 0 || cfg.SliceDuration <= 0 {
 		return nil, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "no targets, rate or slice", nil)
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxOpen}, Timeout: time.Minute}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight}, Timeout: time.Minute}
 	defer client.CloseIdleConnections()
-	var meters []*meter
+	var meters []*targetMeter
 	for _, t := range cfg.Targets {
-		meters = append(meters, &meter{target: t, times: newHistogram()})
+		meters = append(meters, &targetMeter{target: t, latencies: newHistogram()})
 	}
 	for _, m := range meters {
 		// The first slice opens connections and is not counted.
-		m.slice(ctx, client, cfg)
-		m.times.Reset()
-		m.failed = 0
+		m.runSlice(ctx, client, cfg)
+		m.latencies.Reset()
+		m.failures = 0
 	}
-	for range int(cfg.Duration / cfg.Slice) {
+	for range int(cfg.DurationPerTarget / cfg.SliceDuration) {
 		for _, m := range meters {
-			m.slice(ctx, client, cfg)
+			m.runSlice(ctx, client, cfg)
 		}
 	}
 	return results(meters), ctx.Err()
 }
 
-// slice sends to one target at the rate.
-func (m *meter) slice(ctx context.Context, client *http.Client, cfg LatencyConfig) {
-	open := make(chan struct{}, maxOpen)
+// runSlice sends to one target at the rate.
+func (m *targetMeter) runSlice(ctx context.Context, client *http.Client, cfg LatencyConfig) {
+	inFlight := make(chan struct{}, maxInFlight)
 	var wg sync.WaitGroup
 	began := time.Now()
-	n := int(cfg.Slice.Seconds() * float64(cfg.Rate))
+	n := int(cfg.SliceDuration.Seconds() * float64(cfg.RequestsPerSecond))
 	for i := range n {
-		due := began.Add(time.Duration(i) * time.Second / time.Duration(cfg.Rate))
+		due := began.Add(time.Duration(i) * time.Second / time.Duration(cfg.RequestsPerSecond))
 		time.Sleep(time.Until(due))
 		if ctx.Err() != nil {
 			break
 		}
-		open <- struct{}{}
-		url := m.target.URLs[m.next%len(m.target.URLs)]
-		m.next++
+		inFlight <- struct{}{}
+		url := m.target.URLs[m.requestsSent%len(m.target.URLs)]
+		m.requestsSent++
 		wg.Go(func() {
-			defer func() { <-open }()
-			m.one(ctx, client, cfg, url)
+			defer func() { <-inFlight }()
+			m.measure(ctx, client, cfg, url)
 		})
 	}
 	wg.Wait()
 }
 
-func (m *meter) one(ctx context.Context, client *http.Client, cfg LatencyConfig, url string) {
+func (m *targetMeter) measure(ctx context.Context, client *http.Client, cfg LatencyConfig, url string) {
 	began := time.Now()
 	ok := send(ctx, client, cfg, url)
 	took := time.Since(began)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !ok {
-		m.failed++
+		m.failures++
 		return
 	}
 	// A value beyond the histogram's range would be past every timeout.
-	_ = m.times.RecordValue(int64(took))
+	_ = m.latencies.RecordValue(int64(took))
 }
 
 func send(ctx context.Context, client *http.Client, cfg LatencyConfig, url string) bool {
@@ -130,12 +130,12 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-func results(meters []*meter) []TargetLatency {
+func results(meters []*targetMeter) []TargetLatency {
 	var all []TargetLatency
 	for _, m := range meters {
 		all = append(all, TargetLatency{
-			Name: m.target.Name, Requests: m.times.TotalCount(), Failures: m.failed,
-			P50Milliseconds: milliseconds(m.times, 50), P99Milliseconds: milliseconds(m.times, 99),
+			Name: m.target.Name, Requests: m.latencies.TotalCount(), Failures: m.failures,
+			P50Milliseconds: milliseconds(m.latencies, 50), P99Milliseconds: milliseconds(m.latencies, 99),
 		})
 	}
 	for i := range all {
--- a/cmd/pomelobench/pomelomeasure/measure_test.go
+++ b/cmd/pomelobench/pomelomeasure/measure_test.go
@@ -12,9 +12,9 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-func TestLatencyCountsEachTargetByItself(t *testing.T) {
+func TestLatencyCountsEachTargetSeparately(t *testing.T) {
 	fleet, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{
-		Address: netip.MustParseAddr("127.8.9.1"), Port: 8400, Routers: 2,
+		Address: netip.MustParseAddr("127.8.9.1"), FirstPort: 8400, Routers: 2,
 		Plain: pomelofake.PlainConfig{Slots: 8, MinTime: time.Nanosecond, Spread: time.Nanosecond},
 	})
 	if err != nil {
@@ -22,9 +22,9 @@
 	}
 	defer fleet.Close()
 	absent := pomelomeasure.Target{Name: "absent", URLs: []string{"http://127.8.9.1:1/"}}
-	results, err := pomelomeasure.Latency(context.Background(), pomelomeasure.LatencyConfig{
-		Targets: []pomelomeasure.Target{fleet.Direct("direct"), fleet.Routed("routed"), absent},
-		Token:   fleet.Token(), Body: "{}", Rate: 100, Duration: 400 * time.Millisecond, Slice: 200 * time.Millisecond,
+	results, err := pomelomeasure.MeasureLatency(context.Background(), pomelomeasure.LatencyConfig{
+		Targets: []pomelomeasure.Target{fleet.DirectTarget("direct"), fleet.RoutedTarget("routed"), absent},
+		Token:   fleet.Token(), Body: "{}", RequestsPerSecond: 100, DurationPerTarget: 400 * time.Millisecond, SliceDuration: 200 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -40,18 +40,18 @@
 	}
 }
 
-func TestMeasuringNeedsTargets(t *testing.T) {
-	if _, err := pomelomeasure.Latency(context.Background(), pomelomeasure.LatencyConfig{}); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
+func TestMeasureLatencyRequiresTargets(t *testing.T) {
+	if _, err := pomelomeasure.MeasureLatency(context.Background(), pomelomeasure.LatencyConfig{}); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
 		t.Error(err)
 	}
 }
 
-func TestGrownConfigurationIsInOrder(t *testing.T) {
+func TestAddAccountsCreatesUniqueNames(t *testing.T) {
 	c := pomeloconfig.Configuration{
 		Teams:    []pomeloconfig.Team{{Name: "jewellers", ShareTotal: 1}},
 		Accounts: []pomeloconfig.Account{{Name: "workshop", Team: "jewellers", Share: 1, TokenHashes: []string{pomeloconfig.HashToken("t")}}},
 	}
-	pomelomeasure.Grow(&c, 50)
+	pomelomeasure.AddAccounts(&c, 50)
 	seen := make(map[pomelorelay.AccountID]bool)
 	for _, a := range c.Accounts {
 		seen[a.Name] = true
--- a/cmd/pomelobench/pomelomeasure/spread.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -14,36 +14,36 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// SpreadConfig says what changes Spread makes and which routers it watches.
-type SpreadConfig struct {
+// PropagationConfig says what changes Spread makes and which routers it watches.
+type PropagationConfig struct {
 	Store         netip.AddrPort
-	Operators     []netip.AddrPort
+	OperatorAddrs []netip.AddrPort
 	Configuration pomeloconfig.Configuration
 	Changes       int
-	// Within bounds the wait for one change.
-	Within time.Duration
+	// ChangeTimeout bounds the wait for one change.
+	ChangeTimeout time.Duration
 }
 
-// SpreadResult is how long changes took from the accepted swap until they were in force on all routers, in milliseconds.
-type SpreadResult struct {
+// PropagationResult is how long changes took from the accepted swap until they were in force on all routers, in milliseconds.
+type PropagationResult struct {
 	Accounts                   int
 	Routers                    int
 	Changes                    int
-	Late                       int
+	TimedOut                   int `json:"Late"`
 	P50Milliseconds            float64
 	P99Milliseconds            float64
-	HighestMilliseconds        float64
+	MaxMilliseconds            float64 `json:"HighestMilliseconds"`
 	FirstRouterP50Milliseconds float64
 	PublishP50Milliseconds     float64
 	FirstPublishMilliseconds   float64
 	FirstInForceMilliseconds   float64
 }
 
-// pollEvery is how often a router's status is read; figures are no finer.
-const pollEvery = 5 * time.Millisecond
+// pollInterval is how often a router's status is read; figures are no finer.
+const pollInterval = 5 * time.Millisecond
 
-// Grow adds accounts until there are as many as given, and leaves the teams' totals of shares open.
-func Grow(c *pomeloconfig.Configuration, accounts int) {
+// AddAccounts adds accounts until there are as many as given, and leaves the teams' totals of shares open.
+func AddAccounts(c *pomeloconfig.Configuration, accounts int) {
 	for i := range c.Teams {
 		c.Teams[i].ShareTotal = 0
 	}
@@ -56,71 +56,71 @@
 	}
 }
 
-// Spread applies the configuration, then one change of an account's share after the other, and measures each; it fails as
+// MeasurePropagation applies the configuration, then one change of an account's share after the other, and measures each; it fails as
 // Publish does, or with CodeConfigNotInForce when the first is not in force within the bound.
-func Spread(ctx context.Context, cfg SpreadConfig) (SpreadResult, error) {
-	r := SpreadResult{Accounts: len(cfg.Configuration.Accounts), Routers: len(cfg.Operators), Changes: cfg.Changes}
+func MeasurePropagation(ctx context.Context, cfg PropagationConfig) (PropagationResult, error) {
+	r := PropagationResult{Accounts: len(cfg.Configuration.Accounts), Routers: len(cfg.OperatorAddrs), Changes: cfg.Changes}
 	client, err := pomelostore.New(pomelostore.Config{Addresses: []netip.AddrPort{cfg.Store}, CallsPerSecond: 300})
 	if err != nil {
 		return r, err
 	}
 	publisher := pomeloconfig.NewPublisher(pomeloconfig.PublisherConfig{Store: client})
-	first, published, err := change(ctx, publisher, cfg)
+	first, published, err := publishAndWait(ctx, publisher, cfg)
 	if err != nil {
 		return r, err
 	}
-	if !first.all {
+	if !first.complete {
 		return r, pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, "the first configuration", nil)
 	}
-	r.FirstPublishMilliseconds, r.FirstInForceMilliseconds = inMilliseconds(published), inMilliseconds(first.last)
-	spread, earliest, publishing := newHistogram(), newHistogram(), newHistogram()
+	r.FirstPublishMilliseconds, r.FirstInForceMilliseconds = inMilliseconds(published), inMilliseconds(first.lastRouter)
+	lastRouterTimes, firstRouterTimes, publishTimes := newHistogram(), newHistogram(), newHistogram()
 	for i := range cfg.Changes {
 		cfg.Configuration.Accounts[i%len(cfg.Configuration.Accounts)].Share++
-		got, published, err := change(ctx, publisher, cfg)
+		got, published, err := publishAndWait(ctx, publisher, cfg)
 		if err != nil {
 			return r, err
 		}
-		if !got.all {
-			r.Late++
+		if !got.complete {
+			r.TimedOut++
 			continue
 		}
 		// The values are within the histogram's range by the bound on the wait.
-		_ = spread.RecordValue(int64(got.last))
-		_ = earliest.RecordValue(int64(got.first))
-		_ = publishing.RecordValue(int64(published))
+		_ = lastRouterTimes.RecordValue(int64(got.lastRouter))
+		_ = firstRouterTimes.RecordValue(int64(got.firstRouter))
+		_ = publishTimes.RecordValue(int64(published))
 	}
-	r.P50Milliseconds, r.P99Milliseconds = milliseconds(spread, 50), milliseconds(spread, 99)
-	r.HighestMilliseconds = inMilliseconds(time.Duration(spread.Max()))
-	r.FirstRouterP50Milliseconds, r.PublishP50Milliseconds = milliseconds(earliest, 50), milliseconds(publishing, 50)
+	r.P50Milliseconds, r.P99Milliseconds = milliseconds(lastRouterTimes, 50), milliseconds(lastRouterTimes, 99)
+	r.MaxMilliseconds = inMilliseconds(time.Duration(lastRouterTimes.Max()))
+	r.FirstRouterP50Milliseconds, r.PublishP50Milliseconds = milliseconds(firstRouterTimes, 50), milliseconds(publishTimes, 50)
 	return r, nil
 }
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// arrival is when the first and the last router had a generation in force, after it was accepted.
-type arrival struct {
-	first, last time.Duration
-	all         bool
+// propagation is when the first and the last router had a generation in force, after it was accepted.
+type propagation struct {
+	firstRouter, lastRouter time.Duration
+	complete                bool
 }
 
-func change(ctx context.Context, p *pomeloconfig.Publisher, cfg SpreadConfig) (arrival, time.Duration, error) {
+func publishAndWait(ctx context.Context, p *pomeloconfig.Publisher, cfg PropagationConfig) (propagation, time.Duration, error) {
 	began := time.Now()
 	root, err := p.Publish(ctx, cfg.Configuration, pomeloconfig.Change{Author: "pomelobench", Why: "spread"})
 	if err != nil {
-		return arrival{}, 0, err
+		return propagation{}, 0, err
 	}
 	accepted := time.Now()
-	return await(ctx, cfg, root.Generation, accepted), accepted.Sub(began), nil
+	return waitInForce(ctx, cfg, root.Generation, accepted), accepted.Sub(began), nil
 }
 
-// await polls every router by itself until it has the generation.
-func await(ctx context.Context, cfg SpreadConfig, generation pomelorelay.Generation, accepted time.Time) arrival {
-	ctx, cancel := context.WithDeadline(ctx, accepted.Add(cfg.Within))
+// waitInForce polls every router by itself until it has the generation.
+func waitInForce(ctx context.Context, cfg PropagationConfig, generation pomelorelay.Generation, accepted time.Time) propagation {
+	ctx, cancel := context.WithDeadline(ctx, accepted.Add(cfg.ChangeTimeout))
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var took []time.Duration
-	for _, operator := range cfg.Operators {
+	for _, operator := range cfg.OperatorAddrs {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				if generationOf(ctx, operator) >= generation {
@@ -129,15 +129,15 @@
 					took = append(took, time.Since(accepted))
 					return
 				}
-				time.Sleep(pollEvery)
+				time.Sleep(pollInterval)
 			}
 		})
 	}
 	wg.Wait()
 	if len(took) == 0 {
-		return arrival{}
+		return propagation{}
 	}
-	return arrival{first: took[0], last: took[len(took)-1], all: len(took) == len(cfg.Operators)}
+	return propagation{firstRouter: took[0], lastRouter: took[len(took)-1], complete: len(took) == len(cfg.OperatorAddrs)}
 }
 
 func generationOf(ctx context.Context, operator netip.AddrPort) pomelorelay.Generation {
--- a/cmd/pomelobench/pomeloreport/page.go
+++ b/cmd/pomelobench/pomeloreport/page.go
@@ -41,8 +41,8 @@
 const maxViolations = 100
 
 // Write writes the page of a run; it fails with CodeBenchRecord.
-func Write(path, title string, j pomeloload.Judgement) error {
-	p, err := newPage(title, j)
+func Write(path, title string, report pomeloload.Report) error {
+	p, err := newPage(title, report)
 	if err != nil {
 		return writeError(path, err)
 	}
@@ -64,17 +64,17 @@
 	return pomelorelay.NewError(pomelorelay.CodeBenchRecord, path, cause)
 }
 
-func newPage(title string, j pomeloload.Judgement) (page, error) {
-	result, err := json.MarshalIndent(j.Result, "", "  ")
+func newPage(title string, report pomeloload.Report) (page, error) {
+	result, err := json.MarshalIndent(report.Result, "", "  ")
 	if err != nil {
 		return page{}, err
 	}
-	p := page{Title: title, Result: string(result), Failures: j.Result.Failures(), Pools: j.Result.Pools, Faults: j.Faults}
-	for _, v := range j.Violations[:min(len(j.Violations), maxViolations)] {
+	p := page{Title: title, Result: string(result), Failures: report.Result.Failures(), Pools: report.Result.Pools, Faults: report.Faults}
+	for _, v := range report.Violations[:min(len(report.Violations), maxViolations)] {
 		p.Violations = append(p.Violations, v.String())
 	}
-	for _, c := range charts(j) {
-		svg, err := c.draw(j)
+	for _, c := range charts(report) {
+		svg, err := c.draw(report)
 		if err != nil {
 			return page{}, err
 		}
--- a/cmd/pomelobench/pomeloreport/page_test.go
+++ b/cmd/pomelobench/pomeloreport/page_test.go
@@ -15,26 +15,26 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-func judgement() pomeloload.Judgement {
+func testReport() pomeloload.Report {
 	start := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	pool := pomelorelay.PoolID("booking")
-	j := pomeloload.Judgement{
+	report := pomeloload.Report{
 		Faults:     []pomeloload.FaultMark{{At: start.Add(3 * time.Second), Text: "kill r3"}},
 		Violations: []pomelocheck.Violation{{Kind: pomelocheck.CutOff, Subject: "a1", At: start, Detail: "cut off by <r2>"}},
 		Result:     pomeloload.Result{CutOff: 1, Pools: []pomeloload.PoolResult{{Pool: pool, FairnessBound: 10}}},
 	}
 	for n := 1; n <= 5; n++ {
-		j.Samples = append(j.Samples, pomeloload.Sample{
+		report.Samples = append(report.Samples, pomeloload.Sample{
 			Second: n, At: start.Add(time.Duration(n) * time.Second),
 			Gaps: map[pomelorelay.PoolID]pomelorelay.Tag{pool: pomelorelay.Tag(n)},
 		})
 	}
-	return j
+	return report
 }
 
 func TestPageShowsPlotsFaultsAndViolations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.html")
-	if err := pomeloreport.Write(path, "A <run>", judgement()); err != nil {
+	if err := pomeloreport.Write(path, "A <run>", testReport()); err != nil {
 		t.Fatal(err)
 	}
 	data, err := os.ReadFile(path)
@@ -69,8 +69,8 @@
 	}
 }
 
-func TestPageThatCannotBeWrittenIsRefused(t *testing.T) {
-	err := pomeloreport.Write(filepath.Join(t.TempDir(), "missing", "report.html"), "", judgement())
+func TestUnwritablePathIsReported(t *testing.T) {
+	err := pomeloreport.Write(filepath.Join(t.TempDir(), "missing", "report.html"), "", testReport())
 	if !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchRecord) {
 		t.Errorf("got %v", err)
 	}
--- a/cmd/pomelobench/pomeloreport/plots.go
+++ b/cmd/pomelobench/pomeloreport/plots.go
@@ -23,40 +23,40 @@
 
 var faultColour = color.RGBA{R: 180, G: 40, B: 40, A: 255}
 
-// line is a named value of each sample.
-type line struct {
+// series is a named value of each sample.
+type series struct {
 	name  string
 	value func(pomeloload.Sample) float64
 }
 
 // chart is a plot of some lines over the seconds of a run.
 type chart struct {
-	title string
-	unit  string
-	lines []line
+	title  string
+	unit   string
+	series []series
 }
 
 // charts returns what a page shows.
-func charts(j pomeloload.Judgement) []chart {
+func charts(report pomeloload.Report) []chart {
 	gaps := chart{title: "Fairness gap over the last 5 s, as a part of the bound", unit: "gap / bound"}
-	use := chart{title: "Utilisation while work waited", unit: "busy / slots"}
-	for _, p := range j.Result.Pools {
+	utilisation := chart{title: "Utilisation while work waited", unit: "busy / slots"}
+	for _, p := range report.Result.Pools {
 		if p.FairnessBound > 0 {
-			gaps.lines = append(gaps.lines, line{string(p.Pool), func(s pomeloload.Sample) float64 { return float64(s.Gaps[p.Pool] / p.FairnessBound) }})
+			gaps.series = append(gaps.series, series{string(p.Pool), func(s pomeloload.Sample) float64 { return float64(s.Gaps[p.Pool] / p.FairnessBound) }})
 		}
-		use.lines = append(use.lines, line{string(p.Pool), func(s pomeloload.Sample) float64 { return s.Utilisation[p.Pool] }})
+		utilisation.series = append(utilisation.series, series{string(p.Pool), func(s pomeloload.Sample) float64 { return s.Utilisation[p.Pool] }})
 	}
-	return []chart{gaps, use,
-		{"Control bytes", "bytes / s", []line{
+	return []chart{gaps, utilisation,
+		{"Control bytes", "bytes / s", []series{
 			{"a node", func(s pomeloload.Sample) float64 { return s.ControlBytesPerNode }},
 			{"between regions", func(s pomeloload.Sample) float64 { return s.ControlBytesCrossRegion }},
 		}},
-		{"Latency, waiting included", "ms", []line{
+		{"Latency, waiting included", "ms", []series{
 			{"first byte p50", func(s pomeloload.Sample) float64 { return s.FirstByteP50Milliseconds }},
 			{"p50", func(s pomeloload.Sample) float64 { return s.LatencyP50Milliseconds }},
 			{"p99", func(s pomeloload.Sample) float64 { return s.LatencyP99Milliseconds }},
 		}},
-		{"What ended", "attempts / s", []line{
+		{"What ended", "attempts / s", []series{
 			{"answered", func(s pomeloload.Sample) float64 { return float64(s.Answers) }},
 			{"refused", func(s pomeloload.Sample) float64 { return float64(s.Refusals) }},
 			{"broken", func(s pomeloload.Sample) float64 { return float64(s.Broken) }},
@@ -65,7 +65,7 @@
 }
 
 // draw returns the chart as SVG.
-func (c chart) draw(j pomeloload.Judgement) (string, error) {
+func (c chart) draw(report pomeloload.Report) (string, error) {
 	p := plot.New()
 	p.Title.Text = c.title
 	p.X.Label.Text = "s"
@@ -74,30 +74,30 @@
 	p.Legend.Top = true
 	p.Legend.Left = true
 	highest := 0.0
-	for i, l := range c.lines {
-		points := l.points(j.Samples)
+	for i, l := range c.series {
+		points := l.points(report.Samples)
 		for _, point := range points {
 			highest = max(highest, point.Y)
 		}
-		drawn, err := plotter.NewLine(points)
+		plotted, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		drawn.Color = plotutil.Color(i)
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
+		plotted.Color = plotutil.Color(i)
+		p.Add(plotted)
+		p.Legend.Add(l.name, plotted)
 	}
 	if highest == 0 {
 		highest = 1
 	}
-	if err := markFaults(p, j, highest); err != nil {
+	if err := drawFaults(p, report, highest); err != nil {
 		return "", err
 	}
 	p.Y.Max = highest * headroom
 	return render(p)
 }
 
-func (l line) points(samples []pomeloload.Sample) plotter.XYs {
+func (l series) points(samples []pomeloload.Sample) plotter.XYs {
 	points := make(plotter.XYs, len(samples))
 	for i, s := range samples {
 		points[i].X = float64(s.Second)
@@ -106,22 +106,22 @@
 	return points
 }
 
-// markFaults draws an upright line with the fault's name at each fault.
-func markFaults(p *plot.Plot, j pomeloload.Judgement, highest float64) error {
-	if len(j.Samples) == 0 {
+// drawFaults draws an upright line with the fault's name at each fault.
+func drawFaults(p *plot.Plot, report pomeloload.Report, highest float64) error {
+	if len(report.Samples) == 0 {
 		return nil
 	}
-	first := slices.MinFunc(j.Samples, func(a, b pomeloload.Sample) int { return cmp.Compare(a.Second, b.Second) })
+	first := slices.MinFunc(report.Samples, func(a, b pomeloload.Sample) int { return cmp.Compare(a.Second, b.Second) })
 	names := plotter.XYLabels{}
-	for _, f := range j.Faults {
+	for _, f := range report.Faults {
 		x := float64(first.Second) + f.At.Sub(first.At).Seconds()
-		upright, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: highest * headroom}})
+		marker, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: highest * headroom}})
 		if err != nil {
 			return err
 		}
-		upright.Color = faultColour
-		upright.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
-		p.Add(upright)
+		marker.Color = faultColour
+		marker.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
+		p.Add(marker)
 		names.XYs = append(names.XYs, plotter.XY{X: x, Y: highest * 1.1})
 		names.Labels = append(names.Labels, " "+f.Text)
 	}
--- a/cmd/pomelobench/report.go
+++ b/cmd/pomelobench/report.go
@@ -12,27 +12,27 @@
 
 // reportCommand makes a page of a record.
 type reportCommand struct {
-	record string
-	out    string
-	title  string
+	recordPath string
+	pagePath   string
+	title      string
 }
 
 func newReportCommand(cmd *kingpin.CmdClause) *reportCommand {
 	c := &reportCommand{}
-	cmd.Arg("record", "The record that run wrote.").Required().StringVar(&c.record)
-	cmd.Flag("out", "The page to write.").Default("report.html").StringVar(&c.out)
+	cmd.Arg("record", "The record that run wrote.").Required().StringVar(&c.recordPath)
+	cmd.Flag("out", "The page to write.").Default("report.html").StringVar(&c.pagePath)
 	cmd.Flag("title", "The page's title.").Default("Load run").StringVar(&c.title)
 	return c
 }
 
 func (c *reportCommand) run(context.Context) error {
-	judgement, err := pomeloload.ReadRecord(c.record)
+	report, err := pomeloload.ReadRecord(c.recordPath)
 	if err != nil {
 		return err
 	}
-	if err := pomeloreport.Write(c.out, c.title, judgement); err != nil {
+	if err := pomeloreport.Write(c.pagePath, c.title, report); err != nil {
 		return err
 	}
-	fmt.Println(c.out)
+	fmt.Println(c.pagePath)
 	return nil
 }
--- a/cmd/pomelobench/spread.go
+++ b/cmd/pomelobench/spread.go
@@ -17,12 +17,12 @@
 
 // spreadCommand measures how soon a configuration is in force.
 type spreadCommand struct {
-	store     string
-	routers   []string
-	file      string
-	accounts  int
-	changes   int
-	changeMax time.Duration
+	store             string
+	routers           []string
+	configurationPath string
+	accounts          int
+	changes           int
+	changeTimeout     time.Duration
 }
 
 func newSpreadCommand(cmd *kingpin.CmdClause) *spreadCommand {
@@ -31,21 +31,21 @@
 	cmd.Flag("router", "IP:port of a router's operator port; may be repeated.").Required().StringsVar(&c.routers)
 	cmd.Flag("accounts", "Accounts are added up to this number.").IntVar(&c.accounts)
 	cmd.Flag("changes", "How many changes are measured after the first.").Default("30").IntVar(&c.changes)
-	cmd.Flag("within", "How long to wait for a change.").Default("30s").DurationVar(&c.changeMax)
-	cmd.Arg("file", "The configuration to begin with.").Required().StringVar(&c.file)
+	cmd.Flag("within", "How long to wait for a change.").Default("30s").DurationVar(&c.changeTimeout)
+	cmd.Arg("file", "The configuration to begin with.").Required().StringVar(&c.configurationPath)
 	return c
 }
 
 func (c *spreadCommand) run(ctx context.Context) error {
-	data, err := os.ReadFile(c.file)
+	data, err := os.ReadFile(c.configurationPath)
 	if err != nil {
 		return errors.Wrap(err, "read the configuration")
 	}
-	cfg := pomelomeasure.SpreadConfig{Changes: c.changes, Within: c.changeMax}
-	if cfg.Configuration, err = pomeloconfig.Parse(c.file, data); err != nil {
+	cfg := pomelomeasure.PropagationConfig{Changes: c.changes, ChangeTimeout: c.changeTimeout}
+	if cfg.Configuration, err = pomeloconfig.Parse(c.configurationPath, data); err != nil {
 		return err
 	}
-	pomelomeasure.Grow(&cfg.Configuration, c.accounts)
+	pomelomeasure.AddAccounts(&cfg.Configuration, c.accounts)
 	if cfg.Store, err = netip.ParseAddrPort(c.store); err != nil {
 		return err
 	}
@@ -54,9 +54,9 @@
 		if err != nil {
 			return err
 		}
-		cfg.Operators = append(cfg.Operators, addr)
+		cfg.OperatorAddrs = append(cfg.OperatorAddrs, addr)
 	}
-	result, err := pomelomeasure.Spread(ctx, cfg)
+	result, err := pomelomeasure.MeasurePropagation(ctx, cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/pomelobench/standin.go
+++ b/cmd/pomelobench/standin.go
@@ -19,16 +19,16 @@
 
 // standInCommand runs stand-ins in one process.
 type standInCommand struct {
-	engines  map[string]string
-	plains   map[string]string
-	relays   map[string]string
-	platform string
-	hosts    string
-	admin    string
-	listLag  time.Duration
-	engine   pomelofake.EngineConfig
-	plain    pomelofake.PlainConfig
-	store    pomelofake.StoreConfig
+	engines       map[string]string
+	plainServices map[string]string
+	relays        map[string]string
+	platformAddr  string
+	hostsPath     string
+	adminAddr     string
+	listLag       time.Duration
+	engineConfig  pomelofake.EngineConfig
+	plainConfig   pomelofake.PlainConfig
+	storeConfig   pomelofake.StoreConfig
 
 	logger  logger
 	closers []io.Closer
@@ -36,27 +36,27 @@
 
 func newStandInCommand(cmd *kingpin.CmdClause) *standInCommand {
 	c := &standInCommand{
-		engines: make(map[string]string),
-		plains:  make(map[string]string),
-		relays:  make(map[string]string),
-		logger:  newLogger(),
+		engines:       make(map[string]string),
+		plainServices: make(map[string]string),
+		relays:        make(map[string]string),
+		logger:        newLogger(),
 	}
 	cmd.Flag("engine", "A model engine, as NAME=IP:PORT; may be repeated.").StringMapVar(&c.engines)
-	cmd.Flag("plain", "A plain service, as NAME=IP:PORT; may be repeated.").StringMapVar(&c.plains)
+	cmd.Flag("plain", "A plain service, as NAME=IP:PORT; may be repeated.").StringMapVar(&c.plainServices)
 	cmd.Flag("relay", "A TCP relay, as NAME=IP:PORT/IP:PORT for its own address and its target's; may be repeated.").StringMapVar(&c.relays)
-	cmd.Flag("platform", "The platform's store and host list, as IP:PORT.").StringVar(&c.platform)
-	cmd.Flag("hosts", "A JSON file with the host list's first content.").StringVar(&c.hosts)
-	cmd.Flag("admin", "The address of the admin handler, as IP:PORT.").Required().StringVar(&c.admin)
+	cmd.Flag("platform", "The platform's store and host list, as IP:PORT.").StringVar(&c.platformAddr)
+	cmd.Flag("hosts", "A JSON file with the host list's first content.").StringVar(&c.hostsPath)
+	cmd.Flag("admin", "The address of the admin handler, as IP:PORT.").Required().StringVar(&c.adminAddr)
 	cmd.Flag("list-lag", "How long a change of the host list takes to show.").Default("500ms").DurationVar(&c.listLag)
-	cmd.Flag("model", "The model of the engines.").StringVar(&c.engine.Model)
-	cmd.Flag("engine-slots", "Requests in an engine's batch.").Default("8").IntVar(&c.engine.Slots)
-	cmd.Flag("step", "The time of a decode step.").Default("2ms").DurationVar(&c.engine.StepTime)
-	cmd.Flag("load-lag", "The age of the reported load.").Default("500ms").DurationVar(&c.engine.LoadLag)
-	cmd.Flag("crash-marker", "A text that makes the engine crash that runs a request with it.").StringVar(&c.engine.CrashMarker)
-	cmd.Flag("plain-slots", "Requests that a plain service runs at once.").Default("8").IntVar(&c.plain.Slots)
-	cmd.Flag("min-time", "The shortest run of a plain service.").Default("5ms").DurationVar(&c.plain.MinTime)
-	cmd.Flag("write-rate", "Writes a second that the store takes.").Default("400").Float64Var(&c.store.WriteRate)
-	cmd.Flag("read-rate", "Reads a second that the store takes.").Default("2000").Float64Var(&c.store.ReadRate)
+	cmd.Flag("model", "The model of the engines.").StringVar(&c.engineConfig.Model)
+	cmd.Flag("engine-slots", "Requests in an engine's batch.").Default("8").IntVar(&c.engineConfig.Slots)
+	cmd.Flag("step", "The time of a decode step.").Default("2ms").DurationVar(&c.engineConfig.StepTime)
+	cmd.Flag("load-lag", "The age of the reported load.").Default("500ms").DurationVar(&c.engineConfig.LoadLag)
+	cmd.Flag("crash-marker", "A text that makes the engine crash that runs a request with it.").StringVar(&c.engineConfig.CrashMarker)
+	cmd.Flag("plain-slots", "Requests that a plain service runs at once.").Default("8").IntVar(&c.plainConfig.Slots)
+	cmd.Flag("min-time", "The shortest run of a plain service.").Default("5ms").DurationVar(&c.plainConfig.MinTime)
+	cmd.Flag("write-rate", "Writes a second that the store takes.").Default("400").Float64Var(&c.storeConfig.WriteRate)
+	cmd.Flag("read-rate", "Reads a second that the store takes.").Default("2000").Float64Var(&c.storeConfig.ReadRate)
 	return c
 }
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.host("admin", c.admin, pomelofake.NewAdmin(admin)); err != nil {
+	if err := c.serve("admin", c.adminAddr, pomelofake.NewAdmin(admin)); err != nil {
 		return err
 	}
 	<-ctx.Done()
@@ -94,11 +94,11 @@
 		}
 		admin.Engines[pomelorelay.UpstreamID(name)] = engine
 	}
-	cfg := c.plain
-	cfg.LoadLag = c.engine.LoadLag
-	for name, addr := range c.plains {
+	cfg := c.plainConfig
+	cfg.LoadLag = c.engineConfig.LoadLag
+	for name, addr := range c.plainServices {
 		plain := pomelofake.NewPlain(cfg)
-		if err := c.host(name, addr, plain); err != nil {
+		if err := c.serve(name, addr, plain); err != nil {
 			return admin, err
 		}
 		admin.Plains[pomelorelay.UpstreamID(name)] = plain
@@ -116,52 +116,52 @@
 // startEngine binds the engine to its host, which it crashes when it crashes itself.
 func (c *standInCommand) startEngine(name, addr string) (*pomelofake.Engine, error) {
 	var host *pomelofake.Host
-	hosted := make(chan struct{})
-	cfg := c.engine
+	hostStarted := make(chan struct{})
+	cfg := c.engineConfig
 	cfg.Crash = func(downFor time.Duration) {
-		<-hosted
+		<-hostStarted
 		host.Crash(downFor)
 	}
 	engine := pomelofake.NewEngine(cfg)
 	c.closers = append(c.closers, engine)
-	host, err := c.newHost(name, addr, engine)
-	close(hosted)
+	host, err := c.startHost(name, addr, engine)
+	close(hostStarted)
 	return engine, err
 }
 
 func (c *standInCommand) startRelay(name, addrs string) (*pomelofake.Relay, error) {
-	own, target, ok := strings.Cut(addrs, "/")
+	listenAddr, target, ok := strings.Cut(addrs, "/")
 	if !ok {
 		return nil, errors.Errorf("relay %s: %q is not IP:PORT/IP:PORT", name, addrs)
 	}
 	relay, err := pomelofake.NewRelay(pomelofake.RelayConfig{
-		Listen: pomelofake.ListenTCP(own),
+		Listen: pomelofake.ListenTCP(listenAddr),
 		Dial:   func() (net.Conn, error) { return net.Dial("tcp", target) },
 	})
 	if err != nil {
 		return nil, errors.Wrapf(err, "relay %s", name)
 	}
 	c.closers = append(c.closers, relay)
-	c.logger.Log(pomelorelay.EventStandInStarted, pomelorelay.Field{Key: "Name", Value: name}, pomelorelay.Field{Key: "Address", Value: own})
+	c.logger.Log(pomelorelay.EventStandInStarted, pomelorelay.Field{Key: "Name", Value: name}, pomelorelay.Field{Key: "Address", Value: listenAddr})
 	return relay, nil
 }
 
 func (c *standInCommand) startPlatform(admin *pomelofake.AdminConfig) error {
-	if c.platform == "" {
+	if c.platformAddr == "" {
 		return nil
 	}
-	hosts, err := readHosts(c.hosts)
+	hosts, err := readHosts(c.hostsPath)
 	if err != nil {
 		return err
 	}
-	admin.Store = pomelofake.NewStore(c.store)
+	admin.Store = pomelofake.NewStore(c.storeConfig)
 	admin.HostList = pomelofake.NewHostList(pomelofake.HostListConfig{Hosts: hosts, Lag: c.listLag})
 	c.closers = append(c.closers, admin.Store)
-	return c.host("platform", c.platform, platform(*admin))
+	return c.serve("platform", c.platformAddr, platformHandler(*admin))
 }
 
-// platform answers the store's and the host list's calls at one address.
-func platform(admin pomelofake.AdminConfig) http.Handler {
+// platformHandler answers the store's and the host list's calls at one address.
+func platformHandler(admin pomelofake.AdminConfig) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/hosts" {
 			admin.HostList.ServeHTTP(w, r)
@@ -186,12 +186,12 @@
 	return hosts, nil
 }
 
-func (c *standInCommand) host(name, addr string, handler http.Handler) error {
-	_, err := c.newHost(name, addr, handler)
+func (c *standInCommand) serve(name, addr string, handler http.Handler) error {
+	_, err := c.startHost(name, addr, handler)
 	return err
 }
 
-func (c *standInCommand) newHost(name, addr string, handler http.Handler) (*pomelofake.Host, error) {
+func (c *standInCommand) startHost(name, addr string, handler http.Handler) (*pomelofake.Host, error) {
 	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: pomelofake.ListenTCP(addr), Handler: handler})
 	if err != nil {
 		return nil, errors.Wrap(err, name)
--- a/cmd/pomeloctl/pomelocommand/app.go
+++ b/cmd/pomeloctl/pomelocommand/app.go
@@ -23,9 +23,9 @@
 
 // app is one run of the program.
 type app struct {
-	in      io.Reader
-	out     io.Writer
-	diag    io.Writer
+	stdin   io.Reader
+	stdout  io.Writer
+	stderr  io.Writer
 	output  string
 	timeout time.Duration
 	store   []string
@@ -35,11 +35,11 @@
 type action func(ctx context.Context) error
 
 // Run parses the arguments, runs the subcommand and returns the exit code.
-func Run(args []string, in io.Reader, out, diag io.Writer) int {
-	a := &app{in: in, out: out, diag: diag}
+func Run(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
+	a := &app{stdin: stdin, stdout: stdout, stderr: stderr}
 	cli, actions := a.commands()
-	command, ended, err := parse(cli, args)
-	if ended {
+	command, helpRequested, err := parse(cli, args)
+	if helpRequested {
 		return exitSuccess
 	}
 	if err != nil {
@@ -55,17 +55,17 @@
 	return exitSuccess
 }
 
-// helpShown ends the parsing once the help was printed.
-type helpShown struct{}
+// helpPrinted ends the parsing once the help was printed.
+type helpPrinted struct{}
 
 // parse returns the subcommand, or that the help was asked for.
-func parse(cli *kingpin.Application, args []string) (command string, ended bool, err error) {
-	cli.Terminate(func(int) { panic(helpShown{}) })
+func parse(cli *kingpin.Application, args []string) (command string, helpRequested bool, err error) {
+	cli.Terminate(func(int) { panic(helpPrinted{}) })
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
-		case helpShown:
-			ended = true
+		case helpPrinted:
+			helpRequested = true
 		default:
 			panic(r)
 		}
@@ -77,18 +77,18 @@
 // commands returns the command line and what each subcommand does.
 func (a *app) commands() (*kingpin.Application, map[string]action) {
 	cli := kingpin.New("pomeloctl", "Makes, checks, applies and follows the configuration of pomelorelay.")
-	cli.UsageWriter(a.diag)
-	cli.ErrorWriter(a.diag)
+	cli.UsageWriter(a.stderr)
+	cli.ErrorWriter(a.stderr)
 	cli.HelpFlag.Short('h')
 	cli.Flag("output", "Form of the output.").Default(outputText).EnumVar(&a.output, outputText, outputJSON)
 	cli.Flag("timeout", "Bound on the whole command.").Default("1m").DurationVar(&a.timeout)
 	actions := make(map[string]action)
-	for _, add := range []func(*kingpin.Application) (*kingpin.CmdClause, action){
+	for _, register := range []func(*kingpin.Application) (*kingpin.CmdClause, action){
 		a.questionnaireCommand, a.generateCommand, a.checkCommand, a.diffCommand, a.applyCommand, a.showCommand,
 		a.auditCommand, a.statusCommand, a.drainCommand, a.evacuateCommand, a.tokenCommand,
 	} {
-		clause, do := add(cli)
-		actions[clause.FullCommand()] = do
+		clause, run := register(cli)
+		actions[clause.FullCommand()] = run
 	}
 	return cli, actions
 }
@@ -110,16 +110,16 @@
 // print writes the value as JSON, or the text, as the operator asked.
 func (a *app) print(value any, text string) error {
 	if a.output == outputText {
-		_, err := io.WriteString(a.out, text)
+		_, err := io.WriteString(a.stdout, text)
 		return err
 	}
-	encoder := json.NewEncoder(a.out)
+	encoder := json.NewEncoder(a.stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// failure is an error as programs read it.
-type failure struct {
+// errorReport is an error as programs read it.
+type errorReport struct {
 	Code   pomelorelay.ResultCode
 	Name   string
 	Detail string
@@ -129,12 +129,12 @@
 func (a *app) fail(err error) int {
 	info := pomelorelay.CodeOf(err).Info()
 	if a.output == outputJSON {
-		encoder := json.NewEncoder(a.diag)
+		encoder := json.NewEncoder(a.stderr)
 		encoder.SetIndent("", "  ")
-		if encodeErr := encoder.Encode(failure{Code: info.Code, Name: info.Name, Detail: err.Error(), Advice: info.Advice}); encodeErr == nil {
+		if encodeErr := encoder.Encode(errorReport{Code: info.Code, Name: info.Name, Detail: err.Error(), Advice: info.Advice}); encodeErr == nil {
 			return exitCode(info.Code)
 		}
 	}
-	fmt.Fprintf(a.diag, "pomeloctl: %v\nWhat to do: %s\n", err, info.Advice)
+	fmt.Fprintf(a.stderr, "pomeloctl: %v\nWhat to do: %s\n", err, info.Advice)
 	return exitCode(info.Code)
 }
--- a/cmd/pomeloctl/pomelocommand/apply.go
+++ b/cmd/pomeloctl/pomelocommand/apply.go
@@ -59,7 +59,7 @@
 }
 
 func (a *app) apply(ctx context.Context, o applyOptions) error {
-	routers, err := routersToWaitFor("apply", o.routers, o.wait)
+	routers, err := parseRouters("apply", o.routers, o.wait)
 	if err != nil {
 		return err
 	}
@@ -71,30 +71,30 @@
 	if err != nil {
 		return err
 	}
-	return a.publish(ctx, publishing{
+	return a.publish(ctx, publication{
 		store: store, configuration: c, routers: routers, wait: o.wait,
 		change: pomeloconfig.Change{ID: pomeloconfig.ChangeID(o.changeID), Author: o.author, Why: o.why, Base: pomelorelay.Generation(o.base)},
 	})
 }
 
-// await asks the routers until all have the generation, or a higher one, or the time is up.
-func (r *applyResult) await(ctx context.Context, routers []netip.AddrPort) error {
+// waitInForce asks the routers until all have the generation, or a higher one, or the time is up.
+func (r *applyResult) waitInForce(ctx context.Context, routers []netip.AddrPort) error {
 	for {
-		lines, _ := askAll(ctx, routers)
+		replies, _ := queryRouters(ctx, routers)
 		r.InForce, r.Pending = nil, nil
-		for _, line := range lines {
-			if line.Error == "" && line.Status.Generation >= r.Generation {
-				r.InForce = append(r.InForce, line.Router)
+		for _, reply := range replies {
+			if reply.Error == "" && reply.Status.Generation >= r.Generation {
+				r.InForce = append(r.InForce, reply.Router)
 				continue
 			}
-			r.Pending = append(r.Pending, line.Router)
+			r.Pending = append(r.Pending, reply.Router)
 		}
 		if len(r.Pending) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, fmt.Sprintf("generation %d is not in force on %s", r.Generation, addressesText(r.Pending)), nil)
+			return pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, fmt.Sprintf("generation %d is not in force on %s", r.Generation, formatAddresses(r.Pending)), nil)
 		case <-time.After(waitInterval):
 		}
 	}
@@ -104,15 +104,15 @@
 	text := fmt.Sprintf("Generation %d, change %s: %d added, %d removed, %d altered\n",
 		r.Generation, r.ChangeID, r.Difference.Added, r.Difference.Removed, r.Difference.Altered)
 	if len(r.InForce) > 0 {
-		text += "In force on " + addressesText(r.InForce) + "\n"
+		text += "In force on " + formatAddresses(r.InForce) + "\n"
 	}
 	if len(r.Pending) > 0 {
-		text += "Not in force on " + addressesText(r.Pending) + "\n"
+		text += "Not in force on " + formatAddresses(r.Pending) + "\n"
 	}
 	return text
 }
 
-func addressesText(addresses []netip.AddrPort) string {
+func formatAddresses(addresses []netip.AddrPort) string {
 	texts := make([]string, len(addresses))
 	for i, address := range addresses {
 		texts[i] = address.String()
--- a/cmd/pomeloctl/pomelocommand/audit.go
+++ b/cmd/pomeloctl/pomelocommand/audit.go
@@ -20,14 +20,14 @@
 			return err
 		}
 		entries, auditErr := pomeloconfig.Audit(ctx, store, pomeloconfig.AuditOptions{Limit: *limit})
-		if err := a.print(entries, auditText(entries)); err != nil {
+		if err := a.print(entries, formatAudit(entries)); err != nil {
 			return err
 		}
 		return auditErr
 	}
 }
 
-func auditText(entries []pomeloconfig.AuditEntry) string {
+func formatAudit(entries []pomeloconfig.AuditEntry) string {
 	var text strings.Builder
 	for _, entry := range entries {
 		r := entry.Root
--- a/cmd/pomeloctl/pomelocommand/command_test.go
+++ b/cmd/pomeloctl/pomelocommand/command_test.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	jewellers = "../../../examples/answers/jewellers.yaml"
-	hearthway = "../../../examples/answers/hearthway.yaml"
+	jewellersAnswers = "../../../examples/answers/jewellers.yaml"
+	hearthwayAnswers = "../../../examples/answers/hearthway.yaml"
 )
 
-// platform serves the store's protocol, and a router's operator port that has in force what the store holds.
-type platform struct {
+// fakePlatform serves the store's protocol, and a router's operator port that has in force what the store holds.
+type fakePlatform struct {
 	mu      sync.Mutex
 	records map[string]pomelorelay.Record
-	// lag keeps the router on the generation before.
-	lag     bool
-	drained bool
+	// reportsPrevious keeps the router on the generation before.
+	reportsPrevious bool
+	drained         bool
 }
 
-func newPlatform(t *testing.T) (*platform, string) {
-	p := &platform{records: make(map[string]pomelorelay.Record)}
+func newFakePlatform(t *testing.T) (*fakePlatform, string) {
+	p := &fakePlatform{records: make(map[string]pomelorelay.Record)}
 	server := httptest.NewServer(p)
 	t.Cleanup(server.Close)
 	return p, strings.TrimPrefix(server.URL, "http://")
 }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key, isRecord := strings.CutPrefix(r.URL.Path, "/v1/kv/")
@@ -57,7 +57,7 @@
 	}
 }
 
-func (p *platform) write(w http.ResponseWriter, r *http.Request, key string) {
+func (p *fakePlatform) write(w http.ResponseWriter, r *http.Request, key string) {
 	record := p.records[key]
 	if r.URL.Query().Get("old") != strconv.FormatUint(uint64(record.Revision), 10) {
 		w.WriteHeader(http.StatusConflict)
@@ -68,25 +68,25 @@
 	fmt.Fprintf(w, `{"Revision":%d}`, record.Revision+1)
 }
 
-func (p *platform) generation() int {
+func (p *fakePlatform) generation() int {
 	var root struct{ Generation int }
 	json.Unmarshal(p.records["config/root"].Value, &root)
-	if p.lag {
+	if p.reportsPrevious {
 		return root.Generation - 1
 	}
 	return root.Generation
 }
 
-// ctl runs the program and returns its exit code, output and diagnostics.
-func ctl(args ...string) (int, string, string) {
+// runCommand runs the program and returns its exit code, output and diagnostics.
+func runCommand(args ...string) (int, string, string) {
 	var out, diag bytes.Buffer
 	code := pomelocommand.Run(args, strings.NewReader(""), &out, &diag)
 	return code, out.String(), diag.String()
 }
 
-func mustCtl(t *testing.T, args ...string) string {
+func mustRun(t *testing.T, args ...string) string {
 	t.Helper()
-	code, out, diag := ctl(args...)
+	code, out, diag := runCommand(args...)
 	if code != 0 {
 		t.Fatalf("%v: exit code %d: %s", args, code, diag)
 	}
@@ -102,50 +102,50 @@
 	return path
 }
 
-func TestFromAnswersToInForce(t *testing.T) {
-	p, address := newPlatform(t)
-	text := mustCtl(t, "generate", "--answers", jewellers, "--answers", hearthway)
+func TestConfigurationLifecycle(t *testing.T) {
+	p, address := newFakePlatform(t)
+	text := mustRun(t, "generate", "--answers", jewellersAnswers, "--answers", hearthwayAnswers)
 	first := writeFile(t, text)
-	mustCtl(t, "check", first)
-	out := mustCtl(t, "apply", first, "--store", address, "--why", "first", "--author", "ana", "--wait", "--router", address)
+	mustRun(t, "check", first)
+	out := mustRun(t, "apply", first, "--store", address, "--why", "first", "--author", "ana", "--wait", "--router", address)
 	if !strings.Contains(out, "Generation 1,") || !strings.Contains(out, "In force on "+address) {
 		t.Fatal(out)
 	}
 	second := writeFile(t, strings.Replace(text, "MaxSlots: 8", "MaxSlots: 9", 1))
-	if diff := mustCtl(t, "diff", second, "--store", address); !strings.Contains(diff, "MaxSlots: 8 -> 9") {
+	if diff := mustRun(t, "diff", second, "--store", address); !strings.Contains(diff, "MaxSlots: 8 -> 9") {
 		t.Fatal(diff)
 	}
-	mustCtl(t, "apply", second, "--store", address, "--why", "one more", "--author", "bea", "--base", "1")
-	if diff := mustCtl(t, "diff", second, "--store", address); diff != "Nothing differs.\n" {
+	mustRun(t, "apply", second, "--store", address, "--why", "one more", "--author", "bea", "--base", "1")
+	if diff := mustRun(t, "diff", second, "--store", address); diff != "Nothing differs.\n" {
 		t.Fatal(diff)
 	}
-	if shown := mustCtl(t, "show", "--store", address); !strings.HasPrefix(shown, "# Generation 2,") || !strings.Contains(shown, "MaxSlots: 9") {
+	if shown := mustRun(t, "show", "--store", address); !strings.HasPrefix(shown, "# Generation 2,") || !strings.Contains(shown, "MaxSlots: 9") {
 		t.Fatal(shown[:80])
 	}
-	if trail := mustCtl(t, "audit", "--store", address); !strings.Contains(trail, "bea") || !strings.Contains(trail, "why: one more") || !strings.Contains(trail, "why: first") {
+	if trail := mustRun(t, "audit", "--store", address); !strings.Contains(trail, "bea") || !strings.Contains(trail, "why: one more") || !strings.Contains(trail, "why: first") {
 		t.Fatal(trail)
 	}
-	if status := mustCtl(t, "status", "--router", address); !strings.Contains(status, "router-1") || !strings.Contains(status, "ready") {
+	if status := mustRun(t, "status", "--router", address); !strings.Contains(status, "router-1") || !strings.Contains(status, "ready") {
 		t.Fatal(status)
 	}
-	mustCtl(t, "drain", "--router", address)
+	mustRun(t, "drain", "--router", address)
 	if !p.drained {
 		t.Fatal("the router was not told to drain")
 	}
 }
 
-func TestJSONOutputIsForPrograms(t *testing.T) {
-	_, address := newPlatform(t)
-	file := writeFile(t, mustCtl(t, "generate", "--answers", jewellers))
+func TestJSONOutputIsValid(t *testing.T) {
+	_, address := newFakePlatform(t)
+	file := writeFile(t, mustRun(t, "generate", "--answers", jewellersAnswers))
 	for _, args := range [][]string{
-		{"questionnaire"}, {"generate", "--answers", jewellers}, {"check", file}, {"apply", file, "--store", address, "--why", "w"},
+		{"questionnaire"}, {"generate", "--answers", jewellersAnswers}, {"check", file}, {"apply", file, "--store", address, "--why", "w"},
 		{"diff", file, "--store", address}, {"show", "--store", address}, {"audit", "--store", address}, {"status", "--router", address}, {"token"},
 	} {
-		if out := mustCtl(t, append([]string{"--output", "json"}, args...)...); !json.Valid([]byte(out)) {
+		if out := mustRun(t, append([]string{"--output", "json"}, args...)...); !json.Valid([]byte(out)) {
 			t.Errorf("%v: %s", args, out)
 		}
 	}
-	_, _, diag := ctl("--output", "json", "check", "no-such-file")
+	_, _, diag := runCommand("--output", "json", "check", "no-such-file")
 	var failure struct{ Code int }
 	if err := json.Unmarshal([]byte(diag), &failure); err != nil || failure.Code != int(pomelorelay.CodeFileUnreadable) {
 		t.Errorf("%v %s", err, diag)
@@ -153,13 +153,13 @@
 }
 
 // A script goes by the exit code alone. Each kind of failure must have its own, and say its number and what to do.
-func TestExitCodesTellFailuresApart(t *testing.T) {
-	p, address := newPlatform(t)
-	text := mustCtl(t, "generate", "--answers", hearthway)
+func TestExitCodesDistinguishFailures(t *testing.T) {
+	p, address := newFakePlatform(t)
+	text := mustRun(t, "generate", "--answers", hearthwayAnswers)
 	good := writeFile(t, text)
 	bad := writeFile(t, strings.Replace(text, "Region: boston", "Region: nowhere", 1))
-	mustCtl(t, "apply", good, "--store", address, "--why", "w")
-	p.lag = true
+	mustRun(t, "apply", good, "--store", address, "--why", "w")
+	p.reportsPrevious = true
 	for _, c := range []struct {
 		code int
 		want string
@@ -175,38 +175,38 @@
 		{6, "2014", []string{"status", "--router", "127.0.0.1:1"}},
 		{6, "2100", []string{"show", "--store", "127.0.0.1:1"}},
 	} {
-		code, _, diag := ctl(c.args...)
+		code, _, diag := runCommand(c.args...)
 		if code != c.code || !strings.Contains(diag, c.want) || !strings.Contains(diag, "What to do:") {
 			t.Errorf("%v: exit code %d, want %d with %q: %s", c.args, code, c.code, c.want, diag)
 		}
 	}
-	if code, _, _ := ctl("--help"); code != 0 {
+	if code, _, _ := runCommand("--help"); code != 0 {
 		t.Errorf("--help has exit code %d", code)
 	}
 }
 
 // Guards against an evacuation that is not in the audit trail, that changes anything else, or that cannot be taken back.
-func TestADomainIsEvacuatedAndTakenBack(t *testing.T) {
-	_, address := newPlatform(t)
-	file := writeFile(t, mustCtl(t, "generate", "--answers", jewellers))
-	mustCtl(t, "apply", file, "--store", address, "--why", "first")
-	out := mustCtl(t, "evacuate", "recife-a", "--store", address, "--why", "power work", "--author", "ana", "--wait", "--router", address)
+func TestEvacuateAndCancel(t *testing.T) {
+	_, address := newFakePlatform(t)
+	file := writeFile(t, mustRun(t, "generate", "--answers", jewellersAnswers))
+	mustRun(t, "apply", file, "--store", address, "--why", "first")
+	out := mustRun(t, "evacuate", "recife-a", "--store", address, "--why", "power work", "--author", "ana", "--wait", "--router", address)
 	if !strings.Contains(out, "recife-a gets nothing new") || !strings.Contains(out, "Generation 2,") || !strings.Contains(out, "In force on "+address) {
 		t.Fatal(out)
 	}
-	if shown := mustCtl(t, "show", "--store", address); strings.Count(shown, "Evacuated:") != 1 {
+	if shown := mustRun(t, "show", "--store", address); strings.Count(shown, "Evacuated:") != 1 {
 		t.Fatal(shown)
 	}
-	if trail := mustCtl(t, "audit", "--store", address); !strings.Contains(trail, "why: power work") {
+	if trail := mustRun(t, "audit", "--store", address); !strings.Contains(trail, "why: power work") {
 		t.Fatal(trail)
 	}
 	for _, args := range [][]string{{"recife-a"}, {"nowhere"}, {"salvador-a", "--cancel"}} {
-		if code, _, diag := ctl(append([]string{"evacuate", "--store", address, "--why", "w"}, args...)...); code == 0 || !strings.Contains(diag, fmt.Sprint(int(pomelorelay.CodeConfigInvalid))) {
+		if code, _, diag := runCommand(append([]string{"evacuate", "--store", address, "--why", "w"}, args...)...); code == 0 || !strings.Contains(diag, fmt.Sprint(int(pomelorelay.CodeConfigInvalid))) {
 			t.Errorf("%v: exit code %d, %s", args, code, diag)
 		}
 	}
-	mustCtl(t, "evacuate", "recife-a", "--cancel", "--store", address, "--why", "power is back")
-	if diff := mustCtl(t, "diff", file, "--store", address); diff != "Nothing differs.\n" {
+	mustRun(t, "evacuate", "recife-a", "--cancel", "--store", address, "--why", "power is back")
+	if diff := mustRun(t, "diff", file, "--store", address); diff != "Nothing differs.\n" {
 		t.Fatal(diff)
 	}
 }
--- a/cmd/pomeloctl/pomelocommand/diff.go
+++ b/cmd/pomeloctl/pomelocommand/diff.go
@@ -20,17 +20,17 @@
 		if err != nil {
 			return err
 		}
-		before, err := a.readBefore(ctx, *from)
+		before, err := a.readBaseline(ctx, *from)
 		if err != nil {
 			return err
 		}
 		changes := pomeloconfig.Difference(before, after)
-		return a.print(changes, changesText(changes))
+		return a.print(changes, formatChanges(changes))
 	}
 }
 
-// readBefore reads the file, or the store when no file is given; an empty store counts as an empty configuration.
-func (a *app) readBefore(ctx context.Context, file string) (pomeloconfig.Configuration, error) {
+// readBaseline reads the file, or the store when no file is given; an empty store counts as an empty configuration.
+func (a *app) readBaseline(ctx context.Context, file string) (pomeloconfig.Configuration, error) {
 	switch {
 	case file != "":
 		return a.readConfiguration(file)
@@ -48,7 +48,7 @@
 	return c, err
 }
 
-func changesText(changes []pomeloconfig.EntryChange) string {
+func formatChanges(changes []pomeloconfig.EntryChange) string {
 	if len(changes) == 0 {
 		return "Nothing differs.\n"
 	}
--- a/cmd/pomeloctl/pomelocommand/evacuate.go
+++ b/cmd/pomeloctl/pomelocommand/evacuate.go
@@ -33,7 +33,7 @@
 
 // evacuate publishes the configuration of the store with one failure domain's evacuation changed. Another change that comes between is a conflict.
 func (a *app) evacuate(ctx context.Context, o evacuateOptions) error {
-	routers, err := routersToWaitFor("evacuate", o.routers, o.wait)
+	routers, err := parseRouters("evacuate", o.routers, o.wait)
 	if err != nil {
 		return err
 	}
@@ -48,13 +48,13 @@
 	if err := c.Evacuate(pomelorelay.DomainID(o.domain), o.cancel); err != nil {
 		return err
 	}
-	return a.publish(ctx, publishing{
-		store: store, configuration: c, routers: routers, wait: o.wait, headline: evacuateText(o),
+	return a.publish(ctx, publication{
+		store: store, configuration: c, routers: routers, wait: o.wait, textPrefix: evacuationPrefix(o),
 		change: pomeloconfig.Change{Author: o.author, Why: o.why, Base: root.Generation},
 	})
 }
 
-func evacuateText(o evacuateOptions) string {
+func evacuationPrefix(o evacuateOptions) string {
 	if o.cancel {
 		return o.domain + " takes work again: "
 	}
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -9,20 +9,20 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// publishing is a configuration on its way into the store.
-type publishing struct {
+// publication is a configuration on its way into the store.
+type publication struct {
 	store         *pomelostore.Client
 	configuration pomeloconfig.Configuration
 	change        pomeloconfig.Change
 	// routers are asked for the generations that they have in force; with wait, until they have the new one.
 	routers []netip.AddrPort
 	wait    bool
-	// headline goes before the text of the result.
-	headline string
+	// textPrefix goes before the text of the result.
+	textPrefix string
 }
 
-// routersToWaitFor parses a command's routers; waiting needs one at least.
-func routersToWaitFor(command string, texts []string, wait bool) ([]netip.AddrPort, error) {
+// parseRouters parses a command's routers; waiting needs one at least.
+func parseRouters(command string, texts []string, wait bool) ([]netip.AddrPort, error) {
 	routers, err := parseAddresses("--router", texts)
 	if err != nil {
 		return nil, err
@@ -34,10 +34,10 @@
 }
 
 // publish brings a configuration into the store and prints the result, with wait once it is in force.
-func (a *app) publish(ctx context.Context, p publishing) error {
+func (a *app) publish(ctx context.Context, p publication) error {
 	// Routers that do not answer do not keep a change from being accepted; the others tell what it has to be above.
-	lines, _ := askAll(ctx, p.routers)
-	p.change.Floor = highestGeneration(lines)
+	replies, _ := queryRouters(ctx, p.routers)
+	p.change.Floor = highestGeneration(replies)
 	root, err := pomeloconfig.NewPublisher(pomeloconfig.PublisherConfig{Store: p.store}).Publish(ctx, p.configuration, p.change)
 	if err != nil {
 		return err
@@ -45,9 +45,9 @@
 	result := applyResult{Generation: root.Generation, ChangeID: root.ChangeID, Difference: root.Difference}
 	var waitErr error
 	if p.wait {
-		waitErr = result.await(ctx, p.routers)
+		waitErr = result.waitInForce(ctx, p.routers)
 	}
-	if err := a.print(result, p.headline+result.text()); err != nil {
+	if err := a.print(result, p.textPrefix+result.text()); err != nil {
 		return err
 	}
 	return waitErr
--- a/cmd/pomeloctl/pomelocommand/router.go
+++ b/cmd/pomeloctl/pomelocommand/router.go
@@ -43,7 +43,7 @@
 
 func (c routerClient) status(ctx context.Context, router netip.AddrPort) (routerStatus, error) {
 	var s routerStatus
-	data, err := c.exchange(ctx, http.MethodGet, router, "/status")
+	data, err := c.do(ctx, http.MethodGet, router, "/status")
 	if err != nil {
 		return s, err
 	}
@@ -54,11 +54,11 @@
 }
 
 func (c routerClient) drain(ctx context.Context, router netip.AddrPort) error {
-	_, err := c.exchange(ctx, http.MethodPost, router, "/drain")
+	_, err := c.do(ctx, http.MethodPost, router, "/drain")
 	return err
 }
 
-func (c routerClient) exchange(ctx context.Context, method string, router netip.AddrPort, path string) ([]byte, error) {
+func (c routerClient) do(ctx context.Context, method string, router netip.AddrPort, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+router.String()+path, nil)
 	if err != nil {
 		return nil, unreachable(router, path, err)
--- a/cmd/pomeloctl/pomelocommand/status.go
+++ b/cmd/pomeloctl/pomelocommand/status.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// statusLine is one router's answer, or why there is none.
-type statusLine struct {
+// routerReply is one router's answer, or why there is none.
+type routerReply struct {
 	Router netip.AddrPort
 	Status routerStatus
 	Error  string `json:",omitempty"`
@@ -26,11 +26,11 @@
 		if err != nil {
 			return err
 		}
-		lines, failed := askAll(ctx, addresses)
-		if err := a.print(lines, statusText(lines)); err != nil {
+		replies, lastErr := queryRouters(ctx, addresses)
+		if err := a.print(replies, formatStatus(replies)); err != nil {
 			return err
 		}
-		return failed
+		return lastErr
 	}
 }
 
@@ -38,51 +38,51 @@
 	return clause.Flag("router", "IP:port of a router's operator port; may be repeated.")
 }
 
-// askAll asks the routers at the same time and returns the answers in their order, and the last failure.
-func askAll(ctx context.Context, routers []netip.AddrPort) ([]statusLine, error) {
+// queryRouters asks the routers at the same time and returns the answers in their order, and the last failure.
+func queryRouters(ctx context.Context, routers []netip.AddrPort) ([]routerReply, error) {
 	client := newRouterClient()
-	lines := make([]statusLine, len(routers))
+	replies := make([]routerReply, len(routers))
 	errs := make([]error, len(routers))
 	done := make(chan struct{})
 	for i, router := range routers {
 		go func() {
-			lines[i].Router = router
-			lines[i].Status, errs[i] = client.status(ctx, router)
+			replies[i].Router = router
+			replies[i].Status, errs[i] = client.status(ctx, router)
 			done <- struct{}{}
 		}()
 	}
 	for range routers {
 		<-done
 	}
-	var failed error
+	var lastErr error
 	for i, err := range errs {
 		if err != nil {
-			lines[i].Error = err.Error()
-			failed = err
+			replies[i].Error = err.Error()
+			lastErr = err
 		}
 	}
-	return lines, failed
+	return replies, lastErr
 }
 
 // highestGeneration is the highest that any router has in force.
-func highestGeneration(lines []statusLine) pomelorelay.Generation {
+func highestGeneration(replies []routerReply) pomelorelay.Generation {
 	var highest pomelorelay.Generation
-	for _, line := range lines {
-		highest = max(highest, line.Status.Generation)
+	for _, reply := range replies {
+		highest = max(highest, reply.Status.Generation)
 	}
 	return highest
 }
 
-func statusText(lines []statusLine) string {
+func formatStatus(replies []routerReply) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-22s %-20s %-14s %-10s %10s %-8s %7s %9s\n", "ROUTER", "NODE", "DOMAIN", "REGION", "GENERATION", "STATE", "MEMBERS", "UPSTREAMS")
-	for _, line := range lines {
-		if line.Error != "" {
-			fmt.Fprintf(&text, "%-22s %s\n", line.Router, line.Error)
+	for _, reply := range replies {
+		if reply.Error != "" {
+			fmt.Fprintf(&text, "%-22s %s\n", reply.Router, reply.Error)
 			continue
 		}
-		s := line.Status
-		fmt.Fprintf(&text, "%-22s %-20s %-14s %-10s %10d %-8s %7d %9d%s\n", line.Router, s.Node, s.Domain, s.Region, s.Generation, s.state(), len(s.Members), len(s.Upstreams), s.evacuatedText())
+		s := reply.Status
+		fmt.Fprintf(&text, "%-22s %-20s %-14s %-10s %10d %-8s %7d %9d%s\n", reply.Router, s.Node, s.Domain, s.Region, s.Generation, s.state(), len(s.Members), len(s.Upstreams), s.evacuatedText())
 	}
 	return text.String()
 }
--- a/cmd/pomeloctl/pomelocommand/token.go
+++ b/cmd/pomeloctl/pomelocommand/token.go
@@ -15,8 +15,8 @@
 // tokenBytes are as many as the hash has, so that a token cannot be guessed.
 const tokenBytes = 32
 
-// newToken is a bearer token and the hash under which it is kept.
-type newToken struct {
+// generatedToken is a bearer token and the hash under which it is kept.
+type generatedToken struct {
 	Token string
 	Hash  string
 }
@@ -29,7 +29,7 @@
 			return pomelorelay.NewError(pomelorelay.CodeInternal, "make a token", err)
 		}
 		token := base64.RawURLEncoding.EncodeToString(random[:])
-		made := newToken{Token: token, Hash: pomeloconfig.HashToken(token)}
-		return a.print(made, fmt.Sprintf("Token (give it to the caller, it is kept nowhere): %s\nHash (for TokenHashes):                           %s\n", made.Token, made.Hash))
+		generated := generatedToken{Token: token, Hash: pomeloconfig.HashToken(token)}
+		return a.print(generated, fmt.Sprintf("Token (give it to the caller, it is kept nowhere): %s\nHash (for TokenHashes):                           %s\n", generated.Token, generated.Hash))
 	}
 }
--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// memoryShare is the part of the memory that the platform allows up to which the collector lets the heap grow.
-	memoryShare = 0.6
+	// heapFraction is the part of the memory that the platform allows up to which the collector lets the heap grow.
+	heapFraction = 0.6
 	// storeTimeout bounds a call to the platform's store, which answers in 4 ms, or in a few hundred when it is slow.
 	storeTimeout = 1500 * time.Millisecond
-	// storeRest is how long the store is left alone after several failures in a row: short against the 4 s after whose end a router is
+	// storeBreakerOpen is how long the store is left alone after several failures in a row: short against the 4 s after whose end a router is
 	// taken to know what the store holds.
-	storeRest = 400 * time.Millisecond
-	// storeCalls is the most calls a second that one router makes.
-	storeCalls = 20
+	storeBreakerOpen = 400 * time.Millisecond
+	// storeCallsPerSecond is the most calls a second that one router makes.
+	storeCallsPerSecond = 20
 )
 
 func registerEntry(app *kingpin.Application) {
@@ -59,62 +59,62 @@
 		return err
 	}
 	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.Memory)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(settings.Memory)))
 	}
 	logger := pomelolog.New(pomelolog.Config{Node: settings.Self.Node, Level: pomelorelay.LevelInfo, Writer: os.Stdout})
 	defer logger.Close()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	off, err := pomeloplace.ParseMechanisms(without)
+	disabled, err := pomeloplace.ParseMechanisms(without)
 	if err != nil {
 		return err
 	}
-	entry, err := openEntry(settings, off, logger)
+	router, err := openEntry(settings, disabled, logger)
 	if err != nil {
 		return err
 	}
-	return serveEntry(entry, path, signals, logger)
+	return serveEntry(router, path, signals, logger)
 }
 
-func openEntry(settings pomelorelay.FleetSettings, without pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Router, error) {
+func openEntry(settings pomelorelay.FleetSettings, disabled pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Router, error) {
 	client, err := pomelostore.New(pomelostore.Config{
 		Addresses:      []netip.AddrPort{settings.Store},
 		Timeout:        storeTimeout,
-		CallsPerSecond: storeCalls,
-		BreakerOpen:    storeRest,
+		CallsPerSecond: storeCallsPerSecond,
+		BreakerOpen:    storeBreakerOpen,
 		Logger:         logger,
 	})
 	if err != nil {
 		return nil, err
 	}
-	entry, err := pomeloentry.New(pomeloentry.Config{
+	router, err := pomeloentry.New(pomeloentry.Config{
 		Settings:           settings,
 		Platform:           pomeloplatform.NewStore(client, storeTimeout),
 		Wire:               pomeloplatform.Wire{},
 		Logger:             logger,
-		DisabledMechanisms: without,
+		DisabledMechanisms: disabled,
 	})
 	if err != nil {
 		return nil, err
 	}
-	if err := entry.Listen(); err != nil {
-		entry.Close()
+	if err := router.Listen(); err != nil {
+		router.Close()
 		return nil, err
 	}
-	return entry, nil
+	return router, nil
 }
 
 // serveEntry runs until a signal or a failure ends the router. Settings that changed are checked and told; their addresses hold
 // until the next start.
-func serveEntry(entry *pomeloentry.Router, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
+func serveEntry(router *pomeloentry.Router, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
 	for {
 		select {
-		case err := <-entry.Errors():
-			entry.Close()
+		case err := <-router.Errors():
+			router.Close()
 			return err
 		case s := <-signals:
 			if s != syscall.SIGHUP {
-				entry.Stop()
+				router.Stop()
 				return nil
 			}
 			if _, err := pomeloplatform.LoadSettings(path); err != nil {
