--- a/cmd/pomelobench/bounds.go
+++ b/cmd/pomelobench/bounds.go
@@ -18,7 +18,7 @@
 
 func newBoundsCommand(cmd *kingpin.CmdClause) *boundsCommand {
 	c := &boundsCommand{}
-	cmd.Flag("bounds", "The file of bounds.").Default("bench/bounds.yaml").StringVar(&c.boundsPath)
+	cmd.Flag("bounds", "The YAML file with the bounds.").Default("bench/bounds.yaml").StringVar(&c.boundsPath)
 	cmd.Arg("runs", "The output of go test -bench.").Required().StringVar(&c.runsPath)
 	return c
 }
@@ -40,7 +40,7 @@
 		}
 	}
 	if violated > 0 {
-		return pomelorelay.NewError(pomelorelay.CodeBenchViolated, fmt.Sprintf("%d bounds are not kept", violated), nil)
+		return pomelorelay.NewError(pomelorelay.CodeBenchViolated, fmt.Sprintf("%d bounds violated", violated), nil)
 	}
 	return nil
 }
--- a/cmd/pomelobench/doc.go
+++ b/cmd/pomelobench/doc.go
@@ -1,4 +1,5 @@
-// Command pomelobench runs stand-ins, puts a bounded load on routers or
-// directly on stand-ins, judges what was seen by the invariant checks, and
-// turns the record of a run into a page with plots.
+// Command pomelobench runs stand-ins (simulated upstreams, store, host list
+// and links), generates load on routers or directly on stand-ins, checks the
+// observations against the fleet's invariants, renders the record of a run as
+// an HTML page with plots, and measures latency and configuration propagation.
 package main
--- a/cmd/pomelobench/latency.go
+++ b/cmd/pomelobench/latency.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// latencyCommand measures the latency that routers add.
+// latencyCommand measures the latency added by one and by two routers.
 type latencyCommand struct {
 	address  string
 	rate     int
@@ -24,11 +24,11 @@
 
 func newLatencyCommand(cmd *kingpin.CmdClause) *latencyCommand {
 	c := &latencyCommand{}
-	cmd.Flag("address", "The IP number on which stand-ins and routers listen.").Default("127.8.1.1").StringVar(&c.address)
-	cmd.Flag("rate", "Requests a second.").Default("1000").IntVar(&c.rate)
-	cmd.Flag("duration", "How long each target gets the load.").Default("10s").DurationVar(&c.duration)
-	cmd.Flag("slice", "How long a target has its turn.").Default("1s").DurationVar(&c.slice)
-	cmd.Flag("run-time", "How long the service runs a request.").Default("1ns").DurationVar(&c.runTime)
+	cmd.Flag("address", "The IP address on which stand-ins and routers listen.").Default("127.8.1.1").StringVar(&c.address)
+	cmd.Flag("rate", "Requests per second.").Default("1000").IntVar(&c.rate)
+	cmd.Flag("duration", "Total load time of each target.").Default("10s").DurationVar(&c.duration)
+	cmd.Flag("slice", "Load time of a target before the next one's turn.").Default("1s").DurationVar(&c.slice)
+	cmd.Flag("run-time", "Processing time of a request at the service.").Default("1ns").DurationVar(&c.runTime)
 	return c
 }
 
--- a/cmd/pomelobench/logger.go
+++ b/cmd/pomelobench/logger.go
@@ -8,7 +8,7 @@
 	"github.com/phuslu/log"
 )
 
-// logger writes numbered events to standard error as JSON lines.
+// logger implements pomelorelay.Logger with JSON lines on standard error.
 type logger struct {
 	out *log.Logger
 }
@@ -17,7 +17,7 @@
 	return logger{out: &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: os.Stderr}}}
 }
 
-// Log writes an event with its fields.
+// Log writes the event and its fields as one line.
 func (l logger) Log(id pomelorelay.EventID, fields ...pomelorelay.Field) {
 	info := id.Info()
 	entry := l.out.Info().Int("Event", int(id)).Str("Name", info.Name)
--- a/cmd/pomelobench/pomelobounds/bounds.go
+++ b/cmd/pomelobench/pomelobounds/bounds.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Bound is what a benchmark's metric may be.
+// Bound is the allowed range of one metric of a benchmark; Min or Max may be nil, but not both.
 type Bound struct {
 	Package   string   `yaml:"Package"`
 	Benchmark string   `yaml:"Benchmark"`
@@ -19,20 +19,20 @@
 	Max       *float64 `yaml:"Most,omitempty"`
 }
 
-// File is what a file of bounds holds.
+// File is the content of a bounds file.
 type File struct {
 	Bounds []Bound `yaml:"Bounds"`
 }
 
-// Read reads a file of bounds; it fails with CodeBenchPlan when a bound has neither end.
+// Read reads a bounds file; it fails with CodeBenchPlan when the file is invalid or a bound has neither Least nor Most.
 func Read(name string) (File, error) {
 	var f File
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "read the bounds", err)
+		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "read bounds", err)
 	}
 	if err := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(&f); err != nil {
-		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "decode the bounds", err)
+		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "decode bounds", err)
 	}
 	for _, b := range f.Bounds {
 		if b.Min == nil && b.Max == nil {
@@ -44,19 +44,19 @@
 
 func (b Bound) label() string { return b.Package + " " + b.Benchmark + " " + b.Metric }
 
-// Verdict is a bound with what was measured.
+// Verdict is a bound with the measured values.
 type Verdict struct {
 	Bound Bound
-	// Values are those of every run; none means that the benchmark did not run.
+	// Values has one value per run of the benchmark that reported the metric; without any, Met is false.
 	Values []float64
 	Met    bool
 }
 
-// String tells the verdict in one line.
+// String returns the verdict as one line.
 func (v Verdict) String() string {
-	state := "kept    "
+	state := "ok        "
 	if !v.Met {
-		state = "BROKEN  "
+		state = "VIOLATED  "
 	}
 	text := state + v.Bound.label() + ":"
 	if len(v.Values) == 0 {
@@ -74,7 +74,7 @@
 	return text
 }
 
-// Compare judges every bound; one whose benchmark did not run, or reports no such metric, is not kept.
+// Compare checks every bound against all runs; a bound without a measured value is not met.
 func (f File) Compare(runs Runs) []Verdict {
 	var verdicts []Verdict
 	for _, b := range f.Bounds {
--- a/cmd/pomelobench/pomelobounds/doc.go
+++ b/cmd/pomelobench/pomelobounds/doc.go
@@ -1,3 +1,3 @@
-// Package pomelobounds compares the figures that go test -bench reports with committed bounds. Only counts and figures of
-// virtual time are bounded: they give the same verdict on every machine.
+// Package pomelobounds compares the output of go test -bench with committed bounds. Only counts and measurements in virtual time
+// should have bounds, since they do not depend on the machine.
 package pomelobounds
--- a/cmd/pomelobench/pomelobounds/runs.go
+++ b/cmd/pomelobench/pomelobounds/runs.go
@@ -15,31 +15,31 @@
 	"github.com/go-faster/errors"
 )
 
-// Run is one line of a benchmark's output.
+// Run is one result line of go test -bench.
 type Run struct {
-	// Package is the last element of the package's path.
+	// Package is the last element of the import path.
 	Package   string
 	Benchmark string
 	Metrics   map[string]float64
 }
 
-// Runs are the lines of one or more go test -bench.
+// Runs are the result lines of one or more invocations of go test -bench.
 type Runs []Run
 
-// processorSuffix is the number of processors that go test appends to a benchmark's name.
+// processorSuffix matches the number of processors that go test appends to a benchmark's name.
 var processorSuffix = regexp.MustCompile(`-\d+$`)
 
-// ReadRuns reads the output of go test -bench from a file; it fails with CodeBenchRecord.
+// ReadRuns parses a file with the output of go test -bench; it fails as ParseRuns does, or when the file cannot be opened.
 func ReadRuns(name string) (Runs, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, pomelorelay.NewError(pomelorelay.CodeBenchRecord, "open the benchmarks' output", err)
+		return nil, pomelorelay.NewError(pomelorelay.CodeBenchRecord, "open benchmark output", err)
 	}
 	defer file.Close()
 	return ParseRuns(file)
 }
 
-// ParseRuns reads the output of go test -bench; it fails with CodeBenchRecord.
+// ParseRuns parses the output of go test -bench; it fails with CodeBenchRecord on a result line that it cannot parse.
 func ParseRuns(r io.Reader) (Runs, error) {
 	var runs Runs
 	pkg := ""
@@ -59,12 +59,12 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, pomelorelay.NewError(pomelorelay.CodeBenchRecord, "read the benchmarks' output", err)
+		return nil, pomelorelay.NewError(pomelorelay.CodeBenchRecord, "read benchmark output", err)
 	}
 	return runs, nil
 }
 
-// parseLine reads "BenchmarkName-8  100  12.5 ns/op  0 allocs/op".
+// parseLine parses a line such as "BenchmarkName-8  100  12.5 ns/op  0 allocs/op"; it returns false for other lines.
 func parseLine(line string) (Run, bool, error) {
 	words := strings.Fields(line)
 	if len(words) < 4 || !strings.HasPrefix(words[0], "Benchmark") {
@@ -74,14 +74,14 @@
 	for i := 2; i+1 < len(words); i += 2 {
 		value, err := strconv.ParseFloat(words[i], 64)
 		if err != nil {
-			return Run{}, false, pomelorelay.NewError(pomelorelay.CodeBenchRecord, fmt.Sprintf("read %q", line), err)
+			return Run{}, false, pomelorelay.NewError(pomelorelay.CodeBenchRecord, fmt.Sprintf("parse benchmark line %q", line), err)
 		}
 		run.Metrics[words[i+1]] = value
 	}
 	return run, true, nil
 }
 
-// Mean returns a metric's mean over the runs of a benchmark; it fails when there is none.
+// Mean returns a metric's mean over the runs of a benchmark; it fails when no run reports the metric.
 func (runs Runs) Mean(benchmark, metric string) (float64, error) {
 	sum, n := 0.0, 0.0
 	for _, run := range runs {
--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -13,18 +13,18 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// outcome is how an attempt ended for its caller.
+// outcome is the result of an attempt as its caller sees it.
 type outcome struct {
 	kind outcomeKind
-	// matchesRequest and whole are told of an answer.
+	// matchesRequest and complete are set for answers.
 	matchesRequest bool
 	complete       bool
-	// ran, code and retryAfter are told of a refusal.
+	// ran, code, retryAfter and hasRetryAfter are set for refusals; ran and code also for streams that end with an error event.
 	ran           pomelorelay.Ran
 	code          pomelorelay.ResultCode
 	retryAfter    time.Duration
 	hasRetryAfter bool
-	// firstByteAt and at are when the first byte and the end arrived.
+	// firstByteAt and endedAt are when the header and the end of the response arrived.
 	firstByteAt time.Time
 	endedAt     time.Time
 	detail      string
@@ -38,7 +38,7 @@
 	outcomeBroken
 )
 
-// problem is the body of a router's refusal.
+// problem is the body of a router's refusal, or the data of a stream's error event.
 type problem struct {
 	Title  string `json:"title"`
 	Detail string `json:"detail"`
@@ -52,7 +52,7 @@
 	maxLineBytes = 1 << 20
 )
 
-// readAnswer takes the answer in and tells what it is worth to the caller of q.
+// readAnswer reads the response to q and returns its outcome.
 func readAnswer(resp *http.Response, q request) outcome {
 	o := outcome{firstByteAt: time.Now()}
 	contentType := resp.Header.Get("Content-Type")
@@ -75,7 +75,7 @@
 	o.detail = err.Error()
 }
 
-// readRefusal reads the numbered refusal of a router, or of a stand-in that is called directly.
+// readRefusal reads a refusal of a router, or of a stand-in in a direct run.
 func (o *outcome) readRefusal(resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -109,7 +109,7 @@
 	o.matchesRequest = !o.complete || answer.Proof == q.proof
 }
 
-// chatAnswer is what the caller reads of an engine's answer or event.
+// chatAnswer contains the fields used of an engine's answer or stream event.
 type chatAnswer struct {
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
@@ -135,7 +135,7 @@
 	o.compareText(answer.Choices[0].Message.Content, answer.Usage.CompletionTokens, q)
 }
 
-// compareText holds the text against the one that the stand-in gives to the request.
+// compareText compares the text with the one that the stand-in generates for the request.
 func (o *outcome) compareText(text string, tokens int, q request) {
 	o.matchesRequest = strings.HasPrefix(text, q.proof.Token(0)) || text == ""
 	var want strings.Builder
@@ -145,7 +145,8 @@
 	o.complete = text == want.String()
 }
 
-// readStream reads events until the end; a stream that ends in good order without usage and [DONE] is not whole.
+// readStream reads events until the end. A stream that ends without usage and [DONE] is incomplete, even if its transport ended
+// it properly.
 func (o *outcome) readStream(body io.Reader, q request) {
 	var text strings.Builder
 	tokens, done, failed := 0, false, false
@@ -176,7 +177,7 @@
 	o.complete = o.complete && done
 }
 
-// readEvent appends the event's text and returns the number of tokens that it says the whole answer has, if any.
+// readEvent appends the event's text and returns the token count of the answer if the event has it, else zero.
 func readEvent(data string, text *strings.Builder) int {
 	var event chatAnswer
 	if json.Unmarshal([]byte(data), &event) != nil {
@@ -191,7 +192,7 @@
 	return event.Usage.CompletionTokens
 }
 
-// readStreamError is a stream's end that its caller can tell from a whole one.
+// readStreamError records an error event, which tells the caller that the stream is incomplete.
 func (o *outcome) readStreamError(data string) {
 	var p problem
 	_ = json.Unmarshal([]byte(data), &p)
--- a/cmd/pomelobench/pomeloload/balancer.go
+++ b/cmd/pomelobench/pomeloload/balancer.go
@@ -17,7 +17,7 @@
 // DialFunc connects to an address.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// target is a router, or in direct mode an upstream.
+// target is a router, or in a direct run an upstream.
 type target struct {
 	name         pomelorelay.NodeID
 	service      pomelorelay.ServiceID
@@ -27,7 +27,7 @@
 	client       *http.Client
 }
 
-// balancer stands in the place of the platform's: it sends callers to routers that say they are ready.
+// balancer simulates the platform's load balancer: it sends requests to routers that report readiness.
 type balancer struct {
 	targets []*target
 	probe   *http.Client
@@ -67,7 +67,8 @@
 	b.targets = append(b.targets, t)
 }
 
-// pick draws a ready target that serves the service and is among the names; none ready leaves the choice among all of those.
+// pick returns a random ready target that serves the service and is among the names, which may be empty for all. If none of these
+// is ready, it chooses from fallback.
 func (b *balancer) pick(service pomelorelay.ServiceID, names []pomelorelay.NodeID, rng *rand.Rand) *target {
 	var ready, matching []*target
 	for _, t := range b.targets {
@@ -88,7 +89,8 @@
 	return ready[rng.IntN(len(ready))]
 }
 
-// fallback is where callers go whose own routers are all gone: any that is ready, as a balancer would send them.
+// fallback returns all ready routers, as a load balancer would use when the preferred ones are down, or the matching targets if no
+// router is ready.
 func (b *balancer) fallback(matching []*target) []*target {
 	var ready []*target
 	for _, t := range b.targets {
@@ -102,7 +104,7 @@
 	return ready
 }
 
-// awaitReady waits until every router is ready; it fails with CodeBenchStandIn naming one that is not.
+// awaitReady waits until every router is ready; it fails with CodeBenchStandIn and the name of one that is not.
 func (b *balancer) awaitReady(ctx context.Context, within time.Duration) error {
 	if within == 0 {
 		return nil
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// poll asks each router whether it is ready until ctx ends.
+// poll updates the readiness of each router until ctx ends.
 func (b *balancer) poll(ctx context.Context) {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
--- a/cmd/pomelobench/pomeloload/caller.go
+++ b/cmd/pomelobench/pomeloload/caller.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// lateAnswerGrace is how much longer than its deadline a caller listens, to see an answer that is held back.
+	// lateAnswerGrace is how long a caller waits after its deadline, to detect late answers.
 	lateAnswerGrace = 3 * time.Second
 	maxRetryPause   = time.Second
 	minRetryPause   = 50 * time.Millisecond
 )
 
-// callers send requests and record what becomes of them.
+// callers sends the requests of all loads and records their outcomes.
 type callers struct {
 	plan        Plan
 	balancer    *balancer
@@ -34,7 +34,7 @@
 	wg          sync.WaitGroup
 }
 
-// start starts the callers of every account; they take up no new request once issuing ends.
+// start starts the callers of every account; they send no new request after issueCtx ends.
 func (c *callers) start(ctx, issueCtx context.Context) {
 	seed := c.plan.Seed
 	for _, account := range c.plan.Accounts {
@@ -82,7 +82,7 @@
 	}
 }
 
-// sendRequest takes a request to its end: it is sent again while it may run and has not been answered.
+// sendRequest sends a request until it is answered, may not be sent again, or has used its attempts.
 func (c *callers) sendRequest(ctx, issueCtx context.Context, account Account, service Service, load Load, rng *rand.Rand) {
 	q, err := newRequest(account, service, load, c.lastRequest.Add(1))
 	if err != nil {
@@ -110,8 +110,9 @@
 	}
 }
 
-// mayResend tells whether a careful caller sends again: what carries a key, what is idempotent, and what was not run. One with
-// a marker sends again whatever it was told, as people do whose request fails.
+// mayResend reports whether a caller sends a request again: when the refusal says that it did not run, when its connection broke,
+// or when it has an Idempotency-Key. Requests without a key are idempotent. Requests with a marker are sent again after any
+// failure, as human users do.
 func mayResend(q request, o outcome) bool {
 	if o.kind == outcomeRefused && o.ran == pomelorelay.RanNo {
 		return true
@@ -151,8 +152,8 @@
 	return readAnswer(resp, q)
 }
 
-// newHTTPRequest hides the body's type from net/http: a body that can be read again, together with an Idempotency-Key,
-// makes the transport send a request twice by itself when a connection breaks, which would show here as one attempt.
+// newHTTPRequest hides the type of the body from net/http. With a rewindable body and an Idempotency-Key the transport would
+// retry by itself after a broken connection, and two sends would be recorded as one attempt.
 func (c *callers) newHTTPRequest(ctx context.Context, t *target, q request, id string) (*http.Request, error) {
 	path := q.path()
 	if !c.plan.Direct {
@@ -176,7 +177,8 @@
 	return r, nil
 }
 
-// transportFailure tells a connection that was never made, so that nothing ran, from one that broke.
+// transportFailure returns the outcome of a failed round trip: a failure to connect is a refusal without a run, any other a
+// broken connection.
 func transportFailure(err error) outcome {
 	o := outcome{kind: outcomeBroken, endedAt: time.Now(), detail: err.Error()}
 	var op *net.OpError
--- a/cmd/pomelobench/pomeloload/doc.go
+++ b/cmd/pomelobench/pomeloload/doc.go
@@ -1,4 +1,5 @@
-// Package pomeloload puts a bounded load on routers or directly on stand-ins,
-// disturbs them by steps, collects what callers, stand-ins and routers saw, and
-// judges it by the checks of package pomelocheck.
+// Package pomeloload generates load on routers, or directly on stand-ins
+// (simulated upstreams), injects faults at planned times, records what
+// callers, stand-ins and routers observe, and checks the observations with
+// package pomelocheck.
 package pomeloload
--- a/cmd/pomelobench/pomeloload/evaluate.go
+++ b/cmd/pomelobench/pomeloload/evaluate.go
@@ -9,20 +9,20 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-// clockSkew allows for the time between an event and the look at the clock; bench and stand-ins share one machine.
+// clockSkew allows for the time between an event and its timestamp; load generator and stand-ins share one clock.
 const clockSkew = 10 * time.Millisecond
 
-// Report is everything that a run showed.
+// Report contains the observations of a run and the results of the checks.
 type Report struct {
 	Result     Result
 	Violations []pomelocheck.Violation
 	Samples    []Sample
 	Faults     []FaultMark
-	// FailureCounts count the broken and refused attempts by what was said of them.
+	// FailureCounts counts the broken and refused attempts by message.
 	FailureCounts map[string]int
 }
 
-// evaluate holds the run against the checks; the load was issued from r.start to issued.
+// evaluate checks the observations of a run whose load was generated from r.start to issueEnd.
 func (r *recorder) evaluate(p Plan, issueEnd time.Time) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +50,6 @@
 	return all
 }
 
-// poolAccount is an account in a pool.
 type poolAccount struct {
 	pool    pomelorelay.PoolID
 	account pomelorelay.AccountID
@@ -60,7 +59,8 @@
 	from, to time.Time
 }
 
-// waitIntervals returns when each account had a request waiting: from its sending to the start of its run, or to its end.
+// waitIntervals returns when each account had a request waiting: from an attempt's start to the start of its run, or to the
+// attempt's end if it did not run.
 func (r *recorder) waitIntervals(issueEnd time.Time) map[poolAccount][]interval {
 	starts := make(map[pomelocheck.ContentID][]time.Time)
 	for _, run := range r.runs {
@@ -95,7 +95,7 @@
 	return end
 }
 
-// union joins spans that overlap.
+// union merges overlapping intervals.
 func union(intervals []interval) []interval {
 	slices.SortFunc(intervals, func(a, b interval) int { return a.from.Compare(b.from) })
 	var merged []interval
@@ -141,16 +141,16 @@
 	return s.InputCost*pomelorelay.Cost(r.run.Prompt) + s.OutputCost*pomelorelay.Cost(r.run.Completion)
 }
 
-// sampleInterval is the time between two samples of the utilisation.
+// sampleInterval is the resolution of the utilisation samples.
 const sampleInterval = 100 * time.Millisecond
 
-// slotUse is the slots of a pool that were busy, and that there were, at each sample at which work waited.
+// slotUse is the number of busy and of existing slots of a pool in each sample; both are zero in samples without waiting work.
 type slotUse struct {
 	busy  []float64
 	slots []float64
 }
 
-// utilisation samples every pool; slots of an upstream that left count no more.
+// utilisation samples every pool; the slots of an upstream count until it is leaving.
 func (r *recorder) utilisation(p Plan, waits map[poolAccount][]interval, issueEnd time.Time) map[pomelorelay.PoolID]*slotUse {
 	n := max(0, int(issueEnd.Sub(r.start)/sampleInterval))
 	pools := make(map[pomelorelay.PoolID]*slotUse)
@@ -178,7 +178,7 @@
 	}
 }
 
-// addInterval adds to each sample the part of its step that the span covers.
+// addInterval adds to each sample the fraction of it that the interval covers.
 func addInterval(samples []float64, start time.Time, s interval) {
 	first := max(0, int(s.from.Sub(start)/sampleInterval))
 	for i := first; i < len(samples); i++ {
@@ -206,7 +206,7 @@
 	return b
 }
 
-// workWaiting tells for each sample whether something waited in the pool throughout it.
+// workWaiting reports for each sample whether at least one request waited in the pool throughout it.
 func (r *recorder) workWaiting(pool pomelorelay.PoolID, waits map[poolAccount][]interval, n int) []bool {
 	var intervals []interval
 	for key, accountIntervals := range waits {
@@ -233,7 +233,7 @@
 	}
 }
 
-// utilisation returns busy over existing slots of the samples from from to to, and zero when nothing waited then.
+// utilisation returns busy over existing slots in the samples from from up to to, exclusive; zero if no work waited.
 func (u *slotUse) utilisation(from, to int) float64 {
 	busy, slots := 0.0, 0.0
 	for i := max(0, from); i < min(to, len(u.busy)); i++ {
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -28,7 +28,7 @@
 		if r.Answers != r.Requests || r.Runs != r.Requests || r.Requests < 1000 {
 			t.Errorf("%d requests, %d answers, %d runs", r.Requests, r.Answers, r.Runs)
 		}
-		// Eight callers keep four slots busy all the time.
+		// Eight callers keep the four slots busy throughout.
 		if r.Utilisation < 0.95 || r.Utilisation > 1 {
 			t.Errorf("utilisation %v", r.Utilisation)
 		}
@@ -38,8 +38,8 @@
 	})
 }
 
-// A router without the guard would pass on what a disturbed upstream sends. Here callers meet the upstream with no router
-// between, and each fault must show in the result, or the checks would also miss it behind a router.
+// Guards against checks that miss faults: callers use faulty upstreams without a router between, so each fault must appear in the
+// result. A check that misses it here would also miss it behind a router that does not handle it.
 func TestFaultsWithoutRouterAreDetected(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -55,12 +55,12 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newTestNetwork(t)
-				w.plain.SetFaults(tc.plain)
-				w.engine.SetFaults(tc.engine)
+				network := newTestNetwork(t)
+				network.plain.SetFaults(tc.plain)
+				network.engine.SetFaults(tc.engine)
 				p := directPlan()
 				p.Duration = 4 * time.Second
-				report := runPlan(t, w, p)
+				report := runPlan(t, network, p)
 				if !slices.Contains(report.Result.Failures(), tc.want) {
 					t.Errorf("got %v, want %s", report.Result.Failures(), tc.want)
 				}
@@ -69,11 +69,11 @@
 	}
 }
 
-// testRouter stands in a router's place: it passes everything on until it is told to stop, and then does what a careless one does.
+// testRouter simulates a faulty router: it passes requests on until it is drained, and then cuts every connection.
 type testRouter struct {
 	plain    *pomelofake.Plain
 	stopping atomic.Bool
-	// falseNotRunEvery answers "not run" to every such many requests after it ran them.
+	// falseNotRunEvery n > 0 refuses each nth request as not run after running it.
 	falseNotRunEvery int64
 	requests         atomic.Int64
 	vars             func() string
@@ -115,15 +115,15 @@
 	operatorAddr = "127.0.2.1:81"
 )
 
-// routedPlan starts the front and returns the plan that goes through it.
-func routedPlan(t *testing.T, w *testNetwork, f *testRouter) pomeloload.Plan {
+// routedPlan starts the router and returns a plan whose requests go through it.
+func routedPlan(t *testing.T, network *testNetwork, f *testRouter) pomeloload.Plan {
 	t.Helper()
-	f.plain = w.plain
+	f.plain = network.plain
 	if f.vars == nil {
 		f.vars = func() string { return "{}" }
 	}
-	w.serve(t, callerAddr, f)
-	w.serve(t, operatorAddr, f.operator())
+	network.serve(t, callerAddr, f)
+	network.serve(t, operatorAddr, f.operator())
 	p := directPlan()
 	p.Direct = false
 	p.Routers = []pomeloload.Router{{
@@ -135,63 +135,64 @@
 	return p
 }
 
-// A router says "not run" of a booking that ran; its caller sends it again and pays twice.
+// A router refuses a booking as not run although it ran, so its caller sends it again and it runs twice.
 func TestFalseNotRunIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(t)
-		report := runPlan(t, w, routedPlan(t, w, &testRouter{falseNotRunEvery: 10}))
+		network := newTestNetwork(t)
+		report := runPlan(t, network, routedPlan(t, network, &testRouter{falseNotRunEvery: 10}))
 		if report.Result.FalseNotRun == 0 || report.Result.DoubleRuns == 0 {
 			t.Errorf("got %+v", report.Result)
 		}
 	})
 }
 
-// A planned stop drops what is in progress. Callers see broken answers although nothing has failed.
+// A planned stop cuts requests in progress, so callers get broken answers although nothing failed.
 func TestRequestsCutByPlannedStopAreDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(t)
-		p := routedPlan(t, w, &testRouter{})
+		network := newTestNetwork(t)
+		p := routedPlan(t, network, &testRouter{})
 		p.Steps = []pomeloload.Step{{After: 5 * time.Second, DrainRouter: "r1"}}
-		report := runPlan(t, w, p)
+		report := runPlan(t, network, p)
 		if report.Result.CutOff == 0 || len(report.Faults) != 1 {
 			t.Errorf("cut off %d, faults %v", report.Result.CutOff, report.Faults)
 		}
 	})
 }
 
-// A router goes on sending to an upstream that the host list shows as leaving.
+// A router keeps sending requests to an upstream that the host list shows as leaving.
 func TestNewWorkAfterLeaveIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(t)
-		p := routedPlan(t, w, &testRouter{})
+		network := newTestNetwork(t)
+		p := routedPlan(t, network, &testRouter{})
 		p.Steps = []pomeloload.Step{{After: 4 * time.Second, LeavingUpstream: "p1"}}
-		report := runPlan(t, w, p)
+		report := runPlan(t, network, p)
 		if report.Result.NewWorkAfterLeave == 0 {
 			t.Errorf("got %+v", report.Result)
 		}
 	})
 }
 
-// An upstream stops decoding and its router never says so. An account's callers wait, and wait again, without any service.
+// An upstream stops decoding and its requests are not refused, so an account's callers wait without any service.
 func TestStarvationIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(t)
-		w.engine.SetFaults(pomelofake.EngineFaults{Stalled: true})
+		network := newTestNetwork(t)
+		network.engine.SetFaults(pomelofake.EngineFaults{Stalled: true})
 		p := directPlan()
 		p.Duration = 12 * time.Second
-		report := runPlan(t, w, p)
+		report := runPlan(t, network, p)
 		if report.Result.Starved == 0 {
 			t.Errorf("got %+v", report.Result)
 		}
 	})
 }
 
-// A router goes back to an old configuration, and its control bytes are counted across a restart.
+// A router restarts with an older configuration: the lower generation is detected, and its control bytes are counted across the
+// counter reset.
 func TestRouterCountersAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(t)
+		network := newTestNetwork(t)
 		began := time.Now()
-		p := routedPlan(t, w, &testRouter{vars: func() string {
+		p := routedPlan(t, network, &testRouter{vars: func() string {
 			second := int(time.Since(began).Seconds())
 			generation, bytes := 5, 1000*second
 			if second >= 5 {
@@ -199,7 +200,7 @@
 			}
 			return fmt.Sprintf(`{"Pomelo":{"Generation":%d,"ControlBytes":{"DomainSent":%d,"CrossSent":%d}}}`, generation, bytes, bytes)
 		}})
-		report := runPlan(t, w, p)
+		report := runPlan(t, network, p)
 		if report.Result.GenerationFell == 0 || report.Result.GenerationReadings == 0 {
 			t.Errorf("fell %d of %d seen", report.Result.GenerationFell, report.Result.GenerationReadings)
 		}
@@ -212,7 +213,7 @@
 	})
 }
 
-// Callers send a booking twice at the same time and no router keeps the second from running.
+// Callers send a booking twice concurrently, and without a router nothing prevents the second run.
 func TestOverlappingSendsAndMarkedRunsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := directPlan()
@@ -229,7 +230,7 @@
 	})
 }
 
-// The same unfair load is judged from its start and from its last moment on: what came before that must not count.
+// The same unfair load is checked from its start and from its last 100 ms on: service before GapCheckFrom must not count.
 func TestGapIsCheckedFromGapCheckFrom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := directPlan()
@@ -246,11 +247,11 @@
 
 func TestRecordRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(t)
-		w.plain.SetFaults(pomelofake.PlainFaults{Crossed: true, Every: 5})
+		network := newTestNetwork(t)
+		network.plain.SetFaults(pomelofake.PlainFaults{Crossed: true, Every: 5})
 		p := directPlan()
 		p.Duration = 2 * time.Second
-		report := runPlan(t, w, p)
+		report := runPlan(t, network, p)
 		path := filepath.Join(t.TempDir(), "record")
 		if err := pomeloload.WriteRecord(path, report); err != nil {
 			t.Fatal(err)
--- a/cmd/pomelobench/pomeloload/marks.go
+++ b/cmd/pomelobench/pomeloload/marks.go
@@ -13,24 +13,24 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-// Mark is a line that a script appends to the marks file just before it does what the bench cannot: ending a process,
-// applying a configuration.
+// Mark is a line of the marks file. A script appends it next to an action of its own that the checks must know of, such as killing
+// a process or applying a configuration.
 type Mark struct {
-	// Killed and Stopping name a router that is ended without warning or by a planned stop.
+	// Killed and Stopping name a router that is killed, or stopped gracefully.
 	Killed   pomelorelay.NodeID
 	Stopping pomelorelay.NodeID
-	// Frozen and Continued name a router that is halted and goes on.
+	// Frozen and Continued name a router whose process is suspended (SIGSTOP), or resumed.
 	Frozen    pomelorelay.NodeID
 	Continued pomelorelay.NodeID
-	// Accepted is the generation of a configuration that the store took.
+	// Accepted is the generation of a configuration accepted by the store.
 	Accepted pomelorelay.Generation
-	// Text is for the plots.
+	// Text is a label for the plots.
 	Text string
 }
 
 const marksInterval = 50 * time.Millisecond
 
-// followMarks reads lines that are appended to the file until ctx ends.
+// followMarks reads lines appended to the file until ctx ends.
 func (r *recorder) followMarks(ctx context.Context, path string, logf func(string, ...any)) {
 	var offset int64
 	for {
@@ -45,7 +45,7 @@
 	}
 }
 
-// readMarks takes in the whole lines after offset and returns their length.
+// readMarks adds the complete lines after offset and returns their length in bytes.
 func (r *recorder) readMarks(path string, offset int64, logf func(string, ...any)) (int64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -72,7 +72,8 @@
 	}
 }
 
-// A mark is read a little after it was written; what broke within that time counts as after it.
+// addMark dates a kill, stop or freeze two polling intervals back, since a mark is read with a delay and failures within that
+// delay follow from it.
 func (r *recorder) addMark(m Mark, now time.Time) {
 	at := now.Add(-2 * marksInterval)
 	if m.Killed != "" {
--- a/cmd/pomelobench/pomeloload/network_test.go
+++ b/cmd/pomelobench/pomeloload/network_test.go
@@ -15,7 +15,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// testNetwork is a network in memory with stand-ins at addresses, so that loads run on virtual time.
+// testNetwork is an in-memory network with stand-ins, so that loads run on synctest's virtual time.
 type testNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -47,20 +47,20 @@
 
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(l.addr)) }
 
-func (w *testNetwork) listen(addr string) func() (net.Listener, error) {
+func (network *testNetwork) listen(addr string) func() (net.Listener, error) {
 	return func() (net.Listener, error) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.listeners[addr] = &listener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
-		return w.listeners[addr], nil
+		network.mu.Lock()
+		defer network.mu.Unlock()
+		network.listeners[addr] = &listener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
+		return network.listeners[addr], nil
 	}
 }
 
-func (w *testNetwork) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	w.mu.Lock()
-	l := w.listeners[addr]
-	w.mu.Unlock()
-	refused := &net.OpError{Op: "dial", Net: network, Err: errors.New("connection refused")}
+func (network *testNetwork) dial(ctx context.Context, protocol, addr string) (net.Conn, error) {
+	network.mu.Lock()
+	l := network.listeners[addr]
+	network.mu.Unlock()
+	refused := &net.OpError{Op: "dial", Net: protocol, Err: errors.New("connection refused")}
 	if l == nil {
 		return nil, refused
 	}
@@ -75,9 +75,9 @@
 	}
 }
 
-func (w *testNetwork) serve(t *testing.T, addr string, handler http.Handler) *pomelofake.Host {
+func (network *testNetwork) serve(t *testing.T, addr string, handler http.Handler) *pomelofake.Host {
 	t.Helper()
-	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: w.listen(addr), Handler: handler})
+	host, err := pomelofake.NewHost(pomelofake.HostConfig{Listen: network.listen(addr), Handler: handler})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,27 +91,27 @@
 	adminAddr  = "127.0.1.3:80"
 )
 
-// newTestNetwork starts a plain service, an engine, a host list and their admin handler.
+// newTestNetwork returns a network with a plain service, an engine, a host list and their admin handler.
 func newTestNetwork(t *testing.T) *testNetwork {
 	t.Helper()
-	w := &testNetwork{
+	network := &testNetwork{
 		listeners: make(map[string]*listener),
 		plain:     pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 4}),
 		engine:    pomelofake.NewEngine(pomelofake.EngineConfig{Slots: 4}),
 		hosts:     pomelofake.NewHostList(pomelofake.HostListConfig{Hosts: []pomelorelay.Host{{Name: "p1"}}}),
 	}
-	t.Cleanup(func() { _ = w.engine.Close() })
-	w.serve(t, plainAddr, w.plain)
-	w.serve(t, engineAddr, w.engine)
-	w.serve(t, adminAddr, pomelofake.NewAdmin(pomelofake.AdminConfig{
-		Engines:  map[pomelorelay.UpstreamID]*pomelofake.Engine{"e1": w.engine},
-		Plains:   map[pomelorelay.UpstreamID]*pomelofake.Plain{"p1": w.plain},
-		HostList: w.hosts,
+	t.Cleanup(func() { _ = network.engine.Close() })
+	network.serve(t, plainAddr, network.plain)
+	network.serve(t, engineAddr, network.engine)
+	network.serve(t, adminAddr, pomelofake.NewAdmin(pomelofake.AdminConfig{
+		Engines:  map[pomelorelay.UpstreamID]*pomelofake.Engine{"e1": network.engine},
+		Plains:   map[pomelorelay.UpstreamID]*pomelofake.Plain{"p1": network.plain},
+		HostList: network.hosts,
 	}))
-	return w
+	return network
 }
 
-// directPlan loads both stand-ins by two accounts without a router.
+// directPlan returns a plan in which two accounts load both stand-ins without a router.
 func directPlan() pomeloload.Plan {
 	admin := netip.MustParseAddrPort(adminAddr)
 	loads := []pomeloload.Load{
@@ -135,13 +135,13 @@
 	}
 }
 
-func runPlan(t *testing.T, w *testNetwork, p pomeloload.Plan) pomeloload.Report {
+func runPlan(t *testing.T, network *testNetwork, p pomeloload.Plan) pomeloload.Report {
 	t.Helper()
-	report, err := pomeloload.Run(t.Context(), p, pomeloload.Options{Dial: w.dial})
+	report, err := pomeloload.Run(t.Context(), p, pomeloload.Options{Dial: network.dial})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// net/http lingers over connections that it closes itself.
+	// net/http closes its connections with a delay, which virtual time has to cover before the test ends.
 	time.Sleep(time.Second)
 	return report
 }
--- a/cmd/pomelobench/pomeloload/plan.go
+++ b/cmd/pomelobench/pomeloload/plan.go
@@ -11,66 +11,66 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Plan says where the load goes, what it is made of and what is disturbed meanwhile.
+// Plan describes a load run: its targets, its requests and the faults injected.
 type Plan struct {
-	// Seed makes the drawn arrivals, routers and resends the same in each run.
+	// Seed makes random arrivals, the choice of routers and resends reproducible.
 	Seed     uint64        `yaml:"Seed"`
 	Duration time.Duration `yaml:"Duration"`
-	// Timeout is the deadline of an attempt, sent as X-Timeout; 20 s by default.
+	// Timeout is the time limit of an attempt, sent as X-Timeout; 20 s by default.
 	Timeout time.Duration `yaml:"Timeout"`
-	// MaxAttempts bounds how often a caller sends the same request, 5 by default.
+	// MaxAttempts is the maximum number of attempts of a request, 5 by default.
 	MaxAttempts int `yaml:"MaxAttempts"`
-	// Direct sends to the upstreams themselves, for a baseline without routers.
+	// Direct sends requests to the upstreams without routers, as a baseline.
 	Direct    bool       `yaml:"Direct"`
 	Routers   []Router   `yaml:"Routers"`
 	Services  []Service  `yaml:"Services"`
 	Upstreams []Upstream `yaml:"Upstreams"`
 	Accounts  []Account  `yaml:"Accounts"`
 	Steps     []Step     `yaml:"Steps"`
-	// MaxWait is how long a request may take with all its attempts before its account counts as starved; Timeout and 3 s by default.
+	// MaxWait is the time for a request with all its attempts after which its account counts as starved; Timeout plus 3 s by default.
 	MaxWait time.Duration `yaml:"MaxWait"`
-	// GapCheckFrom is the time after the start from which the fairness gap is judged, to judge what is left of it after a fault.
+	// GapCheckFrom is the time after the start from which the fairness gap is checked, so that a plan can exclude the time of a fault.
 	GapCheckFrom time.Duration `yaml:"GapFrom"`
-	// HostListAdmin is the admin address of the stand-in that holds the host list.
+	// HostListAdmin is the admin address of the process that runs the stand-ins of host list and store.
 	HostListAdmin netip.AddrPort `yaml:"HostAdmin"`
 }
 
-// Router is a router under load.
+// Router is a router under load, with the addresses of its caller port and its operator port.
 type Router struct {
 	Name         pomelorelay.NodeID `yaml:"Name"`
 	CallerAddr   netip.AddrPort     `yaml:"Caller"`
 	OperatorAddr netip.AddrPort     `yaml:"Operator"`
 }
 
-// ServiceKind tells how a service is called.
+// ServiceKind is the kind of API that a service has.
 type ServiceKind string
 
-// The kinds of service.
+// Service kinds: an OpenAI-style model engine, or a plain HTTP service.
 const (
 	ModelEngine ServiceKind = "ModelEngine"
 	Plain       ServiceKind = "Plain"
 )
 
-// Service is a service under load; its stand-ins are the upstreams that name it.
+// Service is a service under load, served by the upstreams that refer to it.
 type Service struct {
 	Name  pomelorelay.ServiceID `yaml:"Name"`
 	Kind  ServiceKind           `yaml:"Kind"`
 	Model pomelorelay.ModelID   `yaml:"Model"`
-	// Path is what is called at a plain service.
+	// Path is the URL path of a plain service.
 	Path string `yaml:"Path"`
-	// AtMostOnce tells that a request may run at most once; it carries an Idempotency-Key.
+	// AtMostOnce sends every request with an Idempotency-Key, since it may run at most once.
 	AtMostOnce bool `yaml:"Once"`
-	// InputCost and OutputCost weigh one token; a plain service costs its slot seconds.
+	// InputCost and OutputCost are the costs of one token; the cost of a plain service's request is its slot time in seconds.
 	InputCost  pomelorelay.Cost `yaml:"InputCost"`
 	OutputCost pomelorelay.Cost `yaml:"OutputCost"`
-	// GapBound is the fairness bound in normalised service, zero for none.
+	// GapBound is the maximum fairness gap in normalised service (cost over weight), zero for none.
 	GapBound pomelorelay.Tag `yaml:"GapBound"`
 }
 
-// Pool returns the service's pool.
+// Pool returns the id of the pool that serves the service.
 func (s Service) Pool() pomelorelay.PoolID { return pomelorelay.Pool(s.Name, s.Model) }
 
-// Upstream is a stand-in.
+// Upstream is the stand-in of an upstream.
 type Upstream struct {
 	Name    pomelorelay.UpstreamID `yaml:"Name"`
 	Service pomelorelay.ServiceID  `yaml:"Service"`
@@ -79,7 +79,7 @@
 	Slots   int                    `yaml:"Slots"`
 }
 
-// Account is a client account and what its callers do.
+// Account is a client account with the loads that its callers generate.
 type Account struct {
 	Name   pomelorelay.AccountID `yaml:"Name"`
 	Token  string                `yaml:"Token"`
@@ -87,37 +87,38 @@
 	Loads  []Load                `yaml:"Loads"`
 }
 
-// Load is one sort of callers of an account.
+// Load is a group of an account's callers with the same behaviour.
 type Load struct {
 	Service pomelorelay.ServiceID `yaml:"Service"`
-	// Callers send one request after another; Rate callers a second come on their own beside them.
+	// Callers is the number of closed-loop callers, which send one request after another. ArrivalRate adds open-loop requests per
+	// second with exponentially distributed intervals.
 	Callers     int     `yaml:"Callers"`
 	ArrivalRate float64 `yaml:"Rate"`
-	// Routers are where this load lands; empty for all.
+	// Routers receive this load; empty for all.
 	Routers []pomelorelay.NodeID `yaml:"Routers"`
-	// PromptTokens and MaxTokens shape a model engine's requests; SlotTime is a plain service's time.
+	// PromptTokens and MaxTokens are the lengths of prompt and answer at a model engine; SlotTime is the run time at a plain service.
 	PromptTokens int           `yaml:"Prompt"`
 	MaxTokens    int           `yaml:"MaxTokens"`
 	SlotTime     time.Duration `yaml:"SlotTime"`
 	Stream       bool          `yaml:"Stream"`
-	// ResendFraction is the fraction of answered requests with an Idempotency-Key that are sent once more.
+	// ResendFraction is the fraction of requests with an Idempotency-Key that are sent again after their answer.
 	ResendFraction float64 `yaml:"Resend"`
-	// OverlapFraction is the fraction of requests with an Idempotency-Key that are sent twice at the same time.
+	// OverlapFraction is the fraction of requests with an Idempotency-Key that are sent twice concurrently.
 	OverlapFraction float64 `yaml:"Overlap"`
-	// MaxRequestsPerCaller bounds how many requests each caller sends, zero for no bound.
+	// MaxRequestsPerCaller is the number of requests after which a closed-loop caller stops, zero for no limit.
 	MaxRequestsPerCaller int `yaml:"Requests"`
-	// PromptMarker is a text in the prompts, such as the one at which a stand-in crashes.
+	// PromptMarker is a text included in the prompts, such as the crash marker of a stand-in.
 	PromptMarker string `yaml:"Marker"`
 }
 
-// Step is a disturbance at a time after the start.
+// Step is a set of faults injected at a time after the start.
 type Step struct {
 	After time.Duration `yaml:"After"`
-	// DrainRouter names a router that is asked to stop gracefully.
+	// DrainRouter is the router to drain.
 	DrainRouter pomelorelay.NodeID `yaml:"Drain"`
-	// LeavingUpstream names an upstream that leaves the host list.
+	// LeavingUpstream is the upstream to mark as leaving in the host list.
 	LeavingUpstream pomelorelay.UpstreamID `yaml:"Leave"`
-	// Fault is a JSON body for /fault at Admin.
+	// Fault is a JSON body posted to /fault at FaultAdmin.
 	Fault      string         `yaml:"Fault"`
 	FaultAdmin netip.AddrPort `yaml:"Admin"`
 }
@@ -128,11 +129,11 @@
 	defaultDuration = 30 * time.Second
 )
 
-// LoadPlan reads a plan from a YAML file; it fails on unknown fields and names that do not fit.
+// LoadPlan reads and validates a plan from a YAML file; it fails with CodeBenchPlan on unknown fields and as Plan.Validate does.
 func LoadPlan(path string) (Plan, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Plan{}, errors.Wrap(err, "read the plan")
+		return Plan{}, errors.Wrap(err, "read plan")
 	}
 	var p Plan
 	if err := yaml.UnmarshalWithOptions(data, &p, yaml.DisallowUnknownField()); err != nil {
@@ -141,7 +142,8 @@
 	return p, p.Validate()
 }
 
-// Validate reports the first thing in the plan that does not fit.
+// Validate checks that the names in the plan refer to each other; it fails with CodeBenchPlan on the first that does not, and
+// without routers when Direct is not set.
 func (p Plan) Validate() error {
 	services := make(map[pomelorelay.ServiceID]bool)
 	for _, s := range p.Services {
@@ -153,7 +155,7 @@
 	}
 	for _, u := range p.Upstreams {
 		if !services[u.Service] {
-			return planError("upstream %s serves the unknown service %s", u.Name, u.Service)
+			return planError("upstream %s serves unknown service %s", u.Name, u.Service)
 		}
 	}
 	for _, a := range p.Accounts {
@@ -162,7 +164,7 @@
 		}
 	}
 	if len(p.Routers) == 0 && !p.Direct {
-		return planError("there are no routers; set Direct to send to the upstreams")
+		return planError("no routers; set Direct to send to the upstreams")
 	}
 	return nil
 }
@@ -170,11 +172,11 @@
 func (a Account) validate(services map[pomelorelay.ServiceID]bool, routers map[pomelorelay.NodeID]bool) error {
 	for _, l := range a.Loads {
 		if !services[l.Service] {
-			return planError("account %s calls the unknown service %s", a.Name, l.Service)
+			return planError("account %s calls unknown service %s", a.Name, l.Service)
 		}
 		for _, name := range l.Routers {
 			if !routers[name] {
-				return planError("account %s lands on the unknown router %s", a.Name, name)
+				return planError("account %s has a load on unknown router %s", a.Name, name)
 			}
 		}
 	}
@@ -210,8 +212,8 @@
 	return Service{}
 }
 
-// WithoutRouters returns the plan without routers and steps, each load landing on any upstream of its service. Nothing is sent
-// twice on purpose, since without a router nothing keeps a repeat from running.
+// WithoutRouters returns the plan without routers and steps, with Direct set and each load on all upstreams of its service.
+// Resends and overlaps are removed, since without a router nothing prevents a second run.
 func (p Plan) WithoutRouters() Plan {
 	p.Direct = true
 	p.Routers = nil
--- a/cmd/pomelobench/pomeloload/random.go
+++ b/cmd/pomelobench/pomeloload/random.go
@@ -9,23 +9,24 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// The time between two drawn faults and how long one lasts; on average more than one lasts at a time.
+// With these values more than one random fault is active at a time on average.
 const (
 	meanFaultInterval = 2 * time.Second
 	minFaultDuration  = time.Second
 	maxFaultDuration  = 5 * time.Second
-	// faultFreeEnd is left without faults, so that what they did can come to its end.
+	// faultFreeEnd is the time without faults at the end of a run, in which their effects can end.
 	faultFreeEnd = 5 * time.Second
 )
 
-// drawnFault is a fault at an admin address and the one that takes it back.
+// drawnFault is a random fault at an admin address, with the fault that clears it.
 type drawnFault struct {
 	admin netip.AddrPort
 	set   pomelofake.Fault
 	clear pomelofake.Fault
 }
 
-// RandomSteps draws faults of the stand-ins over the plan's duration from its seed; two may fall together, and the same twice.
+// RandomSteps returns steps that set and clear random faults of the stand-ins over the plan's duration. They depend on the plan
+// and its seed only; faults may overlap and repeat.
 func RandomSteps(p Plan) ([]Step, error) {
 	rng := rand.New(rand.NewPCG(p.Seed, p.Seed))
 	var steps []Step
--- a/cmd/pomelobench/pomeloload/random_test.go
+++ b/cmd/pomelobench/pomeloload/random_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same seed gives the same faults, each of them is taken back, and none lasts into the quiet end.
+// The same seed gives the same faults, each of them is cleared, and none lasts into the fault-free end.
 func TestRandomStepsAreReproducibleAndCleared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := directPlan()
@@ -35,12 +35,12 @@
 	})
 }
 
-// Faults that no router guards against must show in the result. Of these seeds each draws some that do harm; a short run may
-// draw harmless ones only, such as refusals.
+// Random faults must appear in the result when no router handles them. Each of these seeds draws harmful ones; a short run may
+// draw only harmless ones, such as refusals.
 func TestRandomFaultsWithoutRouterAreDetected(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newTestNetwork(t)
+			network := newTestNetwork(t)
 			p := directPlan()
 			p.Seed = seed
 			p.Duration = 40 * time.Second
@@ -50,7 +50,7 @@
 				t.Fatal(err)
 			}
 			p.Steps = steps
-			report := runPlan(t, w, p)
+			report := runPlan(t, network, p)
 			if len(report.Result.Failures()) == 0 {
 				t.Errorf("seed %d: %d faults and no failure", seed, len(steps)/2)
 			}
--- a/cmd/pomelobench/pomeloload/record.go
+++ b/cmd/pomelobench/pomeloload/record.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-// recordLine is one line of a record; one of its fields is set.
+// recordLine is one line of a record; exactly one field is set.
 type recordLine struct {
 	Sample    *Sample                `json:",omitempty"`
 	Fault     *FaultMark             `json:",omitempty"`
@@ -18,7 +18,7 @@
 	Result    *Result                `json:",omitempty"`
 }
 
-// WriteRecord writes what a run showed as JSON lines, the result last; it fails with CodeBenchRecord.
+// WriteRecord writes a report as JSON lines, the result last; it fails with CodeBenchRecord.
 func WriteRecord(path string, report Report) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// ReadRecord reads a record; it fails with CodeBenchRecord, also when the result is missing since the run broke off.
+// ReadRecord reads a report written by WriteRecord. It fails with CodeBenchRecord, also for a record without a result, which an
+// aborted run leaves.
 func ReadRecord(path string) (Report, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/pomelobench/pomeloload/recorder.go
+++ b/cmd/pomelobench/pomeloload/recorder.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// recorder keeps what callers, stand-ins and routers saw, for the checks and the report.
+// recorder collects the observations of callers, stand-ins and routers for the checks and the report.
 type recorder struct {
 	mu           sync.Mutex
 	events       []pomelocheck.Event
@@ -23,13 +23,13 @@
 	tally        Tally
 	seconds      map[int]*secondStats
 	start        time.Time
-	// leftAt is when an upstream's leaving showed.
+	// leftAt is when the host list showed an upstream as leaving.
 	leftAt map[pomelorelay.UpstreamID]time.Time
-	// failureCounts are the first few broken or refused attempts of each sort, for whoever looks into a run.
+	// failureCounts counts broken and refused attempts by message.
 	failureCounts map[string]int
 }
 
-// attemptRecord is an attempt from its sending to its end.
+// attemptRecord is the time span and the outcome of an attempt.
 type attemptRecord struct {
 	content  pomelocheck.ContentID
 	sent     time.Time
@@ -42,7 +42,7 @@
 	run      pomelofake.Run
 }
 
-// controlRecord is the control bytes counted by one router between two looks.
+// controlRecord is the control traffic of one router between two readings of its counters.
 type controlRecord struct {
 	at          time.Time
 	node        pomelorelay.NodeID
@@ -51,34 +51,34 @@
 	interval    time.Duration
 }
 
-// FaultMark tells what was disturbed when, for plots.
+// FaultMark is an injected fault with its time, for the plots.
 type FaultMark struct {
 	At   time.Time
 	Text string
 }
 
-// Tally counts what became of the load.
+// Tally counts requests, attempts and their outcomes.
 type Tally struct {
-	// Requests counts what callers wanted, Attempts how often they sent, Resends the attempts after the first.
+	// Attempts counts every attempt at a request, Resends those after the first.
 	Requests int
 	Attempts int
 	Resends  int
 	Answers  int
 	Refusals int
-	// Unreached counts attempts that found no router at the address, Broken those whose connection or stream broke.
+	// Unreached counts attempts that could not connect to a router, Broken those whose connection or stream broke.
 	Unreached int
 	Broken    int
 	Runs      int
 }
 
-// secondStats is what ended within one second of a run.
+// secondStats counts the attempts that ended within one second of a run.
 type secondStats struct {
 	tally     Tally
 	latency   *hdrhistogram.Histogram
 	firstByte *hdrhistogram.Histogram
 }
 
-// Histograms hold microseconds.
+// Range and precision of the latency histograms.
 const (
 	minLatencyMicros         = 1
 	maxLatencyMicros         = int64(10 * time.Minute / time.Microsecond)
@@ -160,7 +160,8 @@
 	})
 }
 
-// refusalDecidedAt returns when the router gave the request up, where its code tells: a full queue is seen on arrival.
+// refusalDecidedAt returns when the router decided to refuse the attempt: on arrival if the code says that a queue was full, else
+// the zero time, since the code does not determine it.
 func refusalDecidedAt(sent pomelocheck.Sent, o outcome) time.Time {
 	if o.code == pomelorelay.CodeQueueCount || o.code == pomelorelay.CodeQueueBytes {
 		return sent.At
--- a/cmd/pomelobench/pomeloload/request.go
+++ b/cmd/pomelobench/pomeloload/request.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// request is what a caller wants; its body is unlike any other's, so that runs and answers can be told apart by it.
+// request is a request of a caller, sent in one or more attempts. Its body is unique, which identifies its runs and answers.
 type request struct {
 	account Account
 	service Service
@@ -23,7 +23,7 @@
 
 func (q request) content() pomelocheck.ContentID { return pomelocheck.ContentID(q.proof) }
 
-// chatBody is a request to a model engine.
+// chatBody is the body of a request to a model engine.
 type chatBody struct {
 	Model     pomelorelay.ModelID `json:"model"`
 	Messages  []chatMessage       `json:"messages"`
@@ -37,13 +37,13 @@
 	Content string `json:"content"`
 }
 
-// bookingBody is a request to a plain service.
+// bookingBody is the body of a request to a plain service.
 type bookingBody struct {
 	Booking  string
 	SlotTime string `json:",omitempty"`
 }
 
-// promptWord is repeated to make a prompt long; four bytes are a token at the stand-in.
+// promptWord is repeated to reach the prompt's length; the stand-in counts four bytes as a token.
 const promptWord = "clasp worn, stone loose, ring bent; "
 
 func newRequest(account Account, service Service, load Load, n uint64) (request, error) {
@@ -79,7 +79,7 @@
 	return d.String()
 }
 
-// path is what is called at the upstream.
+// path returns the URL path at the upstream.
 func (q request) path() string {
 	if q.service.Kind == ModelEngine {
 		return "/v1/chat/completions"
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -8,29 +8,29 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-// PoolResult is what a run showed of one pool.
+// PoolResult contains the measurements of one pool.
 type PoolResult struct {
 	Pool pomelorelay.PoolID
-	// FairnessGap and FairnessBound are normalised service: cost over weight.
+	// FairnessGap and FairnessBound are in normalised service: cost over weight.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
 	MostServed    pomelorelay.AccountID `json:"More"`
 	LeastServed   pomelorelay.AccountID `json:"Less"`
-	// Utilisation is busy over existing slots while work waited, WaitingSeconds how long that was.
+	// Utilisation is busy over existing slots while work waited, which was for WaitingSeconds.
 	Utilisation    float64
 	WaitingSeconds float64
 }
 
-// Result is the last line of a run.
+// Result is the summary of a run, printed as its last line.
 type Result struct {
-	// FairnessGap and FairnessBound are those of the pool whose gap is the largest part of its bound.
+	// FairnessGap and FairnessBound are those of the pool with the largest ratio of gap to bound.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
-	// Utilisation is busy over existing slots of all pools while work waited.
+	// Utilisation is busy over existing slots of all pools, each while work waited for it.
 	Utilisation float64
-	// ControlBytesPerNodeSecond are the control bytes that a router sent and received a second, on average.
+	// ControlBytesPerNodeSecond is the average control traffic of a router, sent and received, in bytes per second.
 	ControlBytesPerNodeSecond float64
-	// ControlBytesCrossRegion are all control bytes that went between regions, counted at their senders.
+	// ControlBytesCrossRegion is the control traffic between regions, counted at the senders.
 	ControlBytesCrossRegion pomelorelay.Bytes
 	Tally
 	WrongAnswers      int
@@ -43,13 +43,13 @@
 	HeldBack          int
 	Starved           int
 	GapOverBound      int
-	// MinAnswers is the fewest answers that an account got of a service it called.
+	// MinAnswers is the smallest number of answers that an account got from a pool it called.
 	MinAnswers int `json:"LeastAnswers"`
-	// MaxMarkedRuns is how often the same request with a marker ran at most.
+	// MaxMarkedRuns is the largest number of runs of one request with a marker.
 	MaxMarkedRuns int `json:"MostMarkedRuns"`
-	// GenerationReadings counts the looks at a router that told a configuration in force, so that a zero above is not mistaken for a check.
+	// GenerationReadings counts the readings of generations in force; without any, the generation checks above prove nothing.
 	GenerationReadings int `json:"GenerationsSeen"`
-	// Latency counts from the sending of an answered attempt, to its first byte and to its end, waiting included.
+	// Latencies are those of answered attempts, from the start to the first byte and to the end, queueing included.
 	FirstByteP50Milliseconds float64
 	FirstByteP99Milliseconds float64
 	LatencyP50Milliseconds   float64
@@ -59,7 +59,7 @@
 	Pools                    []PoolResult
 }
 
-// Failures returns the names of the counts that must be zero and are not.
+// Failures returns the names of the violation counts that are not zero.
 func (r Result) Failures() []string {
 	counts := []struct {
 		name  string
@@ -78,12 +78,12 @@
 	return failures
 }
 
-// Sample is what one second of a run showed.
+// Sample contains the measurements of one second of a run.
 type Sample struct {
 	Second int
 	At     time.Time
 	Tally
-	// Gaps are of the accounts backlogged throughout the last gapWindow.
+	// Gaps are between the accounts backlogged throughout the 5 s that end with the sample.
 	Gaps                     map[pomelorelay.PoolID]pomelorelay.Tag
 	Utilisation              map[pomelorelay.PoolID]float64
 	ControlBytesPerNode      float64
@@ -93,7 +93,7 @@
 	LatencyP99Milliseconds   float64
 }
 
-// gapWindow is the time over which a sample's gap is taken.
+// gapWindow is the time over which the fairness gap of a sample is measured.
 const gapWindow = 5 * time.Second
 
 const (
@@ -208,7 +208,7 @@
 	return float64(n) * sampleInterval.Seconds()
 }
 
-// largestRelativeGap returns gap and bound of the pool whose gap is the largest part of its bound.
+// largestRelativeGap returns gap and bound of the pool with the largest ratio of gap to bound.
 func largestRelativeGap(pools []PoolResult) (pomelorelay.Tag, pomelorelay.Tag) {
 	var gap, bound pomelorelay.Tag
 	for _, p := range pools {
@@ -236,7 +236,7 @@
 	return busy / slots
 }
 
-// totalControlBytes returns the average a node and second, and the sum between regions.
+// totalControlBytes returns the average per node in bytes per second, and the bytes sent between regions.
 func (r *recorder) totalControlBytes() (float64, pomelorelay.Bytes) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
@@ -271,7 +271,7 @@
 	return samples
 }
 
-// controlRates returns control bytes a node and second, and between regions a second.
+// controlRates returns the control traffic per node, and between regions, in bytes per second.
 func (r *recorder) controlRates(from, to time.Time) (float64, float64) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
--- a/cmd/pomelobench/pomeloload/run.go
+++ b/cmd/pomelobench/pomeloload/run.go
@@ -8,23 +8,22 @@
 	"time"
 )
 
-// Options are how a plan is run.
+// Options configures a run.
 type Options struct {
-	// Dial connects to routers and stand-ins; the machine's network when it is nil.
+	// Dial connects to routers and stand-ins; nil uses the host's network.
 	Dial DialFunc
-	// MarksPath is a file to which a script appends Mark lines; none when empty.
+	// MarksPath is the file to which a script appends Mark values as JSON lines; empty for none.
 	MarksPath string
-	// ReadyTimeout is how long every router may take to be ready before the load starts; zero starts at once.
+	// ReadyTimeout bounds the wait for all routers to be ready before the load starts; zero does not wait.
 	ReadyTimeout time.Duration
-	// Logf prints progress and failures; nil prints nothing.
+	// Logf prints progress and failures; nil discards them.
 	Logf func(format string, args ...any)
 }
 
-// progressInterval is the time between two lines of progress.
 const progressInterval = time.Second
 
-// Run puts the plan's load on, waits until what is in progress has ended, and judges what was seen; it fails when the
-// plan does not fit together or the stand-ins' runs cannot be read.
+// Run generates the plan's load, waits for the requests in progress and checks the observations. It fails as Plan.Validate does,
+// and when a router is not ready in time or the runs of a stand-in cannot be read.
 func Run(ctx context.Context, p Plan, opts Options) (Report, error) {
 	if err := p.Validate(); err != nil {
 		return Report{}, err
@@ -41,7 +40,7 @@
 	return r.run(ctx)
 }
 
-// runner is one run of a plan.
+// runner executes one run of a plan.
 type runner struct {
 	plan     Plan
 	opts     Options
@@ -99,7 +98,7 @@
 	return r.recorder.evaluate(r.plan, issueEnd), nil
 }
 
-// settleTime lets runs end whose callers have gone, such as those an engine keeps for a resume.
+// settleTime is how long runs without a caller may take to end, such as streams that an engine keeps to be resumed.
 const settleTime = 3 * time.Second
 
 func (r *runner) readFinalRuns(ctx context.Context) error {
--- a/cmd/pomelobench/pomeloload/steps.go
+++ b/cmd/pomelobench/pomeloload/steps.go
@@ -15,7 +15,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// stepRunner disturbs routers and stand-ins at the plan's times.
+// stepRunner executes the plan's steps at their times.
 type stepRunner struct {
 	plan     Plan
 	client   *http.Client
@@ -57,11 +57,11 @@
 	return nil
 }
 
-// The stop is noted before it is asked for, so that nothing that breaks by it comes before the note.
+// drain records the stop before it requests it, so that every failure it causes is recorded later.
 func (s *stepRunner) drain(ctx context.Context, node pomelorelay.NodeID) error {
 	i := slices.IndexFunc(s.plan.Routers, func(r Router) bool { return r.Name == node })
 	if i < 0 {
-		return planError("no router %s to drain", node)
+		return planError("step drains unknown router %s", node)
 	}
 	s.recorder.addFault(time.Now(), "drain "+string(node))
 	s.recorder.observe(pomelocheck.Stopping{Node: node, At: time.Now()})
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -17,7 +17,7 @@
 	runPollInterval    = time.Second
 )
 
-// routerVars is what is read of a router's /debug/vars.
+// routerVars contains the fields used of a router's /debug/vars.
 type routerVars struct {
 	Pomelo struct {
 		Generation   pomelorelay.Generation
@@ -34,16 +34,16 @@
 	return c.DomainSent + c.DomainReceived + c.RegionSent + c.RegionReceived + c.CrossSent + c.CrossReceived
 }
 
-// crossRegion counts each byte between regions once, at its sender.
+// crossRegion returns the bytes sent, but not those received, so that a sum over routers counts each byte once.
 func (v routerVars) crossRegion() pomelorelay.Bytes { return v.Pomelo.ControlBytes.CrossSent }
 
-// watcher reads what routers and stand-ins count.
+// watcher polls the counters of routers and the runs of stand-ins.
 type watcher struct {
 	plan         Plan
 	client       *http.Client
 	recorder     *recorder
 	lastReadings map[pomelorelay.NodeID]routerReading
-	// lastSeq is the number of the last run read of each upstream.
+	// lastSeq is the sequence number of the last run read from each upstream.
 	lastSeq map[pomelorelay.UpstreamID]uint64
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// pollRouters looks at each router until ctx ends.
+// pollRouters reads the counters of each router periodically until ctx ends.
 func (w *watcher) pollRouters(ctx context.Context) {
 	ticker := time.NewTicker(routerPollInterval)
 	defer ticker.Stop()
@@ -95,13 +95,13 @@
 	}
 	total, crossRegion := vars.total()-last.vars.total(), vars.crossRegion()-last.vars.crossRegion()
 	if total < 0 || crossRegion < 0 {
-		// The router was started anew and counts from zero.
+		// The router was restarted, and its counters with it.
 		total, crossRegion = vars.total(), vars.crossRegion()
 	}
 	w.recorder.addControlBytes(controlRecord{at: now, node: r.Name, total: total, crossRegion: crossRegion, interval: now.Sub(last.readAt)})
 }
 
-// pollStandIns reads the runs of every stand-in until ctx ends.
+// pollStandIns reads the runs of every stand-in periodically until ctx ends.
 func (w *watcher) pollStandIns(ctx context.Context) {
 	ticker := time.NewTicker(runPollInterval)
 	defer ticker.Stop()
@@ -115,7 +115,7 @@
 	}
 }
 
-// readRuns reads the runs that ended since the last reading and returns the first failure.
+// readRuns reads the runs that ended since the last call, from all stand-ins, and returns the first error.
 func (w *watcher) readRuns(ctx context.Context) error {
 	var firstErr error
 	for _, u := range w.plan.Upstreams {
--- a/cmd/pomelobench/pomelomeasure/bench_test.go
+++ b/cmd/pomelobench/pomelomeasure/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// BenchmarkTwoRouters is there to be profiled: the load of the latency command through two routers for 3 s.
+// BenchmarkTwoRouters is meant for profiling: it runs the load of the latency command through two routers for 3 s.
 func BenchmarkTwoRouters(b *testing.B) {
 	fleet, err := pomelomeasure.NewFleet(pomelomeasure.FleetConfig{
 		Address: netip.MustParseAddr("127.8.9.2"), FirstPort: 8400, Routers: 2,
--- a/cmd/pomelobench/pomelomeasure/doc.go
+++ b/cmd/pomelobench/pomelomeasure/doc.go
@@ -1,2 +1,2 @@
-// Package pomelomeasure measures single things about routers: the latency that they add, and how soon a configuration is in force.
+// Package pomelomeasure measures the latency that routers add, and how long configuration changes take to be in force on all routers.
 package pomelomeasure
--- a/cmd/pomelobench/pomelomeasure/fleet.go
+++ b/cmd/pomelobench/pomelomeasure/fleet.go
@@ -15,15 +15,15 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// FleetConfig describes a small fleet in one process on one address, with one plain service of its own.
+// FleetConfig configures a small fleet in one process on one IP address, with one plain service.
 type FleetConfig struct {
-	// Address is the IP number that everything listens on, from Port upwards.
+	// Address is the IP address of all listeners; their ports are numbered from FirstPort.
 	Address   netip.Addr
 	FirstPort uint16
 	Routers   int
-	// Plain is the service's stand-in.
+	// Plain configures the stand-in of the service.
 	Plain pomelofake.PlainConfig
-	// EditNodeConfig, when it is set, changes what a router's Config holds.
+	// EditNodeConfig, if not nil, changes each router's configuration before the router is created.
 	EditNodeConfig func(*pomelonode.Config)
 }
 
@@ -33,7 +33,7 @@
 	readyTimeout = 20 * time.Second
 )
 
-// Fleet is a small fleet of real routers on real links.
+// Fleet is a fleet of routers that communicate over TCP, with stand-ins of service, store and host list.
 type Fleet struct {
 	cfg         FleetConfig
 	nextPort    uint16
@@ -44,7 +44,8 @@
 	nodes       []*pomelonode.Node
 }
 
-// NewFleet starts a fleet and waits until its routers are ready; it fails as pomelonode.New does, or with CodeNotReady.
+// NewFleet starts a fleet and waits until its routers are ready; it fails when a part cannot be started, or with CodeNotReady
+// after 20 s.
 func NewFleet(cfg FleetConfig) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, nextPort: cfg.FirstPort}
 	err := f.start()
@@ -154,21 +155,21 @@
 			return nil
 		}
 	}
-	return pomelorelay.NewError(pomelorelay.CodeNotReady, "the fleet", nil)
+	return pomelorelay.NewError(pomelorelay.CodeNotReady, "fleet", nil)
 }
 
-// RoutedTarget returns the target that goes through the fleet's routers, and Direct the one that goes to its service.
+// RoutedTarget returns a target that reaches the service through the routers in turn.
 func (f *Fleet) RoutedTarget(name string) Target { return Target{Name: name, URLs: f.callerURLs} }
 
-// DirectTarget returns the target without routers.
+// DirectTarget returns a target that reaches the service without a router.
 func (f *Fleet) DirectTarget(name string) Target {
 	return Target{Name: name, URLs: []string{"http://" + f.serviceAddr.String() + "/jobs"}}
 }
 
-// Token returns the bearer token that the fleet's configuration knows.
+// Token returns the bearer token of the fleet's only client account.
 func (f *Fleet) Token() string { return fleetToken }
 
-// Close ends the routers and their stand-ins.
+// Close stops the routers and the stand-ins; its error is always nil.
 func (f *Fleet) Close() error {
 	for i := len(f.closers) - 1; i >= 0; i-- {
 		_ = f.closers[i].Close()
--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -13,24 +13,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Target is where a load goes; its addresses take turns.
+// Target is the destination of a load; requests go to its URLs in turn.
 type Target struct {
 	Name string
 	URLs []string
 }
 
-// LatencyConfig says what load Latency puts on each target.
+// LatencyConfig configures the load that MeasureLatency generates on each target.
 type LatencyConfig struct {
 	Targets []Target
 	Token   string
 	Body    string
-	// RequestsPerSecond is in requests a second and Duration how long each target gets them, in slices of Slice that take turns.
+	// The targets are loaded in turn, each for SliceDuration at a time and DurationPerTarget in total.
 	RequestsPerSecond int
 	DurationPerTarget time.Duration
 	SliceDuration     time.Duration
 }
 
-// TargetLatency is what was measured at a target, in milliseconds; Added is the difference from the first target.
+// TargetLatency contains the latencies of a target; the Added fields are the differences from the first target.
 type TargetLatency struct {
 	Name                 string
 	Requests             int64
@@ -41,10 +41,10 @@
 	AddedP99Milliseconds float64
 }
 
-// maxInFlight bounds the requests that are open at once; past it the load is held back.
+// maxInFlight limits concurrent requests; at the limit, further requests are delayed.
 const maxInFlight = 256
 
-// targetMeter is one target's histogram.
+// targetMeter measures one target.
 type targetMeter struct {
 	target       Target
 	mu           sync.Mutex
@@ -53,10 +53,11 @@
 	requestsSent int
 }
 
-// MeasureLatency puts the load on the targets in turn and returns what each took; it fails with CodeBenchPlan without targets.
+// MeasureLatency loads the targets in turn and returns their latencies in the order of cfg.Targets. It fails with CodeBenchPlan
+// without targets, rate or slice duration.
 func MeasureLatency(ctx context.Context, cfg LatencyConfig) ([]TargetLatency, error) {
 	if len(cfg.Targets) == 0 || cfg.RequestsPerSecond <= 0 || cfg.SliceDuration <= 0 {
-		return nil, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "no targets, rate or slice", nil)
+		return nil, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "latency measurement needs targets, a rate and a slice duration", nil)
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight}, Timeout: time.Minute}
 	defer client.CloseIdleConnections()
@@ -65,7 +66,7 @@
 		meters = append(meters, &targetMeter{target: t, latencies: newHistogram()})
 	}
 	for _, m := range meters {
-		// The first slice opens connections and is not counted.
+		// The first slice warms up connections and is not counted.
 		m.runSlice(ctx, client, cfg)
 		m.latencies.Reset()
 		m.failures = 0
@@ -78,7 +79,7 @@
 	return results(meters), ctx.Err()
 }
 
-// runSlice sends to one target at the rate.
+// runSlice sends requests to the target at the configured rate for one slice.
 func (m *targetMeter) runSlice(ctx context.Context, client *http.Client, cfg LatencyConfig) {
 	inFlight := make(chan struct{}, maxInFlight)
 	var wg sync.WaitGroup
@@ -111,7 +112,7 @@
 		m.failures++
 		return
 	}
-	// A value beyond the histogram's range would be past every timeout.
+	// The client's timeout of one minute is within the histogram's range.
 	_ = m.latencies.RecordValue(int64(took))
 }
 
--- a/cmd/pomelobench/pomelomeasure/propagation.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -14,17 +14,19 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// PropagationConfig says what changes Spread makes and which routers it watches.
+// PropagationConfig configures MeasurePropagation: the store, the operator ports of the routers, the initial configuration and
+// the number of changes to measure after it.
 type PropagationConfig struct {
 	Store         netip.AddrPort
 	OperatorAddrs []netip.AddrPort
 	Configuration pomeloconfig.Configuration
 	Changes       int
-	// ChangeTimeout bounds the wait for one change.
+	// ChangeTimeout bounds the wait until one change is in force.
 	ChangeTimeout time.Duration
 }
 
-// PropagationResult is how long changes took from the accepted swap until they were in force on all routers, in milliseconds.
+// PropagationResult contains the times from the acceptance of a change by the store until it was in force on all routers, and
+// where named so on the first router. Publish times are those until acceptance. The first configuration is counted separately.
 type PropagationResult struct {
 	Accounts                   int
 	Routers                    int
@@ -39,10 +41,11 @@
 	FirstInForceMilliseconds   float64
 }
 
-// pollInterval is how often a router's status is read; figures are no finer.
+// pollInterval is the time between two reads of a router's status, and so the resolution of the results.
 const pollInterval = 5 * time.Millisecond
 
-// AddAccounts adds accounts until there are as many as given, and leaves the teams' totals of shares open.
+// AddAccounts adds generated accounts until the configuration has the given number, and clears the teams' share totals, which the
+// new accounts would exceed.
 func AddAccounts(c *pomeloconfig.Configuration, accounts int) {
 	for i := range c.Teams {
 		c.Teams[i].ShareTotal = 0
@@ -56,8 +59,8 @@
 	}
 }
 
-// MeasurePropagation applies the configuration, then one change of an account's share after the other, and measures each; it fails as
-// Publish does, or with CodeConfigNotInForce when the first is not in force within the bound.
+// MeasurePropagation publishes the configuration, then changes of one account's share each, and measures them one by one. It fails
+// as Publisher.Publish does, or with CodeConfigNotInForce when the first configuration is not in force within ChangeTimeout.
 func MeasurePropagation(ctx context.Context, cfg PropagationConfig) (PropagationResult, error) {
 	r := PropagationResult{Accounts: len(cfg.Configuration.Accounts), Routers: len(cfg.OperatorAddrs), Changes: cfg.Changes}
 	client, err := pomelostore.New(pomelostore.Config{Addresses: []netip.AddrPort{cfg.Store}, CallsPerSecond: 300})
@@ -70,7 +73,7 @@
 		return r, err
 	}
 	if !first.complete {
-		return r, pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, "the first configuration", nil)
+		return r, pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, "initial configuration", nil)
 	}
 	r.FirstPublishMilliseconds, r.FirstInForceMilliseconds = inMilliseconds(published), inMilliseconds(first.lastRouter)
 	lastRouterTimes, firstRouterTimes, publishTimes := newHistogram(), newHistogram(), newHistogram()
@@ -84,7 +87,7 @@
 			r.TimedOut++
 			continue
 		}
-		// The values are within the histogram's range by the bound on the wait.
+		// ChangeTimeout keeps the values within the histogram's range.
 		_ = lastRouterTimes.RecordValue(int64(got.lastRouter))
 		_ = firstRouterTimes.RecordValue(int64(got.firstRouter))
 		_ = publishTimes.RecordValue(int64(published))
@@ -97,7 +100,8 @@
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// propagation is when the first and the last router had a generation in force, after it was accepted.
+// propagation is the time from the acceptance of a generation until it was in force on the first and on the last router; complete
+// reports whether that includes every router.
 type propagation struct {
 	firstRouter, lastRouter time.Duration
 	complete                bool
@@ -113,7 +117,7 @@
 	return waitInForce(ctx, cfg, root.Generation, accepted), accepted.Sub(began), nil
 }
 
-// waitInForce polls every router by itself until it has the generation.
+// waitInForce polls all routers concurrently until each has the generation or the timeout ends.
 func waitInForce(ctx context.Context, cfg PropagationConfig, generation pomelorelay.Generation, accepted time.Time) propagation {
 	ctx, cancel := context.WithDeadline(ctx, accepted.Add(cfg.ChangeTimeout))
 	defer cancel()
--- a/cmd/pomelobench/pomeloreport/doc.go
+++ b/cmd/pomelobench/pomeloreport/doc.go
@@ -1,4 +1,4 @@
-// Package pomeloreport turns the record of a load run into one HTML page with
-// plots of gap, utilisation, control bytes and latency over time, the faults
-// marked.
+// Package pomeloreport renders the report of a load run as an HTML page with
+// plots of fairness gap, utilisation, control traffic, latency and completed
+// attempts over time, with the injected faults marked.
 package pomeloreport
--- a/cmd/pomelobench/pomeloreport/page.go
+++ b/cmd/pomelobench/pomeloreport/page.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/cmd/pomelobench/pomeloload"
 )
 
-// page is what the template shows.
+// page is the data of the page template.
 type page struct {
 	Title      string
 	Result     string
@@ -25,22 +25,22 @@
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{border:1px solid #999;padding:.2em .6em}svg{max-width:100%;height:auto}pre{background:#eee;padding:1em;overflow:auto}</style>
 </head><body>
 <h1>{{.Title}}</h1>
-{{if .Failures}}<p><strong>Did not hold:</strong> {{range .Failures}}{{.}} {{end}}</p>{{else}}<p>Everything that was checked held.</p>{{end}}
+{{if .Failures}}<p><strong>Did not hold:</strong> {{range .Failures}}{{.}} {{end}}</p>{{else}}<p>All checks passed.</p>{{end}}
 <table><tr><th>Pool</th><th>Gap</th><th>Bound</th><th>Utilisation</th><th>Seconds with work waiting</th></tr>
 {{range .Pools}}<tr><td>{{.Pool}}</td><td>{{printf "%.3f" .FairnessGap}}</td><td>{{printf "%.3f" .FairnessBound}}</td><td>{{printf "%.3f" .Utilisation}}</td><td>{{printf "%.1f" .WaitingSeconds}}</td></tr>
 {{end}}</table>
 {{range .Plots}}<p>{{.}}</p>
 {{end}}
-{{if .Faults}}<h2>What was disturbed</h2><ul>{{range .Faults}}<li>{{.At.Format "15:04:05.000"}} {{.Text}}</li>{{end}}</ul>{{end}}
+{{if .Faults}}<h2>Injected faults</h2><ul>{{range .Faults}}<li>{{.At.Format "15:04:05.000"}} {{.Text}}</li>{{end}}</ul>{{end}}
 {{if .Violations}}<h2>Violations</h2><ul>{{range .Violations}}<li>{{.}}</li>{{end}}</ul>{{end}}
 <h2>Result</h2><pre>{{.Result}}</pre>
 </body></html>
 `
 
-// maxViolations bounds the violations on a page.
+// maxViolations limits the violations listed on a page.
 const maxViolations = 100
 
-// Write writes the page of a run; it fails with CodeBenchRecord.
+// Write renders a report to an HTML file; it fails with CodeBenchRecord.
 func Write(path, title string, report pomeloload.Report) error {
 	p, err := newPage(title, report)
 	if err != nil {
--- a/cmd/pomelobench/pomeloreport/page_test.go
+++ b/cmd/pomelobench/pomeloreport/page_test.go
@@ -53,7 +53,7 @@
 	checkPlots(t, page)
 }
 
-// checkPlots fails when a plot is not well formed, since a browser would then show nothing in its place.
+// checkPlots fails when a plot is not well-formed XML, since browsers do not show such a plot.
 func checkPlots(t *testing.T, page string) {
 	t.Helper()
 	for _, rest := range strings.Split(page, "<svg")[1:] {
--- a/cmd/pomelobench/pomeloreport/plots.go
+++ b/cmd/pomelobench/pomeloreport/plots.go
@@ -17,28 +17,28 @@
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	// headroom leaves space above the highest value for the legend and the names of the faults.
+	// headroom is the ratio of the y range to the highest value, which leaves space for the legend and the fault labels.
 	headroom = 1.6
 )
 
 var faultColour = color.RGBA{R: 180, G: 40, B: 40, A: 255}
 
-// series is a named value of each sample.
+// series is a named function from samples to plotted values.
 type series struct {
 	name  string
 	value func(pomeloload.Sample) float64
 }
 
-// chart is a plot of some lines over the seconds of a run.
+// chart is a plot of one or more series over the seconds of a run.
 type chart struct {
 	title  string
 	unit   string
 	series []series
 }
 
-// charts returns what a page shows.
+// charts returns the charts of a page.
 func charts(report pomeloload.Report) []chart {
-	gaps := chart{title: "Fairness gap over the last 5 s, as a part of the bound", unit: "gap / bound"}
+	gaps := chart{title: "Fairness gap over the last 5 s, relative to the bound", unit: "gap / bound"}
 	utilisation := chart{title: "Utilisation while work waited", unit: "busy / slots"}
 	for _, p := range report.Result.Pools {
 		if p.FairnessBound > 0 {
@@ -47,16 +47,16 @@
 		utilisation.series = append(utilisation.series, series{string(p.Pool), func(s pomeloload.Sample) float64 { return s.Utilisation[p.Pool] }})
 	}
 	return []chart{gaps, utilisation,
-		{"Control bytes", "bytes / s", []series{
-			{"a node", func(s pomeloload.Sample) float64 { return s.ControlBytesPerNode }},
+		{"Control traffic", "bytes / s", []series{
+			{"per node", func(s pomeloload.Sample) float64 { return s.ControlBytesPerNode }},
 			{"between regions", func(s pomeloload.Sample) float64 { return s.ControlBytesCrossRegion }},
 		}},
-		{"Latency, waiting included", "ms", []series{
+		{"Latency, queueing included", "ms", []series{
 			{"first byte p50", func(s pomeloload.Sample) float64 { return s.FirstByteP50Milliseconds }},
 			{"p50", func(s pomeloload.Sample) float64 { return s.LatencyP50Milliseconds }},
 			{"p99", func(s pomeloload.Sample) float64 { return s.LatencyP99Milliseconds }},
 		}},
-		{"What ended", "attempts / s", []series{
+		{"Completed attempts", "attempts / s", []series{
 			{"answered", func(s pomeloload.Sample) float64 { return float64(s.Answers) }},
 			{"refused", func(s pomeloload.Sample) float64 { return float64(s.Refusals) }},
 			{"broken", func(s pomeloload.Sample) float64 { return float64(s.Broken) }},
@@ -64,7 +64,7 @@
 	}
 }
 
-// draw returns the chart as SVG.
+// draw returns the chart as an SVG element.
 func (c chart) draw(report pomeloload.Report) (string, error) {
 	p := plot.New()
 	p.Title.Text = c.title
@@ -106,7 +106,7 @@
 	return points
 }
 
-// drawFaults draws an upright line with the fault's name at each fault.
+// drawFaults draws a labelled vertical line at the time of each fault.
 func drawFaults(p *plot.Plot, report pomeloload.Report, highest float64) error {
 	if len(report.Samples) == 0 {
 		return nil
@@ -145,7 +145,7 @@
 	if _, err := w.WriteTo(&svg); err != nil {
 		return "", err
 	}
-	// The XML declaration may not stand inside an HTML page.
+	// The XML declaration in front of the element is not allowed inside an HTML page.
 	_, body, found := bytes.Cut(svg.Bytes(), []byte("<svg"))
 	if !found {
 		return "", nil
--- a/cmd/pomelobench/report.go
+++ b/cmd/pomelobench/report.go
@@ -10,7 +10,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// reportCommand makes a page of a record.
+// reportCommand renders a record as an HTML page.
 type reportCommand struct {
 	recordPath string
 	pagePath   string
@@ -19,8 +19,8 @@
 
 func newReportCommand(cmd *kingpin.CmdClause) *reportCommand {
 	c := &reportCommand{}
-	cmd.Arg("record", "The record that run wrote.").Required().StringVar(&c.recordPath)
-	cmd.Flag("out", "The page to write.").Default("report.html").StringVar(&c.pagePath)
+	cmd.Arg("record", "The record written by run.").Required().StringVar(&c.recordPath)
+	cmd.Flag("out", "The HTML file to write.").Default("report.html").StringVar(&c.pagePath)
 	cmd.Flag("title", "The page's title.").Default("Load run").StringVar(&c.title)
 	return c
 }
--- a/cmd/pomelobench/run.go
+++ b/cmd/pomelobench/run.go
@@ -15,10 +15,10 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// maxPrinted bounds the violations and examples that are printed.
+// maxPrinted limits the printed violations and failures, each.
 const maxPrinted = 20
 
-// runCommand runs a plan's load.
+// runCommand generates the load of a plan.
 type runCommand struct {
 	planPath     string
 	duration     time.Duration
@@ -32,14 +32,14 @@
 
 func newRunCommand(cmd *kingpin.CmdClause) *runCommand {
 	c := &runCommand{}
-	cmd.Flag("plan", "The YAML file that says what load goes where.").Required().StringVar(&c.planPath)
-	cmd.Flag("duration", "How long load is put on; the plan's when not given.").DurationVar(&c.duration)
-	cmd.Flag("direct", "Send to the stand-ins themselves, without routers and steps, for a baseline.").BoolVar(&c.direct)
-	cmd.Flag("random-faults", "Draw faults of the stand-ins from the seed, in place of the plan's steps.").BoolVar(&c.randomFaults)
-	cmd.Flag("seed", "The seed of everything that is drawn; the plan's when not given.").Uint64Var(&c.seed)
-	cmd.Flag("wait-ready", "How long to wait until every router is ready.").DurationVar(&c.readyTimeout)
-	cmd.Flag("marks", "A file to which a script appends what it does itself, such as ending a router.").StringVar(&c.marksPath)
-	cmd.Flag("record", "A file for the run's record, as JSON lines.").StringVar(&c.recordPath)
+	cmd.Flag("plan", "The YAML file with the load plan.").Required().StringVar(&c.planPath)
+	cmd.Flag("duration", "Duration of the load; overrides the plan's.").DurationVar(&c.duration)
+	cmd.Flag("direct", "Send directly to the stand-ins, without routers and steps, as a baseline.").BoolVar(&c.direct)
+	cmd.Flag("random-faults", "Inject random faults drawn from the seed, in place of the plan's steps.").BoolVar(&c.randomFaults)
+	cmd.Flag("seed", "The random seed; overrides the plan's.").Uint64Var(&c.seed)
+	cmd.Flag("wait-ready", "Time limit for all routers to be ready before the load starts.").DurationVar(&c.readyTimeout)
+	cmd.Flag("marks", "A file to which a script appends its own actions, such as killing a router.").StringVar(&c.marksPath)
+	cmd.Flag("record", "The file to write the run's record to, as JSON lines.").StringVar(&c.recordPath)
 	return c
 }
 
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// applyFlags changes the plan as the flags say.
+// applyFlags returns the plan with the overrides given by flags.
 func (c *runCommand) applyFlags(plan pomeloload.Plan) (pomeloload.Plan, error) {
 	if c.duration > 0 {
 		plan.Duration = c.duration
@@ -87,18 +87,18 @@
 		return plan, nil
 	}
 	steps, err := pomeloload.RandomSteps(plan)
-	printProgress("Faults drawn from seed %d: %d", plan.Seed, len(steps)/2)
+	printProgress("Random faults from seed %d: %d", plan.Seed, len(steps)/2)
 	plan.Steps = steps
 	return plan, err
 }
 
 func printProgress(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 
-// printFindings prints what a reader needs to look into a run: the first violations and the commonest bad ends.
+// printFindings prints the first violations and the most frequent failures of attempts to standard error.
 func printFindings(report pomeloload.Report) {
 	for i, v := range report.Violations {
 		if i == maxPrinted {
-			fmt.Fprintf(os.Stderr, "and %d violations more\n", len(report.Violations)-maxPrinted)
+			fmt.Fprintf(os.Stderr, "and %d more violations\n", len(report.Violations)-maxPrinted)
 			break
 		}
 		fmt.Fprintln(os.Stderr, v)
--- a/cmd/pomelobench/spread.go
+++ b/cmd/pomelobench/spread.go
@@ -15,7 +15,7 @@
 	"github.com/go-faster/errors"
 )
 
-// spreadCommand measures how soon a configuration is in force.
+// spreadCommand measures how long configuration changes take to be in force on all routers.
 type spreadCommand struct {
 	store             string
 	routers           []string
@@ -29,17 +29,17 @@
 	c := &spreadCommand{}
 	cmd.Flag("store", "IP:port of the store.").Required().StringVar(&c.store)
 	cmd.Flag("router", "IP:port of a router's operator port; may be repeated.").Required().StringsVar(&c.routers)
-	cmd.Flag("accounts", "Accounts are added up to this number.").IntVar(&c.accounts)
-	cmd.Flag("changes", "How many changes are measured after the first.").Default("30").IntVar(&c.changes)
-	cmd.Flag("within", "How long to wait for a change.").Default("30s").DurationVar(&c.changeTimeout)
-	cmd.Arg("file", "The configuration to begin with.").Required().StringVar(&c.configurationPath)
+	cmd.Flag("accounts", "Number of accounts to which the configuration is extended.").IntVar(&c.accounts)
+	cmd.Flag("changes", "Number of changes measured after the first publication.").Default("30").IntVar(&c.changes)
+	cmd.Flag("within", "Time limit for one change to be in force.").Default("30s").DurationVar(&c.changeTimeout)
+	cmd.Arg("file", "The initial configuration.").Required().StringVar(&c.configurationPath)
 	return c
 }
 
 func (c *spreadCommand) run(ctx context.Context) error {
 	data, err := os.ReadFile(c.configurationPath)
 	if err != nil {
-		return errors.Wrap(err, "read the configuration")
+		return errors.Wrap(err, "read configuration")
 	}
 	cfg := pomelomeasure.PropagationConfig{Changes: c.changes, ChangeTimeout: c.changeTimeout}
 	if cfg.Configuration, err = pomeloconfig.Parse(c.configurationPath, data); err != nil {
--- a/cmd/pomelobench/standin.go
+++ b/cmd/pomelobench/standin.go
@@ -17,7 +17,7 @@
 	"github.com/go-faster/errors"
 )
 
-// standInCommand runs stand-ins in one process.
+// standInCommand runs stand-ins of upstreams, platform and links in one process.
 type standInCommand struct {
 	engines       map[string]string
 	plainServices map[string]string
@@ -43,20 +43,20 @@
 	}
 	cmd.Flag("engine", "A model engine, as NAME=IP:PORT; may be repeated.").StringMapVar(&c.engines)
 	cmd.Flag("plain", "A plain service, as NAME=IP:PORT; may be repeated.").StringMapVar(&c.plainServices)
-	cmd.Flag("relay", "A TCP relay, as NAME=IP:PORT/IP:PORT for its own address and its target's; may be repeated.").StringMapVar(&c.relays)
-	cmd.Flag("platform", "The platform's store and host list, as IP:PORT.").StringVar(&c.platformAddr)
-	cmd.Flag("hosts", "A JSON file with the host list's first content.").StringVar(&c.hostsPath)
+	cmd.Flag("relay", "A TCP relay, as NAME=IP:PORT/IP:PORT with its listen address and its target; may be repeated.").StringMapVar(&c.relays)
+	cmd.Flag("platform", "The address of the platform's store and host list, as IP:PORT.").StringVar(&c.platformAddr)
+	cmd.Flag("hosts", "A JSON file with the initial host list.").StringVar(&c.hostsPath)
 	cmd.Flag("admin", "The address of the admin handler, as IP:PORT.").Required().StringVar(&c.adminAddr)
-	cmd.Flag("list-lag", "How long a change of the host list takes to show.").Default("500ms").DurationVar(&c.listLag)
-	cmd.Flag("model", "The model of the engines.").StringVar(&c.engineConfig.Model)
-	cmd.Flag("engine-slots", "Requests in an engine's batch.").Default("8").IntVar(&c.engineConfig.Slots)
-	cmd.Flag("step", "The time of a decode step.").Default("2ms").DurationVar(&c.engineConfig.StepTime)
-	cmd.Flag("load-lag", "The age of the reported load.").Default("500ms").DurationVar(&c.engineConfig.LoadLag)
-	cmd.Flag("crash-marker", "A text that makes the engine crash that runs a request with it.").StringVar(&c.engineConfig.CrashMarker)
-	cmd.Flag("plain-slots", "Requests that a plain service runs at once.").Default("8").IntVar(&c.plainConfig.Slots)
-	cmd.Flag("min-time", "The shortest run of a plain service.").Default("5ms").DurationVar(&c.plainConfig.MinTime)
-	cmd.Flag("write-rate", "Writes a second that the store takes.").Default("400").Float64Var(&c.storeConfig.WriteRate)
-	cmd.Flag("read-rate", "Reads a second that the store takes.").Default("2000").Float64Var(&c.storeConfig.ReadRate)
+	cmd.Flag("list-lag", "Delay until a change of the host list is visible.").Default("500ms").DurationVar(&c.listLag)
+	cmd.Flag("model", "The name of the model that the engines serve.").StringVar(&c.engineConfig.Model)
+	cmd.Flag("engine-slots", "Maximum number of requests in an engine's batch.").Default("8").IntVar(&c.engineConfig.Slots)
+	cmd.Flag("step", "Duration of a decode step.").Default("2ms").DurationVar(&c.engineConfig.StepTime)
+	cmd.Flag("load-lag", "Age of the load that upstreams report.").Default("500ms").DurationVar(&c.engineConfig.LoadLag)
+	cmd.Flag("crash-marker", "A text that crashes the engine when a request containing it starts to run.").StringVar(&c.engineConfig.CrashMarker)
+	cmd.Flag("plain-slots", "Maximum number of requests that a plain service runs concurrently.").Default("8").IntVar(&c.plainConfig.Slots)
+	cmd.Flag("min-time", "Minimum processing time of a plain service.").Default("5ms").DurationVar(&c.plainConfig.MinTime)
+	cmd.Flag("write-rate", "Rate limit of the store, in writes per second.").Default("400").Float64Var(&c.storeConfig.WriteRate)
+	cmd.Flag("read-rate", "Rate limit of the store, in reads per second.").Default("2000").Float64Var(&c.storeConfig.ReadRate)
 	return c
 }
 
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// close ends the stand-ins in the reverse order of their start.
+// close closes the stand-ins in the reverse order of their start.
 func (c *standInCommand) close() {
 	for i := len(c.closers) - 1; i >= 0; i-- {
 		_ = c.closers[i].Close()
@@ -113,7 +113,7 @@
 	return admin, c.startPlatform(&admin)
 }
 
-// startEngine binds the engine to its host, which it crashes when it crashes itself.
+// startEngine starts an engine on a host of its own; a crash of the engine crashes the host too.
 func (c *standInCommand) startEngine(name, addr string) (*pomelofake.Engine, error) {
 	var host *pomelofake.Host
 	hostStarted := make(chan struct{})
@@ -160,7 +160,7 @@
 	return c.serve("platform", c.platformAddr, platformHandler(*admin))
 }
 
-// platformHandler answers the store's and the host list's calls at one address.
+// platformHandler serves the store and the host list at one address.
 func platformHandler(admin pomelofake.AdminConfig) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/hosts" {
@@ -177,11 +177,11 @@
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the hosts")
+		return nil, errors.Wrap(err, "read host list")
 	}
 	var hosts []pomelorelay.Host
 	if err := json.Unmarshal(data, &hosts); err != nil {
-		return nil, errors.Wrap(err, "read the hosts")
+		return nil, errors.Wrap(err, "decode host list")
 	}
 	return hosts, nil
 }
--- a/cmd/pomeloctl/doc.go
+++ b/cmd/pomeloctl/doc.go
@@ -1,8 +1,8 @@
-// Command pomeloctl is the operators' program of pomelorelay: it makes a
-// configuration of teams' answers, checks it, brings it into the platform's
-// store, and asks routers how they are.
+// Command pomeloctl is the operators' command-line tool of pomelorelay. It
+// generates a configuration from the teams' questionnaires, validates it,
+// publishes it to the platform's store, and queries routers for their status.
 //
-// Exit codes: 0 success, 1 another failure, 2 bad input or usage, 3 a lost
-// race, 4 an outcome that is not known, 5 accepted but not in force everywhere
-// asked, 6 store or router out of reach.
+// Exit codes: 0 success, 1 any other failure, 2 invalid input or usage, 3 a
+// conflicting change, 4 unknown outcome, 5 accepted but not in force on every
+// router named, 6 store or router unreachable.
 package main
--- a/cmd/pomeloctl/pomelocommand/app.go
+++ b/cmd/pomeloctl/pomelocommand/app.go
@@ -15,13 +15,13 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The forms of output.
+// Values of --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// app is one run of the program.
+// app holds the streams and the global flags of one invocation.
 type app struct {
 	stdin   io.Reader
 	stdout  io.Writer
@@ -31,7 +31,7 @@
 	store   []string
 }
 
-// action is what a subcommand does.
+// action runs a subcommand whose flags have been parsed.
 type action func(ctx context.Context) error
 
 // Run parses the arguments, runs the subcommand and returns the exit code.
@@ -55,10 +55,10 @@
 	return exitSuccess
 }
 
-// helpPrinted ends the parsing once the help was printed.
+// helpPrinted is the panic value that ends parsing after the help text, where kingpin would exit the process.
 type helpPrinted struct{}
 
-// parse returns the subcommand, or that the help was asked for.
+// parse returns the full name of the subcommand, or helpRequested when only the help text was printed.
 func parse(cli *kingpin.Application, args []string) (command string, helpRequested bool, err error) {
 	cli.Terminate(func(int) { panic(helpPrinted{}) })
 	defer func() {
@@ -74,14 +74,14 @@
 	return command, false, err
 }
 
-// commands returns the command line and what each subcommand does.
+// commands returns the command-line parser and the action of each subcommand by its full name.
 func (a *app) commands() (*kingpin.Application, map[string]action) {
-	cli := kingpin.New("pomeloctl", "Makes, checks, applies and follows the configuration of pomelorelay.")
+	cli := kingpin.New("pomeloctl", "Generates, checks, applies and monitors the configuration of pomelorelay.")
 	cli.UsageWriter(a.stderr)
 	cli.ErrorWriter(a.stderr)
 	cli.HelpFlag.Short('h')
-	cli.Flag("output", "Form of the output.").Default(outputText).EnumVar(&a.output, outputText, outputJSON)
-	cli.Flag("timeout", "Bound on the whole command.").Default("1m").DurationVar(&a.timeout)
+	cli.Flag("output", "Output format.").Default(outputText).EnumVar(&a.output, outputText, outputJSON)
+	cli.Flag("timeout", "Time limit of the whole command.").Default("1m").DurationVar(&a.timeout)
 	actions := make(map[string]action)
 	for _, register := range []func(*kingpin.Application) (*kingpin.CmdClause, action){
 		a.questionnaireCommand, a.generateCommand, a.checkCommand, a.diffCommand, a.applyCommand, a.showCommand,
@@ -93,7 +93,7 @@
 	return cli, actions
 }
 
-// storeFlag adds the flag that names the store's addresses.
+// storeFlag adds the required flag for the store's addresses.
 func (a *app) storeFlag(clause *kingpin.CmdClause) *kingpin.CmdClause {
 	clause.Flag("store", "IP:port of the platform's store; may be repeated.").Required().StringsVar(&a.store)
 	return clause
@@ -107,7 +107,7 @@
 	return pomelostore.New(pomelostore.Config{Addresses: addresses, CallsPerSecond: storeCallsPerSecond})
 }
 
-// print writes the value as JSON, or the text, as the operator asked.
+// print writes the text, or the value as JSON, depending on --output.
 func (a *app) print(value any, text string) error {
 	if a.output == outputText {
 		_, err := io.WriteString(a.stdout, text)
@@ -118,7 +118,7 @@
 	return encoder.Encode(value)
 }
 
-// errorReport is an error as programs read it.
+// errorReport is the JSON form of an error.
 type errorReport struct {
 	Code   pomelorelay.ResultCode
 	Name   string
--- a/cmd/pomeloctl/pomelocommand/apply.go
+++ b/cmd/pomeloctl/pomelocommand/apply.go
@@ -16,7 +16,7 @@
 
 const waitInterval = 100 * time.Millisecond
 
-// applyOptions are what an operator says to apply.
+// applyOptions are the argument and the flags of apply.
 type applyOptions struct {
 	file     string
 	author   string
@@ -27,30 +27,30 @@
 	routers  []string
 }
 
-// applyResult tells what was accepted and where it is in force.
+// applyResult is the accepted change and the routers on which it is or is not yet in force.
 type applyResult struct {
 	Generation pomelorelay.Generation
 	ChangeID   pomeloconfig.ChangeID
 	Difference pomeloconfig.DifferenceSummary
-	// InForce and Pending name the routers asked.
+	// InForce and Pending are the operator addresses of the routers waited for.
 	InForce []netip.AddrPort `json:",omitempty"`
 	Pending []netip.AddrPort `json:",omitempty"`
 }
 
 func (a *app) applyCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
 	var o applyOptions
-	clause := a.storeFlag(cli.Command("apply", "Checks a configuration and brings it into the store."))
+	clause := a.storeFlag(cli.Command("apply", "Checks a configuration and publishes it to the store."))
 	clause.Arg("file", "The configuration; - reads standard input.").Required().StringVar(&o.file)
-	clause.Flag("why", "Why it is changed, for the audit trail.").Required().StringVar(&o.why)
-	clause.Flag("author", "Who changes it.").Default(currentUser()).StringVar(&o.author)
-	clause.Flag("base", "The generation that you started from; another one in the store is a conflict.").Uint64Var(&o.base)
-	clause.Flag("change-id", "The id of an apply whose outcome is not known.").StringVar(&o.changeID)
-	clause.Flag("wait", "Wait until the routers named have it in force.").BoolVar(&o.wait)
+	clause.Flag("why", "Reason for the change, for the audit trail.").Required().StringVar(&o.why)
+	clause.Flag("author", "Author of the change, for the audit trail.").Default(currentUser()).StringVar(&o.author)
+	clause.Flag("base", "Generation on which the change is based; a different one in the store is a conflict.").Uint64Var(&o.base)
+	clause.Flag("change-id", "Change id of an earlier apply whose outcome is unknown, to retry it.").StringVar(&o.changeID)
+	clause.Flag("wait", "Wait until it is in force on the routers named by --router.").BoolVar(&o.wait)
 	routerFlag(clause).StringsVar(&o.routers)
 	return clause, func(ctx context.Context) error { return a.apply(ctx, o) }
 }
 
-// currentUser is only a default; --author overrides it.
+// currentUser returns the default for --author.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -77,7 +77,7 @@
 	})
 }
 
-// waitInForce asks the routers until all have the generation, or a higher one, or the time is up.
+// waitInForce polls the routers until all have the generation or a higher one; it fails with CodeConfigNotInForce when ctx ends.
 func (r *applyResult) waitInForce(ctx context.Context, routers []netip.AddrPort) error {
 	for {
 		replies, _ := queryRouters(ctx, routers)
--- a/cmd/pomeloctl/pomelocommand/audit.go
+++ b/cmd/pomeloctl/pomelocommand/audit.go
@@ -12,8 +12,8 @@
 )
 
 func (a *app) auditCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := a.storeFlag(cli.Command("audit", "Lists the accepted changes, newest first: who, when, what and why."))
-	limit := clause.Flag("limit", "How many; 0 lists all.").Default("20").Int()
+	clause := a.storeFlag(cli.Command("audit", "Lists the accepted changes, newest first, with author, time, reason and differences."))
+	limit := clause.Flag("limit", "Maximum number of changes listed; 0 lists all.").Default("20").Int()
 	return clause, func(ctx context.Context) error {
 		store, err := a.openStore()
 		if err != nil {
--- a/cmd/pomeloctl/pomelocommand/command_test.go
+++ b/cmd/pomeloctl/pomelocommand/command_test.go
@@ -23,11 +23,11 @@
 	hearthwayAnswers = "../../../examples/answers/hearthway.yaml"
 )
 
-// fakePlatform serves the store's protocol, and a router's operator port that has in force what the store holds.
+// fakePlatform serves the store's protocol and the operator port of one router that has the store's configuration in force.
 type fakePlatform struct {
 	mu      sync.Mutex
 	records map[string]pomelorelay.Record
-	// reportsPrevious keeps the router on the generation before.
+	// reportsPrevious makes the router report the previous generation.
 	reportsPrevious bool
 	drained         bool
 }
@@ -77,7 +77,7 @@
 	return root.Generation
 }
 
-// runCommand runs the program and returns its exit code, output and diagnostics.
+// runCommand runs pomeloctl and returns its exit code, standard output and standard error.
 func runCommand(args ...string) (int, string, string) {
 	var out, diag bytes.Buffer
 	code := pomelocommand.Run(args, strings.NewReader(""), &out, &diag)
@@ -130,7 +130,7 @@
 	}
 	mustRun(t, "drain", "--router", address)
 	if !p.drained {
-		t.Fatal("the router was not told to drain")
+		t.Fatal("the router got no drain request")
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// A script goes by the exit code alone. Each kind of failure must have its own, and say its number and what to do.
+// Scripts act on the exit code alone, so each kind of failure needs its own, and the message must contain the error code and advice.
 func TestExitCodesDistinguishFailures(t *testing.T) {
 	p, address := newFakePlatform(t)
 	text := mustRun(t, "generate", "--answers", hearthwayAnswers)
@@ -185,7 +185,7 @@
 	}
 }
 
-// Guards against an evacuation that is not in the audit trail, that changes anything else, or that cannot be taken back.
+// Guards against an evacuation that is missing from the audit trail, changes anything else, or cannot be cancelled.
 func TestEvacuateAndCancel(t *testing.T) {
 	_, address := newFakePlatform(t)
 	file := writeFile(t, mustRun(t, "generate", "--answers", jewellersAnswers))
--- a/cmd/pomeloctl/pomelocommand/diff.go
+++ b/cmd/pomeloctl/pomelocommand/diff.go
@@ -11,7 +11,7 @@
 )
 
 func (a *app) diffCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("diff", "Shows what a configuration would change, against --from or against the store.")
+	clause := cli.Command("diff", "Shows what a configuration would change, compared with --from or with the store.")
 	file := clause.Arg("file", "The new configuration; - reads standard input.").Required().String()
 	from := clause.Flag("from", "File to compare with.").String()
 	clause.Flag("store", "IP:port of the platform's store; may be repeated.").StringsVar(&a.store)
@@ -29,7 +29,8 @@
 	}
 }
 
-// readBaseline reads the file, or the store when no file is given; an empty store counts as an empty configuration.
+// readBaseline reads the configuration to compare with from the file, or from the store when file is empty. An empty store is an
+// empty configuration.
 func (a *app) readBaseline(ctx context.Context, file string) (pomeloconfig.Configuration, error) {
 	switch {
 	case file != "":
--- a/cmd/pomeloctl/pomelocommand/doc.go
+++ b/cmd/pomeloctl/pomelocommand/doc.go
@@ -1,3 +1,3 @@
-// Package pomelocommand holds the subcommands of pomeloctl, one file each, so
-// that they can be tested without starting a process.
+// Package pomelocommand implements the subcommands of pomeloctl, so that
+// tests can run them without starting a process.
 package pomelocommand
--- a/cmd/pomeloctl/pomelocommand/drain.go
+++ b/cmd/pomeloctl/pomelocommand/drain.go
@@ -7,7 +7,7 @@
 )
 
 func (a *app) drainCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("drain", "Tells routers to take no new work, end what runs, and stop.")
+	clause := cli.Command("drain", "Drains routers: they refuse new requests, finish those in progress, and stop.")
 	routers := routerFlag(clause).Required().Strings()
 	return clause, func(ctx context.Context) error {
 		addresses, err := parseAddresses("--router", *routers)
@@ -20,6 +20,6 @@
 				return err
 			}
 		}
-		return a.print(addresses, "Told to drain; follow it with pomeloctl status.\n")
+		return a.print(addresses, "Drain requested; follow its progress with pomeloctl status.\n")
 	}
 }
--- a/cmd/pomeloctl/pomelocommand/evacuate.go
+++ b/cmd/pomeloctl/pomelocommand/evacuate.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// evacuateOptions are what an operator says to evacuate.
+// evacuateOptions are the argument and the flags of evacuate.
 type evacuateOptions struct {
 	domain  string
 	author  string
@@ -21,17 +21,18 @@
 
 func (a *app) evacuateCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
 	var o evacuateOptions
-	clause := a.storeFlag(cli.Command("evacuate", "Lets the upstreams of a failure domain get nothing new; what runs there goes on."))
+	clause := a.storeFlag(cli.Command("evacuate", "Stops new requests to the upstreams of a failure domain; requests in progress continue."))
 	clause.Arg("domain", "The failure domain.").Required().StringVar(&o.domain)
 	clause.Flag("cancel", "End the evacuation instead.").BoolVar(&o.cancel)
-	clause.Flag("why", "Why, for the audit trail.").Required().StringVar(&o.why)
-	clause.Flag("author", "Who changes it.").Default(currentUser()).StringVar(&o.author)
-	clause.Flag("wait", "Wait until the routers named have it in force.").BoolVar(&o.wait)
+	clause.Flag("why", "Reason for the change, for the audit trail.").Required().StringVar(&o.why)
+	clause.Flag("author", "Author of the change, for the audit trail.").Default(currentUser()).StringVar(&o.author)
+	clause.Flag("wait", "Wait until it is in force on the routers named by --router.").BoolVar(&o.wait)
 	routerFlag(clause).StringsVar(&o.routers)
 	return clause, func(ctx context.Context) error { return a.evacuate(ctx, o) }
 }
 
-// evacuate publishes the configuration of the store with one failure domain's evacuation changed. Another change that comes between is a conflict.
+// evacuate publishes the store's configuration with one failure domain evacuated, or its evacuation cancelled. It fails with a
+// conflict when another change is accepted between the read and the write.
 func (a *app) evacuate(ctx context.Context, o evacuateOptions) error {
 	routers, err := parseRouters("evacuate", o.routers, o.wait)
 	if err != nil {
--- a/cmd/pomeloctl/pomelocommand/exit.go
+++ b/cmd/pomeloctl/pomelocommand/exit.go
@@ -2,7 +2,7 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-// The exit codes; docs/operators/exit-codes.md explains them.
+// Exit codes, documented in docs/operators/exit-codes.md.
 const (
 	exitSuccess     = 0
 	exitFailure     = 1
@@ -13,7 +13,7 @@
 	exitUnreachable = 6
 )
 
-// storeCallsPerSecond lets an operator load a large configuration in seconds, well under the store's own rate.
+// storeCallsPerSecond is high enough to load a large configuration in seconds, and well under the store's own rate limit.
 const storeCallsPerSecond = 200
 
 func exitCode(code pomelorelay.ResultCode) int {
--- a/cmd/pomeloctl/pomelocommand/files.go
+++ b/cmd/pomeloctl/pomelocommand/files.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// standardInput is the file name that reads standard input.
+// standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
 func (a *app) readFile(path string) ([]byte, error) {
--- a/cmd/pomeloctl/pomelocommand/generate.go
+++ b/cmd/pomeloctl/pomelocommand/generate.go
@@ -9,8 +9,8 @@
 )
 
 func (a *app) generateCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("generate", "Makes one configuration of the teams' answers; the same answers give the same bytes.")
-	files := clause.Flag("answers", "File of one team's answers; may be repeated.").Required().Strings()
+	clause := cli.Command("generate", "Generates one configuration from the teams' answers; the output is deterministic.")
+	files := clause.Flag("answers", "File with one team's answers to the questionnaire; may be repeated.").Required().Strings()
 	return clause, func(context.Context) error {
 		var teams []pomeloconfig.Answers
 		for _, file := range *files {
@@ -32,7 +32,7 @@
 	}
 }
 
-// printConfiguration prints the configuration after a comment.
+// printConfiguration prints the configuration as YAML with a leading comment, or as JSON without one.
 func (a *app) printConfiguration(c pomeloconfig.Configuration, comment string) error {
 	data, err := pomeloconfig.Encode(c)
 	if err != nil {
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -9,19 +9,19 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// publication is a configuration on its way into the store.
+// publication is a configuration to publish, with the routers that have to apply it.
 type publication struct {
 	store         *pomelostore.Client
 	configuration pomeloconfig.Configuration
 	change        pomeloconfig.Change
-	// routers are asked for the generations that they have in force; with wait, until they have the new one.
+	// routers are queried for the generations in force; with wait, repeatedly until they have the new one.
 	routers []netip.AddrPort
 	wait    bool
-	// textPrefix goes before the text of the result.
+	// textPrefix precedes the result in text output.
 	textPrefix string
 }
 
-// parseRouters parses a command's routers; waiting needs one at least.
+// parseRouters parses the values of --router; it fails with CodeBadRequest when wait is set and there are none.
 func parseRouters(command string, texts []string, wait bool) ([]netip.AddrPort, error) {
 	routers, err := parseAddresses("--router", texts)
 	if err != nil {
@@ -33,9 +33,10 @@
 	return routers, nil
 }
 
-// publish brings a configuration into the store and prints the result, with wait once it is in force.
+// publish writes a configuration to the store, waits until it is in force when p.wait is set, and prints the result.
 func (a *app) publish(ctx context.Context, p publication) error {
-	// Routers that do not answer do not keep a change from being accepted; the others tell what it has to be above.
+	// The new generation must exceed every generation in force. Routers that do not answer are ignored, so that they cannot
+	// block a change.
 	replies, _ := queryRouters(ctx, p.routers)
 	p.change.Floor = highestGeneration(replies)
 	root, err := pomeloconfig.NewPublisher(pomeloconfig.PublisherConfig{Store: p.store}).Publish(ctx, p.configuration, p.change)
--- a/cmd/pomeloctl/pomelocommand/questionnaire.go
+++ b/cmd/pomeloctl/pomelocommand/questionnaire.go
@@ -9,7 +9,7 @@
 )
 
 func (a *app) questionnaireCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("questionnaire", "Prints the questionnaire that a new team fills in.")
+	clause := cli.Command("questionnaire", "Prints the questionnaire for a new team.")
 	return clause, func(context.Context) error {
 		return a.print(pomeloconfig.Questions(), pomeloconfig.Questionnaire())
 	}
--- a/cmd/pomeloctl/pomelocommand/router.go
+++ b/cmd/pomeloctl/pomelocommand/router.go
@@ -17,7 +17,7 @@
 	maxStatusBytes = 16 << 20
 )
 
-// routerStatus is what a router's operator port tells; the lists are passed on as they are.
+// routerStatus is the answer to GET /status on a router's operator port; the elements of its lists are not decoded.
 type routerStatus struct {
 	Node        pomelorelay.NodeID
 	Domain      pomelorelay.DomainID
@@ -32,7 +32,7 @@
 	Pools       []json.RawMessage
 }
 
-// routerClient asks operator ports.
+// routerClient calls the operator ports of routers.
 type routerClient struct {
 	http *http.Client
 }
@@ -48,7 +48,7 @@
 		return s, err
 	}
 	if err := json.Unmarshal(data, &s); err != nil {
-		return s, unreachable(router, "its status cannot be read", err)
+		return s, unreachable(router, "/status: invalid JSON", err)
 	}
 	return s, nil
 }
--- a/cmd/pomeloctl/pomelocommand/show.go
+++ b/cmd/pomeloctl/pomelocommand/show.go
@@ -10,7 +10,7 @@
 )
 
 func (a *app) showCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := a.storeFlag(cli.Command("show", "Prints the configuration that the store holds."))
+	clause := a.storeFlag(cli.Command("show", "Prints the configuration in the store."))
 	return clause, func(ctx context.Context) error {
 		store, err := a.openStore()
 		if err != nil {
--- a/cmd/pomeloctl/pomelocommand/status.go
+++ b/cmd/pomeloctl/pomelocommand/status.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// routerReply is one router's answer, or why there is none.
+// routerReply is the status of one router, or the error with which the query failed.
 type routerReply struct {
 	Router netip.AddrPort
 	Status routerStatus
@@ -19,7 +19,7 @@
 }
 
 func (a *app) statusCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("status", "Shows the routers at a glance.")
+	clause := cli.Command("status", "Shows the status of routers, one line each.")
 	routers := routerFlag(clause).Required().Strings()
 	return clause, func(ctx context.Context) error {
 		addresses, err := parseAddresses("--router", *routers)
@@ -38,7 +38,8 @@
 	return clause.Flag("router", "IP:port of a router's operator port; may be repeated.")
 }
 
-// queryRouters asks the routers at the same time and returns the answers in their order, and the last failure.
+// queryRouters fetches the status of all routers concurrently and returns the replies in the order of routers, with the error of
+// the last router that failed.
 func queryRouters(ctx context.Context, routers []netip.AddrPort) ([]routerReply, error) {
 	client := newRouterClient()
 	replies := make([]routerReply, len(routers))
@@ -64,7 +65,7 @@
 	return replies, lastErr
 }
 
-// highestGeneration is the highest that any router has in force.
+// highestGeneration returns the highest generation in force on any router, zero without replies.
 func highestGeneration(replies []routerReply) pomelorelay.Generation {
 	var highest pomelorelay.Generation
 	for _, reply := range replies {
@@ -87,7 +88,7 @@
 	return text.String()
 }
 
-// evacuatedText names the failure domains under evacuation, empty where there is none.
+// evacuatedText lists the evacuated failure domains; it is empty when there are none.
 func (s routerStatus) evacuatedText() string {
 	if len(s.Evacuated) == 0 {
 		return ""
--- a/cmd/pomeloctl/pomelocommand/token.go
+++ b/cmd/pomeloctl/pomelocommand/token.go
@@ -12,24 +12,24 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// tokenBytes are as many as the hash has, so that a token cannot be guessed.
+// tokenBytes is the length of a token's hash (SHA-256), so that a token cannot be guessed.
 const tokenBytes = 32
 
-// generatedToken is a bearer token and the hash under which it is kept.
+// generatedToken is a bearer token and the hash that the configuration stores in its place.
 type generatedToken struct {
 	Token string
 	Hash  string
 }
 
 func (a *app) tokenCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("token", "Makes a new bearer token and prints it with its hash.")
+	clause := cli.Command("token", "Generates a bearer token and prints it with its hash.")
 	return clause, func(context.Context) error {
 		var random [tokenBytes]byte
 		if _, err := rand.Read(random[:]); err != nil {
-			return pomelorelay.NewError(pomelorelay.CodeInternal, "make a token", err)
+			return pomelorelay.NewError(pomelorelay.CodeInternal, "generate a token", err)
 		}
 		token := base64.RawURLEncoding.EncodeToString(random[:])
 		generated := generatedToken{Token: token, Hash: pomeloconfig.HashToken(token)}
-		return a.print(generated, fmt.Sprintf("Token (give it to the caller, it is kept nowhere): %s\nHash (for TokenHashes):                           %s\n", generated.Token, generated.Hash))
+		return a.print(generated, fmt.Sprintf("Token (give it to the caller; it is not stored): %s\nHash (for TokenHashes):                         %s\n", generated.Token, generated.Hash))
 	}
 }
--- a/cmd/pomelorelayd/check.go
+++ b/cmd/pomelorelayd/check.go
@@ -16,7 +16,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s: the settings of %s are in order\n", *path, s.Host.Name)
+		fmt.Printf("%s: settings of %s are valid\n", *path, s.Host.Name)
 		return nil
 	})
 }
--- a/cmd/pomelorelayd/doc.go
+++ b/cmd/pomelorelayd/doc.go
@@ -1,2 +1,2 @@
-// Command pomelorelayd runs one router of the fleet on an entry host.
+// Command pomelorelayd runs one router of a pomelorelay fleet.
 package main
--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// heapFraction is the part of the memory that the platform allows up to which the collector lets the heap grow.
+	// heapFraction is the Go memory limit as a fraction of the memory that the platform allows.
 	heapFraction = 0.6
-	// storeTimeout bounds a call to the platform's store, which answers in 4 ms, or in a few hundred when it is slow.
+	// storeTimeout bounds a call to the platform's store, which normally answers in 4 ms and in a few hundred when it is slow.
 	storeTimeout = 1500 * time.Millisecond
-	// storeBreakerOpen is how long the store is left alone after several failures in a row: short against the 4 s after whose end a router is
-	// taken to know what the store holds.
+	// storeBreakerOpen is how long no call is made after several consecutive failures. It is short compared with the 4 s after
+	// which a router is assumed to have seen what the store holds.
 	storeBreakerOpen = 400 * time.Millisecond
-	// storeCallsPerSecond is the most calls a second that one router makes.
+	// storeCallsPerSecond limits the calls of one router to the store.
 	storeCallsPerSecond = 20
 )
 
 func registerEntry(app *kingpin.Application) {
-	command := app.Command("entry", "Run an entry router on the users' platform until SIGTERM stops it gracefully.")
+	command := app.Command("entry", "Run an entry router on the users' platform until SIGTERM, which stops it gracefully.")
 	path := command.Flag("settings", "The platform's settings file.").Envar(pomeloplatform.SettingsVariable).Required().String()
 	check := command.Flag("check", "Check the settings file and exit.").Bool()
-	without := command.Flag("without", "A mechanism of placement to switch off, to find out what it is worth; may be repeated.").Enums(pomeloplace.MechanismNames()...)
+	without := command.Flag("without", "A placement mechanism to disable, to measure its effect; may be repeated.").Enums(pomeloplace.MechanismNames()...)
 	command.Action(func(*kingpin.ParseContext) error {
 		if *check {
 			return checkEntry(*path)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: the settings of %s are in order\n", path, settings.Self.Node)
+	fmt.Printf("%s: settings of %s are valid\n", path, settings.Self.Node)
 	return nil
 }
 
@@ -104,8 +104,8 @@
 	return router, nil
 }
 
-// serveEntry runs until a signal or a failure ends the router. Settings that changed are checked and told; their addresses hold
-// until the next start.
+// serveEntry runs the router until a signal or a failure ends it. SIGHUP only validates the settings file and logs the result:
+// the router keeps its addresses until it is restarted.
 func serveEntry(router *pomeloentry.Router, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
 	for {
 		select {
--- a/cmd/pomelorelayd/main.go
+++ b/cmd/pomelorelayd/main.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The exit codes of the program.
+// Exit codes of the process.
 const (
 	exitSettings = 2
 	exitListen   = 3
--- a/cmd/pomelorelayd/run.go
+++ b/cmd/pomelorelayd/run.go
@@ -14,7 +14,7 @@
 )
 
 func registerRun(app *kingpin.Application) {
-	command := app.Command("run", "Run the router until SIGTERM or SIGINT stops it gracefully; a second one ends it at once.")
+	command := app.Command("run", "Run the router until SIGTERM or SIGINT, which stops it gracefully; a second signal stops it at once.")
 	path := command.Flag("settings", "The settings file.").Required().String()
 	command.Action(func(*kingpin.ParseContext) error { return run(*path) })
 }
@@ -46,7 +46,7 @@
 	return stop(node, settings, signals)
 }
 
-// stop ends the router gracefully, at most for the settings' bound or until a second signal.
+// stop shuts the router down gracefully; after Control.StopWait or on a second signal it stops waiting for requests in progress.
 func stop(node *pomelonode.Node, settings pomeloconfig.Settings, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithTimeout(context.Background(), settings.Control.StopWait)
 	defer cancel()
