--- a/scripts/bench-compare.sh
+++ b/scripts/bench-compare.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Runs the benchmarks of an earlier commit and of this one, six runs of each, and compares them with benchstat.
+# Runs the benchmarks of another commit and of the working tree, COUNT runs each (6 by default), and compares them with benchstat.
 set -eu
-rev=${1:?name the commit to compare with: make bench-compare REV=main}
+rev=${1:?no commit to compare with; use make bench-compare REV=main}
 here=$(pwd)
 then=$(mktemp -d)
 trap 'git worktree remove --force "$then/tree" >/dev/null 2>&1 || true; rm -rf "$then"' EXIT
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs the benchmarks of the parts into the file named, with COUNT runs of each (1 when it is not set).
+# Runs the benchmarks of the packages and writes their output to the given file, COUNT runs each (1 by default).
 set -eu
 out=$1
 count=${COUNT:-1}
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# Runs the main job on separate processes on loopback for about 30 s: 8 routers in 2 regions with 2 failure domains each,
-# stand-ins of upstreams and platform, both teams' answers, and disturbances. The last line is one JSON object.
-# With "direct" as its argument the same load goes to the stand-ins without routers, as a baseline.
+# Runs a demo fleet of separate processes on loopback for about 30 s: 8 routers in 2 regions with 2 failure domains each,
+# stand-ins of upstreams and platform, the configuration of both teams, and faults. The last line is one JSON object.
+# With the argument "direct" the same load goes to the stand-ins without routers, as a baseline.
 set -eu
 cd "$(dirname "$0")/.."
 mode=${1:-routers}
 run=${DEMO_DIR:-$(mktemp -d)}
-# All addresses begin with these two numbers; another pair lets two demos run at a time.
+# The first two octets of all addresses; demos with different values can run at the same time.
 net=${DEMO_NET:-127.0}
 . scripts/fleet.sh
 trap finish EXIT INT TERM
@@ -16,7 +16,7 @@
 	cp "$run/first/jewellers.yaml" "$run/changed/"
 	sed 's/^      Timeout: 20s/&\n      QuarantineFor: 5m/' "$run/first/hearthway.yaml" >"$run/changed/hearthway.yaml"
 	apply "$run/changed" "shorter quarantine"
-	echo "configuration $generation was applied"
+	echo "applied configuration $generation"
 }
 
 echo "Working in $run"
@@ -50,7 +50,7 @@
 await bench 60
 cat "$run/log/bench.log" >&2
 bin/pomelobench report "$run/record.jsonl" --out "$run/report.html" --title "Demo" >&2 || true
-# The bench's last line has to have passed through before the printing of its progress ends.
+# tail has to print the last line of pomelobench before it is killed.
 sleep 1.5
 kill "$(cat "$run/pids/progress")" 2>/dev/null || true
 exit "$code"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,6 @@
-# Shell functions that start, disturb and end a fleet of separate processes on loopback; scripts/demo.sh and scripts/proof.sh
-# read them in. The caller sets run, a directory, and net, the first two numbers of all addresses; links=1 puts a relay before
-# each router's control port and before its store, which can be cut by cut_steps.
+# Shell functions that start, disturb and stop a fleet of separate processes on loopback, sourced by scripts/demo.sh and
+# scripts/proof.sh. The caller sets run, a directory, and net, the first two octets of all addresses. With links=1 the traffic
+# to each router's control port and from each router to the store goes through relays that plan steps can block.
 
 mkdir -p "$run/pids" "$run/codes" "$run/log" "$run/first"
 marks=$run/marks
@@ -8,7 +8,8 @@
 store=$net.1.1:8300
 links=${links:-0}
 
-# A started process is ended by its own id, which stands in a file of its name while it runs; then its exit code does.
+# start runs a command in the background as the named process: start NAME COMMAND... Its process id is in pids/NAME while it runs,
+# its exit code in codes/NAME afterwards.
 start() {
 	name=$1
 	shift
@@ -22,13 +23,13 @@
 	) &
 }
 
-# await waits until the process has ended, at most so many seconds, and sets code.
+# await waits until the process has exited and sets code to its exit code: await NAME SECONDS.
 await() {
 	left=$(($2 * 10))
 	while [ ! -s "$run/codes/$1" ]; do
 		left=$((left - 1))
 		if [ $left -le 0 ]; then
-			echo "$1 has not ended within $2 s" >&2
+			echo "$1 did not exit within $2 s" >&2
 			exit 1
 		fi
 		sleep 0.1
@@ -36,8 +37,8 @@
 	code=$(cat "$run/codes/$1")
 }
 
-# running tells whether a process whose name has the given end runs. A file may vanish between the pattern and the look at it,
-# which must not pass for the end of all of them.
+# running returns 0 while a process runs whose name ends in the given text. It goes on when a file has vanished since the pattern
+# was expanded, since other processes may still run.
 running() {
 	for file in "$run"/pids/*$1; do
 		if [ -e "$file" ]; then
@@ -47,7 +48,7 @@
 	return 1
 }
 
-# end asks the processes whose names have the given end to end, and after 10 s does it for them.
+# end terminates the processes whose names end in the given text, and kills them after 10 s.
 end() {
 	for file in "$run"/pids/*$1; do
 		[ -e "$file" ] || continue
@@ -60,13 +61,13 @@
 	done
 	for file in "$run"/pids/*$1; do
 		[ -e "$file" ] || continue
-		echo "$(basename "$file") had to be killed" >&2
+		echo "$(basename "$file") did not exit within 10 s and was killed" >&2
 		kill -9 "$(cat "$file")" 2>/dev/null || true
 		rm -f "$file"
 	done
 }
 
-# Routers end first, since they settle their claims in the store.
+# finish stops all processes, the routers first, since they settle their claims in the store.
 finish() {
 	status=$?
 	trap - EXIT INT TERM
@@ -76,18 +77,18 @@
 	exit $status
 }
 
-# check_running fails when a process has ended already, as one does whose address another demo holds.
+# check_running fails when a process has exited already, for instance because its address is in use by another demo.
 check_running() {
 	for file in "$run"/codes/*; do
 		[ -e "$file" ] || continue
 		name=$(basename "$file")
-		echo "$name ended with $(cat "$file"):" >&2
+		echo "$name exited with $(cat "$file"):" >&2
 		tail -n 1 "$run/log/$name.log" >&2
 		exit 1
 	done
 }
 
-# domain prints "region octet" of a failure domain; a router or stand-in of it has the address net.octet.n.
+# domain prints "REGION OCTET" of a failure domain; its routers and stand-ins have addresses $net.OCTET.N.
 domain() {
 	case $1 in
 	recife-a) echo recife 11 ;;
@@ -102,7 +103,8 @@
 	echo "{\"Name\":\"$1\",\"Kind\":\"$2\",\"Addr\":\"$3\",\"Domain\":\"$4\",\"Region\":\"$5\",\"Leaving\":false}"
 }
 
-# control_address and store_address are what peers and a router itself use; with links they are the relays'.
+# control_address and store_address print the addresses at which peers reach a router, and a router reaches the store: those of
+# the relays if links=1.
 control_address() {
 	if [ "$links" = 1 ]; then
 		echo "$net.$1.$((50 + $2)):8081"
@@ -184,7 +186,8 @@
 	done
 }
 
-# apply publishes a configuration made from the answers in $1 and notes its generation for the bench.
+# apply publishes the configuration generated from the answers in a directory and marks its generation for pomelobench:
+# apply DIRECTORY REASON.
 apply() {
 	bin/pomeloctl generate --answers "$1/jewellers.yaml" --answers "$1/hearthway.yaml" >"$1/configuration.yaml"
 	bin/pomeloctl apply --store $store --author "$0" --why "$2" --output json "$1/configuration.yaml" >"$run/applied.json"
@@ -198,17 +201,18 @@
 	done
 }
 
-# The bench's step has asked the router to drain; it ends by itself when its last request has ended.
+# await_graceful_stop waits until a router that was asked to stop has finished its requests; it fails unless the exit code is 0.
 await_graceful_stop() {
 	await "$1" 25
 	if [ "$code" -ne 0 ]; then
-		echo "$1 was stopped gracefully and ended with $code" >&2
+		echo "$1 was stopped gracefully and exited with $code" >&2
 		exit 1
 	fi
-	echo "$1 was stopped gracefully and ended with 0"
+	echo "$1 was stopped gracefully and exited with 0"
 }
 
-# kill_router ends a router without warning; marks tell the bench before, so that what breaks then is not laid to a planned stop.
+# kill_router kills a router. It writes the mark first, so that pomelobench does not count the broken requests as cut by a planned
+# stop.
 kill_router() {
 	echo "{\"Killed\":\"$1\"}" >>"$marks"
 	sleep 0.2
@@ -216,7 +220,7 @@
 	echo "$1 was killed"
 }
 
-# freeze_router halts a router for so many seconds and lets it go on.
+# freeze_router suspends a router's process: freeze_router NAME SECONDS.
 freeze_router() {
 	echo "{\"Frozen\":\"$1\"}" >>"$marks"
 	kill -STOP "$(cat "$run/pids/$1")"
@@ -226,12 +230,13 @@
 	echo "$1 was frozen for $2 s"
 }
 
-# link_step prints a plan's step that sets the rules of a relay: link_step AFTER RELAY RULES.
+# link_step prints a plan step that sets the rules of a relay: link_step AFTER RELAY RULES.
 link_step() {
 	echo "  - {After: $1, Admin: \"$net.1.2:9100\", Fault: '{\"Target\":\"$2\",\"Relay\":[$3]}'}"
 }
 
-# fault_step prints a plan's step that sets a fault at the stand-ins of a failure domain, or of the platform.
+# fault_step prints a plan step that posts a fault to the stand-ins of a failure domain or of the platform:
+# fault_step AFTER DOMAIN|platform FAULT.
 fault_step() {
 	admin=$net.1.1:9100
 	if [ "$2" != platform ]; then
@@ -241,7 +246,7 @@
 	echo "  - {After: $1, Admin: \"$admin\", Fault: '$3'}"
 }
 
-# sources prints the relay's rules for connections that come from the routers of the failure domains: sources EFFECT DOMAIN...
+# sources prints relay rules for connections from the routers of the failure domains: sources EFFECT DOMAIN...
 sources() {
 	effect=$1
 	shift
@@ -253,8 +258,8 @@
 	done | paste -sd,
 }
 
-# part_steps prints the steps that part a failure domain's routers from all others': part_steps AFTER DOMAIN both|out.
-# With "out" only what the domain sends is lost. heal_steps takes it back.
+# part_steps prints the steps that partition a failure domain's routers from all others: part_steps AFTER DOMAIN both|out.
+# With "out" only messages sent by the domain are lost.
 part_steps() {
 	apart=$2
 	toward='"Toward":{"Block":true}'
@@ -274,13 +279,14 @@
 	done
 }
 
-# store_steps prints the steps that part a failure domain's routers from store and host list.
+# store_steps prints the steps that cut a failure domain's routers off from store and host list: store_steps AFTER DOMAIN.
 store_steps() {
 	for n in 1 2; do
 		link_step "$1" "store-$2-router-$n" '{"Cut":true}'
 	done
 }
 
+# heal_steps prints the steps that clear the rules of all relays: heal_steps AFTER.
 heal_steps() {
 	for d in $domains; do
 		for n in 1 2; do
@@ -290,8 +296,9 @@
 	done
 }
 
-# router_loads prints the plan's accounts: the jewellers', three large, five middling and eight small, each landing on one router.
-# $1 and $2 are more fields of a model engine's and a booking's load; an empty one leaves that service out.
+# router_loads prints the accounts of a plan: three of weight 4, five of weight 2 and eight of weight 1. $1 and $2 are additional
+# fields of the loads of the model engine and the booking service; an empty value omits that service. HERE in them is replaced by
+# one router per account.
 router_loads() {
 	i=0
 	for weight in 4 4 4 2 2 2 2 2 1 1 1 1 1 1 1 1; do
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Generates the Go code of the control messages; needs protoc (Debian: protobuf-compiler).
+# Generates the Go code of the control messages; requires protoc (Debian: protobuf-compiler).
 set -eu
 tools=$(mktemp -d)
 trap 'rm -rf "$tools"' EXIT
--- a/scripts/operate.sh
+++ b/scripts/operate.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Drives pomeloctl against 8 routers with mutual TLS and the stand-in store, all separate processes on loopback, and
-# measures how soon configurations are in force. Needs openssl and curl. ACCOUNTS sets the size of the second measurement.
-# The first line that does not hold ends it with 1.
+# Tests pomeloctl against 8 routers with mutual TLS and a stand-in of the store, all separate processes on loopback, and measures
+# how long configuration changes take to be in force. Requires openssl and curl. ACCOUNTS sets the number of accounts in the
+# second measurement. The first failed check ends the script with exit code 1.
 set -eu
 cd "$(dirname "$0")/.."
 run=${OPERATE_DIR:-$(mktemp -d)}
@@ -40,15 +40,16 @@
 	exit 1
 }
 
-# expect runs a command and fails unless it ends with the exit code given; its output stands in $run/out.
+# expect runs a command and fails unless it has the given exit code; its output is in $run/out and $run/err.
 expect() {
 	want=$1
 	shift
 	got=0
 	"$@" >"$run/out" 2>"$run/err" || got=$?
-	[ "$got" -eq "$want" ] || fail "exit code $got, not $want: $* $(cat "$run/err")"
+	[ "$got" -eq "$want" ] || fail "exit code $got, want $want: $* $(cat "$run/err")"
 }
 
+# holds fails unless a line of the file matches the pattern: holds PATTERN FILE.
 holds() {
 	grep -q "$1" "$2" || fail "no '$1' in $(cat "$2")"
 }
@@ -67,7 +68,7 @@
 	done
 }
 
-# place prints "region domain octet" of a router.
+# place prints "REGION DOMAIN OCTET" of a router.
 place() {
 	case $1 in
 	1 | 2) echo recife recife-a 11 ;;
@@ -77,7 +78,8 @@
 	esac
 }
 
-# Only router 1 reaches the store by itself; the others do through a relay that a fault can block.
+# write_settings writes the settings of a router. Only router 1 reaches the store directly, the others through a relay that can be
+# blocked.
 write_settings() {
 	set -- "$1" $(place "$1")
 	via=$link
@@ -106,7 +108,7 @@
 	for n in 1 2 3 4 5 6 7 8; do
 		pid=$(cat "$run/pids/router-$n")
 		kill "$pid" 2>/dev/null || true
-		wait "$pid" || fail "router-$n ended with $?"
+		wait "$pid" || fail "router-$n exited with $?"
 		rm -f "$run/pids/router-$n"
 	done
 }
@@ -122,7 +124,7 @@
 	done
 }
 
-# figures prints, for each router, its time from start to ready and its memory.
+# figures prints the time from start to ready and the memory use of each router.
 figures() {
 	for n in 1 2 3 4 5 6 7 8; do
 		from=$(sed -n 's/.*"Time":"\([^"]*\)".*"Event":100,.*/\1/p' "$run/log/router-$n.log" | tail -n 1)
@@ -132,14 +134,14 @@
 	done
 }
 
-# refuses fails unless a router with these settings ends with the exit code and the numbered error given.
+# refuses fails unless a router with the settings exits with the exit code and the error code: refuses EXIT ERROR SETTINGS.
 refuses() {
 	expect "$1" bin/pomelorelayd run --settings "$3"
 	holds "$2" "$run/err"
 	tail -n 1 "$run/err" | cut -c1-150
 }
 
-# altered writes router-2's settings, changed by a sed script, and prints the file's name.
+# altered writes the settings of router-2 changed by a sed script and prints the file name.
 altered() {
 	sed "$1" "$run/router-2.yaml" >"$run/altered.yaml"
 	echo "$run/altered.yaml"
@@ -156,11 +158,11 @@
 
 echo "== questionnaire, generate, check, diff"
 expect 0 ctl questionnaire
-[ -s "$run/out" ] || fail "no questionnaire"
+[ -s "$run/out" ] || fail "the questionnaire is empty"
 expect 0 ctl generate --answers examples/demo/jewellers.yaml --answers examples/demo/hearthway.yaml
 cp "$run/out" "$run/first.yaml"
 expect 0 ctl generate --answers examples/demo/jewellers.yaml --answers examples/demo/hearthway.yaml
-cmp "$run/out" "$run/first.yaml" || fail "the same answers gave other bytes"
+cmp "$run/out" "$run/first.yaml" || fail "generate is not deterministic: the same answers gave different output"
 expect 0 ctl check "$run/first.yaml"
 expect 0 ctl diff "$run/first.yaml" --store $store
 echo "== apply --wait, show, audit, status"
@@ -173,10 +175,10 @@
 expect 0 ctl diff "$run/second.yaml" --store $store
 holds 'MaxSlots: 8 -> 9' "$run/out"
 expect 0 ctl status $routers
-[ "$(grep -c ' ready ' "$run/out")" -eq 8 ] || fail "not 8 ready: $(cat "$run/out")"
+[ "$(grep -c ' ready ' "$run/out")" -eq 8 ] || fail "fewer than 8 routers are ready: $(cat "$run/out")"
 cat "$run/out"
 
-echo "== two racing applies from the same generation"
+echo "== two concurrent applies based on the same generation"
 sed 's/MaxSlots: 8/MaxSlots: 7/' "$run/shown.yaml" >"$run/third.yaml"
 (ctl apply "$run/second.yaml" --store $store --author ana --why "ana's" --base 1 >"$run/ana.out" 2>"$run/ana.err" && echo 0 >"$run/ana.code" || echo $? >"$run/ana.code") &
 ana=$!
@@ -186,19 +188,19 @@
 case $codes in
 "0 3") winner=ana loser=bea ;;
 "3 0") winner=bea loser=ana ;;
-*) fail "the exit codes of the race are $codes" ;;
+*) fail "the concurrent applies have exit codes $codes, want 0 and 3" ;;
 esac
 holds "$winner" "$run/$loser.err"
-echo "$winner won; $loser was told: $(head -n 1 "$run/$loser.err")"
+echo "the change of $winner was accepted; $loser got: $(head -n 1 "$run/$loser.err")"
 
-echo "== an answer lost after the write took effect"
+echo "== the store's answer is lost after the write"
 sed 's/MaxSlots: 8/MaxSlots: 6/' "$run/shown.yaml" >"$run/fourth.yaml"
 fault '{"Store":{"LoseAnswers":4}}'
 expect 0 ctl apply "$run/fourth.yaml" --store $store --author ana --why "lost answer" --base 2 --wait $routers
 cat "$run/out"
 fault '{"Store":{}}'
 expect 0 ctl audit --store $store
-[ "$(grep -c 'why: lost answer' "$run/out")" -eq 1 ] || fail "the change with the lost answer is not there once: $(cat "$run/out")"
+[ "$(grep -c 'why: lost answer' "$run/out")" -eq 1 ] || fail "the change with the lost answer is not in the audit trail exactly once: $(cat "$run/out")"
 cat "$run/out"
 
 echo "== the store is down"
@@ -206,12 +208,12 @@
 expect 6 ctl apply "$run/second.yaml" --store $store --author ana --why "during the outage" --base 3
 cat "$run/err"
 fault '{"Store":{}}'
-echo "== a router that does not answer is named by --wait"
+echo "== apply --wait names a router that does not answer"
 expect 5 ctl --timeout 3s apply "$run/second.yaml" --store $store --author ana --why "one is absent" --base 3 --wait $routers --router $net.99.1:8082
 holds "$net.99.1:8082" "$run/err"
 cat "$run/err"
 
-echo "== time until in force on 8 routers, store up"
+echo "== time until in force on 8 routers, store reachable"
 bin/pomelobench spread --store $store $routers --changes $changes "$run/second.yaml"
 echo "== the same, store out of reach for all but router-1"
 fault '{"Target":"link","Relay":[{"Cut":true}]}'
@@ -220,7 +222,7 @@
 fault '{"Target":"link","Relay":[]}'
 figures
 
-echo "== $accounts accounts, store up"
+echo "== $accounts accounts, store reachable"
 sleep 6
 bin/pomelobench spread --store $store $routers --accounts $accounts --changes $changes "$run/second.yaml"
 figures
@@ -230,7 +232,7 @@
 bin/pomelobench spread --store $store $routers --accounts $accounts --changes $changes "$run/second.yaml"
 fault '{"Target":"link","Relay":[]}'
 
-echo "== all routers started anew with $accounts accounts"
+echo "== all routers restarted with $accounts accounts"
 end_routers
 rm -f "$run"/log/router-*.log
 start_routers
@@ -238,7 +240,7 @@
 sleep 1
 figures
 
-echo "== settings that a router refuses"
+echo "== invalid settings"
 printf 'x' >"$run/keys/broken.crt"
 refuses 2 2013 "$run/absent.yaml"
 refuses 2 2000 "$(altered 's/^Host: {/Host: {{/')"
@@ -254,7 +256,7 @@
 echo "== drain"
 expect 0 ctl drain --router $net.11.2:8082
 pid=$(cat "$run/pids/router-2")
-wait "$pid" || fail "router-2 drained and ended with $?"
+wait "$pid" || fail "router-2 drained and exited with $?"
 rm -f "$run/pids/router-2"
 expect 6 ctl status --router $net.11.2:8082
-echo "router-2 drained and ended with 0; done"
+echo "router-2 drained and exited with 0; done"
--- a/scripts/proof.sh
+++ b/scripts/proof.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# Proves one promise under one sort of failure on a fleet of separate processes: scripts/proof.sh NAME [direct], where NAME is a
-# file of scripts/proofs. The last line starts with "proved" or "FAILED", and the exit code tells the same. With "direct" the
-# load goes to the stand-ins without routers, to see the check fail.
-#
-# A proof's file sets duration and timeout, and may set gaps=1 (judge the fairness gap), links=1 (relays between the routers) and
-# stand_in_flags. Its functions: load prints the plan's Accounts and Steps, disturb does what the bench can't, verify looks at
-# what the bench counted.
+# Checks one guarantee under one kind of failure on a fleet of separate processes: scripts/proof.sh NAME [direct], where NAME is a
+# file of scripts/proofs. The last line starts with "proved" or "FAILED", with exit code 0 or 1. With "direct" the load goes to the
+# stand-ins without routers, to show that the check fails then.
+
+# A proof's file sets duration and timeout, and may set attempts, gaps=1 (check the fairness gap), links=1 (relays between the
+# routers), more_plan (additional plan fields) and stand_in_flags. It defines load, which prints the plan's Accounts and Steps,
+# and may define disturb, which injects faults that a plan step cannot, and verify, which checks the result of pomelobench.
 set -eu
 cd "$(dirname "$0")/.."
 proof=$1
@@ -38,7 +38,7 @@
 	fi
 }
 
-# figure prints a number of the bench's last line.
+# figure prints a number from the result, the last line of pomelobench: figure KEY.
 figure() {
 	tail -n 1 "$run/log/bench.out" | sed 's/,"Pools".*//' | sed -n "s/.*\"$1\":\([0-9.]*\).*/\1/p"
 }
@@ -48,10 +48,10 @@
 	failures="$failures; $1"
 }
 
-# need notes a failure unless a figure is in the relation to the number: need Answers -ge 100.
+# need records a failure unless a figure satisfies a test operator: need Answers -ge 100.
 need() {
 	got=$(figure "$1")
-	test "${got:-0}" "$2" "$3" || fail "$1 is ${got:-not told}, not $2 $3"
+	test "${got:-0}" "$2" "$3" || fail "$1 is ${got:-missing}, want $2 $3"
 }
 
 write_answers
--- a/scripts/proofs.sh
+++ b/scripts/proofs.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs the proofs one after the other and prints a table at the end; fails when one of them fails. Names as arguments choose some.
+# Runs the named proofs, by default all, one after the other and prints a table at the end; the exit code is the number of failures.
 set -u
 cd "$(dirname "$0")/.."
 if [ $# -eq 0 ]; then
@@ -17,7 +17,7 @@
 		failed=$((failed + 1))
 	fi
 	line=$(grep -E '^(proved|FAILED) ' "$dir/proof.out" | tail -n 1)
-	echo "$(($(date +%s) - began)) s | ${line:-FAILED $name: it broke off, see $dir}" >>"$results"
+	echo "$(($(date +%s) - began)) s | ${line:-FAILED $name: proof aborted, see $dir}" >>"$results"
 done
 cat "$results"
 rm -f "$results"
--- a/scripts/proofs/alone.sh
+++ b/scripts/proofs/alone.sh
@@ -1,5 +1,5 @@
-# Not held today, so that scripts/proofs.sh leaves it out: one router is cut off from the store, the host list and every other router before an
-# upstream leaves, and its callers still reach it. It can't hear of the leaving and goes on sending there.
+# Fails at present, so scripts/proofs.sh does not run it: one router is cut off from the store, the host list and every other
+# router before an upstream leaves, while callers still reach it. It cannot learn of the leaving and keeps sending requests there.
 duration=18s
 timeout=12s
 links=1
--- a/scripts/proofs/answers.sh
+++ b/scripts/proofs/answers.sh
@@ -1,6 +1,6 @@
-# Bookings' answers come late, crossed with another's, short of their announced length, cut at a byte, or twice on one connection,
-# and idle connections are closed under the next request; streams break and are resumed. What a caller takes for its answer is its own and
-# whole. Without the guard a caller gets another's booking.
+# Booking answers are late, swapped with another request's, shorter than their Content-Length, cut at a byte, or sent twice on one
+# connection; idle connections are closed as the next request uses them; streams break and are resumed. Every answer a caller
+# accepts is complete and belongs to its request. Without the routers' check of answers a caller would get another's booking.
 duration=20s
 timeout=10s
 
--- a/scripts/proofs/config.sh
+++ b/scripts/proofs/config.sh
@@ -1,6 +1,7 @@
-# Four operators apply different configurations at once, five times: undisturbed, with store answers lost after the write, with one
-# router frozen, with one failure domain parted from the others and the store, and after the store came back from an old copy. Of those
-# who started from the same generation one wins; it is in force on every router within seconds, and no router's generation falls.
+# Four operators apply different configurations concurrently, five times: without faults, with store answers lost after the write,
+# with one router frozen, with one failure domain partitioned from the others and the store, and after the store was restored from
+# an old copy. Exactly one change based on a generation is accepted; it is in force on every router within 10 s, and no router's
+# generation decreases.
 duration=38s
 timeout=12s
 links=1
@@ -26,7 +27,8 @@
 	done
 }
 
-# in_force waits until every router but those of the pattern has the generation, at most 10 s, and prints how long that took.
+# in_force waits until every router outside the pattern has the generation, for at most 10 s, and prints the time taken in ms:
+# in_force GENERATION PATTERN-OF-ROUTERS-LEFT-OUT.
 in_force() {
 	began=$(date +%s%N)
 	for at in $(all_routers | grep -v "$2"); do
@@ -41,7 +43,7 @@
 	echo $((($(date +%s%N) - began) / 1000000))
 }
 
-# race lets four operators apply at once from the last generation: race ROUND PATTERN-OF-ROUTERS-LEFT-OUT FLAGS-OF-APPLY.
+# race runs four concurrent applies based on the last generation: race ROUND PATTERN-OF-ROUTERS-LEFT-OUT FLAGS-OF-APPLY...
 race() {
 	round=$1
 	left_out=$2
@@ -62,15 +64,15 @@
 		fi
 	done
 	if [ $winners -ne 1 ]; then
-		fail "race $round had $winners winners"
+		fail "race $round: $winners changes were accepted, want 1"
 		return
 	fi
-	test "$won" -eq $((${highest:-$generation} + 1)) || fail "race $round made generation $won after ${highest:-$generation}"
+	test "$won" -eq $((${highest:-$generation} + 1)) || fail "race $round: accepted generation $won follows ${highest:-$generation}"
 	generation=$won
 	echo "{\"Accepted\":$won}" >>"$marks"
 	took=$(in_force "$won" "$left_out")
 	races="${races:-}, race $round in force in $took ms"
-	test "${took#more}" = "$took" || fail "race $round was not in force in 10 s"
+	test "${took#more}" = "$took" || fail "race $round: generation $won was not in force within 10 s"
 }
 
 disturb() {
@@ -87,14 +89,14 @@
 	wait $frozen
 	took=$(in_force "$generation" none)
 	races="$races, on the frozen one in $took ms"
-	test "${took#more}" = "$took" || fail "the frozen router did not catch up in 10 s"
+	test "${took#more}" = "$took" || fail "the frozen router did not catch up within 10 s"
 	sleep 4
 	race 4 "$net.11."
 	sleep 6
 	took=$(in_force "$generation" none)
 	races="$races, on the healed domain in $took ms"
-	test "${took#more}" = "$took" || fail "the healed domain did not catch up in 10 s"
-	# As docs/operators/daily-work.md says, apply asks all routers then and starts from what the store holds.
+	test "${took#more}" = "$took" || fail "the partitioned domain did not catch up within 10 s"
+	# After a restore, as docs/operators/daily-work.md describes, apply queries all routers and is based on the store's generation.
 	admin_fault '{"Restore":true}'
 	sleep 3
 	highest=$generation
--- a/scripts/proofs/deadly.sh
+++ b/scripts/proofs/deadly.sh
@@ -1,8 +1,8 @@
-# A request with a marker crashes each engine that runs it. Its caller sends it again and again, through any router, beside ordinary load.
-# At most two engines crash under it, though the router may send again by itself too.
+# A request with a marker crashes every engine that runs it. Its caller keeps resending it through any router, beside ordinary load.
+# At most two engines crash, although routers may resend it too.
 duration=20s
 timeout=10s
-# Nine sends a second apart: a request that is refused for longer than MaxWait would count as starved.
+# Nine attempts one second apart: a request that is refused for longer than MaxWait would count as starved.
 attempts=9
 stand_in_flags="--crash-marker deadly-clasp"
 
--- a/scripts/proofs/final.sh
+++ b/scripts/proofs/final.sh
@@ -1,8 +1,9 @@
-# Engines stall, bookings refuse or hang, the store is down, and one account floods its queues over their bound. Each request that
-# a router has given up is refused at once, on arrival when the queue is full and at its deadline otherwise, in one piece and with Retry-After.
+# Engines stall, the booking service refuses or hangs, the store is down, and one account fills its queues to their limit. Each
+# request that a router gives up is refused at once, on arrival when the queue is full and at its deadline otherwise, with a
+# complete response and Retry-After.
 duration=18s
 timeout=4s
-# Engines and bookings stand still for 8 s and the store for 3 s more.
+# Engines and bookings are stalled for 8 s, then the store is down for 3 s.
 more_plan="MaxWait: 20s"
 attempts=3
 
--- a/scripts/proofs/leaving.sh
+++ b/scripts/proofs/leaving.sh
@@ -1,8 +1,8 @@
-# Two upstreams leave by the host list. One router is cut off from the store and from the host list before the first leaves (its peers tell it), and another
-# is frozen over the leaving of the second. Nothing new starts at an upstream 3 s after its leaving shows.
+# The host list shows two upstreams as leaving. One router is cut off from the store and the host list before the first and learns
+# of it from its peers; another is frozen during the second. No request starts at an upstream 3 s after it is shown as leaving.
 duration=22s
 timeout=12s
-# The frozen router answers nothing for 6 s.
+# The frozen router does not answer for 6 s.
 more_plan="MaxWait: 20s"
 links=1
 
--- a/scripts/proofs/notrun.sh
+++ b/scripts/proofs/notrun.sh
@@ -1,8 +1,8 @@
-# Refusals that say "Ran: No" while the store is down for 6 s, upstreams crash, refuse, and cut connections before or after the run, and callers send
-# again. The stand-ins count what ran: a request whose every attempt was refused as not run has not run.
+# Checks refusals with "Ran: No" while the store is down for 6 s, upstreams crash, refuse, and cut connections before or after the
+# run, and callers resend. According to the stand-ins, a request whose every attempt was refused as not run did not run.
 duration=22s
 timeout=6s
-# The store is down for 6 s, in which no booking can run.
+# No booking can run during the 6 s in which the store is down.
 more_plan="MaxWait: 20s"
 
 load() {
--- a/scripts/proofs/once.sh
+++ b/scripts/proofs/once.sh
@@ -1,6 +1,6 @@
-# Bookings with keys are sent twice at once and again after their answers, each time through any router, while one router (the
-# keeper of an eighth of the keys) is killed, another is frozen for 6 s, which is longer than peers wait before they take it for dead, store
-# answers get lost after the write took effect, and the store is slow. No booking runs twice.
+# Bookings with idempotency keys are sent twice concurrently and again after their answers, through any router, while one router,
+# responsible for an eighth of the keys, is killed, two others are frozen for 6 s each, longer than the peers' failure detection
+# takes, store answers are lost after the write, and the store is slow. No booking runs twice.
 duration=24s
 timeout=10s
 stand_in_flags="--min-time 20ms"
--- a/scripts/proofs/partition.sh
+++ b/scripts/proofs/partition.sh
@@ -1,9 +1,9 @@
-# One failure domain is parted from all others and from the store, then heals; then another one's messages are lost one way only, while a router of a third is
-# killed. Every promise holds throughout; the gap, which may grow while domains don't hear of each other, is judged from 4 s after
-# the last heal.
+# One failure domain is partitioned from all others and from the store, then reconnected. Then outgoing messages of another are
+# lost while a router of a third is killed. All guarantees hold throughout; the fairness gap, which may grow while domains are
+# disconnected, is checked from 4 s after the last partition has healed.
 duration=30s
 timeout=10s
-# A domain that is cut off from the store takes no bookings for 5 s.
+# A domain cut off from the store accepts no bookings for 5 s.
 more_plan="MaxWait: 23s"
 gaps=1
 links=1
--- a/scripts/proofs/starve.sh
+++ b/scripts/proofs/starve.sh
@@ -1,5 +1,5 @@
-# One account of the smallest weight floods all routers with more callers than all others have; everybody else, some with one
-# caller only, is served within 8 s. Without fair queues a request waits behind the flood until its deadline.
+# One account of the smallest weight floods all routers with more callers than all other accounts together. All others, with one
+# caller per service, are served within 8 s. Without fair queueing their requests would wait behind the flood until their deadline.
 duration=20s
 timeout=5s
 attempts=1
@@ -25,5 +25,5 @@
 verify() {
 	need Answers -ge 1000
 	need LeastAnswers -ge 15
-	shown=", fewest answers to a quiet account and service $(figure LeastAnswers)"
+	shown=", fewest answers to an account from a service $(figure LeastAnswers)"
 }
--- a/scripts/proofs/stop.sh
+++ b/scripts/proofs/stop.sh
@@ -1,5 +1,5 @@
-# Three routers are stopped as planned under streams and bookings, by SIGTERM, by pomeloctl drain, and by both at the same time as
-# the store is down. No request in progress is cut off, and each ends with 0 within 25 s.
+# Three routers are stopped gracefully under load of streams and bookings, by SIGTERM or by pomeloctl drain, two of them while the
+# store is down. No request in progress is cut, and each router exits with 0 within 25 s.
 duration=20s
 timeout=12s
 
@@ -32,7 +32,7 @@
 	for name in boston-a-router-2 recife-b-router-2 recife-a-router-1; do
 		await_graceful_stop $name
 	done
-	stops="all ended $(($(date +%s) - began)) s after the last was asked"
+	stops="all exited $(($(date +%s) - began)) s after the last stop request"
 }
 
 verify() {
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Plays what must hold before a landing, and prints a table: regression.sh BENCH SITES [JOBS [SITE]]
-# BENCH is the users' bench, SITES the folder of their site files. Each site is scored once and hunted for the days in its line; SITE plays one of them.
+# Runs the regression suite required before a merge and prints a table: regression.sh BENCH SITES [JOBS [SITE]]
+# BENCH is the users' benchmark program, SITES the directory of its site files. Each site below is scored once, then hunted for
+# the number of days in its line. SITE limits the run to one site.
 set -eu
 bench=$1 sites=$2 jobs=${3:-3} only=${4:-}
 out=$(mktemp -d)
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,15 +1,15 @@
 #!/bin/sh
-# Runs go test with the arguments given, passing over the tests that KNOWN-RED.txt lists and printing them.
-# A line of KNOWN-RED.txt reads: TestName; command; cause; issue.
+# Runs go test with the given arguments, skipping the tests listed in KNOWN-RED.txt and printing that list.
+# The format of a line is: TestName; command; cause; issue.
 set -eu
 skip=""
 if [ -s KNOWN-RED.txt ]; then
 	lines=$(grep -c . KNOWN-RED.txt)
 	if [ "$lines" -gt 3 ]; then
-		echo "KNOWN-RED.txt has $lines lines; three are allowed" >&2
+		echo "KNOWN-RED.txt has $lines lines, at most 3 are allowed" >&2
 		exit 1
 	fi
-	echo "Known to fail, passed over:"
+	echo "Skipping tests that are known to fail:"
 	cat KNOWN-RED.txt
 	skip=$(cut -d';' -f1 KNOWN-RED.txt | sed 's/.*/^&$/' | paste -sd'|')
 fi
