--- a/cmd/pomelobench/pomelobounds/bounds_test.go
+++ b/cmd/pomelobench/pomelobounds/bounds_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestBoundWithoutLimitIsRejected(t *testing.T) {
-	// A bound without a limit, or with a misspelt key, would be met by every run and check nothing unnoticed.
+	// A bound without a limit, for instance because its key is misspelt, would be met by every run without checking anything.
 	for _, text := range []string{"{Package: a, Benchmark: b, Metric: c}", "{Package: a, Benchmark: b, Metric: c, Mots: 1}"} {
 		if _, err := pomelobounds.Read(write(t, "Bounds:\n- "+text+"\n")); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
 			t.Errorf("%s: %v", text, err)
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -240,7 +240,7 @@
 		p.GapCheckFrom = p.Duration - 100*time.Millisecond
 		tail := runPlan(t, newTestNetwork(t), p).Result
 		if full.GapOverBound == 0 || tail.GapOverBound != 0 {
-			t.Errorf("over the bound: %d in the whole, %d at the end", full.GapOverBound, tail.GapOverBound)
+			t.Errorf("violations of the bound: %d in the full run, %d in its last 100 ms", full.GapOverBound, tail.GapOverBound)
 		}
 	})
 }
--- a/cmd/pomelobench/pomelomeasure/propagation.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -26,7 +26,8 @@
 }
 
 // PropagationResult contains the times from the acceptance of a change by the store until it was in force on all routers, and
-// where named so on the first router. Publish times are those until acceptance. The first configuration is counted separately.
+// where named so on the first router. Publish times are those until acceptance. The First fields, except FirstRouter, are those of
+// the initial configuration, which the other fields exclude.
 type PropagationResult struct {
 	Accounts                   int
 	Routers                    int
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -37,8 +37,8 @@
 	code=$(cat "$run/codes/$1")
 }
 
-# running returns 0 while a process runs whose name ends in the given text. It goes on when a file has vanished since the pattern
-# was expanded, since other processes may still run.
+# running returns 0 while a process runs whose name ends in the given text. It skips files that vanished after the pattern was
+# expanded, since other processes may still run.
 running() {
 	for file in "$run"/pids/*$1; do
 		if [ -e "$file" ]; then
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -25,7 +25,7 @@
 		FILENAME ~ /score$/ && /^GATE/ { gate = $2 }
 		FILENAME ~ /hunt$/ && /BROKEN/ { broken++ }
 		FILENAME ~ /hunt$/ && /^snapshot/ { hunted = 1 }
-		END { printf "%-24s calm day %s, days with trouble %.3f, gate %s, hunt %s, days broken %d\n", name, quiet, n ? sum / n : 0, gate ? gate : "not played", hunted ? "played" : "not played", broken }
+		END { printf "%-24s day without faults %s, days with faults %.3f, gate %s, hunt %s, failed days %d\n", name, quiet, n ? sum / n : 0, gate ? gate : "not run", hunted ? "run" : "not run", broken }
 	' "$out/$name.score" "$out/$name.hunt"
 done
 echo "outputs: $out"
