--- a/cmd/pomelobench/pomeloload/marks.go
+++ b/cmd/pomelobench/pomeloload/marks.go
@@ -13,8 +13,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-// Mark is a line of the marks file. A script appends it next to an action of its own that the checks must know of, such as killing
-// a process or applying a configuration.
+// Mark is a line of the marks file. A script appends it for an action that pomelobench cannot take itself: just before it kills,
+// stops or suspends a router, and just after it resumed one or applied a configuration.
 type Mark struct {
 	// Killed and Stopping name a router that is killed, or stopped gracefully.
 	Killed   pomelorelay.NodeID
