--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -137,10 +137,10 @@
 
 // compareText compares the text with the one that the stand-in generates for the request.
 func (o *outcome) compareText(text string, tokens int, q request) {
-	o.matchesRequest = strings.HasPrefix(text, q.proof.Token(0)) || text == ""
+	o.matchesRequest = strings.HasPrefix(text, q.proof.AnswerToken(0)) || text == ""
 	var want strings.Builder
 	for n := range tokens {
-		want.WriteString(q.proof.Token(n))
+		want.WriteString(q.proof.AnswerToken(n))
 	}
 	o.complete = text == want.String()
 }
--- a/cmd/pomelobench/pomeloload/caller.go
+++ b/cmd/pomelobench/pomeloload/caller.go
@@ -127,9 +127,9 @@
 func (c *callers) sendAttempt(ctx context.Context, q request, rng *rand.Rand) outcome {
 	t := c.balancer.pick(q.service.Name, q.load.Routers, rng)
 	id := pomelocheck.AttemptID(fmt.Sprintf("%s/%d", q.id, c.lastAttempt.Add(1)))
-	sent := pomelocheck.Sent{
+	sent := pomelocheck.RequestSent{
 		Attempt: id, Content: q.content(), Account: q.account.Name, Node: t.name, At: time.Now(),
-		Deadline: time.Now().Add(c.plan.Timeout), Once: q.service.AtMostOnce,
+		Deadline: time.Now().Add(c.plan.Timeout), AtMostOnce: q.service.AtMostOnce,
 	}
 	c.recorder.attemptSent(q, sent)
 	o := c.exchange(ctx, t, q, string(id))
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -71,7 +71,7 @@
 
 // testRouter simulates a faulty router: it passes requests on until it is drained, and then cuts every connection.
 type testRouter struct {
-	plain    *pomelofake.Plain
+	plain    *pomelofake.PlainService
 	stopping atomic.Bool
 	// falseNotRunEvery n > 0 refuses each nth request as not run after running it.
 	falseNotRunEvery int64
--- a/cmd/pomelobench/pomeloload/network_test.go
+++ b/cmd/pomelobench/pomeloload/network_test.go
@@ -19,7 +19,7 @@
 type testNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	plain     *pomelofake.Plain
+	plain     *pomelofake.PlainService
 	engine    *pomelofake.Engine
 	hosts     *pomelofake.HostList
 }
@@ -96,7 +96,7 @@
 	t.Helper()
 	network := &testNetwork{
 		listeners: make(map[string]*listener),
-		plain:     pomelofake.NewPlain(pomelofake.PlainConfig{Slots: 4}),
+		plain:     pomelofake.NewPlainService(pomelofake.PlainConfig{Slots: 4}),
 		engine:    pomelofake.NewEngine(pomelofake.EngineConfig{Slots: 4}),
 		hosts:     pomelofake.NewHostList(pomelofake.HostListConfig{Hosts: []pomelorelay.Host{{Name: "p1"}}}),
 	}
@@ -105,7 +105,7 @@
 	network.serve(t, engineAddr, network.engine)
 	network.serve(t, adminAddr, pomelofake.NewAdmin(pomelofake.AdminConfig{
 		Engines:  map[pomelorelay.UpstreamID]*pomelofake.Engine{"e1": network.engine},
-		Plains:   map[pomelorelay.UpstreamID]*pomelofake.Plain{"p1": network.plain},
+		Plains:   map[pomelorelay.UpstreamID]*pomelofake.PlainService{"p1": network.plain},
 		HostList: network.hosts,
 	}))
 	return network
--- a/cmd/pomelobench/pomeloload/recorder.go
+++ b/cmd/pomelobench/pomeloload/recorder.go
@@ -118,14 +118,14 @@
 	r.tally.Resends++
 }
 
-func (r *recorder) attemptSent(_ request, sent pomelocheck.Sent) {
+func (r *recorder) attemptSent(_ request, sent pomelocheck.RequestSent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.Attempts++
 	r.events = append(r.events, sent)
 }
 
-func (r *recorder) attemptEnded(q request, sent pomelocheck.Sent, o outcome) {
+func (r *recorder) attemptEnded(q request, sent pomelocheck.RequestSent, o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts = append(r.attempts, attemptRecord{q.content(), sent.At, o.endedAt, o.kind == outcomeAnswered})
@@ -136,18 +136,18 @@
 		s.tally.Answers++
 		_ = s.latency.RecordValue(o.endedAt.Sub(sent.At).Microseconds())
 		_ = s.firstByte.RecordValue(o.firstByteAt.Sub(sent.At).Microseconds())
-		r.events = append(r.events, pomelocheck.Answered{Attempt: sent.Attempt, At: o.endedAt, Own: o.matchesRequest, Whole: o.complete})
+		r.events = append(r.events, pomelocheck.RequestAnswered{Attempt: sent.Attempt, At: o.endedAt, MatchesRequest: o.matchesRequest, Complete: o.complete})
 	case o.kind == outcomeRefused:
 		r.attemptRefused(s, sent, o)
 	default:
 		r.tally.Broken++
 		s.tally.Broken++
 		r.failureCounts["broken at "+string(sent.Node)+": "+o.detail]++
-		r.events = append(r.events, pomelocheck.Broken{Attempt: sent.Attempt, At: o.endedAt})
+		r.events = append(r.events, pomelocheck.RequestBroken{Attempt: sent.Attempt, At: o.endedAt})
 	}
 }
 
-func (r *recorder) attemptRefused(s *secondStats, sent pomelocheck.Sent, o outcome) {
+func (r *recorder) attemptRefused(s *secondStats, sent pomelocheck.RequestSent, o outcome) {
 	if o.code == 0 && o.firstByteAt.IsZero() {
 		r.tally.Unreached++
 	} else {
@@ -155,14 +155,14 @@
 		s.tally.Refusals++
 		r.failureCounts["refused: "+o.detail]++
 	}
-	r.events = append(r.events, pomelocheck.Refused{
-		Attempt: sent.Attempt, GaveUp: refusalDecidedAt(sent, o), First: o.firstByteAt, At: o.endedAt, Ran: o.ran, Code: o.code, RetryAfter: o.hasRetryAfter,
+	r.events = append(r.events, pomelocheck.RequestRefused{
+		Attempt: sent.Attempt, DecidedAt: refusalDecidedAt(sent, o), FirstByteAt: o.firstByteAt, At: o.endedAt, Ran: o.ran, Code: o.code, RetryAfter: o.hasRetryAfter,
 	})
 }
 
 // refusalDecidedAt returns when the router decided to refuse the attempt: on arrival if the code says that a queue was full, else
 // the zero time, since the code does not determine it.
-func refusalDecidedAt(sent pomelocheck.Sent, o outcome) time.Time {
+func refusalDecidedAt(sent pomelocheck.RequestSent, o outcome) time.Time {
 	if o.code == pomelorelay.CodeQueueCount || o.code == pomelorelay.CodeQueueBytes {
 		return sent.At
 	}
@@ -185,7 +185,7 @@
 	for _, run := range runs {
 		r.tally.Runs++
 		r.runs = append(r.runs, runRecord{u, run})
-		r.events = append(r.events, pomelocheck.Ran{Content: pomelocheck.ContentID(run.Proof), Upstream: u.Name, At: run.Start})
+		r.events = append(r.events, pomelocheck.RunStarted{Content: pomelocheck.ContentID(run.Proof), Upstream: u.Name, At: run.Start})
 	}
 }
 
@@ -205,7 +205,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leftAt[u] = visibleAt
-	r.events = append(r.events, pomelocheck.Leaving{Upstream: u, At: visibleAt})
+	r.events = append(r.events, pomelocheck.UpstreamLeaving{Upstream: u, At: visibleAt})
 }
 
 func (r *recorder) currentTally() Tally {
--- a/cmd/pomelobench/pomeloload/steps.go
+++ b/cmd/pomelobench/pomeloload/steps.go
@@ -64,7 +64,7 @@
 		return planError("step drains unknown router %s", node)
 	}
 	s.recorder.addFault(time.Now(), "drain "+string(node))
-	s.recorder.observe(pomelocheck.Stopping{Node: node, At: time.Now()})
+	s.recorder.observe(pomelocheck.RouterStopping{Node: node, At: time.Now()})
 	_, err := s.post(ctx, "http://"+s.plan.Routers[i].OperatorAddr.String()+"/drain", nil)
 	return err
 }
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -86,7 +86,7 @@
 	}
 	now := time.Now()
 	if vars.Pomelo.Generation > 0 {
-		w.recorder.observe(pomelocheck.InForce{Node: r.Name, Generation: vars.Pomelo.Generation, At: requestedAt})
+		w.recorder.observe(pomelocheck.ConfigInForce{Node: r.Name, Generation: vars.Pomelo.Generation, At: requestedAt})
 	}
 	last, known := w.lastReadings[r.Name]
 	w.lastReadings[r.Name] = routerReading{now, vars}
--- a/cmd/pomelobench/pomelomeasure/fleet.go
+++ b/cmd/pomelobench/pomelomeasure/fleet.go
@@ -64,7 +64,7 @@
 	platform := http.NewServeMux()
 	platform.Handle("/v1/hosts", hosts)
 	platform.Handle("/", store)
-	if err := f.serve(f.serviceAddr, pomelofake.NewPlain(f.cfg.Plain)); err != nil {
+	if err := f.serve(f.serviceAddr, pomelofake.NewPlainService(f.cfg.Plain)); err != nil {
 		return err
 	}
 	if err := f.serve(f.storeAddr, platform); err != nil {
--- a/cmd/pomelobench/standin.go
+++ b/cmd/pomelobench/standin.go
@@ -54,7 +54,7 @@
 	cmd.Flag("load-lag", "Age of the load that upstreams report.").Default("500ms").DurationVar(&c.engineConfig.LoadLag)
 	cmd.Flag("crash-marker", "A text that crashes the engine when a request containing it starts to run.").StringVar(&c.engineConfig.CrashMarker)
 	cmd.Flag("plain-slots", "Maximum number of requests that a plain service runs concurrently.").Default("8").IntVar(&c.plainConfig.Slots)
-	cmd.Flag("min-time", "Minimum processing time of a plain service.").Default("5ms").DurationVar(&c.plainConfig.MinTime)
+	cmd.Flag("min-time", "Minimum processing time of a plain service.").Default("5ms").DurationVar(&c.plainConfig.MinRunTime)
 	cmd.Flag("write-rate", "Rate limit of the store, in writes per second.").Default("400").Float64Var(&c.storeConfig.WriteRate)
 	cmd.Flag("read-rate", "Rate limit of the store, in reads per second.").Default("2000").Float64Var(&c.storeConfig.ReadRate)
 	return c
@@ -84,7 +84,7 @@
 func (c *standInCommand) start() (pomelofake.AdminConfig, error) {
 	admin := pomelofake.AdminConfig{
 		Engines: make(map[pomelorelay.UpstreamID]*pomelofake.Engine),
-		Plains:  make(map[pomelorelay.UpstreamID]*pomelofake.Plain),
+		Plains:  make(map[pomelorelay.UpstreamID]*pomelofake.PlainService),
 		Relays:  make(map[string]*pomelofake.Relay),
 	}
 	for name, addr := range c.engines {
@@ -97,7 +97,7 @@
 	cfg := c.plainConfig
 	cfg.LoadLag = c.engineConfig.LoadLag
 	for name, addr := range c.plainServices {
-		plain := pomelofake.NewPlain(cfg)
+		plain := pomelofake.NewPlainService(cfg)
 		if err := c.serve(name, addr, plain); err != nil {
 			return admin, err
 		}
--- a/cmd/pomeloctl/pomelocommand/apply.go
+++ b/cmd/pomeloctl/pomelocommand/apply.go
@@ -73,7 +73,7 @@
 	}
 	return a.publish(ctx, publication{
 		store: store, configuration: c, routers: routers, wait: o.wait,
-		change: pomeloconfig.Change{ID: pomeloconfig.ChangeID(o.changeID), Author: o.author, Why: o.why, Base: pomelorelay.Generation(o.base)},
+		change: pomeloconfig.Change{ID: pomeloconfig.ChangeID(o.changeID), Author: o.author, Why: o.why, BaseGeneration: pomelorelay.Generation(o.base)},
 	})
 }
 
--- a/cmd/pomeloctl/pomelocommand/diff.go
+++ b/cmd/pomeloctl/pomelocommand/diff.go
@@ -43,7 +43,7 @@
 		return pomeloconfig.Configuration{}, err
 	}
 	_, c, err := pomeloconfig.Load(ctx, store)
-	if pomeloconfig.IsErrNone(err) {
+	if pomeloconfig.IsErrNoConfiguration(err) {
 		return pomeloconfig.Configuration{}, nil
 	}
 	return c, err
--- a/cmd/pomeloctl/pomelocommand/evacuate.go
+++ b/cmd/pomeloctl/pomelocommand/evacuate.go
@@ -51,7 +51,7 @@
 	}
 	return a.publish(ctx, publication{
 		store: store, configuration: c, routers: routers, wait: o.wait, textPrefix: evacuationPrefix(o),
-		change: pomeloconfig.Change{Author: o.author, Why: o.why, Base: root.Generation},
+		change: pomeloconfig.Change{Author: o.author, Why: o.why, BaseGeneration: root.Generation},
 	})
 }
 
--- a/cmd/pomeloctl/pomelocommand/files.go
+++ b/cmd/pomeloctl/pomelocommand/files.go
@@ -14,7 +14,7 @@
 
 func (a *app) readFile(path string) ([]byte, error) {
 	if path == standardInput {
-		data, err := io.ReadAll(io.LimitReader(a.stdin, int64(pomeloconfig.MaxDocument)+1))
+		data, err := io.ReadAll(io.LimitReader(a.stdin, int64(pomeloconfig.MaxDocumentBytes)+1))
 		if err != nil {
 			return nil, pomelorelay.NewError(pomelorelay.CodeFileUnreadable, "standard input", err)
 		}
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -38,7 +38,7 @@
 	// The new generation must exceed every generation in force. Routers that do not answer are ignored, so that they cannot
 	// block a change.
 	replies, _ := queryRouters(ctx, p.routers)
-	p.change.Floor = highestGeneration(replies)
+	p.change.FleetGeneration = highestGeneration(replies)
 	root, err := pomeloconfig.NewPublisher(pomeloconfig.PublisherConfig{Store: p.store}).Publish(ctx, p.configuration, p.change)
 	if err != nil {
 		return err
--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -33,7 +33,7 @@
 
 func registerEntry(app *kingpin.Application) {
 	command := app.Command("entry", "Run an entry router on the users' platform until SIGTERM, which stops it gracefully.")
-	path := command.Flag("settings", "The platform's settings file.").Envar(pomeloplatform.SettingsVariable).Required().String()
+	path := command.Flag("settings", "The platform's settings file.").Envar(pomeloplatform.SettingsEnvVar).Required().String()
 	check := command.Flag("check", "Check the settings file and exit.").Bool()
 	without := command.Flag("without", "A placement mechanism to disable, to measure its effect; may be repeated.").Enums(pomeloplace.MechanismNames()...)
 	command.Action(func(*kingpin.ParseContext) error {
@@ -58,8 +58,8 @@
 	if err != nil {
 		return err
 	}
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(heapFraction * float64(settings.Memory)))
+	if settings.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(heapFraction * float64(settings.MemoryLimit)))
 	}
 	logger := pomelolog.New(pomelolog.Config{Node: settings.Self.Node, Level: pomelorelay.LevelInfo, Writer: os.Stdout})
 	defer logger.Close()
@@ -78,11 +78,11 @@
 
 func openEntry(settings pomelorelay.FleetSettings, disabled pomeloplace.Mechanisms, logger pomelorelay.Logger) (*pomeloentry.Router, error) {
 	client, err := pomelostore.New(pomelostore.Config{
-		Addresses:      []netip.AddrPort{settings.Store},
-		Timeout:        storeTimeout,
-		CallsPerSecond: storeCallsPerSecond,
-		BreakerOpen:    storeBreakerOpen,
-		Logger:         logger,
+		Addresses:       []netip.AddrPort{settings.StoreAddr},
+		Timeout:         storeTimeout,
+		CallsPerSecond:  storeCallsPerSecond,
+		BreakerCooldown: storeBreakerOpen,
+		Logger:          logger,
 	})
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	router, err := pomeloentry.New(pomeloentry.Config{
 		Settings:           settings,
 		Platform:           pomeloplatform.NewStore(client, storeTimeout),
-		Wire:               pomeloplatform.Wire{},
+		Wire:               pomeloplatform.WireFormat{},
 		Logger:             logger,
 		DisabledMechanisms: disabled,
 	})
--- a/fleet.go
+++ b/fleet.go
@@ -33,21 +33,21 @@
 	Kind   RouteKind
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, that callers expect.
-	Target time.Duration
-	// Pause is the longest pause between events that callers expect; zero where nothing is said.
-	Pause time.Duration
+	// TargetLatency is the time to the answer, or to a stream's first event, that callers expect.
+	TargetLatency time.Duration
+	// MaxEventGap is the longest pause between events that callers expect; zero where nothing is said.
+	MaxEventGap time.Duration
 	// Priority is the rank, 0 the highest.
 	Priority int
 	Shares   []RouteShare
-	// Attempts bounds the upstreams that one request is sent to.
-	Attempts int
+	// MaxAttempts bounds the upstreams that one request is sent to.
+	MaxAttempts int
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may be taken up at another upstream after their last event.
 	Resumable bool
-	// Prompts tells that requests name the parts of their prompts.
-	Prompts bool
+	// HasPromptParts tells that requests name the parts of their prompts.
+	HasPromptParts bool
 	// Regions are those in which the route's requests may be served; all are when it is empty.
 	Regions []RegionID
 }
@@ -56,10 +56,10 @@
 type EngineSpec struct {
 	// Slots is the number of requests that an engine runs at once.
 	Slots Slots
-	// Memory is the number of tokens that running requests and kept prompts share.
-	Memory Tokens
-	// EventTokens is the number of generated tokens in one event.
-	EventTokens Tokens
+	// KVCapacity is the number of tokens that running requests and kept prompts share.
+	KVCapacity Tokens
+	// TokensPerEvent is the number of generated tokens in one event.
+	TokensPerEvent Tokens
 }
 
 // ServiceSpec is a service as the platform's configuration has it.
@@ -67,8 +67,8 @@
 	Name ServiceID
 	// MaxConns bounds the connections of all callers to one upstream; zero means no bound.
 	MaxConns int
-	// ColdFor is how long an upstream is cold after a start; zero where upstreams are not.
-	ColdFor time.Duration
+	// ColdPeriod is how long an upstream is cold after a start; zero where upstreams are not.
+	ColdPeriod time.Duration
 	// ColdRate is the number of requests a second that a cold upstream accepts.
 	ColdRate float64
 	// Engine is nil for plain services.
@@ -115,8 +115,8 @@
 	Slack float64
 }
 
-// Most returns the most requests in any second to a cold upstream that accepts the rate.
-func (b ColdBounds) Most(rate float64) float64 {
+// MaxRequests returns the most requests in any second to a cold upstream that accepts the rate.
+func (b ColdBounds) MaxRequests(rate float64) float64 {
 	return rate*max(b.Ratio, 1) + max(b.Slack, 0)
 }
 
@@ -129,31 +129,31 @@
 	Slots   Slots
 	// Draining upstreams get nothing new.
 	Draining bool
-	// ColdFor is how much longer it says that it is cold; ColdUnknown when it does not say.
-	ColdFor time.Duration
-	// Born is when this incarnation started, Unix milliseconds; zero when it does not say.
-	Born int64
+	// ColdRemaining is how much longer it says that it is cold; ColdUnknown when it does not say.
+	ColdRemaining time.Duration
+	// StartUnixMilli is when this incarnation started, Unix milliseconds; zero when it does not say.
+	StartUnixMilli int64
 }
 
 // FleetChange is what the platform's store holds for routers, or what changed in it.
 type FleetChange struct {
-	// At is the store's revision up to which the change holds.
-	At Revision
-	// Whole tells that the lists are complete, so that what they lack is gone.
-	Whole bool
+	// Revision is the store's revision up to which the change holds.
+	Revision Revision
+	// Full tells that the lists are complete, so that what they lack is gone.
+	Full bool
 	// Config is the operators' configuration; nil when it did not change.
 	Config *FleetConfig
-	// ConfigFault tells why the newest configuration cannot be used; Config is nil then.
-	ConfigFault   error
+	// ConfigError tells why the newest configuration cannot be used; Config is nil then.
+	ConfigError   error
 	Upstreams     []FleetUpstream
-	GoneUpstreams []UpstreamID
+	RemovedUpstreams []UpstreamID
 	Peers         []Peer
-	GonePeers     []NodeID
+	RemovedPeers     []NodeID
 	// Evacuated are failure domains whose upstreams get nothing new, Restored those of which the operators took that back.
 	Evacuated []DomainID
 	Restored  []DomainID
-	// Faults tell of upstreams' entries that cannot be read; their ids are among GoneUpstreams.
-	Faults []error
+	// EntryErrors tell of upstreams' entries that cannot be read; their ids are among GoneUpstreams.
+	EntryErrors []error
 }
 
 // Platform is what a router learns from the platform around it. All calls fail with the store's codes.
@@ -163,10 +163,10 @@
 	// Watch returns what changed after a revision as soon as something did, or an empty change after the wait. It fails with
 	// CodeStoreCompacted when the store has dropped the history since the revision.
 	Watch(ctx context.Context, after Revision, wait time.Duration) (FleetChange, error)
-	// ReadConfig reads a configuration's document that a peer gave.
-	ReadConfig(document []byte) (*FleetConfig, error)
-	// Announce registers this router under a lease of the time to live.
-	Announce(ctx context.Context, self Peer, ttl time.Duration) (LeaseID, error)
+	// ParseConfig reads a configuration's document that a peer gave.
+	ParseConfig(document []byte) (*FleetConfig, error)
+	// Register registers this router under a lease of the time to live.
+	Register(ctx context.Context, self Peer, ttl time.Duration) (LeaseID, error)
 	// RenewLease renews the lease; it fails with CodeStoreLeaseLapsed when it has ended.
 	RenewLease(ctx context.Context, lease LeaseID) error
 	// CloseLease ends the lease and with it the registration.
--- a/interfaces.go
+++ b/interfaces.go
@@ -71,8 +71,8 @@
 	Addr   netip.AddrPort
 	Domain DomainID
 	Region RegionID
-	// Power is the router's processor relative to others; zero when it is not known. The strongest relay for their failure domain.
-	Power float64
+	// CPUSpeed is the router's processor relative to others; zero when it is not known. The strongest relay for their failure domain.
+	CPUSpeed float64
 }
 
 // LinkClass tells how far a peer is, for the byte budget.
@@ -80,10 +80,10 @@
 
 // The link classes, nearest first.
 const (
-	LinkDomain LinkClass = iota
-	LinkRegion
-	LinkCross
-	LinkClasses // the number of classes
+	LinkSameDomain LinkClass = iota
+	LinkSameRegion
+	LinkCrossRegion
+	LinkClassCount // the number of classes
 )
 
 // LinkBytes counts bytes sent and received on the links of a class, TLS and framing included.
@@ -96,9 +96,9 @@
 type Mesh interface {
 	// SetPeers replaces the peers that the mesh may connect to.
 	SetPeers(peers []Peer)
-	// Contact sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged. It
+	// SendToAddr sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged. It
 	// fails with CodeMeshMalformed.
-	Contact(addr netip.AddrPort, m Message) error
+	SendToAddr(addr netip.AddrPort, m Message) error
 	// SetGeneration sets the configuration generation that rides on every envelope.
 	SetGeneration(generation Generation)
 	// Send queues a message and never blocks; it fails with CodeMeshUnknownPeer or CodeMeshQueueFull.
@@ -106,7 +106,7 @@
 	// Receive returns the channel of messages that arrived.
 	Receive() <-chan Envelope
 	// Traffic returns the bytes counted by link class since the start.
-	Traffic() [LinkClasses]LinkBytes
+	Traffic() [LinkClassCount]LinkBytes
 	// Close ends every connection.
 	Close() error
 }
--- a/messages.go
+++ b/messages.go
@@ -7,9 +7,9 @@
 
 // The urgencies, most urgent first.
 const (
-	UrgencyNow   Urgency = iota // grants, claims, leaving, quarantine
-	UrgencySoon                 // demand, configuration, membership changes
-	UrgencyLater                // totals and digests
+	UrgencyHigh   Urgency = iota // grants, claims, leaving, quarantine
+	UrgencyNormal                 // demand, configuration, membership changes
+	UrgencyLow                // totals and digests
 )
 
 // Message is what one router sends another; every implementation is in this package.
@@ -66,7 +66,7 @@
 	GrantReturned
 	GrantFinished
 	GrantFailed
-	GrantUnreached
+	GrantUpstreamUnreachable
 )
 
 // GrantReply tells a slot owner what became of a grant and the router's fresh demand.
@@ -298,7 +298,7 @@
 // SuspectNotice tells that an upstream crashed while the fingerprints ran on it.
 type SuspectNotice struct {
 	Upstream     UpstreamID
-	Crash        uint64
+	CrashSeq        uint64
 	Fingerprints []Fingerprint
 }
 
@@ -332,7 +332,7 @@
 type QuarantineNotice struct {
 	Fingerprint Fingerprint
 	Seq         uint64
-	For         time.Duration
+	Duration         time.Duration
 	Upstream    UpstreamID
 }
 
--- a/messages_load.go
+++ b/messages_load.go
@@ -6,20 +6,20 @@
 type UpstreamLoad struct {
 	Upstream UpstreamID
 	Running  uint32
-	// Unread are the prompt tokens that were sent and whose answers have not begun.
-	Unread Tokens
-	// Held are the tokens of memory that its running requests take there.
-	Held Tokens
-	// Sent is the sum of all prompt tokens sent there since the router's start.
-	Sent Tokens
-	// Expected and Took are the sums of the times to first tokens, as they were expected and as they were, since the router's start.
-	Expected, Took time.Duration
+	// PendingPrefill are the prompt tokens that were sent and whose answers have not begun.
+	PendingPrefill Tokens
+	// KVTokens are the tokens of memory that its running requests take there.
+	KVTokens Tokens
+	// PromptTokensSent is the sum of all prompt tokens sent there since the router's start.
+	PromptTokensSent Tokens
+	// FirstTokenExpected and Took are the sums of the times to first tokens, as they were expected and as they were, since the router's start.
+	FirstTokenExpected, FirstTokenMeasured time.Duration
 }
 
 // AccountUse is one router's sums of an account since its start.
 type AccountUse struct {
 	Account AccountID
-	Asked   Cost
+	Requested   Cost
 	Served  Cost
 }
 
@@ -34,7 +34,7 @@
 // everything, so that a lost report is made up for.
 type LoadReport struct {
 	Seq       uint64
-	Whole     bool
+	Full     bool
 	Upstreams []UpstreamLoad
 	Accounts  []AccountUse
 	Parts     []PartPlaced
@@ -49,18 +49,18 @@
 // UpstreamStart tells that an upstream took no connection, so that it is cold once it is back, or that it answers again and may be cold.
 type UpstreamStart struct {
 	Upstream  UpstreamID
-	Unreached bool
-	// ColdFor is how much longer it may be cold; zero with Unreached.
-	ColdFor time.Duration
+	Unreachable bool
+	// ColdRemaining is how much longer it may be cold; zero with Unreached.
+	ColdRemaining time.Duration
 }
 
 // Empty reports whether the report tells nothing; a whole one always tells that its router is there.
 func (r *LoadReport) Empty() bool {
-	return !r.Whole && len(r.Upstreams)+len(r.Accounts)+len(r.Parts)+len(r.Leaving)+len(r.Speeds)+len(r.Starts) == 0
+	return !r.Full && len(r.Upstreams)+len(r.Accounts)+len(r.Parts)+len(r.Leaving)+len(r.Speeds)+len(r.Starts) == 0
 }
 
 // Urgency is that of placements: others place by them.
-func (*LoadReport) Urgency() Urgency { return UrgencyNow }
+func (*LoadReport) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey is empty: a report holds only what changed, and each counts.
 func (*LoadReport) CoalesceKey() string { return "" }
@@ -74,7 +74,7 @@
 }
 
 // Urgency is that of placements: others place by them.
-func (*LoadSummary) Urgency() Urgency { return UrgencyNow }
+func (*LoadSummary) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey is empty: a summary holds only what changed, and each counts.
 func (*LoadSummary) CoalesceKey() string { return "" }
@@ -83,12 +83,12 @@
 type FleetUpdate struct {
 	// After is the revision of the sender's previous update; zero when everything was read.
 	After         Revision
-	At            Revision
-	Whole         bool
+	Revision            Revision
+	Full         bool
 	Upstreams     []FleetUpstream
-	GoneUpstreams []UpstreamID
+	RemovedUpstreams []UpstreamID
 	Peers         []Peer
-	GonePeers     []NodeID
+	RemovedPeers     []NodeID
 	Evacuated     []DomainID
 	Restored      []DomainID
 	// Document is the operators' configuration; empty when it did not change.
@@ -98,7 +98,7 @@
 }
 
 // Urgency is that of upstreams that leave.
-func (*FleetUpdate) Urgency() Urgency { return UrgencyNow }
+func (*FleetUpdate) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey is empty: an update holds only what changed, and each counts.
 func (*FleetUpdate) CoalesceKey() string { return "" }
@@ -109,10 +109,10 @@
 	Service ServiceID
 	// Answers is the number of answers.
 	Answers float64
-	// Weight sums up the weights, Read and Took the tokens read and the times taken, ReadRead and ReadTook their products, all weighted.
-	Weight, Read, Took, ReadRead, ReadTook float64
-	// Beside is the number of streams that ran while their engine read for long, Paused those among them that paused for too long.
-	Beside, Paused float64
-	// Copied are the prompt tokens that were copied from another engine instead of read, CopyTook the tokens that could have been read meanwhile.
-	Copied, CopyTook float64
+	// WeightSum sums up the weights, Read and Took the tokens read and the times taken, ReadRead and ReadTook their products, all weighted.
+	WeightSum, TokenSum, TimeSum, TokenSquareSum, TokenTimeSum float64
+	// DuringPrefill is the number of streams that ran while their engine read for long, Paused those among them that paused for too long.
+	DuringPrefill, Stalled float64
+	// CopiedTokens are the prompt tokens that were copied from another engine instead of read, CopyTook the tokens that could have been read meanwhile.
+	CopiedTokens, CopyTimeTokens float64
 }
--- a/messages_state.go
+++ b/messages_state.go
@@ -9,7 +9,7 @@
 }
 
 // Urgency is that of configurations.
-func (*StateAsk) Urgency() Urgency { return UrgencySoon }
+func (*StateAsk) Urgency() Urgency { return UrgencyNormal }
 
 // CoalesceKey names the kind: a later ask replaces an earlier one.
 func (*StateAsk) CoalesceKey() string { return "StateAsk" }
@@ -18,8 +18,8 @@
 type FleetState struct {
 	// Document is the configuration as it was published.
 	Document []byte
-	// At is the store's revision at which Upstreams were registered; zero when they and Evacuated are left out.
-	At        Revision
+	// Revision is the store's revision at which Upstreams were registered; zero when they and Evacuated are left out.
+	Revision        Revision
 	Upstreams []FleetUpstream
 	Peers     []Peer
 	// Evacuated are the failure domains that were under evacuation at At.
@@ -27,7 +27,7 @@
 }
 
 // Urgency is that of configurations.
-func (*FleetState) Urgency() Urgency { return UrgencySoon }
+func (*FleetState) Urgency() Urgency { return UrgencyNormal }
 
 // CoalesceKey names the kind: a later state replaces an earlier one.
 func (*FleetState) CoalesceKey() string { return "FleetState" }
--- a/pomeloconfig/document.go
+++ b/pomeloconfig/document.go
@@ -14,8 +14,8 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxDocument bounds a YAML document.
-const MaxDocument = pomelorelay.Bytes(64 << 20)
+// MaxDocumentBytes bounds a YAML document.
+const MaxDocumentBytes = pomelorelay.Bytes(64 << 20)
 
 // document remembers a YAML document so that problems can be given their lines.
 type document struct {
@@ -26,7 +26,7 @@
 // readDocument decodes YAML strictly; its errors name file and line.
 func readDocument(file string, data []byte, into any) (document, error) {
 	doc := document{file: file, data: data}
-	if pomelorelay.Bytes(len(data)) > MaxDocument {
+	if pomelorelay.Bytes(len(data)) > MaxDocumentBytes {
 		return doc, pomelorelay.NewError(pomelorelay.CodeConfigTooLarge, file+": it has "+strconv.Itoa(len(data))+" bytes", nil)
 	}
 	if err := decodeStrictly(data, into); err != nil {
--- a/pomeloconfig/errors.go
+++ b/pomeloconfig/errors.go
@@ -12,5 +12,5 @@
 	return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigUnsettled)
 }
 
-// IsErrNone reports whether the store holds no configuration.
-func IsErrNone(err error) bool { return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigNone) }
+// IsErrNoConfiguration reports whether the store holds no configuration.
+func IsErrNoConfiguration(err error) bool { return pomelorelay.IsErrCode(err, pomelorelay.CodeConfigNone) }
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 type fleetRouter struct {
-	spreader  *pomeloconfig.Spreader
+	spreader  *pomeloconfig.Syncer
 	last      pomelorelay.Generation
 	reached   time.Time
 	storeless bool
@@ -59,7 +59,7 @@
 
 // restart makes the router cold.
 func (f *fleet) restart(i int) {
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Seed: f.random.Uint64()})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{Seed: f.random.Uint64()})
 	s.SetPeers(slices.Concat(f.peers[:i], f.peers[i+1:]))
 	f.routers[i] = &fleetRouter{spreader: s}
 }
@@ -115,7 +115,7 @@
 // apply checks that the candidate is one that was accepted.
 func (f *fleet) apply(t failer, i int, candidate pomeloconfig.Candidate) {
 	if f.refusing == i+1 {
-		f.post(i, f.routers[i].spreader.Refused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
+		f.post(i, f.routers[i].spreader.MarkRefused(candidate.Root.Generation, pomelorelay.CodeConfigInvalid, nil))
 		return
 	}
 	data, err := pomeloconfig.EncodeRoot(candidate.Root)
@@ -125,7 +125,7 @@
 	if _, err := pomeloconfig.Assemble(candidate.Root, candidate.Parts); err != nil {
 		t.Fatalf("router %d: %v", i, err)
 	}
-	f.routers[i].spreader.InForce(candidate.Root.Generation)
+	f.routers[i].spreader.MarkInForce(candidate.Root.Generation)
 }
 
 // digest sends the router's generation to the others, as it rides on their envelopes.
@@ -172,14 +172,14 @@
 
 func (f *fleet) receive(message fleetMessage) {
 	from, s := f.peers[message.from], f.routers[message.to].spreader
-	out := s.Seen(f.now, from, f.routers[message.from].spreader.Generation(), nil)
+	out := s.HandleGeneration(f.now, from, f.routers[message.from].spreader.Generation(), nil)
 	switch m := message.m.(type) {
 	case *pomelorelay.ConfigPull:
-		out = s.Pull(f.now, from, m, out)
+		out = s.HandlePull(f.now, from, m, out)
 	case *pomelorelay.ConfigPush:
-		out = s.Push(f.now, from, m, out)
+		out = s.HandlePush(f.now, from, m, out)
 	case *pomelorelay.ConfigApplied:
-		s.Applied(f.now, from, m)
+		s.HandleApplied(f.now, from, m)
 	}
 	f.post(message.to, out)
 }
@@ -187,21 +187,21 @@
 // readStore answers what the router wants, and reports changes to the watchers.
 func (f *fleet) readStore(i int) {
 	s := f.routers[i].spreader
-	wants := s.StoreWants(f.now)
+	wants := s.PendingStoreReads(f.now)
 	if !f.storeUp || f.routers[i].storeless {
 		return
 	}
 	if wants.Root || i < f.watchers {
 		if f.stored == 0 {
-			s.Stored(f.now, nil)
+			s.HandleStoredRoot(f.now, nil)
 		} else {
-			s.Stored(f.now, f.accepted[f.stored-1].root)
+			s.HandleStoredRoot(f.now, f.accepted[f.stored-1].root)
 		}
 	}
 	for _, hash := range wants.Parts {
 		for _, g := range f.accepted[:f.stored] {
 			if data, ok := g.parts[hash]; ok {
-				s.StoredPart(f.now, data)
+				s.HandleStoredPart(f.now, data)
 				break
 			}
 		}
--- a/pomeloconfig/library.go
+++ b/pomeloconfig/library.go
@@ -113,11 +113,11 @@
 // settle reads the record back; writeOpen means that this did not tell.
 func (l library) settle(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision) (writeOutcome, pomelorelay.Record) {
 	mine := func(found []byte) bool { return bytes.Equal(found, value) }
-	settlement, record, err := pomelostore.SettleWrite(ctx, l.store, key, old, mine)
+	settlement, record, err := pomelostore.ResolveWrite(ctx, l.store, key, old, mine)
 	switch {
-	case err != nil || settlement == pomelostore.SettledUnchanged:
+	case err != nil || settlement == pomelostore.WritePending:
 		return writeOpen, record
-	case settlement == pomelostore.SettledWritten:
+	case settlement == pomelostore.WriteApplied:
 		return writeDone, record
 	}
 	return writeLost, record
--- a/pomeloconfig/pace_test.go
+++ b/pomeloconfig/pace_test.go
@@ -12,7 +12,7 @@
 		routers int
 		want    time.Duration
 	}{{1, 250 * time.Millisecond}, {13, 250 * time.Millisecond}, {22, 400 * time.Millisecond}, {55, time.Second}, {110, 2 * time.Second}} {
-		if got := pomeloconfig.Pace(250*time.Millisecond, c.routers); got != c.want {
+		if got := pomeloconfig.PeriodicInterval(250*time.Millisecond, c.routers); got != c.want {
 			t.Errorf("%d routers: %v, want %v", c.routers, got, c.want)
 		}
 	}
@@ -24,7 +24,7 @@
 		routers int
 		want    time.Duration
 	}{{0, time.Second}, {24, time.Second}, {360, 15 * time.Second}} {
-		if got := list.Pace(c.routers); got != c.want {
+		if got := list.ReadInterval(c.routers); got != c.want {
 			t.Errorf("%d routers: %v, want %v", c.routers, got, c.want)
 		}
 	}
--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -20,11 +20,11 @@
 	ID     ChangeID
 	Author string
 	Why    string
-	// Base is the generation that the operator started from; another one in the store is a conflict. Zero takes what is there.
-	Base pomelorelay.Generation
-	// Floor is the highest generation that any router has in force. The new one is above it, also when the store was restored
+	// BaseGeneration is the generation that the operator started from; another one in the store is a conflict. Zero takes what is there.
+	BaseGeneration pomelorelay.Generation
+	// FleetGeneration is the highest generation that any router has in force. The new one is above it, also when the store was restored
 	// from an old copy; without that, routers would never take the change, for they never go to a lower generation.
-	Floor pomelorelay.Generation
+	FleetGeneration pomelorelay.Generation
 }
 
 // PublisherConfig is what a Publisher is made of.
@@ -72,11 +72,11 @@
 	if found, err := p.earlier(ctx, change.ID, current, record); err != nil || found.Generation > 0 {
 		return found, err
 	}
-	if change.Base != 0 && change.Base != current.Generation {
+	if change.BaseGeneration != 0 && change.BaseGeneration != current.Generation {
 		return Root{}, conflict(current)
 	}
 	hashes := hashesOf(parts)
-	if record.Revision != 0 && slices.Equal(hashes, current.Parts) && current.Generation >= change.Floor {
+	if record.Revision != 0 && slices.Equal(hashes, current.Parts) && current.Generation >= change.FleetGeneration {
 		return current, nil
 	}
 	next, err := p.next(ctx, current, record, parts, change)
@@ -128,7 +128,7 @@
 		return Root{}, err
 	}
 	next := Root{
-		Format: Format, Generation: max(current.Generation, change.Floor) + 1, ChangeID: id,
+		Format: Format, Generation: max(current.Generation, change.FleetGeneration) + 1, ChangeID: id,
 		Author: change.Author, Time: p.cfg.Clock.Now(), Why: change.Why,
 		Parts: hashesOf(parts), Difference: difference,
 	}
--- a/pomeloconfig/publisher_test.go
+++ b/pomeloconfig/publisher_test.go
@@ -60,8 +60,8 @@
 func TestLoserOfARaceLearnsTheWinner(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana"})
-	publish(t, store, withShare(2), pomeloconfig.Change{Author: "bea", Why: "festival", Base: 1})
-	_, err := newPublisher(store).Publish(context.Background(), withShare(3), pomeloconfig.Change{Author: "caio", Base: 1})
+	publish(t, store, withShare(2), pomeloconfig.Change{Author: "bea", Why: "festival", BaseGeneration: 1})
+	_, err := newPublisher(store).Publish(context.Background(), withShare(3), pomeloconfig.Change{Author: "caio", BaseGeneration: 1})
 	wantCode(t, err, pomelorelay.CodeConfigConflict)
 	if !strings.Contains(err.Error(), `generation 2 by "bea"`) || !strings.Contains(err.Error(), `"festival"`) {
 		t.Fatalf("the error does not name the winner: %v", err)
@@ -129,7 +129,7 @@
 	publish(t, store, withShare(2), pomeloconfig.Change{})
 	publish(t, store, withShare(3), pomeloconfig.Change{})
 	store.restore(old)
-	root := publish(t, store, withShare(3), pomeloconfig.Change{Floor: 3})
+	root := publish(t, store, withShare(3), pomeloconfig.Change{FleetGeneration: 3})
 	if root.Generation != 4 || root.PreviousGeneration != 1 {
 		t.Fatalf("generation %d after %d", root.Generation, root.PreviousGeneration)
 	}
--- a/pomeloconfig/spreader.go
+++ b/pomeloconfig/spreader.go
@@ -19,12 +19,12 @@
 	waitsBeforeDrop  = 12
 )
 
-// SpreaderConfig is what a Spreader is made of; a zero field takes its default.
-type SpreaderConfig struct {
+// SyncerConfig is what a Spreader is made of; a zero field takes its default.
+type SyncerConfig struct {
 	// MaxPush bounds the parts of one push message; a single larger part goes alone.
 	MaxPush pomelorelay.Bytes
-	// PullWait is how long a pull may be without progress before another source is asked.
-	PullWait time.Duration
+	// PullTimeout is how long a pull may be without progress before another source is asked.
+	PullTimeout time.Duration
 	// StoreWait is how long the node is given for a store read before it is asked again.
 	StoreWait time.Duration
 	// MaxServes is how many peers are answered within PullWait; the others ask someone else. Without it every router of a failure
@@ -48,10 +48,10 @@
 	Parts []pomelorelay.Hash
 }
 
-// Spreader decides how a router comes to the newest configuration: from the peer that told of it, then from the store. It never
+// Syncer decides how a router comes to the newest configuration: from the peer that told of it, then from the store. It never
 // goes to a lower generation. It makes no calls and is not safe for concurrent use.
-type Spreader struct {
-	cfg    SpreaderConfig
+type Syncer struct {
+	cfg    SyncerConfig
 	random *rand.Rand
 	peers  []pomelorelay.NodeID
 	// told is the generation that each peer last had in force; a peer that started anew may have less than before.
@@ -98,13 +98,13 @@
 	wantRoot   bool
 }
 
-// NewSpreader returns a Spreader without a configuration.
-func NewSpreader(cfg SpreaderConfig) *Spreader {
+// NewSyncer returns a Spreader without a configuration.
+func NewSyncer(cfg SyncerConfig) *Syncer {
 	if cfg.MaxPush == 0 {
 		cfg.MaxPush = DefaultMaxPush
 	}
-	if cfg.PullWait == 0 {
-		cfg.PullWait = DefaultPullWait
+	if cfg.PullTimeout == 0 {
+		cfg.PullTimeout = DefaultPullWait
 	}
 	if cfg.StoreWait == 0 {
 		cfg.StoreWait = DefaultStoreWait
@@ -115,7 +115,7 @@
 	if cfg.Logger == nil {
 		cfg.Logger = pomelorelay.NopLogger{}
 	}
-	return &Spreader{
+	return &Syncer{
 		cfg:      cfg,
 		random:   rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		told:     make(map[pomelorelay.NodeID]pomelorelay.Generation),
@@ -126,7 +126,7 @@
 }
 
 // SetPeers replaces the routers that may be asked; what a router that is gone had told is forgotten.
-func (s *Spreader) SetPeers(peers []pomelorelay.NodeID) {
+func (s *Syncer) SetPeers(peers []pomelorelay.NodeID) {
 	s.peers = slices.Clone(peers)
 	slices.Sort(s.peers)
 	for node := range s.told {
@@ -138,10 +138,10 @@
 }
 
 // Generation returns the generation in force, zero when there is none: the router is then not ready.
-func (s *Spreader) Generation() pomelorelay.Generation { return s.inForce.generation() }
+func (s *Syncer) Generation() pomelorelay.Generation { return s.inForce.generation() }
 
 // Newest returns the highest generation heard of.
-func (s *Spreader) Newest() pomelorelay.Generation {
+func (s *Syncer) Newest() pomelorelay.Generation {
 	newest := max(s.inForce.generation(), s.target.generation())
 	for _, generation := range s.told {
 		newest = max(newest, generation)
@@ -149,8 +149,8 @@
 	return newest
 }
 
-// Seen takes the generation that rode on a peer's envelope.
-func (s *Spreader) Seen(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleGeneration takes the generation that rode on a peer's envelope.
+func (s *Syncer) HandleGeneration(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.told[from] == generation {
 		return out
 	}
@@ -165,21 +165,21 @@
 }
 
 // known is the generation above which a peer's is worth a pull.
-func (s *Spreader) known() pomelorelay.Generation {
+func (s *Syncer) known() pomelorelay.Generation {
 	return max(s.inForce.generation(), s.target.generation(), s.refused.generation())
 }
 
 // ask sends a pull for the root, or for the next of the missing parts.
-func (s *Spreader) ask(now time.Time, from pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) ask(now time.Time, from pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	pull := &pomelorelay.ConfigPull{Above: s.known(), Parts: s.missing(maxPullHashes)}
 	s.pull.from = from
 	s.pull.parts = pull.Parts
-	s.pull.deadline = now.Add(s.cfg.PullWait)
+	s.pull.deadline = now.Add(s.cfg.PullTimeout)
 	return append(out, pomelorelay.Outgoing{To: from, Message: pull})
 }
 
 // missing returns the hashes of the target's parts that are not here, at most limit of them.
-func (s *Spreader) missing(limit int) []pomelorelay.Hash {
+func (s *Syncer) missing(limit int) []pomelorelay.Hash {
 	var missing []pomelorelay.Hash
 	for _, hash := range s.target.root.Parts {
 		if len(missing) == limit {
@@ -193,7 +193,7 @@
 }
 
 // part returns a part of the target from what was fetched or from the configuration in force, which shares most of its parts.
-func (s *Spreader) part(hash pomelorelay.Hash) []byte {
+func (s *Syncer) part(hash pomelorelay.Hash) []byte {
 	if data, ok := s.fresh[hash]; ok {
 		return data
 	}
@@ -201,7 +201,7 @@
 }
 
 // Tick turns to another source when a pull makes no progress, and keeps a cold router asking.
-func (s *Spreader) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.pull.from != "" {
 		if now.Before(s.pull.deadline) {
 			return out
@@ -222,7 +222,7 @@
 
 // giveUp turns to the store after a few pulls without progress, and drops a target whose missing parts nobody has brought for a
 // long time. A root that was damaged into a high generation would else keep the router from every true one below it, for good.
-func (s *Spreader) giveUp(now time.Time) {
+func (s *Syncer) giveUp(now time.Time) {
 	if s.pull.failures >= pullsBeforeStore {
 		s.store.wantRoot = true
 	}
@@ -230,20 +230,20 @@
 		s.progressed = false
 		s.progressAt = now
 	}
-	if len(s.missing(1)) > 0 && now.Sub(s.progressAt) >= waitsBeforeDrop*s.cfg.PullWait {
+	if len(s.missing(1)) > 0 && now.Sub(s.progressAt) >= waitsBeforeDrop*s.cfg.PullTimeout {
 		s.clearTarget()
 		s.store.wantRoot = true
 	}
 }
 
 // behind tells whether something newer is known or, on a cold router, may be anywhere.
-func (s *Spreader) behind() bool {
+func (s *Syncer) behind() bool {
 	return s.inForce.generation() == 0 || s.target.generation() > 0 || s.Newest() > s.known()
 }
 
 // choose returns a peer that has what is wanted: for the target's parts one that has at least its generation in force, else one
 // that told of a higher generation than is known; a cold router that was told nothing asks anyone.
-func (s *Spreader) choose() (pomelorelay.NodeID, bool) {
+func (s *Syncer) choose() (pomelorelay.NodeID, bool) {
 	least := s.target.generation()
 	if least == 0 {
 		least = s.known() + 1
@@ -263,9 +263,9 @@
 	return able[s.random.IntN(len(able))], true
 }
 
-// StoreWants returns what the node should now read from the store; it is asked again after StoreWait when nothing came. A cold
+// PendingStoreReads returns what the node should now read from the store; it is asked again after StoreWait when nothing came. A cold
 // router wants the root at once, every other one only when its peers failed it.
-func (s *Spreader) StoreWants(now time.Time) StoreWants {
+func (s *Syncer) PendingStoreReads(now time.Time) StoreWants {
 	var wants StoreWants
 	cold := s.inForce.generation() == 0 && s.target.generation() == 0
 	if (cold || s.store.wantRoot && s.behind()) && s.due(now, s.store.rootAsked) {
@@ -280,6 +280,6 @@
 	return wants
 }
 
-func (s *Spreader) due(now, asked time.Time) bool {
+func (s *Syncer) due(now, asked time.Time) bool {
 	return asked.IsZero() || now.Sub(asked) >= s.cfg.StoreWait
 }
--- a/pomeloconfig/spreader_receive.go
+++ b/pomeloconfig/spreader_receive.go
@@ -7,9 +7,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Pull answers a peer with the root in force, when it is above the peer's, and with the parts that it asked for, in messages of
+// HandlePull answers a peer with the root in force, when it is above the peer's, and with the parts that it asked for, in messages of
 // bounded size. A router that is itself behind answers with what it has.
-func (s *Spreader) Pull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) HandlePull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !s.serve(now, from) {
 		return out
 	}
@@ -38,7 +38,7 @@
 }
 
 // serve admits a peer that is being served already, or while fewer than MaxServes are.
-func (s *Spreader) serve(now time.Time, from pomelorelay.NodeID) bool {
+func (s *Syncer) serve(now time.Time, from pomelorelay.NodeID) bool {
 	for peer, until := range s.served {
 		if !now.Before(until) {
 			delete(s.served, peer)
@@ -47,12 +47,12 @@
 	if _, ok := s.served[from]; !ok && len(s.served) >= s.cfg.MaxServes {
 		return false
 	}
-	s.served[from] = now.Add(s.cfg.PullWait)
+	s.served[from] = now.Add(s.cfg.PullTimeout)
 	return true
 }
 
-// Push takes a root and parts from a peer. It keeps only a root above the one in force and parts that its target names.
-func (s *Spreader) Push(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandlePush takes a root and parts from a peer. It keeps only a root above the one in force and parts that its target names.
+func (s *Syncer) HandlePush(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	progress := false
 	if len(m.Root) > 0 {
 		progress = s.takeRoot(m.Root)
@@ -70,14 +70,14 @@
 	}
 	// Parts of one answer arrive in several messages; the next pull waits for the last of them, or for the deadline.
 	if s.pull.from == from && s.awaited() {
-		s.pull.deadline = now.Add(s.cfg.PullWait)
+		s.pull.deadline = now.Add(s.cfg.PullTimeout)
 		return out
 	}
 	return s.ask(now, from, out)
 }
 
 // awaited tells whether a part of the pull in progress is still to come.
-func (s *Spreader) awaited() bool {
+func (s *Syncer) awaited() bool {
 	for _, hash := range s.pull.parts {
 		if s.part(hash) == nil {
 			return true
@@ -86,8 +86,8 @@
 	return false
 }
 
-// Stored takes the root as the node read it from the store, or as a watch reported it; nil means that the store has none.
-func (s *Spreader) Stored(_ time.Time, data []byte) {
+// HandleStoredRoot takes the root as the node read it from the store, or as a watch reported it; nil means that the store has none.
+func (s *Syncer) HandleStoredRoot(_ time.Time, data []byte) {
 	s.store.wantRoot = false
 	if len(data) == 0 {
 		return
@@ -101,7 +101,7 @@
 // alarm tells when the store holds an older root than the one in force, or another of its generation. That comes about when the
 // store is restored from an old copy. Followed, it would take accepted changes back; so the router stays and says so, once for
 // each such root.
-func (s *Spreader) alarm(data []byte) bool {
+func (s *Syncer) alarm(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil || s.inForce.generation() == 0 || root.Generation > s.inForce.generation() {
 		return false
@@ -120,16 +120,16 @@
 	return true
 }
 
-// StoredPart takes a part as the node read it from the store. While parts come, the node is not asked for the same ones again:
+// HandleStoredPart takes a part as the node read it from the store. While parts come, the node is not asked for the same ones again:
 // reading all of them within its call budget takes longer than StoreWait.
-func (s *Spreader) StoredPart(now time.Time, data []byte) {
+func (s *Syncer) HandleStoredPart(now time.Time, data []byte) {
 	if len(data) > 0 && s.takePart(data) {
 		s.store.partsAsked = now
 	}
 }
 
 // takeRoot makes a root the target when it is above everything known, and returns whether it did.
-func (s *Spreader) takeRoot(data []byte) bool {
+func (s *Syncer) takeRoot(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil {
 		s.cfg.Logger.Log(pomelorelay.EventConfigBadRoot, pomelorelay.Field{Key: "Error", Value: err.Error()})
@@ -147,7 +147,7 @@
 }
 
 // keepWanted drops fetched parts that the new target does not name; an overtaken target's parts would else add up.
-func (s *Spreader) keepWanted() {
+func (s *Syncer) keepWanted() {
 	wanted := make(map[pomelorelay.Hash]bool, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
 		wanted[hash] = true
@@ -161,7 +161,7 @@
 
 // takePart keeps a part that the target lacks, and returns whether it did. The part's own bytes give its hash, so a damaged one
 // is one that nobody asked for.
-func (s *Spreader) takePart(data []byte) bool {
+func (s *Syncer) takePart(data []byte) bool {
 	hash := HashOf(data)
 	for _, wanted := range s.target.root.Parts {
 		if wanted != hash {
@@ -183,14 +183,14 @@
 
 // Candidate returns the target once all its parts are here; the node assembles and compiles it outside its control thread, and
 // then calls InForce or Refused.
-func (s *Spreader) Candidate() (Candidate, bool) {
+func (s *Syncer) Candidate() (Candidate, bool) {
 	if s.target.generation() == 0 || len(s.missing(1)) > 0 {
 		return Candidate{}, false
 	}
 	return Candidate{Root: s.target.root, Parts: s.targetParts()}, true
 }
 
-func (s *Spreader) targetParts() map[pomelorelay.Hash][]byte {
+func (s *Syncer) targetParts() map[pomelorelay.Hash][]byte {
 	parts := make(map[pomelorelay.Hash][]byte, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
 		parts[hash] = s.part(hash)
@@ -198,9 +198,9 @@
 	return parts
 }
 
-// InForce tells that the node has put the candidate of the generation in force. A candidate that was overtaken meanwhile is
+// MarkInForce tells that the node has put the candidate of the generation in force. A candidate that was overtaken meanwhile is
 // passed over; its successor comes by itself.
-func (s *Spreader) InForce(generation pomelorelay.Generation) {
+func (s *Syncer) MarkInForce(generation pomelorelay.Generation) {
 	if generation != s.target.generation() || generation <= s.inForce.generation() || len(s.missing(1)) > 0 {
 		return
 	}
@@ -210,9 +210,9 @@
 	s.cfg.Logger.Log(pomelorelay.EventConfigInForce, pomelorelay.Field{Key: "Generation", Value: generation})
 }
 
-// Refused tells that the node cannot apply the candidate of the generation. The last one stays in force, and only a higher
+// MarkRefused tells that the node cannot apply the candidate of the generation. The last one stays in force, and only a higher
 // generation is taken from now on.
-func (s *Spreader) Refused(generation pomelorelay.Generation, code pomelorelay.ResultCode, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (s *Syncer) MarkRefused(generation pomelorelay.Generation, code pomelorelay.ResultCode, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if generation != s.target.generation() {
 		return out
 	}
@@ -227,15 +227,15 @@
 	return out
 }
 
-// Applied takes a peer's word that it cannot apply a generation.
-func (s *Spreader) Applied(_ time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigApplied) {
+// HandleApplied takes a peer's word that it cannot apply a generation.
+func (s *Syncer) HandleApplied(_ time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigApplied) {
 	if _, ok := slices.BinarySearch(s.peers, from); ok && m.Refused > 0 {
 		s.refusals[from] = *m
 	}
 }
 
 // Refusals returns the peers that said that they cannot apply a generation above the one that they now have.
-func (s *Spreader) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
+func (s *Syncer) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
 	refusals := make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied, len(s.refusals))
 	for node, m := range s.refusals {
 		if s.told[node] < m.Refused {
@@ -245,7 +245,7 @@
 	return refusals
 }
 
-func (s *Spreader) clearTarget() {
+func (s *Syncer) clearTarget() {
 	s.target = heldRoot{}
 	s.pull = pullState{}
 	s.fresh = make(map[pomelorelay.Hash][]byte)
--- a/pomeloconfig/spreader_test.go
+++ b/pomeloconfig/spreader_test.go
@@ -45,32 +45,32 @@
 }
 
 // install makes the spreader hold the generation in force, as if read from the store.
-func install(t testing.TB, s *pomeloconfig.Spreader, g generation) {
+func install(t testing.TB, s *pomeloconfig.Syncer, g generation) {
 	t.Helper()
-	s.Stored(epoch, g.root)
+	s.HandleStoredRoot(epoch, g.root)
 	for _, part := range g.parts {
-		s.StoredPart(epoch, part)
+		s.HandleStoredPart(epoch, part)
 	}
 	candidate, ok := s.Candidate()
 	if !ok {
 		t.Fatal("the generation is not whole")
 	}
-	s.InForce(candidate.Root.Generation)
+	s.MarkInForce(candidate.Root.Generation)
 }
 
 // The store is restored from an old copy while the fleet has generation 3 in force. Followed, it would take two accepted changes
 // back; unsaid, nobody would know that the next change is in danger.
 func TestRestoredStoreRaisesAnAlarmAndChangesNothing(t *testing.T) {
 	events := &eventList{}
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{Logger: events})
 	one, three := makeGeneration(t, 1, sample(10)), makeGeneration(t, 3, sample(12))
 	other := makeGeneration(t, 3, sample(13))
 	install(t, s, three)
 	for range 5 {
-		s.Stored(epoch, one.root)
+		s.HandleStoredRoot(epoch, one.root)
 	}
-	s.Stored(epoch, three.root)
-	s.Stored(epoch, other.root)
+	s.HandleStoredRoot(epoch, three.root)
+	s.HandleStoredRoot(epoch, other.root)
 	if _, ok := s.Candidate(); ok || s.Generation() != 3 {
 		t.Fatalf("generation %d, and another to come", s.Generation())
 	}
@@ -82,16 +82,16 @@
 // A router has neither the store nor a peer. It must go on asking both and never count as ready, for it would answer every
 // caller with "unknown token".
 func TestColdRouterIsNotReady(t *testing.T) {
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"peer"})
 	pulls, reads := 0, 0
 	for step := range 100 {
 		now := epoch.Add(time.Duration(step) * 100 * time.Millisecond)
 		pulls += len(s.Tick(now, nil))
-		if s.StoreWants(now).Root {
+		if s.PendingStoreReads(now).Root {
 			reads++
 		}
-		s.Stored(now, nil)
+		s.HandleStoredRoot(now, nil)
 	}
 	if s.Generation() != 0 || pulls != 20 || reads != 10 {
 		t.Fatalf("generation %d, %d pulls, %d reads in 10 s, want 0, 20 and 10", s.Generation(), pulls, reads)
@@ -101,33 +101,33 @@
 // A router cannot apply the newest configuration. It must keep the last, tell the others, and take the next one.
 func TestRouterThatCannotApplyKeepsTheLast(t *testing.T) {
 	events := &eventList{}
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{Logger: events})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{Logger: events})
 	s.SetPeers([]pomelorelay.NodeID{"a", "b"})
 	install(t, s, makeGeneration(t, 1, sample(10)))
 	two := makeGeneration(t, 2, sample(11))
-	s.Stored(epoch, two.root)
+	s.HandleStoredRoot(epoch, two.root)
 	for _, part := range two.parts {
-		s.StoredPart(epoch, part)
+		s.HandleStoredPart(epoch, part)
 	}
-	out := s.Refused(2, pomelorelay.CodeConfigInvalid, nil)
+	out := s.MarkRefused(2, pomelorelay.CodeConfigInvalid, nil)
 	if len(out) != 2 || s.Generation() != 1 || events.count(pomelorelay.EventConfigRefused) != 1 {
 		t.Fatalf("%d messages, generation %d", len(out), s.Generation())
 	}
-	s.Stored(epoch, two.root)
+	s.HandleStoredRoot(epoch, two.root)
 	for _, part := range two.parts {
-		s.StoredPart(epoch, part)
+		s.HandleStoredPart(epoch, part)
 	}
 	if _, ok := s.Candidate(); ok {
 		t.Fatal("the refused generation came again")
 	}
 	install(t, s, makeGeneration(t, 3, sample(12)))
-	peer := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
+	peer := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{})
 	peer.SetPeers([]pomelorelay.NodeID{"r"})
-	peer.Applied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
+	peer.HandleApplied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
 	if got := peer.Refusals()["r"]; got.Refused != 2 || got.Code != pomelorelay.CodeConfigInvalid {
 		t.Fatalf("the peer knows %+v", got)
 	}
-	peer.Seen(epoch, "r", 3, nil)
+	peer.HandleGeneration(epoch, "r", 3, nil)
 	if len(peer.Refusals()) != 0 {
 		t.Fatal("the refusal outlived its end")
 	}
@@ -137,7 +137,7 @@
 // a message may be, and 59 answers would queue behind each other until all of them are too late.
 func TestPushesAreBounded(t *testing.T) {
 	const maxPush = 64 << 10
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{MaxPush: maxPush})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{MaxPush: maxPush})
 	g := makeGeneration(t, 1, sample(targetAccounts))
 	install(t, s, g)
 	var hashes []pomelorelay.Hash
@@ -147,7 +147,7 @@
 	answered := 0
 	for i := range 59 {
 		from := pomelorelay.NodeID(fmt.Sprint(i))
-		out := s.Pull(epoch, from, &pomelorelay.ConfigPull{Parts: hashes}, nil)
+		out := s.HandlePull(epoch, from, &pomelorelay.ConfigPull{Parts: hashes}, nil)
 		if len(out) > 0 {
 			answered++
 		}
@@ -164,33 +164,33 @@
 	if answered != pomeloconfig.DefaultMaxServes {
 		t.Fatalf("%d of 59 pulls were answered at once, want %d", answered, pomeloconfig.DefaultMaxServes)
 	}
-	if out := s.Pull(epoch.Add(time.Second), "58", &pomelorelay.ConfigPull{Parts: hashes}, nil); len(out) == 0 {
+	if out := s.HandlePull(epoch.Add(time.Second), "58", &pomelorelay.ConfigPull{Parts: hashes}, nil); len(out) == 0 {
 		t.Fatal("a later pull is not answered")
 	}
 }
 
 // A peer sends a root of a far generation whose parts nobody has. The router must not wait for it for good, deaf to the true ones.
 func TestRootWithoutPartsIsGivenUp(t *testing.T) {
-	s := pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{})
+	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"good", "bad"})
 	install(t, s, makeGeneration(t, 1, sample(10)))
 	far, two := makeGeneration(t, 1<<40, sample(11)), makeGeneration(t, 2, sample(12))
-	s.Seen(epoch, "bad", 1<<40, nil)
-	s.Push(epoch, "bad", &pomelorelay.ConfigPush{Root: far.root}, nil)
-	s.Seen(epoch, "bad", 1, nil)
-	s.Seen(epoch, "good", 2, nil)
+	s.HandleGeneration(epoch, "bad", 1<<40, nil)
+	s.HandlePush(epoch, "bad", &pomelorelay.ConfigPush{Root: far.root}, nil)
+	s.HandleGeneration(epoch, "bad", 1, nil)
+	s.HandleGeneration(epoch, "good", 2, nil)
 	for step := 1; step <= 1000; step++ {
 		now := epoch.Add(time.Duration(step) * 100 * time.Millisecond)
 		for _, out := range s.Tick(now, nil) {
 			if pull := out.Message.(*pomelorelay.ConfigPull); out.To == "good" && pull.Above < 2 {
-				s.Push(now, "good", &pomelorelay.ConfigPush{Root: two.root}, nil)
+				s.HandlePush(now, "good", &pomelorelay.ConfigPush{Root: two.root}, nil)
 				for _, part := range two.parts {
-					s.Push(now, "good", &pomelorelay.ConfigPush{Parts: [][]byte{part}}, nil)
+					s.HandlePush(now, "good", &pomelorelay.ConfigPush{Parts: [][]byte{part}}, nil)
 				}
 			}
 		}
 		if candidate, ok := s.Candidate(); ok {
-			s.InForce(candidate.Root.Generation)
+			s.MarkInForce(candidate.Root.Generation)
 		}
 	}
 	if s.Generation() != 2 {
--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -50,9 +50,9 @@
 		s.baseline.upstreams[l.Upstream] = l
 	}
 	base := s.baseline.upstreams[l.Upstream]
-	l.Sent -= base.Sent
-	l.Expected -= base.Expected
-	l.Took -= base.Took
+	l.PromptTokensSent -= base.PromptTokensSent
+	l.FirstTokenExpected -= base.FirstTokenExpected
+	l.FirstTokenMeasured -= base.FirstTokenMeasured
 	return l
 }
 
@@ -61,7 +61,7 @@
 		s.baseline.accounts[u.Account] = u
 	}
 	base := s.baseline.accounts[u.Account]
-	u.Asked -= base.Asked
+	u.Requested -= base.Requested
 	u.Served -= base.Served
 	return u
 }
@@ -122,7 +122,7 @@
 		a.sources[key] = s
 	}
 	s.reportedAt = now
-	if m.Whole {
+	if m.Full {
 		a.clearGauges(s, m)
 	}
 	for _, l := range m.Upstreams {
@@ -140,7 +140,7 @@
 		a.addSpeed(s.speeds[v.Service], v)
 		s.speeds[v.Service] = v
 	}
-	s.baselineComplete = s.baselineComplete || m.Whole
+	s.baselineComplete = s.baselineComplete || m.Full
 	for _, p := range m.Parts {
 		a.parts = append(a.parts, sourcePart{key, p})
 	}
@@ -159,9 +159,9 @@
 		reported[l.Upstream] = true
 	}
 	for id, l := range s.upstreams {
-		if !reported[id] && (l.Running != 0 || l.Unread != 0 || l.Held != 0) {
+		if !reported[id] && (l.Running != 0 || l.PendingPrefill != 0 || l.KVTokens != 0) {
 			idle := l
-			idle.Running, idle.Unread, idle.Held = 0, 0, 0
+			idle.Running, idle.PendingPrefill, idle.KVTokens = 0, 0, 0
 			a.addLoad(l, idle)
 			s.upstreams[id] = idle
 		}
@@ -175,11 +175,11 @@
 		a.upstreams[l.Upstream] = sum
 	}
 	sum.Running += l.Running - before.Running
-	sum.Unread += l.Unread - before.Unread
-	sum.Held += l.Held - before.Held
-	sum.Sent += l.Sent - before.Sent
-	sum.Expected += l.Expected - before.Expected
-	sum.Took += l.Took - before.Took
+	sum.PendingPrefill += l.PendingPrefill - before.PendingPrefill
+	sum.KVTokens += l.KVTokens - before.KVTokens
+	sum.PromptTokensSent += l.PromptTokensSent - before.PromptTokensSent
+	sum.FirstTokenExpected += l.FirstTokenExpected - before.FirstTokenExpected
+	sum.FirstTokenMeasured += l.FirstTokenMeasured - before.FirstTokenMeasured
 	sum.changed = true
 }
 
@@ -189,7 +189,7 @@
 		sum = &useSum{AccountUse: pomelorelay.AccountUse{Account: u.Account}}
 		a.accounts[u.Account] = sum
 	}
-	sum.Asked += u.Asked - before.Asked
+	sum.Requested += u.Requested - before.Requested
 	sum.Served += u.Served - before.Served
 	sum.changed = true
 }
@@ -207,15 +207,15 @@
 // adjustSpeeds returns s + more - less, field by field.
 func adjustSpeeds(s, more, less pomelorelay.SpeedSums) pomelorelay.SpeedSums {
 	s.Answers += more.Answers - less.Answers
-	s.Weight += more.Weight - less.Weight
-	s.Read += more.Read - less.Read
-	s.Took += more.Took - less.Took
-	s.ReadRead += more.ReadRead - less.ReadRead
-	s.ReadTook += more.ReadTook - less.ReadTook
-	s.Beside += more.Beside - less.Beside
-	s.Paused += more.Paused - less.Paused
-	s.Copied += more.Copied - less.Copied
-	s.CopyTook += more.CopyTook - less.CopyTook
+	s.WeightSum += more.WeightSum - less.WeightSum
+	s.TokenSum += more.TokenSum - less.TokenSum
+	s.TimeSum += more.TimeSum - less.TimeSum
+	s.TokenSquareSum += more.TokenSquareSum - less.TokenSquareSum
+	s.TokenTimeSum += more.TokenTimeSum - less.TokenTimeSum
+	s.DuringPrefill += more.DuringPrefill - less.DuringPrefill
+	s.Stalled += more.Stalled - less.Stalled
+	s.CopiedTokens += more.CopiedTokens - less.CopiedTokens
+	s.CopyTimeTokens += more.CopyTimeTokens - less.CopyTimeTokens
 	return s
 }
 
@@ -241,7 +241,7 @@
 // report returns the changes since the last flush, or all entries when full is set. It excludes what the source named key
 // reported itself; an empty key excludes nothing.
 func (a *aggregate) report(key string, full bool, seq uint64) *pomelorelay.LoadReport {
-	m := &pomelorelay.LoadReport{Seq: seq, Whole: full}
+	m := &pomelorelay.LoadReport{Seq: seq, Full: full}
 	own := a.sources[key]
 	if own == nil {
 		own = &source{}
@@ -253,11 +253,11 @@
 		l := sum.UpstreamLoad
 		if o, ok := own.upstreams[id]; ok {
 			l.Running -= o.Running
-			l.Unread -= o.Unread
-			l.Held -= o.Held
-			l.Sent -= o.Sent
-			l.Expected -= o.Expected
-			l.Took -= o.Took
+			l.PendingPrefill -= o.PendingPrefill
+			l.KVTokens -= o.KVTokens
+			l.PromptTokensSent -= o.PromptTokensSent
+			l.FirstTokenExpected -= o.FirstTokenExpected
+			l.FirstTokenMeasured -= o.FirstTokenMeasured
 		}
 		m.Upstreams = append(m.Upstreams, l)
 	}
@@ -266,7 +266,7 @@
 			continue
 		}
 		o := own.accounts[id]
-		m.Accounts = append(m.Accounts, pomelorelay.AccountUse{Account: id, Asked: sum.Asked - o.Asked, Served: sum.Served - o.Served})
+		m.Accounts = append(m.Accounts, pomelorelay.AccountUse{Account: id, Requested: sum.Requested - o.Requested, Served: sum.Served - o.Served})
 	}
 	for id, sum := range a.speeds {
 		if sum.changed || full {
--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -36,7 +36,7 @@
 		routers := make(map[pomelorelay.NodeID]*reporter)
 		for _, node := range nodes {
 			routers[node] = newReporter(1)
-			sum.Add(now, node, 1, &pomelorelay.LoadReport{Whole: true})
+			sum.Add(now, node, 1, &pomelorelay.LoadReport{Full: true})
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			node := rapid.SampledFrom(nodes).Draw(rt, "router")
@@ -46,9 +46,9 @@
 				others := r.others
 				*r = *newReporter(r.incarnation + 1)
 				r.others = others
-				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Whole: true})
+				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Full: true})
 			case 1:
-				full := &pomelorelay.LoadReport{Whole: true}
+				full := &pomelorelay.LoadReport{Full: true}
 				for _, l := range r.load {
 					full.Upstreams = append(full.Upstreams, l)
 				}
@@ -57,8 +57,8 @@
 				id := rapid.SampledFrom(upstreams).Draw(rt, "upstream")
 				l := r.load[id]
 				more := pomelorelay.Tokens(rapid.IntRange(0, 900).Draw(rt, "sent"))
-				l.Upstream, l.Running, l.Sent = id, uint32(rapid.IntRange(0, 9).Draw(rt, "running")), l.Sent+more
-				l.Unread, l.Held = pomelorelay.Tokens(l.Running)*100, pomelorelay.Tokens(l.Running)*300
+				l.Upstream, l.Running, l.PromptTokensSent = id, uint32(rapid.IntRange(0, 9).Draw(rt, "running")), l.PromptTokensSent+more
+				l.PendingPrefill, l.KVTokens = pomelorelay.Tokens(l.Running)*100, pomelorelay.Tokens(l.Running)*300
 				r.load[id] = l
 				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Upstreams: []pomelorelay.UpstreamLoad{l}})
 			}
@@ -87,12 +87,12 @@
 		for other, r := range routers {
 			if other != node {
 				want.Running += r.load[id].Running
-				want.Unread += r.load[id].Unread
-				want.Held += r.load[id].Held
+				want.PendingPrefill += r.load[id].PendingPrefill
+				want.KVTokens += r.load[id].KVTokens
 			}
 		}
 		got := routers[node].others[id]
-		if got.Running != want.Running || got.Unread != want.Unread || got.Held != want.Held {
+		if got.Running != want.Running || got.PendingPrefill != want.PendingPrefill || got.KVTokens != want.KVTokens {
 			t.Fatalf("%s at %s: the others have %+v, want %+v", node, id, got, want)
 		}
 	}
@@ -105,20 +105,20 @@
 	sum := pomeloentry.NewAggregate()
 	load := func(running uint32, sent pomelorelay.Tokens) *pomelorelay.LoadReport {
 		return &pomelorelay.LoadReport{
-			Whole:     true,
-			Upstreams: []pomelorelay.UpstreamLoad{{Upstream: "u", Running: running, Sent: sent}},
-			Accounts:  []pomelorelay.AccountUse{{Account: "a", Asked: 2 * pomelorelay.Cost(sent), Served: pomelorelay.Cost(sent)}},
+			Full:     true,
+			Upstreams: []pomelorelay.UpstreamLoad{{Upstream: "u", Running: running, PromptTokensSent: sent}},
+			Accounts:  []pomelorelay.AccountUse{{Account: "a", Requested: 2 * pomelorelay.Cost(sent), Served: pomelorelay.Cost(sent)}},
 		}
 	}
 	sum.Add(now, "old", 1, load(5, 1_000_000))
 	sum.Add(now, "old", 1, load(6, 1_000_700))
 	m := sum.Reports(false, "other")["other"]
-	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 6 || m.Upstreams[0].Sent != 700 || m.Accounts[0].Asked != 1400 || m.Accounts[0].Served != 700 {
+	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 6 || m.Upstreams[0].PromptTokensSent != 700 || m.Accounts[0].Requested != 1400 || m.Accounts[0].Served != 700 {
 		t.Errorf("after a router's first two reports: %s", fmt.Sprint(m.Upstreams, m.Accounts))
 	}
 	sum.RemoveSilent(now.Add(4*time.Second), 3*time.Second)
 	m = sum.Reports(false, "other")["other"]
-	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 0 || m.Upstreams[0].Sent != 700 {
+	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 0 || m.Upstreams[0].PromptTokensSent != 700 {
 		t.Errorf("after it was silent: %v", m.Upstreams)
 	}
 }
@@ -126,7 +126,7 @@
 // Guards against a relay that does not forward upstream starts, or that returns them to their source.
 func TestAggregateForwardsStarts(t *testing.T) {
 	s := pomeloentry.NewAggregate()
-	s.Add(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreached: true}}})
+	s.Add(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreachable: true}}})
 	reports := s.Reports(false, "r1", "r2")
 	if len(reports["r1"].Starts) != 0 || len(reports["r2"].Starts) != 1 {
 		t.Errorf("%+v to its source, %+v to the other", reports["r1"].Starts, reports["r2"].Starts)
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -72,7 +72,7 @@
 }
 
 func (c *control) applyPushedConfig(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush) {
-	config, err := c.e.cfg.Platform.ReadConfig(m.Root)
+	config, err := c.e.cfg.Platform.ParseConfig(m.Root)
 	if err != nil {
 		c.e.log(pomelorelay.EventConfigBadRoot, field("Node", from), field("Fault", err.Error()))
 		return
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -58,9 +58,9 @@
 	s := e.cfg.Settings
 	return &control{
 		e:            e,
-		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.Cold, Disabled: e.cfg.DisabledMechanisms}),
+		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.ColdBounds, Disabled: e.cfg.DisabledMechanisms}),
 		shares:       pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
-		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigWait}),
+		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigApplyTimeout}),
 		upstreams:    newUpstreams(),
 		evacuated:    make(map[pomelorelay.DomainID]bool),
 		peers:        newPeers(),
@@ -217,13 +217,13 @@
 
 // report sends the other routers the load changes of this router.
 func (c *control) report(now time.Time) {
-	m := &pomelorelay.LoadReport{Whole: now.Sub(c.fullReportAt) >= fullReportInterval}
-	if m.Whole {
+	m := &pomelorelay.LoadReport{Full: now.Sub(c.fullReportAt) >= fullReportInterval}
+	if m.Full {
 		c.fullReportAt = now
 	}
 	c.reportedAt = now
 	c.placer.FillReport(m)
-	m.Accounts = c.shares.AppendReport(m.Whole, m.Accounts)
+	m.Accounts = c.shares.AppendReport(m.Full, m.Accounts)
 	m.Leaving = c.upstreams.reportedLeaving(now)
 	if !c.reportsDirectly() {
 		c.relayOwnReport(now, m)
@@ -245,7 +245,7 @@
 		return
 	}
 	// The first report of a router is always complete.
-	if m.Whole || m.Seq == 1 {
+	if m.Full || m.Seq == 1 {
 		c.peers.markFullyReported(from)
 	}
 	c.applyReport(now, pomelorelay.Envelope{From: from, Incarnation: incarnation}, m)
--- a/pomeloentry/evacuation.go
+++ b/pomeloentry/evacuation.go
@@ -16,7 +16,7 @@
 	for _, domain := range change.Restored {
 		c.setEvacuated(now, domain, false, source)
 	}
-	if !change.Whole {
+	if !change.Full {
 		return
 	}
 	for _, domain := range slices.Sorted(maps.Keys(c.evacuated)) {
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -16,7 +16,7 @@
 // one that ends when a router reads the complete state again.
 func TestEvacuationReachesEveryRouter(t *testing.T) {
 	f := newFleet(t)
-	f.store.Publish(f.config(1, "/a/"))
+	f.store.PublishConfig(f.config(1, "/a/"))
 	f.upstream("u1", 0)
 	f.upstreamWith("u2", 0, inDomainB)
 	withDomainB := func(s *pomelorelay.FleetSettings) { s.Regions["b"] = "ra" }
@@ -25,11 +25,11 @@
 	for _, n := range f.nodes {
 		f.awaitStatus(n, "/a/", 200)
 	}
-	b.view.SetCut(true)
+	b.view.SetPartitioned(true)
 	f.store.Evacuate("b")
 	f.await("every router evacuates", func() bool { return loggedEvacuation(a) && loggedEvacuation(b) })
 	f.store.Compact()
-	f.store.SetDown(true)
+	f.store.SetUnavailable(true)
 	late := f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) {
 		withDomainB(s)
 		s.Seeds = append(s.Seeds, a.settings.Self.Addr)
@@ -43,14 +43,14 @@
 		}
 	}
 	f.await("the loss of the store is noticed", func() bool { return a.log.has(pomelorelay.EventPlatformLost) })
-	f.store.SetDown(false)
+	f.store.SetUnavailable(false)
 	f.await("the store is back", func() bool { return a.log.has(pomelorelay.EventPlatformBack) })
 	for _, n := range f.nodes {
 		if loggedRestoration(n) {
 			t.Errorf("%s ended the evacuation by itself", n.settings.Self.Node)
 		}
 	}
-	f.store.Restore("b")
+	f.store.CancelEvacuation("b")
 	f.await("every router takes it back", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
@@ -58,7 +58,7 @@
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
-	m := f.UpdateFrom(pomelorelay.FleetChange{At: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
+	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
 	if len(m.Evacuated) != 1 || len(m.Restored) != 1 {
 		t.Fatalf("%+v", m)
 	}
@@ -68,19 +68,19 @@
 		want int
 	}{
 		{"an update of everything", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{At: 10, Whole: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
 		}, 2},
 		{"an update that says nothing", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, At: 11})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 11})
 		}, 2},
 		{"an update that takes one back", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, At: 12, Restored: []pomelorelay.DomainID{"c"}})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, Revision: 12, Restored: []pomelorelay.DomainID{"c"}})
 		}, 1},
 		{"an old state", func() pomelorelay.Revision {
-			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 11})
+			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 11})
 		}, 1},
 		{"a newer state without it", func() pomelorelay.Revision {
-			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 14})
+			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 14})
 		}, 0},
 	} {
 		at := c.take()
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -91,7 +91,7 @@
 // NewUpdateControl returns the UpdateControl of the router named self, which is one of the peers; all were just registered.
 func NewUpdateControl(self pomelorelay.NodeID, drain time.Duration, peers []pomelorelay.Peer) UpdateControl {
 	e := &Router{cfg: Config{Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}}, metrics: pomelometric.New(), mesh: discardMesh{}}
-	e.cfg.Settings.DrainWait = drain
+	e.cfg.Settings.DrainTimeout = drain
 	for _, p := range peers {
 		if p.Node == self {
 			e.cfg.Settings.Self = p
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -32,7 +32,7 @@
 
 type node struct {
 	entry    *pomeloentry.Router
-	view     *pomelofake.View
+	view     *pomelofake.StoreClient
 	settings pomelorelay.FleetSettings
 	log      *eventLog
 }
@@ -83,7 +83,7 @@
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{t: t, store: pomelofake.NewFleetStore()}
-	f.store.Decode = func(document []byte) (*pomelorelay.FleetConfig, error) {
+	f.store.DecodeConfig = func(document []byte) (*pomelorelay.FleetConfig, error) {
 		var c pomelorelay.FleetConfig
 		if err := json.Unmarshal(document, &c); err != nil {
 			return nil, pomelorelay.NewError(pomelorelay.CodePlatformConfig, "", err)
@@ -103,7 +103,7 @@
 	}
 	for _, p := range paths {
 		c.Routes = append(c.Routes, pomelorelay.Route{
-			Name: pomelorelay.RouteID(p), Host: "h.example", Prefix: p, Kind: pomelorelay.RouteOnce, Timeout: 5 * time.Second, Target: time.Second, Attempts: 1,
+			Name: pomelorelay.RouteID(p), Host: "h.example", Prefix: p, Kind: pomelorelay.RouteOnce, Timeout: 5 * time.Second, TargetLatency: time.Second, MaxAttempts: 1,
 			Shares: []pomelorelay.RouteShare{{Service: "s", Weight: 1}},
 		})
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	decoded, err := f.store.Decode(document)
+	decoded, err := f.store.DecodeConfig(document)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -127,15 +127,15 @@
 // startWith starts a router with modified settings.
 func (f *fleet) startWith(stopWait time.Duration, change func(*pomelorelay.FleetSettings)) *node {
 	f.t.Helper()
-	n := &node{view: f.store.View(), log: &eventLog{}}
+	n := &node{view: f.store.NewClient(), log: &eventLog{}}
 	n.settings = pomelorelay.FleetSettings{
 		Self:    pomelorelay.Peer{Node: pomelorelay.NodeID(fmt.Sprintf("r%d", len(f.nodes))), Addr: pomelofake.FreeAddr(), Domain: "a", Region: "ra"},
 		Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra"},
-		Callers: pomelofake.FreeAddr(), Readiness: pomelofake.FreeAddr(), Metrics: pomelofake.FreeAddr(),
-		StopWait: stopWait, RetryRatio: 0.2, RetrySlack: 50, ShareWindow: 4 * time.Second,
+		CallerAddr: pomelofake.FreeAddr(), ReadinessAddr: pomelofake.FreeAddr(), MetricsAddr: pomelofake.FreeAddr(),
+		StopTimeout: stopWait, RetryRatio: 0.2, RetrySlack: 50, ShareWindow: 4 * time.Second,
 	}
 	change(&n.settings)
-	entry, err := pomeloentry.New(pomeloentry.Config{Settings: n.settings, Platform: n.view, Wire: pomelofake.FleetWire{}, Logger: n.log})
+	entry, err := pomeloentry.New(pomeloentry.Config{Settings: n.settings, Platform: n.view, Wire: pomelofake.TestWireFormat{}, Logger: n.log})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -164,28 +164,28 @@
 	f.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(pause)
-		w.Header().Set(pomelofake.FieldRequest, r.Header.Get(pomelofake.FieldRequest))
-		w.Header().Set(pomelofake.FieldSigned, string(id))
+		w.Header().Set(pomelofake.TestHeaderRequestID, r.Header.Get(pomelofake.TestHeaderRequestID))
+		w.Header().Set(pomelofake.TestHeaderSignedBy, string(id))
 		fmt.Fprint(w, "done")
 	}))
 	f.t.Cleanup(server.Close)
 	u := pomelorelay.FleetUpstream{ID: id, Service: "s", Addr: netip.MustParseAddrPort(server.Listener.Addr().String()), Domain: "a", Slots: 8}
 	change(&u)
-	f.store.Put(u)
+	f.store.PutUpstream(u)
 	return u
 }
 
 // call sends a request and returns the status and the id of the upstream that answered; the status is 0 when the connection broke.
 func (f *fleet) call(n *node, path string) (int, string) {
 	f.t.Helper()
-	req, err := http.NewRequest("POST", "http://"+n.settings.Callers.String()+path, strings.NewReader("x"))
+	req, err := http.NewRequest("POST", "http://"+n.settings.CallerAddr.String()+path, strings.NewReader("x"))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	req.Host, req.Close = "h.example", true
-	req.Header.Set(pomelofake.FieldRequest, fmt.Sprint("req-", f.requests.Add(1)))
-	req.Header.Set(pomelofake.FieldKey, "key")
-	req.Header.Set(pomelofake.FieldWait, "4000")
+	req.Header.Set(pomelofake.TestHeaderRequestID, fmt.Sprint("req-", f.requests.Add(1)))
+	req.Header.Set(pomelofake.TestHeaderCallerKey, "key")
+	req.Header.Set(pomelofake.TestHeaderWait, "4000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		return 0, ""
@@ -194,7 +194,7 @@
 	if _, err := io.ReadAll(resp.Body); err != nil {
 		return 0, ""
 	}
-	return resp.StatusCode, resp.Header.Get(pomelofake.FieldSigned)
+	return resp.StatusCode, resp.Header.Get(pomelofake.TestHeaderSignedBy)
 }
 
 func (f *fleet) get(addr netip.AddrPort, path string) (int, string) {
@@ -212,7 +212,7 @@
 }
 
 func (f *fleet) ready(n *node) bool {
-	status, _ := f.get(n.settings.Readiness, "/ready")
+	status, _ := f.get(n.settings.ReadinessAddr, "/ready")
 	return status == http.StatusOK
 }
 
@@ -239,7 +239,7 @@
 	f.t.Helper()
 	f.await("all routers have each other", func() bool {
 		for _, n := range f.nodes {
-			if _, text := f.get(n.settings.Metrics, "/metrics"); !strings.Contains(text, fmt.Sprintf("pomelorelay_state{name=\"peers\"} %d\n", count)) {
+			if _, text := f.get(n.settings.MetricsAddr, "/metrics"); !strings.Contains(text, fmt.Sprintf("pomelorelay_state{name=\"peers\"} %d\n", count)) {
 				return false
 			}
 		}
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -43,22 +43,22 @@
 		DisableGeneralOptionsHandler: true,
 	}
 	ready := mux.NewRouter()
-	ready.HandleFunc(e.cfg.Wire.ReadyPath(), e.serveReady)
+	ready.HandleFunc(e.cfg.Wire.ReadinessPath(), e.serveReady)
 	metrics := mux.NewRouter()
 	metrics.Handle("/metrics", e.metrics.Handler())
 	for _, l := range []struct {
 		addr   netip.AddrPort
 		server *http.Server
 	}{
-		{settings.Metrics, &http.Server{Handler: metrics, ReadHeaderTimeout: headerTimeout}},
-		{settings.Readiness, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}},
-		{settings.Callers, callers},
+		{settings.MetricsAddr, &http.Server{Handler: metrics, ReadHeaderTimeout: headerTimeout}},
+		{settings.ReadinessAddr, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}},
+		{settings.CallerAddr, callers},
 	} {
 		if err := e.serve(l.server, l.addr); err != nil {
 			return err
 		}
 	}
-	e.log(pomelorelay.EventStarted, field("Incarnation", uint64(e.incarnation)), field("Callers", settings.Callers.String()), field("Domain", settings.Self.Domain))
+	e.log(pomelorelay.EventStarted, field("Incarnation", uint64(e.incarnation)), field("Callers", settings.CallerAddr.String()), field("Domain", settings.Self.Domain))
 	return nil
 }
 
@@ -112,7 +112,7 @@
 // closes or shortly before the process is killed. Closing idle connections earlier could race with requests already sent on them.
 func (e *Router) Stop() {
 	began := e.cfg.Clock.Now()
-	end := began.Add(e.cfg.Settings.StopWait - stopMargin)
+	end := began.Add(e.cfg.Settings.StopTimeout - stopMargin)
 	e.stopAt.Store(end.UnixNano())
 	e.log(pomelorelay.EventStopping, field("InFlight", e.inFlight.Load()), field("Connections", e.conns.Load()))
 	for {
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -55,17 +55,17 @@
 
 func hostLimitsOf(s pomelorelay.FleetSettings) hostLimits {
 	l := hostLimits{maxRequests: 1 << 20, maxConns: 1 << 20}
-	if s.Memory > 0 {
-		l.maxRequests = min(l.maxRequests, int64(requestMemoryFraction*float64(s.Memory)/requestMemoryBytes))
-		l.maxConns = min(l.maxConns, int64(connMemoryFraction*float64(s.Memory)/connMemoryBytes))
+	if s.MemoryLimit > 0 {
+		l.maxRequests = min(l.maxRequests, int64(requestMemoryFraction*float64(s.MemoryLimit)/requestMemoryBytes))
+		l.maxConns = min(l.maxConns, int64(connMemoryFraction*float64(s.MemoryLimit)/connMemoryBytes))
 	}
 	if s.MaxFDs > reservedFDs {
 		l.maxConns = min(l.maxConns, int64(connFDFraction*float64(s.MaxFDs-reservedFDs)))
 	}
 	l.maxRequests = max(l.maxRequests, minRequests)
 	l.initialRequests = l.maxRequests
-	if s.Self.Power > 0 {
-		l.initialRequests = min(l.initialRequests, max(int64(initialRequestsPerCore*s.Self.Power), minRequests))
+	if s.Self.CPUSpeed > 0 {
+		l.initialRequests = min(l.initialRequests, max(int64(initialRequestsPerCore*s.Self.CPUSpeed), minRequests))
 	}
 	l.maxConns = max(l.maxConns, minRequests)
 	return l
--- a/pomeloentry/load_bench_test.go
+++ b/pomeloentry/load_bench_test.go
@@ -13,7 +13,7 @@
 func manyUpstreams(n int) []pomelorelay.FleetUpstream {
 	list := make([]pomelorelay.FleetUpstream, n)
 	for i := range list {
-		list[i] = pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("i-%010x", i*7919)), Service: "s", Domain: pomelorelay.DomainID(rune('a' + i%6)), Slots: 32, Born: 1}
+		list[i] = pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprintf("i-%010x", i*7919)), Service: "s", Domain: pomelorelay.DomainID(rune('a' + i%6)), Slots: 32, StartUnixMilli: 1}
 	}
 	return list
 }
@@ -26,15 +26,15 @@
 			peers := peersOf(6, 50)
 			f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peers)
 			ups := manyUpstreams(n)
-			f.Receive(now, "a-0", &pomelorelay.FleetUpdate{At: 1, Whole: true, Upstreams: ups, Peers: peers})
+			f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 1, Full: true, Upstreams: ups, Peers: peers})
 			seq := uint64(0)
 			for b.Loop() {
 				seq++
-				m := &pomelorelay.LoadSummary{Report: &pomelorelay.LoadReport{Seq: seq, Whole: seq == 1}}
+				m := &pomelorelay.LoadSummary{Report: &pomelorelay.LoadReport{Seq: seq, Full: seq == 1}}
 				for i := int(seq) % 4; i < n; i += 4 {
 					m.Report.Upstreams = append(m.Report.Upstreams, pomelorelay.UpstreamLoad{
-						Upstream: ups[i].ID, Running: uint32(seq % 20), Unread: 5000, Held: 90000, Sent: pomelorelay.Tokens(seq * 5000),
-						Expected: time.Duration(seq) * 50 * time.Millisecond, Took: time.Duration(seq) * 52 * time.Millisecond,
+						Upstream: ups[i].ID, Running: uint32(seq % 20), PendingPrefill: 5000, KVTokens: 90000, PromptTokensSent: pomelorelay.Tokens(seq * 5000),
+						FirstTokenExpected: time.Duration(seq) * 50 * time.Millisecond, FirstTokenMeasured: time.Duration(seq) * 52 * time.Millisecond,
 					})
 				}
 				data, err := pomelomesh.EncodeMessage(m)
@@ -60,7 +60,7 @@
 			ups := manyUpstreams(n)
 			for b.Loop() {
 				f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peers)
-				f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{At: 1, Whole: true, Upstreams: ups, Peers: peers})
+				f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{Revision: 1, Full: true, Upstreams: ups, Peers: peers})
 			}
 		})
 	}
--- a/pomeloentry/load_test.go
+++ b/pomeloentry/load_test.go
@@ -17,7 +17,7 @@
 	)
 	for name, capacity := range map[string]int64{"fewer": 110, "as many": 200, "more": 450} {
 		t.Run(name, func(t *testing.T) {
-			e := pomeloentry.NewRequestLimiter(pomelorelay.FleetSettings{Self: pomelorelay.Peer{Power: 0.2}, Memory: 112 << 20})
+			e := pomeloentry.NewRequestLimiter(pomelorelay.FleetSettings{Self: pomelorelay.Peer{CPUSpeed: 0.2}, MemoryLimit: 112 << 20})
 			limit, late := int64(200), 0
 			for tick := range ticks {
 				running, lag := limit, time.Duration(0)
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -148,7 +148,7 @@
 
 // applyPeers applies a change of the registered routers.
 func (c *control) applyPeers(now time.Time, change *pomelorelay.FleetChange) {
-	if change.Whole {
+	if change.Full {
 		for node := range c.peers.byNode {
 			c.peers.unregister(node)
 		}
@@ -158,11 +158,11 @@
 			c.peers.register(now, p)
 		}
 	}
-	for _, node := range change.GonePeers {
+	for _, node := range change.RemovedPeers {
 		c.peers.unregister(node)
 	}
 	dropped := c.peers.dropSilent(now)
-	if dropped || change.Whole || len(change.Peers)+len(change.GonePeers) > 0 {
+	if dropped || change.Full || len(change.Peers)+len(change.RemovedPeers) > 0 {
 		c.setPeers()
 	}
 }
@@ -179,7 +179,7 @@
 	var lease pomelorelay.LeaseID
 	e.runStoreTask(ctx, storeTask{name: "registration", minInterval: renewInterval, call: func(bool) error {
 		if lease == 0 {
-			opened, err := e.cfg.Platform.Announce(ctx, e.cfg.Settings.Self, registrationTTL)
+			opened, err := e.cfg.Platform.Register(ctx, e.cfg.Settings.Self, registrationTTL)
 			e.metrics.CountStoreCall("announce", "registration", pomelorelay.CodeOf(err))
 			if err == nil {
 				lease = opened
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -15,7 +15,7 @@
 func TestFloodStaysOverShareWhenUpstreamsAreDown(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
-		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
+		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
 	flood := func(again, charged bool) pomeloplace.Reason {
@@ -68,7 +68,7 @@
 func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
-		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}},
+		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 64})
 	now := time.Now()
 	other := func() pomeloplace.ShareState {
@@ -94,7 +94,7 @@
 func TestLateReportsAreIgnored(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
-		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, Memory: 500_000, EventTokens: 7}}},
+		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
 	running := func() int {
@@ -104,7 +104,7 @@
 	report := func(seq uint64, runs uint32, served pomelorelay.Cost) *pomelorelay.LoadReport {
 		return &pomelorelay.LoadReport{
 			Seq: seq, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: "u", Running: runs}},
-			Accounts: []pomelorelay.AccountUse{{Account: "acct", Asked: served, Served: served}},
+			Accounts: []pomelorelay.AccountUse{{Account: "acct", Requested: served, Served: served}},
 		}
 	}
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -61,8 +61,8 @@
 }
 
 func precedes(a, b pomelorelay.Peer) bool {
-	if a.Power != b.Power {
-		return a.Power > b.Power
+	if a.CPUSpeed != b.CPUSpeed {
+		return a.CPUSpeed > b.CPUSpeed
 	}
 	return a.Node < b.Node
 }
@@ -141,7 +141,7 @@
 	c.startRelaying()
 	r := &c.relay
 	if before := r.domainRelays[domain]; before != m.From {
-		if !report.Whole {
+		if !report.Full {
 			return
 		}
 		c.placer.ForgetRouter(before)
@@ -161,7 +161,7 @@
 func (c *control) applyFleetSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
 	r := &c.relay
 	if r.relayNode != m.From || r.relayIncarnation != m.Incarnation {
-		if !s.Report.Whole {
+		if !s.Report.Full {
 			return
 		}
 		c.placer.ForgetRoutersExcept(m.From)
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -56,7 +56,7 @@
 		if seed == c.e.cfg.Settings.Self.Addr {
 			continue
 		}
-		if err := c.e.mesh.Contact(seed, m); err != nil {
+		if err := c.e.mesh.SendToAddr(seed, m); err != nil {
 			c.e.log(pomelorelay.EventPeerMissed, field("Address", seed.String()), field("Message", "state"), field("Fault", err.Error()))
 		}
 	}
@@ -78,7 +78,7 @@
 		m.Document = c.config.Document
 	}
 	if ask.Upstreams {
-		m.At = c.e.cursor.get()
+		m.Revision = c.e.cursor.get()
 		m.Evacuated = slices.Sorted(maps.Keys(c.evacuated))
 		for id, u := range c.upstreams.present {
 			if _, lapsed := c.upstreams.lapsed[id]; !lapsed {
@@ -96,14 +96,14 @@
 	if len(m.Document) > 0 {
 		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
 	}
-	change := pomelorelay.FleetChange{At: m.At, Whole: m.At > 0, Upstreams: m.Upstreams, Peers: m.Peers, Evacuated: m.Evacuated}
+	change := pomelorelay.FleetChange{Revision: m.Revision, Full: m.Revision > 0, Upstreams: m.Upstreams, Peers: m.Peers, Evacuated: m.Evacuated}
 	switch {
-	case m.At > c.e.cursor.get() && c.e.cursor.advance(0, m.At, true):
+	case m.Revision > c.e.cursor.get() && c.e.cursor.advance(0, m.Revision, true):
 		c.applyUpstreams(now, &change, false, string(from))
 		c.applyEvacuations(now, &change, string(from))
 		c.applyPeers(now, &change)
 	case !c.e.cursor.hasRead():
 		c.applyPeers(now, &change)
 	}
-	c.e.log(pomelorelay.EventStateFromPeer, field("Node", from), field("Generation", uint64(c.version())), field("Revision", uint64(m.At)), field("Upstreams", len(m.Upstreams)), field("Peers", len(m.Peers)))
+	c.e.log(pomelorelay.EventStateFromPeer, field("Node", from), field("Generation", uint64(c.version())), field("Revision", uint64(m.Revision)), field("Upstreams", len(m.Upstreams)), field("Peers", len(m.Peers)))
 }
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -83,7 +83,7 @@
 
 // startupDelay returns how long after its start the router waits for updates before its second read.
 func (e *Router) startupDelay() time.Duration {
-	power := e.cfg.Settings.Self.Power
+	power := e.cfg.Settings.Self.CPUSpeed
 	if power <= 0 {
 		return 0
 	}
@@ -157,7 +157,7 @@
 
 func (r *storeRead) apply(c *control, now time.Time) {
 	defer close(r.done)
-	if !c.e.cursor.advance(r.after, r.change.At, r.change.Whole) {
+	if !c.e.cursor.advance(r.after, r.change.Revision, r.change.Full) {
 		// Another router's update arrived first; the next read starts after that.
 		return
 	}
@@ -169,19 +169,19 @@
 
 // updateFrom returns the parts of a change that the other routers lack; heartbeats that change nothing are left out.
 func (c *control) updateFrom(r *storeRead) *pomelorelay.FleetUpdate {
-	m := &pomelorelay.FleetUpdate{After: r.after, At: r.change.At, Whole: r.change.Whole, GoneUpstreams: r.change.GoneUpstreams, GonePeers: r.change.GonePeers, Evacuated: r.change.Evacuated, Restored: r.change.Restored}
+	m := &pomelorelay.FleetUpdate{After: r.after, Revision: r.change.Revision, Full: r.change.Full, RemovedUpstreams: r.change.RemovedUpstreams, RemovedPeers: r.change.RemovedPeers, Evacuated: r.change.Evacuated, Restored: r.change.Restored}
 	if r.change.Config != nil {
 		// The others advance to this revision. If this router died next, none of them would read the configuration again.
 		m.Document = r.change.Config.Document
 	}
 	for _, u := range r.change.Upstreams {
 		_, lapsed := c.upstreams.lapsed[u.ID]
-		if m.Whole || lapsed || c.upstreams.present[u.ID] != u {
+		if m.Full || lapsed || c.upstreams.present[u.ID] != u {
 			m.Upstreams = append(m.Upstreams, u)
 		}
 	}
 	for _, p := range r.change.Peers {
-		if known := c.peers.byNode[p.Node]; m.Whole || known == nil || !known.registered || known.Peer != p {
+		if known := c.peers.byNode[p.Node]; m.Full || known == nil || !known.registered || known.Peer != p {
 			m.Peers = append(m.Peers, p)
 		}
 	}
@@ -190,8 +190,8 @@
 
 // applyChange applies a change of the store; source names the router that read it.
 func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
-	if change.ConfigFault != nil {
-		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigFault))), field("Fault", change.ConfigFault.Error()))
+	if change.ConfigError != nil {
+		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigError))), field("Fault", change.ConfigError.Error()))
 	}
 	if change.Config != nil {
 		c.setConfig(now, change.Config, source)
@@ -227,9 +227,9 @@
 
 // receiveUpdate applies an update from the reader. If an earlier update is missing, the router requests the full state.
 func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
-	applied := c.e.cursor.advance(m.After, m.At, m.Whole)
-	missed := !applied && c.e.cursor.isBehind(m.At)
-	if applied || missed || m.At == c.e.cursor.get() {
+	applied := c.e.cursor.advance(m.After, m.Revision, m.Full)
+	missed := !applied && c.e.cursor.isBehind(m.Revision)
+	if applied || missed || m.Revision == c.e.cursor.get() {
 		c.e.lastUpdateAt.Store(now.UnixNano())
 		c.e.storeRecovered.signal()
 	}
@@ -244,7 +244,7 @@
 	}
 	if applied {
 		change := pomelorelay.FleetChange{
-			At: m.At, Whole: m.Whole, Upstreams: m.Upstreams, GoneUpstreams: m.GoneUpstreams, Peers: m.Peers, GonePeers: m.GonePeers,
+			Revision: m.Revision, Full: m.Full, Upstreams: m.Upstreams, RemovedUpstreams: m.RemovedUpstreams, Peers: m.Peers, RemovedPeers: m.RemovedPeers,
 			Evacuated: m.Evacuated, Restored: m.Restored,
 		}
 		c.applyChange(now, &change, false, string(from))
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -29,7 +29,7 @@
 	for d := range domains {
 		for n := range each {
 			name := fmt.Sprintf("%c-%d", 'a'+d, n)
-			peers = append(peers, pomelorelay.Peer{Node: pomelorelay.NodeID(name), Domain: pomelorelay.DomainID(name[:1]), Power: 0.2})
+			peers = append(peers, pomelorelay.Peer{Node: pomelorelay.NodeID(name), Domain: pomelorelay.DomainID(name[:1]), CPUSpeed: 0.2})
 		}
 	}
 	return peers
@@ -73,20 +73,20 @@
 		return list
 	}
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
-	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{At: 10, Whole: true, Upstreams: up("u1", "u2", "u3", "u4")}); at != 10 {
+	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Upstreams: up("u1", "u2", "u3", "u4")}); at != 10 {
 		t.Fatalf("at %d after everything was read at 10", at)
 	}
 	now = now.Add(3 * time.Second)
-	f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, At: 10})
+	f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 10})
 	// The update from 10 to 14, in which u1 left, is lost.
-	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, At: 17, Upstreams: up("u5")}); at != 10 {
+	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, Revision: 17, Upstreams: up("u5")}); at != 10 {
 		t.Fatalf("at %d though what changed from 10 to 14 is missing", at)
 	}
-	at := f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{At: 17, Upstreams: up("u2", "u3", "u4", "u5")})
+	at := f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 17, Upstreams: up("u2", "u3", "u4", "u5")})
 	if got := f.Upstreams(); at != 17 || !slices.Equal(got, []pomelorelay.UpstreamID{"u2", "u3", "u4", "u5"}) {
 		t.Errorf("at %d with %v", at, got)
 	}
-	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, At: 17}); at != 17 {
+	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, Revision: 17}); at != 17 {
 		t.Errorf("an old update led back to %d", at)
 	}
 }
@@ -96,8 +96,8 @@
 func TestUpdateAppliesConfiguration(t *testing.T) {
 	fleet := newFleet(t)
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
-	f.SetPlatform(fleet.store.View())
-	at := f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{At: 10, Whole: true, Document: fleet.config(7, "/a/").Document})
+	f.SetPlatform(fleet.store.NewClient())
+	at := f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Document: fleet.config(7, "/a/").Document})
 	if at != 10 || f.Version() != 7 {
 		t.Errorf("at %d with version %d in force, want 10 and 7", at, f.Version())
 	}
@@ -108,9 +108,9 @@
 	fleet := newFleet(t)
 	f := pomeloentry.NewUpdateControl("a-0", 4*time.Second, peersOf(2, 3))
 	config := fleet.config(7, "/a/")
-	m := f.UpdateFrom(pomelorelay.FleetChange{At: 10, Config: config})
-	if string(m.Document) != string(config.Document) || m.At != 10 {
-		t.Errorf("the update at %d holds %q", m.At, m.Document)
+	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Config: config})
+	if string(m.Document) != string(config.Document) || m.Revision != 10 {
+		t.Errorf("the update at %d holds %q", m.Revision, m.Document)
 	}
 }
 
@@ -118,13 +118,13 @@
 func TestStoreCallsDoNotGrowWithRouters(t *testing.T) {
 	const routers, beats = 12, 100
 	f := newFleet(t)
-	f.store.Publish(f.config(1, "/a/"))
+	f.store.PublishConfig(f.config(1, "/a/"))
 	u := f.upstream("u1", 0)
 	for i := range routers {
 		f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) {
-			s.DrainWait = time.Second
+			s.DrainTimeout = time.Second
 			s.Self.Domain = pomelorelay.DomainID([]string{"a", "b", "c"}[i%3])
-			s.Self.Power = 1
+			s.Self.CPUSpeed = 1
 			s.Regions["b"], s.Regions["c"] = "ra", "ra"
 		})
 	}
@@ -139,7 +139,7 @@
 		if beat == beats/2 {
 			f.store.Compact()
 		}
-		f.store.Put(u)
+		f.store.PutUpstream(u)
 		time.Sleep(20 * time.Millisecond)
 	}
 	after := f.store.Calls()
@@ -151,7 +151,7 @@
 	}
 	leaving := u
 	leaving.Draining = true
-	f.store.Put(leaving)
+	f.store.PutUpstream(leaving)
 	for _, n := range f.nodes {
 		f.await("every router learns that u1 leaves", func() bool { return n.log.has(pomelorelay.EventLeaving) })
 	}
@@ -162,7 +162,7 @@
 	const routers = 20
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(1, routers))
 	got := f.ReceiveSummary(time.Now(), "a-0", &pomelorelay.LoadSummary{
-		Report: &pomelorelay.LoadReport{Seq: 1, Whole: true}, Standby: []pomelorelay.NodeID{"a-1", "a-10"},
+		Report: &pomelorelay.LoadReport{Seq: 1, Full: true}, Standby: []pomelorelay.NodeID{"a-1", "a-10"},
 	})
 	if got != routers-1 {
 		t.Errorf("%d other routers, want %d", got, routers-1)
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -25,7 +25,7 @@
 
 // scaledDrainWait returns a fraction of the drain wait.
 func (e *Router) scaledDrainWait(fraction float64) time.Duration {
-	drain := e.cfg.Settings.DrainWait
+	drain := e.cfg.Settings.DrainTimeout
 	if drain <= 0 {
 		drain = defaultDrainWait
 	}
@@ -72,7 +72,7 @@
 		c.upstreams.storeRecoveredAt = now
 	}
 	c.upstreams.listedAt = now
-	for _, fault := range change.Faults {
+	for _, fault := range change.EntryErrors {
 		c.e.log(pomelorelay.EventUpstreamBadEntry, field("Code", int(pomelorelay.CodeOf(fault))), field("Fault", fault.Error()))
 	}
 	seen := make(map[pomelorelay.UpstreamID]bool, len(change.Upstreams))
@@ -80,10 +80,10 @@
 		seen[u.ID] = true
 		c.putUpstream(now, u, source)
 	}
-	for _, id := range change.GoneUpstreams {
+	for _, id := range change.RemovedUpstreams {
 		c.lapseUpstream(now, id)
 	}
-	if change.Whole {
+	if change.Full {
 		for id := range c.upstreams.present {
 			if !seen[id] {
 				c.lapseUpstream(now, id)
@@ -107,7 +107,7 @@
 		return
 	}
 	delete(c.upstreams.leaving, u.ID)
-	c.e.log(pomelorelay.EventUpstreamListed, field("Upstream", u.ID), field("Service", u.Service), field("Address", u.Addr.String()), field("Domain", u.Domain), field("Born", u.Born), field("ColdMS", u.ColdFor.Milliseconds()), field("Source", source))
+	c.e.log(pomelorelay.EventUpstreamListed, field("Upstream", u.ID), field("Service", u.Service), field("Address", u.Addr.String()), field("Domain", u.Domain), field("Born", u.StartUnixMilli), field("ColdMS", u.ColdRemaining.Milliseconds()), field("Source", source))
 }
 
 // lapseUpstream handles an entry that is missing from the store. Leases lapse in a store outage, and live upstreams register again
--- a/pomeloentry/warmup_test.go
+++ b/pomeloentry/warmup_test.go
@@ -12,12 +12,12 @@
 func TestColdUpstreamGetsNoRequestsUntilWarm(t *testing.T) {
 	const left = 2 * time.Second
 	f := newFleet(t)
-	f.store.Publish(f.config(1, "/a/"))
+	f.store.PublishConfig(f.config(1, "/a/"))
 	warm := f.upstream("warm", 0)
 	n := f.start(8 * time.Second)
 	f.awaitStatus(n, "/a/", 200)
 	listed := time.Now()
-	u := f.upstreamWith("cold", 0, func(u *pomelorelay.FleetUpstream) { u.ColdFor = left })
+	u := f.upstreamWith("cold", 0, func(u *pomelorelay.FleetUpstream) { u.ColdRemaining = left })
 	f.await("the cold upstream is noticed", func() bool { return n.log.has(pomelorelay.EventUpstreamCold) })
 	for time.Since(listed) < left*9/10 {
 		if status, by := f.call(n, "/a/"); status != 200 || by != "warm" {
@@ -27,12 +27,12 @@
 	}
 	f.await("the upstream is warm", func() bool { return n.log.has(pomelorelay.EventUpstreamWarm) })
 	warm.Draining = true
-	f.store.Put(warm)
+	f.store.PutUpstream(warm)
 	f.await("the upstream serves", func() bool {
 		_, by := f.call(n, "/a/")
 		return by == string(u.ID)
 	})
-	if _, text := f.get(n.settings.Metrics, "/metrics"); !strings.Contains(text, `pomelorelay_state{name="cold_upstreams"} 0`) {
+	if _, text := f.get(n.settings.MetricsAddr, "/metrics"); !strings.Contains(text, `pomelorelay_state{name="cold_upstreams"} 0`) {
 		t.Error("the metrics lack cold_upstreams")
 	}
 }
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -23,15 +23,15 @@
 	return &Network{meshes: make(map[pomelorelay.NodeID]*Mesh)}
 }
 
-// Cut loses every message for which lost returns true from now on; nil heals the network.
-func (n *Network) Cut(lost func(from, to pomelorelay.Peer) bool) {
+// SetPartition loses every message for which lost returns true from now on; nil heals the network.
+func (n *Network) SetPartition(lost func(from, to pomelorelay.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = lost
 }
 
-// Lose loses every single message for which lost returns true from now on; nil ends it.
-func (n *Network) Lose(lost func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
+// SetMessageLoss loses every single message for which lost returns true from now on; nil ends it.
+func (n *Network) SetMessageLoss(lost func(to pomelorelay.Peer, m pomelorelay.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lost = lost
@@ -67,14 +67,14 @@
 
 	mu         sync.Mutex
 	generation pomelorelay.Generation
-	traffic    [pomelorelay.LinkClasses]pomelorelay.LinkBytes
+	traffic    [pomelorelay.LinkClassCount]pomelorelay.LinkBytes
 }
 
 // SetPeers does nothing: a network knows its routers.
 func (m *Mesh) SetPeers([]pomelorelay.Peer) {}
 
-// Contact sends a message to the router whose address it is.
-func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
+// SendToAddr sends a message to the router whose address it is.
+func (m *Mesh) SendToAddr(addr netip.AddrPort, message pomelorelay.Message) error {
 	node, ok := m.network.at(addr)
 	if !ok {
 		return nil
@@ -116,18 +116,18 @@
 func (m *Mesh) class(peer *Mesh) pomelorelay.LinkClass {
 	switch {
 	case peer.self.Domain == m.self.Domain:
-		return pomelorelay.LinkDomain
+		return pomelorelay.LinkSameDomain
 	case peer.self.Region == m.self.Region:
-		return pomelorelay.LinkRegion
+		return pomelorelay.LinkSameRegion
 	}
-	return pomelorelay.LinkCross
+	return pomelorelay.LinkCrossRegion
 }
 
 // Receive returns the channel of messages that arrived.
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
 // Traffic returns the messages sent by link class.
-func (m *Mesh) Traffic() [pomelorelay.LinkClasses]pomelorelay.LinkBytes {
+func (m *Mesh) Traffic() [pomelorelay.LinkClassCount]pomelorelay.LinkBytes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.traffic
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -84,9 +84,9 @@
 	case pomelolink.OutcomeNotSent:
 		return c.unreached < maxUnreached
 	case pomelolink.OutcomeRefusedNotRun:
-		return c.refused < maxRefused && c.runs < max(c.route.Attempts, 1)
-	case pomelolink.OutcomeCutShort, pomelolink.OutcomeUnknown:
-		return c.repeatable() && c.runs < c.route.Attempts
+		return c.refused < maxRefused && c.runs < max(c.route.MaxAttempts, 1)
+	case pomelolink.OutcomeTruncated, pomelolink.OutcomeUnknown:
+		return c.repeatable() && c.runs < c.route.MaxAttempts
 	}
 	return false
 }
@@ -113,7 +113,7 @@
 	f = c.exchange(ctx, up, reservation)
 	result = resultOf(ctx, f)
 	if f == nil {
-		if c.route.Pause > 0 && c.longestPause > c.route.Pause {
+		if c.route.MaxEventGap > 0 && c.longestPause > c.route.MaxEventGap {
 			result = pomeloplace.ResultLongPause
 		}
 		return nil
@@ -184,15 +184,15 @@
 
 // expectedOutput returns the number of tokens that the engine will probably generate for a request.
 func expectedOutput(f pomelorelay.CallerFields) pomelorelay.Tokens {
-	if f.Guess > 0 {
-		return min(max(f.Guess, 1), max(f.Output, 1))
+	if f.OutputEstimate > 0 {
+		return min(max(f.OutputEstimate, 1), max(f.MaxOutputTokens, 1))
 	}
-	return f.Output
+	return f.MaxOutputTokens
 }
 
 // requestCost returns the cost of a request that counts towards its account's share.
 func requestCost(f pomelorelay.CallerFields) pomelorelay.Cost {
-	return pomelorelay.Cost(f.Prompt + outputTokenWeight*expectedOutput(f))
+	return pomelorelay.Cost(f.PromptTokens + outputTokenWeight*expectedOutput(f))
 }
 
 func (c *call) placementRequest() PlacementRequest {
@@ -205,10 +205,10 @@
 		Charged: c.runs > 0,
 		Request: pomeloplace.Request{
 			Service:      c.service,
-			PromptTokens: c.fields.Prompt,
+			PromptTokens: c.fields.PromptTokens,
 			OutputTokens: expectedOutput(c.fields),
-			Parts:        c.fields.Parts,
-			Target:       c.route.Target,
+			Parts:        c.fields.PromptParts,
+			Target:       c.route.TargetLatency,
 			MaxWait:      c.timeLeft(),
 			Avoid:        c.avoid,
 		},
@@ -217,7 +217,7 @@
 
 // exchange sends the request to an upstream and forwards the answer.
 func (c *call) exchange(ctx context.Context, up pomelorelay.FleetUpstream, reservation Reservation) *pomelolink.Failure {
-	x, f := c.h.links.Open(ctx, pomelolink.Sending{Addr: up.Addr, Request: c.upstreamRequest(up), Size: len(c.bodyBytes()), Wanted: func() bool { return !c.callerGone() }})
+	x, f := c.h.links.Open(ctx, pomelolink.UpstreamRequest{Addr: up.Addr, Request: c.upstreamRequest(up), Size: len(c.bodyBytes()), StillWanted: func() bool { return !c.callerGone() }})
 	if f != nil {
 		return f
 	}
@@ -231,7 +231,7 @@
 	reservation.AnswerBegan()
 	if c.answerStarted {
 		// The upstream of a resumed stream answered without events, which cannot continue the stream.
-		return pomelolink.NewFailure(pomelolink.OutcomeCutShort, pomelorelay.CodeStreamBroken, nil)
+		return pomelolink.NewFailure(pomelolink.OutcomeTruncated, pomelorelay.CodeStreamBroken, nil)
 	}
 	return c.forwardPlain(x)
 }
@@ -246,8 +246,8 @@
 		// An empty entry keeps net/http from adding its own User-Agent.
 		head["User-Agent"] = []string{""}
 	}
-	c.h.cfg.Wire.WriteUpstream(head, pomelorelay.UpstreamFields{
-		Wait: c.timeLeft(), Upstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
+	c.h.cfg.Wire.SetUpstreamFields(head, pomelorelay.UpstreamFields{
+		TimeLeft: c.timeLeft(), ExpectedUpstream: up.ID, Account: c.account, CopyFrom: c.decision.CopyFrom.Addr, LastEvent: c.lastEvent, HasLastEvent: c.hasLastEvent,
 	})
 	req := &http.Request{
 		Method:        c.r.Method,
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -45,7 +45,7 @@
 }
 
 func newCall(h *Handler, w http.ResponseWriter, r *http.Request) *call {
-	return &call{h: h, w: w, r: r, arrivedAt: h.cfg.Clock.Now(), fields: h.cfg.Wire.ReadCaller(r.Header)}
+	return &call{h: h, w: w, r: r, arrivedAt: h.cfg.Clock.Now(), fields: h.cfg.Wire.ParseCallerFields(r.Header)}
 }
 
 // prepare looks up the route, the account and the service and reads the body. On failure nothing has run.
@@ -71,7 +71,7 @@
 }
 
 func (c *call) authenticate() error {
-	account, ok := c.table.Account(c.fields.Key)
+	account, ok := c.table.Account(c.fields.APIKey)
 	if ok {
 		c.account = account.Name
 		return nil
@@ -87,8 +87,8 @@
 
 func (c *call) setDeadline() {
 	wait := defaultTimeout
-	if c.fields.Wait > 0 {
-		wait = min(wait, c.fields.Wait)
+	if c.fields.Timeout > 0 {
+		wait = min(wait, c.fields.Timeout)
 	}
 	if c.route.Timeout > 0 {
 		wait = min(wait, c.route.Timeout)
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -130,7 +130,7 @@
 	c.h.cfg.Meter.ObserveAnswer(kind, ending, first, now.Sub(c.arrivedAt))
 	d := c.decision
 	all := append(fields,
-		pomelorelay.Field{Key: "WaitMS", Value: c.fields.Wait.Milliseconds()},
+		pomelorelay.Field{Key: "WaitMS", Value: c.fields.Timeout.Milliseconds()},
 		pomelorelay.Field{Key: "FirstMS", Value: first.Milliseconds()},
 		pomelorelay.Field{Key: "TotalMS", Value: now.Sub(c.arrivedAt).Milliseconds()},
 		pomelorelay.Field{Key: "PauseMS", Value: c.longestPause.Milliseconds()},
--- a/pomelomember/bench_test.go
+++ b/pomelomember/bench_test.go
@@ -31,7 +31,7 @@
 		}
 		for i, m := range got {
 			from := f.routers[1+i]
-			out = r.view.Digest(now, from.peer.Node, from.inc, m.(*pomelorelay.Digest), out[:0])
+			out = r.view.HandleDigest(now, from.peer.Node, from.inc, m.(*pomelorelay.Digest), out[:0])
 		}
 	}
 	b.ReportMetric(float64(len(got)), "digests")
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -19,18 +19,18 @@
 
 // Options holds the intervals and bounds of a View; a zero field takes the default that its comment gives.
 type Options struct {
-	// DigestEvery is the interval of digests to every router of the failure domain; 1 s.
-	DigestEvery time.Duration
-	// DigestsPerSecond bounds the digests to the failure domain: past it the interval grows with the domain's routers; 60.
-	DigestsPerSecond int
+	// DigestInterval is the interval of digests to every router of the failure domain; 1 s.
+	DigestInterval time.Duration
+	// MaxDigestsPerSecond bounds the digests to the failure domain: past it the interval grows with the domain's routers; 60.
+	MaxDigestsPerSecond int
 	// EarlyDigest is the shortest wait before a digest that carries a new belief; 200 ms.
 	EarlyDigest time.Duration
 	// ProbeEvery is the interval of probes, each of one router of the failure domain; 300 ms.
 	ProbeEvery time.Duration
-	// ProbeWait is the wait for an answer before others are asked to probe, and again before the router is suspected; 300 ms.
-	ProbeWait time.Duration
-	// SuspectFor is how long a suspected router may refute before it counts as dead; 1 s.
-	SuspectFor time.Duration
+	// ProbeTimeout is the wait for an answer before others are asked to probe, and again before the router is suspected; 300 ms.
+	ProbeTimeout time.Duration
+	// SuspicionTimeout is how long a suspected router may refute before it counts as dead; 1 s.
+	SuspicionTimeout time.Duration
 	// Helpers is the number of routers asked to probe another; 3.
 	Helpers int
 	// Gateways is the number of routers of a failure domain that keep a link to each other domain; 2.
@@ -52,12 +52,12 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDuration(&o.DigestEvery, time.Second)
-	setCount(&o.DigestsPerSecond, 60)
+	setDuration(&o.DigestInterval, time.Second)
+	setCount(&o.MaxDigestsPerSecond, 60)
 	setDuration(&o.EarlyDigest, 200*time.Millisecond)
 	setDuration(&o.ProbeEvery, 300*time.Millisecond)
-	setDuration(&o.ProbeWait, 300*time.Millisecond)
-	setDuration(&o.SuspectFor, time.Second)
+	setDuration(&o.ProbeTimeout, 300*time.Millisecond)
+	setDuration(&o.SuspicionTimeout, time.Second)
 	setCount(&o.Helpers, 3)
 	setCount(&o.Gateways, 2)
 	setDuration(&o.SyncEvery, 10*time.Second)
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -19,11 +19,11 @@
 	joinsCold = 16
 )
 
-// Digest takes a router's digest.
-func (v *View) Digest(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, d *pomelorelay.Digest, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+// HandleDigest takes a router's digest.
+func (v *View) HandleDigest(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, d *pomelorelay.Digest, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	known := v.lookup(from)
 	news := known == nil || known.started < incarnation
-	v.Heard(now, from, incarnation)
+	v.RecordMessage(now, from, incarnation)
 	for _, state := range d.Members {
 		v.merge(now, state)
 	}
@@ -143,7 +143,7 @@
 // four times a second would be seen to spend twice a node's control budget on digests.
 func (v *View) digestEvery() time.Duration {
 	routers := len(v.domainMembers(v.cfg.Self.Domain))
-	return max(v.cfg.Options.DigestEvery, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.DigestsPerSecond))
+	return max(v.cfg.Options.DigestInterval, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.MaxDigestsPerSecond))
 }
 
 // news returns this router's own state and the beliefs that changed lately.
--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -103,7 +103,7 @@
 	r.inc = pomelorelay.Incarnation(f.now.UnixNano())
 	r.up = true
 	r.view = pomelomember.New(pomelomember.Config{Self: r.peer, Incarnation: r.inc, Seeds: seeds, Seed: f.random.Uint64(), Options: f.options})
-	f.send(r, r.view.Hosts(f.now, hosts, nil))
+	f.send(r, r.view.SetHosts(f.now, hosts, nil))
 }
 
 func (f *fleet) startAll() {
@@ -160,7 +160,7 @@
 }
 
 func (f *fleet) watch(r *router) {
-	for _, c := range r.view.Changes(nil) {
+	for _, c := range r.view.TakeChanges(nil) {
 		if _, known := f.deaths[c.Peer.Node]; c.Status == pomelorelay.MemberDead && !known {
 			f.deaths[c.Peer.Node] = f.now
 		}
@@ -181,13 +181,13 @@
 	switch value := m.value.(type) {
 	case *pomelorelay.Digest:
 		f.count(m.from.peer.Domain, r.peer.Domain, value)
-		f.send(r, r.view.Digest(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.HandleDigest(f.now, from, m.inc, value, nil))
 	case *pomelorelay.Probe:
-		f.send(r, r.view.Probe(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.HandleProbe(f.now, from, m.inc, value, nil))
 	case *pomelorelay.ProbeAck:
-		f.send(r, r.view.ProbeAck(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.HandleProbeAck(f.now, from, m.inc, value, nil))
 	case *pomelorelay.Farewell:
-		f.send(r, r.view.Farewell(f.now, from, m.inc, value, nil))
+		f.send(r, r.view.HandleFarewell(f.now, from, m.inc, value, nil))
 	}
 	f.watch(r)
 }
@@ -250,7 +250,7 @@
 	// than a node's whole control budget in bytes.
 	for _, c := range []struct{ routers, least, most int }{{8, 28, 36}, {60, 59, 72}} {
 		f := newFleet(t, 1, c.routers, 1)
-		f.options.DigestEvery = 250 * time.Millisecond
+		f.options.DigestInterval = 250 * time.Millisecond
 		f.startAll()
 		f.run(5 * time.Second)
 		r := f.routers[0]
@@ -264,7 +264,7 @@
 				}
 			}
 			for _, other := range f.routers[1:] {
-				r.view.Heard(f.now, other.peer.Node, other.inc)
+				r.view.RecordMessage(f.now, other.peer.Node, other.inc)
 			}
 		}
 		if rate := digests / span; rate < c.least || rate > c.most {
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -25,9 +25,9 @@
 // maxRelayed bounds the questions asked for others at once.
 const maxRelayed = 256
 
-// Probe answers a probe or passes it on.
-func (v *View) Probe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	v.Heard(now, from, incarnation)
+// HandleProbe answers a probe or passes it on.
+func (v *View) HandleProbe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	v.RecordMessage(now, from, incarnation)
 	if p.Target == "" || p.Target == v.cfg.Self.Node {
 		return append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ProbeAck{Seq: p.Seq}})
 	}
@@ -39,9 +39,9 @@
 	return append(out, pomelorelay.Outgoing{To: p.Target, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
-// ProbeAck takes the answer to a probe.
-func (v *View) ProbeAck(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, a *pomelorelay.ProbeAck, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	v.Heard(now, from, incarnation)
+// HandleProbeAck takes the answer to a probe.
+func (v *View) HandleProbeAck(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, a *pomelorelay.ProbeAck, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	v.RecordMessage(now, from, incarnation)
 	if a.Target != "" {
 		v.vouched(now, a)
 		return out
@@ -121,12 +121,12 @@
 		switch {
 		case m == nil || !m.live() || !m.heard.Before(p.sent):
 			continue
-		case wait >= 2*v.cfg.Options.ProbeWait:
+		case wait >= 2*v.cfg.Options.ProbeTimeout:
 			if m.status == pomelorelay.MemberAlive {
 				v.believe(now, m, m.incarnation, pomelorelay.MemberSuspect)
 			}
 			continue
-		case wait >= v.cfg.Options.ProbeWait && !p.helped:
+		case wait >= v.cfg.Options.ProbeTimeout && !p.helped:
 			p.helped = true
 			out = v.askHelpers(p, out)
 		}
@@ -155,7 +155,7 @@
 func (v *View) expireRelayed(now time.Time) {
 	kept := v.relayed[:0]
 	for _, r := range v.relayed {
-		if now.Sub(r.sent) < 4*v.cfg.Options.ProbeWait {
+		if now.Sub(r.sent) < 4*v.cfg.Options.ProbeTimeout {
 			kept = append(kept, r)
 		}
 	}
@@ -165,7 +165,7 @@
 // confirmSuspects declares suspected routers dead that neither refuted nor were heard here since.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
-		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspected) < v.cfg.Options.SuspectFor {
+		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspected) < v.cfg.Options.SuspicionTimeout {
 			continue
 		}
 		if m.heard.After(m.suspected) {
--- a/pomelomember/snapshot.go
+++ b/pomelomember/snapshot.go
@@ -81,8 +81,8 @@
 	s.domains = append(s.domains, Domain{ID: p.Domain, Region: p.Region, Members: []pomelorelay.NodeID{p.Node}})
 }
 
-// Reachable appends the failure domains that were heard lately, this router's own included, in the order of their names.
-func (v *View) Reachable(now time.Time, out []pomelorelay.DomainID) []pomelorelay.DomainID {
+// ReachableDomains appends the failure domains that were heard lately, this router's own included, in the order of their names.
+func (v *View) ReachableDomains(now time.Time, out []pomelorelay.DomainID) []pomelorelay.DomainID {
 	for _, domain := range v.Snapshot().domains {
 		if v.domainReached(now, domain.ID) {
 			out = append(out, domain.ID)
--- a/pomelomember/view.go
+++ b/pomelomember/view.go
@@ -61,9 +61,9 @@
 	return v
 }
 
-// Hosts takes the platform's host list, which may lag. An empty list is ignored: the platform has lost it, not the
+// SetHosts takes the platform's host list, which may lag. An empty list is ignored: the platform has lost it, not the
 // fleet its hosts. A router that is missing on the list stays for as long as it is heard.
-func (v *View) Hosts(now time.Time, hosts []pomelorelay.Host, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (v *View) SetHosts(now time.Time, hosts []pomelorelay.Host, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	listed := make(map[pomelorelay.NodeID]bool)
 	for i := range hosts {
 		node := pomelorelay.NodeID(hosts[i].Name)
@@ -82,8 +82,8 @@
 	return out
 }
 
-// Located reports whether a router's address is known from the host list or the seeds.
-func (v *View) Located(node pomelorelay.NodeID) bool {
+// AddressKnown reports whether a router's address is known from the host list or the seeds.
+func (v *View) AddressKnown(node pomelorelay.NodeID) bool {
 	m := v.lookup(node)
 	return node == v.cfg.Self.Node || m != nil && m.located
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// Heard notes that a message of any kind arrived from a router; the incarnation is that of its envelope.
-func (v *View) Heard(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
+// RecordMessage notes that a message of any kind arrived from a router; the incarnation is that of its envelope.
+func (v *View) RecordMessage(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	if from == v.cfg.Self.Node {
 		return
 	}
@@ -125,9 +125,9 @@
 	}
 }
 
-// Farewell takes a router's notice that it stops.
-func (v *View) Farewell(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, f *pomelorelay.Farewell, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	v.Heard(now, from, incarnation)
+// HandleFarewell takes a router's notice that it stops.
+func (v *View) HandleFarewell(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, f *pomelorelay.Farewell, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+	v.RecordMessage(now, from, incarnation)
 	v.merge(now, pomelorelay.MemberState{Node: from, Incarnation: max(incarnation, f.Incarnation), Status: pomelorelay.MemberLeaving})
 	return out
 }
@@ -176,7 +176,7 @@
 // forgivePause starts waits anew when this router itself was paused. Without it a router that stood still for seconds
 // finds all its probes unanswered when it goes on, and tells the fleet that everybody is suspect.
 func (v *View) forgivePause(now time.Time) {
-	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeWait {
+	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeTimeout {
 		return
 	}
 	v.probes = v.probes[:0]
@@ -187,8 +187,8 @@
 	}
 }
 
-// Changes appends who came and went since the last call.
-func (v *View) Changes(out []Change) []Change {
+// TakeChanges appends who came and went since the last call.
+func (v *View) TakeChanges(out []Change) []Change {
 	out = append(out, v.changes...)
 	v.changes = v.changes[:0]
 	return out
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -63,10 +63,10 @@
 	v := f.routers[0].view
 	later := f.now.Add(20 * time.Second)
 	v.Tick(later, nil)
-	if changes := v.Changes(nil); len(changes) != 0 {
+	if changes := v.TakeChanges(nil); len(changes) != 0 {
 		t.Errorf("declared at once: %+v", changes)
 	}
-	v.Heard(later.Add(tick), "r0-01", f.routers[1].inc)
+	v.RecordMessage(later.Add(tick), "r0-01", f.routers[1].inc)
 	v.Tick(later.Add(2*time.Second), nil)
 	if members := v.Snapshot().Members("domain-0"); len(members) != 3 {
 		t.Errorf("members %v", members)
@@ -79,7 +79,7 @@
 	f.startAll()
 	f.settle(10 * time.Second)
 	for _, r := range f.routers {
-		r.view.Hosts(f.now, f.hosts()[:5], nil)
+		r.view.SetHosts(f.now, f.hosts()[:5], nil)
 	}
 	f.routers[5].up = false
 	f.run(9 * time.Second)
@@ -130,8 +130,8 @@
 	f.startAll()
 	f.settle(10 * time.Second)
 	for _, r := range f.routers {
-		r.view.Hosts(f.now, f.hosts(), nil)
-		r.view.Hosts(f.now, []pomelorelay.Host{}, nil)
+		r.view.SetHosts(f.now, f.hosts(), nil)
+		r.view.SetHosts(f.now, []pomelorelay.Host{}, nil)
 	}
 	f.cut = func(from, to pomelorelay.Peer) bool { return (from.Node < "r0-10") != (to.Node < "r0-10") }
 	f.run(time.Minute)
@@ -150,7 +150,7 @@
 	f.cut = func(from, _ pomelorelay.Peer) bool { return from.Domain == "domain-2" }
 	f.run(30 * time.Second)
 	for _, r := range f.routers[:12] {
-		if got := r.view.Reachable(f.now, nil); len(got) != 2 {
+		if got := r.view.ReachableDomains(f.now, nil); len(got) != 2 {
 			if r.peer.Domain != "domain-2" {
 				t.Errorf("%s reaches %v", r.peer.Node, got)
 			}
@@ -163,7 +163,7 @@
 	f.settle(30 * time.Second)
 	f.run(5 * time.Second)
 	for _, r := range f.routers {
-		if got := r.view.Reachable(f.now, nil); len(got) != 3 {
+		if got := r.view.ReachableDomains(f.now, nil); len(got) != 3 {
 			t.Errorf("%s reaches %v", r.peer.Node, got)
 		}
 	}
@@ -209,7 +209,7 @@
 			t.Errorf("%s has gone and is still a member for the stopping router", f.routers[i].peer.Node)
 		}
 	}
-	if got := slow.view.Reachable(f.now, nil); len(got) != 2 {
+	if got := slow.view.ReachableDomains(f.now, nil); len(got) != 2 {
 		t.Errorf("the stopping router reaches %v", got)
 	}
 	if len(f.deaths) != 0 {
@@ -270,7 +270,7 @@
 		}
 	}
 	for _, r := range f.routers {
-		f.send(r, r.view.Hosts(f.now, f.hosts(), nil))
+		f.send(r, r.view.SetHosts(f.now, f.hosts(), nil))
 	}
 	f.settle(5 * time.Second)
 }
@@ -287,8 +287,8 @@
 		if members := r.view.Snapshot().Members("domain-0"); len(members) != 6 {
 			t.Errorf("%s sees %v", r.peer.Node, members)
 		}
-		r.view.Hosts(f.now, all, nil)
-		r.view.Hosts(f.now, nil, nil)
+		r.view.SetHosts(f.now, all, nil)
+		r.view.SetHosts(f.now, nil, nil)
 	}
 	f.settle(5 * time.Second)
 }
@@ -302,14 +302,14 @@
 	f.start(f.routers[1], f.hosts())
 	f.run(3 * time.Second)
 	v := f.routers[0].view
-	v.Farewell(f.now, "r0-01", former, &pomelorelay.Farewell{Incarnation: former}, nil)
+	v.HandleFarewell(f.now, "r0-01", former, &pomelorelay.Farewell{Incarnation: former}, nil)
 	if members := v.Snapshot().Members("domain-0"); len(members) != 3 {
 		t.Errorf("members %v", members)
 	}
 	f.routers[1].up = false
 	for range 100 {
 		f.run(tick)
-		v.Heard(f.now, "r0-01", former)
+		v.RecordMessage(f.now, "r0-01", former)
 	}
 	if members := v.Snapshot().Members("domain-0"); len(members) != 2 {
 		t.Errorf("the former process keeps its dead successor alive: %v", members)
--- a/pomelomesh/bench_test.go
+++ b/pomelomesh/bench_test.go
@@ -74,7 +74,7 @@
 		<-far.Receive()
 		n++
 	}
-	b.ReportMetric(float64(near.Traffic()[pomelorelay.LinkDomain].Sent)/float64(n), "wire-B/message")
+	b.ReportMetric(float64(near.Traffic()[pomelorelay.LinkSameDomain].Sent)/float64(n), "wire-B/message")
 }
 
 // BenchmarkLinkMemory opens 59 links from one router and reports what a link takes at both ends together.
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -49,14 +49,14 @@
 
 // room returns how many bytes of messages of the urgency may leave now; not above zero means none.
 func (b *budget) room(now time.Time, urgency pomelorelay.Urgency) float64 {
-	if urgency == pomelorelay.UrgencyNow || b.rate == 0 {
+	if urgency == pomelorelay.UrgencyHigh || b.rate == 0 {
 		return maxBatchBytes
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.update(now)
 	room := b.level
-	if urgency == pomelorelay.UrgencyLater {
+	if urgency == pomelorelay.UrgencyLow {
 		room -= laterShare * b.rate * burst.Seconds()
 	}
 	if room > 0 {
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -55,8 +55,8 @@
 	// TLS names the key files; Insecure must be set when they are empty.
 	TLS      TLSFiles
 	Insecure bool
-	// Budget bounds bytes sent per second by link class; zero means unbounded.
-	Budget [pomelorelay.LinkClasses]pomelorelay.Bytes
+	// BytesPerSecond bounds bytes sent per second by link class; zero means unbounded.
+	BytesPerSecond [pomelorelay.LinkClassCount]pomelorelay.Bytes
 	Queue  QueueBounds
 	Timing Timing
 	// Inbox is the length of the channel of arrived messages; 1024 when zero.
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -82,7 +82,7 @@
 	if len(l.conns) >= maxConns {
 		return nil
 	}
-	counted := l.m.countConn(conn, pomelorelay.LinkDomain, nil)
+	counted := l.m.countConn(conn, pomelorelay.LinkSameDomain, nil)
 	counted.onClose = func() {
 		l.remove(remote)
 		l.m.noteStranger(counted, time.Now())
--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -6,10 +6,10 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Contact sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged, and
+// SendToAddr sends a message to whichever router answers at an address, and returns at once; one that cannot be reached is logged, and
 // a message to an address that is being dialled already is dropped. It fails with CodeMeshMalformed. A mesh with certificates refuses
 // routers whose names it does not know.
-func (m *Mesh) Contact(addr netip.AddrPort, message pomelorelay.Message) error {
+func (m *Mesh) SendToAddr(addr netip.AddrPort, message pomelorelay.Message) error {
 	data, err := EncodeMessage(message)
 	if err != nil {
 		return err
--- a/pomelomesh/contact_test.go
+++ b/pomelomesh/contact_test.go
@@ -13,15 +13,15 @@
 // the same link, though neither lists the other.
 func TestARouterIsReachedByItsAddressAlone(t *testing.T) {
 	a, b := start(t, config("r1", 11)), start(t, config("r2", 22))
-	if err := a.Contact(b.Addr(), &pomelorelay.StateAsk{Above: 3}); err != nil {
+	if err := a.SendToAddr(b.Addr(), &pomelorelay.StateAsk{Above: 3}); err != nil {
 		t.Fatal(err)
 	}
 	e := receive(t, b)
 	if ask, ok := e.Message.(*pomelorelay.StateAsk); !ok || ask.Above != 3 || e.From != "r1" || e.Domain != "a" || e.Region != "north" {
 		t.Fatalf("%+v", e)
 	}
-	send(t, b, "r1", &pomelorelay.FleetState{At: 9})
-	if e := receive(t, a); e.From != "r2" || e.Message.(*pomelorelay.FleetState).At != 9 {
+	send(t, b, "r1", &pomelorelay.FleetState{Revision: 9})
+	if e := receive(t, a); e.From != "r2" || e.Message.(*pomelorelay.FleetState).Revision != 9 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -31,7 +31,7 @@
 	a := start(t, config("r1", 11))
 	for _, addr := range []netip.AddrPort{pomelofake.FreeAddr(), a.Addr()} {
 		for range 3 {
-			if err := a.Contact(addr, &pomelorelay.StateAsk{}); err != nil {
+			if err := a.SendToAddr(addr, &pomelorelay.StateAsk{}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/pomelomesh/decode_kinds.go
+++ b/pomelomesh/decode_kinds.go
@@ -81,7 +81,7 @@
 	case *pomelowire.Item_QuarantineNotice:
 		q := kind.QuarantineNotice
 		return &pomelorelay.QuarantineNotice{
-			Fingerprint: pomelorelay.Fingerprint(q.GetFingerprint()), Seq: q.GetSeq(), For: d.duration(q.GetFor()), Upstream: pomelorelay.UpstreamID(d.name(q.GetUpstream())),
+			Fingerprint: pomelorelay.Fingerprint(q.GetFingerprint()), Seq: q.GetSeq(), Duration: d.duration(q.GetFor()), Upstream: pomelorelay.UpstreamID(d.name(q.GetUpstream())),
 		}
 	case *pomelowire.Item_LeavingNotice:
 		return &pomelorelay.LeavingNotice{Upstream: pomelorelay.UpstreamID(d.name(kind.LeavingNotice.GetUpstream()))}
@@ -117,7 +117,7 @@
 func (d *decoder) grantReply(m *pomelowire.GrantReply) pomelorelay.Message {
 	return &pomelorelay.GrantReply{
 		ID: pomelorelay.GrantID(m.GetId()), Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())),
-		State: pomelorelay.GrantState(d.state(m.GetState(), 0, int32(pomelorelay.GrantUnreached))), Seq: m.GetSeq(), Head: d.tag(m.GetHead()), Waiting: m.GetWaiting(),
+		State: pomelorelay.GrantState(d.state(m.GetState(), 0, int32(pomelorelay.GrantUpstreamUnreachable))), Seq: m.GetSeq(), Head: d.tag(m.GetHead()), Waiting: m.GetWaiting(),
 		FirstToken: d.duration(m.GetFirstToken()), TokenGap: d.duration(m.GetTokenGap()),
 	}
 }
@@ -168,5 +168,5 @@
 	for i := range prints {
 		prints[i] = pomelorelay.Fingerprint(m.GetFingerprints()[i])
 	}
-	return &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Crash: m.GetCrash(), Fingerprints: prints}
+	return &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), CrashSeq: m.GetCrash(), Fingerprints: prints}
 }
--- a/pomelomesh/decode_load.go
+++ b/pomelomesh/decode_load.go
@@ -10,21 +10,21 @@
 )
 
 func (d *decoder) loadReport(m *pomelowire.LoadReport) *pomelorelay.LoadReport {
-	r := &pomelorelay.LoadReport{Seq: m.GetSeq(), Whole: m.GetWhole()}
+	r := &pomelorelay.LoadReport{Seq: m.GetSeq(), Full: m.GetWhole()}
 	r.Upstreams = make([]pomelorelay.UpstreamLoad, d.count(len(m.GetUpstreams()), maxList))
 	for i := range r.Upstreams {
 		u := m.GetUpstreams()[i]
 		r.Upstreams[i] = pomelorelay.UpstreamLoad{
 			Upstream: pomelorelay.UpstreamID(d.name(u.GetUpstream())), Running: u.GetRunning(),
-			Unread: d.tokens(u.GetUnread()), Held: d.tokens(u.GetHeld()), Sent: d.tokens(u.GetSent()),
-			Expected: d.milliseconds(u.GetExpected()), Took: d.milliseconds(u.GetTook()),
+			PendingPrefill: d.tokens(u.GetUnread()), KVTokens: d.tokens(u.GetHeld()), PromptTokensSent: d.tokens(u.GetSent()),
+			FirstTokenExpected: d.milliseconds(u.GetExpected()), FirstTokenMeasured: d.milliseconds(u.GetTook()),
 		}
 	}
 	r.Accounts = make([]pomelorelay.AccountUse, d.count(len(m.GetAccounts()), maxList))
 	for i := range r.Accounts {
 		a := m.GetAccounts()[i]
 		r.Accounts[i] = pomelorelay.AccountUse{
-			Account: pomelorelay.AccountID(d.name(a.GetAccount())), Asked: pomelorelay.Cost(a.GetAsked()), Served: pomelorelay.Cost(a.GetServed()),
+			Account: pomelorelay.AccountID(d.name(a.GetAccount())), Requested: pomelorelay.Cost(a.GetAsked()), Served: pomelorelay.Cost(a.GetServed()),
 		}
 	}
 	r.Parts = make([]pomelorelay.PartPlaced, d.count(len(m.GetParts()), maxList))
@@ -40,15 +40,15 @@
 	for i := range r.Speeds {
 		s := m.GetSpeeds()[i]
 		r.Speeds[i] = pomelorelay.SpeedSums{
-			Service: pomelorelay.ServiceID(d.name(s.GetService())), Answers: d.finite(s.GetAnswers()), Weight: d.finite(s.GetWeight()),
-			Read: d.finite(s.GetRead()), Took: d.finite(s.GetTook()), ReadRead: d.finite(s.GetReadRead()), ReadTook: d.finite(s.GetReadTook()), Beside: d.finite(s.GetBeside()), Paused: d.finite(s.GetPaused()),
-			Copied: d.finite(s.GetCopied()), CopyTook: d.finite(s.GetCopyTook()),
+			Service: pomelorelay.ServiceID(d.name(s.GetService())), Answers: d.finite(s.GetAnswers()), WeightSum: d.finite(s.GetWeight()),
+			TokenSum: d.finite(s.GetRead()), TimeSum: d.finite(s.GetTook()), TokenSquareSum: d.finite(s.GetReadRead()), TokenTimeSum: d.finite(s.GetReadTook()), DuringPrefill: d.finite(s.GetBeside()), Stalled: d.finite(s.GetPaused()),
+			CopiedTokens: d.finite(s.GetCopied()), CopyTimeTokens: d.finite(s.GetCopyTook()),
 		}
 	}
 	r.Starts = make([]pomelorelay.UpstreamStart, d.count(len(m.GetStarts()), maxList))
 	for i := range r.Starts {
 		s := m.GetStarts()[i]
-		r.Starts[i] = pomelorelay.UpstreamStart{Upstream: pomelorelay.UpstreamID(d.name(s.GetUpstream())), Unreached: s.GetUnreached(), ColdFor: d.milliseconds(s.GetCold())}
+		r.Starts[i] = pomelorelay.UpstreamStart{Upstream: pomelorelay.UpstreamID(d.name(s.GetUpstream())), Unreachable: s.GetUnreached(), ColdRemaining: d.milliseconds(s.GetCold())}
 	}
 	return r
 }
@@ -87,17 +87,17 @@
 
 func (d *decoder) fleetUpdate(m *pomelowire.FleetUpdate) pomelorelay.Message {
 	u := &pomelorelay.FleetUpdate{
-		After: pomelorelay.Revision(m.GetAfter()), At: pomelorelay.Revision(m.GetAt()), Whole: m.GetWhole(), Forwarded: m.GetForwarded(), Document: m.GetDocument(),
+		After: pomelorelay.Revision(m.GetAfter()), Revision: pomelorelay.Revision(m.GetAt()), Full: m.GetWhole(), Forwarded: m.GetForwarded(), Document: m.GetDocument(),
 		Upstreams: d.upstreams(m.GetUpstreams()), Peers: d.routers(m.GetRouters()),
 		Evacuated: d.domains(m.GetEvacuated()), Restored: d.domains(m.GetRestored()),
 	}
-	u.GoneUpstreams = make([]pomelorelay.UpstreamID, d.count(len(m.GetGoneUpstreams()), maxList))
-	for i := range u.GoneUpstreams {
-		u.GoneUpstreams[i] = pomelorelay.UpstreamID(d.name(m.GetGoneUpstreams()[i]))
+	u.RemovedUpstreams = make([]pomelorelay.UpstreamID, d.count(len(m.GetGoneUpstreams()), maxList))
+	for i := range u.RemovedUpstreams {
+		u.RemovedUpstreams[i] = pomelorelay.UpstreamID(d.name(m.GetGoneUpstreams()[i]))
 	}
-	u.GonePeers = make([]pomelorelay.NodeID, d.count(len(m.GetGoneRouters()), maxList))
-	for i := range u.GonePeers {
-		u.GonePeers[i] = pomelorelay.NodeID(d.name(m.GetGoneRouters()[i]))
+	u.RemovedPeers = make([]pomelorelay.NodeID, d.count(len(m.GetGoneRouters()), maxList))
+	for i := range u.RemovedPeers {
+		u.RemovedPeers[i] = pomelorelay.NodeID(d.name(m.GetGoneRouters()[i]))
 	}
 	return u
 }
@@ -108,7 +108,7 @@
 		u := list[i]
 		upstreams[i] = pomelorelay.FleetUpstream{
 			ID: pomelorelay.UpstreamID(d.name(u.GetId())), Service: pomelorelay.ServiceID(d.name(u.GetService())), Addr: d.addr(u.GetAddress()),
-			Domain: pomelorelay.DomainID(d.name(u.GetDomain())), Slots: pomelorelay.Slots(u.GetSlots()), Draining: u.GetDraining(), ColdFor: d.cold(u.GetCold()), Born: u.GetBorn(),
+			Domain: pomelorelay.DomainID(d.name(u.GetDomain())), Slots: pomelorelay.Slots(u.GetSlots()), Draining: u.GetDraining(), ColdRemaining: d.cold(u.GetCold()), StartUnixMilli: u.GetBorn(),
 		}
 	}
 	return upstreams
@@ -124,7 +124,7 @@
 
 func (d *decoder) fleetState(m *pomelowire.FleetState) pomelorelay.Message {
 	return &pomelorelay.FleetState{
-		Document: m.GetDocument(), At: pomelorelay.Revision(m.GetAt()), Upstreams: d.upstreams(m.GetUpstreams()), Peers: d.routers(m.GetRouters()),
+		Document: m.GetDocument(), Revision: pomelorelay.Revision(m.GetAt()), Upstreams: d.upstreams(m.GetUpstreams()), Peers: d.routers(m.GetRouters()),
 		Evacuated: d.domains(m.GetEvacuated()),
 	}
 }
@@ -143,7 +143,7 @@
 		p := list[i]
 		peers[i] = pomelorelay.Peer{
 			Node: pomelorelay.NodeID(d.name(p.GetNode())), Addr: d.addr(p.GetAddress()), Domain: pomelorelay.DomainID(d.name(p.GetDomain())),
-			Region: pomelorelay.RegionID(d.name(p.GetRegion())), Power: d.finite(p.GetPower()),
+			Region: pomelorelay.RegionID(d.name(p.GetRegion())), CPUSpeed: d.finite(p.GetPower()),
 		}
 	}
 	return peers
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -176,7 +176,7 @@
 			prints[i] = uint64(print)
 		}
 		return &pomelowire.Item{Kind: &pomelowire.Item_SuspectNotice{SuspectNotice: &pomelowire.SuspectNotice{
-			Upstream: string(m.Upstream), Crash: m.Crash, Fingerprints: prints,
+			Upstream: string(m.Upstream), Crash: m.CrashSeq, Fingerprints: prints,
 		}}}
 	case *pomelorelay.SuspectAsk:
 		return &pomelowire.Item{Kind: &pomelowire.Item_SuspectAsk{SuspectAsk: &pomelowire.SuspectAsk{
@@ -193,7 +193,7 @@
 		}}}
 	case *pomelorelay.QuarantineNotice:
 		return &pomelowire.Item{Kind: &pomelowire.Item_QuarantineNotice{QuarantineNotice: &pomelowire.QuarantineNotice{
-			Fingerprint: uint64(m.Fingerprint), Seq: m.Seq, For: int64(m.For), Upstream: string(m.Upstream),
+			Fingerprint: uint64(m.Fingerprint), Seq: m.Seq, For: int64(m.Duration), Upstream: string(m.Upstream),
 		}}}
 	}
 	return nil
--- a/pomelomesh/encode_load.go
+++ b/pomelomesh/encode_load.go
@@ -33,13 +33,13 @@
 
 func encodeUpdate(m *pomelorelay.FleetUpdate) *pomelowire.FleetUpdate {
 	w := &pomelowire.FleetUpdate{
-		After: uint64(m.After), At: uint64(m.At), Whole: m.Whole, Forwarded: m.Forwarded, Document: m.Document,
+		After: uint64(m.After), At: uint64(m.Revision), Whole: m.Full, Forwarded: m.Forwarded, Document: m.Document,
 		Upstreams: encodeUpstreams(m.Upstreams), Routers: encodeRouters(m.Peers),
 	}
-	for _, id := range m.GoneUpstreams {
+	for _, id := range m.RemovedUpstreams {
 		w.GoneUpstreams = append(w.GoneUpstreams, string(id))
 	}
-	for _, node := range m.GonePeers {
+	for _, node := range m.RemovedPeers {
 		w.GoneRouters = append(w.GoneRouters, string(node))
 	}
 	w.Evacuated, w.Restored = encodeDomains(m.Evacuated), encodeDomains(m.Restored)
@@ -51,7 +51,7 @@
 	for _, u := range upstreams {
 		w = append(w, &pomelowire.Upstream{
 			Id: string(u.ID), Service: string(u.Service), Address: u.Addr.String(), Domain: string(u.Domain),
-			Slots: int32(u.Slots), Draining: u.Draining, Cold: encodeCold(u.ColdFor), Born: u.Born,
+			Slots: int32(u.Slots), Draining: u.Draining, Cold: encodeCold(u.ColdRemaining), Born: u.StartUnixMilli,
 		})
 	}
 	return w
@@ -66,7 +66,7 @@
 
 func encodeState(m *pomelorelay.FleetState) *pomelowire.FleetState {
 	return &pomelowire.FleetState{
-		Document: m.Document, At: uint64(m.At), Upstreams: encodeUpstreams(m.Upstreams), Routers: encodeRouters(m.Peers), Evacuated: encodeDomains(m.Evacuated),
+		Document: m.Document, At: uint64(m.Revision), Upstreams: encodeUpstreams(m.Upstreams), Routers: encodeRouters(m.Peers), Evacuated: encodeDomains(m.Evacuated),
 	}
 }
 
@@ -82,22 +82,22 @@
 	var w []*pomelowire.Router
 	for _, p := range peers {
 		w = append(w, &pomelowire.Router{
-			Node: string(p.Node), Address: p.Addr.String(), Domain: string(p.Domain), Region: string(p.Region), Power: p.Power,
+			Node: string(p.Node), Address: p.Addr.String(), Domain: string(p.Domain), Region: string(p.Region), Power: p.CPUSpeed,
 		})
 	}
 	return w
 }
 
 func encodeLoad(m *pomelorelay.LoadReport) *pomelowire.LoadReport {
-	w := &pomelowire.LoadReport{Seq: m.Seq, Whole: m.Whole}
+	w := &pomelowire.LoadReport{Seq: m.Seq, Whole: m.Full}
 	for _, u := range m.Upstreams {
 		w.Upstreams = append(w.Upstreams, &pomelowire.UpstreamLoad{
-			Upstream: string(u.Upstream), Running: u.Running, Unread: int64(u.Unread), Held: int64(u.Held), Sent: int64(u.Sent),
-			Expected: u.Expected.Milliseconds(), Took: u.Took.Milliseconds(),
+			Upstream: string(u.Upstream), Running: u.Running, Unread: int64(u.PendingPrefill), Held: int64(u.KVTokens), Sent: int64(u.PromptTokensSent),
+			Expected: u.FirstTokenExpected.Milliseconds(), Took: u.FirstTokenMeasured.Milliseconds(),
 		})
 	}
 	for _, a := range m.Accounts {
-		w.Accounts = append(w.Accounts, &pomelowire.AccountUse{Account: string(a.Account), Asked: uint64(a.Asked), Served: uint64(a.Served)})
+		w.Accounts = append(w.Accounts, &pomelowire.AccountUse{Account: string(a.Account), Asked: uint64(a.Requested), Served: uint64(a.Served)})
 	}
 	for _, p := range m.Parts {
 		w.Parts = append(w.Parts, &pomelowire.PartPlaced{Upstream: string(p.Upstream), Hash: p.Hash, Tokens: int64(p.Tokens)})
@@ -106,11 +106,11 @@
 		w.Leaving = append(w.Leaving, string(id))
 	}
 	for _, s := range m.Starts {
-		w.Starts = append(w.Starts, &pomelowire.UpstreamStart{Upstream: string(s.Upstream), Unreached: s.Unreached, Cold: s.ColdFor.Milliseconds()})
+		w.Starts = append(w.Starts, &pomelowire.UpstreamStart{Upstream: string(s.Upstream), Unreached: s.Unreachable, Cold: s.ColdRemaining.Milliseconds()})
 	}
 	for _, s := range m.Speeds {
 		w.Speeds = append(w.Speeds, &pomelowire.SpeedSums{
-			Service: string(s.Service), Answers: s.Answers, Weight: s.Weight, Read: s.Read, Took: s.Took, ReadRead: s.ReadRead, ReadTook: s.ReadTook, Beside: s.Beside, Paused: s.Paused, Copied: s.Copied, CopyTook: s.CopyTook,
+			Service: string(s.Service), Answers: s.Answers, Weight: s.WeightSum, Read: s.TokenSum, Took: s.TimeSum, ReadRead: s.TokenSquareSum, ReadTook: s.TokenTimeSum, Beside: s.DuringPrefill, Paused: s.Stalled, Copied: s.CopiedTokens, CopyTook: s.CopyTimeTokens,
 		})
 	}
 	return w
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -144,8 +144,8 @@
 	near.SetPeers([]pomelorelay.Peer{peerOf("r2", far.Addr())})
 	send(t, near, "r2", &pomelorelay.Probe{})
 	receive(t, far)
-	before := far.Traffic()[pomelorelay.LinkDomain].Received
-	eventually(t, "pings", func() bool { return far.Traffic()[pomelorelay.LinkDomain].Received > before+400 })
+	before := far.Traffic()[pomelorelay.LinkSameDomain].Received
+	eventually(t, "pings", func() bool { return far.Traffic()[pomelorelay.LinkSameDomain].Received > before+400 })
 	if c := near.Counters(); c.Broken != 0 || c.Links != 1 || c.Dialled != 1 {
 		t.Errorf("%+v", c)
 	}
@@ -164,7 +164,7 @@
 	eventually(t, "closed", func() bool { return near.Counters().Links == 0 && far.Counters().Links == 0 })
 	send(t, near, "r2", &pomelorelay.Probe{Seq: 2})
 	receive(t, far)
-	if near.Traffic()[pomelorelay.LinkRegion].Sent == 0 {
+	if near.Traffic()[pomelorelay.LinkSameRegion].Sent == 0 {
 		t.Errorf("%+v", near.Traffic())
 	}
 }
--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -163,10 +163,10 @@
 func (m *Mesh) classOf(info pomelorelay.Peer) pomelorelay.LinkClass {
 	switch {
 	case info.Domain == m.cfg.Self.Domain:
-		return pomelorelay.LinkDomain
+		return pomelorelay.LinkSameDomain
 	case info.Region == m.cfg.Self.Region:
-		return pomelorelay.LinkRegion
+		return pomelorelay.LinkSameRegion
 	default:
-		return pomelorelay.LinkCross
+		return pomelorelay.LinkCrossRegion
 	}
 }
--- a/pomelomesh/kinds.go
+++ b/pomelomesh/kinds.go
@@ -30,8 +30,8 @@
 	k[kind].bytes.Add(uint64(len(data)))
 }
 
-// Kinds returns what was sent since the start by kind of message; operators see by it what the byte budget goes on.
-func (m *Mesh) Kinds() map[string]KindCount {
+// SentByKind returns what was sent since the start by kind of message; operators see by it what the byte budget goes on.
+func (m *Mesh) SentByKind() map[string]KindCount {
 	fields := (&pomelowire.Item{}).ProtoReflect().Descriptor().Fields()
 	kinds := make(map[string]KindCount)
 	for i := range fields.Len() {
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -29,7 +29,7 @@
 	listener   *countedListener
 	server     *grpc.Server
 	inbox      chan pomelorelay.Envelope
-	budgets    [pomelorelay.LinkClasses]*budget
+	budgets    [pomelorelay.LinkClassCount]*budget
 	generation atomic.Uint64
 	counters   counters
 	kinds      kindCounters
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	for class := range m.budgets {
-		m.budgets[class] = newBudget(cfg.Budget[class], time.Now())
+		m.budgets[class] = newBudget(cfg.BytesPerSecond[class], time.Now())
 	}
 	listener, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
@@ -170,8 +170,8 @@
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
 // Traffic returns the bytes counted by link class since the start.
-func (m *Mesh) Traffic() [pomelorelay.LinkClasses]pomelorelay.LinkBytes {
-	var traffic [pomelorelay.LinkClasses]pomelorelay.LinkBytes
+func (m *Mesh) Traffic() [pomelorelay.LinkClassCount]pomelorelay.LinkBytes {
+	var traffic [pomelorelay.LinkClassCount]pomelorelay.LinkBytes
 	for class, b := range m.budgets {
 		traffic[class].Sent = pomelorelay.Bytes(b.written.Load())
 		traffic[class].Received = pomelorelay.Bytes(b.read.Load())
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -89,7 +89,7 @@
 	if dialled := b.Counters().Dialled; dialled != 0 {
 		t.Errorf("the answer took %d links of its own", dialled)
 	}
-	if a.Traffic()[pomelorelay.LinkDomain].Sent == 0 || b.Traffic()[pomelorelay.LinkDomain].Received != a.Traffic()[pomelorelay.LinkDomain].Sent {
+	if a.Traffic()[pomelorelay.LinkSameDomain].Sent == 0 || b.Traffic()[pomelorelay.LinkSameDomain].Received != a.Traffic()[pomelorelay.LinkSameDomain].Sent {
 		t.Errorf("bytes: %+v %+v", a.Traffic(), b.Traffic())
 	}
 }
@@ -182,7 +182,7 @@
 func TestOverBudgetTheUrgentLeaveAndTheRestCoalesce(t *testing.T) {
 	// Every account becomes active at once and digests outgrow what a link may carry; grants must not wait behind them.
 	cfg := config("r1", 1)
-	cfg.Budget[pomelorelay.LinkDomain] = 4000
+	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	const totals, demands, grants = 400, 200, 50
@@ -239,7 +239,7 @@
 	// A loaded router's grants alone use more than its byte budget. If no digest left then, the others would take it for dead and
 	// take over its jobs, again and again, while it works.
 	cfg := config("r1", 1)
-	cfg.Budget[pomelorelay.LinkDomain] = 8000
+	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 8000
 	a, b := start(t, cfg), start(t, config("r2", 1))
 	a.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	const grants = 4000
--- a/pomelomesh/peer.go
+++ b/pomelomesh/peer.go
@@ -239,7 +239,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
-		if l.expired(now, l.class == pomelorelay.LinkDomain && (l == p.sending || len(p.links) == 1)) {
+		if l.expired(now, l.class == pomelorelay.LinkSameDomain && (l == p.sending || len(p.links) == 1)) {
 			l.cancel()
 		}
 		if l.owes(now) {
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -2,7 +2,7 @@
 
 import "github.com/pomelorelay/pomelorelay"
 
-const urgencies = int(pomelorelay.UrgencyLater) + 1
+const urgencies = int(pomelorelay.UrgencyLow) + 1
 
 // maxBatchBytes is the size at which a frame is closed; one larger message has a frame of its own.
 const maxBatchBytes = 32 << 10
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -187,9 +187,9 @@
 	case pomelolink.OutcomeNotSent:
 		state = pomelorelay.GrantReturned
 		if e.r.Code == pomelorelay.CodeUpstreamUnreached {
-			state = pomelorelay.GrantUnreached
+			state = pomelorelay.GrantUpstreamUnreachable
 		}
-	case pomelolink.OutcomeCutShort, pomelolink.OutcomeUnknown:
+	case pomelolink.OutcomeTruncated, pomelolink.OutcomeUnknown:
 		state = pomelorelay.GrantFailed
 	}
 	c.settle(now, e.t.grant, e.t.waiter.request.Pool, pomeloslot.Settlement{State: state, FirstToken: e.r.FirstToken, TokenGap: e.r.TokenGap})
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -52,10 +52,10 @@
 		Seeds:       seedPeers(n.cfg.Settings.Seeds),
 		Seed:        uint64(n.incarnation),
 		Options: pomelomember.Options{
-			DigestEvery:      s.DigestInterval,
-			DigestsPerSecond: pomeloconfig.MessagesPerSecond,
-			ProbeWait:        s.ProbeWait,
-			SuspectFor:       s.SuspectFor,
+			DigestInterval:      s.DigestInterval,
+			MaxDigestsPerSecond: pomeloconfig.MaxPeriodicMessagesPerSecond,
+			ProbeTimeout:        s.ProbeWait,
+			SuspicionTimeout:       s.SuspectFor,
 		},
 	})
 	c.members = c.view.Snapshot()
@@ -76,8 +76,8 @@
 		Regions: c.regions,
 		Seed:    uint64(n.incarnation),
 	})
-	c.spreader = pomeloconfig.NewSpreader(pomeloconfig.SpreaderConfig{
-		PullWait: s.ConfigPull,
+	c.spreader = pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{
+		PullTimeout: s.ConfigPull,
 		Seed:     uint64(n.incarnation),
 		Logger:   n.cfg.Logger,
 	})
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -22,7 +22,7 @@
 type rootRead struct{ data []byte }
 
 func (e rootRead) apply(c *control, now time.Time) {
-	c.spreader.Stored(now, e.data)
+	c.spreader.HandleStoredRoot(now, e.data)
 	c.compile()
 }
 
@@ -30,13 +30,13 @@
 type partRead struct{ data []byte }
 
 func (e partRead) apply(c *control, now time.Time) {
-	c.spreader.StoredPart(now, e.data)
+	c.spreader.HandleStoredPart(now, e.data)
 	c.compile()
 }
 
 // fetchConfig reads from the store what the spreader wants.
 func (c *control) fetchConfig(now time.Time) {
-	wants := c.spreader.StoreWants(now)
+	wants := c.spreader.PendingStoreReads(now)
 	if wants.Root {
 		c.n.readRoot()
 	}
@@ -76,10 +76,10 @@
 
 func (e compiled) apply(c *control, now time.Time) {
 	if e.err != nil {
-		c.out = c.spreader.Refused(e.generation, pomelorelay.CodeOf(e.err), c.out)
+		c.out = c.spreader.MarkRefused(e.generation, pomelorelay.CodeOf(e.err), c.out)
 		return
 	}
-	c.spreader.InForce(e.generation)
+	c.spreader.MarkInForce(e.generation)
 	if c.spreader.Generation() != e.generation {
 		c.compiling = 0
 		c.compile()
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -41,7 +41,7 @@
 	claimAsker *pomeloclaim.Requester
 	table      *pomeloquarantine.Table
 	arbiter    *pomeloquarantine.Arbiter
-	spreader   *pomeloconfig.Spreader
+	spreader   *pomeloconfig.Syncer
 
 	snapshot  *pomeloconfig.Snapshot
 	compiling pomelorelay.Generation
@@ -187,7 +187,7 @@
 }
 
 func (c *control) tickLedger(now time.Time) {
-	every := pomeloconfig.Pace(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
+	every := pomeloconfig.PeriodicInterval(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
 	if now.Sub(c.ledgerAt) >= every {
 		c.ledgerAt = now
 		c.reporter.SetInterval(every)
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -18,7 +18,7 @@
 	if !e.asked.Before(c.unsureSince) {
 		c.unsureSince = time.Time{}
 	}
-	c.out = c.view.Hosts(now, e.hosts, c.out)
+	c.out = c.view.SetHosts(now, e.hosts, c.out)
 	c.n.mesh.SetPeers(c.view.Peers(nil))
 	leaving := leavingOf(e.hosts)
 	for id := range leaving {
@@ -98,7 +98,7 @@
 // name: a newcomer gets no digests before its address is known, and would serve nobody until then.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
-	timer := time.NewTimer(list.Pace(n.status.Load().members) - list.Interval)
+	timer := time.NewTimer(list.ReadInterval(n.status.Load().members) - list.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -32,7 +32,7 @@
 // placeJobs computes anew which shared jobs this router does.
 func (c *control) placeJobs(now time.Time) {
 	c.members = c.view.Snapshot()
-	c.reachable = c.view.Reachable(now, c.reachable[:0])
+	c.reachable = c.view.ReachableDomains(now, c.reachable[:0])
 	c.n.mesh.SetPeers(c.view.Peers(nil))
 	c.jobs.peers = c.allMembers()
 	c.spreader.SetPeers(c.others())
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -10,7 +10,7 @@
 
 // takeChanges follows routers that came and went.
 func (c *control) takeChanges(now time.Time) {
-	c.changes = c.view.Changes(c.changes[:0])
+	c.changes = c.view.TakeChanges(c.changes[:0])
 	if len(c.changes) == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 
 // takeReach follows failure domains that were lost or found again.
 func (c *control) takeReach(now time.Time) {
-	c.reachNow = c.view.Reachable(now, c.reachNow[:0])
+	c.reachNow = c.view.ReachableDomains(now, c.reachNow[:0])
 	if slices.Equal(c.reachNow, c.reachable) {
 		return
 	}
--- a/pomelonode/node.go
+++ b/pomelonode/node.go
@@ -172,7 +172,7 @@
 		Listen:   s.Listen.Control,
 		TLS:      pomelomesh.TLSFiles{Certificate: s.TLS.CertFile, Key: s.TLS.KeyFile, Authority: s.TLS.AuthorityFile},
 		Insecure: s.TLS.Insecure,
-		Budget:   [pomelorelay.LinkClasses]pomelorelay.Bytes{s.Control.DomainBytes, s.Control.RegionBytes, s.Control.CrossBytes},
+		BytesPerSecond:   [pomelorelay.LinkClassCount]pomelorelay.Bytes{s.Control.DomainBytes, s.Control.RegionBytes, s.Control.CrossBytes},
 		Seed:     uint64(n.incarnation),
 		Logger:   n.cfg.Logger,
 	})
--- a/pomelonode/operator.go
+++ b/pomelonode/operator.go
@@ -125,18 +125,18 @@
 		HostReadsFailed: n.counters.hostReadsFailed.Load(),
 		RefusedStopping: n.counters.refusedStopping.Load(),
 		ControlBytes: controlBytes{
-			DomainSent:     t[pomelorelay.LinkDomain].Sent,
-			DomainReceived: t[pomelorelay.LinkDomain].Received,
-			RegionSent:     t[pomelorelay.LinkRegion].Sent,
-			RegionReceived: t[pomelorelay.LinkRegion].Received,
-			CrossSent:      t[pomelorelay.LinkCross].Sent,
-			CrossReceived:  t[pomelorelay.LinkCross].Received,
+			DomainSent:     t[pomelorelay.LinkSameDomain].Sent,
+			DomainReceived: t[pomelorelay.LinkSameDomain].Received,
+			RegionSent:     t[pomelorelay.LinkSameRegion].Sent,
+			RegionReceived: t[pomelorelay.LinkSameRegion].Received,
+			CrossSent:      t[pomelorelay.LinkCrossRegion].Sent,
+			CrossReceived:  t[pomelorelay.LinkCrossRegion].Received,
 		},
 	}
 	if m, ok := n.mesh.(*pomelomesh.Mesh); ok {
 		counters := m.Counters()
 		f.Mesh = &counters
-		f.Sent = m.Kinds()
+		f.Sent = m.SentByKind()
 	}
 	if s, ok := n.cfg.Store.(*pomelostore.Client); ok {
 		f.Store = json.RawMessage(s.Stats().Var().String())
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -9,9 +9,9 @@
 // receive hands a message to the part that it is for.
 func (c *control) receive(now time.Time, e pomelorelay.Envelope) {
 	if e.From != c.n.self.Node {
-		c.view.Heard(now, e.From, e.Incarnation)
+		c.view.RecordMessage(now, e.From, e.Incarnation)
 		c.generations[e.From] = max(c.generations[e.From], e.Generation)
-		c.out = c.spreader.Seen(now, e.From, e.Generation, c.out)
+		c.out = c.spreader.HandleGeneration(now, e.From, e.Generation, c.out)
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
@@ -37,11 +37,11 @@
 	case *pomelorelay.Digest:
 		c.digest(now, e, m)
 	case *pomelorelay.Probe:
-		c.out = c.view.Probe(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.view.HandleProbe(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.ProbeAck:
-		c.out = c.view.ProbeAck(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.view.HandleProbeAck(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.Farewell:
-		c.out = c.view.Farewell(now, e.From, e.Incarnation, m, c.out)
+		c.out = c.view.HandleFarewell(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.LedgerReport:
 		c.out = c.ledger.HandleReport(now, e.From, e.Incarnation, m, c.out)
 	case *pomelorelay.LedgerTotals:
@@ -53,12 +53,12 @@
 	case *pomelorelay.LedgerComponentQuery:
 		c.out = c.ledger.HandleComponentQuery(now, e.From, m, c.out)
 	case *pomelorelay.ConfigPull:
-		c.out = c.spreader.Pull(now, e.From, m, c.out)
+		c.out = c.spreader.HandlePull(now, e.From, m, c.out)
 	case *pomelorelay.ConfigPush:
-		c.out = c.spreader.Push(now, e.From, m, c.out)
+		c.out = c.spreader.HandlePush(now, e.From, m, c.out)
 		c.compile()
 	case *pomelorelay.ConfigApplied:
-		c.spreader.Applied(now, e.From, m)
+		c.spreader.HandleApplied(now, e.From, m)
 	default:
 		c.receiveGuards(now, e)
 	}
@@ -90,8 +90,8 @@
 }
 
 func (c *control) digest(now time.Time, e pomelorelay.Envelope, m *pomelorelay.Digest) {
-	c.out = c.view.Digest(now, e.From, e.Incarnation, m, c.out)
-	if !c.view.Located(e.From) {
+	c.out = c.view.HandleDigest(now, e.From, e.Incarnation, m, c.out)
+	if !c.view.AddressKnown(e.From) {
 		c.n.wantHosts()
 	}
 	c.asker.UpdateDigests(now, m.Slots)
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -52,7 +52,7 @@
 	for _, r := range routes {
 		for _, s := range r.Shares {
 			e := all[s.Service]
-			e.target, e.maxPause = minNonZero(e.target, r.Target), minNonZero(e.maxPause, r.Pause)
+			e.target, e.maxPause = minNonZero(e.target, r.TargetLatency), minNonZero(e.maxPause, r.MaxEventGap)
 			all[s.Service] = e
 		}
 	}
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -33,7 +33,7 @@
 	p := pomeloplace.New(pomeloplace.Config{
 		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Disabled: disabled,
 	})
-	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}}}})
+	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}}}})
 	for i := range perDomain {
 		for _, domain := range []pomelorelay.DomainID{"a", "b"} {
 			p.PutUpstream(start, engineIn(pomelorelay.UpstreamID(fmt.Sprintf("%s%d", domain, i)), domain))
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -45,7 +45,7 @@
 	s := newSimulation(1, 33, 56)
 	s.slots, s.eventTokens, s.reportDelay, s.sessionFactor, s.overShare = 16, 11, 110*time.Millisecond, 5, 0.5
 	for _, r := range s.routers {
-		r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 16, Memory: 386_234, EventTokens: 11}}}})
+		r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 16, KVCapacity: 386_234, TokensPerEvent: 11}}}})
 	}
 	s.run(1000, 8*time.Second)
 	got := float64(s.inShareOnTime) / float64(s.inShareRequested)
@@ -188,7 +188,7 @@
 		s := newSimulation(seed+1, 13, 30)
 		s.slots, s.eventTokens, s.reportDelay, s.sessionFactor = 32, 10, 50*time.Millisecond, 3
 		for _, r := range s.routers {
-			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, Memory: 632_306, EventTokens: 10}}}})
+			r.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 32, KVCapacity: 632_306, TokensPerEvent: 10}}}})
 		}
 		s.run(430, 20*time.Second)
 		t.Logf("%s; late first tokens %d", s, s.lateFirstTokens)
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -196,7 +196,7 @@
 		return 0
 	}
 	cost := shortOnLongEngineCost
-	if r.OutputTokens >= minStreamEvents*max(1, u.engine.EventTokens) {
+	if r.OutputTokens >= minStreamEvents*max(1, u.engine.TokensPerEvent) {
 		cost = streamOnLongEngineCost
 	}
 	return scale(u.pool.pauseWeight, cost)
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -17,7 +17,7 @@
 )
 
 // routes defines the callers' latency targets.
-var routes = []pomelorelay.Route{{Target: 400 * time.Millisecond, Pause: maxPause, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
+var routes = []pomelorelay.Route{{TargetLatency: 400 * time.Millisecond, MaxEventGap: maxPause, Shares: []pomelorelay.RouteShare{{Service: engines, Weight: 1}}}}
 
 const maxPause = 400 * time.Millisecond
 
@@ -27,7 +27,7 @@
 		Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "rb"},
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{
-		{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}},
+		{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}},
 		{Name: plain},
 	}})
 	return p
@@ -158,13 +158,13 @@
 func TestOverShareRequestsDoNotRecomputeCachedParts(t *testing.T) {
 	p := withEngines(2)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, PendingPrefill: 90_000, PromptTokensSent: 90_000}}})
 	overShare := func(shared uint64, tokens pomelorelay.Tokens) pomeloplace.Request {
 		r := prompt(shared, tokens, 100)
 		r.WithinShare = false
 		return r
 	}
-	slowCopies := pomelorelay.SpeedSums{Service: engines, Copied: 1e6, CopyTook: 100e6}
+	slowCopies := pomelorelay.SpeedSums{Service: engines, CopiedTokens: 1e6, CopyTimeTokens: 100e6}
 	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 2, Speeds: []pomelorelay.SpeedSums{slowCopies}})
 	if d := p.Place(start, overShare(1, 5000)); d.Reason != pomeloplace.ReasonOverShare {
 		t.Errorf("reason %q at %s with %d uncached shared tokens, want Share", d.Reason, d.Upstream.ID, d.UncachedShared)
@@ -182,7 +182,7 @@
 func TestPrefixIsCopiedFromOverloadedEngine(t *testing.T) {
 	p := withEngines(3)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
-	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, Unread: 90_000, Sent: 90_000}}})
+	p.ApplyReport(start, "r2", 1, &pomelorelay.LoadReport{Seq: 1, Upstreams: []pomelorelay.UpstreamLoad{{Upstream: holder, Running: 60, PendingPrefill: 90_000, PromptTokensSent: 90_000}}})
 	d := place(t, p, start, prompt(1, 5000, 200))
 	if d.Upstream.ID == holder || d.CopyFrom.ID != holder || d.CopiedTokens != 5000 || d.UncachedShared != 0 {
 		t.Errorf("sent to %s with %d tokens copied from %q and %d uncached shared tokens", d.Upstream.ID, d.CopiedTokens, d.CopyFrom.ID, d.UncachedShared)
@@ -237,7 +237,7 @@
 		t.Errorf("%d uncached shared tokens at an upstream that was only unlisted, want 0", d.UncachedShared)
 	}
 	restarted := engine("e0")
-	restarted.Born = 5
+	restarted.StartUnixMilli = 5
 	p.PutUpstream(start, restarted)
 	if d := place(t, p, start.Add(2*time.Second), prompt(1, 5000, 300)); d.UncachedShared != 5000 || d.Running > 1 {
 		t.Errorf("%d uncached shared tokens and %d running requests at a restarted upstream, want 5000 and at most 1", d.UncachedShared, d.Running)
@@ -263,7 +263,7 @@
 	a.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
 	var lost pomelorelay.LoadReport
 	a.FillReport(&lost)
-	full := pomelorelay.LoadReport{Whole: true}
+	full := pomelorelay.LoadReport{Full: true}
 	a.FillReport(&full)
 	b.ApplyReport(start, "a", 1, &full)
 	if n := running(start); n != 0 {
@@ -282,8 +282,8 @@
 	if d := p.Place(start, prompt(1, 500, 10)); d.ReportAge != 0 {
 		t.Errorf("report age %v, want 0 without any report", d.ReportAge)
 	}
-	p.ApplyReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
-	p.ApplyReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Whole: true})
+	p.ApplyReport(start, "r1", 1, &pomelorelay.LoadReport{Seq: 1, Full: true})
+	p.ApplyReport(start.Add(time.Second), "r2", 1, &pomelorelay.LoadReport{Seq: 1, Full: true})
 	at := start.Add(1200 * time.Millisecond)
 	p.Tick(at)
 	if d := p.Place(at, prompt(1, 500, 10)); d.ReportAge != 1200*time.Millisecond {
@@ -339,7 +339,7 @@
 // fewSlots returns a placer with one engine of twelve slots.
 func fewSlots() *pomeloplace.Placer {
 	p := withEngines(1)
-	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, Memory: 500_000, EventTokens: 18}}}})
+	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 12, KVCapacity: 500_000, TokensPerEvent: 18}}}})
 	return p
 }
 
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -153,7 +153,7 @@
 
 // sameInstance reports whether the entry describes the same instance of the upstream, without a restart.
 func (u *upstream) sameInstance(info pomelorelay.FleetUpstream) bool {
-	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.Born == info.Born || info.Born == 0)
+	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.StartUnixMilli == info.StartUnixMilli || info.StartUnixMilli == 0)
 }
 
 // maxRemoved limits the number of removed upstreams that are remembered.
@@ -208,7 +208,7 @@
 	} else if p.onlyEvacuated(r) {
 		d.Reason, d.RetryAfter = ReasonEvacuated, evacuatedRetryAfter
 	}
-	if r.Residency.Limited {
+	if r.Residency.Restricted {
 		d.Reason, d.Cause = ReasonNoUpstreamInRegion, d.Reason
 	}
 	return d
@@ -397,7 +397,7 @@
 		u.domain.recordHang(now, run.sent, u.info.ID)
 	}
 	if (!timedOut || p.lastAnswerAt.After(run.sent)) && u.warmup.RecordConnectFailure(now) {
-		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreached: true})
+		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, Unreachable: true})
 	}
 }
 
@@ -407,7 +407,7 @@
 	run.up.domain.recordAnswer(now)
 	u := run.up
 	if remaining, changed := u.warmup.RecordAnswer(now, run.sent); changed {
-		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdFor: remaining})
+		p.pendingStarts = append(p.pendingStarts, pomelorelay.UpstreamStart{Upstream: u.info.ID, ColdRemaining: remaining})
 	}
 }
 
@@ -417,10 +417,10 @@
 		u := p.upstreams[s.Upstream]
 		switch {
 		case u == nil:
-		case s.Unreached:
+		case s.Unreachable:
 			u.warmup.MarkSuspect(now)
 		default:
-			u.warmup.MarkCold(now, s.ColdFor)
+			u.warmup.MarkCold(now, s.ColdRemaining)
 		}
 	}
 }
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -21,23 +21,23 @@
 	p.tokensSinceReport = 0
 	m.Seq = p.seq
 	for name, s := range p.pools {
-		if sums := s.speed.LocalSums(); s.speedReportDue(sums.Answers) || (m.Whole && sums.Answers > 0) {
+		if sums := s.speed.LocalSums(); s.speedReportDue(sums.Answers) || (m.Full && sums.Answers > 0) {
 			s.reportedAnswers = sums.Answers
 			sums.Service = name
 			pauses := s.pauseRatio.LocalSums()
-			sums.Beside, sums.Paused = pauses.Denominator, pauses.Numerator
+			sums.DuringPrefill, sums.Stalled = pauses.Denominator, pauses.Numerator
 			copies := s.copyRatio.LocalSums()
-			sums.Copied, sums.CopyTook = copies.Denominator, copies.Numerator
+			sums.CopiedTokens, sums.CopyTimeTokens = copies.Denominator, copies.Numerator
 			m.Speeds = append(m.Speeds, sums)
 		}
 		for _, u := range s.upstreams {
-			if !u.changed && (!m.Whole || u.own == (load{})) {
+			if !u.changed && (!m.Full || u.own == (load{})) {
 				continue
 			}
 			u.changed = false
 			m.Upstreams = append(m.Upstreams, pomelorelay.UpstreamLoad{
-				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), Unread: max(0, u.own.pendingPrefill), Held: max(0, u.own.memoryTokens), Sent: u.own.sent,
-				Expected: u.own.expectedSum, Took: u.own.measuredSum,
+				Upstream: u.info.ID, Running: uint32(max(0, u.own.running)), PendingPrefill: max(0, u.own.pendingPrefill), KVTokens: max(0, u.own.memoryTokens), PromptTokensSent: u.own.sent,
+				FirstTokenExpected: u.own.expectedSum, FirstTokenMeasured: u.own.measuredSum,
 			})
 		}
 	}
@@ -84,10 +84,10 @@
 		before := o.loads[l.Upstream]
 		p.applyLoad(now, o, l)
 		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Disabled.RemoteCacheUse {
-			u.cache.addUnidentified(l.Sent - before.sent - identified[l.Upstream])
+			u.cache.addUnidentified(l.PromptTokensSent - before.sent - identified[l.Upstream])
 		}
 	}
-	if m.Whole {
+	if m.Full {
 		p.clearUnlistedLoads(now, o, m)
 	}
 }
@@ -117,7 +117,7 @@
 	}
 	for id, l := range o.loads {
 		if !listed[id] && l.running != 0 {
-			p.applyLoad(now, o, pomelorelay.UpstreamLoad{Upstream: id, Sent: l.sent, Expected: l.expectedSum, Took: l.measuredSum})
+			p.applyLoad(now, o, pomelorelay.UpstreamLoad{Upstream: id, PromptTokensSent: l.sent, FirstTokenExpected: l.expectedSum, FirstTokenMeasured: l.measuredSum})
 		}
 	}
 }
@@ -138,15 +138,15 @@
 }
 
 func pauseSums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
-	return pomelospeed.RatioSums{Numerator: s.Paused, Denominator: s.Beside}
+	return pomelospeed.RatioSums{Numerator: s.Stalled, Denominator: s.DuringPrefill}
 }
 
 func copySums(s pomelorelay.SpeedSums) pomelospeed.RatioSums {
-	return pomelospeed.RatioSums{Numerator: s.CopyTook, Denominator: s.Copied}
+	return pomelospeed.RatioSums{Numerator: s.CopyTimeTokens, Denominator: s.CopiedTokens}
 }
 
 func (p *Placer) applyLoad(now time.Time, o *peer, l pomelorelay.UpstreamLoad) {
-	next := load{running: int(l.Running), pendingPrefill: l.Unread, memoryTokens: l.Held, sent: l.Sent, expectedSum: l.Expected, measuredSum: l.Took}
+	next := load{running: int(l.Running), pendingPrefill: l.PendingPrefill, memoryTokens: l.KVTokens, sent: l.PromptTokensSent, expectedSum: l.FirstTokenExpected, measuredSum: l.FirstTokenMeasured}
 	before, known := o.loads[l.Upstream]
 	o.loads[l.Upstream] = next
 	u := p.lookUp(l.Upstream)
--- a/pomeloplace/residency_test.go
+++ b/pomeloplace/residency_test.go
@@ -10,7 +10,7 @@
 )
 
 func limitedTo(r pomeloplace.Request, regions ...pomelorelay.RegionID) pomeloplace.Request {
-	r.Residency = pomelorelay.Residency{Limited: true, Regions: regions}
+	r.Residency = pomelorelay.Residency{Restricted: true, Regions: regions}
 	return r
 }
 
--- a/pomeloplace/simulation_test.go
+++ b/pomeloplace/simulation_test.go
@@ -215,7 +215,7 @@
 
 func (s *simulation) sendReports(whole bool) {
 	for i, router := range s.routers {
-		m := &pomelorelay.LoadReport{Whole: whole}
+		m := &pomelorelay.LoadReport{Full: whole}
 		router.FillReport(m)
 		router.Tick(s.now)
 		s.inTransit = append(s.inTransit, reportInTransit{arrivesAt: s.now.Add(s.reportDelay), from: i, m: m})
--- a/pomeloplace/speed_test.go
+++ b/pomeloplace/speed_test.go
@@ -32,8 +32,8 @@
 	const rate = 25.0
 	running, started := withEngines(4), withEngines(4)
 	prefillAtRate(t, running, rate)
-	running.FillReport(&pomelorelay.LoadReport{Whole: true})
-	m := pomelorelay.LoadReport{Whole: true}
+	running.FillReport(&pomelorelay.LoadReport{Full: true})
+	m := pomelorelay.LoadReport{Full: true}
 	running.FillReport(&m)
 	started.ApplyReport(start, "old", 1, &m)
 	if got := speedOf(t, started); math.Abs(float64(got.PrefillRate)/rate-1) > 0.1 {
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -69,7 +69,7 @@
 func (u *upstream) setEngine(engine *pomelorelay.EngineSpec) {
 	u.engine = engine
 	if engine != nil {
-		u.cache.capacity = engine.Memory
+		u.cache.capacity = engine.KVCapacity
 	}
 }
 
@@ -220,9 +220,9 @@
 
 // memoryFull reports whether the request would overfill the engine's memory together with those already running.
 func (u *upstream) memoryFull(tokens pomelorelay.Tokens) bool {
-	if u.engine == nil || u.engine.Memory <= 0 {
+	if u.engine == nil || u.engine.KVCapacity <= 0 {
 		return false
 	}
 	used := u.own.memoryTokens + u.others.memoryTokens
-	return used > 0 && float64(used+tokens) > maxMemoryFraction*float64(u.engine.Memory)
+	return used > 0 && float64(used+tokens) > maxMemoryFraction*float64(u.engine.KVCapacity)
 }
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -29,7 +29,7 @@
 		Self: own, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "rb"}, ColdBounds: pomelorelay.ColdBounds{Ratio: 1.5, Slack: 5},
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{
-		{Name: engines, ColdFor: coldFor, ColdRate: coldRate, Engine: &pomelorelay.EngineSpec{Slots: 64, Memory: 500_000, EventTokens: 7}},
+		{Name: engines, ColdPeriod: coldFor, ColdRate: coldRate, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}},
 	}})
 	p.SetRouters(others)
 	for _, u := range listed {
@@ -40,7 +40,7 @@
 
 func coldEngine(id pomelorelay.UpstreamID, remaining time.Duration) pomelorelay.FleetUpstream {
 	u := engine(id)
-	u.ColdFor = remaining
+	u.ColdRemaining = remaining
 	return u
 }
 
@@ -106,7 +106,7 @@
 	}
 	var m pomelorelay.LoadReport
 	near.FillReport(&m)
-	if len(m.Starts) != 1 || !m.Starts[0].Unreached || m.Starts[0].Upstream != "e1" {
+	if len(m.Starts) != 1 || !m.Starts[0].Unreachable || m.Starts[0].Upstream != "e1" {
 		t.Fatalf("%+v", m.Starts)
 	}
 	other.ApplyReport(now, "r1", 1, &m)
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -166,7 +166,7 @@
 	}
 	h.crash(3, 1, "u3")
 	h.crash(4, 1, "u4")
-	late := &pomelorelay.QuarantineNotice{Fingerprint: 1, Seq: uint64(h.now.UnixNano()), For: time.Minute}
+	late := &pomelorelay.QuarantineNotice{Fingerprint: 1, Seq: uint64(h.now.UnixNano()), Duration: time.Minute}
 	h.now = h.now.Add(time.Second)
 	h.table.Lift(h.now, 1, &h.out)
 	h.table.HandleQuarantineNotice(h.now, late, &h.out)
@@ -271,7 +271,7 @@
 	for n := range 500 {
 		p := pomelorelay.Fingerprint(n)
 		h.table.HandleSuspectNotice(h.now, &pomelorelay.SuspectNotice{Upstream: pomelorelay.UpstreamID(fmt.Sprint(n)), Fingerprints: []pomelorelay.Fingerprint{p}}, &h.out)
-		h.table.HandleQuarantineNotice(h.now, &pomelorelay.QuarantineNotice{Fingerprint: p + 1000, Seq: uint64(n + 1), For: time.Minute}, &h.out)
+		h.table.HandleQuarantineNotice(h.now, &pomelorelay.QuarantineNotice{Fingerprint: p + 1000, Seq: uint64(n + 1), Duration: time.Minute}, &h.out)
 	}
 	suspects := 0
 	for n := range 500 {
--- a/pomeloquarantine/snapshot.go
+++ b/pomeloquarantine/snapshot.go
@@ -71,7 +71,7 @@
 		}
 		m := &pomelorelay.QuarantineNotice{Fingerprint: f, Seq: q.seq}
 		if !q.lifted {
-			m.For = q.until.Sub(now)
+			m.Duration = q.until.Sub(now)
 		}
 		out.send(node, m)
 	}
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -123,7 +123,7 @@
 	t.crashCount++
 	fingerprints = sortUnique(fingerprints)
 	t.addSuspects(now, run.Upstream, fingerprints, out)
-	t.broadcast(&pomelorelay.SuspectNotice{Upstream: run.Upstream, Crash: t.crashCount, Fingerprints: fingerprints}, out)
+	t.broadcast(&pomelorelay.SuspectNotice{Upstream: run.Upstream, CrashSeq: t.crashCount, Fingerprints: fingerprints}, out)
 	t.cfg.Logger.Log(pomelorelay.EventSuspects, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "Suspects", Value: len(fingerprints)})
 }
 
@@ -141,7 +141,7 @@
 func (t *Table) quarantineRun(now time.Time, run Run, out *Output) {
 	d := run.QuarantineFor
 	setDefaultDuration(&d, t.cfg.QuarantineFor)
-	m := &pomelorelay.QuarantineNotice{Fingerprint: run.Fingerprint, Seq: uint64(now.UnixNano()), For: d, Upstream: run.Upstream}
+	m := &pomelorelay.QuarantineNotice{Fingerprint: run.Fingerprint, Seq: uint64(now.UnixNano()), Duration: d, Upstream: run.Upstream}
 	t.HandleQuarantineNotice(now, m, out)
 	t.broadcast(m, out)
 	t.cfg.Logger.Log(pomelorelay.EventQuarantined, pomelorelay.Field{Key: "Fingerprint", Value: run.Fingerprint}, pomelorelay.Field{Key: "Upstream", Value: run.Upstream}, pomelorelay.Field{Key: "For", Value: d})
@@ -195,14 +195,14 @@
 		delete(t.quarantined, t.soonestExpiringQuarantine())
 	}
 	t.snapshot = nil
-	if m.For <= 0 {
+	if m.Duration <= 0 {
 		t.quarantined[m.Fingerprint] = quarantineEntry{seq: m.Seq, until: now.Add(t.cfg.QuarantineFor), lifted: true}
 		return
 	}
-	t.quarantined[m.Fingerprint] = quarantineEntry{seq: m.Seq, until: now.Add(m.For)}
+	t.quarantined[m.Fingerprint] = quarantineEntry{seq: m.Seq, until: now.Add(m.Duration)}
 	delete(t.suspects, m.Fingerprint)
 	t.clearCrashSuspects(now, m.Upstream)
-	t.refuseWaiting(m.Fingerprint, m.For, out)
+	t.refuseWaiting(m.Fingerprint, m.Duration, out)
 }
 
 // clearCrashSuspects removes the suspects of a crash that has been attributed to another request.
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -55,7 +55,7 @@
 }
 
 func (r rules) residency(route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
-	return r.routes[route].And(r.accounts[account])
+	return r.routes[route].Intersect(r.accounts[account])
 }
 
 // Residency returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change both versions
@@ -65,7 +65,7 @@
 	if !now.Before(p.previousEnds) {
 		return current
 	}
-	if both := current.And(p.previous.residency(route, account)); !both.Empty() {
+	if both := current.Intersect(p.previous.residency(route, account)); !both.Empty() {
 		return both
 	}
 	return current
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -113,7 +113,7 @@
 		return
 	}
 	for _, e := range entries {
-		current := usage{requested: e.Asked, served: e.Served}
+		current := usage{requested: e.Requested, served: e.Served}
 		previous := p.reported[e.Account]
 		p.reported[e.Account] = current
 		// A router in its first window has no earlier sums of its peers: the first report is the baseline of the next ones.
@@ -128,7 +128,7 @@
 func (s *Shares) SetBaseline(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := &peer{incarnation: incarnation, reported: make(map[pomelorelay.AccountID]usage, len(entries))}
 	for _, e := range entries {
-		p.reported[e.Account] = usage{requested: e.Asked, served: e.Served}
+		p.reported[e.Account] = usage{requested: e.Requested, served: e.Served}
 	}
 	s.peers[from] = p
 }
@@ -143,7 +143,7 @@
 			continue
 		}
 		a.changed = false
-		out = append(out, pomelorelay.AccountUse{Account: id, Asked: a.local.requested, Served: a.local.served})
+		out = append(out, pomelorelay.AccountUse{Account: id, Requested: a.local.requested, Served: a.local.served})
 	}
 	return out
 }
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -109,7 +109,7 @@
 		s.Tick(start.Add(at))
 	}
 	report := func(incarnation pomelorelay.Incarnation, requested pomelorelay.Cost) {
-		s.MergeReport("r1", incarnation, []pomelorelay.AccountUse{{Account: "a", Asked: requested}})
+		s.MergeReport("r1", incarnation, []pomelorelay.AccountUse{{Account: "a", Requested: requested}})
 	}
 	report(1, 10)
 	report(1, 10)
@@ -250,7 +250,7 @@
 		s.Tick(at)
 	}
 	sums := func(tokens pomelorelay.Cost) []pomelorelay.AccountUse {
-		return []pomelorelay.AccountUse{{Account: "a", Asked: tokens, Served: tokens}}
+		return []pomelorelay.AccountUse{{Account: "a", Requested: tokens, Served: tokens}}
 	}
 	s.MergeReport("first", 1, sums(0))
 	s.SetBaseline("second", 1, sums(0))
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -119,7 +119,7 @@
 		// owner and router would exchange grants in an endless loop while other routers wait.
 		g.router.backoffUntil = now.Add(o.cfg.Grant.ReturnBackoff)
 	}
-	if m.State == pomelorelay.GrantUnreached {
+	if m.State == pomelorelay.GrantUpstreamUnreachable {
 		// The upstream refuses connections. Further grants would come back unused within milliseconds, and requests
 		// would use up all their attempts while the upstream restarts.
 		u.crashed = true
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -283,7 +283,7 @@
 		t.Fatalf("got %d messages for the demand, want 1", len(out))
 	}
 	grant := out[0].Message.(*pomelorelay.Grant)
-	if out := o.HandleReply(now, "a", reply(grant.ID, pomelorelay.GrantUnreached, 2, 2), nil); len(out) != 0 {
+	if out := o.HandleReply(now, "a", reply(grant.ID, pomelorelay.GrantUpstreamUnreachable, 2, 2), nil); len(out) != 0 {
 		t.Errorf("the unreachable upstream was granted again at once")
 	}
 	if out := o.HandleLoadReport(now.Add(time.Second), "u", pomeloslot.LoadReport{Slots: 1}, nil); len(out) != 1 {
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -106,11 +106,11 @@
 func (r *Requester) distance(domain pomelorelay.DomainID) pomelorelay.LinkClass {
 	switch {
 	case domain == r.cfg.Domain:
-		return pomelorelay.LinkDomain
+		return pomelorelay.LinkSameDomain
 	case r.cfg.Regions[domain] == r.cfg.Regions[r.cfg.Domain]:
-		return pomelorelay.LinkRegion
+		return pomelorelay.LinkSameRegion
 	}
-	return pomelorelay.LinkCross
+	return pomelorelay.LinkCrossRegion
 }
 
 func (r *Requester) pool(id pomelorelay.PoolID) *poolState {
@@ -174,7 +174,7 @@
 }
 
 func (r *Requester) margin(p *poolState, domain pomelorelay.DomainID) pomelorelay.Tag {
-	if r.distance(domain) == pomelorelay.LinkRegion {
+	if r.distance(domain) == pomelorelay.LinkSameRegion {
 		return p.spill.DomainMargin
 	}
 	return p.spill.RegionMargin
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -19,7 +19,7 @@
 // spillRange returns the current spill range of a pool. Idle slots are used in the local domain first, then in the region,
 // and in other regions only if enough requests wait. maxDistance is the nearest distance with an available upstream.
 func (r *Requester) spillRange(now time.Time, p *poolState) spillRange {
-	var known, idle [pomelorelay.LinkClasses]bool
+	var known, idle [pomelorelay.LinkClassCount]bool
 	highest := pomelorelay.Tag(0)
 	for _, u := range p.upstreams {
 		if !r.available(now, u) {
@@ -27,15 +27,15 @@
 		}
 		known[u.distance] = true
 		idle[u.distance] = idle[u.distance] || u.idle > 0
-		if u.distance == pomelorelay.LinkDomain {
+		if u.distance == pomelorelay.LinkSameDomain {
 			highest = max(highest, u.digest.LastTag)
 		}
 	}
 	result := spillRange{domainThreshold: highest + p.spill.DomainMargin, regionThreshold: highest + p.spill.RegionMargin}
-	result.useDomainIdle = !idle[pomelorelay.LinkDomain]
+	result.useDomainIdle = !idle[pomelorelay.LinkSameDomain]
 	enoughWaiting := p.demand.Waiting >= p.spill.RegionMinWaiting
-	result.useRegionIdle = result.useDomainIdle && !idle[pomelorelay.LinkRegion] && enoughWaiting
-	for result.maxDistance < pomelorelay.LinkCross && !known[result.maxDistance] {
+	result.useRegionIdle = result.useDomainIdle && !idle[pomelorelay.LinkSameRegion] && enoughWaiting
+	for result.maxDistance < pomelorelay.LinkCrossRegion && !known[result.maxDistance] {
 		result.maxDistance++
 	}
 	return result
@@ -43,7 +43,7 @@
 
 // allows reports whether demand may use an upstream that is farther than maxDistance.
 func (r spillRange) allows(u *remoteUpstream) bool {
-	if u.distance == pomelorelay.LinkRegion {
+	if u.distance == pomelorelay.LinkSameRegion {
 		return r.useDomainIdle && u.idle > 0 || u.digest.LastTag > r.domainThreshold
 	}
 	return r.useRegionIdle && u.idle > 0 || u.digest.LastTag > r.regionThreshold
--- a/pomelospeed/first_token_model.go
+++ b/pomelospeed/first_token_model.go
@@ -75,7 +75,7 @@
 	limit := outlierRatio * max(1, settledAnswers/(l.observed.Answers+1))
 	clamped := min(max(milliseconds(took), expected/limit), expected*limit)
 	w := l.weight(tokens)
-	s := pomelorelay.SpeedSums{Answers: 1, Weight: w, Read: w * tokens, Took: w * clamped, ReadRead: w * tokens * tokens, ReadTook: w * tokens * clamped}
+	s := pomelorelay.SpeedSums{Answers: 1, WeightSum: w, TokenSum: w * tokens, TimeSum: w * clamped, TokenSquareSum: w * tokens * tokens, TokenTimeSum: w * tokens * clamped}
 	l.local = addScaled(l.local, s, 1)
 	l.accumulate(now, s)
 }
@@ -104,8 +104,8 @@
 
 // plausible reports whether the sums can result from answers; the sums of a faulty router must not corrupt the fit.
 func plausible(s pomelorelay.SpeedSums) bool {
-	return s.Answers > 0 && s.Weight > 0 && s.Read >= 0 && s.Took > 0 && s.Took <= s.Weight*milliseconds(maxFirstTokenTime) && s.ReadTook >= 0 && s.ReadTook <= s.Read*milliseconds(maxFirstTokenTime) &&
-		s.Read*s.Read <= s.Weight*s.ReadRead*(1+roundingTolerance)
+	return s.Answers > 0 && s.WeightSum > 0 && s.TokenSum >= 0 && s.TimeSum > 0 && s.TimeSum <= s.WeightSum*milliseconds(maxFirstTokenTime) && s.TokenTimeSum >= 0 && s.TokenTimeSum <= s.TokenSum*milliseconds(maxFirstTokenTime) &&
+		s.TokenSum*s.TokenSum <= s.WeightSum*s.TokenSquareSum*(1+roundingTolerance)
 }
 
 // maxFirstTokenTime is longer than any caller waits for a first token.
@@ -130,12 +130,12 @@
 // fit computes the weighted least-squares line through the observed answers and the prior.
 func (l *FirstTokenModel) fit() {
 	s := addScaled(l.priorSums(), l.observed, 1)
-	determinant := s.Weight*s.ReadRead - s.Read*s.Read
-	slope := (s.Weight*s.ReadTook - s.Read*s.Took) / determinant
-	overhead := (s.Took - slope*s.Read) / s.Weight
+	determinant := s.WeightSum*s.TokenSquareSum - s.TokenSum*s.TokenSum
+	slope := (s.WeightSum*s.TokenTimeSum - s.TokenSum*s.TimeSum) / determinant
+	overhead := (s.TimeSum - slope*s.TokenSum) / s.WeightSum
 	// The negated comparisons also catch NaN, which the sums of a faulty router may give.
 	if !(overhead >= 0) {
-		overhead, slope = 0, s.ReadTook/s.ReadRead
+		overhead, slope = 0, s.TokenTimeSum/s.TokenSquareSum
 	}
 	slowest, fastest := l.rateBounds()
 	if !(slope >= 1/float64(fastest)) {
@@ -158,10 +158,10 @@
 
 // rmsTokens returns the weighted root mean square of the tokens that were prefilled for the observed answers.
 func (l *FirstTokenModel) rmsTokens() float64 {
-	if l.observed.Weight <= 0 {
+	if l.observed.WeightSum <= 0 {
 		return 0
 	}
-	return math.Sqrt(l.observed.ReadRead / l.observed.Weight)
+	return math.Sqrt(l.observed.TokenSquareSum / l.observed.WeightSum)
 }
 
 func reweighed(s pomelorelay.SpeedSums, factor float64) pomelorelay.SpeedSums {
@@ -177,20 +177,20 @@
 	tokens, meanWeight := milliseconds(priorPrefillTime)*float64(l.prior), 1.0
 	if l.observed.Answers > 0 {
 		tokens = max(l.rmsTokens(), 1)
-		meanWeight = l.observed.Weight / l.observed.Answers
+		meanWeight = l.observed.WeightSum / l.observed.Answers
 	}
 	emptyMS := milliseconds(priorOverhead)
 	prefillMS := emptyMS + tokens/float64(l.prior)
 	w, v := priorOverheadAnswers*meanWeight, priorRateAnswers*meanWeight
-	return pomelorelay.SpeedSums{Weight: w + v, Read: v * tokens, Took: w*emptyMS + v*prefillMS, ReadRead: v * tokens * tokens, ReadTook: v * tokens * prefillMS}
+	return pomelorelay.SpeedSums{WeightSum: w + v, TokenSum: v * tokens, TimeSum: w*emptyMS + v*prefillMS, TokenSquareSum: v * tokens * tokens, TokenTimeSum: v * tokens * prefillMS}
 }
 
 // addScaled returns a + factor*b.
 func addScaled(a, b pomelorelay.SpeedSums, factor float64) pomelorelay.SpeedSums {
 	return pomelorelay.SpeedSums{
 		Service: a.Service,
-		Answers: a.Answers + factor*b.Answers, Weight: a.Weight + factor*b.Weight, Read: a.Read + factor*b.Read,
-		Took: a.Took + factor*b.Took, ReadRead: a.ReadRead + factor*b.ReadRead, ReadTook: a.ReadTook + factor*b.ReadTook,
+		Answers: a.Answers + factor*b.Answers, WeightSum: a.WeightSum + factor*b.WeightSum, TokenSum: a.TokenSum + factor*b.TokenSum,
+		TimeSum: a.TimeSum + factor*b.TimeSum, TokenSquareSum: a.TokenSquareSum + factor*b.TokenSquareSum, TokenTimeSum: a.TokenTimeSum + factor*b.TokenTimeSum,
 	}
 }
 
--- a/pomelospeed/rapid_test.go
+++ b/pomelospeed/rapid_test.go
@@ -25,7 +25,7 @@
 			"report": func(t *rapid.T) {
 				sum := func(name string) float64 { return rapid.Float64Range(-1e9, 1e9).Draw(t, name) }
 				next := pomelorelay.SpeedSums{
-					Answers: sum("answers"), Weight: sum("weight"), Read: sum("read"), Took: sum("took"), ReadRead: sum("read read"), ReadTook: sum("read took"),
+					Answers: sum("answers"), WeightSum: sum("weight"), TokenSum: sum("read"), TimeSum: sum("took"), TokenSquareSum: sum("read read"), TokenTimeSum: sum("read took"),
 				}
 				l.Merge(now, reported, next)
 				reported = next
--- a/pomelostore/breaker_test.go
+++ b/pomelostore/breaker_test.go
@@ -44,7 +44,7 @@
 	defer server.Close()
 	clock, events := newClock(), &eventList{}
 	client := newClient(t, pomelostore.Config{
-		Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 3, BreakerOpen: time.Second, Clock: clock, Logger: events,
+		Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 3, BreakerCooldown: time.Second, Clock: clock, Logger: events,
 	})
 	get := func() error {
 		_, err := client.Get(context.Background(), "k")
@@ -94,7 +94,7 @@
 	}))
 	defer server.Close()
 	clock := newClock()
-	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 1, BreakerOpen: time.Second, Clock: clock})
+	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 1, BreakerCooldown: time.Second, Clock: clock})
 	_, err := client.Get(context.Background(), "k")
 	wantCode(t, err, pomelorelay.CodeStoreUnavailable)
 	clock.advance(time.Second)
@@ -135,7 +135,7 @@
 	defer server.Close()
 	clock, events := newClock(), make(chan pomelorelay.EventID, 8)
 	client := newClient(t, pomelostore.Config{
-		Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 1, BreakerOpen: time.Second, Clock: clock, Logger: eventChannel(events),
+		Addresses: []netip.AddrPort{addressOf(t, server)}, BreakerFailures: 1, BreakerCooldown: time.Second, Clock: clock, Logger: eventChannel(events),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	_, err := client.Watch(ctx, "k", 0)
--- a/pomelostore/client.go
+++ b/pomelostore/client.go
@@ -42,7 +42,7 @@
 		cfg:     cfg,
 		http:    newHTTPClient(cfg),
 		budget:  newBudget(cfg.CallsPerSecond, cfg.Clock.Now()),
-		breaker: &breaker{threshold: cfg.BreakerFailures, openFor: cfg.BreakerOpen},
+		breaker: &breaker{threshold: cfg.BreakerFailures, openFor: cfg.BreakerCooldown},
 	}, nil
 }
 
--- a/pomelostore/config.go
+++ b/pomelostore/config.go
@@ -29,8 +29,8 @@
 	CallsPerSecond float64
 	// BreakerFailures in a row open the breaker for BreakerOpen; then one call probes.
 	BreakerFailures int
-	// BreakerOpen is how long an open breaker refuses calls before its probe.
-	BreakerOpen time.Duration
+	// BreakerCooldown is how long an open breaker refuses calls before its probe.
+	BreakerCooldown time.Duration
 	// MaxValue bounds a value that is written or read.
 	MaxValue pomelorelay.Bytes
 	// Clock tells the time to the budget and the breaker.
@@ -52,8 +52,8 @@
 	if cfg.BreakerFailures == 0 {
 		cfg.BreakerFailures = DefaultBreakerFails
 	}
-	if cfg.BreakerOpen == 0 {
-		cfg.BreakerOpen = DefaultBreakerOpen
+	if cfg.BreakerCooldown == 0 {
+		cfg.BreakerCooldown = DefaultBreakerOpen
 	}
 	if cfg.MaxValue == 0 {
 		cfg.MaxValue = DefaultMaxValue
--- a/pomelostore/lost_test.go
+++ b/pomelostore/lost_test.go
@@ -119,11 +119,11 @@
 		record pomelorelay.Record
 		want   pomelostore.Settlement
 	}{
-		{pomelorelay.Record{Value: []byte("nonce"), Revision: 4}, pomelostore.SettledWritten},
-		{pomelorelay.Record{Value: []byte("before"), Revision: 3}, pomelostore.SettledUnchanged},
+		{pomelorelay.Record{Value: []byte("nonce"), Revision: 4}, pomelostore.WriteApplied},
+		{pomelorelay.Record{Value: []byte("before"), Revision: 3}, pomelostore.WritePending},
 		{pomelorelay.Record{Value: []byte("other"), Revision: 4}, pomelostore.SettledOther},
 	} {
-		got, _, err := pomelostore.SettleWrite(context.Background(), &lossyStore{record: c.record}, "k", 3, mine)
+		got, _, err := pomelostore.ResolveWrite(context.Background(), &lossyStore{record: c.record}, "k", 3, mine)
 		if err != nil || got != c.want {
 			t.Errorf("%q: got %d %v, want %d", c.record.Value, got, err, c.want)
 		}
--- a/pomelowarmup/fleet_test.go
+++ b/pomelowarmup/fleet_test.go
@@ -20,10 +20,10 @@
 
 var regions = map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "r1", "b": "r1", "c": "r2", "d": "r2", "e": "r3", "f": "r3"}
 
-var services = []pomelorelay.ServiceSpec{{Name: "s", ColdFor: coldFor, ColdRate: coldRate}, {Name: "never cold"}}
+var services = []pomelorelay.ServiceSpec{{Name: "s", ColdPeriod: coldFor, ColdRate: coldRate}, {Name: "never cold"}}
 
 func upstreamEntry(id pomelorelay.UpstreamID) pomelorelay.FleetUpstream {
-	return pomelorelay.FleetUpstream{ID: id, Service: "s", Domain: "a", Born: 1}
+	return pomelorelay.FleetUpstream{ID: id, Service: "s", Domain: "a", StartUnixMilli: 1}
 }
 
 // newPeers returns n routers, spread over all failure domains.
@@ -69,7 +69,7 @@
 	others := append(append([]pomelorelay.Peer(nil), f.peers[:i]...), f.peers[i+1:]...)
 	f.gates[i] = newGate(f.peers[i], others, f.holders)
 	u := upstreamEntry("u")
-	u.ColdFor = remaining
+	u.ColdRemaining = remaining
 	f.states[i] = f.gates[i].NewUpstream(now, u)
 }
 
--- a/pomelowarmup/gate.go
+++ b/pomelowarmup/gate.go
@@ -32,7 +32,7 @@
 func (g *Gate) SetServices(services []pomelorelay.ServiceSpec) {
 	clear(g.specs)
 	for _, s := range services {
-		g.specs[s.Name] = coldSpec{duration: s.ColdFor, bound: g.cfg.Bounds.Most(s.ColdRate)}
+		g.specs[s.Name] = coldSpec{duration: s.ColdPeriod, bound: g.cfg.Bounds.MaxRequests(s.ColdRate)}
 	}
 }
 
