--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -92,7 +92,7 @@
 func TestWhatMakesAnUpstreamCold(t *testing.T) {
 	entry := func(left time.Duration) pomelorelay.FleetUpstream {
 		u := upstreamEntry("u")
-		u.ColdFor = left
+		u.ColdRemaining = left
 		return u
 	}
 	neverCold := func(u pomelorelay.FleetUpstream) pomelorelay.FleetUpstream {
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -38,9 +38,9 @@
 func (g *Gate) NewUpstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
 	switch {
-	case info.ColdFor > 0:
-		u.extendCold(now, info.ColdFor)
-	case info.ColdFor == pomelorelay.ColdUnknown:
+	case info.ColdRemaining > 0:
+		u.extendCold(now, info.ColdRemaining)
+	case info.ColdRemaining == pomelorelay.ColdUnknown:
 		u.extendCold(now, g.coldDuration(u))
 	}
 	return u
@@ -49,8 +49,8 @@
 // NewRestartedUpstream returns the state of an upstream that was listed before and has restarted since.
 func (g *Gate) NewRestartedUpstream(now time.Time, info pomelorelay.FleetUpstream) *Upstream {
 	u := &Upstream{gate: g, info: info}
-	u.extendCold(now, max(info.ColdFor, 0))
-	if info.ColdFor <= 0 {
+	u.extendCold(now, max(info.ColdRemaining, 0))
+	if info.ColdRemaining <= 0 {
 		u.extendCold(now, g.coldDuration(u))
 	}
 	return u
@@ -58,13 +58,13 @@
 
 // UpdateEntry updates the upstream from a newer list entry of the same start.
 func (u *Upstream) UpdateEntry(now time.Time, info pomelorelay.FleetUpstream) {
-	previous := u.info.ColdFor
+	previous := u.info.ColdRemaining
 	u.info = info
 	switch {
-	case info.ColdFor > 0:
+	case info.ColdRemaining > 0:
 		u.resetBucketIfWarm(now)
-		u.coldUntil = now.Add(info.ColdFor)
-	case info.ColdFor == 0 && previous > 0:
+		u.coldUntil = now.Add(info.ColdRemaining)
+	case info.ColdRemaining == 0 && previous > 0:
 		u.coldUntil = time.Time{}
 	}
 }
--- a/residency.go
+++ b/residency.go
@@ -7,8 +7,8 @@
 
 // Residency says in which regions a request may be served, kept and copied; the zero value allows every region.
 type Residency struct {
-	// Limited tells that only Regions are allowed; without any, none is.
-	Limited bool
+	// Restricted tells that only Regions are allowed; without any, none is.
+	Restricted bool
 	Regions []RegionID
 }
 
@@ -17,23 +17,23 @@
 	if len(regions) == 0 {
 		return Residency{}
 	}
-	return Residency{Limited: true, Regions: slices.Clone(regions)}
+	return Residency{Restricted: true, Regions: slices.Clone(regions)}
 }
 
 // Allows reports whether the region is allowed; a limited residency does not allow the empty name of an unknown region.
 func (r Residency) Allows(region RegionID) bool {
-	return !r.Limited || (region != "" && slices.Contains(r.Regions, region))
+	return !r.Restricted || (region != "" && slices.Contains(r.Regions, region))
 }
 
-// And returns the residency under which both hold.
-func (r Residency) And(o Residency) Residency {
-	if !r.Limited {
+// Intersect returns the residency under which both hold.
+func (r Residency) Intersect(o Residency) Residency {
+	if !r.Restricted {
 		return o
 	}
-	if !o.Limited {
+	if !o.Restricted {
 		return r
 	}
-	both := Residency{Limited: true}
+	both := Residency{Restricted: true}
 	for _, region := range r.Regions {
 		if o.Allows(region) {
 			both.Regions = append(both.Regions, region)
@@ -52,4 +52,4 @@
 }
 
 // Empty reports whether no region is allowed.
-func (r Residency) Empty() bool { return r.Limited && len(r.Regions) == 0 }
+func (r Residency) Empty() bool { return r.Restricted && len(r.Regions) == 0 }
--- a/wire.go
+++ b/wire.go
@@ -16,17 +16,17 @@
 type CallerFields struct {
 	// ID marks one attempt of a caller; upstreams repeat it in their answers.
 	ID string
-	// Wait is how long the caller waits; zero when it does not say.
-	Wait time.Duration
-	// Key is the caller's key; empty when there is none.
-	Key string
-	// Prompt and Output are the tokens of the prompt and the most that are generated; zero when it does not say.
-	Prompt Tokens
-	Output Tokens
-	// Guess is the caller's estimate of the generated tokens; zero when there is none.
-	Guess Tokens
-	// Parts are the prompt's parts in order; the last one is the request's or its session's own.
-	Parts []PromptPart
+	// Timeout is how long the caller waits; zero when it does not say.
+	Timeout time.Duration
+	// APIKey is the caller's key; empty when there is none.
+	APIKey string
+	// PromptTokens and Output are the tokens of the prompt and the most that are generated; zero when it does not say.
+	PromptTokens Tokens
+	MaxOutputTokens Tokens
+	// OutputEstimate is the caller's estimate of the generated tokens; zero when there is none.
+	OutputEstimate Tokens
+	// PromptParts are the prompt's parts in order; the last one is the request's or its session's own.
+	PromptParts []PromptPart
 	// LastEvent is the number of the last event that the caller has of an earlier answer.
 	LastEvent    uint64
 	HasLastEvent bool
@@ -34,10 +34,10 @@
 
 // UpstreamFields is what a router tells an upstream of a request.
 type UpstreamFields struct {
-	// Wait is how much of the caller's time is left.
-	Wait time.Duration
-	// Upstream must be who answers; any other refuses without running the request.
-	Upstream UpstreamID
+	// TimeLeft is how much of the caller's time is left.
+	TimeLeft time.Duration
+	// ExpectedUpstream must be who answers; any other refuses without running the request.
+	ExpectedUpstream UpstreamID
 	// Account is whose request it is; empty on public routes.
 	Account AccountID
 	// CopyFrom is another upstream that keeps more of the prompt, which is copied from there instead of read; not valid when there is none.
@@ -62,14 +62,14 @@
 
 // WireFormat reads and writes the header fields of a deployment.
 type WireFormat interface {
-	// ReadyPath is the path under which the balancer asks whether a router takes requests.
-	ReadyPath() string
-	// IDField names the field of a request's id.
-	IDField() string
-	// ReadCaller reads a caller's fields; what cannot be read counts as not said.
-	ReadCaller(head http.Header) CallerFields
-	// WriteUpstream makes a caller's fields those of the request to an upstream: the key and what callers may not set are dropped.
-	WriteUpstream(head http.Header, f UpstreamFields)
-	// ReadAnswer reads the head of an answer.
-	ReadAnswer(resp *http.Response) AnswerFields
+	// ReadinessPath is the path under which the balancer asks whether a router takes requests.
+	ReadinessPath() string
+	// RequestIDField names the field of a request's id.
+	RequestIDField() string
+	// ParseCallerFields reads a caller's fields; what cannot be read counts as not said.
+	ParseCallerFields(head http.Header) CallerFields
+	// SetUpstreamFields makes a caller's fields those of the request to an upstream: the key and what callers may not set are dropped.
+	SetUpstreamFields(head http.Header, f UpstreamFields)
+	// ParseAnswerFields reads the head of an answer.
+	ParseAnswerFields(resp *http.Response) AnswerFields
 }
