--- a/cmd/pomelobench/pomelobounds/bounds.go
+++ b/cmd/pomelobench/pomelobounds/bounds.go
@@ -10,71 +10,71 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Bound is what a benchmark's metric may be.
+// Bound is the allowed range of one metric of a benchmark; Min or Max may be nil, but not both.
 type Bound struct {
 	Package   string   `yaml:"Package"`
 	Benchmark string   `yaml:"Benchmark"`
 	Metric    string   `yaml:"Metric"`
-	Least     *float64 `yaml:"Least,omitempty"`
-	Most      *float64 `yaml:"Most,omitempty"`
+	Min       *float64 `yaml:"Least,omitempty"`
+	Max       *float64 `yaml:"Most,omitempty"`
 }
 
-// File is what a file of bounds holds.
+// File is the content of a bounds file.
 type File struct {
 	Bounds []Bound `yaml:"Bounds"`
 }
 
-// Read reads a file of bounds; it fails with CodeBenchPlan when a bound has neither end.
+// Read reads a bounds file; it fails with CodeBenchPlan when the file is invalid or a bound has neither Least nor Most.
 func Read(name string) (File, error) {
 	var f File
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "read the bounds", err)
+		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "read bounds", err)
 	}
 	if err := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(&f); err != nil {
-		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "decode the bounds", err)
+		return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, "decode bounds", err)
 	}
 	for _, b := range f.Bounds {
-		if b.Least == nil && b.Most == nil {
-			return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, b.name()+" has neither Least nor Most", nil)
+		if b.Min == nil && b.Max == nil {
+			return f, pomelorelay.NewError(pomelorelay.CodeBenchPlan, b.label()+" has neither Least nor Most", nil)
 		}
 	}
 	return f, nil
 }
 
-func (b Bound) name() string { return b.Package + " " + b.Benchmark + " " + b.Metric }
+func (b Bound) label() string { return b.Package + " " + b.Benchmark + " " + b.Metric }
 
-// Verdict is a bound with what was measured.
+// Verdict is a bound with the measured values.
 type Verdict struct {
 	Bound Bound
-	// Values are those of every run; none means that the benchmark did not run.
+	// Values has one value per run of the benchmark that reported the metric; without any, Met is false.
 	Values []float64
-	Kept   bool
+	Met    bool
 }
 
-// String tells the verdict in one line.
+// String returns the verdict as one line.
 func (v Verdict) String() string {
-	state := "kept    "
-	if !v.Kept {
-		state = "BROKEN  "
+	state := "ok        "
+	if !v.Met {
+		state = "VIOLATED  "
 	}
-	text := state + v.Bound.name() + ":"
+	text := state + v.Bound.label() + ":"
 	if len(v.Values) == 0 {
 		return text + " not measured"
 	}
 	for _, value := range v.Values {
 		text += fmt.Sprintf(" %g", value)
 	}
-	if v.Bound.Least != nil {
-		text += fmt.Sprintf(", at least %g", *v.Bound.Least)
+	if v.Bound.Min != nil {
+		text += fmt.Sprintf(", at least %g", *v.Bound.Min)
 	}
-	if v.Bound.Most != nil {
-		text += fmt.Sprintf(", at most %g", *v.Bound.Most)
+	if v.Bound.Max != nil {
+		text += fmt.Sprintf(", at most %g", *v.Bound.Max)
 	}
 	return text
 }
 
-// Compare judges every bound; one whose benchmark did not run, or reports no such metric, is not kept.
+// Compare checks every bound against all runs; a bound without a measured value is not met.
 func (f File) Compare(runs Runs) []Verdict {
 	var verdicts []Verdict
 	for _, b := range f.Bounds {
@@ -84,9 +84,9 @@
 				v.Values = append(v.Values, value)
 			}
 		}
-		v.Kept = len(v.Values) > 0
+		v.Met = len(v.Values) > 0
 		for _, value := range v.Values {
-			v.Kept = v.Kept && (b.Least == nil || value >= *b.Least) && (b.Most == nil || value <= *b.Most)
+			v.Met = v.Met && (b.Min == nil || value >= *b.Min) && (b.Max == nil || value <= *b.Max)
 		}
 		verdicts = append(verdicts, v)
 	}
--- a/cmd/pomelobench/pomeloload/balancer.go
+++ b/cmd/pomelobench/pomeloload/balancer.go
@@ -17,30 +17,30 @@
 // DialFunc connects to an address.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// target is a router, or in direct mode an upstream.
+// target is a router, or in a direct run an upstream.
 type target struct {
-	name     pomelorelay.NodeID
-	service  pomelorelay.ServiceID
-	addr     netip.AddrPort
-	operator netip.AddrPort
-	ready    atomic.Bool
-	client   *http.Client
+	name         pomelorelay.NodeID
+	service      pomelorelay.ServiceID
+	addr         netip.AddrPort
+	operatorAddr netip.AddrPort
+	ready        atomic.Bool
+	client       *http.Client
 }
 
-// balancer stands in the place of the platform's: it sends callers to routers that say they are ready.
+// balancer simulates the platform's load balancer: it sends requests to routers that report readiness.
 type balancer struct {
 	targets []*target
 	probe   *http.Client
 }
 
 const (
-	readyInterval  = 200 * time.Millisecond
-	probeTimeout   = time.Second
-	idlePerRouter  = 256
-	dialTimeout    = time.Second
-	headerIdemKey  = "Idempotency-Key"
-	headerRequest  = "X-Request-Id"
-	headerDeadline = "X-Timeout"
+	readyInterval        = 200 * time.Millisecond
+	probeTimeout         = time.Second
+	maxIdlePerHost       = 256
+	dialTimeout          = time.Second
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRequestID      = "X-Request-Id"
+	headerDeadline       = "X-Timeout"
 )
 
 func newBalancer(p Plan, dial DialFunc) *balancer {
@@ -52,13 +52,13 @@
 		return b
 	}
 	for _, r := range p.Routers {
-		b.add(&target{name: r.Name, addr: r.Caller, operator: r.Operator}, dial)
+		b.add(&target{name: r.Name, addr: r.CallerAddr, operatorAddr: r.OperatorAddr}, dial)
 	}
 	return b
 }
 
 func newTransport(dial DialFunc) *http.Transport {
-	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerRouter, DisableCompression: true}
+	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true}
 }
 
 func (b *balancer) add(t *target, dial DialFunc) {
@@ -67,9 +67,10 @@
 	b.targets = append(b.targets, t)
 }
 
-// pick draws a ready target that serves the service and is among the names; none ready leaves the choice among all of those.
-func (b *balancer) pick(service pomelorelay.ServiceID, names []pomelorelay.NodeID, random *rand.Rand) *target {
-	var ready, fitting []*target
+// pick returns a random ready target that serves the service and is among the names, which may be empty for all. If none of these
+// is ready, it chooses from fallback.
+func (b *balancer) pick(service pomelorelay.ServiceID, names []pomelorelay.NodeID, rng *rand.Rand) *target {
+	var ready, matching []*target
 	for _, t := range b.targets {
 		if t.service != "" && t.service != service {
 			continue
@@ -77,19 +78,20 @@
 		if len(names) > 0 && !slices.Contains(names, t.name) {
 			continue
 		}
-		fitting = append(fitting, t)
+		matching = append(matching, t)
 		if t.ready.Load() {
 			ready = append(ready, t)
 		}
 	}
 	if len(ready) == 0 {
-		ready = b.elsewhere(fitting)
+		ready = b.fallback(matching)
 	}
-	return ready[random.IntN(len(ready))]
+	return ready[rng.IntN(len(ready))]
 }
 
-// elsewhere is where callers go whose own routers are all gone: any that is ready, as a balancer would send them.
-func (b *balancer) elsewhere(fitting []*target) []*target {
+// fallback returns all ready routers, as a load balancer would use when the preferred ones are down, or the matching targets if no
+// router is ready.
+func (b *balancer) fallback(matching []*target) []*target {
 	var ready []*target
 	for _, t := range b.targets {
 		if t.ready.Load() && t.service == "" {
@@ -97,12 +99,12 @@
 		}
 	}
 	if len(ready) == 0 {
-		return fitting
+		return matching
 	}
 	return ready
 }
 
-// awaitReady waits until every router is ready; it fails with CodeBenchStandIn naming one that is not.
+// awaitReady waits until every router is ready; it fails with CodeBenchStandIn and the name of one that is not.
 func (b *balancer) awaitReady(ctx context.Context, within time.Duration) error {
 	if within == 0 {
 		return nil
@@ -110,8 +112,8 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for _, t := range b.targets {
-		for t.operator.IsValid() && !b.isReady(ctx, t) {
-			if !wait(ctx, readyInterval) {
+		for t.operatorAddr.IsValid() && !b.isReady(ctx, t) {
+			if !sleep(ctx, readyInterval) {
 				return pomelorelay.NewError(pomelorelay.CodeBenchStandIn, "router "+string(t.name)+" is not ready", ctx.Err())
 			}
 		}
@@ -119,13 +121,13 @@
 	return nil
 }
 
-// poll asks each router whether it is ready until ctx ends.
+// poll updates the readiness of each router until ctx ends.
 func (b *balancer) poll(ctx context.Context) {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
 	for {
 		for _, t := range b.targets {
-			if t.operator.IsValid() {
+			if t.operatorAddr.IsValid() {
 				t.ready.Store(b.isReady(ctx, t))
 			}
 		}
@@ -138,7 +140,7 @@
 }
 
 func (b *balancer) isReady(ctx context.Context, t *target) bool {
-	resp, err := get(ctx, b.probe, "http://"+t.operator.String()+"/ready")
+	resp, err := get(ctx, b.probe, "http://"+t.operatorAddr.String()+"/ready")
 	if err != nil {
 		return false
 	}
--- a/cmd/pomelobench/pomeloload/marks.go
+++ b/cmd/pomelobench/pomeloload/marks.go
@@ -13,25 +13,25 @@
 	"github.com/pomelorelay/pomelorelay/pomelocheck"
 )
 
-// Mark is a line that a script appends to the marks file just before it does what the bench cannot: ending a process,
-// applying a configuration.
+// Mark is a line of the marks file. A script appends it for an action that pomelobench cannot take itself: just before it kills,
+// stops or suspends a router, and just after it resumed one or applied a configuration.
 type Mark struct {
-	// Killed and Stopping name a router that is ended without warning or by a planned stop.
+	// Killed and Stopping name a router that is killed, or stopped gracefully.
 	Killed   pomelorelay.NodeID
 	Stopping pomelorelay.NodeID
-	// Frozen and Continued name a router that is halted and goes on.
+	// Frozen and Continued name a router whose process is suspended (SIGSTOP), or resumed.
 	Frozen    pomelorelay.NodeID
 	Continued pomelorelay.NodeID
-	// Accepted is the generation of a configuration that the store took.
+	// Accepted is the generation of a configuration accepted by the store.
 	Accepted pomelorelay.Generation
-	// Text is for the plots.
+	// Text is a label for the plots.
 	Text string
 }
 
 const marksInterval = 50 * time.Millisecond
 
-// follow reads lines that are appended to the file until ctx ends.
-func (r *recorder) follow(ctx context.Context, path string, logf func(string, ...any)) {
+// followMarks reads lines appended to the file until ctx ends.
+func (r *recorder) followMarks(ctx context.Context, path string, logf func(string, ...any)) {
 	var offset int64
 	for {
 		n, err := r.readMarks(path, offset, logf)
@@ -39,13 +39,13 @@
 			logf("marks file: %v", err)
 		}
 		offset += n
-		if !wait(ctx, marksInterval) {
+		if !sleep(ctx, marksInterval) {
 			return
 		}
 	}
 }
 
-// readMarks takes in the whole lines after offset and returns their length.
+// readMarks adds the complete lines after offset and returns their length in bytes.
 func (r *recorder) readMarks(path string, offset int64, logf func(string, ...any)) (int64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -56,46 +56,47 @@
 		return 0, err
 	}
 	reader := bufio.NewReader(file)
-	var taken int64
+	var consumed int64
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return taken, nil
+			return consumed, nil
 		}
-		taken += int64(len(line))
+		consumed += int64(len(line))
 		var m Mark
 		if err := json.Unmarshal(bytes.TrimSpace(line), &m); err != nil {
 			logf("mark %q: %v", line, err)
 			continue
 		}
-		r.takeMark(m, time.Now())
+		r.addMark(m, time.Now())
 	}
 }
 
-// A mark is read a little after it was written; what broke within that time counts as after it.
-func (r *recorder) takeMark(m Mark, now time.Time) {
+// addMark dates a kill, stop or freeze two polling intervals back, since a mark is read with a delay and failures within that
+// delay follow from it.
+func (r *recorder) addMark(m Mark, now time.Time) {
 	at := now.Add(-2 * marksInterval)
 	if m.Killed != "" {
 		r.observe(pomelocheck.RouterKilled{Node: m.Killed, At: at})
-		r.mark(at, "kill "+string(m.Killed))
+		r.addFault(at, "kill "+string(m.Killed))
 	}
 	if m.Stopping != "" {
 		r.observe(pomelocheck.RouterStopping{Node: m.Stopping, At: at})
-		r.mark(at, "stop "+string(m.Stopping))
+		r.addFault(at, "stop "+string(m.Stopping))
 	}
 	if m.Frozen != "" {
 		r.observe(pomelocheck.RouterSuspended{Node: m.Frozen, At: at})
-		r.mark(at, "freeze "+string(m.Frozen))
+		r.addFault(at, "freeze "+string(m.Frozen))
 	}
 	if m.Continued != "" {
 		r.observe(pomelocheck.RouterResumed{Node: m.Continued, At: now})
-		r.mark(now, "continue "+string(m.Continued))
+		r.addFault(now, "continue "+string(m.Continued))
 	}
 	if m.Accepted > 0 {
 		r.observe(pomelocheck.ConfigAccepted{Generation: m.Accepted, At: now})
-		r.mark(now, "configuration accepted")
+		r.addFault(now, "configuration accepted")
 	}
 	if m.Text != "" {
-		r.mark(now, m.Text)
+		r.addFault(now, m.Text)
 	}
 }
--- a/cmd/pomeloctl/pomelocommand/app.go
+++ b/cmd/pomeloctl/pomelocommand/app.go
@@ -15,31 +15,31 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The forms of output.
+// Values of --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// app is one run of the program.
+// app holds the streams and the global flags of one invocation.
 type app struct {
-	in      io.Reader
-	out     io.Writer
-	diag    io.Writer
+	stdin   io.Reader
+	stdout  io.Writer
+	stderr  io.Writer
 	output  string
 	timeout time.Duration
 	store   []string
 }
 
-// action is what a subcommand does.
+// action runs a subcommand whose flags have been parsed.
 type action func(ctx context.Context) error
 
 // Run parses the arguments, runs the subcommand and returns the exit code.
-func Run(args []string, in io.Reader, out, diag io.Writer) int {
-	a := &app{in: in, out: out, diag: diag}
+func Run(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
+	a := &app{stdin: stdin, stdout: stdout, stderr: stderr}
 	cli, actions := a.commands()
-	command, ended, err := parse(cli, args)
-	if ended {
+	command, helpRequested, err := parse(cli, args)
+	if helpRequested {
 		return exitSuccess
 	}
 	if err != nil {
@@ -55,17 +55,17 @@
 	return exitSuccess
 }
 
-// helpShown ends the parsing once the help was printed.
-type helpShown struct{}
+// helpPrinted is the panic value that ends parsing after the help text, where kingpin would exit the process.
+type helpPrinted struct{}
 
-// parse returns the subcommand, or that the help was asked for.
-func parse(cli *kingpin.Application, args []string) (command string, ended bool, err error) {
-	cli.Terminate(func(int) { panic(helpShown{}) })
+// parse returns the full name of the subcommand, or helpRequested when only the help text was printed.
+func parse(cli *kingpin.Application, args []string) (command string, helpRequested bool, err error) {
+	cli.Terminate(func(int) { panic(helpPrinted{}) })
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
-		case helpShown:
-			ended = true
+		case helpPrinted:
+			helpRequested = true
 		default:
 			panic(r)
 		}
@@ -74,26 +74,26 @@
 	return command, false, err
 }
 
-// commands returns the command line and what each subcommand does.
+// commands returns the command-line parser and the action of each subcommand by its full name.
 func (a *app) commands() (*kingpin.Application, map[string]action) {
-	cli := kingpin.New("pomeloctl", "Makes, checks, applies and follows the configuration of pomelorelay.")
-	cli.UsageWriter(a.diag)
-	cli.ErrorWriter(a.diag)
+	cli := kingpin.New("pomeloctl", "Generates, checks, applies and monitors the configuration of pomelorelay.")
+	cli.UsageWriter(a.stderr)
+	cli.ErrorWriter(a.stderr)
 	cli.HelpFlag.Short('h')
-	cli.Flag("output", "Form of the output.").Default(outputText).EnumVar(&a.output, outputText, outputJSON)
-	cli.Flag("timeout", "Bound on the whole command.").Default("1m").DurationVar(&a.timeout)
+	cli.Flag("output", "Output format.").Default(outputText).EnumVar(&a.output, outputText, outputJSON)
+	cli.Flag("timeout", "Time limit of the whole command.").Default("1m").DurationVar(&a.timeout)
 	actions := make(map[string]action)
-	for _, add := range []func(*kingpin.Application) (*kingpin.CmdClause, action){
+	for _, register := range []func(*kingpin.Application) (*kingpin.CmdClause, action){
 		a.questionnaireCommand, a.generateCommand, a.checkCommand, a.diffCommand, a.applyCommand, a.showCommand,
 		a.auditCommand, a.statusCommand, a.drainCommand, a.evacuateCommand, a.tokenCommand,
 	} {
-		clause, do := add(cli)
-		actions[clause.FullCommand()] = do
+		clause, run := register(cli)
+		actions[clause.FullCommand()] = run
 	}
 	return cli, actions
 }
 
-// storeFlag adds the flag that names the store's addresses.
+// storeFlag adds the required flag for the store's addresses.
 func (a *app) storeFlag(clause *kingpin.CmdClause) *kingpin.CmdClause {
 	clause.Flag("store", "IP:port of the platform's store; may be repeated.").Required().StringsVar(&a.store)
 	return clause
@@ -107,19 +107,19 @@
 	return pomelostore.New(pomelostore.Config{Addresses: addresses, CallsPerSecond: storeCallsPerSecond})
 }
 
-// print writes the value as JSON, or the text, as the operator asked.
+// print writes the text, or the value as JSON, depending on --output.
 func (a *app) print(value any, text string) error {
 	if a.output == outputText {
-		_, err := io.WriteString(a.out, text)
+		_, err := io.WriteString(a.stdout, text)
 		return err
 	}
-	encoder := json.NewEncoder(a.out)
+	encoder := json.NewEncoder(a.stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// failure is an error as programs read it.
-type failure struct {
+// errorReport is the JSON form of an error.
+type errorReport struct {
 	Code   pomelorelay.ResultCode
 	Name   string
 	Detail string
@@ -129,12 +129,12 @@
 func (a *app) fail(err error) int {
 	info := pomelorelay.CodeOf(err).Info()
 	if a.output == outputJSON {
-		encoder := json.NewEncoder(a.diag)
+		encoder := json.NewEncoder(a.stderr)
 		encoder.SetIndent("", "  ")
-		if encodeErr := encoder.Encode(failure{Code: info.Code, Name: info.Name, Detail: err.Error(), Advice: info.Advice}); encodeErr == nil {
+		if encodeErr := encoder.Encode(errorReport{Code: info.Code, Name: info.Name, Detail: err.Error(), Advice: info.Advice}); encodeErr == nil {
 			return exitCode(info.Code)
 		}
 	}
-	fmt.Fprintf(a.diag, "pomeloctl: %v\nWhat to do: %s\n", err, info.Advice)
+	fmt.Fprintf(a.stderr, "pomeloctl: %v\nWhat to do: %s\n", err, info.Advice)
 	return exitCode(info.Code)
 }
--- a/cmd/pomeloctl/pomelocommand/apply.go
+++ b/cmd/pomeloctl/pomelocommand/apply.go
@@ -16,7 +16,7 @@
 
 const waitInterval = 100 * time.Millisecond
 
-// applyOptions are what an operator says to apply.
+// applyOptions are the argument and the flags of apply.
 type applyOptions struct {
 	file     string
 	author   string
@@ -27,30 +27,30 @@
 	routers  []string
 }
 
-// applyResult tells what was accepted and where it is in force.
+// applyResult is the accepted change and the routers on which it is or is not yet in force.
 type applyResult struct {
 	Generation pomelorelay.Generation
 	ChangeID   pomeloconfig.ChangeID
 	Difference pomeloconfig.DifferenceSummary
-	// InForce and Pending name the routers asked.
+	// InForce and Pending are the operator addresses of the routers waited for.
 	InForce []netip.AddrPort `json:",omitempty"`
 	Pending []netip.AddrPort `json:",omitempty"`
 }
 
 func (a *app) applyCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
 	var o applyOptions
-	clause := a.storeFlag(cli.Command("apply", "Checks a configuration and brings it into the store."))
+	clause := a.storeFlag(cli.Command("apply", "Checks a configuration and publishes it to the store."))
 	clause.Arg("file", "The configuration; - reads standard input.").Required().StringVar(&o.file)
-	clause.Flag("why", "Why it is changed, for the audit trail.").Required().StringVar(&o.why)
-	clause.Flag("author", "Who changes it.").Default(currentUser()).StringVar(&o.author)
-	clause.Flag("base", "The generation that you started from; another one in the store is a conflict.").Uint64Var(&o.base)
-	clause.Flag("change-id", "The id of an apply whose outcome is not known.").StringVar(&o.changeID)
-	clause.Flag("wait", "Wait until the routers named have it in force.").BoolVar(&o.wait)
+	clause.Flag("why", "Reason for the change, for the audit trail.").Required().StringVar(&o.why)
+	clause.Flag("author", "Author of the change, for the audit trail.").Default(currentUser()).StringVar(&o.author)
+	clause.Flag("base", "Generation on which the change is based; a different one in the store is a conflict.").Uint64Var(&o.base)
+	clause.Flag("change-id", "Change id of an earlier apply whose outcome is unknown, to retry it.").StringVar(&o.changeID)
+	clause.Flag("wait", "Wait until it is in force on the routers named by --router.").BoolVar(&o.wait)
 	routerFlag(clause).StringsVar(&o.routers)
 	return clause, func(ctx context.Context) error { return a.apply(ctx, o) }
 }
 
-// currentUser is only a default; --author overrides it.
+// currentUser returns the default for --author.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -59,7 +59,7 @@
 }
 
 func (a *app) apply(ctx context.Context, o applyOptions) error {
-	routers, err := routersToWaitFor("apply", o.routers, o.wait)
+	routers, err := parseRouters("apply", o.routers, o.wait)
 	if err != nil {
 		return err
 	}
@@ -71,30 +71,30 @@
 	if err != nil {
 		return err
 	}
-	return a.publish(ctx, publishing{
+	return a.publish(ctx, publication{
 		store: store, configuration: c, routers: routers, wait: o.wait,
 		change: pomeloconfig.Change{ID: pomeloconfig.ChangeID(o.changeID), Author: o.author, Why: o.why, BaseGeneration: pomelorelay.Generation(o.base)},
 	})
 }
 
-// await asks the routers until all have the generation, or a higher one, or the time is up.
-func (r *applyResult) await(ctx context.Context, routers []netip.AddrPort) error {
+// waitInForce polls the routers until all have the generation or a higher one; it fails with CodeConfigNotInForce when ctx ends.
+func (r *applyResult) waitInForce(ctx context.Context, routers []netip.AddrPort) error {
 	for {
-		lines, _ := askAll(ctx, routers)
+		replies, _ := queryRouters(ctx, routers)
 		r.InForce, r.Pending = nil, nil
-		for _, line := range lines {
-			if line.Error == "" && line.Status.Generation >= r.Generation {
-				r.InForce = append(r.InForce, line.Router)
+		for _, reply := range replies {
+			if reply.Error == "" && reply.Status.Generation >= r.Generation {
+				r.InForce = append(r.InForce, reply.Router)
 				continue
 			}
-			r.Pending = append(r.Pending, line.Router)
+			r.Pending = append(r.Pending, reply.Router)
 		}
 		if len(r.Pending) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, fmt.Sprintf("generation %d is not in force on %s", r.Generation, addressesText(r.Pending)), nil)
+			return pomelorelay.NewError(pomelorelay.CodeConfigNotInForce, fmt.Sprintf("generation %d is not in force on %s", r.Generation, formatAddresses(r.Pending)), nil)
 		case <-time.After(waitInterval):
 		}
 	}
@@ -104,15 +104,15 @@
 	text := fmt.Sprintf("Generation %d, change %s: %d added, %d removed, %d altered\n",
 		r.Generation, r.ChangeID, r.Difference.Added, r.Difference.Removed, r.Difference.Altered)
 	if len(r.InForce) > 0 {
-		text += "In force on " + addressesText(r.InForce) + "\n"
+		text += "In force on " + formatAddresses(r.InForce) + "\n"
 	}
 	if len(r.Pending) > 0 {
-		text += "Not in force on " + addressesText(r.Pending) + "\n"
+		text += "Not in force on " + formatAddresses(r.Pending) + "\n"
 	}
 	return text
 }
 
-func addressesText(addresses []netip.AddrPort) string {
+func formatAddresses(addresses []netip.AddrPort) string {
 	texts := make([]string, len(addresses))
 	for i, address := range addresses {
 		texts[i] = address.String()
--- a/cmd/pomeloctl/pomelocommand/audit.go
+++ b/cmd/pomeloctl/pomelocommand/audit.go
@@ -12,22 +12,22 @@
 )
 
 func (a *app) auditCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := a.storeFlag(cli.Command("audit", "Lists the accepted changes, newest first: who, when, what and why."))
-	limit := clause.Flag("limit", "How many; 0 lists all.").Default("20").Int()
+	clause := a.storeFlag(cli.Command("audit", "Lists the accepted changes, newest first, with author, time, reason and differences."))
+	limit := clause.Flag("limit", "Maximum number of changes listed; 0 lists all.").Default("20").Int()
 	return clause, func(ctx context.Context) error {
 		store, err := a.openStore()
 		if err != nil {
 			return err
 		}
 		entries, auditErr := pomeloconfig.Audit(ctx, store, pomeloconfig.AuditOptions{Limit: *limit})
-		if err := a.print(entries, auditText(entries)); err != nil {
+		if err := a.print(entries, formatAudit(entries)); err != nil {
 			return err
 		}
 		return auditErr
 	}
 }
 
-func auditText(entries []pomeloconfig.AuditEntry) string {
+func formatAudit(entries []pomeloconfig.AuditEntry) string {
 	var text strings.Builder
 	for _, entry := range entries {
 		r := entry.Root
--- a/cmd/pomeloctl/pomelocommand/files.go
+++ b/cmd/pomeloctl/pomelocommand/files.go
@@ -9,12 +9,12 @@
 	"github.com/pomelorelay/pomelorelay/pomeloconfig"
 )
 
-// standardInput is the file name that reads standard input.
+// standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
 func (a *app) readFile(path string) ([]byte, error) {
 	if path == standardInput {
-		data, err := io.ReadAll(io.LimitReader(a.in, int64(pomeloconfig.MaxDocumentBytes)+1))
+		data, err := io.ReadAll(io.LimitReader(a.stdin, int64(pomeloconfig.MaxDocumentBytes)+1))
 		if err != nil {
 			return nil, pomelorelay.NewError(pomelorelay.CodeFileUnreadable, "standard input", err)
 		}
--- a/cmd/pomeloctl/pomelocommand/router.go
+++ b/cmd/pomeloctl/pomelocommand/router.go
@@ -17,7 +17,7 @@
 	maxStatusBytes = 16 << 20
 )
 
-// routerStatus is what a router's operator port tells; the lists are passed on as they are.
+// routerStatus is the answer to GET /status on a router's operator port; the elements of its lists are not decoded.
 type routerStatus struct {
 	Node        pomelorelay.NodeID
 	Domain      pomelorelay.DomainID
@@ -32,7 +32,7 @@
 	Pools       []json.RawMessage
 }
 
-// routerClient asks operator ports.
+// routerClient calls the operator ports of routers.
 type routerClient struct {
 	http *http.Client
 }
@@ -43,22 +43,22 @@
 
 func (c routerClient) status(ctx context.Context, router netip.AddrPort) (routerStatus, error) {
 	var s routerStatus
-	data, err := c.exchange(ctx, http.MethodGet, router, "/status")
+	data, err := c.do(ctx, http.MethodGet, router, "/status")
 	if err != nil {
 		return s, err
 	}
 	if err := json.Unmarshal(data, &s); err != nil {
-		return s, unreachable(router, "its status cannot be read", err)
+		return s, unreachable(router, "/status: invalid JSON", err)
 	}
 	return s, nil
 }
 
 func (c routerClient) drain(ctx context.Context, router netip.AddrPort) error {
-	_, err := c.exchange(ctx, http.MethodPost, router, "/drain")
+	_, err := c.do(ctx, http.MethodPost, router, "/drain")
 	return err
 }
 
-func (c routerClient) exchange(ctx context.Context, method string, router netip.AddrPort, path string) ([]byte, error) {
+func (c routerClient) do(ctx context.Context, method string, router netip.AddrPort, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+router.String()+path, nil)
 	if err != nil {
 		return nil, unreachable(router, path, err)
--- a/cmd/pomeloctl/pomelocommand/status.go
+++ b/cmd/pomeloctl/pomelocommand/status.go
@@ -11,26 +11,26 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// statusLine is one router's answer, or why there is none.
-type statusLine struct {
+// routerReply is the status of one router, or the error with which the query failed.
+type routerReply struct {
 	Router netip.AddrPort
 	Status routerStatus
 	Error  string `json:",omitempty"`
 }
 
 func (a *app) statusCommand(cli *kingpin.Application) (*kingpin.CmdClause, action) {
-	clause := cli.Command("status", "Shows the routers at a glance.")
+	clause := cli.Command("status", "Shows the status of routers, one line each.")
 	routers := routerFlag(clause).Required().Strings()
 	return clause, func(ctx context.Context) error {
 		addresses, err := parseAddresses("--router", *routers)
 		if err != nil {
 			return err
 		}
-		lines, failed := askAll(ctx, addresses)
-		if err := a.print(lines, statusText(lines)); err != nil {
+		replies, lastErr := queryRouters(ctx, addresses)
+		if err := a.print(replies, formatStatus(replies)); err != nil {
 			return err
 		}
-		return failed
+		return lastErr
 	}
 }
 
@@ -38,56 +38,57 @@
 	return clause.Flag("router", "IP:port of a router's operator port; may be repeated.")
 }
 
-// askAll asks the routers at the same time and returns the answers in their order, and the last failure.
-func askAll(ctx context.Context, routers []netip.AddrPort) ([]statusLine, error) {
+// queryRouters fetches the status of all routers concurrently and returns the replies in the order of routers, with the error of
+// the last router that failed.
+func queryRouters(ctx context.Context, routers []netip.AddrPort) ([]routerReply, error) {
 	client := newRouterClient()
-	lines := make([]statusLine, len(routers))
+	replies := make([]routerReply, len(routers))
 	errs := make([]error, len(routers))
 	done := make(chan struct{})
 	for i, router := range routers {
 		go func() {
-			lines[i].Router = router
-			lines[i].Status, errs[i] = client.status(ctx, router)
+			replies[i].Router = router
+			replies[i].Status, errs[i] = client.status(ctx, router)
 			done <- struct{}{}
 		}()
 	}
 	for range routers {
 		<-done
 	}
-	var failed error
+	var lastErr error
 	for i, err := range errs {
 		if err != nil {
-			lines[i].Error = err.Error()
-			failed = err
+			replies[i].Error = err.Error()
+			lastErr = err
 		}
 	}
-	return lines, failed
+	return replies, lastErr
 }
 
-// highestGeneration is the highest that any router has in force.
-func highestGeneration(lines []statusLine) pomelorelay.Generation {
+// highestGeneration returns the highest generation in force on any router, zero without replies.
+func highestGeneration(replies []routerReply) pomelorelay.Generation {
 	var highest pomelorelay.Generation
-	for _, line := range lines {
-		highest = max(highest, line.Status.Generation)
+	for _, reply := range replies {
+		highest = max(highest, reply.Status.Generation)
 	}
 	return highest
 }
 
-func statusText(lines []statusLine) string {
+func formatStatus(replies []routerReply) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-22s %-20s %-14s %-10s %10s %-8s %7s %9s\n", "ROUTER", "NODE", "DOMAIN", "REGION", "GENERATION", "STATE", "MEMBERS", "UPSTREAMS")
-	for _, line := range lines {
-		if line.Error != "" {
-			fmt.Fprintf(&text, "%-22s %s\n", line.Router, line.Error)
+	for _, reply := range replies {
+		if reply.Error != "" {
+			fmt.Fprintf(&text, "%-22s %s\n", reply.Router, reply.Error)
 			continue
 		}
-		s := line.Status
-		fmt.Fprintf(&text, "%-22s %-20s %-14s %-10s %10d %-8s %7d %9d%s\n", line.Router, s.Node, s.Domain, s.Region, s.Generation, s.state(), len(s.Members), len(s.Upstreams), s.evacuatedText())
+		s := reply.Status
+		fmt.Fprintf(&text, "%-22s %-20s %-14s %-10s %10d %-8s %7d %9d%s\n", reply.Router, s.Node, s.Domain, s.Region, s.Generation, s.state(), len(s.Members), len(s.Upstreams), s.evacuatedText())
 	}
 	return text.String()
 }
 
-// evacuatedText names the failure domains under evacuation, empty where there is none.
+// evacuatedText lists the evacuated failure domains; it is empty when there are none.
 func (s routerStatus) evacuatedText() string {
 	if len(s.Evacuated) == 0 {
 		return ""
