--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -7,33 +7,36 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Admission limits protect against different kinds of overload. BoundRecompute keeps a flood of sessions on busy engines from taking
-// other engines for prefilling their shared parts again. BoundSlots covers more long answers than engines can run, BoundQueue more prompts
-// than they can prefill, and BoundTime any request that would begin too late. In-share requests may use all slots and most of the queue;
-// over-share requests may use what remains, and an account whose usage is ahead of a short one gets less the further it is ahead.
+// Each admission limit protects against another kind of overload. BoundRecompute applies to a flood of sessions whose engines are busy: their
+// shared parts would be prefilled again by engines that others need. BoundSlots applies to more long answers than engines can run, BoundQueue
+// to more prompts than they can prefill, and BoundTime to any request that would begin too late. In-share requests may use all slots and most
+// of the queue; over-share requests may use what remains, and an account whose usage is ahead of a short one gets less the further it is ahead.
 
 const (
-	// These fractions of the shortest target limit the queue for requests within their account's share, for those beyond it, and for those
-	// of accounts ahead of one that is short. The last fraction and the slots fall with the square of the lead, down to minAheadFraction:
-	// callers consider it unfair when an account gets twice as much as another that is short.
+	// These fractions of the shortest target limit the queue delay of requests within their account's share, of those beyond it, and of those
+	// of accounts ahead of one that is short. For the last, the queue and the slots shrink with the square of the lead, down to a factor of
+	// minAheadFraction: callers consider it unfair when an account gets twice as much as another that is short.
 	inShareQueueFraction   = 0.45
 	overShareQueueFraction = 0.2
 	aheadQueueFraction     = 0.15
 	minAheadFraction       = 0.4
-	// onTimeFraction is the fraction of the target within which the answer must be expected; the rest absorbs unreported requests.
+	// onTimeFraction is the fraction of the target within which the answer must be expected; the rest absorbs requests of other routers that
+	// are not reported yet.
 	onTimeFraction = 0.85
-	// slotReserveFactor times the square root of an engine's slots is reserved for in-share requests, since unreported requests of other
-	// routers vary by about that root. maxReserveFraction limits the reserve, which would take nearly all slots of a small engine.
+	// slotReserveFactor times the square root of an engine's slots is reserved for in-share requests. The number of unreported requests of
+	// other routers varies by about that root, and without the reserve they would find engines full of over-share requests.
+	// maxReserveFraction limits the reserve, which would take nearly all slots of a small engine.
 	slotReserveFactor  = 3.0
 	maxReserveFraction = 0.4
-	// yieldedSlotFraction times an account's lead is the fraction of slots it leaves to a far shorter one, up to maxYieldedSlotFraction.
+	// yieldedSlotFraction times an account's lead is the fraction of slots left to an account far below its share, up to
+	// maxYieldedSlotFraction.
 	yieldedSlotFraction    = 0.1
 	maxYieldedSlotFraction = 0.35
 	// maxRecomputeTokens limits the shared tokens that an over-share request may prefill although a busier engine has them cached; it is about
 	// what an engine processes in one step.
 	maxRecomputeTokens = 400
-	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. The minimum is the time in which an engine frees a slot and reports
-	// of it reach the routers; callers that retry within their target can still be served on time.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. The minimum is the time in which an engine frees a slot and load
+	// reports of it reach the routers; callers that retry within their target can still be served on time.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
@@ -118,12 +121,12 @@
 	if bound == BoundNone {
 		return admission{}
 	}
-	// The queue must drop to the limit, and the expected latency to the admissible one.
+	// The request is admissible once the queue delay and the expected latency have both dropped to their limits.
 	wait := max(c.queueDelay-a.maxQueueDelay, c.expectedLatency-scale(onTimeFraction, r.Target))
 	return admission{reason: a.reason, bound: bound, retryAfter: min(max(wait, minRetryAfter), maxRetryAfter)}
 }
 
-// exceededBound returns the limit that the request exceeds at the candidate.
+// exceededBound returns the limit that the request exceeds at the candidate, or BoundNone.
 func (p *Placer) exceededBound(c candidate, r *Request, a allowance) Bound {
 	ownTime := c.expectedLatency - c.queueDelay
 	switch {
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -32,11 +32,11 @@
 	MaxWait time.Duration
 	// WithinShare reports whether the request is within its account's fair share.
 	WithinShare bool
-	// LeadOverLevel is the account's usage divided by the usage accepted while another account is below its share. Above 1, the account's over-share
-	// requests get a shorter queue and fewer slots.
+	// LeadOverLevel is the account's usage divided by the most that it may have while another account is below its share. Above 1, the
+	// account's over-share requests get a shorter queue and fewer slots.
 	LeadOverLevel float64
-	// LeadOverLeastServed is the account's usage divided by the usage accepted while another account is far below its share. Above 1, all of the account's
-	// requests get fewer slots.
+	// LeadOverLeastServed is the account's usage divided by the most that it may have while another account is far below its share. Above 1,
+	// all of the account's requests get fewer slots.
 	LeadOverLeastServed float64
 	// Residency restricts the regions in which the request may be served.
 	Residency pomelorelay.Residency
@@ -123,8 +123,8 @@
 // ShareState is an account's usage of the shared capacity at the time of a decision.
 type ShareState struct {
 	Cost pomelorelay.Cost
-	// The account's requested and served totals in the current window, and the fair-share limit; the limit is zero when demand is below
-	// capacity.
+	// Requested and Served are the account's totals in the current window. FairShare is the level up to which accounts are served; it is
+	// zero when the capacity is unknown or covers all requests, and no account is short.
 	Requested, Served, FairShare pomelorelay.Cost
 	WithinShare                  bool
 }
@@ -193,10 +193,11 @@
 	failureHalfLife = 2 * time.Second
 	// unreachableBackoff is the initial backoff after a failed connection; it doubles with each consecutive failure up to
 	// maxUnreachableBackoff, since a restart takes seconds. Without backoff, an unreachable upstream looks idle and attracts requests from
-	// every router, and requests that hit several of them are refused.
+	// every router, and requests that try several of them in a row are refused.
 	unreachableBackoff    = 700 * time.Millisecond
 	maxUnreachableBackoff = 2800 * time.Millisecond
-	// minPendingFraction is the fraction of pending prompt tokens that counts as queued even if they should have been processed by now.
+	// minPendingFraction is the fraction of pending prompt tokens that counts as queued even if they should have been processed by now at
+	// the estimated rate.
 	minPendingFraction = 0.3
 	// maxMemoryFraction is the fraction of KV cache memory that running requests may fill; above it, the engine evicts running requests.
 	maxMemoryFraction = 0.9
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -18,8 +18,8 @@
 	uncached pomelorelay.Tokens
 }
 
-// findCopySource returns the engine with the longest cached prefix of the prompt, preferring the one with fewer running requests. Only
-// upstreams that may serve the request itself are eligible.
+// findCopySource returns the engine with the longest cached prefix of the prompt; of several, the one with the fewest running requests.
+// Engines outside the request's allowed regions, under evacuation or in backoff are not eligible; draining ones are.
 func (p *Placer) findCopySource(now time.Time, s *pool, r *Request) copySource {
 	best := copySource{uncached: r.PromptTokens}
 	for _, u := range s.upstreams {
@@ -34,7 +34,8 @@
 	return best
 }
 
-// planCopy decides whether the candidate copies uncached parts from the source, and returns the estimated copy time.
+// planCopy decides whether the candidate copies uncached parts from the source, and returns the estimated copy time. Nothing is copied when
+// that takes as long as prefilling.
 func (p *Placer) planCopy(c *candidate, from copySource, uncached pomelorelay.Tokens) time.Duration {
 	tokens := uncached - from.uncached
 	if p.cfg.Disabled.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
--- a/pomeloplace/domain.go
+++ b/pomeloplace/domain.go
@@ -6,9 +6,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Connections to a failure domain that is down or partitioned hang until they time out. If each upstream were detected separately, callers
-// would see late answers for as many attempts as the domain has upstreams. After a few upstreams hang with no answer from any other, the
-// whole domain goes into backoff, and one request at a time probes it.
+// Connections to a failure domain that is down or partitioned hang until they time out. If each unreachable upstream were detected separately,
+// callers would get late answers for as many attempts as the domain has upstreams. When a few upstreams hang and no other one has answered
+// meanwhile, the whole domain goes into backoff, and one request at a time probes it.
 
 // minHungUpstreams is the number of hanging upstreams from which a failure domain counts as unreachable.
 const minHungUpstreams = 3
@@ -37,7 +37,8 @@
 // inBackoff reports whether the domain is in backoff.
 func (d *domainState) inBackoff(now time.Time) bool { return now.Before(d.backoffUntil) }
 
-// recordSend records a request to the domain. A request to an unreachable domain is a probe; a backoff gives it time for an outcome.
+// recordSend records a request to the domain. The first request to an unreachable domain after its backoff is a probe; a new backoff holds
+// other requests back until its outcome is known.
 func (d *domainState) recordSend(now time.Time) {
 	if d.unreachable() && !d.inBackoff(now) {
 		d.backoffUntil, d.probing = now.Add(unreachableBackoff), true
@@ -53,7 +54,8 @@
 	d.backoffUntil, d.backoff, d.probing = time.Time{}, 0, false
 }
 
-// recordHang records a connection to an upstream that hung until it timed out; sent is when the request was sent.
+// recordHang records a connection to an upstream that hung until it timed out. It is ignored if the domain has answered since the request was
+// sent.
 func (d *domainState) recordHang(now, sent time.Time, id pomelorelay.UpstreamID) {
 	if d.lastAnswerAt.After(sent) {
 		return
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -91,7 +91,7 @@
 	perDomain, perUpstream := hungRequests(pomeloplace.Mechanisms{}), hungRequests(pomeloplace.Mechanisms{DomainBackoff: true})
 	t.Logf("%d of 320 requests hung, %d with backoff of single upstreams only", perDomain, perUpstream)
 	if perDomain > 25 || perUpstream < 2*perDomain {
-		t.Errorf("%d requests hung, %d with backoff of single upstreams only", perDomain, perUpstream)
+		t.Errorf("%d requests hung, want at most 25; %d with backoff of single upstreams only, want at least twice as many", perDomain, perUpstream)
 	}
 }
 
--- a/pomeloplace/evacuation_test.go
+++ b/pomeloplace/evacuation_test.go
@@ -17,7 +17,7 @@
 	for range 10 {
 		d := place(t, p, now, prompt(1, 5000, 100))
 		if d.Upstream.ID != "b0" || d.CopiedTokens != 0 {
-			t.Fatalf("sent to %s, %d tokens copied", d.Upstream.ID, d.CopiedTokens)
+			t.Fatalf("sent to %s, %d tokens copied, want b0 without a copy", d.Upstream.ID, d.CopiedTokens)
 		}
 		p.RecordEnd(now, d.Run, pomeloplace.ResultUnreachable)
 		now = now.Add(20 * time.Millisecond)
@@ -53,6 +53,6 @@
 	p.PutUpstream(start, engineIn("a0", "a"))
 	p.SetEvacuated(now, "b", true)
 	if d := place(t, p, now, prompt(1, 5000, 500)); d.Upstream.ID != "a0" || d.CopiedTokens != 0 {
-		t.Errorf("sent to %s, %d tokens copied", d.Upstream.ID, d.CopiedTokens)
+		t.Errorf("sent to %s, %d tokens copied, want a0 without a copy", d.Upstream.ID, d.CopiedTokens)
 	}
 }
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -28,7 +28,7 @@
 		random.run(c.perSecond, length)
 		t.Logf("%.0f requests/s: %s; random selection: %s", c.perSecond, placed, random)
 		if got := float64(placed.onTime) / float64(placed.ended()); got < c.onTimeFraction {
-			t.Errorf("%.0f requests/s: %.3f on time, want %.2f", c.perSecond, got, c.onTimeFraction)
+			t.Errorf("%.0f requests/s: %.3f on time, want at least %.2f", c.perSecond, got, c.onTimeFraction)
 		}
 		if got := float64(placed.refused) / float64(placed.requested); got > c.refusedFraction {
 			t.Errorf("%.0f requests/s: %.3f refused, want at most %.2f", c.perSecond, got, c.refusedFraction)
@@ -51,7 +51,7 @@
 	got := float64(s.inShareOnTime) / float64(s.inShareRequested)
 	t.Logf("%s; in-share requests %d, on time %.3f, late first tokens %d", s, s.inShareRequested, got, s.lateFirstTokens)
 	if got < 0.72 {
-		t.Errorf("%.3f of the in-share requests on time, want 0.72", got)
+		t.Errorf("%.3f of the in-share requests on time, want at least 0.72", got)
 	}
 }
 
@@ -77,12 +77,12 @@
 	late, onTime := restart(true)
 	t.Logf("%d late and %d on time; without accounting for unreported routers %d and %d", late, onTime, unawareLate, unawareOnTime)
 	if late >= unawareLate || onTime < unawareOnTime {
-		t.Error("want fewer late answers and at least as many on time")
+		t.Error("accounting for unreported routers does not reduce late answers, or loses answers that were on time")
 	}
 }
 
-// During a long overload, each refused caller retries once after its Retry-After. A longer Retry-After does not improve the chance of
-// admission and makes the answers seconds late.
+// During a long overload, each refused caller retries once after its Retry-After. Guards against a longer Retry-After, which does not improve
+// the chance of admission and makes the answers seconds late.
 func TestRetryAfterLetsRetriesMeetTheirTarget(t *testing.T) {
 	const seeds = 3
 	type outcome struct{ onTime, lateFirstTokens, prefilled int }
@@ -98,7 +98,7 @@
 	}
 	advised, later := overload(0), overload(3*time.Second)
 	if advised.onTime < later.onTime+later.onTime/10 {
-		t.Errorf("%d on time with the returned Retry-After, %d with 3 s: want a tenth more", advised.onTime, later.onTime)
+		t.Errorf("%d on time with the returned Retry-After, %d with 3 s: want at least a tenth more", advised.onTime, later.onTime)
 	}
 	const maxPrefilled = 1_000_000 * seeds
 	if advised.prefilled > maxPrefilled {
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -13,8 +13,8 @@
 )
 
 // An engine prefills a long prompt in chunks and generates one token per running stream with each chunk. With long chunks and many tokens per
-// event, no stream completes an event within the maximum pause during a long prefill. Services where this happens assign long prompts to a
-// few engines that streams avoid.
+// event, no stream completes an event within the maximum pause during a long prefill. In services where this happens, long prompts are assigned
+// to a few engines that streams avoid.
 
 const (
 	// longCapacityFactor scales the capacity assigned to long prompts relative to their work; short answers use the rest of it.
@@ -76,7 +76,7 @@
 	}
 }
 
-// longEngines returns the number of engines needed for long prompts at the given prefill rate.
+// longEngines returns the number of engines needed for long prompts at the given prefill rate in tokens per millisecond.
 func (w *workRate) longEngines(rate float64) float64 {
 	if w.own <= 0 {
 		return 0
@@ -125,7 +125,6 @@
 	s.byLongRank = insertSorted(s.byLongRank, u, func(a, b *upstream) int { return cmp.Compare(a.longRank, b.longRank) })
 }
 
-// insertSorted inserts an upstream into a sorted list.
 func insertSorted(list []*upstream, u *upstream, compare func(a, b *upstream) int) []*upstream {
 	at, _ := slices.BinarySearchFunc(list, u, compare)
 	return slices.Insert(list, at, u)
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -28,8 +28,8 @@
 	UpstreamBackoff bool
 	// DomainBackoff disables the backoff for a whole failure domain after connections to several of its upstreams hang.
 	DomainBackoff bool
-	// Unreported disables the assumption that routers without a load report send as much as this one.
-	Unreported bool
+	// UnreportedRouterLoad disables the assumption that routers without a load report send as much as this one.
+	UnreportedRouterLoad bool
 	// SlotReserve disables the slots reserved for requests within their account's share.
 	SlotReserve bool
 	// OverShareQueue disables the shorter queue limit for requests beyond their account's share.
@@ -42,7 +42,7 @@
 	RecomputeLimit bool
 }
 
-// mechanisms maps the values of the command-line flag to the fields of Mechanisms, in declaration order.
+// mechanisms lists the name that ParseMechanisms accepts for each field of Mechanisms, in declaration order.
 var mechanisms = []struct {
 	name  string
 	field func(m *Mechanisms) *bool
@@ -59,7 +59,7 @@
 	{"Failures", func(m *Mechanisms) *bool { return &m.FailureCost }},
 	{"Rests", func(m *Mechanisms) *bool { return &m.UpstreamBackoff }},
 	{"DomainRests", func(m *Mechanisms) *bool { return &m.DomainBackoff }},
-	{"Unreported", func(m *Mechanisms) *bool { return &m.Unreported }},
+	{"Unreported", func(m *Mechanisms) *bool { return &m.UnreportedRouterLoad }},
 	{"SlotReserve", func(m *Mechanisms) *bool { return &m.SlotReserve }},
 	{"FreeQueue", func(m *Mechanisms) *bool { return &m.OverShareQueue }},
 	{"Ahead", func(m *Mechanisms) *bool { return &m.AheadLimits }},
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -102,7 +102,7 @@
 	for i := range 20 {
 		d := place(t, p, start.Add(time.Duration(i)*time.Second), r)
 		if d.Upstream.ID != "e2" {
-			t.Fatalf("sent to %s", d.Upstream.ID)
+			t.Fatalf("sent to %s, want e2", d.Upstream.ID)
 		}
 		p.RecordEnd(start, d.Run, pomeloplace.ResultCompleted)
 	}
@@ -131,7 +131,7 @@
 		}
 	}
 	if refused.Reason != pomeloplace.ReasonTooLate || refused.RetryAfter <= 0 || refused.Run != nil {
-		t.Fatalf("%+v", refused)
+		t.Fatalf("last decision %+v, want a refusal as too late with a Retry-After", refused)
 	}
 	if d := p.Place(start.Add(refused.RetryAfter), prompt(1, 5000, 100)); d.Reason != pomeloplace.ReasonNone {
 		t.Errorf("refused again (%s) after the returned Retry-After", d.Reason)
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -180,7 +180,7 @@
 	if r.Residency.Empty() {
 		return Decision{Reason: ReasonNoAllowedRegion, RetryAfter: noRegionRetryAfter, ReportAge: p.reportAge(now)}
 	}
-	best, v, found := p.choose(now, &r)
+	best, outcome, found := p.choose(now, &r)
 	if !found {
 		return p.noUpstreamDecision(now, &r)
 	}
@@ -192,8 +192,8 @@
 	if best.copyFrom != nil {
 		d.CopyFrom, d.CopiedTokens = best.copyFrom.info, best.copiedTokens
 	}
-	if v.bound != BoundNone {
-		d.Reason, d.Bound, d.RetryAfter = v.reason, v.bound, v.retryAfter
+	if outcome.bound != BoundNone {
+		d.Reason, d.Bound, d.RetryAfter = outcome.reason, outcome.bound, outcome.retryAfter
 		return d
 	}
 	d.Run = p.startRun(now, best, &r)
@@ -276,19 +276,19 @@
 
 // choose returns the best candidate and its admission. Cold upstreams are considered only if no other upstream admits the request.
 func (p *Placer) choose(now time.Time, r *Request) (candidate, admission, bool) {
-	best, found := p.bestCandidate(now, r, pomelowarmup.Open)
-	var v admission
+	best, found := p.bestCandidate(now, r, pomelowarmup.AdmissionOpen)
+	var outcome admission
 	if found {
-		if v = p.admit(best, r); v.bound == BoundNone {
-			return best, v, true
+		if outcome = p.admit(best, r); outcome.bound == BoundNone {
+			return best, outcome, true
 		}
 	}
-	if cold, ok := p.bestCandidate(now, r, pomelowarmup.Reserve); ok {
+	if cold, ok := p.bestCandidate(now, r, pomelowarmup.AdmissionFallback); ok {
 		if admitted := p.admit(cold, r); admitted.bound == BoundNone || !found {
 			return cold, admitted, true
 		}
 	}
-	return best, v, found
+	return best, outcome, found
 }
 
 // bestCandidate returns the candidate with the lowest cost among the upstreams of a class. Upstreams in backoff and those that failed this
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -47,8 +47,8 @@
 	p.pendingStarts = p.pendingStarts[:0]
 }
 
-// speedReportDue reports whether enough new times to first token have accumulated for a report: at first each one, later an increase of
-// a tenth up to maxUnreportedAnswers.
+// speedReportDue reports whether enough new times to first token have accumulated for a report: at first a single one, later a tenth of those
+// reported before, but at most maxUnreportedAnswers.
 func (s *pool) speedReportDue(answers float64) bool {
 	return answers >= s.reportedAnswers+min(max(1, s.reportedAnswers/10), maxUnreportedAnswers)
 }
@@ -57,7 +57,7 @@
 const maxUnreportedAnswers = 20
 
 // urgentTokens is the number of prompt tokens sent since the last report that triggers an immediate report. With a lower value each request
-// would trigger one; with a higher value other routers would send to the same engine in the meantime.
+// would trigger one; with a higher value other routers would send to the same engine before they know of these tokens.
 const urgentTokens = 4000
 
 // Urgent reports whether a load report should be sent ahead of schedule.
@@ -169,11 +169,11 @@
 	}
 }
 
-// SetUnreportedRouters sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without this
-// assumption, routers that start at once would all see idle engines and overfill them several times before the first reports arrive, and
-// callers would get answers seconds late after a restart of the fleet.
+// SetUnreportedRouters sets the number of registered routers without a load report. Each is assumed to send as much as this router. Without
+// this assumption, routers that start at once would all see idle engines and overfill them several times before the first reports arrive,
+// and callers would get answers seconds late after a restart of the fleet.
 func (p *Placer) SetUnreportedRouters(routers int) {
-	if p.cfg.Disabled.Unreported {
+	if p.cfg.Disabled.UnreportedRouterLoad {
 		routers = 0
 	}
 	for _, s := range p.pools {
--- a/pomeloplace/residency_test.go
+++ b/pomeloplace/residency_test.go
@@ -64,7 +64,7 @@
 		d := p.Place(now, r)
 		if d.Reason == pomeloplace.ReasonNone {
 			if d.Upstream.ID != "b0" {
-				t.Fatalf("sent to %s", d.Upstream.ID)
+				t.Fatalf("sent to %s, outside the allowed region", d.Upstream.ID)
 			}
 			p.RecordEnd(now, d.Run, pomeloplace.ResultUnreachable)
 		}
@@ -101,7 +101,7 @@
 		p.PutUpstream(start, engineIn("a0", "a"))
 		d := p.Place(now, limitedTo(prompt(1, 5000, 500), regions...))
 		if d.Upstream.ID != "a0" {
-			t.Fatalf("sent to %q: %s", d.Upstream.ID, d.Reason)
+			t.Fatalf("sent to %q, want a0; refused: %s", d.Upstream.ID, d.Reason)
 		}
 		return d.CopiedTokens > 0
 	}
--- a/pomeloplace/simulation_test.go
+++ b/pomeloplace/simulation_test.go
@@ -10,14 +10,15 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// Parameters of simulated engines. A step generates one token for each running stream and prefills up to a chunk of prompts in FIFO order.
+// Parameters of simulated engines. A step generates one token for each running stream and prefills up to chunkTokens of prompts in FIFO order.
+// Its time in ms has a fixed part, a part for each running stream, and the prefill with its attention between pairs of tokens.
 const (
-	stepMS       = 2.97
-	stepPerSlot  = 0.0222
-	prefillPerMS = 101.0
-	pairsPerMS   = 1e6 / 0.184
-	chunk        = 4096
-	// copyPerToken is half of the time to prefill a token.
+	stepMS              = 2.97
+	stepMSPerStream     = 0.0222
+	prefillPerMS        = 101.0
+	attentionPairsPerMS = 1e6 / 0.184
+	chunkTokens         = 4096
+	// copyPerToken is the time to copy a token from another engine: half of the time to prefill it.
 	copyPerToken = float64(time.Millisecond) / prefillPerMS / 2
 )
 
@@ -27,7 +28,7 @@
 	request pomeloplace.Request
 	run     *pomeloplace.Run
 	sent    time.Time
-	// readyAt is when the copy from another engine is complete.
+	// readyAt is when the copy from another engine is complete, or when the job arrived if nothing is copied.
 	readyAt      time.Time
 	uncached     float64
 	prefilled    float64
@@ -57,7 +58,7 @@
 	// slots and eventTokens are engine parameters; reportDelay is the delivery delay of load reports.
 	slots, eventTokens int
 	reportDelay        time.Duration
-	// reportBlackout is the initial time without report delivery; unreportedKnown makes routers aware of the missing reports.
+	// reportBlackout is the initial time without report delivery; unreportedKnown sets the number of unreported routers meanwhile.
 	reportBlackout  time.Duration
 	unreportedKnown bool
 	// sessionFactor multiplies the number of sessions.
@@ -213,9 +214,9 @@
 	s.retries = append(later, s.retries...)
 }
 
-func (s *simulation) sendReports(whole bool) {
+func (s *simulation) sendReports(full bool) {
 	for i, router := range s.routers {
-		m := &pomelorelay.LoadReport{Full: whole}
+		m := &pomelorelay.LoadReport{Full: full}
 		router.FillReport(m)
 		router.Tick(s.now)
 		s.inTransit = append(s.inTransit, reportInTransit{arrivesAt: s.now.Add(s.reportDelay), from: i, m: m})
@@ -262,13 +263,13 @@
 	if len(e.running) == 0 {
 		return
 	}
-	budget, ms := float64(chunk), stepMS+stepPerSlot*float64(len(e.running))
+	budget, ms := float64(chunkTokens), stepMS+stepMSPerStream*float64(len(e.running))
 	var done []*job
 	for _, j := range e.running {
 		if j.uncached > 0 {
 			n := min(budget, j.uncached)
 			budget -= n
-			ms += n/prefillPerMS + n*j.prefilled/pairsPerMS
+			ms += n/prefillPerMS + n*j.prefilled/attentionPairsPerMS
 			j.uncached -= n
 			j.prefilled += n
 			if j.uncached > 0 {
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -186,7 +186,7 @@
 }
 
 // observeFirstToken updates the speed estimates with a time to first token, which includes the round trip to another region. It returns
-// the excess over the estimate without the round trip.
+// the excess over the estimate without that round trip, or rtt if the time is not a usable sample of it.
 func (u *upstream) observeFirstToken(now time.Time, r *Run, latency, rtt time.Duration) time.Duration {
 	if u.engine == nil {
 		u.serviceTime += scale(serviceTimeAlpha, latency-rtt-u.serviceTime)
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -51,7 +51,7 @@
 	for now.Before(start.Add(coldFor)) {
 		d := place(t, p, now, prompt(uint64(now.UnixNano()), 500, 100))
 		if d.Upstream.ID != "e0" {
-			t.Fatalf("sent to %s after %v", d.Upstream.ID, now.Sub(start))
+			t.Fatalf("sent to %s after %v, want e0 while e1 is cold", d.Upstream.ID, now.Sub(start))
 		}
 		p.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		now = now.Add(10 * time.Millisecond)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against an engine that crashes and, since its restart is not listed yet, gets the requests of the whole fleet on its return.
+// Guards against an engine that crashes and gets the requests of the whole fleet when it is reachable again, before its restart is listed.
 func TestUnreachableEngineIsColdForTheWholeFleet(t *testing.T) {
 	near, other, far := withColdEngines("r1", engine("e0"), engine("e1")), withColdEngines("r2", engine("e0"), engine("e1")), withColdEngines("far", engine("e0"), engine("e1"))
 	now := start
@@ -107,7 +107,7 @@
 	var m pomelorelay.LoadReport
 	near.FillReport(&m)
 	if len(m.Starts) != 1 || !m.Starts[0].Unreachable || m.Starts[0].Upstream != "e1" {
-		t.Fatalf("%+v", m.Starts)
+		t.Fatalf("reported %+v, want e1 as unreachable", m.Starts)
 	}
 	other.ApplyReport(now, "r1", 1, &m)
 	far.ApplyReport(now, "r1", 1, &m)
@@ -133,7 +133,7 @@
 	var m pomelorelay.LoadReport
 	p.FillReport(&m)
 	if len(m.Starts) != 0 {
-		t.Errorf("reported %+v", m.Starts)
+		t.Errorf("reported %+v, want nothing", m.Starts)
 	}
 	if d := p.Place(now.Add(3*time.Second), prompt(1, 500, 100)); d.Reason != pomeloplace.ReasonNone {
 		t.Errorf("refused after the partition: %s", d.Reason)
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -42,14 +42,14 @@
 	copyWeight = 2.5
 	// waitWeight weights a wait that ends well within the target, where the choice between engines matters little.
 	waitWeight = 0.1
-	// latenessThreshold is the fraction of the target beyond which each millisecond also counts latenessWeight, since requests of other
-	// routers that are not yet known may delay the answer past its target. A larger weight would move requests from short queues to engines
-	// where they delay streams.
+	// latenessThreshold is the fraction of the target beyond which each millisecond of expected latency also counts latenessWeight, since
+	// requests of other routers that are not yet known may delay the answer past its target. A larger weight would move requests from short
+	// queues to engines where they delay streams.
 	latenessThreshold = 0.55
 	latenessWeight    = 1.0
 	// occupancyWeight is the cost of a plain upstream with all slots taken; the cost grows with the square of the occupied fraction.
 	occupancyWeight = 50 * time.Millisecond
-	// crossRegionTokens is the cost of a request's traffic to another region, expressed as prefill tokens.
+	// crossRegionTokens is the cost of the traffic of a request and its answer between regions, expressed as prefill tokens.
 	crossRegionTokens = 1000
 	// pauseRampStart and pauseRampEnd are prefill durations as fractions of the maximum pause; between them, the fraction of concurrent
 	// streams that exceed the maximum pause rises from 0 to 1.
@@ -69,7 +69,8 @@
 	initialRegionLatency = 20 * time.Millisecond
 	// regionLatencyAlpha is the weight of a new sample in the moving average; times to first token vary much more than the round trip.
 	regionLatencyAlpha = 0.005
-	// slotFreeInterval is the approximate time until one of an engine's slots becomes free: runs of seconds over dozens of slots.
+	// slotFreeInterval is the approximate time until one of an engine's slots becomes free: runs take seconds, and an
+	// engine has dozens of slots.
 	slotFreeInterval = 80 * time.Millisecond
 )
 
@@ -194,8 +195,9 @@
 	return now.Sub(u.busySince)
 }
 
-// pauseCost returns the cost to the engine's streams of prefilling a prompt after the backlog. It counts streams that wait for all of the
-// prefill, or those that exceed the maximum pause because of this prompt after the engine's uninterrupted prefill so far.
+// pauseCost returns the cost to the engine's streams of prefilling a prompt after the backlog. It counts the larger of two fractions of them:
+// those that pause too long during the backlog and the prompt, and those that the prompt adds after the engine's uninterrupted prefill so far
+// and the backlog.
 func (u *upstream) pauseCost(now time.Time, backlog, prefill time.Duration) time.Duration {
 	if u.pool.maxPause <= 0 {
 		return 0
--- a/pomeloproblem/problem.go
+++ b/pomeloproblem/problem.go
@@ -29,7 +29,7 @@
 	return Problem{Type: "about:blank", Title: info.Name, Status: info.HTTPStatus, Detail: detail, Code: e.Code, Ran: e.Ran}
 }
 
-// Encode returns the problem as JSON. Encoding cannot fail, since all fields are strings and numbers.
+// Encode returns the problem as JSON; encoding does not fail, since all fields are strings and numbers.
 func (p Problem) Encode() []byte {
 	text, err := json.Marshal(p)
 	if err != nil {
--- a/pomeloresidency/doc.go
+++ b/pomeloresidency/doc.go
@@ -1,3 +1,3 @@
-// Package pomeloresidency determines the regions in which a request may be served, from the regions that the configuration allows for its route
-// and for its client account.
+// Package pomeloresidency determines the regions in which a request may be served, from those that the configuration allows for its route and
+// for its client account.
 package pomeloresidency
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -58,8 +58,8 @@
 	return r.routes[route].Intersect(r.accounts[account])
 }
 
-// Residency returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change both versions
-// apply, or only the newer one if they have no region in common.
+// Residency returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change, both
+// versions apply, or only the current one if they have no region in common.
 func (p *Policy) Residency(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
 	current := p.current.residency(route, account)
 	if !now.Before(p.previousEnds) {
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -167,8 +167,8 @@
 }
 
 const (
-	// minUnmetFraction is the unserved fraction of its demand from which an account counts as short. Users consider one half unfair; with a
-	// lower threshold, an account that misses one large request would hold back the others while engines are idle.
+	// minUnmetFraction is the unserved fraction of its demand from which an account counts as short. Users consider it unfair when
+	// half is unserved; with a lower threshold, an account that misses one large request would hold back the others while engines are idle.
 	minUnmetFraction = 0.35
 	// minUnmetTokens is the unserved cost from which an account counts as short: two large requests.
 	minUnmetTokens = 25000
@@ -196,8 +196,8 @@
 	return lowest
 }
 
-// LeadOverLevel returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is short.
-// Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers all requests.
+// LeadOverLevel returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is
+// short. Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers all requests.
 func (s *Shares) LeadOverLevel(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.minServedShort == 0 {
 		return 0
@@ -211,7 +211,8 @@
 		old := a.steps[s.currentStep]
 		a.steps[s.currentStep] = usage{}
 		a.window.requested -= old.requested
-		// May fall below zero: a refund can be recorded in a later step than the service, and a bound at zero would keep it in the window for good.
+		// May fall below zero: a refund can be recorded in a later step than the request that it refunds. With a minimum of zero, the
+		// refunded cost would stay in the window for good.
 		a.window.served -= old.served
 	}
 }
@@ -240,7 +241,8 @@
 	return 0
 }
 
-// WithinShare reports whether a request of the given cost is within the account's share.
+// WithinShare reports whether a request of the given cost is within the account's share; it is when the capacity is unknown or covers all
+// requests.
 func (s *Shares) WithinShare(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
 	if s.level == 0 {
 		return true
@@ -250,8 +252,8 @@
 	return served+cost/2 <= s.level || served <= s.minServedShort
 }
 
-// LeadOverLeastServed returns the ratio of the account's served cost to the most that any account may have, even within its share, while another one is far
-// short. Above 1 the account should yield; the ratio is 0 when no account is far short.
+// LeadOverLeastServed returns the ratio of the account's served cost to the most that any account may have, even within its share, while
+// another one is far short. Above 1 the account should yield; the ratio is 0 when no account is far short.
 func (s *Shares) LeadOverLeastServed(id pomelorelay.AccountID) float64 {
 	if s.minServedFarShort == 0 {
 		return 0
@@ -270,7 +272,8 @@
 	return a.window.requested, a.window.served, s.effectiveLevel()
 }
 
-// RetryAfter returns the estimated time until a request of the given cost is within the account's share again, at most the window.
+// RetryAfter returns the estimated time until a request of the given cost is within the account's share again, at most the window;
+// zero when no account is limited.
 func (s *Shares) RetryAfter(id pomelorelay.AccountID, cost pomelorelay.Cost) time.Duration {
 	if s.level == 0 {
 		return 0
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -47,7 +47,7 @@
 	s := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"small": 100, "large": 1000})
 	for range 6 {
 		if !s.WithinShare("large", 50) {
-			t.Fatal("not within the share below the level of 300")
+			t.Fatal("a request below the level of 300 is not within the share")
 		}
 		s.RecordServed("large", 50)
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// Guards against reports that are counted twice or not at all, which would refuse an account for service it never had. Reports are lost with a
-// broken link and repeated after it recovers, and a restarted router counts from zero.
+// Guards against reports that are counted twice or not at all, which would refuse an account's requests for usage that it never had. Reports
+// are lost with a broken link and repeated after it recovers, and a restarted router counts from zero.
 func TestReportsCountOnce(t *testing.T) {
 	s := newSharesWithDemand(nil)
 	for at := time.Duration(0); at < 2*window; at += 100 * time.Millisecond {
--- a/pomelospeed/factor.go
+++ b/pomelospeed/factor.go
@@ -49,8 +49,8 @@
 }
 
 // RelativeTo returns how many times slower the engine is than the median engine, whose ratio is given, or 1 where the difference may be noise.
-// Comparing with the median excludes the error of a linear model that has not converged yet. The result is never below 1, or all routers would send
-// to the fastest engine at once.
+// Comparing with the median excludes the error of a linear model that has not converged yet. The result is never below 1, or all routers
+// would send to the fastest engine at once.
 func (f *SlowdownFactor) RelativeTo(now time.Time, median float64) float64 {
 	ratio := f.Ratio(now) / median
 	if ratio >= significantRatio {
--- a/pomelospeed/first_token_model_test.go
+++ b/pomelospeed/first_token_model_test.go
@@ -48,9 +48,9 @@
 				rateError, expectError := 0.0, 0.0
 				for seed := range uint64(fleets) {
 					e := &engine{rng: rand.New(rand.NewPCG(seed, uint64(rate))), rate: rate, overhead: 40 * time.Millisecond, spread: 0.3}
-					l := newTrained(e, prior, answers, length)
-					rateError += math.Abs(float64(l.PrefillRate())/rate-1) / fleets
-					expectError += math.Abs(l.ExpectedTime(200*rate).Seconds()/0.24-1) / fleets
+					m := newTrained(e, prior, answers, length)
+					rateError += math.Abs(float64(m.PrefillRate())/rate-1) / fleets
+					expectError += math.Abs(m.ExpectedTime(200*rate).Seconds()/0.24-1) / fleets
 				}
 				if rateError > tolerance || expectError > tolerance {
 					t.Errorf("after %d answers the mean relative error is %.2f for the rate and %.2f for the time of a 0.2 s prefill, want at most %.1f", answers, rateError, expectError, tolerance)
@@ -62,14 +62,14 @@
 
 // newTrained returns a model after the given number of answers, spread evenly over the time.
 func newTrained(e *engine, prior pomelospeed.PrefillRate, answers int, length time.Duration) *pomelospeed.FirstTokenModel {
-	l := pomelospeed.NewFirstTokenModel(prior)
+	m := pomelospeed.NewFirstTokenModel(prior)
 	now := start
 	for range answers {
 		now = now.Add(length / time.Duration(answers))
 		tokens := e.promptTokens()
-		l.Observe(now, tokens, e.firstTokenTime(tokens))
+		m.Observe(now, tokens, e.firstTokenTime(tokens))
 	}
-	return l
+	return m
 }
 
 // Guards against a router that starts in a running fleet and learns the rates only from its own answers: until then it would overload slow
@@ -99,7 +99,7 @@
 // all engines look slow, and requests would be refused while engines are idle.
 func TestOutliersBarelyMoveTheRate(t *testing.T) {
 	e := &engine{rng: rand.New(rand.NewPCG(3, 3)), rate: 100, overhead: 30 * time.Millisecond, spread: 0.2}
-	l := pomelospeed.NewFirstTokenModel(100)
+	m := pomelospeed.NewFirstTokenModel(100)
 	now := start
 	for i := range 400 {
 		now = now.Add(10 * time.Millisecond)
@@ -108,9 +108,9 @@
 		if i%100 == 99 {
 			took = 20 * time.Second
 		}
-		l.Observe(now, tokens, took)
+		m.Observe(now, tokens, took)
 	}
-	if got := float64(l.PrefillRate()); math.Abs(got/100-1) > 0.25 {
+	if got := float64(m.PrefillRate()); math.Abs(got/100-1) > 0.25 {
 		t.Errorf("%.1f tokens per millisecond, want about 100", got)
 	}
 }
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestPauseWeightFollowsThePausedStreams(t *testing.T) {
+func TestPauseWeightGrowsWithPausedStreams(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		paused    int // streams out of 100
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -7,19 +7,19 @@
 	pausePriorStreams = 4
 	// minStreams is the number of streams down to which observations decay.
 	minStreams = 100
-	// pauseBaseline is the fraction of paused streams up to which long prefills have no weight, since faults pause as many, and
+	// pauseBaseline is the fraction of paused streams up to which long prefills have no weight, since faults cause about as many pauses;
 	// pauseSaturation is the fraction from which they have full weight.
 	pauseBaseline   = 0.02
 	pauseSaturation = 0.08
 )
 
-// NewPauseRatio returns an estimate of the fraction of streams that pause for longer than their callers accept, among those that run while their
-// engine prefills for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep generating meanwhile.
+// NewPauseRatio returns an estimate of the fraction of streams that pause for longer than their callers accept, among those that run while
+// their engine prefills for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep sending events meanwhile.
 func NewPauseRatio() *DecayingRatio {
 	return NewDecayingRatio(DecayingRatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
 }
 
-// PauseWeight returns the weight, from 0 to 1, of long prefills for the given fraction of streams that they pause.
+// PauseWeight returns the weight, from 0 to 1, of the cost of long prefills, given the fraction of streams that pause too long during them.
 func PauseWeight(fraction float64) float64 {
 	return min(max((fraction-pauseBaseline)/(pauseSaturation-pauseBaseline), 0), 1)
 }
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RatioSums are the numerator and the denominator of a ratio, in this order.
+// RatioSums holds the numerator and the denominator of a ratio, each summed over observations.
 type RatioSums struct {
 	Numerator, Denominator float64
 }
@@ -26,7 +26,8 @@
 	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
 	HalfLife  time.Duration
 	MinWeight float64
-	// MaxReportWeight bounds the denominator of one report of another router: its first report covers all since its start.
+	// MaxReportWeight bounds the denominator of one report of another router: its first report covers all observations since
+	// its start.
 	MaxReportWeight float64
 }
 
--- a/pomelotable/table.go
+++ b/pomelotable/table.go
@@ -53,7 +53,7 @@
 // Config returns the configuration.
 func (t *Table) Config() *pomelorelay.FleetConfig { return t.config }
 
-// Limits returns the limits of callers' requests.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() pomelorelay.CallerLimits { return t.config.Limits }
 
 // Route returns the route of the host, with or without a port, whose prefix is the longest that matches the path.
--- a/pomelowarmup/config.go
+++ b/pomelowarmup/config.go
@@ -13,7 +13,7 @@
 	// boundFraction is the fraction of the bound that the holders use together. The rest covers routers that compute different holders, for
 	// example just after the registrations have changed.
 	boundFraction = 0.5
-	// steadyFraction is the fraction of a holder's part that refills its bucket; the rest is the burst.
+	// steadyFraction is the fraction of a holder's part that refills its bucket each second; the rest is the burst.
 	steadyFraction = 0.5
 	// suspectDuration is how long an upstream that accepted no connection counts as possibly restarted, unless newer information arrives. The
 	// holders try it again within that time.
--- a/pomelowarmup/fleet_test.go
+++ b/pomelowarmup/fleet_test.go
@@ -76,7 +76,7 @@
 // send lets every router send a request if it may, in random order.
 func (f *fleet) send(now time.Time) {
 	for _, i := range f.rng.Perm(len(f.states)) {
-		if f.states[i].Cold(now) && f.states[i].Admission(now) != pomelowarmup.Closed {
+		if f.states[i].Cold(now) && f.states[i].Admission(now) != pomelowarmup.AdmissionClosed {
 			f.states[i].RecordSend(now)
 			f.sent = append(f.sent, now)
 		}
--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelowarmup"
 )
 
-// Guards against a cold upstream that receives more requests in a second than the bound, from routers that learn of it at different times, that
-// restart meanwhile, or that compute different holders; and against one that receives too few requests to warm up.
+// Guards against a cold upstream that receives more requests in a second than the bound, from routers that learn of it at different times,
+// that restart meanwhile, or that compute different holders; and against one that receives hardly any requests.
 func TestFleetStaysWithinTheBoundOfAColdUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -60,7 +60,7 @@
 				t.Errorf("%s, seed %d: %d requests in a second, the bound is %.1f", c.name, seed, peak, bound)
 			}
 			if len(f.sent) < 5 {
-				t.Errorf("%s, seed %d: %d requests in all", c.name, seed, len(f.sent))
+				t.Errorf("%s, seed %d: %d requests in all, want at least 5", c.name, seed, len(f.sent))
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestWhatMakesAnUpstreamCold(t *testing.T) {
+func TestUpstreamIsColdForTheExpectedTime(t *testing.T) {
 	entry := func(left time.Duration) pomelorelay.FleetUpstream {
 		u := upstreamEntry("u")
 		u.ColdRemaining = left
@@ -140,24 +140,24 @@
 			u.MarkCold(start, 2*time.Second)
 			return u
 		}, 2 * time.Second},
-		{"unreached, then answering", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"unreachable, then answering a new request", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.NewUpstream(start.Add(-time.Second), entry(0))
 			u.RecordConnectFailure(start.Add(-time.Second))
 			u.RecordAnswer(start, start.Add(-time.Millisecond))
 			return u
 		}, coldFor},
-		{"unreached, and answering what was sent before", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"unreachable, then answering an earlier request", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.NewUpstream(start.Add(-time.Second), entry(0))
 			u.RecordConnectFailure(start)
 			u.RecordAnswer(start, start.Add(-time.Millisecond))
 			return u
 		}, 4 * time.Second},
-		{"unreached in another region", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"unreachable from another region", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.NewUpstream(start, far)
 			u.RecordConnectFailure(start)
 			return u
 		}, 0},
-		{"unreached, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
+		{"unreachable, of a service that is never cold", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream {
 			u := g.NewUpstream(start, neverCold(entry(0)))
 			u.RecordConnectFailure(start)
 			return u
@@ -179,7 +179,7 @@
 	senders := 0
 	for _, s := range f.states {
 		s.MarkSuspect(start)
-		if s.Admission(start.Add(time.Second)) == pomelowarmup.Open {
+		if s.Admission(start.Add(time.Second)) == pomelowarmup.AdmissionOpen {
 			senders++
 		}
 	}
@@ -188,8 +188,8 @@
 	}
 }
 
-// Guards against a wait after which the router still sends nothing.
-func TestRouterMaySendAfterTheWait(t *testing.T) {
+// Guards against a returned wait after which the router may still not send a request.
+func TestRouterMaySendAfterRetryAfter(t *testing.T) {
 	f := newFleet(5, 12, pomelowarmup.DefaultHolders)
 	for i, s := range f.states {
 		s.MarkCold(start, coldFor)
@@ -197,8 +197,8 @@
 		if wait <= 0 || wait > coldFor {
 			t.Errorf("router %d: wait of %v, want more than 0 and at most the cold period", i, wait)
 		}
-		if s.Admission(start.Add(wait+time.Millisecond)) == pomelowarmup.Closed {
-			t.Errorf("router %d sends nothing after its wait of %v", i, wait)
+		if s.Admission(start.Add(wait+time.Millisecond)) == pomelowarmup.AdmissionClosed {
+			t.Errorf("router %d may not send after its wait of %v", i, wait)
 		}
 	}
 }
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -10,12 +10,13 @@
 type Admission int
 
 const (
-	// Open upstreams accept requests: they are warm, or suspect and tried again by this router.
-	Open Admission = iota
-	// Reserve upstreams are cold and accept a request within this router's part of their bound if no open upstream can take it.
-	Reserve
-	// Closed upstreams are cold and accept no request of this router at present.
-	Closed
+	// AdmissionOpen means that the upstream accepts requests: it is warm, or suspect and tried again by this router.
+	AdmissionOpen Admission = iota
+	// AdmissionFallback means that the upstream is cold and accepts a request, within this router's part of its bound, that no open upstream
+	// admits.
+	AdmissionFallback
+	// AdmissionClosed means that the upstream is cold or suspect and accepts no request of this router at present.
+	AdmissionClosed
 )
 
 // Upstream is the warm-up state of one upstream at this router.
@@ -69,8 +70,9 @@
 	}
 }
 
-// RecordConnectFailure records that the upstream accepted no connection; whatever the cause, it will be cold when it returns. It reports whether to notify
-// the other routers. Routers of other regions do not, because they cannot tell a broken link from an upstream that is down.
+// RecordConnectFailure records that the upstream accepted no connection; whatever the cause, it will be cold when it is reachable again. It
+// reports whether to notify the other routers: routers of other regions do not, as they cannot tell a broken link from an upstream that is
+// down.
 func (u *Upstream) RecordConnectFailure(now time.Time) bool {
 	if !u.gate.sameRegion(u) {
 		return false
@@ -157,13 +159,13 @@
 func (u *Upstream) Admission(now time.Time) Admission {
 	switch {
 	case !u.Cold(now):
-		return Open
+		return AdmissionOpen
 	case !u.gate.isHolder(u) || u.refill(now) < 1:
-		return Closed
+		return AdmissionClosed
 	case now.Before(u.suspectUntil):
-		return Open
+		return AdmissionOpen
 	}
-	return Reserve
+	return AdmissionFallback
 }
 
 // RecordSend records that a request is sent to the upstream.
