--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -39,7 +39,8 @@
 	incarnation pomelorelay.Incarnation
 	reportedAt  time.Time
 	sums
-	// baseline holds the counters of the first report; baselineComplete is set after a full report, when baseline no longer grows.
+	// baseline holds the counters as first reported, up to and including the first full report, which sets baselineComplete. Counters that
+	// first appear later start from zero.
 	baseline         sums
 	baselineComplete bool
 }
@@ -110,7 +111,7 @@
 	}
 }
 
-// add merges a source's report. A report with another node or incarnation replaces the gauges of the source.
+// add merges a source's report. The first report of another node or incarnation replaces the gauges of the source.
 func (a *aggregate) add(now time.Time, key string, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, m *pomelorelay.LoadReport) {
 	s := a.sources[key]
 	if s != nil && (s.node != node || s.incarnation != incarnation) {
@@ -289,7 +290,8 @@
 	return m
 }
 
-// changed reports whether the sums have changed since the last flush.
+// changed reports whether an upstream's or an account's sum, a part, a start or a departure is new since the last flush. Changed speeds
+// alone do not count; the next report includes them.
 func (a *aggregate) changed() bool {
 	for _, sum := range a.upstreams {
 		if sum.changed {
--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -41,7 +41,7 @@
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			node := rapid.SampledFrom(nodes).Draw(rt, "router")
 			r := routers[node]
-			switch rapid.IntRange(0, 9).Draw(rt, "what") {
+			switch rapid.IntRange(0, 9).Draw(rt, "step kind") {
 			case 0:
 				others := r.others
 				*r = *newReporter(r.incarnation + 1)
@@ -63,7 +63,7 @@
 				sum.Add(now, node, r.incarnation, &pomelorelay.LoadReport{Upstreams: []pomelorelay.UpstreamLoad{l}})
 			}
 			if rapid.Bool().Draw(rt, "flush") {
-				deliver(sum, routers, nodes, rapid.Bool().Draw(rt, "whole"))
+				deliver(sum, routers, nodes, rapid.Bool().Draw(rt, "full"))
 			}
 		}
 		deliver(sum, routers, nodes, false)
@@ -93,7 +93,7 @@
 		}
 		got := routers[node].others[id]
 		if got.Running != want.Running || got.PendingPrefill != want.PendingPrefill || got.KVTokens != want.KVTokens {
-			t.Fatalf("%s at %s: the others have %+v, want %+v", node, id, got, want)
+			t.Fatalf("%s: the other routers' sum for %s is %+v, want %+v", node, id, got, want)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	sum.RemoveSilent(now.Add(4*time.Second), 3*time.Second)
 	m = sum.Reports(false, "other")["other"]
 	if len(m.Upstreams) != 1 || m.Upstreams[0].Running != 0 || m.Upstreams[0].PromptTokensSent != 700 {
-		t.Errorf("after it was silent: %v", m.Upstreams)
+		t.Errorf("after the silent router was removed: %v", m.Upstreams)
 	}
 }
 
@@ -129,9 +129,9 @@
 	s.Add(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreachable: true}}})
 	reports := s.Reports(false, "r1", "r2")
 	if len(reports["r1"].Starts) != 0 || len(reports["r2"].Starts) != 1 {
-		t.Errorf("%+v to its source, %+v to the other", reports["r1"].Starts, reports["r2"].Starts)
+		t.Errorf("starts forwarded to their source: %+v, to the other router: %+v; want none and one", reports["r1"].Starts, reports["r2"].Starts)
 	}
 	if again := s.Reports(false, "r2")["r2"]; len(again.Starts) != 0 {
-		t.Errorf("told again: %+v", again.Starts)
+		t.Errorf("starts reported twice: %+v", again.Starts)
 	}
 }
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -14,7 +14,8 @@
 	configPullInterval = 300 * time.Millisecond
 )
 
-// pendingPull is the peer that announced a newer configuration and the time of its first announcement.
+// pendingPull is the newest configuration generation that a peer announced and this router lacks. since is when the first such
+// generation was announced, requestedAt when it was last requested.
 type pendingPull struct {
 	from        pomelorelay.NodeID
 	generation  pomelorelay.Generation
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// adjust updates all state that depends on the current time.
+// adjust runs the timers of the shares, the placer, the upstreams, the read order and the peers.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
 	c.placer.SetUnreportedRouters(c.unreported(now))
@@ -194,7 +194,7 @@
 	return d
 }
 
-// maxShareWaitFraction is the longest useful wait for an account's share, as a fraction of the target; the rest is for the answer.
+// maxShareWaitFraction is the longest useful wait for an account's share, as a fraction of the target; the remainder is for the answer.
 const maxShareWaitFraction = 0.5
 
 // retryAfter returns when a caller over its account's share should retry: when the share covers the request, if the answer can still
--- a/pomeloentry/entry.go
+++ b/pomeloentry/entry.go
@@ -17,13 +17,12 @@
 
 // Config configures a router. A nil Mesh is created from Settings.
 type Config struct {
-	Settings pomelorelay.FleetSettings
-	Platform pomelorelay.Platform
-	Wire     pomelorelay.WireFormat
-	Mesh     pomelorelay.Mesh
-	Clock    pomelorelay.Clock
-	Logger   pomelorelay.Logger
-	// The placement mechanisms that are disabled.
+	Settings           pomelorelay.FleetSettings
+	Platform           pomelorelay.Platform
+	Wire               pomelorelay.WireFormat
+	Mesh               pomelorelay.Mesh
+	Clock              pomelorelay.Clock
+	Logger             pomelorelay.Logger
 	DisabledMechanisms pomeloplace.Mechanisms
 	// Incarnation identifies this start of the router; zero selects the clock's Unix nanoseconds.
 	Incarnation pomelorelay.Incarnation
@@ -71,7 +70,7 @@
 	errs      chan error
 }
 
-// eventQueueLength is several times the number of concurrent requests of a router.
+// eventQueueLength is several times the usual number of concurrent requests of a router.
 const eventQueueLength = 1024
 
 // New creates a router and starts its goroutines; Listen opens its ports. It fails with the mesh's result code when the mesh cannot be
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -22,9 +22,9 @@
 	f.store.Publish(f.config(1, "/a/"))
 	f.upstream("u1", 0)
 	f.awaitStatus(n, "/a/", 200)
-	f.await("readiness", func() bool { return f.ready(n) })
+	f.await("the router is ready", func() bool { return f.ready(n) })
 	if status, _ := f.call(n, "/b/"); status != 404 {
-		t.Errorf("an unknown route: %d", status)
+		t.Errorf("an unknown route is answered with %d, want 404", status)
 	}
 	status, text := f.get(n.settings.MetricsAddr, "/metrics")
 	if status != 200 || !strings.Contains(text, `pomelorelay_requests_total{ending="served",kind="Once"}`) {
@@ -46,7 +46,7 @@
 	for _, n := range f.nodes {
 		f.awaitStatus(n, "/old/", 200)
 	}
-	f.await("the mesh", func() bool {
+	f.await("both routers have peers", func() bool {
 		return a.log.hasWith(pomelorelay.EventPeersChanged, hasPeers) && b.log.hasWith(pomelorelay.EventPeersChanged, hasPeers)
 	})
 	b.view.SetCut(true)
@@ -57,10 +57,10 @@
 	f.awaitStatus(b, "/old/", 404)
 	leaving.Draining = true
 	f.store.Put(leaving)
-	f.await("b hears that u1 leaves", func() bool { return b.log.has(pomelorelay.EventLeaving) })
+	f.await("b logs that u1 is leaving", func() bool { return b.log.has(pomelorelay.EventLeaving) })
 	for range 20 {
 		if status, by := f.call(b, "/new/"); status != 200 || by != "u2" {
-			t.Fatalf("%d by %q after u1 began to leave", status, by)
+			t.Fatalf("status %d from %q after u1 began to leave", status, by)
 		}
 	}
 	b.view.SetCut(false)
@@ -82,9 +82,9 @@
 		s.Seeds = []netip.AddrPort{gone, s.Self.Addr, a.settings.Self.Addr}
 	})
 	f.awaitStatus(b, "/old/", 200)
-	f.await("readiness", func() bool { return f.ready(b) })
+	f.await("the router is ready", func() bool { return f.ready(b) })
 	if !b.log.has(pomelorelay.EventStateFromPeer) {
-		t.Error("it is not logged that a peer gave the state")
+		t.Error("the state received from a peer is not logged")
 	}
 	b.view.SetCut(true)
 	f.store.SetDown(false)
@@ -92,13 +92,13 @@
 	f.awaitStatus(b, "/new/", 200)
 	leaving.Draining = true
 	f.store.Put(leaving)
-	f.await("b hears that u1 leaves", func() bool { return b.log.has(pomelorelay.EventLeaving) })
+	f.await("b logs that u1 is leaving", func() bool { return b.log.has(pomelorelay.EventLeaving) })
 	b.view.SetCut(false)
 	f.await("the store is back", func() bool { return b.log.has(pomelorelay.EventPlatformBack) })
 	f.store.Drop(leaving.ID)
-	f.await("u1 is gone", func() bool { return b.log.has(pomelorelay.EventUpstreamGone) })
+	f.await("u1 is removed", func() bool { return b.log.has(pomelorelay.EventUpstreamGone) })
 	if status, by := f.call(b, "/new/"); status != 200 || by != "u2" {
-		t.Errorf("%d by %q after u1 has gone", status, by)
+		t.Errorf("status %d from %q after u1 was removed", status, by)
 	}
 }
 
@@ -113,7 +113,7 @@
 	f.store.Publish(f.config(6, "/newer/"))
 	f.awaitStatus(n, "/newer/", 200)
 	if status, _ := f.call(n, "/old/"); status != 404 {
-		t.Errorf("the older version is in force: %d", status)
+		t.Errorf("a route of the older version is answered with %d, want 404", status)
 	}
 }
 
@@ -132,13 +132,13 @@
 	f.store.SetDown(false)
 	f.await("the entries lapse", func() bool { return n.log.has(pomelorelay.EventUpstreamLapsed) })
 	if status, _ := f.call(n, "/a/"); status != 200 {
-		t.Errorf("answered %d while the entries are away", status)
+		t.Errorf("answered %d while the entries are missing, want 200", status)
 	}
 	f.store.Put(one)
-	f.await("u2 is taken as gone", func() bool { return n.log.has(pomelorelay.EventUpstreamGone) })
+	f.await("u2 is removed", func() bool { return n.log.has(pomelorelay.EventUpstreamGone) })
 	for range 10 {
 		if status, by := f.call(n, "/a/"); status != 200 || by != "u1" {
-			t.Fatalf("%d by %q", status, by)
+			t.Fatalf("status %d from %q, want 200 from u1", status, by)
 		}
 	}
 }
@@ -161,17 +161,17 @@
 		n.entry.Stop()
 		close(stopped)
 	}()
-	f.await("not ready", func() bool { return !f.ready(n) })
+	f.await("the router is not ready", func() bool { return !f.ready(n) })
 	if status, _ := f.call(n, "/a/"); status != 200 {
-		t.Errorf("a request during the stop: %d", status)
+		t.Errorf("a request during the stop is answered with %d, want 200", status)
 	}
 	if status := <-running; status != 200 {
-		t.Errorf("a request that ran when the stop began: %d", status)
+		t.Errorf("a request that ran when the stop began is answered with %d, want 200", status)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(testTimeout):
-		t.Fatal("the stop does not end")
+		t.Fatal("Stop does not return")
 	}
 	if !n.log.has(pomelorelay.EventStopping) || !n.log.has(pomelorelay.EventStopped) {
 		t.Error("the stop is not logged")
@@ -186,12 +186,12 @@
 	f.awaitStatus(a, "/a/", 200)
 	f.awaitStatus(b, "/a/", 200)
 	_, text := f.get(a.settings.MetricsAddr, "/metrics")
-	f.await("a knows b", func() bool {
+	f.await("a has b as a peer", func() bool {
 		_, text = f.get(a.settings.MetricsAddr, "/metrics")
 		return strings.Contains(text, `pomelorelay_state{name="peers"} 1`)
 	})
 	b.entry.Stop()
-	f.await("a forgets b", func() bool {
+	f.await("a removes b from its peers", func() bool {
 		_, text = f.get(a.settings.MetricsAddr, "/metrics")
 		return strings.Contains(text, `pomelorelay_state{name="peers"} 0`)
 	})
@@ -219,7 +219,7 @@
 		counts[<-got]++
 	}
 	// A router with a stalled processor closes new connections unread, and logs how late it was.
-	const maxLagMS = int64(100) // milliseconds
+	const maxLagMS = int64(100)
 	late := n.log.hasWith(pomelorelay.EventRouterFull, func(f pomelorelay.Field) bool {
 		ms, ok := f.Value.(int64)
 		return f.Key == "LagMS" && ok && ms >= maxLagMS
@@ -228,11 +228,12 @@
 	if counts[503] == 0 || counts[200] == 0 || counts[200]+counts[503]+closed != flood || (closed > 0 && !late) {
 		t.Errorf("answers by status: %v; late: %v", counts, late)
 	}
-	f.await("it is ready again", func() bool { return f.ready(n) })
+	f.await("the router is ready again", func() bool { return f.ready(n) })
 }
 
 // Fourteen routers of one failure domain use a relay, because reports from each to all would take too much of a small host's
-// processor. Guards against a relay that does not forward changes: all routers would send to the same upstream at once.
+// processor. Guards against a relay that does not forward what it receives: its neighbours would keep old configurations and
+// upstreams and, without each other's loads, would all send to the same upstream at once.
 func TestRelayForwardsUpdatesToEveryRouter(t *testing.T) {
 	const routers = 14
 	f := newFleet(t)
@@ -258,7 +259,7 @@
 	last.view.SetCut(true)
 	f.store.Drop("u1")
 	f.upstream("u2", 0)
-	f.await("a router without the store hears of u2 by its relay", func() bool {
+	f.await("a router without the store gets u2 from its relay", func() bool {
 		status, by := f.call(last, "/b/")
 		return status == 200 && by == "u2"
 	})
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -27,22 +27,22 @@
 	}
 	b.view.SetCut(true)
 	f.store.Evacuate("b")
-	f.await("every router evacuates", func() bool { return loggedEvacuation(a) && loggedEvacuation(b) })
+	f.await("both routers log the evacuation", func() bool { return loggedEvacuation(a) && loggedEvacuation(b) })
 	f.store.Compact()
 	f.store.SetDown(true)
 	late := f.startWith(8*time.Second, func(s *pomelorelay.FleetSettings) {
 		withDomainB(s)
 		s.Seeds = append(s.Seeds, a.settings.Self.Addr)
 	})
-	f.await("a router that starts in the outage evacuates", func() bool { return loggedEvacuation(late) })
+	f.await("a router started in the outage logs the evacuation", func() bool { return loggedEvacuation(late) })
 	for range 20 {
 		for _, n := range f.nodes {
 			if status, by := f.call(n, "/a/"); status != 200 || by != "u1" {
-				t.Fatalf("%s: %d by %q", n.settings.Self.Node, status, by)
+				t.Fatalf("%s: status %d from %q, want 200 from u1", n.settings.Self.Node, status, by)
 			}
 		}
 	}
-	f.await("the loss of the store is noticed", func() bool { return a.log.has(pomelorelay.EventPlatformLost) })
+	f.await("the loss of the store is logged", func() bool { return a.log.has(pomelorelay.EventPlatformLost) })
 	f.store.SetDown(false)
 	f.await("the store is back", func() bool { return a.log.has(pomelorelay.EventPlatformBack) })
 	for _, n := range f.nodes {
@@ -51,16 +51,16 @@
 		}
 	}
 	f.store.Restore("b")
-	f.await("every router takes it back", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
+	f.await("every router logs the end of the evacuation", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
-// Guards against reader updates without evacuations, and against a full state that does not end evacuations that are over.
+// Guards against updates of the reader that omit evacuations, and against a full state that leaves ended evacuations in place.
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
 	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
 	if len(m.Evacuated) != 1 || len(m.Restored) != 1 {
-		t.Fatalf("%+v", m)
+		t.Fatalf("update without the evacuations that were read: %+v", m)
 	}
 	for _, c := range []struct {
 		name string
@@ -85,7 +85,7 @@
 	} {
 		at := c.take()
 		if got := f.Evacuated(); len(got) != c.want {
-			t.Errorf("%s: at %d, evacuated %v", c.name, at, got)
+			t.Errorf("after %s: cursor at %d, evacuated %v", c.name, at, got)
 		}
 	}
 }
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -223,12 +223,12 @@
 			return
 		}
 	}
-	f.t.Fatalf("%s did not happen", what)
+	f.t.Fatalf("timed out waiting until %s", what)
 }
 
 func (f *fleet) awaitStatus(n *node, path string, want int) {
 	f.t.Helper()
-	f.await(fmt.Sprintf("%s answered %d", path, want), func() bool {
+	f.await(fmt.Sprintf("%s is answered with %d", path, want), func() bool {
 		status, _ := f.call(n, path)
 		return status == want
 	})
@@ -237,7 +237,7 @@
 // awaitPeers waits until every router has count peers.
 func (f *fleet) awaitPeers(count int) {
 	f.t.Helper()
-	f.await("all routers have each other", func() bool {
+	f.await("every router has the others as peers", func() bool {
 		for _, n := range f.nodes {
 			if _, text := f.get(n.settings.MetricsAddr, "/metrics"); !strings.Contains(text, fmt.Sprintf("pomelorelay_state{name=\"peers\"} %d\n", count)) {
 				return false
--- a/pomeloentry/load_test.go
+++ b/pomeloentry/load_test.go
@@ -15,7 +15,7 @@
 		ticks  = 400
 		settle = 100
 	)
-	for name, capacity := range map[string]int64{"fewer": 110, "as many": 200, "more": 450} {
+	for name, capacity := range map[string]int64{"below the initial limit": 110, "at the initial limit": 200, "above the initial limit": 450} {
 		t.Run(name, func(t *testing.T) {
 			e := pomeloentry.NewRequestLimiter(pomelorelay.FleetSettings{Self: pomelorelay.Peer{CPUSpeed: 0.2}, MemoryLimit: 112 << 20})
 			limit, late := int64(200), 0
@@ -29,7 +29,7 @@
 				}
 				limit = e.TickWithLag(lag, running)
 				if tick > settle && (limit < capacity*8/10 || limit > capacity*11/10) {
-					t.Fatalf("tick %d: the limit is %d, the processor carries %d", tick, limit, capacity)
+					t.Fatalf("tick %d: request limit %d, processor capacity %d", tick, limit, capacity)
 				}
 			}
 			if late > (ticks-settle)/4 {
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -94,7 +94,8 @@
 // refuse requests although engines are idle until the partition ends.
 const unreportedTimeout = 3 * time.Second
 
-// unreported returns the number of registered routers whose loads are not known yet; inSummary reports whether a summary includes them.
+// unreported returns the number of registered routers that became known within unreportedTimeout and have sent no full report.
+// inSummary reports whether a relay's summary includes a router's loads.
 func (p *peers) unreported(now time.Time, inSummary func(*knownPeer) bool) int {
 	n := 0
 	for _, known := range p.byNode {
@@ -196,7 +197,7 @@
 	if lease == 0 {
 		return
 	}
-	// ctx has ended. Without this call the registration would lapse a little later.
+	// ctx has ended. Without this call the registration would remain until its lease lapses.
 	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
 	err := e.cfg.Platform.CloseLease(left, lease)
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -29,7 +29,7 @@
 		placed++
 	}
 	if placed == 0 {
-		t.Fatal("nothing was placed on an engine that is free")
+		t.Fatal("no request was placed on an idle engine")
 	}
 	for _, c := range []struct {
 		name           string
@@ -58,13 +58,13 @@
 		{10 * time.Second, 0},
 	} {
 		if got := pomeloentry.UnreportedAfter(c.passed); got != c.want {
-			t.Errorf("%v after it registered %d routers count as unheard, want %d", c.passed, got, c.want)
+			t.Errorf("%v after the registration, %d routers count as unreported, want %d", c.passed, got, c.want)
 		}
 	}
 }
 
 // Guards against requests refused unread that do not count as demand. The load balancer sends most callers of one account to a full
-// host; routers would assume that the account is satisfied, and another account would get twice as much while its callers are refused.
+// host; routers would assume that it is satisfied, and another account would get twice as much while the first one's callers are refused.
 func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
@@ -85,7 +85,7 @@
 		d.RefusedUnread(now, "short", 4000)
 	}
 	if beside := other(); !alone.WithinShare || beside.WithinShare {
-		t.Errorf("owed %v alone and %v beside an account that is refused everything; level %.0f and %.0f", alone.WithinShare, beside.WithinShare, alone.FairShare, beside.FairShare)
+		t.Errorf("within its share: %v alone, want true, and %v beside an account whose requests are all refused, want false; fair share %.0f and %.0f", alone.WithinShare, beside.WithinShare, alone.FairShare, beside.FairShare)
 	}
 }
 
@@ -127,7 +127,7 @@
 	} {
 		d.Report(now, "peer", c.incarnation, c.report)
 		if got := running(); got != c.running {
-			t.Errorf("%s: %d run, want %d", c.name, got, c.running)
+			t.Errorf("%s: %d requests running, want %d", c.name, got, c.running)
 		}
 		if got := d.Served("acct"); got != c.served {
 			t.Errorf("%s: %v served, want %v", c.name, got, c.served)
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -45,7 +45,7 @@
 
 func (c *control) reportsDirectly() bool { return len(c.peers.byNode) <= maxDirectPeers }
 
-// relayOf returns the relay of a failure domain: its most powerful live router, and among equals the first by name.
+// relayOf returns the relay of a failure domain: its live router with the highest CPU speed, and among equals the first by name.
 func (c *control) relayOf(now time.Time, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	var best pomelorelay.Peer
 	found := false
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -27,8 +27,8 @@
 	takeoverStepFraction = 0.03
 	// takeoverPollInterval is how often a router checks whether it must read.
 	takeoverPollInterval = 200 * time.Millisecond
-	// startupDelayWork is the base startup delay of a router with the power of one core; the delay is inversely proportional to power.
-	// The most powerful routers thus read first and spare the others the calls.
+	// startupDelayWork is the base startup delay of a router with the CPU speed of one core; the delay is inversely proportional to the
+	// CPU speed. The fastest routers thus read first and spare the others the calls.
 	startupDelayWork = 250 * time.Millisecond
 	// maxStartupDelay bounds the startup delay.
 	maxStartupDelay = 3 * time.Second
@@ -188,7 +188,7 @@
 	return m
 }
 
-// applyChange applies a change of the store; source names the router that read it.
+// applyChange applies a change of the store; source is the router that sent it, or "store" if this router read it.
 func (c *control) applyChange(now time.Time, change *pomelorelay.FleetChange, recovered bool, source string) {
 	if change.ConfigError != nil {
 		c.e.log(pomelorelay.EventConfigRefused, field("Code", int(pomelorelay.CodeOf(change.ConfigError))), field("Fault", change.ConfigError.Error()))
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -10,16 +10,16 @@
 	"github.com/pomelorelay/pomelorelay/pomeloentry"
 )
 
-// Guards against routers that read the store during a normal pause of the reader, and against a takeover too late for a leaving
-// upstream.
+// Guards against routers that read the store during a normal pause of the reader, and against a takeover so late that a leaving
+// upstream still gets requests after its drain wait.
 func TestTakeoverWaitsForReadersLongestPause(t *testing.T) {
 	for _, drain := range []time.Duration{2500 * time.Millisecond, 4 * time.Second} {
 		second, pause := pomeloentry.ReadDelayOf(drain, 1), pomeloentry.LongestReadPause(drain)
 		if second < pause+drain/20 {
-			t.Errorf("bound %v: the second reader waits %v, the first pauses for %v", drain, second, pause)
+			t.Errorf("drain wait %v: the second reader waits %v, the first may pause for %v", drain, second, pause)
 		}
 		if second+pomeloentry.TakeoverPollInterval > drain*3/4 {
-			t.Errorf("bound %v: a router takes over only after %v", drain, second+pomeloentry.TakeoverPollInterval)
+			t.Errorf("drain wait %v: a router takes over only after %v", drain, second+pomeloentry.TakeoverPollInterval)
 		}
 	}
 }
@@ -45,11 +45,11 @@
 	}
 	slices.Sort(delays)
 	if delays[0] != 0 || delays[1] == 0 {
-		t.Fatalf("the first turns are %v", delays[:3])
+		t.Fatalf("the shortest read delays are %v, want exactly one of zero", delays[:3])
 	}
 	// The relay of each failure domain takes over in time for a leaving upstream.
 	if delays[5] > drain*4/5 {
-		t.Errorf("the sixth router waits %v", delays[5])
+		t.Errorf("the sixth router takes over only after %v", delays[5])
 	}
 	soon := 0
 	for _, delay := range delays {
@@ -58,7 +58,7 @@
 		}
 	}
 	if soon > len(peers)/10 {
-		t.Errorf("%d of %d routers read the store within a second after the bound", soon, len(peers))
+		t.Errorf("%d of %d routers read the store within a second after the drain wait", soon, len(peers))
 	}
 }
 
@@ -74,20 +74,20 @@
 	}
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
 	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Upstreams: up("u1", "u2", "u3", "u4")}); at != 10 {
-		t.Fatalf("at %d after everything was read at 10", at)
+		t.Fatalf("cursor at %d after a full update to 10", at)
 	}
 	now = now.Add(3 * time.Second)
 	f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 10})
 	// The update from 10 to 14, in which u1 left, is lost.
 	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, Revision: 17, Upstreams: up("u5")}); at != 10 {
-		t.Fatalf("at %d though what changed from 10 to 14 is missing", at)
+		t.Fatalf("cursor at %d although the update from 10 to 14 is missing, want 10", at)
 	}
 	at := f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 17, Upstreams: up("u2", "u3", "u4", "u5")})
 	if got := f.Upstreams(); at != 17 || !slices.Equal(got, []pomelorelay.UpstreamID{"u2", "u3", "u4", "u5"}) {
-		t.Errorf("at %d with %v", at, got)
+		t.Errorf("cursor at %d with upstreams %v, want 17 with u2 to u5", at, got)
 	}
 	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, Revision: 17}); at != 17 {
-		t.Errorf("an old update led back to %d", at)
+		t.Errorf("an old update moved the cursor back to %d", at)
 	}
 }
 
@@ -99,7 +99,7 @@
 	f.SetPlatform(fleet.store.View())
 	at := f.Receive(time.Now(), "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Document: fleet.config(7, "/a/").Document})
 	if at != 10 || f.Version() != 7 {
-		t.Errorf("at %d with version %d in force, want 10 and 7", at, f.Version())
+		t.Errorf("cursor at %d with version %d in force, want 10 and 7", at, f.Version())
 	}
 }
 
@@ -110,7 +110,7 @@
 	config := fleet.config(7, "/a/")
 	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Config: config})
 	if string(m.Document) != string(config.Document) || m.Revision != 10 {
-		t.Errorf("the update at %d holds %q", m.Revision, m.Document)
+		t.Errorf("the update to revision %d holds the configuration %q", m.Revision, m.Document)
 	}
 }
 
@@ -153,7 +153,7 @@
 	leaving.Draining = true
 	f.store.Put(leaving)
 	for _, n := range f.nodes {
-		f.await("every router learns that u1 leaves", func() bool { return n.log.has(pomelorelay.EventLeaving) })
+		f.await("every router logs that u1 is leaving", func() bool { return n.log.has(pomelorelay.EventLeaving) })
 	}
 }
 
--- a/pomeloentry/warmup_test.go
+++ b/pomeloentry/warmup_test.go
@@ -18,21 +18,21 @@
 	f.awaitStatus(n, "/a/", 200)
 	listed := time.Now()
 	u := f.upstreamWith("cold", 0, func(u *pomelorelay.FleetUpstream) { u.ColdRemaining = left })
-	f.await("the cold upstream is noticed", func() bool { return n.log.has(pomelorelay.EventUpstreamCold) })
+	f.await("the cold upstream is logged", func() bool { return n.log.has(pomelorelay.EventUpstreamCold) })
 	for time.Since(listed) < left*9/10 {
 		if status, by := f.call(n, "/a/"); status != 200 || by != "warm" {
-			t.Fatalf("%d by %q after %v", status, by, time.Since(listed))
+			t.Fatalf("status %d from %q after %v, want 200 from warm", status, by, time.Since(listed))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.await("the upstream is warm", func() bool { return n.log.has(pomelorelay.EventUpstreamWarm) })
+	f.await("the upstream is logged as warm", func() bool { return n.log.has(pomelorelay.EventUpstreamWarm) })
 	warm.Draining = true
 	f.store.Put(warm)
-	f.await("the upstream serves", func() bool {
+	f.await("the formerly cold upstream answers", func() bool {
 		_, by := f.call(n, "/a/")
 		return by == string(u.ID)
 	})
 	if _, text := f.get(n.settings.MetricsAddr, "/metrics"); !strings.Contains(text, `pomelorelay_state{name="cold_upstreams"} 0`) {
-		t.Error("the metrics lack cold_upstreams")
+		t.Error("the metrics lack cold_upstreams with value 0")
 	}
 }
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -76,11 +76,11 @@
 const (
 	// defaultRetryAfter is the Retry-After of a refusal that gives no time.
 	defaultRetryAfter = 500 * time.Millisecond
-	// answerGrace is how long after the deadline the router waits for the upstream's own final answer, which takes one trip between regions.
+	// answerGrace is how long after the deadline the router waits for the upstream's own final answer, which takes a one-way trip between regions.
 	answerGrace = 100 * time.Millisecond
 	// dialTimeout bounds a connection attempt: a round trip to another region, and a lost packet, which costs 200 ms.
 	dialTimeout = 500 * time.Millisecond
-	// ackTimeout is how long an upstream's host may leave data unacknowledged: ten trips between regions, and two lost packets.
+	// ackTimeout is how long an upstream's host may leave data unacknowledged: ten one-way trips between regions, and two lost packets.
 	ackTimeout = 2 * time.Second
 	// idleTimeout closes idle connections; upstreams may announce shorter times.
 	idleTimeout = 10 * time.Second
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -96,7 +96,7 @@
 	)
 }
 
-// refusalStatus returns 503 for a refusal before the request ran, and replaces 503 by 502 for a request that may have run.
+// refusalStatus replaces any server error by 503 if the request did not run, and 503 by 502 if it may have run.
 func refusalStatus(given int, ran pomelorelay.Ran) int {
 	switch {
 	case ran == pomelorelay.RanNo && given >= http.StatusInternalServerError:
@@ -107,7 +107,7 @@
 	return given
 }
 
-// retryAfter returns fractional seconds; rounded up to whole ones, every caller would come back up to a second late.
+// retryAfter returns fractional seconds; rounded up to whole ones, every caller would retry up to a second late.
 func retryAfter(e *pomelorelay.Error) string {
 	wait := e.RetryAfter
 	if wait <= 0 {
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("the upstream got %q, want %q", u.heads[0], want)
 	}
 	if w.requests[0].Account != "acct" || w.results[0] != pomeloplace.ResultCompleted {
-		t.Errorf("%+v %v", w.requests, w.results)
+		t.Errorf("placement requests %+v with results %v", w.requests, w.results)
 	}
 }
 
@@ -53,7 +53,7 @@
 			t.Errorf("%s with key %q: %d, want %d", c.path, c.key, got.status, c.want)
 		}
 		if got.status == 503 && got.head.Get("Retry-After") != "0.250" {
-			t.Errorf("told to come back after %q", got.head.Get("Retry-After"))
+			t.Errorf("Retry-After %q, want 0.250", got.head.Get("Retry-After"))
 		}
 	}
 	w.mu.Lock()
@@ -71,7 +71,7 @@
 	w := newHarness(t, u.entry("u1"), u.entry("u2"))
 	got := w.call("POST", "/book/", "x")
 	if got.status != 502 || u.requests() != 1 || got.head.Get("Retry-After") != "" {
-		t.Fatalf("%d after %d sends", got.status, u.requests())
+		t.Fatalf("status %d after %d sends, want 502 after one", got.status, u.requests())
 	}
 }
 
@@ -87,13 +87,13 @@
 		"unsigned": func(conn net.Conn, _ *http.Request) {
 			write(conn, "HTTP/1.1 200 OK\r\nRequest-Id: req-1\r\nContent-Length: 1\r\n\r\nx")
 		},
-		"crossed": func(conn net.Conn, _ *http.Request) {
+		"other request id": func(conn net.Conn, _ *http.Request) {
 			write(conn, "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSigned-By: me\r\nContent-Length: 1\r\n\r\nx")
 		},
 		"encoded": func(conn net.Conn, r *http.Request) {
 			write(conn, head(r, 200, "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx"))
 		},
-		"no http": func(conn net.Conn, _ *http.Request) { write(conn, "garbage\r\n\r\n"); reset(conn) },
+		"not HTTP": func(conn net.Conn, _ *http.Request) { write(conn, "garbage\r\n\r\n"); reset(conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bad := newUpstream(t, answer)
@@ -103,7 +103,7 @@
 				t.Fatalf("%+v", got)
 			}
 			if w.results[0] != pomeloplace.ResultFailed || len(w.requests[1].Request.Avoid) != 1 || !w.requests[1].Retry {
-				t.Errorf("results %v, second try %+v", w.results, w.requests[1])
+				t.Errorf("results %v, second placement request %+v", w.results, w.requests[1])
 			}
 		})
 	}
@@ -123,7 +123,7 @@
 		}
 		w = newHarness(t, full.entry("full"), full.entry("full"), full.entry("full"))
 		if got := w.call("POST", "/book/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
-			t.Errorf("%d from every server: %+v", status, got)
+			t.Errorf("%d from every upstream: %+v", status, got)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
 		w := newHarness(t, u.entry("u1"))
 		if got := w.call("POST", "/book/", "x"); got.status != 502 || got.head.Get(pomelofake.FieldSigned) != "" {
-			t.Errorf("%d became %d", status, got.status)
+			t.Errorf("status %d of the upstream was answered as %d, want 502", status, got.status)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 		reset(conn)
 	})
 	if got := newHarness(t, broken.entry("u")).call("POST", "/book/", "x"); got.status != 502 {
-		t.Errorf("an answer that was reset came as %+v", got)
+		t.Errorf("a reset answer was forwarded as %+v, want 502", got)
 	}
 }
 
@@ -257,7 +257,7 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server still works")
+		t.Fatal("the request to the upstream is not cancelled")
 	}
 }
 
@@ -279,14 +279,14 @@
 	w := newHarness(t, u.entry("u"), u.entry("u"))
 	w.stopping, w.stopsIn = true, 2*time.Second
 	if got := w.call("POST", "/draft/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
-		t.Errorf("a stream: %+v", got)
+		t.Errorf("a stream with 2 s left: %+v", got)
 	}
 	if got := w.call("POST", "/book/", "x"); got.status != 200 {
-		t.Errorf("a booking: %+v", got)
+		t.Errorf("a booking with 2 s left: %+v", got)
 	}
 	w.stopsIn = 100 * time.Millisecond
 	if got := w.call("POST", "/book/", "x"); got.status != 503 {
-		t.Errorf("a booking at the last moment: %+v", got)
+		t.Errorf("a booking with 100 ms left: %+v", got)
 	}
 }
 
@@ -303,7 +303,7 @@
 	}
 	// The slack of 100 divided among eight routers gives 0.6 x 12.5 retries, and 60 requests add 0.6 x 0.2 each.
 	if again := u.requests() - requests; again < 7 || again > 15 {
-		t.Errorf("%d of %d requests were sent again", again, requests)
+		t.Errorf("%d of %d requests were retried, want 7 to 15", again, requests)
 	}
 }
 
@@ -329,10 +329,10 @@
 	}
 	for i, work := range w.requests {
 		if work.Retry != (i > 0) || work.Charged {
-			t.Errorf("place %d was asked for with %+v", i, work)
+			t.Errorf("placement request %d: %+v", i, work)
 		}
 		if last := i == len(w.requests)-1; w.results[i].NotRun() == last {
-			t.Errorf("attempt %d ended as %v", i, w.results[i])
+			t.Errorf("attempt %d: result %v", i, w.results[i])
 		}
 	}
 }
@@ -352,7 +352,7 @@
 	w.callerGone = func() bool { return looks.Add(1) > 2 }
 	w.mu.Unlock()
 	if got := w.call("POST", "/book/1", "x"); got.bodyErr == nil {
-		t.Errorf("%+v, though the caller left", got)
+		t.Errorf("%+v although the caller disconnected", got)
 	}
 	if n := runs.Load(); n != 0 {
 		t.Errorf("the upstream got %d requests", n)
@@ -360,12 +360,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.results) != 1 || w.results[0] != pomeloplace.ResultNotSent {
-		t.Errorf("the place ended with %v", w.results)
+		t.Errorf("results %v, want one not sent", w.results)
 	}
 }
 
-// Guards against counting a stream as a good answer although it paused too long while its engine read another long prompt: placement
-// would not learn to send long prompts elsewhere.
+// Guards against counting a stream as a good answer although it paused too long while its engine processed another long prompt:
+// placement would not learn to send long prompts elsewhere.
 func TestStreamWithLongPauseIsReportedAsPaused(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
@@ -394,11 +394,11 @@
 	r := httptest.NewRequest("POST", "http://h.example/talk/", nil)
 	r.Header.Set(pomelofake.FieldTokens, "1000,50")
 	if account, cost := w.handler.EstimateCost(r); account != "" || cost != 0 {
-		t.Errorf("without a key: %q asks %.0f", account, cost)
+		t.Errorf("without a key: account %q, cost %.0f", account, cost)
 	}
 	r.Header.Set(pomelofake.FieldKey, "key")
 	if account, cost := w.handler.EstimateCost(r); account != "acct" || cost != 1100 {
-		t.Errorf("%q asks %.0f, want acct and 1100", account, cost)
+		t.Errorf("account %q, cost %.0f, want acct and 1100", account, cost)
 	}
 }
 
--- a/pomeloforward/stream.go
+++ b/pomeloforward/stream.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordPause updates the longest pause between two events, by which the stream counts as paused too long.
+// recordPause updates the longest pause between two events, which is compared with the route's MaxEventGap.
 func (c *call) recordPause() {
 	now := c.h.cfg.Clock.Now()
 	if !c.lastEventAt.IsZero() {
