--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -131,7 +131,7 @@
 	if len(reports["r1"].Starts) != 0 || len(reports["r2"].Starts) != 1 {
 		t.Errorf("starts forwarded to their source: %+v, to the other router: %+v; want none and one", reports["r1"].Starts, reports["r2"].Starts)
 	}
-	if again := s.Reports(false, "r2")["r2"]; len(again.Starts) != 0 {
-		t.Errorf("starts reported twice: %+v", again.Starts)
+	if second := s.Reports(false, "r2")["r2"]; len(second.Starts) != 0 {
+		t.Errorf("starts reported twice: %+v", second.Starts)
 	}
 }
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -160,24 +160,24 @@
 }
 
 // place selects an upstream for a request and charges the request's account.
-func (c *control) place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
-	accounted := w.Cost > 0 && w.Account != ""
-	r := w.Request
+func (c *control) place(now time.Time, req pomeloforward.PlacementRequest) pomeloplace.Decision {
+	accounted := req.Cost > 0 && req.Account != ""
+	r := req.Request
 	// Use the configuration in force at each attempt: narrower regions also apply to requests that arrived earlier.
-	r.Residency = c.residency.Residency(now, w.Route, w.Account)
+	r.Residency = c.residency.Residency(now, req.Route, req.Account)
 	r.WithinShare = true
 	var share pomeloplace.ShareState
 	if accounted {
-		if !w.Retry {
-			c.shares.RecordRequest(w.Account, w.Cost)
+		if !req.Retry {
+			c.shares.RecordRequest(req.Account, req.Cost)
 		}
 		// Only retries that may have run and were charged skip the share check. If every retry after an unreachable upstream did, a flood
 		// could exceed its share while many upstreams are down, and requests of other accounts would be refused.
-		r.WithinShare = w.Charged || c.shares.WithinShare(w.Account, w.Cost)
-		r.LeadOverLevel = c.shares.LeadOverLevel(w.Account)
-		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(w.Account)
-		share.Cost, share.WithinShare = w.Cost, r.WithinShare
-		share.Requested, share.Served, share.FairShare = c.shares.Usage(w.Account)
+		r.WithinShare = req.Charged || c.shares.WithinShare(req.Account, req.Cost)
+		r.LeadOverLevel = c.shares.LeadOverLevel(req.Account)
+		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(req.Account)
+		share.Cost, share.WithinShare = req.Cost, r.WithinShare
+		share.Requested, share.Served, share.FairShare = c.shares.Usage(req.Account)
 	}
 	d := c.placer.Place(now, r)
 	d.Share, d.Residency = share, r.Residency
@@ -186,10 +186,10 @@
 	}
 	c.e.metrics.CountPlacement(string(d.Reason))
 	switch {
-	case d.Reason == pomeloplace.ReasonNone && accounted && !w.Charged:
-		c.shares.RecordServed(w.Account, w.Cost)
+	case d.Reason == pomeloplace.ReasonNone && accounted && !req.Charged:
+		c.shares.RecordServed(req.Account, req.Cost)
 	case d.Reason == pomeloplace.ReasonOverShare:
-		d.RetryAfter = c.retryAfter(&d, &w)
+		d.RetryAfter = c.retryAfter(&d, &req)
 	}
 	return d
 }
@@ -200,9 +200,9 @@
 // retryAfter returns when a caller over its account's share should retry: when the share covers the request, if the answer can still
 // meet the target, otherwise as soon as a slot may be free. In a lasting flood a longer wait does not improve the chance of a slot
 // and makes the answer late.
-func (c *control) retryAfter(d *pomeloplace.Decision, w *pomeloforward.PlacementRequest) time.Duration {
-	wait := c.shares.RetryAfter(w.Account, w.Cost)
-	if wait > time.Duration(maxShareWaitFraction*float64(w.Request.Target)) {
+func (c *control) retryAfter(d *pomeloplace.Decision, req *pomeloforward.PlacementRequest) time.Duration {
+	wait := c.shares.RetryAfter(req.Account, req.Cost)
+	if wait > time.Duration(maxShareWaitFraction*float64(req.Request.Target)) {
 		return d.RetryAfter
 	}
 	return max(d.RetryAfter, wait)
--- a/pomeloentry/entry_test.go
+++ b/pomeloentry/entry_test.go
@@ -158,7 +158,7 @@
 	time.Sleep(50 * time.Millisecond)
 	stopped := make(chan struct{})
 	go func() {
-		n.entry.Stop()
+		n.router.Stop()
 		close(stopped)
 	}()
 	f.await("the router is not ready", func() bool { return !f.ready(n) })
@@ -190,7 +190,7 @@
 		_, text = f.get(a.settings.MetricsAddr, "/metrics")
 		return strings.Contains(text, `pomelorelay_state{name="peers"} 1`)
 	})
-	b.entry.Stop()
+	b.router.Stop()
 	f.await("a removes b from its peers", func() bool {
 		_, text = f.get(a.settings.MetricsAddr, "/metrics")
 		return strings.Contains(text, `pomelorelay_state{name="peers"} 0`)
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -63,9 +63,9 @@
 		t.Fatalf("update without the evacuations that were read: %+v", m)
 	}
 	for _, c := range []struct {
-		name string
-		take func() pomelorelay.Revision
-		want int
+		name  string
+		apply func() pomelorelay.Revision
+		want  int
 	}{
 		{"an update of everything", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
@@ -83,7 +83,7 @@
 			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 14})
 		}, 0},
 	} {
-		at := c.take()
+		at := c.apply()
 		if got := f.Evacuated(); len(got) != c.want {
 			t.Errorf("after %s: cursor at %d, evacuated %v", c.name, at, got)
 		}
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -55,9 +55,9 @@
 }
 
 // Place selects an upstream for a request.
-func (d PlacementControl) Place(now time.Time, w pomeloforward.PlacementRequest) pomeloplace.Decision {
+func (d PlacementControl) Place(now time.Time, req pomeloforward.PlacementRequest) pomeloplace.Decision {
 	d.c.shares.Tick(now)
-	return d.c.place(now, w)
+	return d.c.place(now, req)
 }
 
 // Report applies another router's load report.
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -31,7 +31,7 @@
 }
 
 type node struct {
-	entry    *pomeloentry.Router
+	router   *pomeloentry.Router
 	view     *pomelofake.View
 	settings pomelorelay.FleetSettings
 	log      *eventLog
@@ -135,18 +135,18 @@
 		StopTimeout: stopWait, RetryRatio: 0.2, RetrySlack: 50, ShareWindow: 4 * time.Second,
 	}
 	change(&n.settings)
-	entry, err := pomeloentry.New(pomeloentry.Config{Settings: n.settings, Platform: n.view, Wire: pomelofake.FleetWire{}, Logger: n.log})
+	router, err := pomeloentry.New(pomeloentry.Config{Settings: n.settings, Platform: n.view, Wire: pomelofake.FleetWire{}, Logger: n.log})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	n.entry = entry
+	n.router = router
 	f.t.Cleanup(func() {
 		if f.t.Failed() {
 			n.log.print(f.t, n.settings.Self.Node)
 		}
 	})
-	f.t.Cleanup(entry.Close)
-	if err := entry.Listen(); err != nil {
+	f.t.Cleanup(router.Close)
+	if err := router.Listen(); err != nil {
 		f.t.Fatal(err)
 	}
 	f.nodes = append(f.nodes, n)
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -198,9 +198,9 @@
 		return
 	}
 	// ctx has ended. Without this call the registration would remain until its lease lapses.
-	left, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
-	err := e.cfg.Platform.CloseLease(left, lease)
+	err := e.cfg.Platform.CloseLease(closeCtx, lease)
 	e.metrics.CountStoreCall("close", "registration", pomelorelay.CodeOf(err))
 	if err != nil {
 		e.log(pomelorelay.EventPlatformLost, field("What", "registration"), field("Fault", err.Error()))
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -18,9 +18,9 @@
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
-	flood := func(again, charged bool) pomeloplace.Reason {
+	flood := func(retry, charged bool) pomeloplace.Reason {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.PlacementRequest{Account: "flood", Cost: 1000, Retry: again, Charged: charged, Request: pomeloplace.Request{
+		return d.Place(now, pomeloforward.PlacementRequest{Account: "flood", Cost: 1000, Retry: retry, Charged: charged, Request: pomeloplace.Request{
 			Service: "s", PromptTokens: 100, OutputTokens: 100, Target: time.Second, MaxWait: 10 * time.Second,
 		}}).Reason
 	}
@@ -33,14 +33,14 @@
 	}
 	for _, c := range []struct {
 		name           string
-		again, charged bool
+		retry, charged bool
 		want           pomeloplace.Reason
 	}{
 		{"first asked", false, false, pomeloplace.ReasonOverShare},
 		{"found an upstream down", true, false, pomeloplace.ReasonOverShare},
 		{"ran and failed", true, true, pomeloplace.ReasonNone},
 	} {
-		if got := flood(c.again, c.charged); got != c.want {
+		if got := flood(c.retry, c.charged); got != c.want {
 			t.Errorf("a request that %s: %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -84,8 +84,8 @@
 	for range 10 {
 		d.RefusedUnread(now, "short", 4000)
 	}
-	if beside := other(); !alone.WithinShare || beside.WithinShare {
-		t.Errorf("within its share: %v alone, want true, and %v beside an account whose requests are all refused, want false; fair share %.0f and %.0f", alone.WithinShare, beside.WithinShare, alone.FairShare, beside.FairShare)
+	if contended := other(); !alone.WithinShare || contended.WithinShare {
+		t.Errorf("within its share: %v alone, want true, and %v beside an account whose requests are all refused, want false; fair share %.0f and %.0f", alone.WithinShare, contended.WithinShare, alone.FairShare, contended.FairShare)
 	}
 }
 
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -83,12 +83,12 @@
 
 // startupDelay returns how long after its start the router waits for updates before its second read.
 func (e *Router) startupDelay() time.Duration {
-	power := e.cfg.Settings.Self.CPUSpeed
-	if power <= 0 {
+	speed := e.cfg.Settings.Self.CPUSpeed
+	if speed <= 0 {
 		return 0
 	}
 	spread := 1 + float64(xxhash.Sum64String(string(e.cfg.Settings.Self.Node))>>11)/(1<<53)
-	return min(time.Duration(spread/power*float64(startupDelayWork)), maxStartupDelay)
+	return min(time.Duration(spread/speed*float64(startupDelayWork)), maxStartupDelay)
 }
 
 // shouldRead reports whether this router must read the store now.
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -116,7 +116,7 @@
 
 // Guards against store calls that grow with the number of routers, in steady state and after the store compacted its history.
 func TestStoreCallsDoNotGrowWithRouters(t *testing.T) {
-	const routers, beats = 12, 100
+	const routers, heartbeats = 12, 100
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	u := f.upstream("u1", 0)
@@ -135,8 +135,8 @@
 	time.Sleep(2 * time.Second)
 	before := f.store.Calls()
 	began := time.Now()
-	for beat := range beats {
-		if beat == beats/2 {
+	for heartbeat := range heartbeats {
+		if heartbeat == heartbeats/2 {
 			f.store.Compact()
 		}
 		f.store.Put(u)
--- a/pomeloentry/warmup_test.go
+++ b/pomeloentry/warmup_test.go
@@ -10,16 +10,16 @@
 
 // Guards against a router that sends requests to an upstream registered as cold, and against one that never treats it as warm.
 func TestColdUpstreamGetsNoRequestsUntilWarm(t *testing.T) {
-	const left = 2 * time.Second
+	const coldTime = 2 * time.Second
 	f := newFleet(t)
 	f.store.Publish(f.config(1, "/a/"))
 	warm := f.upstream("warm", 0)
 	n := f.start(8 * time.Second)
 	f.awaitStatus(n, "/a/", 200)
 	listed := time.Now()
-	u := f.upstreamWith("cold", 0, func(u *pomelorelay.FleetUpstream) { u.ColdRemaining = left })
+	u := f.upstreamWith("cold", 0, func(u *pomelorelay.FleetUpstream) { u.ColdRemaining = coldTime })
 	f.await("the cold upstream is logged", func() bool { return n.log.has(pomelorelay.EventUpstreamCold) })
-	for time.Since(listed) < left*9/10 {
+	for time.Since(listed) < coldTime*9/10 {
 		if status, by := f.call(n, "/a/"); status != 200 || by != "warm" {
 			t.Fatalf("status %d from %q after %v, want 200 from warm", status, by, time.Since(listed))
 		}
--- a/pomeloforward/bench_test.go
+++ b/pomeloforward/bench_test.go
@@ -27,8 +27,8 @@
 		}
 		write(conn, lastChunk)
 	})
-	w := newHarness(t, u.entry("u"))
-	conn, err := net.Dial("tcp", w.server.Listener.Addr().String())
+	h := newHarness(t, u.entry("u"))
+	conn, err := net.Dial("tcp", h.server.Listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -36,10 +36,10 @@
 	reader := bufio.NewReader(conn)
 	body := strings.Repeat("x", 800)
 	for i := 0; b.Loop(); i++ {
-		w.mu.Lock()
-		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u.entry("u")})
-		w.requests, w.results = w.requests[:0], w.results[:0]
-		w.mu.Unlock()
+		h.mu.Lock()
+		h.placements = append(h.placements, pomeloplace.Decision{Upstream: u.entry("u")})
+		h.requests, h.results = h.requests[:0], h.results[:0]
+		h.mu.Unlock()
 		fmt.Fprintf(conn, "POST /draft/ HTTP/1.1\r\nHost: h.example\r\n%s: r%d\r\n%s: key\r\n%s: 3000\r\nContent-Length: %d\r\n\r\n%s",
 			pomelofake.FieldRequest, i, pomelofake.FieldKey, pomelofake.FieldWait, len(body), body)
 		resp, err := http.ReadResponse(reader, nil)
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -22,21 +22,21 @@
 
 func TestForwardsRequestAndAnswer(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 201, "made")) })
-	w := newHarness(t, u.entry("u1"))
-	got := w.call("POST", "/book/a%2Fb?x=1", "hello", "Custom", "kept")
+	h := newHarness(t, u.entry("u1"))
+	got := h.call("POST", "/book/a%2Fb?x=1", "hello", "Custom", "kept")
 	if got.status != 201 || got.body != "made" || got.head.Get(pomelofake.FieldSigned) != "me" || got.bodyErr != nil {
 		t.Fatalf("%+v", got)
 	}
 	if want := "POST /book/a%2Fb?x=1 Client-Account=acct body=hello"; u.heads[0] != want {
 		t.Errorf("the upstream got %q, want %q", u.heads[0], want)
 	}
-	if w.requests[0].Account != "acct" || w.results[0] != pomeloplace.ResultCompleted {
-		t.Errorf("placement requests %+v with results %v", w.requests, w.results)
+	if h.requests[0].Account != "acct" || h.results[0] != pomeloplace.ResultCompleted {
+		t.Errorf("placement requests %+v with results %v", h.requests, h.results)
 	}
 }
 
 func TestRefusalsBeforeSending(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	for _, c := range []struct {
 		path, key, body string
 		want            int
@@ -48,7 +48,7 @@
 		{"/book/", "key", "", 503},
 		{"/open/", "", "", 503},
 	} {
-		got := w.call("POST", c.path, c.body, pomelofake.FieldKey, c.key)
+		got := h.call("POST", c.path, c.body, pomelofake.FieldKey, c.key)
 		if got.status != c.want {
 			t.Errorf("%s with key %q: %d, want %d", c.path, c.key, got.status, c.want)
 		}
@@ -56,10 +56,10 @@
 			t.Errorf("Retry-After %q, want 0.250", got.head.Get("Retry-After"))
 		}
 	}
-	w.mu.Lock()
-	w.table = nil
-	w.mu.Unlock()
-	if got := w.call("GET", "/unknown/", ""); got.status != 503 {
+	h.mu.Lock()
+	h.table = nil
+	h.mu.Unlock()
+	if got := h.call("GET", "/unknown/", ""); got.status != 503 {
 		t.Errorf("a router without a configuration answers %d, want 503", got.status)
 	}
 }
@@ -68,8 +68,8 @@
 // states that it did not run, which would make the caller repeat it.
 func TestBookingThatMayHaveRunIsNotRetried(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
-	w := newHarness(t, u.entry("u1"), u.entry("u2"))
-	got := w.call("POST", "/book/", "x")
+	h := newHarness(t, u.entry("u1"), u.entry("u2"))
+	got := h.call("POST", "/book/", "x")
 	if got.status != 502 || u.requests() != 1 || got.head.Get("Retry-After") != "" {
 		t.Fatalf("status %d after %d sends, want 502 after one", got.status, u.requests())
 	}
@@ -98,12 +98,12 @@
 		t.Run(name, func(t *testing.T) {
 			bad := newUpstream(t, answer)
 			good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "read")) })
-			w := newHarness(t, bad.entry("bad"), good.entry("good"))
-			if got := w.call("GET", "/read/", ""); got.status != 200 || got.body != "read" {
+			h := newHarness(t, bad.entry("bad"), good.entry("good"))
+			if got := h.call("GET", "/read/", ""); got.status != 200 || got.body != "read" {
 				t.Fatalf("%+v", got)
 			}
-			if w.results[0] != pomeloplace.ResultFailed || len(w.requests[1].Request.Avoid) != 1 || !w.requests[1].Retry {
-				t.Errorf("results %v, second placement request %+v", w.results, w.requests[1])
+			if h.results[0] != pomeloplace.ResultFailed || len(h.requests[1].Request.Avoid) != 1 || !h.requests[1].Retry {
+				t.Errorf("results %v, second placement request %+v", h.results, h.requests[1])
 			}
 		})
 	}
@@ -117,12 +117,12 @@
 			write(conn, head(r, status, "Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 		})
 		good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
-		w := newHarness(t, full.entry("full"), good.entry("good"))
-		if got := w.call("POST", "/book/", "x"); got.status != 200 || got.body != "booked" {
+		h := newHarness(t, full.entry("full"), good.entry("good"))
+		if got := h.call("POST", "/book/", "x"); got.status != 200 || got.body != "booked" {
 			t.Fatalf("%d: %+v", status, got)
 		}
-		w = newHarness(t, full.entry("full"), full.entry("full"), full.entry("full"))
-		if got := w.call("POST", "/book/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
+		h = newHarness(t, full.entry("full"), full.entry("full"), full.entry("full"))
+		if got := h.call("POST", "/book/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
 			t.Errorf("%d from every upstream: %+v", status, got)
 		}
 	}
@@ -132,16 +132,16 @@
 func TestUnconfirmedNotRunStatusBecomesBadGateway(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
-		w := newHarness(t, u.entry("u1"))
-		if got := w.call("POST", "/book/", "x"); got.status != 502 || got.head.Get(pomelofake.FieldSigned) != "" {
+		h := newHarness(t, u.entry("u1"))
+		if got := h.call("POST", "/book/", "x"); got.status != 502 || got.head.Get(pomelofake.FieldSigned) != "" {
 			t.Errorf("status %d of the upstream was answered as %d, want 502", status, got.status)
 		}
 	}
 }
 
 func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
-	whole := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, head(r, 200, "\r\nall of it")); conn.Close() })
-	if got := newHarness(t, whole.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
+	complete := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, head(r, 200, "\r\nall of it")); conn.Close() })
+	if got := newHarness(t, complete.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
 		t.Fatalf("%+v", got)
 	}
 	broken := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -159,10 +159,10 @@
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, plainAnswer(r, 200, "mine")+plainAnswer(r, 200, "extra"))
 	})
-	w := newHarness(t, u.entry("u"), u.entry("u"), u.entry("u"))
+	h := newHarness(t, u.entry("u"), u.entry("u"), u.entry("u"))
 	for i := range 3 {
 		id := "req-" + strconv.Itoa(i)
-		if got := w.call("GET", "/read/", "", pomelofake.FieldRequest, id); got.body != "mine" || got.head.Get(pomelofake.FieldRequest) != id {
+		if got := h.call("GET", "/read/", "", pomelofake.FieldRequest, id); got.body != "mine" || got.head.Get(pomelofake.FieldRequest) != id {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -239,9 +239,9 @@
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
 	})
-	w := newHarness(t, u.entry("u"))
+	h := newHarness(t, u.entry("u"))
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, "POST", w.server.URL+"/draft/", strings.NewReader("x"))
+	req, err := http.NewRequestWithContext(ctx, "POST", h.server.URL+"/draft/", strings.NewReader("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,16 +276,16 @@
 // Guards against a stream or a request accepted too late before the process ends, which would be cut.
 func TestStoppingRouterAcceptsOnlyRequestsItCanFinish(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
-	w := newHarness(t, u.entry("u"), u.entry("u"))
-	w.stopping, w.stopsIn = true, 2*time.Second
-	if got := w.call("POST", "/draft/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
+	h := newHarness(t, u.entry("u"), u.entry("u"))
+	h.stopping, h.stopsIn = true, 2*time.Second
+	if got := h.call("POST", "/draft/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
 		t.Errorf("a stream with 2 s left: %+v", got)
 	}
-	if got := w.call("POST", "/book/", "x"); got.status != 200 {
+	if got := h.call("POST", "/book/", "x"); got.status != 200 {
 		t.Errorf("a booking with 2 s left: %+v", got)
 	}
-	w.stopsIn = 100 * time.Millisecond
-	if got := w.call("POST", "/book/", "x"); got.status != 503 {
+	h.stopsIn = 100 * time.Millisecond
+	if got := h.call("POST", "/book/", "x"); got.status != 503 {
 		t.Errorf("a booking with 100 ms left: %+v", got)
 	}
 }
@@ -294,16 +294,16 @@
 func TestRetriesStayWithinBudget(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 500, "no")) })
 	const requests = 60
-	w := newHarness(t)
+	h := newHarness(t)
 	for range 2 * requests {
-		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u.entry("u")})
+		h.placements = append(h.placements, pomeloplace.Decision{Upstream: u.entry("u")})
 	}
 	for range requests {
-		w.call("GET", "/read/", "")
+		h.call("GET", "/read/", "")
 	}
 	// The slack of 100 divided among eight routers gives 0.6 x 12.5 retries, and 60 requests add 0.6 x 0.2 each.
-	if again := u.requests() - requests; again < 7 || again > 15 {
-		t.Errorf("%d of %d requests were retried, want 7 to 15", again, requests)
+	if retries := u.requests() - requests; retries < 7 || retries > 15 {
+		t.Errorf("%d of %d requests were retried, want 7 to 15", retries, requests)
 	}
 }
 
@@ -319,20 +319,20 @@
 	}
 	addr := netip.MustParseAddrPort(closed.Addr().String())
 	closed.Close()
-	var places []pomelorelay.FleetUpstream
+	var upstreams []pomelorelay.FleetUpstream
 	for i := range 5 {
-		places = append(places, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprint("down-", i)), Service: "s", Addr: addr})
+		upstreams = append(upstreams, pomelorelay.FleetUpstream{ID: pomelorelay.UpstreamID(fmt.Sprint("down-", i)), Service: "s", Addr: addr})
 	}
-	w := newHarness(t, append(places, live.entry("live"))...)
-	if got := w.call("POST", "/book/1", "x"); got.status != http.StatusOK || got.body != "ok" {
+	h := newHarness(t, append(upstreams, live.entry("live"))...)
+	if got := h.call("POST", "/book/1", "x"); got.status != http.StatusOK || got.body != "ok" {
 		t.Fatalf("%+v", got)
 	}
-	for i, work := range w.requests {
-		if work.Retry != (i > 0) || work.Charged {
-			t.Errorf("placement request %d: %+v", i, work)
+	for i, request := range h.requests {
+		if request.Retry != (i > 0) || request.Charged {
+			t.Errorf("placement request %d: %+v", i, request)
 		}
-		if last := i == len(w.requests)-1; w.results[i].NotRun() == last {
-			t.Errorf("attempt %d: result %v", i, w.results[i])
+		if last := i == len(h.requests)-1; h.results[i].NotRun() == last {
+			t.Errorf("attempt %d: result %v", i, h.results[i])
 		}
 	}
 }
@@ -345,22 +345,22 @@
 		runs.Add(1)
 		fmt.Fprint(conn, head(r, 200, "Content-Length: 2\r\n\r\nok"))
 	})
-	w := newHarness(t, up.entry("up"))
-	var looks atomic.Int64
+	h := newHarness(t, up.entry("up"))
+	var checks atomic.Int64
 	// The first two checks come before the placement and before the connection is opened.
-	w.mu.Lock()
-	w.callerGone = func() bool { return looks.Add(1) > 2 }
-	w.mu.Unlock()
-	if got := w.call("POST", "/book/1", "x"); got.bodyErr == nil {
+	h.mu.Lock()
+	h.callerGone = func() bool { return checks.Add(1) > 2 }
+	h.mu.Unlock()
+	if got := h.call("POST", "/book/1", "x"); got.bodyErr == nil {
 		t.Errorf("%+v although the caller disconnected", got)
 	}
 	if n := runs.Load(); n != 0 {
 		t.Errorf("the upstream got %d requests", n)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.results) != 1 || w.results[0] != pomeloplace.ResultNotSent {
-		t.Errorf("results %v, want one not sent", w.results)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.results) != 1 || h.results[0] != pomeloplace.ResultNotSent {
+		t.Errorf("results %v, want one not sent", h.results)
 	}
 }
 
@@ -379,25 +379,25 @@
 			time.Sleep(c.pause)
 			write(conn, eventChunk(2)+lastChunk)
 		})
-		w := newHarness(t, u.entry("u1"))
-		if got := w.call("POST", "/talk/", "x"); got.status != 200 || got.bodyErr != nil {
+		h := newHarness(t, u.entry("u1"))
+		if got := h.call("POST", "/talk/", "x"); got.status != 200 || got.bodyErr != nil {
 			t.Fatalf("%+v", got)
 		}
-		if got := w.result(0); got != c.want {
+		if got := h.result(0); got != c.want {
 			t.Errorf("after a pause of %v: %v, want %v", c.pause, got, c.want)
 		}
 	}
 }
 
 func TestEstimateCost(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	r := httptest.NewRequest("POST", "http://h.example/talk/", nil)
 	r.Header.Set(pomelofake.FieldTokens, "1000,50")
-	if account, cost := w.handler.EstimateCost(r); account != "" || cost != 0 {
+	if account, cost := h.handler.EstimateCost(r); account != "" || cost != 0 {
 		t.Errorf("without a key: account %q, cost %.0f", account, cost)
 	}
 	r.Header.Set(pomelofake.FieldKey, "key")
-	if account, cost := w.handler.EstimateCost(r); account != "acct" || cost != 1100 {
+	if account, cost := h.handler.EstimateCost(r); account != "acct" || cost != 1100 {
 		t.Errorf("account %q, cost %.0f, want acct and 1100", account, cost)
 	}
 }
@@ -417,9 +417,9 @@
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonOverShare, RetryAfter: time.Second}, pomelorelay.CodeShareSpent, ""},
 		{pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: time.Second}, pomelorelay.CodeUpstreamsBusy, ""},
 	} {
-		w := newHarness(t)
-		w.placements = []pomeloplace.Decision{c.decision}
-		got := w.call("POST", "/book/", "x")
+		h := newHarness(t)
+		h.placements = []pomeloplace.Decision{c.decision}
+		got := h.call("POST", "/book/", "x")
 		if got.status != 503 || got.head.Get("Retry-After") != fmt.Sprintf("%.3f", c.decision.RetryAfter.Seconds()) {
 			t.Errorf("status %d, Retry-After %q", got.status, got.head.Get("Retry-After"))
 		}
--- a/pomeloforward/harness_test.go
+++ b/pomeloforward/harness_test.go
@@ -132,75 +132,75 @@
 
 func newHarness(t *testing.T, upstreams ...pomelorelay.FleetUpstream) *harness {
 	t.Helper()
-	w := &harness{t: t}
+	h := &harness{t: t}
 	for _, u := range upstreams {
-		w.placements = append(w.placements, pomeloplace.Decision{Upstream: u})
+		h.placements = append(h.placements, pomeloplace.Decision{Upstream: u})
 	}
 	shared := append([]pomelorelay.Route(nil), routes...)
 	for i := range shared {
 		shared[i].Shares = []pomelorelay.RouteShare{{Service: "s", Weight: 1}}
 	}
-	w.table = pomelotable.New(&pomelorelay.FleetConfig{
+	h.table = pomelotable.New(&pomelorelay.FleetConfig{
 		Version: 3, Routes: shared, Accounts: []pomelorelay.AccountSpec{{Name: "acct", Keys: []string{"key"}}},
 		Limits: pomelorelay.CallerLimits{BodyBytes: 1000},
 	})
-	h := pomeloforward.New(pomeloforward.Config{
-		Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}, Wire: pomelofake.FleetWire{}, Tables: w, Placement: w, Shutdown: w, Meter: w,
-		CallerGone: w.isCallerGone,
+	handler := pomeloforward.New(pomeloforward.Config{
+		Clock: pomelorelay.SystemClock{}, Logger: pomelorelay.NopLogger{}, Wire: pomelofake.FleetWire{}, Tables: h, Placement: h, Shutdown: h, Meter: h,
+		CallerGone: h.isCallerGone,
 		RetryRatio: 0.2, RetrySlack: 100,
 	})
-	w.handler = h
-	w.server = httptest.NewServer(h)
+	h.handler = handler
+	h.server = httptest.NewServer(handler)
 	t.Cleanup(func() {
-		w.server.Close()
-		h.Close()
+		h.server.Close()
+		handler.Close()
 	})
-	return w
+	return h
 }
 
-func (w *harness) isCallerGone(*http.Request) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.callerGone != nil && w.callerGone()
+func (h *harness) isCallerGone(*http.Request) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.callerGone != nil && h.callerGone()
 }
 
-func (w *harness) Current() *pomelotable.Table {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.table
+func (h *harness) Current() *pomelotable.Table {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.table
 }
 
-func (w *harness) Place(_ context.Context, work pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.requests = append(w.requests, work)
-	if len(w.placements) == 0 {
+func (h *harness) Place(_ context.Context, request pomeloforward.PlacementRequest) (pomeloforward.Reservation, pomeloplace.Decision, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.requests = append(h.requests, request)
+	if len(h.placements) == 0 {
 		return nil, pomeloplace.Decision{Reason: pomeloplace.ReasonTooLate, RetryAfter: 250 * time.Millisecond}, nil
 	}
-	d := w.placements[0]
-	w.placements = w.placements[1:]
-	return w, d, nil
+	d := h.placements[0]
+	h.placements = h.placements[1:]
+	return h, d, nil
 }
 
-func (w *harness) AnswerBegan() {}
+func (h *harness) AnswerBegan() {}
 
-func (w *harness) Done(r pomeloplace.Result) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.results = append(w.results, r)
+func (h *harness) Done(r pomeloplace.Result) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.results = append(h.results, r)
 }
 
-func (w *harness) result(i int) pomeloplace.Result {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.results[i]
+func (h *harness) result(i int) pomeloplace.Result {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.results[i]
 }
 
-func (w *harness) TimeLeft() (time.Duration, bool) { return w.stopsIn, w.stopping }
+func (h *harness) TimeLeft() (time.Duration, bool) { return h.stopsIn, h.stopping }
 
-func (w *harness) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
+func (h *harness) ObserveAnswer(pomelorelay.RouteKind, string, time.Duration, time.Duration) {}
 
-func (w *harness) CountRetry(pomelorelay.ResultCode) {}
+func (h *harness) CountRetry(pomelorelay.ResultCode) {}
 
 // answer is what a caller received.
 type answer struct {
@@ -212,11 +212,11 @@
 }
 
 // call sends a caller's request on a connection of its own.
-func (w *harness) call(method, path, body string, fields ...string) answer {
-	w.t.Helper()
-	req, err := http.NewRequest(method, w.server.URL+path, strings.NewReader(body))
+func (h *harness) call(method, path, body string, fields ...string) answer {
+	h.t.Helper()
+	req, err := http.NewRequest(method, h.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	req.Host = "h.example"
 	req.Close = true
