--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -18,9 +18,9 @@
 		Services: []pomelorelay.ServiceSpec{{Name: "s", Engine: &pomelorelay.EngineSpec{Slots: 10, KVCapacity: 500_000, TokensPerEvent: 7}}},
 	}, pomelorelay.FleetUpstream{ID: "u", Service: "s", Domain: "a", Slots: 10})
 	now := time.Now()
-	flood := func(again, charged bool) pomeloplace.Reason {
+	flood := func(retry, charged bool) pomeloplace.Reason {
 		now = now.Add(time.Millisecond)
-		return d.Place(now, pomeloforward.PlacementRequest{Account: "flood", Cost: 1000, Retry: again, Charged: charged, Request: pomeloplace.Request{
+		return d.Place(now, pomeloforward.PlacementRequest{Account: "flood", Cost: 1000, Retry: retry, Charged: charged, Request: pomeloplace.Request{
 			Service: "s", PromptTokens: 100, OutputTokens: 100, Target: time.Second, MaxWait: 10 * time.Second,
 		}}).Reason
 	}
@@ -29,18 +29,18 @@
 		placed++
 	}
 	if placed == 0 {
-		t.Fatal("nothing was placed on an engine that is free")
+		t.Fatal("no request was placed on an idle engine")
 	}
 	for _, c := range []struct {
 		name           string
-		again, charged bool
+		retry, charged bool
 		want           pomeloplace.Reason
 	}{
 		{"first asked", false, false, pomeloplace.ReasonOverShare},
 		{"found an upstream down", true, false, pomeloplace.ReasonOverShare},
 		{"ran and failed", true, true, pomeloplace.ReasonNone},
 	} {
-		if got := flood(c.again, c.charged); got != c.want {
+		if got := flood(c.retry, c.charged); got != c.want {
 			t.Errorf("a request that %s: %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -58,13 +58,13 @@
 		{10 * time.Second, 0},
 	} {
 		if got := pomeloentry.UnreportedAfter(c.passed); got != c.want {
-			t.Errorf("%v after it registered %d routers count as unheard, want %d", c.passed, got, c.want)
+			t.Errorf("%v after the registration, %d routers count as unreported, want %d", c.passed, got, c.want)
 		}
 	}
 }
 
 // Guards against requests refused unread that do not count as demand. The load balancer sends most callers of one account to a full
-// host; routers would assume that the account is satisfied, and another account would get twice as much while its callers are refused.
+// host; routers would assume that it is satisfied, and another account would get twice as much while the first one's callers are refused.
 func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
@@ -84,8 +84,8 @@
 	for range 10 {
 		d.RefusedUnread(now, "short", 4000)
 	}
-	if beside := other(); !alone.WithinShare || beside.WithinShare {
-		t.Errorf("owed %v alone and %v beside an account that is refused everything; level %.0f and %.0f", alone.WithinShare, beside.WithinShare, alone.FairShare, beside.FairShare)
+	if contended := other(); !alone.WithinShare || contended.WithinShare {
+		t.Errorf("within its share: %v alone, want true, and %v beside an account whose requests are all refused, want false; fair share %.0f and %.0f", alone.WithinShare, contended.WithinShare, alone.FairShare, contended.FairShare)
 	}
 }
 
@@ -127,7 +127,7 @@
 	} {
 		d.Report(now, "peer", c.incarnation, c.report)
 		if got := running(); got != c.running {
-			t.Errorf("%s: %d run, want %d", c.name, got, c.running)
+			t.Errorf("%s: %d requests running, want %d", c.name, got, c.running)
 		}
 		if got := d.Served("acct"); got != c.served {
 			t.Errorf("%s: %v served, want %v", c.name, got, c.served)
