--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -185,9 +185,9 @@
 		return p.noUpstreamDecision(now, &r)
 	}
 	d := Decision{
-		Term:      best.largestTerm,
-		ReportAge: p.reportAge(now),
-		Upstream:  best.up.info, ExpectedLatency: best.expectedLatency, QueueDelay: best.queueDelay, PrefillTokens: best.prefillTokens, UncachedShared: best.uncachedShared, Running: best.up.running(),
+		LargestCostTerm: best.largestTerm,
+		ReportAge:       p.reportAge(now),
+		Upstream:        best.up.info, ExpectedLatency: best.expectedLatency, QueueDelay: best.queueDelay, PrefillTokens: best.prefillTokens, UncachedShared: best.uncachedShared, Running: best.up.running(),
 	}
 	if best.copyFrom != nil {
 		d.CopyFrom, d.CopiedTokens = best.copyFrom.info, best.copiedTokens
