--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -162,7 +162,7 @@
 	DomainMargin pomelorelay.Tag
 	// RegionMargin is the same for another region, where traffic is billed; default 100.
 	RegionMargin pomelorelay.Tag
-	// RegionMinWaiting is the number of waiting requests from which idle slots of another region are used; default 1.
+	// RegionMinWaiting is the minimum number of waiting requests for which idle slots of another region are used; default 1.
 	RegionMinWaiting int
 }
 
--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// timeUntilBusy returns the time until each upstream of a former owner has had all its slots taken under a new owner, at most span.
+// timeUntilBusy returns the time until all slots of each of a dead owner's upstreams were in use at once under a new owner, at most span.
 func (f *fleet) timeUntilBusy(owner int, span time.Duration) time.Duration {
 	var owned []*testUpstream
 	for _, u := range f.upstreams {
@@ -81,7 +81,7 @@
 		took := f.timeUntilBusy(1, 20*time.Second)
 		t.Logf("seed %d: busy again %v after the kill, detection %v", seed+1, took, detectionTime)
 		if took > 3*time.Second {
-			t.Errorf("seed %d: busy again only %v after the kill", seed+1, took)
+			t.Errorf("seed %d: busy again %v after the kill, want at most 3s", seed+1, took)
 		}
 		for _, u := range f.upstreams {
 			if u.maxRunning > cfg.slots {
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -72,7 +72,7 @@
 	return out
 }
 
-// recordReply stores the pool's current demand and the part of it that was sent in the reply.
+// recordReply stores the pool's current demand and, for the upstream, the demand that the reply carried.
 func (r *Requester) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s Settlement, waiting int) {
 	if p := r.pools[u.digest.Pool]; p != nil {
 		p.demand.Head, p.demand.Waiting = s.Head, s.Waiting
--- a/pomeloslot/limiter.go
+++ b/pomeloslot/limiter.go
@@ -11,7 +11,7 @@
 
 // limiter adapts the concurrency limit of an upstream to its latency targets by additive increase and multiplicative
 // decrease: it adds a slot after a window in which all slots were used and the targets were met, and multiplies by
-// ShrinkFactor after one in which they were missed.
+// ShrinkFactor after one in which they were missed or most load reports showed queued requests.
 type limiter struct {
 	low, high float64
 	value     float64
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -16,7 +16,7 @@
 	// sortedUpstreams is sorted by ID to make the order of messages deterministic.
 	sortedUpstreams []*upstream
 	nextID          pomelorelay.GrantID
-	// freeGrants is a free list of grants.
+	// freeGrants is a free list of released grants, linked by grant.next.
 	freeGrants *grant
 }
 
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestRunningReportsReduceExcessLoad(t *testing.T) {
+func TestRequestInLoadAndRunningReportCountsOnce(t *testing.T) {
 	// The upstream's load report reaches a new owner before the routers' running reports. The requests in both must not
 	// count twice, or slots would stay idle until the next load report.
 	o := newOwner("r2")
@@ -212,8 +212,8 @@
 }
 
 func TestLimitFollowsLatencies(t *testing.T) {
-	// An upstream's responses are slow at its full limit, and its load reports lag. The limit decreases until 95% of first
-	// tokens meet the target, and then increases again.
+	// An upstream's responses are slow at its full limit, and no load report shows it. The limit decreases until 95% of
+	// first tokens meet the target, and then increases again.
 	o := newOwnerOfUpstream(100)
 	now, seq := start, uint64(1)
 	ids, _ := grantsIn(o.HandleDemand(now, "a", demand(seq, 1, 1_000_000), nil))
--- a/pomeloslot/table_test.go
+++ b/pomeloslot/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// referenceConfig returns the configuration of the reference measurements in the design.
+// referenceConfig returns the configuration of the reference measurements: 16 accounts on 8 routers that share 10 upstreams of 8 slots.
 func referenceConfig(seed uint64) fleetConfig {
 	random := rand.New(rand.NewPCG(seed, 2))
 	cfg := fleetConfig{
