--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -14,8 +14,8 @@
 	// ownServed is the service charged by this router, othersServed that charged by the other routers.
 	ownServed    pomelorelay.Tag
 	othersServed pomelorelay.Tag
-	// ownIncrease and othersIncrease are moving averages of the increase of reported and othersServed between updates of
-	// the fleet totals.
+	// ownIncrease and othersIncrease are moving averages of the increases of reported and of othersServed between two
+	// updates of the fleet totals.
 	ownIncrease    pomelorelay.Tag
 	othersIncrease pomelorelay.Tag
 	// ownAtTotals is the value of reported at the last update of the fleet totals.
@@ -26,7 +26,8 @@
 	reported pomelorelay.Tag
 	// chargedAtReport is the sum of ownServed and pending at the last report.
 	chargedAtReport pomelorelay.Tag
-	// lift is the service credited to the account when it was moved up to the virtual time or the catch-up limit.
+	// lift is the normalised service that counts as received because the tag was raised to the virtual time or the
+	// catch-up limit.
 	lift pomelorelay.Tag
 	// pending is the part of the admission charges that has not accrued yet.
 	pending pomelorelay.Tag
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -25,9 +25,9 @@
 	p.maxVirtualTime = max(p.maxVirtualTime, tag)
 }
 
-// RaiseMaxVirtualTime raises the pool's maximum virtual time across failure domains. Backlogged accounts are lifted to within the
-// catch-up limit of it. The current virtual time is no substitute: after a partition it falls to the tags of the accounts
-// that are behind, and the others would receive no service until these had fully caught up.
+// RaiseMaxVirtualTime raises the pool's maximum virtual time across failure domains. Backlogged accounts are lifted to
+// within the catch-up limit of it. The current virtual time is no substitute: after a partition it falls to the tags of
+// the accounts that are behind, and the others would receive no service until these had fully caught up.
 func (q *Queues) RaiseMaxVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	if p := q.pools[id]; p != nil {
 		p.maxVirtualTime = max(p.maxVirtualTime, tag)
@@ -53,7 +53,7 @@
 	a.totalsAt = now
 	a.lift = max(a.lift, e.Lift)
 	if !a.awaitingTotals && increase > pomelorelay.Cost(a.pool.options.CatchUp) {
-		// After a partition, the totals include the service from the other side.
+		// The increase is this large after a partition, when the totals first include the service from the other side.
 		p.maxVirtualTime = max(p.maxVirtualTime, a.served())
 	}
 	q.liftToTarget(a, e.Waiting)
@@ -76,9 +76,9 @@
 // totalsMaxAge is the age above which totals are considered stale at the start of a backlogged period.
 const totalsMaxAge = 2 * time.Second
 
-// startBacklog starts a backlogged period. Stale totals may miss the account's idle time or service at other routers, and
-// with them it alone would be served for a while. Until new totals arrive, the account therefore starts at the virtual
-// time, or at the catch-up limit below it if it has running requests and its totals are stale.
+// startBacklog starts a backlogged period. With outdated totals the account would claim service that it left unused while
+// idle or received at other routers, and it alone would be served for a while. Until new totals arrive it therefore
+// starts at the virtual time if it was idle, or at the catch-up limit below it if it has running requests and stale totals.
 func (q *Queues) startBacklog(now time.Time, a *account) {
 	switch {
 	case a.waiting > 0 || a.awaitingTotals:
@@ -95,9 +95,9 @@
 	q.markChanged(a)
 }
 
-// liftToTarget lifts a backlogged account that was idle to the virtual time, and one that is backlogged elsewhere to the
-// catch-up limit. Without it, service not used while idle or on the other side of a partition would be claimed at once,
-// and no other account would be served meanwhile.
+// liftToTarget lifts an account that was idle to the virtual time, and one that is backlogged here or elsewhere already to
+// the catch-up limit. Without it, service not used while idle or on the other side of a partition would be claimed at
+// once, and no other account would be served meanwhile.
 func (q *Queues) liftToTarget(a *account, elsewhere bool) {
 	if a.idle() {
 		return
@@ -121,8 +121,8 @@
 	a.reported = max(a.reported, a.chargedAtReport)
 }
 
-// ledgerEntry returns this router's own entry of the account. Waiting stays false while awaitingTotals: the totals would
-// otherwise show the account as waiting and not distinguish this router from the others.
+// ledgerEntry returns this router's own entry of the account. Waiting stays false while awaitingTotals: otherwise the
+// totals would show the account as waiting because of this router alone, as if it were backlogged at another one.
 func (a *account) ledgerEntry() pomelorelay.LedgerEntry {
 	return pomelorelay.LedgerEntry{
 		Pool:    a.pool.id,
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -17,7 +17,7 @@
 	// oldest and newest are the ends of the age list of waiting requests.
 	oldest *request
 	newest *request
-	// freeRequests is a free list of requests.
+	// freeRequests is a free list of recycled requests, linked by request.next.
 	freeRequests *request
 }
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// Push queues a request; it fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated, and the request did not run then.
+// Push queues a request or fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated; these errors state that the request did not run.
 func (q *Queues) Push(now time.Time, r Request) error {
 	if _, found := q.requests[r.ID]; found {
 		return pomelorelay.NewError(pomelorelay.CodeRequestRepeated, "", nil)
@@ -79,7 +79,7 @@
 	return r.id, tag, true
 }
 
-// Requeue returns a popped request that was not sent to the head of its account's queue and reverses its charge.
+// Requeue puts a popped request that was not sent back at the head of its account's queue and reverses its charge.
 func (q *Queues) Requeue(_ time.Time, id pomelorelay.RequestID) {
 	r := q.requests[id]
 	if r == nil || !r.running {
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("expired %v, want all three", got)
 	}
 	if err := q.WaitTimeoutError(pool, "flood"); err.RetryAfter < time.Second || err.Ran != pomelorelay.RanNo {
-		t.Errorf("unexpected wait error %+v", err)
+		t.Errorf("wait error %+v, want RetryAfter of at least 1s and Ran no", err)
 	}
 	if _, waiting, ok := q.Head(start, pool); ok || waiting != 0 {
 		t.Errorf("%d requests are still waiting", waiting)
