--- a/pomeloledger/account.go
+++ b/pomeloledger/account.go
@@ -28,8 +28,9 @@
 type account struct {
 	key     pomelorelay.LedgerKey
 	origins []origin
-	// departed is the service of folded incarnations. residue is the service of routers that were unreachable when this
-	// host rebuilt the shard; when such a router reports again, its service is subtracted from it.
+	// departed is the sum of the service of ended incarnations, whose origins have been removed. residue is the service of
+	// routers that were unreachable when this host rebuilt the shard; when such a router reports again, its service is
+	// subtracted from residue.
 	departed pomelorelay.Cost
 	residue  pomelorelay.Cost
 	// peerSum and peerDeparted are this domain's values as known in other domains; used only during a rebuild.
--- a/pomeloledger/config.go
+++ b/pomeloledger/config.go
@@ -49,7 +49,8 @@
 	QueryInterval time.Duration
 	// WaitingTTL is how long another domain's report that an account is backlogged remains valid; 2 min.
 	WaitingTTL time.Duration
-	// FoldDelay is how long entries of a superseded incarnation are kept separately to merge late reports; 1 min.
+	// FoldDelay is how long entries of a superseded incarnation are kept separately, to merge late reports, before they
+	// are folded into one sum; 1 min.
 	FoldDelay time.Duration
 }
 
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -127,7 +127,7 @@
 }
 
 // clearWaiting clears the backlogged state reported by a router's incarnations up to upTo, which have ended. Otherwise
-// an account whose only queue was on that router would count as backlogged for ever.
+// an account whose only queue was on that router would count as backlogged forever.
 func (l *Ledger) clearWaiting(s *shard, node pomelorelay.NodeID, upTo pomelorelay.Incarnation) {
 	for _, a := range s.order {
 		if a.clearWaiting(node, upTo) {
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// HandleComponentQuery answers another domain's host with all known components. The component of the querying domain is sent
-// first and marked full, which completes this domain's answer.
+// HandleComponentQuery answers another domain's host with all known components. The component of the querying domain is
+// sent first and marked full; with it the querying host counts this domain as having answered.
 func (l *Ledger) HandleComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
--- a/pomeloledger/reporter.go
+++ b/pomeloledger/reporter.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// HandleTotals processes a host's answer and reports whether its entries are usable: the sender is the shard's current host
-// and has finished its rebuild.
+// HandleTotals processes a host's answer and reports whether its entries are usable, which they are if the sender is the
+// shard's current host and has finished its rebuild.
 func (r *Reporter) HandleTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
 	s, ok := r.shards[m.Shard]
 	if !ok || from != s.host {
