--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -106,7 +106,7 @@
 	d.expectState(1, 0)
 	d.ask(4, "k", 7)
 	if a := d.expectState(4, pomelorelay.ClaimDone); string(a.Outcome.Body) != "booked" || a.Outcome.Status != 201 {
-		t.Errorf("the repeat got %+v", a.Outcome)
+		t.Errorf("the repeat got %+v, want status 201 and body booked", a.Outcome)
 	}
 	d.settle(1, "k", pomelorelay.ClaimSettle{Released: true})
 	d.tick(time.Second)
@@ -128,13 +128,13 @@
 	}
 	f.outage = false
 	f.run(3 * time.Second)
-	if n := f.routers[1].asker.OpenClaims(); n != 0 {
+	if n := f.routers[1].requester.OpenClaims(); n != 0 {
 		t.Errorf("%d claims are still open", n)
 	}
 	f.send(1, "k")
 	f.run(time.Second)
 	if f.runs["k"] > 1 || len(f.replies["k"]) != 2 || f.replies["k"][1].state == pomelorelay.ClaimRunning {
-		t.Errorf("%d runs, replies %+v", f.runs["k"], f.replies["k"])
+		t.Errorf("%d runs, want at most 1; replies %+v, want two, of which the second is not running", f.runs["k"], f.replies["k"])
 	}
 }
 
@@ -152,7 +152,7 @@
 	other.HandleAsk(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
 	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[1]), &out)
 	if len(out.Messages) != 1 || out.Messages[0].Message.(*pomelorelay.ClaimAnswer).State != pomelorelay.ClaimFresh {
-		t.Fatalf("the second keeper answered %+v", out.Messages)
+		t.Fatalf("the second keeper answered %+v, want one fresh claim", out.Messages)
 	}
 	d.out.StoreOps = paused
 	d.runStoreOps()
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// answerWithClaim answers a request according to a durable claim. The attempt that holds the claim is answered fresh again
-// until it settles: it repeats its request only while it has not sent the claimed one.
+// answerWithClaim answers a claim request according to a durable claim. The attempt that holds the claim is answered fresh
+// again until it settles: it asks again only while it has not sent its request to an upstream.
 func (k *Keeper) answerWithClaim(now time.Time, s *shard, a *pendingAsk, c *claimRecord, out *Output) {
 	state, outcome := k.effectiveState(now, c), pomelorelay.ClaimOutcome{}
 	switch {
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -51,7 +51,7 @@
 	paused      bool
 	deferred    []func()
 	keeper      *pomeloclaim.Keeper
-	asker       *pomeloclaim.Requester
+	requester       *pomeloclaim.Requester
 	incarnation int
 	calls       map[pomelorelay.ClaimNonce]*call
 }
@@ -113,7 +113,7 @@
 	cfg := f.cfg
 	cfg.Alive = func(node pomelorelay.NodeID) bool { return f.byName(node).alive }
 	r.keeper = pomeloclaim.NewKeeper(cfg)
-	r.asker = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
+	r.requester = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
 		Node: r.name, Incarnation: pomelorelay.Incarnation(f.now.UnixNano()), Shards: f.shards,
 		Keeper: func(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 			return f.routers[f.keeperOf(shard, n)].name, true
@@ -170,7 +170,7 @@
 		f.runOn(r, incarnation, func() {
 			var out pomeloclaim.Output
 			r.keeper.Tick(f.now, &out)
-			r.asker.Tick(f.now, &out)
+			r.requester.Tick(f.now, &out)
 			f.perform(r, out)
 		})
 		f.tick(r, incarnation)
@@ -214,9 +214,9 @@
 			case *pomelorelay.ClaimSettle:
 				to.keeper.HandleSettle(f.now, from.name, x, &out)
 			case *pomelorelay.ClaimAnswer:
-				to.asker.HandleAnswer(f.now, x, &out)
+				to.requester.HandleAnswer(f.now, x, &out)
 			case *pomelorelay.ClaimSettled:
-				to.asker.HandleSettled(x)
+				to.requester.HandleSettled(x)
 			}
 			f.perform(to, out)
 		})
@@ -280,7 +280,7 @@
 	r := f.routers[n]
 	f.runOn(r, r.incarnation, func() {
 		var out pomeloclaim.Output
-		nonce := r.asker.Claim(f.now, keyOf(key), 1, &out)
+		nonce := r.requester.Claim(f.now, keyOf(key), 1, &out)
 		r.calls[nonce] = &call{key: key, startedAt: f.now}
 		f.perform(r, out)
 	})
@@ -302,7 +302,7 @@
 	}
 	settle := func(released bool, state pomelorelay.ClaimState, o pomelorelay.ClaimOutcome) {
 		var out pomeloclaim.Output
-		r.asker.Settle(f.now, v.Nonce, released, state, o, &out)
+		r.requester.Settle(f.now, v.Nonce, released, state, o, &out)
 		f.perform(r, out)
 	}
 	incarnation := r.incarnation
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -74,8 +74,8 @@
 	k.advance(now, s, out)
 }
 
-// RemoveShard gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A write in
-// progress may still take effect; the new keeper's compare-and-swap then fails and it reads the record again.
+// RemoveShard gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A write
+// in progress may still take effect; the new keeper's compare-and-swap then fails and it reads the record again.
 func (k *Keeper) RemoveShard(id pomelorelay.ShardID) {
 	delete(k.shards, id)
 	k.owned = slices.DeleteFunc(k.owned, func(o pomelorelay.ShardID) bool { return o == id })
@@ -86,8 +86,8 @@
 	}
 }
 
-// HandleAsk handles a router's request for a claim and answers once the claim is durable. A request for a shard that is not kept
-// here is dropped, because the requester sends it again to the shard's current keeper.
+// HandleAsk handles a router's request for a claim and answers once the claim is durable. A request for a shard of another
+// keeper is dropped, because the requester sends it again to the shard's current keeper.
 func (k *Keeper) HandleAsk(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ClaimAsk, out *Output) {
 	k.recordProcessStart(from, m.Nonce)
 	s, ok := k.shards[m.Shard]
--- a/pomeloclaim/requester.go
+++ b/pomeloclaim/requester.go
@@ -11,8 +11,8 @@
 // maxBackoffShift limits the exponential backoff of resends to ResendAfter << maxBackoffShift.
 const maxBackoffShift = 3
 
-// Requester requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that it has
-// refused stays refused: if a later answer makes it fresh, the claim is released.
+// Requester requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that it
+// has refused stays refused: if a later answer makes it fresh, the claim is released.
 type Requester struct {
 	cfg         RequesterConfig
 	process     pomelorelay.ClaimNonce
--- a/pomeloquarantine/config.go
+++ b/pomeloquarantine/config.go
@@ -30,8 +30,8 @@
 	AskInterval time.Duration
 	// MaxWait is how long a suspect may wait to be admitted before it is refused, 10 s by default.
 	MaxWait time.Duration
-	// MaxSuspects and MaxQuarantined limit the number of entries, 4,096 and 1,024 by default; the entries that expire first
-	// are evicted.
+	// MaxSuspects and MaxQuarantined limit the number of entries, 4,096 and 1,024 by default. A Table evicts the entries
+	// that expire first; an Arbiter denies further locks above MaxSuspects.
 	MaxSuspects    int
 	MaxQuarantined int
 }
--- a/pomeloquarantine/fleet_test.go
+++ b/pomeloquarantine/fleet_test.go
@@ -29,7 +29,8 @@
 	messageLoss float64
 	// protected is false to run requests without any check by the routers' tables.
 	protected bool
-	// maxAttempts limits the attempts of a request. One that is running at every crash needs one attempt more than crashes.
+	// maxAttempts limits the attempts of a request. A request that is interrupted by every crash needs one attempt more
+	// than there are crashes.
 	maxAttempts int
 
 	lastArrival map[[2]pomelorelay.NodeID]time.Time
@@ -252,7 +253,7 @@
 		}
 	}
 	if !up.up {
-		// The upstream crashed while the request waited to be admitted; nothing was sent.
+		// The upstream crashed while the request waited for its verdict; nothing was sent.
 		f.perform(q.router, func(out *pomeloquarantine.Output) { q.router.table.Cancel(q.run, out) })
 		f.attempt(q)
 		return
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -77,7 +77,7 @@
 		concurrent := rapid.IntRange(2, 4).Draw(rt, "at once")
 		f, lost := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, concurrent, 40, 0, true)
 		if f.crashes > concurrent+1 || lost != 0 {
-			rt.Errorf("%d concurrent sends caused %d crashes; %d other requests lost, want none", concurrent, f.crashes, lost)
+			rt.Errorf("%d concurrent sends caused %d crashes, want at most one more; %d other requests lost, want none", concurrent, f.crashes, lost)
 		}
 		if len(f.refused) != 1 || f.refused[crashingFingerprint] == 0 {
 			rt.Errorf("refused %v, want only the crashing request", f.refused)
@@ -91,7 +91,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		f, _ := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0.2, true)
 		if f.crashes > 2*fleetRouters || f.refused[crashingFingerprint] == 0 {
-			rt.Errorf("%d crashes, crashing request refused %d times", f.crashes, f.refused[crashingFingerprint])
+			rt.Errorf("%d crashes, want at most 2 per router; crashing request refused %d times, want at least once", f.crashes, f.refused[crashingFingerprint])
 		}
 	})
 }
@@ -194,7 +194,7 @@
 	}
 	for n, s := range steps {
 		if got := ask(s.from, s.p, s.u); got != s.want {
-			t.Errorf("step %d: router %s may run %d on %s: got %v", n, s.from, s.p, s.u, got)
+			t.Errorf("step %d: locks for router %s, fingerprint %d and upstream %s granted: got %v", n, s.from, s.p, s.u, got)
 		}
 	}
 	h.now = h.now.Add(7 * time.Second)
@@ -240,7 +240,7 @@
 		notified = notified || (ok && m.To == "b" && c.Clean)
 	}
 	if !notified || h.table.Snapshot().IsSuspect(1) {
-		t.Errorf("notified %v, suspect %v", notified, h.table.Snapshot().IsSuspect(1))
+		t.Errorf("notified %v, want true; suspect %v, want false", notified, h.table.Snapshot().IsSuspect(1))
 	}
 }
 
--- a/pomeloslot/bench_test.go
+++ b/pomeloslot/bench_test.go
@@ -29,7 +29,7 @@
 		m.Seq, m.State, m.Head = seq, pomelorelay.GrantFinished, pomelorelay.Tag(seq)
 		out = o.HandleReply(start, node, &m, out[:0])
 		if len(out) != 1 {
-			b.Fatalf("%d grants", len(out))
+			b.Fatalf("%d grants, want 1", len(out))
 		}
 		id, node = out[0].Message.(*pomelorelay.Grant).ID, out[0].To
 	}
