--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// notifyHolder tells a claim's holder that the claim is fresh. A resent request may make a claim durable after its requester
-// cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim that it
-// does not know and ignores the notice otherwise.
+// notifyHolder notifies a claim's holder that the claim is fresh. A resent request may make a claim durable after its
+// requester cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim
+// that it does not know and ignores the notice otherwise.
 func notifyHolder(a *pendingAsk, c *claimRecord, out *Output) {
 	m := &pomelorelay.ClaimAnswer{Shard: a.ask.Shard, Key: a.ask.Key, State: pomelorelay.ClaimFresh}
 	copy(m.Nonce[:], c.Nonce)
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -51,7 +51,7 @@
 	paused      bool
 	deferred    []func()
 	keeper      *pomeloclaim.Keeper
-	requester       *pomeloclaim.Requester
+	requester   *pomeloclaim.Requester
 	incarnation int
 	calls       map[pomelorelay.ClaimNonce]*call
 }
--- a/pomeloclaim/record.go
+++ b/pomeloclaim/record.go
@@ -14,7 +14,7 @@
 )
 
 // headRecord is the record of a shard that every change writes. gob ignores unknown fields and accepts missing ones, so
-// that routers of two versions can keep a shard in turn.
+// that routers of two versions can be keepers of a shard one after the other.
 type headRecord struct {
 	NextSlot uint32
 	Free     []slotRef
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -95,8 +95,8 @@
 	q.markChanged(a)
 }
 
-// liftToTarget lifts an account that was idle to the virtual time, and one that is backlogged here or elsewhere already to
-// the catch-up limit. Without it, service not used while idle or on the other side of a partition would be claimed at
+// liftToTarget lifts an account that was idle to the virtual time, and one that was backlogged already, here or elsewhere,
+// to the catch-up limit. Without it, service not used while idle or on the other side of a partition would be claimed at
 // once, and no other account would be served meanwhile.
 func (q *Queues) liftToTarget(a *account, elsewhere bool) {
 	if a.idle() {
--- a/pomeloledger/shard.go
+++ b/pomeloledger/shard.go
@@ -34,7 +34,7 @@
 	hostedSince       time.Time
 	rebuiltAt         pomelorelay.Incarnation // Unix nanoseconds at the end of the rebuild
 	nextQuery         time.Time
-	round             uint64
+	round             uint64                      // identifies this rebuild, so that full reports for an earlier one are not counted
 	pendingHosts      map[pomelorelay.NodeID]bool // hosts in other domains that have not answered
 	pendingRouters    map[pomelorelay.NodeID]bool // routers that have not answered this round's query
 	accounts          map[pomelorelay.LedgerKey]*account
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -25,7 +25,7 @@
 }
 
 // GrantUsable reports whether a request may still be sent under a grant. A claim can take seconds to become durable;
-// without this check an upstream could receive a request after it was told that none would follow.
+// without this check an upstream could receive a request after the notice that none would follow.
 func (r *Requester) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
 	h := r.grants[id]
 	if h == nil {
--- a/pomeloslot/idleanswer_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -27,10 +27,10 @@
 		r := newRequester()
 		r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 50, 1), digest("v", "b", 0, 9)})
 		if got := registeredAt(r.UpdateDemand(start.Add(time.Millisecond), heads(1), nil)); got["v"] || !got["u1"] {
-			t.Fatalf("%s: first registered at %v", c.name, got)
+			t.Fatalf("%s: first registered at %v, want u1 and not v", c.name, got)
 		}
 		if got := registeredAt(r.Tick(start.Add(290*time.Millisecond), nil)); got["v"] {
-			t.Errorf("%s: registered at %v before the timeout", c.name, got)
+			t.Errorf("%s: registered at %v before the timeout, want not at v", c.name, got)
 		}
 		c.answer(r, start.Add(290*time.Millisecond))
 		if got := registeredAt(r.Tick(start.Add(310*time.Millisecond), nil)); got["v"] != c.want {
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -48,7 +48,7 @@
 }
 
 // updateLoad applies a load report and detects requests sent by another owner. A report describes an earlier state, so
-// only the excess over this owner's recent peak counts; otherwise every request that just ended would be taken for one of
+// only the excess over this owner's recent peak counts; otherwise every request that just ended would be attributed to
 // another owner.
 func (u *upstream) updateLoad(now time.Time, load LoadReport, lag time.Duration) {
 	u.lastReport, u.reported = load, true
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -186,8 +186,8 @@
 }
 
 func TestCrashedUpstreamResumesAfterLoadReport(t *testing.T) {
-	// An upstream crashes with its running requests. Requests granted before it restarts would fail to connect; slots
-	// still counted as taken after the restart would stay idle.
+	// An upstream crashes with its running requests. Requests sent before it restarts would fail to connect; slots still
+	// counted as taken after the restart would stay idle.
 	o := newOwnerOfUpstream(2)
 	o.HandleDemand(start, "a", demand(1, 1, 9), nil)
 	o.MarkCrashed(start, "u")
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -146,7 +146,7 @@
 }
 
 // VirtualTime returns the pool's virtual time: the median of the last granted tags of the local domain's upstreams without
-// idle slots, or the highest last granted tag if there are none. Leaving upstreams are left out of the median.
+// idle slots, or the highest last granted tag if there are none. The median excludes leaving upstreams.
 func (r *Requester) VirtualTime(id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestVirtualTimeIsMedianOfBusyOwners(t *testing.T) {
+func TestVirtualTimeIsMedianOfBusyUpstreams(t *testing.T) {
 	r := newRequester()
 	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 0), digest("u2", "a", 30, 0), digest("u3", "a", 900, 0), digest("u4", "a", 5000, 3), digest("v", "b", 9000, 0)})
 	if got := r.VirtualTime(testPool); got != 30 {
--- a/pomeloslot/scale_test.go
+++ b/pomeloslot/scale_test.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// domainConfig returns the configuration of one failure domain at the target size.
+// domainConfig returns the configuration of one failure domain at the target size: 60 routers and 100 upstreams of 8 slots.
 func domainConfig(accounts, queueDepth int, meanCost float64) fleetConfig {
 	random := rand.New(rand.NewPCG(1, 2))
 	cfg := fleetConfig{
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -147,7 +147,7 @@
 // idleAnswerTimeout is how long an owner with idle slots may take to send a grant; a round trip within a region takes 1 to 2 ms.
 const idleAnswerTimeout = 300 * time.Millisecond
 
-// trackAnswer starts waiting for an answer if demand was sent to an owner with idle slots.
+// trackAnswer starts waiting for an answer if demand was sent to an owner with idle slots, and stops waiting otherwise.
 func (u *remoteUpstream) trackAnswer(now time.Time, waiting int) {
 	if waiting == 0 || u.digest.Idle == 0 {
 		u.unansweredSince = time.Time{}
