--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -79,7 +79,7 @@
 	return r.id, tag, true
 }
 
-// Requeue puts a popped request that was not sent back at the head of its account's queue and reverses its charge.
+// Requeue puts a popped but unsent request back at the head of its account's queue and reverses its charge.
 func (q *Queues) Requeue(_ time.Time, id pomelorelay.RequestID) {
 	r := q.requests[id]
 	if r == nil || !r.running {
