--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// answerWithClaim answers a request according to a durable claim. The attempt that holds the claim is answered fresh again
-// until it settles: it repeats its request only while it has not sent the claimed one.
+// answerWithClaim answers a claim request according to a durable claim. The attempt that holds the claim is answered fresh
+// again until it settles: it asks again only while it has not sent its request to an upstream.
 func (k *Keeper) answerWithClaim(now time.Time, s *shard, a *pendingAsk, c *claimRecord, out *Output) {
 	state, outcome := k.effectiveState(now, c), pomelorelay.ClaimOutcome{}
 	switch {
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// notifyHolder tells a claim's holder that the claim is fresh. A resent request may make a claim durable after its requester
-// cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim that it
-// does not know and ignores the notice otherwise.
+// notifyHolder notifies a claim's holder that the claim is fresh. A resent request may make a claim durable after its
+// requester cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim
+// that it does not know and ignores the notice otherwise.
 func notifyHolder(a *pendingAsk, c *claimRecord, out *Output) {
 	m := &pomelorelay.ClaimAnswer{Shard: a.ask.Shard, Key: a.ask.Key, State: pomelorelay.ClaimFresh}
 	copy(m.Nonce[:], c.Nonce)
