--- a/fleet.go
+++ b/fleet.go
@@ -91,7 +91,8 @@
 	BodyBytes     Bytes
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// TokensPerSecond is the approximate throughput of all engines together, with generated tokens counted twice; zero when unknown.
+	// TokensPerSecond is the approximate throughput of all engines together, in tokens read plus twice the tokens generated; zero when
+	// unknown.
 	TokensPerSecond Cost
 }
 
@@ -153,7 +154,7 @@
 	// Evacuated are failure domains whose upstreams get no new requests; Restored are those whose evacuation has ended.
 	Evacuated []DomainID
 	Restored  []DomainID
-	// EntryErrors holds an error for each upstream entry that cannot be decoded; these upstreams are also listed as gone.
+	// EntryErrors holds an error for each upstream entry that cannot be decoded; these upstreams are also in RemovedUpstreams.
 	EntryErrors []error
 }
 
--- a/interfaces.go
+++ b/interfaces.go
@@ -71,7 +71,8 @@
 	Addr   netip.AddrPort
 	Domain DomainID
 	Region RegionID
-	// CPUSpeed is the router's CPU speed relative to other routers, by which the relays of a failure domain are chosen; zero when unknown.
+	// CPUSpeed is the router's CPU speed relative to other routers; zero when unknown. The fastest routers of a failure domain are
+	// chosen as its relays.
 	CPUSpeed float64
 }
 
@@ -92,7 +93,8 @@
 	Received Bytes
 }
 
-// Mesh carries messages between routers. Messages to one peer arrive in order or are lost; a broken connection loses its queue.
+// Mesh carries messages between routers. Messages of the same urgency to one peer arrive in order or are lost; a broken connection
+// loses its queue.
 type Mesh interface {
 	// SetPeers replaces the set of peers that the mesh may connect to.
 	SetPeers(peers []Peer)
--- a/messages.go
+++ b/messages.go
@@ -7,9 +7,9 @@
 
 // Values of Urgency, most urgent first.
 const (
-	UrgencyHigh   Urgency = iota // grants, claims, load, probes, departures, quarantine
-	UrgencyNormal                // demand, configuration, queries of the ledger
-	UrgencyLow                   // ledger reports and totals, digests
+	UrgencyHigh   Urgency = iota // grants, claims, load, fleet updates, probes, departures, crash suspects, quarantine
+	UrgencyNormal                // demand, configuration, fleet state, ledger queries
+	UrgencyLow                   // ledger reports, totals and components, digests
 )
 
 // Message is a message between routers; all implementations are in this package.
@@ -43,8 +43,9 @@
 	Upstream UpstreamID
 	Pool     PoolID
 	Seq      uint64
-	Head     Tag
-	Waiting  uint32
+	// Head is the tag of the request at the head of the queue, Waiting the number of queued requests.
+	Head    Tag
+	Waiting uint32
 	// Prefixes holds hashes of the prompt prefixes of the request at the head of the queue, for cache affinity.
 	Prefixes []uint64
 }
@@ -63,11 +64,11 @@
 
 // Values of GrantState.
 const (
-	GrantUsed GrantState = iota + 1
-	GrantReturned
-	GrantFinished
-	GrantFailed
-	GrantUpstreamUnreachable
+	GrantUsed                GrantState = iota + 1 // a request is being sent under the grant
+	GrantReturned                                  // no request was sent
+	GrantFinished                                  // the request finished
+	GrantFailed                                    // the response was cut off or the request's outcome is unknown
+	GrantUpstreamUnreachable                       // the upstream accepted no connection
 )
 
 // GrantReply reports to a slot owner the outcome of a grant and the router's current demand.
--- a/messages_load.go
+++ b/messages_load.go
@@ -6,7 +6,7 @@
 type UpstreamLoad struct {
 	Upstream UpstreamID
 	Running  uint32
-	// PendingPrefill is the number of prompt tokens sent whose responses have not begun, so that their prefill is pending.
+	// PendingPrefill is the number of prompt tokens of sent requests whose responses have not begun.
 	PendingPrefill Tokens
 	// KVTokens is the number of KV cache tokens that the router's running requests occupy.
 	KVTokens Tokens
--- a/pomeloconfig/configuration.go
+++ b/pomeloconfig/configuration.go
@@ -62,8 +62,8 @@
 	MaxWait         time.Duration     `yaml:"MaxWait"`
 	// Timeout is the time limit of one attempt at an upstream.
 	Timeout time.Duration `yaml:"Timeout"`
-	// SpillDomain and SpillRegion are the leads that the tag granted in another failure domain or region must have over the
-	// local one before demand goes there.
+	// SpillDomain and SpillRegion are the margins by which the last tag granted at an upstream of another failure domain or
+	// region must exceed the highest one in the local domain before demand goes there.
 	SpillDomain pomelorelay.Tag `yaml:"SpillDomain"`
 	SpillRegion pomelorelay.Tag `yaml:"SpillRegion"`
 	// CatchUp is the maximum lag behind the other accounts that an account may catch up.
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -74,8 +74,8 @@
 	Fatalf(format string, args ...any)
 }
 
-// publishNext publishes a configuration with a generation above all previous ones, as a publisher does that knows the routers'
-// generations.
+// publishNext publishes a configuration with a generation above all previous ones, like a publisher that knows the generations
+// of the routers.
 func (f *fleet) publishNext(failTester) {
 	number := f.newest() + 1
 	if _, ok := generationCache[number]; !ok {
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Defaults of the configuration's zero fields, and fixed limits.
+// Defaults for the zero fields of SyncerConfig, and fixed limits.
 const (
 	DefaultMaxPushBytes     = pomelorelay.Bytes(128 << 10)
 	DefaultPullTimeout      = 500 * time.Millisecond
@@ -43,7 +43,7 @@
 	Parts map[pomelorelay.Hash][]byte
 }
 
-// StoreReads lists the records that the caller must read from the store and hand back.
+// StoreReads lists the records that the caller must read from the store and pass to HandleStoredRoot and HandleStoredPart.
 type StoreReads struct {
 	Root  bool
 	Parts []pomelorelay.Hash
@@ -141,7 +141,7 @@
 // Generation returns the generation in force; it is zero when there is none, and the router is then not ready.
 func (s *Syncer) Generation() pomelorelay.Generation { return s.inForce.generation() }
 
-// NewestGeneration returns the highest generation in force, known by its root or announced by a peer.
+// NewestGeneration returns the highest generation that is in force, whose root is known or that a peer announced.
 func (s *Syncer) NewestGeneration() pomelorelay.Generation {
 	newest := max(s.inForce.generation(), s.target.generation())
 	for _, generation := range s.peerGenerations {
@@ -243,7 +243,7 @@
 }
 
 // choosePeer returns a random peer that has at least the target's generation in force or, without a target, one that announced
-// a generation above the known ones. A router without a configuration asks any peer if there is no such one.
+// a generation above the known ones. If there is none, a router without a configuration asks any peer.
 func (s *Syncer) choosePeer() (pomelorelay.NodeID, bool) {
 	minGeneration := s.target.generation()
 	if minGeneration == 0 {
--- a/pomelolog/logger.go
+++ b/pomelolog/logger.go
@@ -100,7 +100,7 @@
 // closeTimeout bounds the wait for a blocked writer, so that log output cannot keep a process from exiting.
 const closeTimeout = 500 * time.Millisecond
 
-// Close writes the queued lines; it gives up after closeWait if the writer blocks.
+// Close writes the queued lines; it gives up after closeTimeout if the writer blocks.
 func (l *Logger) Close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- l.async.Close() }()
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -27,8 +27,8 @@
 	MinDigestInterval time.Duration
 	// ProbeInterval is the time between probes, each of which goes to one router of the failure domain; default 300 ms.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the timeout of a probe, after which indirect probes are sent, and of these, after which the router is suspected;
-	// default 300 ms.
+	// ProbeTimeout is the timeout of a direct probe, after which indirect probes are sent, and of the indirect probes, after which the
+	// router is suspected; default 300 ms.
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is the time that a suspected router has to refute before it is declared dead; default 1 s.
 	SuspicionTimeout time.Duration
@@ -44,7 +44,7 @@
 	DomainSilent time.Duration
 	// JoinInterval is the time between attempts to contact listed routers that are not known to be alive; default 1 s.
 	JoinInterval time.Duration
-	// DeadRetention is the time for which the record of a dead router is kept once it is not on the host list; default 10 min.
+	// DeadRetention is the time after its death or departure for which the record of an unlisted router is kept; default 10 min.
 	DeadRetention time.Duration
 	// MaxRelayedSlots limits the slots of other failure domains that a gateway relays in every fourth digest; default 8.
 	MaxRelayedSlots int
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -9,8 +9,8 @@
 // maxReachedDomains limits the reached failure domains that are accepted from one digest.
 const maxReachedDomains = 64
 
-// relayInterval is the number of digests of which one carries slots of other failure domains. These slots go to every router
-// of the domain, so they make up most of a gateway's traffic.
+// relayInterval is the number of digests from one that carries slots of other failure domains to the next. These slots go to
+// every router of the domain, so they make up most of a gateway's traffic.
 const relayInterval = 4
 
 // joinFanout is the number of absent routers contacted per JoinInterval, coldJoinFanout that for a router that knows no live router yet.
@@ -35,7 +35,7 @@
 	if sender.peer.Domain == v.cfg.Self.Domain {
 		v.recordReached(now, d.Reached)
 	}
-	if newProcess && v.isGreeterFor(from) {
+	if newProcess && v.sendsFullStateTo(from) {
 		out = append(out, pomelorelay.Outgoing{To: from, Message: v.fullDigest()})
 	}
 	return v.sendCorrection(now, sender, out)
@@ -61,19 +61,19 @@
 	}
 }
 
-// isGreeterFor reports whether this router is one of the few that send the full state to a new router.
-func (v *View) isGreeterFor(node pomelorelay.NodeID) bool {
+// sendsFullStateTo reports whether this router is one of the few that send the full state to a new router.
+func (v *View) sendsFullStateTo(node pomelorelay.NodeID) bool {
 	ranked := Rank("greet/"+string(node), v.domainMembers(v.cfg.Self.Domain))
-	for _, greeter := range ranked[:min(len(ranked), v.cfg.Options.Helpers)] {
-		if greeter == v.cfg.Self.Node {
+	for _, sender := range ranked[:min(len(ranked), v.cfg.Options.Helpers)] {
+		if sender == v.cfg.Self.Node {
 			return true
 		}
 	}
 	return false
 }
 
-// sendCorrection informs a router that messages still arrive from of its status here if that is not alive, so that it can refute.
-// Without it, the two sides of a healed partition would keep considering each other dead.
+// sendCorrection sends a router its status in this view if that is suspect or dead although its messages still arrive, so that it
+// can refute. Without it, the two sides of a healed partition would keep considering each other dead.
 func (v *View) sendCorrection(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberLeaving || now.Sub(m.lastNotified) < v.cfg.Options.MinDigestInterval {
 		return out
--- a/pomelomember/member.go
+++ b/pomelomember/member.go
@@ -60,7 +60,8 @@
 // lookup returns the record of a router, or nil if there is none.
 func (v *View) lookup(node pomelorelay.NodeID) *member { return v.byNode[node] }
 
-// setStatus sets a member's status, schedules it for digests, adds changes of liveness to v.changes and invalidates the snapshot.
+// setStatus sets a member's status, schedules it for digests and invalidates the snapshot. If the member became live or not live or
+// restarted, it adds a Change.
 func (v *View) setStatus(now time.Time, m *member, incarnation pomelorelay.Incarnation, status pomelorelay.MemberStatus) {
 	restarted := incarnation > m.incarnation && m.processIncarnation != 0 && incarnation > m.processIncarnation+maxRefutations
 	wasLive := m.live()
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -162,7 +162,8 @@
 	v.relayedProbes = kept
 }
 
-// confirmSuspects declares suspected routers dead that have neither refuted nor sent this router a message within the suspicion timeout.
+// confirmSuspects ends suspicions after the suspicion timeout: a router that has sent this router a message since is alive, any other
+// is declared dead.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
 		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspicionTimeout {
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestHalfTheFleetRestartsSimultaneously(t *testing.T) {
+func TestViewsConvergeAfterHalfTheFleetRestarts(t *testing.T) {
 	// A faulty image is rolled back: every second router restarts without state at the same time, some before the others detected
 	// that they had stopped.
 	f := newFleet(t, 3, 20, 9)
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -11,8 +11,8 @@
 // burstDuration is the time over which a link class may accumulate unused budget.
 const burstDuration = time.Second
 
-// soonReservedFraction is the fraction of the burst reserved for messages of UrgencyNormal or more urgent ones.
-const soonReservedFraction = 0.25
+// normalReservedFraction is the fraction of the burst reserved for messages of UrgencyNormal or more urgent ones.
+const normalReservedFraction = 0.25
 
 // guaranteedFraction is the fraction of the rate left to less urgent messages once urgent ones have exhausted the budget;
 // guaranteedBatch is the number of bytes that one peer gets of it at once.
@@ -57,7 +57,7 @@
 	b.refill(now)
 	room := b.level
 	if urgency == pomelorelay.UrgencyLow {
-		room -= soonReservedFraction * b.rate * burstDuration.Seconds()
+		room -= normalReservedFraction * b.rate * burstDuration.Seconds()
 	}
 	if room > 0 {
 		return room
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The nesting levels whose fields are counted: frame, item and message of a frame, item and message of an item.
+// The depths to which fields are counted: in a frame those of the frame, its items and their messages, in an item the last two.
 const (
 	frameDepth = 3
 	itemDepth  = 2
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestDigestOmitsTheSendersName(t *testing.T) {
+func TestDigestContainsSenderNameOnce(t *testing.T) {
 	digest := func(owner pomelorelay.NodeID) *pomelorelay.Digest {
 		return &pomelorelay.Digest{
 			Members: []pomelorelay.MemberState{{Node: "a-router-with-a-name", Incarnation: 5, Status: pomelorelay.MemberAlive}},
--- a/pomelomesh/contact.go
+++ b/pomelomesh/contact.go
@@ -8,7 +8,8 @@
 
 // SendToAddr sends a message to whichever router answers at the address, without waiting for it; it fails with
 // CodeMeshMalformed. An unreachable router is logged, and a message to an address that is already being contacted is
-// dropped. With mutual TLS, routers whose node names are unknown are refused.
+// dropped. With mutual TLS the connection fails unless the router's certificate is valid for the IP address, because the
+// router's node name is unknown.
 func (m *Mesh) SendToAddr(addr netip.AddrPort, message pomelorelay.Message) error {
 	data, err := EncodeMessage(message)
 	if err != nil {
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -164,7 +164,7 @@
 	near.SetPeers([]pomelorelay.Peer{{Node: "r2", Addr: far.Addr(), Domain: "b", Region: "north"}})
 	send(t, near, "r2", &pomelorelay.Probe{})
 	receive(t, far)
-	eventually(t, "closed", func() bool { return near.Counters().Links == 0 && far.Counters().Links == 0 })
+	eventually(t, "links closed", func() bool { return near.Counters().Links == 0 && far.Counters().Links == 0 })
 	send(t, near, "r2", &pomelorelay.Probe{Seq: 2})
 	receive(t, far)
 	if near.Traffic()[pomelorelay.LinkSameRegion].Sent == 0 {
@@ -253,7 +253,7 @@
 	impostor.SetPeers([]pomelorelay.Peer{peerOf("r2", b.Addr())})
 	for dialled := range uint64(3) {
 		_ = impostor.Send("r2", &pomelorelay.Probe{})
-		eventually(t, "attempt", func() bool { return impostor.Counters().Dialled > dialled && impostor.Counters().Lost > dialled })
+		eventually(t, "failed attempt", func() bool { return impostor.Counters().Dialled > dialled && impostor.Counters().Lost > dialled })
 	}
 	if b.Counters().Links != 0 || len(b.Receive()) != 0 {
 		t.Errorf("link accepted: %+v", b.Counters())
--- a/pomelomesh/hello.go
+++ b/pomelomesh/hello.go
@@ -92,9 +92,9 @@
 	}}
 }
 
-// checkHello verifies that the caller's certificate is valid for the node name in its hello. Otherwise a router with a
-// certificate of its own or a copied settings file could report service and receive grants under another router's
-// name, and the two would appear as one flapping router.
+// checkHello verifies that the dialling router's certificate is valid for the node name in its hello. Otherwise a router
+// with a certificate of its own or a copied settings file could report service and receive grants under another
+// router's name, and the two would appear as one flapping router.
 func (m *Mesh) checkHello(ctx context.Context, hello *pomelowire.Hello) error {
 	if hello.GetNode() == "" || hello.GetNode() == string(m.cfg.Self.Node) || hasLongName(hello) {
 		return m.refuseLink(hello.GetNode(), "name")
@@ -102,7 +102,7 @@
 	if m.keys == nil {
 		return nil
 	}
-	certificate := callerCertificate(ctx)
+	certificate := clientCertificate(ctx)
 	if certificate == nil || certificate.VerifyHostname(hello.GetNode()) != nil {
 		return m.refuseLink(hello.GetNode(), "certificate is of another name")
 	}
@@ -113,7 +113,7 @@
 	return max(len(hello.GetNode()), len(hello.GetDomain()), len(hello.GetRegion())) > maxNameBytes
 }
 
-func callerCertificate(ctx context.Context) *x509.Certificate {
+func clientCertificate(ctx context.Context) *x509.Certificate {
 	remote, ok := grpcpeer.FromContext(ctx)
 	if !ok {
 		return nil
--- a/pomelomesh/link.go
+++ b/pomelomesh/link.go
@@ -38,7 +38,7 @@
 
 	// Times in Unix nanoseconds; zero means none.
 	ackAwaitedSince atomic.Int64 // first frame sent since the last one received, plus transfer time
-	ackOwedSince    atomic.Int64 // first frame received since the last one sent
+	ackPendingSince atomic.Int64 // first frame received since the last one sent
 	lastReceived    atomic.Int64 // last frame received
 	lastMessage     atomic.Int64 // last message sent or received
 	inboxBlocked    atomic.Bool  // the reader is waiting for space in the inbox
@@ -65,7 +65,7 @@
 // writeFrame sends a frame and ends the link on failure. Only the peer's goroutine calls it.
 func (l *link) writeFrame(frame []byte, expectsAck bool) bool {
 	now := time.Now().UnixNano()
-	l.ackOwedSince.Store(0)
+	l.ackPendingSince.Store(0)
 	if expectsAck {
 		l.awaitAck(now, len(frame))
 		l.lastMessage.Store(now)
@@ -98,7 +98,7 @@
 func (l *link) keepaliveDue(now time.Time) bool { return l.ackDue(now) || l.pingDue(now) }
 
 func (l *link) ackDue(now time.Time) bool {
-	since := l.ackOwedSince.Load()
+	since := l.ackPendingSince.Load()
 	return since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.AckDelay)
 }
 
@@ -119,7 +119,7 @@
 		l.chargeFrame(frame)
 		l.writeFrame(frame, false)
 		if l.inboxBlocked.Load() {
-			l.ackOwedSince.Store(now.UnixNano())
+			l.ackPendingSince.Store(now.UnixNano())
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		l.lastMessage.Store(now)
 	}
 	if len(frame.GetItems()) > 0 || frame.GetPing() {
-		l.ackOwedSince.CompareAndSwap(0, now)
+		l.ackPendingSince.CompareAndSwap(0, now)
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	l.inboxBlocked.Store(true)
 	defer l.inboxBlocked.Store(false)
-	l.ackOwedSince.CompareAndSwap(0, time.Now().UnixNano())
+	l.ackPendingSince.CompareAndSwap(0, time.Now().UnixNano())
 	select {
 	case l.m.inbox <- envelope:
 		return true
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -159,8 +159,8 @@
 }
 
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
-	// A peer stops reading, as a paused host does. Send is called by the control thread, which must not block but be told
-	// that the queue is full.
+	// A peer stops reading, as a paused host does. Send is called by the control goroutine, so it must not block but fail
+	// once the queue is full.
 	a := config("r1", 1)
 	a.Queue = pomelomesh.QueueLimits{MaxMessages: 100}
 	b := config("r2", 1)
@@ -182,8 +182,9 @@
 	}
 }
 
-func TestOverBudgetUrgentMessagesLeaveAndOthersCoalesce(t *testing.T) {
-	// Every account becomes active at once and digests exceed the byte budget of a link; grants must not wait behind them.
+func TestOverBudgetUrgentMessagesAreSentAndOthersCoalesce(t *testing.T) {
+	// Every account becomes active at once, and ledger totals and demands exceed the byte budget of a link; grants must not
+	// wait behind them.
 	cfg := config("r1", 1)
 	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -13,7 +13,7 @@
 const (
 	// unidentifiedLogInterval is the minimum time between log entries about one remote address.
 	unidentifiedLogInterval = 10 * time.Second
-	// maxUnidentifiedAddrs bounds the addresses remembered for that.
+	// maxUnidentifiedAddrs bounds the remote addresses remembered to limit these log entries.
 	maxUnidentifiedAddrs = 1024
 	reasonNoHello        = "connection closed before a hello"
 )
@@ -39,7 +39,7 @@
 	return serverCredentials{c.TransportCredentials.Clone()}
 }
 
-// recordUnidentified counts and logs a connection that closed before its hello: its caller is a router with invalid
+// recordUnidentified counts and logs a connection that closed before its hello: the remote end is a router with invalid
 // keys, or not a router.
 func (m *Mesh) recordUnidentified(c *countedConn, now time.Time) {
 	if c.identified.Load() || m.ctx.Err() != nil {
--- a/residency.go
+++ b/residency.go
@@ -20,7 +20,7 @@
 	return Residency{Restricted: true, Regions: slices.Clone(regions)}
 }
 
-// Allows reports whether the region is allowed; a limited Residency does not allow the empty name, which stands for an unknown region.
+// Allows reports whether the region is allowed; a restricted Residency does not allow the empty name, which stands for an unknown region.
 func (r Residency) Allows(region RegionID) bool {
 	return !r.Restricted || (region != "" && slices.Contains(r.Regions, region))
 }
