--- a/pomeloconfig/evacuate_test.go
+++ b/pomeloconfig/evacuate_test.go
@@ -26,10 +26,10 @@
 	} {
 		err := c.Evacuate(step.domain, step.cancel)
 		if (err == nil) != (step.fault == "") || (err != nil && (!pomelorelay.IsErrCode(err, pomelorelay.CodeConfigInvalid) || !strings.Contains(err.Error(), step.fault))) {
-			t.Errorf("%+v: %v", step, err)
+			t.Errorf("%+v: got error %v", step, err)
 		}
 		if got := len(c.Evacuated); got != step.left {
-			t.Errorf("%+v: %d under evacuation", step, got)
+			t.Errorf("%+v: %d failure domains under evacuation", step, got)
 		}
 	}
 	c.Evacuated = []pomelorelay.DomainID{"recife-a", "nowhere"}
--- a/pomeloconfig/fuzz_test.go
+++ b/pomeloconfig/fuzz_test.go
@@ -60,7 +60,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		root, err := pomeloconfig.DecodeRoot(data)
 		if err == nil && (root.Generation == 0 || len(root.Parts) == 0) {
-			t.Fatalf("accepted %+v", root)
+			t.Fatalf("an invalid root was accepted: %+v", root)
 		}
 	})
 }
--- a/pomeloconfig/parts_test.go
+++ b/pomeloconfig/parts_test.go
@@ -25,7 +25,7 @@
 		size := len(byHash[hash])
 		total += size
 		if pomelorelay.Bytes(size) > pomeloconfig.MaxPartBytes {
-			t.Fatalf("a part has %d bytes", size)
+			t.Fatalf("a part has %d bytes, which is over the limit", size)
 		}
 		if !slices.Contains(before, hash) {
 			changed++
@@ -107,10 +107,10 @@
 		t.Error("MayCall returns a wrong result")
 	}
 	if service, ok := s.PoolService("draft/m"); !ok || service.Name != "draft" || s.Generation() != 7 {
-		t.Errorf("got %v %v", service, ok)
+		t.Errorf("service of pool draft/m: got %v %v", service, ok)
 	}
 	if upstream, ok := s.Upstream("plain-1"); !ok || upstream.Service != "book" {
-		t.Errorf("got %v %v", upstream, ok)
+		t.Errorf("upstream plain-1: got %v %v", upstream, ok)
 	}
 	allocations := testing.AllocsPerRun(100, func() { s.Weight("draft/m", "account-00002") })
 	if allocations != 0 {
@@ -160,7 +160,7 @@
 	t.Logf("37,000 accounts: split %v, assemble %v, compile %v; snapshot %d bytes of heap (%d an account), %d parts of %d bytes, root %d bytes",
 		split, assemble, compile, heap, heap/targetAccounts, len(hashes), packed, len(encoded))
 	if s.AccountCount() != targetAccounts {
-		t.Fatalf("%d accounts", s.AccountCount())
+		t.Fatalf("the snapshot has %d accounts", s.AccountCount())
 	}
 	if limit := uint64(16 << 20); heap > limit {
 		t.Errorf("the snapshot uses %d bytes of heap, want at most %d", heap, limit)
--- a/pomeloconfig/questionnaire_test.go
+++ b/pomeloconfig/questionnaire_test.go
@@ -45,7 +45,7 @@
 		t.Fatal("parsing and encoding changes the bytes")
 	}
 	if len(forward.Accounts) != 32 || len(forward.Upstreams) != 28 || len(forward.Services) != 4 {
-		t.Fatalf("%d accounts, %d upstreams, %d services", len(forward.Accounts), len(forward.Upstreams), len(forward.Services))
+		t.Fatalf("generated %d accounts, %d upstreams, %d services", len(forward.Accounts), len(forward.Upstreams), len(forward.Services))
 	}
 }
 
--- a/pomeloconfig/syncer_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -135,7 +135,7 @@
 
 // All routers of a failure domain pull from the first one with a large new configuration. Without limits a push would exceed the
 // maximum message size, and 59 answers would queue until all of them are too late.
-func TestPushesAreBounded(t *testing.T) {
+func TestPushSizeAndServedPeersAreBounded(t *testing.T) {
 	const maxPush = 64 << 10
 	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{MaxPushBytes: maxPush})
 	g := makeGeneration(t, 1, sample(targetAccounts))
@@ -157,7 +157,7 @@
 				size += len(part)
 			}
 			if size > maxPush {
-				t.Fatalf("a push has %d bytes", size)
+				t.Fatalf("a push has %d bytes, which is over the limit", size)
 			}
 		}
 	}
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -24,7 +24,7 @@
 	}
 	t.Logf("detection by all of 30 routers, %d seeds: mean %v, slowest %v", seeds, total/seeds, slowest)
 	if slowest > 3*time.Second {
-		t.Errorf("slowest detection %v", slowest)
+		t.Errorf("slowest detection took %v, want at most 3s", slowest)
 	}
 }
 
@@ -71,7 +71,7 @@
 	v.RecordMessage(later.Add(tick), "r0-01", f.routers[1].incarnation)
 	v.Tick(later.Add(2*time.Second), nil)
 	if members := v.Snapshot().Members("domain-0"); len(members) != 3 {
-		t.Errorf("members %v", members)
+		t.Errorf("members %v, want 3", members)
 	}
 }
 
@@ -158,19 +158,19 @@
 	for _, r := range f.routers[:12] {
 		if got := r.view.ReachableDomains(f.now, nil); len(got) != 2 {
 			if r.peer.Domain != "domain-2" {
-				t.Errorf("%s reaches %v", r.peer.Node, got)
+				t.Errorf("%s reaches the domains %v", r.peer.Node, got)
 			}
 		}
 	}
 	if len(f.deaths) > 6 {
-		t.Errorf("%d declared dead", len(f.deaths))
+		t.Errorf("%d routers declared dead, want at most 6", len(f.deaths))
 	}
 	f.blocked = nil
 	f.converge(30 * time.Second)
 	f.run(5 * time.Second)
 	for _, r := range f.routers {
 		if got := r.view.ReachableDomains(f.now, nil); len(got) != 3 {
-			t.Errorf("%s reaches %v", r.peer.Node, got)
+			t.Errorf("%s reaches the domains %v", r.peer.Node, got)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 		}
 	}
 	if got := slow.view.ReachableDomains(f.now, nil); len(got) != 2 {
-		t.Errorf("the stopping router reaches %v", got)
+		t.Errorf("the stopping router reaches the domains %v, want 2", got)
 	}
 	if len(f.deaths) != 0 {
 		t.Errorf("declared dead: %v", f.deaths)
@@ -283,7 +283,7 @@
 	f.converge(5 * time.Second)
 }
 
-func TestStaleHostList(t *testing.T) {
+func TestMessagesOverrideStaleHostList(t *testing.T) {
 	// The host list still has a dead host, lacks a running one, and is then returned empty. The views must follow the messages received.
 	f := newFleet(t, 1, 8, 12)
 	all := f.hosts()
@@ -313,7 +313,7 @@
 	v := f.routers[0].view
 	v.HandleFarewell(f.now, "r0-01", former, &pomelorelay.Farewell{Incarnation: former}, nil)
 	if members := v.Snapshot().Members("domain-0"); len(members) != 3 {
-		t.Errorf("members %v", members)
+		t.Errorf("members %v, want 3", members)
 	}
 	f.routers[1].up = false
 	for range 100 {
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		if _, err := pomelomesh.DecodeMessage(data); !pomelorelay.IsErrCode(err, pomelorelay.CodeMeshMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want CodeMeshMalformed", name, err)
 		}
 	}
 }
--- a/pomelomesh/contact_test.go
+++ b/pomelomesh/contact_test.go
@@ -18,11 +18,11 @@
 	}
 	e := receive(t, b)
 	if ask, ok := e.Message.(*pomelorelay.StateAsk); !ok || ask.Above != 3 || e.From != "r1" || e.Domain != "a" || e.Region != "north" {
-		t.Fatalf("%+v", e)
+		t.Fatalf("received %+v", e)
 	}
 	send(t, b, "r1", &pomelorelay.FleetState{Revision: 9})
 	if e := receive(t, a); e.From != "r2" || e.Message.(*pomelorelay.FleetState).Revision != 9 {
-		t.Errorf("%+v", e)
+		t.Errorf("received %+v", e)
 	}
 }
 
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -116,7 +116,7 @@
 		return len(b.Receive()) > 0
 	})
 	if e := receive(t, b); e.Message.(*pomelorelay.Probe).Seq != 3 {
-		t.Errorf("%+v", e)
+		t.Errorf("received %+v, want probe 3", e)
 	}
 }
 
@@ -150,7 +150,7 @@
 	before := far.Traffic()[pomelorelay.LinkSameDomain].Received
 	eventually(t, "pings", func() bool { return far.Traffic()[pomelorelay.LinkSameDomain].Received > before+400 })
 	if c := near.Counters(); c.Broken != 0 || c.Links != 1 || c.Dialled != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
@@ -168,7 +168,7 @@
 	send(t, near, "r2", &pomelorelay.Probe{Seq: 2})
 	receive(t, far)
 	if near.Traffic()[pomelorelay.LinkSameRegion].Sent == 0 {
-		t.Errorf("%+v", near.Traffic())
+		t.Errorf("no bytes sent within the region: %+v", near.Traffic())
 	}
 }
 
--- a/pomelomesh/integer_test.go
+++ b/pomelomesh/integer_test.go
@@ -37,7 +37,7 @@
 // a duration in nanoseconds.
 var integers = []uint64{1234, 1_800_000_000_000_000_000, 1, 0, 1, 2, 1, 8, 3, 4711, 1, 1, 1, 0, 1, 1, 93_512, 5_000_000_000}
 
-func TestPrefixedIntegers(t *testing.T) {
+func TestPrefixedIntegersRoundTrip(t *testing.T) {
 	if got := appendPrefixed(nil, 65535); string(got) != "\xfb\xff\x07" {
 		t.Fatalf("65535 encoded as % x", got)
 	}
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -127,10 +127,10 @@
 		t.Fatal(err)
 	}
 	if e := receive(t, m); e.Message.(*pomelorelay.Probe).Seq != 3 {
-		t.Fatalf("%+v", e)
+		t.Fatalf("received %+v, want probe 3", e)
 	}
 	if c := m.Counters(); c.UnknownKinds != 1 || c.Malformed != 1 || c.Links != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	eventually(t, "a single link", func() bool { return m.Counters().Links == 1 })
 	if c := m.Counters(); c.Stale != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
@@ -214,7 +214,7 @@
 		t.Errorf("all %d totals were sent before the grants", seenTotals)
 	}
 	if c := a.Counters(); c.Coalesced == 0 || c.Delayed == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
