--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -127,10 +127,10 @@
 		t.Fatal(err)
 	}
 	if e := receive(t, m); e.Message.(*pomelorelay.Probe).Seq != 3 {
-		t.Fatalf("%+v", e)
+		t.Fatalf("received %+v, want probe 3", e)
 	}
 	if c := m.Counters(); c.UnknownKinds != 1 || c.Malformed != 1 || c.Links != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
@@ -154,13 +154,13 @@
 	}
 	eventually(t, "a single link", func() bool { return m.Counters().Links == 1 })
 	if c := m.Counters(); c.Stale != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
-	// A peer stops reading, as a paused host does. Send is called by the control thread, which must not block but be told
-	// that the queue is full.
+	// A peer stops reading, as a paused host does. Send is called by the control goroutine, so it must not block but fail
+	// once the queue is full.
 	a := config("r1", 1)
 	a.Queue = pomelomesh.QueueLimits{MaxMessages: 100}
 	b := config("r2", 1)
@@ -182,8 +182,9 @@
 	}
 }
 
-func TestOverBudgetUrgentMessagesLeaveAndOthersCoalesce(t *testing.T) {
-	// Every account becomes active at once and digests exceed the byte budget of a link; grants must not wait behind them.
+func TestOverBudgetUrgentMessagesAreSentAndOthersCoalesce(t *testing.T) {
+	// Every account becomes active at once, and ledger totals and demands exceed the byte budget of a link; grants must not
+	// wait behind them.
 	cfg := config("r1", 1)
 	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
@@ -213,7 +214,7 @@
 		t.Errorf("all %d totals were sent before the grants", seenTotals)
 	}
 	if c := a.Counters(); c.Coalesced == 0 || c.Delayed == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
