--- a/cmd/pomelobench/latency.go
+++ b/cmd/pomelobench/latency.go
@@ -27,7 +27,7 @@
 	cmd.Flag("address", "The IP address on which stand-ins and routers listen.").Default("127.8.1.1").StringVar(&c.address)
 	cmd.Flag("rate", "Requests per second.").Default("1000").IntVar(&c.rate)
 	cmd.Flag("duration", "Total load time of each target.").Default("10s").DurationVar(&c.duration)
-	cmd.Flag("slice", "Load time of a target before the next one's turn.").Default("1s").DurationVar(&c.slice)
+	cmd.Flag("slice", "Length of one slice of load; the targets are loaded in turn, slice by slice.").Default("1s").DurationVar(&c.slice)
 	cmd.Flag("run-time", "Processing time of a request at the service.").Default("1ns").DurationVar(&c.runTime)
 	return c
 }
--- a/cmd/pomelobench/pomelobounds/bounds_test.go
+++ b/cmd/pomelobench/pomelobounds/bounds_test.go
@@ -26,12 +26,12 @@
 	}
 	for _, c := range []struct {
 		name, bound string
-		kept        bool
+		met         bool
 	}{
 		{"at the bound", "{Package: pomeloslot, Benchmark: BenchmarkGrant, Metric: allocs/op, Most: 1}", true},
 		{"over the bound", "{Package: pomelofair, Benchmark: BenchmarkGrant, Metric: allocs/op, Most: 1}", false},
-		{"within both", "{Package: pomeloslot, Benchmark: BenchmarkTable/Seed1, Metric: gap-median, Least: 1, Most: 9}", true},
-		{"below the least", "{Package: pomeloslot, Benchmark: BenchmarkTable/Seed1, Metric: utilisation, Least: 0.9995}", false},
+		{"within both limits", "{Package: pomeloslot, Benchmark: BenchmarkTable/Seed1, Metric: gap-median, Least: 1, Most: 9}", true},
+		{"below the minimum", "{Package: pomeloslot, Benchmark: BenchmarkTable/Seed1, Metric: utilisation, Least: 0.9995}", false},
 		{"a benchmark that did not run", "{Package: pomeloslot, Benchmark: BenchmarkGone, Metric: allocs/op, Most: 1}", false},
 		{"a metric that is not reported", "{Package: pomeloslot, Benchmark: BenchmarkGrant, Metric: B/op, Most: 1}", false},
 	} {
@@ -40,7 +40,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := bounds.Compare(runs)[0]; v.Met != c.kept {
+		if v := bounds.Compare(runs)[0]; v.Met != c.met {
 			t.Errorf("%s: %v", c.name, v)
 		}
 	}
--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -62,7 +62,7 @@
 	case strings.HasPrefix(contentType, streamType):
 		o.readStream(resp.Body, q)
 	case q.service.Kind == Plain:
-		o.readBooking(resp.Body, q)
+		o.readPlainAnswer(resp.Body, q)
 	default:
 		o.readCompletion(resp.Body, q)
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (o *outcome) readBooking(body io.Reader, q request) {
+func (o *outcome) readPlainAnswer(body io.Reader, q request) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		o.setBroken(err)
@@ -106,7 +106,7 @@
 	var answer pomelofake.PlainAnswer
 	o.kind = outcomeAnswered
 	o.complete = json.Unmarshal(data, &answer) == nil
-	o.matchesRequest = !o.complete || answer.Proof == q.proof
+	o.matchesRequest = !o.complete || answer.Proof == q.digest
 }
 
 // chatAnswer contains the fields used of an engine's answer or stream event.
@@ -137,10 +137,10 @@
 
 // compareText compares the text with the one that the stand-in generates for the request.
 func (o *outcome) compareText(text string, tokens int, q request) {
-	o.matchesRequest = strings.HasPrefix(text, q.proof.AnswerToken(0)) || text == ""
+	o.matchesRequest = strings.HasPrefix(text, q.digest.AnswerToken(0)) || text == ""
 	var want strings.Builder
 	for n := range tokens {
-		want.WriteString(q.proof.AnswerToken(n))
+		want.WriteString(q.digest.AnswerToken(n))
 	}
 	o.complete = text == want.String()
 }
--- a/cmd/pomelobench/pomeloload/balancer.go
+++ b/cmd/pomelobench/pomeloload/balancer.go
@@ -40,7 +40,7 @@
 	dialTimeout          = time.Second
 	headerIdempotencyKey = "Idempotency-Key"
 	headerRequestID      = "X-Request-Id"
-	headerDeadline       = "X-Timeout"
+	headerTimeout        = "X-Timeout"
 )
 
 func newBalancer(p Plan, dial DialFunc) *balancer {
--- a/cmd/pomelobench/pomeloload/caller.go
+++ b/cmd/pomelobench/pomeloload/caller.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// mayResend reports whether a caller sends a request again: when the refusal says that it did not run, when its connection broke,
-// or when it has an Idempotency-Key. Requests without a key are idempotent. Requests with a marker are sent again after any
-// failure, as human users do.
+// mayResend reports whether a caller sends a request again: when the refusal says that it did not run, when its connection broke
+// (requests without an Idempotency-Key are idempotent), or when it has such a key, which prevents a second run. Requests with a
+// marker are sent again after any failure, as human users do.
 func mayResend(q request, o outcome) bool {
 	if o.kind == outcomeRefused && o.ran == pomelorelay.RanNo {
 		return true
@@ -167,7 +167,7 @@
 	r.ContentLength = int64(len(q.body))
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set("Authorization", "Bearer "+q.account.Token)
-	r.Header.Set(headerDeadline, c.plan.Timeout.String())
+	r.Header.Set(headerTimeout, c.plan.Timeout.String())
 	if q.service.AtMostOnce {
 		r.Header.Set(headerIdempotencyKey, q.id)
 	}
--- a/cmd/pomelobench/pomeloload/evaluate.go
+++ b/cmd/pomelobench/pomeloload/evaluate.go
@@ -150,7 +150,7 @@
 	slots []float64
 }
 
-// utilisation samples every pool; the slots of an upstream count until it is leaving.
+// utilisation samples the slot use of every pool; the slots of an upstream count until the host list shows it as leaving.
 func (r *recorder) utilisation(p Plan, waits map[poolAccount][]interval, issueEnd time.Time) map[pomelorelay.PoolID]*slotUse {
 	n := max(0, int(issueEnd.Sub(r.start)/sampleInterval))
 	pools := make(map[pomelorelay.PoolID]*slotUse)
@@ -233,7 +233,7 @@
 	}
 }
 
-// utilisation returns busy over existing slots in the samples from from up to to, exclusive; zero if no work waited.
+// utilisation returns busy over existing slots in the samples [from, to), or zero if no work waited during them.
 func (u *slotUse) utilisation(from, to int) float64 {
 	busy, slots := 0.0, 0.0
 	for i := max(0, from); i < min(to, len(u.busy)); i++ {
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -26,14 +26,14 @@
 		}
 		r := report.Result
 		if r.Answers != r.Requests || r.Runs != r.Requests || r.Requests < 1000 {
-			t.Errorf("%d requests, %d answers, %d runs", r.Requests, r.Answers, r.Runs)
+			t.Errorf("%d requests, %d answers, %d runs, want at least 1000 and equal numbers", r.Requests, r.Answers, r.Runs)
 		}
 		// Eight callers keep the four slots busy throughout.
 		if r.Utilisation < 0.95 || r.Utilisation > 1 {
-			t.Errorf("utilisation %v", r.Utilisation)
+			t.Errorf("utilisation %v, want 0.95 to 1", r.Utilisation)
 		}
 		if len(report.Samples) != 10 {
-			t.Errorf("%d samples", len(report.Samples))
+			t.Errorf("%d samples, want 10", len(report.Samples))
 		}
 	})
 }
@@ -154,7 +154,7 @@
 		p.Steps = []pomeloload.Step{{After: 5 * time.Second, DrainRouter: "r1"}}
 		report := runPlan(t, network, p)
 		if report.Result.CutOff == 0 || len(report.Faults) != 1 {
-			t.Errorf("cut off %d, faults %v", report.Result.CutOff, report.Faults)
+			t.Errorf("%d requests cut off, faults %v", report.Result.CutOff, report.Faults)
 		}
 	})
 }
@@ -202,13 +202,13 @@
 		}})
 		report := runPlan(t, network, p)
 		if report.Result.GenerationFell == 0 || report.Result.GenerationReadings == 0 {
-			t.Errorf("fell %d of %d seen", report.Result.GenerationFell, report.Result.GenerationReadings)
+			t.Errorf("the generation fell %d times in %d readings", report.Result.GenerationFell, report.Result.GenerationReadings)
 		}
 		if b := report.Result.ControlBytesPerNodeSecond; b < 1500 || b > 2200 {
 			t.Errorf("%v control bytes a second, want about 2,000 less those lost at the restart", b)
 		}
 		if report.Result.ControlBytesCrossRegion < 7000 || report.Result.ControlBytesCrossRegion > 11000 {
-			t.Errorf("%v bytes between regions", report.Result.ControlBytesCrossRegion)
+			t.Errorf("%v control bytes between regions, want 7,000 to 11,000", report.Result.ControlBytesCrossRegion)
 		}
 	})
 }
@@ -225,7 +225,7 @@
 		}
 		r := runPlan(t, newTestNetwork(t), p).Result
 		if r.DoubleRuns == 0 || r.MaxMarkedRuns != 1 || r.MinAnswers != 2 {
-			t.Errorf("%d double runs, %d runs of a marked request, %d answers to the least", r.DoubleRuns, r.MaxMarkedRuns, r.MinAnswers)
+			t.Errorf("%d double runs, at most %d runs of a marked request, at least %d answers per account and pool", r.DoubleRuns, r.MaxMarkedRuns, r.MinAnswers)
 		}
 	})
 }
@@ -268,10 +268,10 @@
 
 func TestInconsistentPlansAreRejected(t *testing.T) {
 	cases := map[string]func(*pomeloload.Plan){
-		"unknown service":  func(p *pomeloload.Plan) { p.Accounts[0].Loads[0].Service = "other" },
-		"unknown upstream": func(p *pomeloload.Plan) { p.Upstreams[0].Service = "other" },
-		"unknown router":   func(p *pomeloload.Plan) { p.Accounts[0].Loads[0].Routers = []pomelorelay.NodeID{"r9"} },
-		"no routers":       func(p *pomeloload.Plan) { p.Direct = false },
+		"unknown service of a load":      func(p *pomeloload.Plan) { p.Accounts[0].Loads[0].Service = "other" },
+		"unknown service of an upstream": func(p *pomeloload.Plan) { p.Upstreams[0].Service = "other" },
+		"unknown router of a load":       func(p *pomeloload.Plan) { p.Accounts[0].Loads[0].Routers = []pomelorelay.NodeID{"r9"} },
+		"no routers":                     func(p *pomeloload.Plan) { p.Direct = false },
 	}
 	for name, breakPlan := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/pomelobench/pomeloload/plan.go
+++ b/cmd/pomelobench/pomeloload/plan.go
@@ -27,7 +27,7 @@
 	Upstreams []Upstream `yaml:"Upstreams"`
 	Accounts  []Account  `yaml:"Accounts"`
 	Steps     []Step     `yaml:"Steps"`
-	// MaxWait is the time for a request with all its attempts after which its account counts as starved; Timeout plus 3 s by default.
+	// MaxWait limits the time of a request over all attempts, and of a backlogged account without service; Timeout plus 3 s by default.
 	MaxWait time.Duration `yaml:"MaxWait"`
 	// GapCheckFrom is the time after the start from which the fairness gap is checked, so that a plan can exclude the time of a fault.
 	GapCheckFrom time.Duration `yaml:"GapFrom"`
@@ -67,7 +67,7 @@
 	GapBound pomelorelay.Tag `yaml:"GapBound"`
 }
 
-// Pool returns the id of the pool that serves the service.
+// Pool returns the ID of the pool that serves the service.
 func (s Service) Pool() pomelorelay.PoolID { return pomelorelay.Pool(s.Name, s.Model) }
 
 // Upstream is the stand-in of an upstream.
@@ -96,7 +96,8 @@
 	ArrivalRate float64 `yaml:"Rate"`
 	// Routers receive this load; empty for all.
 	Routers []pomelorelay.NodeID `yaml:"Routers"`
-	// PromptTokens and MaxTokens are the lengths of prompt and answer at a model engine; SlotTime is the run time at a plain service.
+	// PromptTokens is the length of the prompt and MaxTokens the maximum length of the answer at a model engine; SlotTime is the run
+	// time at a plain service.
 	PromptTokens int           `yaml:"Prompt"`
 	MaxTokens    int           `yaml:"MaxTokens"`
 	SlotTime     time.Duration `yaml:"SlotTime"`
@@ -142,8 +143,8 @@
 	return p, p.Validate()
 }
 
-// Validate checks that the names in the plan refer to each other; it fails with CodeBenchPlan on the first that does not, and
-// without routers when Direct is not set.
+// Validate checks that the plan defines the services and routers to which it refers, and has routers unless Direct is set; it
+// fails with CodeBenchPlan and the first violation.
 func (p Plan) Validate() error {
 	services := make(map[pomelorelay.ServiceID]bool)
 	for _, s := range p.Services {
--- a/cmd/pomelobench/pomeloload/request.go
+++ b/cmd/pomelobench/pomeloload/request.go
@@ -18,10 +18,10 @@
 	load    Load
 	id      string
 	body    []byte
-	proof   pomelofake.BodyDigest
+	digest  pomelofake.BodyDigest
 }
 
-func (q request) content() pomelocheck.ContentID { return pomelocheck.ContentID(q.proof) }
+func (q request) content() pomelocheck.ContentID { return pomelocheck.ContentID(q.digest) }
 
 // chatBody is the body of a request to a model engine.
 type chatBody struct {
@@ -37,14 +37,14 @@
 	Content string `json:"content"`
 }
 
-// bookingBody is the body of a request to a plain service.
-type bookingBody struct {
+// plainBody is the body of a request to a plain service.
+type plainBody struct {
 	Booking  string
 	SlotTime string `json:",omitempty"`
 }
 
-// promptWord is repeated to reach the prompt's length; the stand-in counts four bytes as a token.
-const promptWord = "clasp worn, stone loose, ring bent; "
+// promptFiller is repeated to reach the prompt's length; the stand-in counts four bytes as a token.
+const promptFiller = "clasp worn, stone loose, ring bent; "
 
 func newRequest(account Account, service Service, load Load, n uint64) (request, error) {
 	id := fmt.Sprintf("%s-%s-%d", account.Name, service.Name, n)
@@ -54,15 +54,15 @@
 		return request{}, err
 	}
 	q.body = body
-	q.proof = pomelofake.DigestBody(body)
+	q.digest = pomelofake.DigestBody(body)
 	return q, nil
 }
 
 func (q request) payload() any {
 	if q.service.Kind == Plain {
-		return bookingBody{Booking: q.id, SlotTime: slotTime(q.load.SlotTime)}
+		return plainBody{Booking: q.id, SlotTime: slotTime(q.load.SlotTime)}
 	}
-	prompt := string(q.account.Name) + ": " + strings.Repeat(promptWord, q.load.PromptTokens*4/len(promptWord)) + q.load.PromptMarker + q.id
+	prompt := string(q.account.Name) + ": " + strings.Repeat(promptFiller, q.load.PromptTokens*4/len(promptFiller)) + q.load.PromptMarker + q.id
 	return chatBody{
 		Model:     q.service.Model,
 		Messages:  []chatMessage{{"user", prompt}},
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -47,9 +47,9 @@
 	MinAnswers int `json:"LeastAnswers"`
 	// MaxMarkedRuns is the largest number of runs of one request with a marker.
 	MaxMarkedRuns int `json:"MostMarkedRuns"`
-	// GenerationReadings counts the readings of generations in force; without any, the generation checks above prove nothing.
+	// GenerationReadings counts the readings of generations in force; at zero, GenerationFell and GenerationLate were not checked.
 	GenerationReadings int `json:"GenerationsSeen"`
-	// Latencies are those of answered attempts, from the start to the first byte and to the end, queueing included.
+	// The latencies are those of answered attempts, from sending to the first byte and to the end, queueing included.
 	FirstByteP50Milliseconds float64
 	FirstByteP99Milliseconds float64
 	LatencyP50Milliseconds   float64
--- a/cmd/pomelobench/pomeloload/run.go
+++ b/cmd/pomelobench/pomeloload/run.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Options configures a run.
+// Options are the settings of a run that are not part of its plan.
 type Options struct {
 	// Dial connects to routers and stand-ins; nil uses the host's network.
 	Dial DialFunc
--- a/cmd/pomelobench/pomelomeasure/fleet.go
+++ b/cmd/pomelobench/pomelomeasure/fleet.go
@@ -44,7 +44,7 @@
 	nodes       []*pomelonode.Node
 }
 
-// NewFleet starts a fleet and waits until its routers are ready; it fails when a part cannot be started, or with CodeNotReady
+// NewFleet starts a fleet and waits until its routers are ready; it fails when a component cannot be started, or with CodeNotReady
 // after 20 s.
 func NewFleet(cfg FleetConfig) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, nextPort: cfg.FirstPort}
--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -24,7 +24,8 @@
 	Targets []Target
 	Token   string
 	Body    string
-	// The targets are loaded in turn, each for SliceDuration at a time and DurationPerTarget in total.
+	// RequestsPerSecond is the rate at the target under load. Targets are loaded in turn, each for SliceDuration at a time and
+	// DurationPerTarget in total.
 	RequestsPerSecond int
 	DurationPerTarget time.Duration
 	SliceDuration     time.Duration
--- a/cmd/pomelobench/pomelomeasure/measure_test.go
+++ b/cmd/pomelobench/pomelomeasure/measure_test.go
@@ -32,11 +32,11 @@
 	for i, want := range []struct{ requests, failures int64 }{{40, 0}, {40, 0}, {0, 40}} {
 		got := results[i]
 		if got.Requests != want.requests || got.Failures != want.failures {
-			t.Errorf("%+v, want %+v", got, want)
+			t.Errorf("got %+v, want %+v", got, want)
 		}
 	}
 	if results[0].P50Milliseconds <= 0 || results[1].AddedP50Milliseconds != results[1].P50Milliseconds-results[0].P50Milliseconds {
-		t.Errorf("%+v", results)
+		t.Errorf("got %+v, want a positive p50 and the added p50 as the difference from the first target", results)
 	}
 }
 
@@ -57,6 +57,6 @@
 		seen[a.Name] = true
 	}
 	if len(seen) != 50 || c.Teams[0].ShareTotal != 0 {
-		t.Errorf("%d accounts, total %v", len(seen), c.Teams[0].ShareTotal)
+		t.Errorf("%d accounts with share total %v, want 50 and 0", len(seen), c.Teams[0].ShareTotal)
 	}
 }
--- a/cmd/pomelobench/pomelomeasure/propagation.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -25,9 +25,9 @@
 	ChangeTimeout time.Duration
 }
 
-// PropagationResult contains the times from the acceptance of a change by the store until it was in force on all routers, and
-// where named so on the first router. Publish times are those until acceptance. The First fields, except FirstRouter, are those of
-// the initial configuration, which the other fields exclude.
+// PropagationResult contains the times from the acceptance of a change by the store until it was in force on all routers, or for
+// FirstRouterP50Milliseconds on the first one; publish times end with the acceptance. FirstPublishMilliseconds and
+// FirstInForceMilliseconds are those of the initial configuration, the other fields those of the changes after it.
 type PropagationResult struct {
 	Accounts                   int
 	Routers                    int
--- a/cmd/pomelobench/pomeloreport/page.go
+++ b/cmd/pomelobench/pomeloreport/page.go
@@ -25,7 +25,7 @@
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{border:1px solid #999;padding:.2em .6em}svg{max-width:100%;height:auto}pre{background:#eee;padding:1em;overflow:auto}</style>
 </head><body>
 <h1>{{.Title}}</h1>
-{{if .Failures}}<p><strong>Did not hold:</strong> {{range .Failures}}{{.}} {{end}}</p>{{else}}<p>All checks passed.</p>{{end}}
+{{if .Failures}}<p><strong>Failed checks:</strong> {{range .Failures}}{{.}} {{end}}</p>{{else}}<p>All checks passed.</p>{{end}}
 <table><tr><th>Pool</th><th>Gap</th><th>Bound</th><th>Utilisation</th><th>Seconds with work waiting</th></tr>
 {{range .Pools}}<tr><td>{{.Pool}}</td><td>{{printf "%.3f" .FairnessGap}}</td><td>{{printf "%.3f" .FairnessBound}}</td><td>{{printf "%.3f" .Utilisation}}</td><td>{{printf "%.1f" .WaitingSeconds}}</td></tr>
 {{end}}</table>
--- a/cmd/pomelobench/pomeloreport/page_test.go
+++ b/cmd/pomelobench/pomeloreport/page_test.go
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	page := string(data)
-	for _, want := range []string{"A &lt;run&gt;", "Did not hold", "CutOff", "cut off by &lt;r2&gt;", "kill r3"} {
+	for _, want := range []string{"A &lt;run&gt;", "Failed checks", "CutOff", "cut off by &lt;r2&gt;", "kill r3"} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	if n := strings.Count(page, "<svg"); n != 5 {
--- a/cmd/pomelobench/pomeloreport/plots.go
+++ b/cmd/pomelobench/pomeloreport/plots.go
@@ -74,8 +74,8 @@
 	p.Legend.Top = true
 	p.Legend.Left = true
 	highest := 0.0
-	for i, l := range c.series {
-		points := l.points(report.Samples)
+	for i, s := range c.series {
+		points := s.points(report.Samples)
 		for _, point := range points {
 			highest = max(highest, point.Y)
 		}
@@ -85,7 +85,7 @@
 		}
 		plotted.Color = plotutil.Color(i)
 		p.Add(plotted)
-		p.Legend.Add(l.name, plotted)
+		p.Legend.Add(s.name, plotted)
 	}
 	if highest == 0 {
 		highest = 1
--- a/cmd/pomeloctl/pomelocommand/diff.go
+++ b/cmd/pomeloctl/pomelocommand/diff.go
@@ -36,7 +36,7 @@
 	case file != "":
 		return a.readConfiguration(file)
 	case len(a.store) == 0:
-		return pomeloconfig.Configuration{}, pomelorelay.NewError(pomelorelay.CodeBadRequest, "diff: give --from or --store", nil)
+		return pomeloconfig.Configuration{}, pomelorelay.NewError(pomelorelay.CodeBadRequest, "diff: needs --from or --store", nil)
 	}
 	store, err := a.openStore()
 	if err != nil {
--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// heapFraction is the Go memory limit as a fraction of the memory that the platform allows.
-	heapFraction = 0.6
+	// memoryLimitFraction is the Go memory limit as a fraction of the memory that the platform allows.
+	memoryLimitFraction = 0.6
 	// storeTimeout bounds a call to the platform's store, which normally answers in 4 ms and in a few hundred when it is slow.
 	storeTimeout = 1500 * time.Millisecond
-	// storeBreakerOpen is how long no call is made after several consecutive failures. It is short compared with the 4 s after
+	// storeBreakerCooldown is how long no call is made after several consecutive failures. It is short compared with the 4 s after
 	// which a router is assumed to have seen what the store holds.
-	storeBreakerOpen = 400 * time.Millisecond
+	storeBreakerCooldown = 400 * time.Millisecond
 	// storeCallsPerSecond limits the calls of one router to the store.
 	storeCallsPerSecond = 20
 )
@@ -59,7 +59,7 @@
 		return err
 	}
 	if settings.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(heapFraction * float64(settings.MemoryLimit)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryLimit)))
 	}
 	logger := pomelolog.New(pomelolog.Config{Node: settings.Self.Node, Level: pomelorelay.LevelInfo, Writer: os.Stdout})
 	defer logger.Close()
@@ -81,7 +81,7 @@
 		Addresses:       []netip.AddrPort{settings.StoreAddr},
 		Timeout:         storeTimeout,
 		CallsPerSecond:  storeCallsPerSecond,
-		BreakerCooldown: storeBreakerOpen,
+		BreakerCooldown: storeBreakerCooldown,
 		Logger:          logger,
 	})
 	if err != nil {
--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -20,7 +20,8 @@
 	LeaveGrace time.Duration
 	// MaxConfigDelay is the maximum time until an accepted configuration is in force on all routers, 17 s by default.
 	MaxConfigDelay time.Duration
-	// MaxRefusalDelay is the maximum time from a router's decision, or the deadline, to the end of the refusal, 1 s by default.
+	// MaxRefusalDelay limits the time from a router's decision to refuse, from the first byte of the refusal, and from the deadline,
+	// each to the end of the answer, 1 s by default.
 	MaxRefusalDelay time.Duration
 	// MaxClockSkew is the maximum difference between the clocks of two observers, zero by default.
 	MaxClockSkew time.Duration
@@ -51,17 +52,17 @@
 
 // Checker collects events in any order and checks them on request; it is not safe for concurrent use.
 type Checker struct {
-	cfg       Config
-	attempts  map[AttemptID]*attempt
-	contents  map[ContentID]*content
-	services  map[accountKey]*accountService
-	leaving   map[pomelorelay.UpstreamID]time.Time
-	stops     map[pomelorelay.NodeID]time.Time
-	kills     map[pomelorelay.NodeID]time.Time
-	frozen    map[pomelorelay.NodeID][]RouterSuspended
-	continued map[pomelorelay.NodeID][]RouterResumed
-	accepted  []ConfigAccepted
-	inForce   map[pomelorelay.NodeID][]ConfigInForce
+	cfg         Config
+	attempts    map[AttemptID]*attempt
+	contents    map[ContentID]*content
+	services    map[accountKey]*accountService
+	leaving     map[pomelorelay.UpstreamID]time.Time
+	stops       map[pomelorelay.NodeID]time.Time
+	kills       map[pomelorelay.NodeID]time.Time
+	suspensions map[pomelorelay.NodeID][]RouterSuspended
+	resumptions map[pomelorelay.NodeID][]RouterResumed
+	accepted    []ConfigAccepted
+	inForce     map[pomelorelay.NodeID][]ConfigInForce
 }
 
 type attempt struct {
@@ -79,16 +80,16 @@
 // New returns a Checker without events.
 func New(cfg Config) *Checker {
 	return &Checker{
-		cfg:       cfg.withDefaults(),
-		attempts:  make(map[AttemptID]*attempt),
-		contents:  make(map[ContentID]*content),
-		services:  make(map[accountKey]*accountService),
-		leaving:   make(map[pomelorelay.UpstreamID]time.Time),
-		stops:     make(map[pomelorelay.NodeID]time.Time),
-		kills:     make(map[pomelorelay.NodeID]time.Time),
-		frozen:    make(map[pomelorelay.NodeID][]RouterSuspended),
-		continued: make(map[pomelorelay.NodeID][]RouterResumed),
-		inForce:   make(map[pomelorelay.NodeID][]ConfigInForce),
+		cfg:         cfg.withDefaults(),
+		attempts:    make(map[AttemptID]*attempt),
+		contents:    make(map[ContentID]*content),
+		services:    make(map[accountKey]*accountService),
+		leaving:     make(map[pomelorelay.UpstreamID]time.Time),
+		stops:       make(map[pomelorelay.NodeID]time.Time),
+		kills:       make(map[pomelorelay.NodeID]time.Time),
+		suspensions: make(map[pomelorelay.NodeID][]RouterSuspended),
+		resumptions: make(map[pomelorelay.NodeID][]RouterResumed),
+		inForce:     make(map[pomelorelay.NodeID][]ConfigInForce),
 	}
 }
 
@@ -180,9 +181,9 @@
 	}
 }
 
-func (e RouterSuspended) apply(c *Checker) { c.frozen[e.Node] = append(c.frozen[e.Node], e) }
+func (e RouterSuspended) apply(c *Checker) { c.suspensions[e.Node] = append(c.suspensions[e.Node], e) }
 
-func (e RouterResumed) apply(c *Checker) { c.continued[e.Node] = append(c.continued[e.Node], e) }
+func (e RouterResumed) apply(c *Checker) { c.resumptions[e.Node] = append(c.resumptions[e.Node], e) }
 
 func (e ConfigAccepted) apply(c *Checker) { c.accepted = append(c.accepted, e) }
 
--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -145,7 +145,7 @@
 	noRetryAfter.RetryAfter = false
 	bounded := sent("a", "x", 0)
 	bounded.Deadline = at(5 * time.Second)
-	frozen, resumed := pomelocheck.RouterSuspended{Node: bounded.Node, At: at(time.Second)}, pomelocheck.RouterResumed{Node: bounded.Node, At: at(6 * time.Second)}
+	suspended, resumed := pomelocheck.RouterSuspended{Node: bounded.Node, At: at(time.Second)}, pomelocheck.RouterResumed{Node: bounded.Node, At: at(6 * time.Second)}
 	other := pomelocheck.RouterSuspended{Node: "elsewhere", At: at(time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
 		{"in time", []pomelocheck.Event{sent("a", "x", 0), refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
@@ -153,8 +153,8 @@
 		{"sent slowly", []pomelocheck.Event{sent("a", "x", 0), slow}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"no Retry-After", []pomelocheck.Event{sent("a", "x", 0), noRetryAfter}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"past the deadline", []pomelocheck.Event{bounded, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"late by the time the router was suspended", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
-		{"later than the suspension explains", []pomelocheck.Event{bounded, frozen, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"late by no more than the suspension", []pomelocheck.Event{bounded, suspended, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
+		{"late by more than the suspension", []pomelocheck.Event{bounded, suspended, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"while another router was suspended", []pomelocheck.Event{bounded, other, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 	})
 }
--- a/pomelocheck/events.go
+++ b/pomelocheck/events.go
@@ -54,7 +54,8 @@
 	RetryAfter bool
 }
 
-// RequestBroken is the event of an attempt ending with a broken connection, or with a stream error that the caller can distinguish from a normal end.
+// RequestBroken is the event of an attempt ending with a broken connection, or with a stream error that the caller can
+// distinguish from a normal end.
 type RequestBroken struct {
 	Attempt AttemptID
 	At      time.Time
--- a/pomelocheck/fleet.go
+++ b/pomelocheck/fleet.go
@@ -80,18 +80,18 @@
 	return newest
 }
 
-// frozenDuration returns how long a router was suspended between two times. A suspended router can neither answer nor measure how long a
+// suspendedDuration returns how long a router was suspended between two times. A suspended router can neither answer nor measure how long a
 // request waited to be read, so this time does not count against its deadlines.
-func (c *Checker) frozenDuration(node pomelorelay.NodeID, from, to time.Time) time.Duration {
+func (c *Checker) suspendedDuration(node pomelorelay.NodeID, from, to time.Time) time.Duration {
 	var total time.Duration
-	for _, f := range c.frozen[node] {
+	for _, suspended := range c.suspensions[node] {
 		end := to
-		for _, resumed := range c.continued[node] {
-			if resumed.At.After(f.At) && resumed.At.Before(end) {
+		for _, resumed := range c.resumptions[node] {
+			if resumed.At.After(suspended.At) && resumed.At.Before(end) {
 				end = resumed.At
 			}
 		}
-		if begin := maxTime(f.At, from); end.After(begin) {
+		if begin := maxTime(suspended.At, from); end.After(begin) {
 			total += end.Sub(begin)
 		}
 	}
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -16,10 +16,10 @@
 
 // accountService records the service that an account received in a pool and when it was backlogged.
 type accountService struct {
-	served    []AccountServed
-	backlogs  []BacklogChanged
-	intervals []interval
-	// cumulative is the cumulative normalised service at each sample.
+	served           []AccountServed
+	backlogChanges   []BacklogChanged
+	backlogIntervals []interval
+	// cumulative is the normalised service received up to each sample.
 	cumulative []pomelorelay.Tag
 }
 
@@ -30,7 +30,7 @@
 // Gap is the maximum difference of normalised service between two accounts of a pool over any period in which both were backlogged.
 type Gap struct {
 	Pool pomelorelay.PoolID
-	// The accounts that received more and less service during the period.
+	// MostServed and LeastServed are the accounts that received more and less service during the period.
 	MostServed  pomelorelay.AccountID
 	LeastServed pomelorelay.AccountID
 	Value       pomelorelay.Tag
@@ -54,7 +54,7 @@
 
 func (e BacklogChanged) apply(c *Checker) {
 	s := c.serviceOf(accountKey{e.Pool, e.Account})
-	s.backlogs = append(s.backlogs, e)
+	s.backlogChanges = append(s.backlogChanges, e)
 }
 
 // Gaps returns the maximum gap of each pool up to now, ordered by pool; the cost is quadratic in the number of accounts.
@@ -99,7 +99,7 @@
 }
 
 func (s *accountService) backloggedThroughout(from, to time.Time) bool {
-	return slices.ContainsFunc(backlogIntervals(s.backlogs, to), func(in interval) bool {
+	return slices.ContainsFunc(backlogIntervals(s.backlogChanges, to), func(in interval) bool {
 		return !in.from.After(from) && !in.to.Before(to)
 	})
 }
@@ -128,8 +128,8 @@
 func (c *Checker) sampleAll(now time.Time) (time.Time, bool) {
 	var start time.Time
 	for _, s := range c.services {
-		s.intervals = backlogIntervals(s.backlogs, now)
-		for _, in := range s.intervals {
+		s.backlogIntervals = backlogIntervals(s.backlogChanges, now)
+		for _, in := range s.backlogIntervals {
 			if start.IsZero() || in.from.Before(start) {
 				start = in.from
 			}
@@ -200,8 +200,8 @@
 // updateGap raises the gap to the maximum change of the difference between the two accounts in any period in which both were backlogged.
 func (c *Checker) updateGap(g *Gap, start time.Time, a, b accountKey) {
 	x, y := c.services[a], c.services[b]
-	for _, p := range x.intervals {
-		for _, q := range y.intervals {
+	for _, p := range x.backlogIntervals {
+		for _, q := range y.backlogIntervals {
 			c.updateGapWithin(g, start, overlap(p, q), a, b)
 		}
 	}
@@ -261,7 +261,7 @@
 func (c *Checker) checkStarvation(now time.Time, out []Violation) []Violation {
 	for key, s := range c.services {
 		slices.SortStableFunc(s.served, func(a, b AccountServed) int { return a.From.Compare(b.From) })
-		for _, in := range backlogIntervals(s.backlogs, now) {
+		for _, in := range backlogIntervals(s.backlogChanges, now) {
 			if wait := longestWait(s.served, in); wait > c.cfg.MaxWait {
 				out = append(out, Violation{Starved, string(key.account), in.to, fmt.Sprintf("backlogged in pool %s without service for %s", key.pool, wait)})
 			}
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -158,7 +158,7 @@
 		return ""
 	}
 	end := a.firstEndOr(now)
-	overrun := end.Sub(a.sent.Deadline) - c.frozenDuration(a.sent.Node, a.sent.At, end)
+	overrun := end.Sub(a.sent.Deadline) - c.suspendedDuration(a.sent.Node, a.sent.At, end)
 	if overrun <= c.cfg.MaxRefusalDelay+c.cfg.MaxClockSkew {
 		return ""
 	}
--- a/pomelofake/digest.go
+++ b/pomelofake/digest.go
@@ -19,6 +19,6 @@
 }
 
 // AnswerToken returns the text of token n, counted from zero, of an engine's answer to the request.
-func (p BodyDigest) AnswerToken(n int) string {
-	return string(p[:digestPrefixLength]) + "." + strconv.Itoa(n) + " "
+func (d BodyDigest) AnswerToken(n int) string {
+	return string(d[:digestPrefixLength]) + "." + strconv.Itoa(n) + " "
 }
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -28,7 +28,7 @@
 	ResumeGrace time.Duration
 	// StreamRetention is how long an ended stream can be resumed, 30 s by default.
 	StreamRetention time.Duration
-	// CrashMarker is a text in a request's body that makes the engine crash when the request runs; empty disables it.
+	// CrashMarker is a text in a request's body that makes the engine crash when the request starts to run; empty disables it.
 	CrashMarker string
 	// CrashDowntime is how long the engine is unavailable after a crash, 500 ms by default.
 	CrashDowntime time.Duration
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -104,7 +104,7 @@
 }
 
 // FleetCalls counts the calls that routers made, including failed ones.
-type FleetCalls struct{ Reads, Watches, Announces int }
+type FleetCalls struct{ Reads, Watches, Registrations int }
 
 // Calls returns the number of calls since the store was created.
 func (s *FleetStore) Calls() FleetCalls {
@@ -132,35 +132,35 @@
 func (s *FleetStore) NewClient() *StoreClient { return &StoreClient{s: s} }
 
 // SetPartitioned sets whether the router is partitioned from the store.
-func (v *StoreClient) SetPartitioned(partitioned bool) {
-	v.mu.Lock()
-	v.partitioned = partitioned
-	v.mu.Unlock()
-	v.s.commit(func(pomelorelay.Revision) {})
+func (c *StoreClient) SetPartitioned(partitioned bool) {
+	c.mu.Lock()
+	c.partitioned = partitioned
+	c.mu.Unlock()
+	c.s.commit(func(pomelorelay.Revision) {})
 }
 
-func (v *StoreClient) availableLocked() error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.partitioned || v.s.unavailable {
+func (c *StoreClient) availableLocked() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.partitioned || c.s.unavailable {
 		return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "", nil)
 	}
 	return nil
 }
 
-// await waits until ready returns true or the wait is over; it fails if the store is unavailable.
-func (v *StoreClient) await(ctx context.Context, wait time.Duration, ready func() bool) error {
+// await waits until ready returns true or the wait is over; it fails with CodeStoreUnavailable if the store is unavailable or ctx ends.
+func (c *StoreClient) await(ctx context.Context, wait time.Duration, ready func() bool) error {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		v.s.mu.Lock()
-		err := v.availableLocked()
+		c.s.mu.Lock()
+		err := c.availableLocked()
 		if err != nil || ready() {
-			v.s.mu.Unlock()
+			c.s.mu.Unlock()
 			return err
 		}
-		changed := v.s.changed
-		v.s.mu.Unlock()
+		changed := c.s.changed
+		c.s.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "", ctx.Err())
@@ -172,24 +172,24 @@
 }
 
 // Read returns the whole content; see pomelorelay.Platform. The result is never stale.
-func (v *StoreClient) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
-	v.s.countCall(&v.s.calls.Reads)
+func (c *StoreClient) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
+	c.s.countCall(&c.s.calls.Reads)
 	change := pomelorelay.FleetChange{Full: true}
-	err := v.await(ctx, 0, func() bool {
-		v.s.collect(&change, 0)
+	err := c.await(ctx, 0, func() bool {
+		c.s.collect(&change, 0)
 		return true
 	})
 	return change, err
 }
 
 // Watch returns the changes after a revision; see pomelorelay.Platform.
-func (v *StoreClient) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
-	v.s.countCall(&v.s.calls.Watches)
+func (c *StoreClient) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
+	c.s.countCall(&c.s.calls.Watches)
 	var change pomelorelay.FleetChange
 	compacted := false
-	err := v.await(ctx, wait, func() bool {
-		compacted = after < v.s.compactedAt
-		return compacted || v.s.collect(&change, after)
+	err := c.await(ctx, wait, func() bool {
+		compacted = after < c.s.compactedAt
+		return compacted || c.s.collect(&change, after)
 	})
 	if err == nil && compacted {
 		err = pomelorelay.NewError(pomelorelay.CodeStoreCompacted, "", nil)
@@ -228,54 +228,54 @@
 }
 
 // ParseConfig decodes a configuration document received from a peer.
-func (v *StoreClient) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
-	return v.s.DecodeConfig(document)
+func (c *StoreClient) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
+	return c.s.DecodeConfig(document)
 }
 
 // Register registers a router; see pomelorelay.Platform. Its lease does not expire by itself.
-func (v *StoreClient) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
-	v.s.countCall(&v.s.calls.Announces)
-	if err := v.available(); err != nil {
+func (c *StoreClient) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
+	c.s.countCall(&c.s.calls.Registrations)
+	if err := c.available(); err != nil {
 		return 0, err
 	}
 	var lease pomelorelay.LeaseID
-	v.s.commit(func(at pomelorelay.Revision) {
-		v.s.nextLease++
-		lease = v.s.nextLease
-		v.s.leases[lease] = self.Node
-		v.s.peers[self.Node] = fleetEntry{revision: at, peer: self}
+	c.s.commit(func(at pomelorelay.Revision) {
+		c.s.nextLease++
+		lease = c.s.nextLease
+		c.s.leases[lease] = self.Node
+		c.s.peers[self.Node] = fleetEntry{revision: at, peer: self}
 	})
 	return lease, nil
 }
 
-func (v *StoreClient) available() error {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
-	return v.availableLocked()
+func (c *StoreClient) available() error {
+	c.s.mu.Lock()
+	defer c.s.mu.Unlock()
+	return c.availableLocked()
 }
 
 // RenewLease renews a lease; it fails with CodeStoreLeaseLapsed if the lease has ended.
-func (v *StoreClient) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
-	if err := v.availableLocked(); err != nil {
+func (c *StoreClient) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
+	c.s.mu.Lock()
+	defer c.s.mu.Unlock()
+	if err := c.availableLocked(); err != nil {
 		return err
 	}
-	if _, ok := v.s.leases[lease]; !ok {
+	if _, ok := c.s.leases[lease]; !ok {
 		return pomelorelay.NewError(pomelorelay.CodeStoreLeaseLapsed, "", nil)
 	}
 	return nil
 }
 
 // CloseLease ends a lease and deletes the registration of its router.
-func (v *StoreClient) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
-	if err := v.available(); err != nil {
+func (c *StoreClient) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
+	if err := c.available(); err != nil {
 		return err
 	}
-	v.s.commit(func(at pomelorelay.Revision) {
-		if node, ok := v.s.leases[lease]; ok {
-			delete(v.s.leases, lease)
-			v.s.peers[node] = fleetEntry{revision: at, deleted: true}
+	c.s.commit(func(at pomelorelay.Revision) {
+		if node, ok := c.s.leases[lease]; ok {
+			delete(c.s.leases, lease)
+			c.s.peers[node] = fleetEntry{revision: at, deleted: true}
 		}
 	})
 	return nil
--- a/pomelofake/load.go
+++ b/pomelofake/load.go
@@ -24,25 +24,25 @@
 	load Load
 }
 
-func (g *laggedLoad) record(load Load) {
+func (l *laggedLoad) record(load Load) {
 	now := time.Now()
-	g.history = append(g.history, loadSample{now, load})
-	g.trim(now)
+	l.history = append(l.history, loadSample{now, load})
+	l.trim(now)
 }
 
 // reported returns the load as it was lag ago.
-func (g *laggedLoad) reported() Load {
-	g.trim(time.Now())
-	if len(g.history) == 0 {
+func (l *laggedLoad) reported() Load {
+	l.trim(time.Now())
+	if len(l.history) == 0 {
 		return Load{}
 	}
-	return g.history[0].load
+	return l.history[0].load
 }
 
 // trim removes all samples before the newest one that is at least lag old.
-func (g *laggedLoad) trim(now time.Time) {
-	for len(g.history) > 1 && now.Sub(g.history[1].at) >= g.lag {
-		g.history = g.history[1:]
+func (l *laggedLoad) trim(now time.Time) {
+	for len(l.history) > 1 && now.Sub(l.history[1].at) >= l.lag {
+		l.history = l.history[1:]
 	}
 }
 
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -16,7 +16,8 @@
 type PlainConfig struct {
 	// Slots is the maximum number of concurrent requests, 8 by default; further ones wait.
 	Slots int
-	// A run takes the first duration plus up to the second, chosen by the body's digest; 5 ms and 20 ms by default.
+	// MinRunTime and RunTimeSpread set the range of run times, from MinRunTime to MinRunTime+RunTimeSpread, from which the digest of
+	// the request selects one; 5 ms and 20 ms by default.
 	MinRunTime    time.Duration
 	RunTimeSpread time.Duration
 	// Padding is the number of filler bytes in each answer.
@@ -42,7 +43,7 @@
 	Late time.Duration
 	// Crossed swaps the answers of two concurrent requests.
 	Crossed bool
-	// Short is the number of bytes missing at the end of the body, which is shorter than its Content-Length.
+	// Short omits this many bytes at the end of the body, which is then shorter than its Content-Length, and closes the connection.
 	Short int
 	// Repeat sends the answer twice on the same connection.
 	Repeat bool
@@ -51,7 +52,7 @@
 	CutAt int
 	// CutEarly closes the connection before the request runs.
 	CutEarly bool
-	// IdleClose closes the connection this long after a complete answer without Connection: close.
+	// IdleClose closes the connection this long after a complete answer that has no Connection: close header.
 	IdleClose time.Duration
 }
 
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -20,12 +20,12 @@
 	return store, client
 }
 
-// expect sends a request and fails the test unless the answer has the status and contains the part.
-func expect(t *testing.T, client *http.Client, method, path, body string, status int, part string) {
+// expect sends a request and fails the test unless the answer has the status and contains the substring.
+func expect(t *testing.T, client *http.Client, method, path, body string, status int, substring string) {
 	t.Helper()
 	got, text, _ := call(t, client, method, path, body)
-	if got != status || !strings.Contains(text, part) {
-		t.Errorf("%s %s: got %d %s, want %d %s", method, path, got, text, status, part)
+	if got != status || !strings.Contains(text, substring) {
+		t.Errorf("%s %s: got %d %s, want %d %s", method, path, got, text, status, substring)
 	}
 }
 
@@ -129,9 +129,9 @@
 		})
 		client, _ := serve(t, list)
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":false`)
-		shows, ok := list.MarkLeaving("u1")
-		if !ok || time.Until(shows) != 2*time.Second {
-			t.Errorf("visible in %s, known host %v, want 2s and true", time.Until(shows), ok)
+		visibleAt, ok := list.MarkLeaving("u1")
+		if !ok || time.Until(visibleAt) != 2*time.Second {
+			t.Errorf("MarkLeaving returned visible in %s, found %v, want 2s and true", time.Until(visibleAt), ok)
 		}
 		expect(t, client, http.MethodGet, "/v1/hosts", "", 200, `"Leaving":false`)
 		time.Sleep(2 * time.Second)
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -258,9 +258,9 @@
 	done | paste -sd,
 }
 
-# part_steps prints the steps that partition a failure domain's routers from all others: part_steps AFTER DOMAIN both|out.
+# partition_steps prints the steps that partition a failure domain's routers from all others: partition_steps AFTER DOMAIN both|out.
 # With "out" only messages sent by the domain are lost.
-part_steps() {
+partition_steps() {
 	apart=$2
 	toward='"Toward":{"Block":true}'
 	back='"Back":{"Block":true}'
--- a/scripts/operate.sh
+++ b/scripts/operate.sh
@@ -49,12 +49,12 @@
 	[ "$got" -eq "$want" ] || fail "exit code $got, want $want: $* $(cat "$run/err")"
 }
 
-# holds fails unless a line of the file matches the pattern: holds PATTERN FILE.
-holds() {
+# expect_line fails unless a line of the file matches the pattern: expect_line PATTERN FILE.
+expect_line() {
 	grep -q "$1" "$2" || fail "no '$1' in $(cat "$2")"
 }
 
-fault() { curl -sf -o /dev/null -d "$1" "http://$admin/fault" || fail "fault $1"; }
+inject_fault() { curl -sf -o /dev/null -d "$1" "http://$admin/fault" || fail "fault $1"; }
 
 make_keys() {
 	openssl req -x509 -newkey ec -pkeyopt ec_paramgen_curve:P-256 -nodes -days 2 -subj /CN=fleet \
@@ -68,8 +68,8 @@
 	done
 }
 
-# place prints "REGION DOMAIN OCTET" of a router.
-place() {
+# router_location prints "REGION DOMAIN OCTET" of a router.
+router_location() {
 	case $1 in
 	1 | 2) echo recife recife-a 11 ;;
 	3 | 4) echo recife recife-b 12 ;;
@@ -81,7 +81,7 @@
 # write_settings writes the settings of a router. Only router 1 reaches the store directly, the others through a relay that can be
 # blocked.
 write_settings() {
-	set -- "$1" $(place "$1")
+	set -- "$1" $(router_location "$1")
 	via=$link
 	[ "$1" -ne 1 ] || via=$store
 	cat >"$run/router-$1.yaml" <<-END
@@ -134,15 +134,16 @@
 	done
 }
 
-# refuses fails unless a router with the settings exits with the exit code and the error code: refuses EXIT ERROR SETTINGS.
-refuses() {
+# expect_refusal fails unless a router with the settings exits with the exit code and the error code:
+# expect_refusal EXIT ERROR SETTINGS.
+expect_refusal() {
 	expect "$1" bin/pomelorelayd run --settings "$3"
-	holds "$2" "$run/err"
+	expect_line "$2" "$run/err"
 	tail -n 1 "$run/err" | cut -c1-150
 }
 
-# altered writes the settings of router-2 changed by a sed script and prints the file name.
-altered() {
+# altered_settings writes the settings of router-2 changed by a sed script and prints the file name.
+altered_settings() {
 	sed "$1" "$run/router-2.yaml" >"$run/altered.yaml"
 	echo "$run/altered.yaml"
 }
@@ -167,13 +168,13 @@
 expect 0 ctl diff "$run/first.yaml" --store $store
 echo "== apply --wait, show, audit, status"
 expect 0 ctl apply "$run/first.yaml" --store $store --author ana --why first --wait $routers
-holds 'Generation 1,' "$run/out"
+expect_line 'Generation 1,' "$run/out"
 await_ready
 expect 0 ctl show --store $store
 cp "$run/out" "$run/shown.yaml"
 sed 's/MaxSlots: 8/MaxSlots: 9/' "$run/shown.yaml" >"$run/second.yaml"
 expect 0 ctl diff "$run/second.yaml" --store $store
-holds 'MaxSlots: 8 -> 9' "$run/out"
+expect_line 'MaxSlots: 8 -> 9' "$run/out"
 expect 0 ctl status $routers
 [ "$(grep -c ' ready ' "$run/out")" -eq 8 ] || fail "fewer than 8 routers are ready: $(cat "$run/out")"
 cat "$run/out"
@@ -190,36 +191,36 @@
 "3 0") winner=bea loser=ana ;;
 *) fail "the concurrent applies have exit codes $codes, want 0 and 3" ;;
 esac
-holds "$winner" "$run/$loser.err"
+expect_line "$winner" "$run/$loser.err"
 echo "the change of $winner was accepted; $loser got: $(head -n 1 "$run/$loser.err")"
 
 echo "== the store's answer is lost after the write"
 sed 's/MaxSlots: 8/MaxSlots: 6/' "$run/shown.yaml" >"$run/fourth.yaml"
-fault '{"Store":{"LoseAnswers":4}}'
+inject_fault '{"Store":{"LoseAnswers":4}}'
 expect 0 ctl apply "$run/fourth.yaml" --store $store --author ana --why "lost answer" --base 2 --wait $routers
 cat "$run/out"
-fault '{"Store":{}}'
+inject_fault '{"Store":{}}'
 expect 0 ctl audit --store $store
 [ "$(grep -c 'why: lost answer' "$run/out")" -eq 1 ] || fail "the change with the lost answer is not in the audit trail exactly once: $(cat "$run/out")"
 cat "$run/out"
 
 echo "== the store is down"
-fault '{"Store":{"Outage":true}}'
+inject_fault '{"Store":{"Outage":true}}'
 expect 6 ctl apply "$run/second.yaml" --store $store --author ana --why "during the outage" --base 3
 cat "$run/err"
-fault '{"Store":{}}'
+inject_fault '{"Store":{}}'
 echo "== apply --wait names a router that does not answer"
 expect 5 ctl --timeout 3s apply "$run/second.yaml" --store $store --author ana --why "one is absent" --base 3 --wait $routers --router $net.99.1:8082
-holds "$net.99.1:8082" "$run/err"
+expect_line "$net.99.1:8082" "$run/err"
 cat "$run/err"
 
 echo "== time until in force on 8 routers, store reachable"
 bin/pomelobench spread --store $store $routers --changes $changes "$run/second.yaml"
 echo "== the same, store out of reach for all but router-1"
-fault '{"Target":"link","Relay":[{"Cut":true}]}'
+inject_fault '{"Target":"link","Relay":[{"Cut":true}]}'
 sleep 1
 bin/pomelobench spread --store $store $routers --changes $changes "$run/second.yaml"
-fault '{"Target":"link","Relay":[]}'
+inject_fault '{"Target":"link","Relay":[]}'
 figures
 
 echo "== $accounts accounts, store reachable"
@@ -227,10 +228,10 @@
 bin/pomelobench spread --store $store $routers --accounts $accounts --changes $changes "$run/second.yaml"
 figures
 echo "== the same, store out of reach for all but router-1"
-fault '{"Target":"link","Relay":[{"Cut":true}]}'
+inject_fault '{"Target":"link","Relay":[{"Cut":true}]}'
 sleep 1
 bin/pomelobench spread --store $store $routers --accounts $accounts --changes $changes "$run/second.yaml"
-fault '{"Target":"link","Relay":[]}'
+inject_fault '{"Target":"link","Relay":[]}'
 
 echo "== all routers restarted with $accounts accounts"
 end_routers
@@ -242,17 +243,17 @@
 
 echo "== invalid settings"
 printf 'x' >"$run/keys/broken.crt"
-refuses 2 2013 "$run/absent.yaml"
-refuses 2 2000 "$(altered 's/^Host: {/Host: {{/')"
-refuses 2 2001 "$(altered 's/^Listen:/Listens:/')"
-refuses 2 2002 "$(altered 's/Region: [a-z]*/Region: ""/')"
-refuses 2 2002 "$(altered '/KeyFile/d')"
-refuses 2 2002 "$(altered '/^TLS/,$d')"
-refuses 3 2203 "$(altered 's/router-2.crt/absent.crt/')"
-refuses 3 2203 "$(altered 's/router-2.crt/broken.crt/')"
-refuses 3 2203 "$(altered 's/router-2.crt/router-3.crt/')"
-refuses 3 2205 "$run/router-2.yaml"
-refuses 3 1012 "$(altered "s/Control: \"$net.11.2:8081/Control: \"$net.11.2:8089/")"
+expect_refusal 2 2013 "$run/absent.yaml"
+expect_refusal 2 2000 "$(altered_settings 's/^Host: {/Host: {{/')"
+expect_refusal 2 2001 "$(altered_settings 's/^Listen:/Listens:/')"
+expect_refusal 2 2002 "$(altered_settings 's/Region: [a-z]*/Region: ""/')"
+expect_refusal 2 2002 "$(altered_settings '/KeyFile/d')"
+expect_refusal 2 2002 "$(altered_settings '/^TLS/,$d')"
+expect_refusal 3 2203 "$(altered_settings 's/router-2.crt/absent.crt/')"
+expect_refusal 3 2203 "$(altered_settings 's/router-2.crt/broken.crt/')"
+expect_refusal 3 2203 "$(altered_settings 's/router-2.crt/router-3.crt/')"
+expect_refusal 3 2205 "$run/router-2.yaml"
+expect_refusal 3 1012 "$(altered_settings "s/Control: \"$net.11.2:8081/Control: \"$net.11.2:8089/")"
 echo "== drain"
 expect 0 ctl drain --router $net.11.2:8082
 pid=$(cat "$run/pids/router-2")
--- a/scripts/proofs/config.sh
+++ b/scripts/proofs/config.sh
@@ -10,7 +10,7 @@
 	echo "Accounts:"
 	router_loads "Stream: true" "" | sed 's/Callers: 16/Callers: 4/'
 	echo "Steps:"
-	part_steps 17s recife-a both
+	partition_steps 17s recife-a both
 	store_steps 17s recife-a
 	heal_steps 23s
 }
--- a/scripts/proofs/partition.sh
+++ b/scripts/proofs/partition.sh
@@ -14,10 +14,10 @@
 	echo "Accounts:"
 	router_loads "Stream: true, Routers: [HERE]" "Resend: 0.1, Routers: [HERE]"
 	echo "Steps:"
-	part_steps 3s recife-a both
+	partition_steps 3s recife-a both
 	store_steps 3s recife-a
 	heal_steps 8s
-	part_steps 10s boston-b out
+	partition_steps 10s boston-b out
 	heal_steps 15s
 }
 
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
 # Runs the regression suite required before a merge and prints a table: regression.sh BENCH SITES [JOBS [SITE]]
-# BENCH is the users' benchmark program, SITES the directory of its site files. Each site below is scored once, then hunted for
-# the number of days in its line. SITE limits the run to one site.
+# BENCH is the users' benchmark program, SITES the directory of its site files. Each site below is run once with the program's
+# score command, then with its hunt command for the number of days in its line. SITE limits the run to one site.
 set -eu
 bench=$1 sites=$2 jobs=${3:-3} only=${4:-}
 out=$(mktemp -d)
-plays="
+site_days="
 shifted/bancada-comum-now-grown 16
 large/bancada-comum-large 8
 further-grown/pcrs-minutes-grown 8
@@ -13,7 +13,7 @@
 grown/bancada-comum-grown 8
 further/pcrs-minutes 40
 "
-echo "$plays" | while read -r site days; do
+echo "$site_days" | while read -r site days; do
 	[ -n "$site" ] || continue
 	[ -z "$only" ] || [ "$only" = "$site" ] || continue
 	name=$(basename "$site")
