--- a/cmd/pomelobench/pomeloload/network_test.go
+++ b/cmd/pomelobench/pomeloload/network_test.go
@@ -104,9 +104,9 @@
 	network.serve(t, plainAddr, network.plain)
 	network.serve(t, engineAddr, network.engine)
 	network.serve(t, adminAddr, pomelofake.NewAdmin(pomelofake.AdminConfig{
-		Engines:  map[pomelorelay.UpstreamID]*pomelofake.Engine{"e1": network.engine},
-		Plains:   map[pomelorelay.UpstreamID]*pomelofake.PlainService{"p1": network.plain},
-		HostList: network.hosts,
+		Engines:       map[pomelorelay.UpstreamID]*pomelofake.Engine{"e1": network.engine},
+		PlainServices: map[pomelorelay.UpstreamID]*pomelofake.PlainService{"p1": network.plain},
+		HostList:      network.hosts,
 	}))
 	return network
 }
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -117,13 +117,13 @@
 		latency.Merge(s.latency)
 		first.Merge(s.firstByte)
 	}
-	res.FirstByteP50Milliseconds, res.FirstByteP99Milliseconds = quantile(first, median), quantile(first, ninetyNinth)
-	res.LatencyP50Milliseconds, res.LatencyP99Milliseconds = quantile(latency, median), quantile(latency, ninetyNinth)
+	res.FirstByteP50Milliseconds, res.FirstByteP99Milliseconds = percentileMilliseconds(first, median), percentileMilliseconds(first, ninetyNinth)
+	res.LatencyP50Milliseconds, res.LatencyP99Milliseconds = percentileMilliseconds(latency, median), percentileMilliseconds(latency, ninetyNinth)
 	return res
 }
 
-func quantile(h *hdrhistogram.Histogram, percent float64) float64 {
-	return float64(h.ValueAtPercentile(percent)) / microsPerMilli
+func percentileMilliseconds(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtPercentile(percentile)) / microsPerMilli
 }
 
 func (r *Result) countViolations(violations []pomelocheck.Violation) {
@@ -263,8 +263,8 @@
 		s.ControlBytesPerNode, s.ControlBytesCrossRegion = r.controlRates(at.Add(-time.Second), at)
 		if stats, ok := r.seconds[n]; ok {
 			s.Tally = stats.tally
-			s.FirstByteP50Milliseconds = quantile(stats.firstByte, median)
-			s.LatencyP50Milliseconds, s.LatencyP99Milliseconds = quantile(stats.latency, median), quantile(stats.latency, ninetyNinth)
+			s.FirstByteP50Milliseconds = percentileMilliseconds(stats.firstByte, median)
+			s.LatencyP50Milliseconds, s.LatencyP99Milliseconds = percentileMilliseconds(stats.latency, median), percentileMilliseconds(stats.latency, ninetyNinth)
 		}
 		samples = append(samples, s)
 	}
--- a/cmd/pomelobench/pomelomeasure/histogram.go
+++ b/cmd/pomelobench/pomelomeasure/histogram.go
@@ -16,6 +16,6 @@
 	return hdrhistogram.New(minLatencyNanos, maxLatencyNanos, significantDigits)
 }
 
-func milliseconds(h *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(h.ValueAtQuantile(quantile)) / float64(time.Millisecond)
+func percentileMilliseconds(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / float64(time.Millisecond)
 }
--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -137,7 +137,7 @@
 	for _, m := range meters {
 		all = append(all, TargetLatency{
 			Name: m.target.Name, Requests: m.latencies.TotalCount(), Failures: m.failures,
-			P50Milliseconds: milliseconds(m.latencies, 50), P99Milliseconds: milliseconds(m.latencies, 99),
+			P50Milliseconds: percentileMilliseconds(m.latencies, 50), P99Milliseconds: percentileMilliseconds(m.latencies, 99),
 		})
 	}
 	for i := range all {
--- a/cmd/pomelobench/pomelomeasure/propagation.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -93,15 +93,15 @@
 		_ = firstRouterTimes.RecordValue(int64(got.firstRouter))
 		_ = publishTimes.RecordValue(int64(published))
 	}
-	r.P50Milliseconds, r.P99Milliseconds = milliseconds(lastRouterTimes, 50), milliseconds(lastRouterTimes, 99)
+	r.P50Milliseconds, r.P99Milliseconds = percentileMilliseconds(lastRouterTimes, 50), percentileMilliseconds(lastRouterTimes, 99)
 	r.MaxMilliseconds = inMilliseconds(time.Duration(lastRouterTimes.Max()))
-	r.FirstRouterP50Milliseconds, r.PublishP50Milliseconds = milliseconds(firstRouterTimes, 50), milliseconds(publishTimes, 50)
+	r.FirstRouterP50Milliseconds, r.PublishP50Milliseconds = percentileMilliseconds(firstRouterTimes, 50), percentileMilliseconds(publishTimes, 50)
 	return r, nil
 }
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// propagation is the time from the acceptance of a generation until it was in force on the first and on the last router; complete
+// propagation contains the times from the acceptance of a generation until it was in force on the first and on the last router; complete
 // reports whether that includes every router.
 type propagation struct {
 	firstRouter, lastRouter time.Duration
--- a/cmd/pomelobench/standin.go
+++ b/cmd/pomelobench/standin.go
@@ -83,9 +83,9 @@
 
 func (c *standInCommand) start() (pomelofake.AdminConfig, error) {
 	admin := pomelofake.AdminConfig{
-		Engines: make(map[pomelorelay.UpstreamID]*pomelofake.Engine),
-		Plains:  make(map[pomelorelay.UpstreamID]*pomelofake.PlainService),
-		Relays:  make(map[string]*pomelofake.Relay),
+		Engines:       make(map[pomelorelay.UpstreamID]*pomelofake.Engine),
+		PlainServices: make(map[pomelorelay.UpstreamID]*pomelofake.PlainService),
+		Relays:        make(map[string]*pomelofake.Relay),
 	}
 	for name, addr := range c.engines {
 		engine, err := c.startEngine(name, addr)
@@ -101,7 +101,7 @@
 		if err := c.serve(name, addr, plain); err != nil {
 			return admin, err
 		}
-		admin.Plains[pomelorelay.UpstreamID(name)] = plain
+		admin.PlainServices[pomelorelay.UpstreamID(name)] = plain
 	}
 	for name, addrs := range c.relays {
 		relay, err := c.startRelay(name, addrs)
--- a/cmd/pomeloctl/pomelocommand/files.go
+++ b/cmd/pomeloctl/pomelocommand/files.go
@@ -40,7 +40,7 @@
 	for _, text := range texts {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, pomelorelay.NewError(pomelorelay.CodeBadRequest, flag+" "+text+": not an IP address and port such as 10.0.0.1:8080", nil)
+			return nil, pomelorelay.NewError(pomelorelay.CodeBadRequest, flag+" "+text+": give an IP number and a port, as in 10.0.0.1:8080", nil)
 		}
 		addresses = append(addresses, address)
 	}
--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -143,19 +143,19 @@
 	late.DecidedAt = at(8 * time.Second)
 	slow.FirstByteAt = at(5 * time.Second)
 	noRetryAfter.RetryAfter = false
-	bounded := sent("a", "x", 0)
-	bounded.Deadline = at(5 * time.Second)
-	suspended, resumed := pomelocheck.RouterSuspended{Node: bounded.Node, At: at(time.Second)}, pomelocheck.RouterResumed{Node: bounded.Node, At: at(6 * time.Second)}
+	withDeadline := sent("a", "x", 0)
+	withDeadline.Deadline = at(5 * time.Second)
+	suspended, resumed := pomelocheck.RouterSuspended{Node: withDeadline.Node, At: at(time.Second)}, pomelocheck.RouterResumed{Node: withDeadline.Node, At: at(6 * time.Second)}
 	other := pomelocheck.RouterSuspended{Node: "elsewhere", At: at(time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
 		{"in time", []pomelocheck.Event{sent("a", "x", 0), refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
 		{"late", []pomelocheck.Event{sent("a", "x", 0), late}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"sent slowly", []pomelocheck.Event{sent("a", "x", 0), slow}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 		{"no Retry-After", []pomelocheck.Event{sent("a", "x", 0), noRetryAfter}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"past the deadline", []pomelocheck.Event{bounded, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"late by no more than the suspension", []pomelocheck.Event{bounded, suspended, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
-		{"late by more than the suspension", []pomelocheck.Event{bounded, suspended, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
-		{"while another router was suspended", []pomelocheck.Event{bounded, other, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"past the deadline", []pomelocheck.Event{withDeadline, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"late by no more than the suspension", []pomelocheck.Event{withDeadline, suspended, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, nil},
+		{"late by more than the suspension", []pomelocheck.Event{withDeadline, suspended, resumed, refused("a", 12*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
+		{"while another router was suspended", []pomelocheck.Event{withDeadline, other, resumed, refused("a", 10*time.Second, pomelorelay.RanNo)}, []pomelocheck.Kind{pomelocheck.HeldBack}},
 	})
 }
 
--- a/pomelofake/admin.go
+++ b/pomelofake/admin.go
@@ -12,11 +12,11 @@
 
 // AdminConfig holds the stand-ins that an Admin controls; a nil field means that there is none of that kind.
 type AdminConfig struct {
-	Engines  map[pomelorelay.UpstreamID]*Engine
-	Plains   map[pomelorelay.UpstreamID]*PlainService
-	Store    *Store
-	HostList *HostList
-	Relays   map[string]*Relay
+	Engines       map[pomelorelay.UpstreamID]*Engine
+	PlainServices map[pomelorelay.UpstreamID]*PlainService
+	Store         *Store
+	HostList      *HostList
+	Relays        map[string]*Relay
 }
 
 // Fault is the body of POST /fault; only the fields that are set are applied. Durations are in nanoseconds.
@@ -95,7 +95,7 @@
 	if (f.Engine != nil || f.Crash) && a.cfg.Engines[upstream] == nil {
 		return "no engine " + f.Target
 	}
-	if f.Plain != nil && a.cfg.Plains[upstream] == nil {
+	if f.Plain != nil && a.cfg.PlainServices[upstream] == nil {
 		return "no plain service " + f.Target
 	}
 	if f.Relay != nil && a.cfg.Relays[f.Target] == nil {
@@ -131,7 +131,7 @@
 		a.cfg.Engines[upstream].Crash()
 	}
 	if f.Plain != nil {
-		a.cfg.Plains[upstream].SetFaults(*f.Plain)
+		a.cfg.PlainServices[upstream].SetFaults(*f.Plain)
 	}
 	if f.Relay != nil {
 		a.cfg.Relays[f.Target].SetRules(f.Relay)
@@ -177,7 +177,7 @@
 		writeJSON(w, http.StatusOK, e.Runs(after))
 		return
 	}
-	if p := a.cfg.Plains[target]; p != nil {
+	if p := a.cfg.PlainServices[target]; p != nil {
 		writeJSON(w, http.StatusOK, p.Runs(after))
 		return
 	}
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -103,7 +103,7 @@
 	s.commit(func(at pomelorelay.Revision) { s.compactedAt = at })
 }
 
-// FleetCalls counts the calls that routers made, including failed ones.
+// FleetCalls counts the reads, watches and registrations of routers, including failed ones.
 type FleetCalls struct{ Reads, Watches, Registrations int }
 
 // Calls returns the number of calls since the store was created.
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -152,8 +152,8 @@
 		plain := pomelofake.NewPlainService(pomelofake.PlainConfig{})
 		list := pomelofake.NewHostList(pomelofake.HostListConfig{Hosts: []pomelorelay.Host{{Name: "p1"}}})
 		admin := pomelofake.NewAdmin(pomelofake.AdminConfig{
-			Plains:   map[pomelorelay.UpstreamID]*pomelofake.PlainService{"p1": plain},
-			HostList: list,
+			PlainServices: map[pomelorelay.UpstreamID]*pomelofake.PlainService{"p1": plain},
+			HostList:      list,
 		})
 		client, _ := serve(t, admin)
 		expect(t, client, http.MethodPost, "/fault", `{"Target":"p1","Plain":{"Refuse":true}}`, 200, "")
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,7 @@
-# Shell functions that start, disturb and stop a fleet of separate processes on loopback, sourced by scripts/demo.sh and
-# scripts/proof.sh. The caller sets run, a directory, and net, the first two octets of all addresses. With links=1 the traffic
-# to each router's control port and from each router to the store goes through relays that plan steps can block.
+# Shell functions that start and stop a fleet of separate processes on loopback and inject faults into it, sourced by
+# scripts/demo.sh and scripts/proof.sh. The caller sets run, a directory, and net, the first two octets of all addresses. With
+# links=1 the traffic to each router's control port and from each router to the store goes through relays that plan steps can
+# block.
 
 mkdir -p "$run/pids" "$run/codes" "$run/log" "$run/first"
 marks=$run/marks
