--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -156,7 +156,7 @@
 // log writes an event with the fields that identify the request.
 func (c *call) log(event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	all := []pomelorelay.Field{
-		{Key: "Request", Value: c.fields.ID},
+		{Key: "Request", Value: c.fields.RequestID},
 		{Key: "Account", Value: string(c.account)},
 		{Key: "Upstream", Value: string(c.decision.Upstream.ID)},
 	}
