--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -24,7 +24,8 @@
 	Targets []Target
 	Token   string
 	Body    string
-	// The targets are loaded in turn, each for SliceDuration at a time and DurationPerTarget in total.
+	// RequestsPerSecond is the rate at the target under load. Targets are loaded in turn, each for SliceDuration at a time and
+	// DurationPerTarget in total.
 	RequestsPerSecond int
 	DurationPerTarget time.Duration
 	SliceDuration     time.Duration
@@ -136,7 +137,7 @@
 	for _, m := range meters {
 		all = append(all, TargetLatency{
 			Name: m.target.Name, Requests: m.latencies.TotalCount(), Failures: m.failures,
-			P50Milliseconds: milliseconds(m.latencies, 50), P99Milliseconds: milliseconds(m.latencies, 99),
+			P50Milliseconds: percentileMilliseconds(m.latencies, 50), P99Milliseconds: percentileMilliseconds(m.latencies, 99),
 		})
 	}
 	for i := range all {
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,7 @@
-# Shell functions that start, disturb and stop a fleet of separate processes on loopback, sourced by scripts/demo.sh and
-# scripts/proof.sh. The caller sets run, a directory, and net, the first two octets of all addresses. With links=1 the traffic
-# to each router's control port and from each router to the store goes through relays that plan steps can block.
+# Shell functions that start and stop a fleet of separate processes on loopback and inject faults into it, sourced by
+# scripts/demo.sh and scripts/proof.sh. The caller sets run, a directory, and net, the first two octets of all addresses. With
+# links=1 the traffic to each router's control port and from each router to the store goes through relays that plan steps can
+# block.
 
 mkdir -p "$run/pids" "$run/codes" "$run/log" "$run/first"
 marks=$run/marks
@@ -258,9 +259,9 @@
 	done | paste -sd,
 }
 
-# part_steps prints the steps that partition a failure domain's routers from all others: part_steps AFTER DOMAIN both|out.
+# partition_steps prints the steps that partition a failure domain's routers from all others: partition_steps AFTER DOMAIN both|out.
 # With "out" only messages sent by the domain are lost.
-part_steps() {
+partition_steps() {
 	apart=$2
 	toward='"Toward":{"Block":true}'
 	back='"Back":{"Block":true}'
