--- a/pomelolink/config.go
+++ b/pomelolink/config.go
@@ -53,13 +53,13 @@
 }
 
 // Buffers returns the buffer pools that all exchanges share.
-func (l *Client) Buffers() *Buffers { return l.buffers }
+func (c *Client) Buffers() *Buffers { return c.buffers }
 
 // Close closes the idle connections and stops keeping new ones; exchanges in progress continue.
-func (l *Client) Close() { l.conns.close() }
+func (c *Client) Close() { c.conns.close() }
 
 // ConnectionsOpened returns the number of connections opened since the start.
-func (l *Client) ConnectionsOpened() uint64 { return l.conns.opened.Load() }
+func (c *Client) ConnectionsOpened() uint64 { return c.conns.opened.Load() }
 
 // Outcome classifies how far an attempt at an upstream got.
 type Outcome int
@@ -70,7 +70,7 @@
 	OutcomeRefusedNotRun                    // the upstream stated that it did not run the request
 	OutcomeComplete                         // the complete answer was received
 	OutcomeTruncated                        // part of an answer was received
-	OutcomeUnknown                          // bytes were written and no answer was received
+	OutcomeUnknown                          // bytes were written and no valid answer was received
 )
 
 // newDialer returns a dialer whose connections detect a peer that stops responding without sending a reset.
--- a/pomelolink/conn.go
+++ b/pomelolink/conn.go
@@ -68,9 +68,9 @@
 	return c.SetDeadline(deadline)
 }
 
-// stillIdle reports whether the peer neither sent data nor closed the connection while it was idle. Reusing a connection that is
-// being closed leaves the request's outcome unknown, and a duplicate answer would be taken for the next request's. What arrives
-// after this check is covered by the request id check and OutcomeUnknown.
+// stillIdle reports whether the peer neither sent data nor closed the connection while it was idle. Reusing a connection that is being
+// closed leaves the request's outcome unknown, and a duplicate answer would be taken for the next request's. The check makes both rare;
+// what arrives after it is handled by the request id check and OutcomeUnknown.
 func (c *upstreamConn) stillIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -27,7 +27,7 @@
 
 // Exchange is one request on one connection, and its answer.
 type Exchange struct {
-	links     *Client
+	client    *Client
 	ctx       context.Context
 	addr      netip.AddrPort
 	conn      *upstreamConn
@@ -75,24 +75,24 @@
 
 // Open sends a request at most once and reads the header of its answer. A request that is no longer wanted is not sent; Open
 // then fails with CodeCancelled.
-func (l *Client) Open(ctx context.Context, s UpstreamRequest) (*Exchange, *Failure) {
-	conn, err := l.conns.conn(ctx, s.Addr, s.NewConnection)
+func (c *Client) Open(ctx context.Context, r UpstreamRequest) (*Exchange, *Failure) {
+	conn, err := c.conns.conn(ctx, r.Addr, r.NewConnection)
 	if err != nil {
 		return nil, notSentFailure(ctx, err)
 	}
-	if s.StillWanted != nil && !s.StillWanted() {
+	if r.StillWanted != nil && !r.StillWanted() {
 		conn.Close()
 		return nil, NewFailure(OutcomeNotSent, pomelorelay.CodeCancelled, nil)
 	}
-	x := &Exchange{links: l, ctx: ctx, addr: s.Addr, conn: conn, requestID: s.Request.Header.Get(l.cfg.Protocol.IDHeader)}
+	x := &Exchange{client: c, ctx: ctx, addr: r.Addr, conn: conn, requestID: r.Request.Header.Get(c.cfg.Protocol.IDHeader)}
 	deadline, _ := ctx.Deadline()
 	if err := conn.begin(deadline); err != nil {
 		conn.Close()
 		return nil, notSentFailure(ctx, err)
 	}
 	x.stop = context.AfterFunc(ctx, func() { conn.Close() })
-	writeErr := x.write(s.Request, s.Size)
-	if f := x.readHeader(s.Request, writeErr); f != nil {
+	writeErr := x.write(r.Request, r.Size)
+	if f := x.readHeader(r.Request, writeErr); f != nil {
 		x.Close()
 		return nil, f
 	}
@@ -130,8 +130,8 @@
 }
 
 func (x *Exchange) send(req *http.Request) error {
-	w := x.links.buffers.writer(x.conn)
-	defer x.links.buffers.putWriter(w)
+	w := x.client.buffers.writer(x.conn)
+	defer x.client.buffers.putWriter(w)
 	if err := writeRequest(w, req); err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 	if writeErr != nil && x.conn.written.Load() == 0 {
 		return notSentFailure(x.ctx, writeErr)
 	}
-	x.conn.limitHeader(x.links.cfg.MaxHeaderBytes + connBufferBytes)
+	x.conn.limitHeader(x.client.cfg.MaxHeaderBytes + connBufferBytes)
 	for range maxResponses {
 		resp, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
@@ -204,16 +204,16 @@
 // answer on a reused connection would reach the wrong caller; its id differs, and a connection is only reused if its
 // upstream echoes ids.
 func (x *Exchange) checkHeader(req *http.Request) *Failure {
-	id := x.Response.Header.Get(x.links.cfg.Protocol.IDHeader)
+	id := x.Response.Header.Get(x.client.cfg.Protocol.IDHeader)
 	x.IDEchoed = id == x.requestID
 	if (id != "" && !x.IDEchoed) || (id == "" && x.conn.reused) {
-		x.links.cfg.Logger.Log(pomelorelay.EventAnswerCrossed, pomelorelay.Field{Key: "Request", Value: x.requestID}, pomelorelay.Field{Key: "Answer", Value: id})
+		x.client.cfg.Logger.Log(pomelorelay.EventAnswerCrossed, pomelorelay.Field{Key: "Request", Value: x.requestID}, pomelorelay.Field{Key: "Answer", Value: id})
 		return NewFailure(OutcomeUnknown, pomelorelay.CodeAnswerCrossed, nil)
 	}
-	if x.links.cfg.Protocol.NotRun(x.Response) {
+	if x.client.cfg.Protocol.NotRun(x.Response) {
 		return x.refusedFailure()
 	}
-	if !x.links.cfg.Protocol.AllowCloseDelimited && !x.isDelimited(req) {
+	if !x.client.cfg.Protocol.AllowCloseDelimited && !x.isDelimited(req) {
 		return NewFailure(OutcomeUnknown, pomelorelay.CodeAnswerMalformed, errors.New("answer has neither Content-Length nor chunked encoding, so truncation cannot be detected"))
 	}
 	return nil
@@ -245,7 +245,7 @@
 	keep := x.Complete && released && x.IDEchoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
 	if keep {
 		x.conn.maxIdle = x.maxIdle()
-		x.links.conns.put(x.addr, x.conn)
+		x.client.conns.put(x.addr, x.conn)
 		return
 	}
 	x.conn.Close()
@@ -258,7 +258,7 @@
 // maxIdle returns how long the connection may stay idle. If an upstream closes an idle connection while it is being reused,
 // the router cannot know whether the request ran.
 func (x *Exchange) maxIdle() time.Duration {
-	idle := x.links.cfg.IdleTimeout
+	idle := x.client.cfg.IdleTimeout
 	_, after, found := strings.Cut(x.Response.Header.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return idle
--- a/pomelolink/link_test.go
+++ b/pomelolink/link_test.go
@@ -18,7 +18,7 @@
 
 const idField = "Request-Id"
 
-func newLinks(t *testing.T) *pomelolink.Client {
+func newClient(t *testing.T) *pomelolink.Client {
 	t.Helper()
 	l := pomelolink.New(pomelolink.Config{
 		Protocol:       pomelolink.Protocol{IDHeader: idField, NotRun: func(*http.Response) bool { return false }, AllowCloseDelimited: true},
@@ -74,7 +74,7 @@
 }
 
 func TestIdleConnectionsAreReused(t *testing.T) {
-	l, addr := newLinks(t), serve(t, "")
+	l, addr := newClient(t), serve(t, "")
 	for range 5 {
 		exchange(t, l, addr)
 	}
@@ -86,13 +86,13 @@
 // An upstream closes idle connections after the timeout in its Keep-Alive field. Whether a request sent during the close ran is
 // unknown, and a non-idempotent request then fails for its caller.
 func TestConnectionsNearIdleTimeoutAreNotReused(t *testing.T) {
-	l, addr := newLinks(t), serve(t, "Keep-Alive: timeout=0\r\n")
+	l, addr := newClient(t), serve(t, "Keep-Alive: timeout=0\r\n")
 	exchange(t, l, addr)
 	exchange(t, l, addr)
 	if n := l.ConnectionsOpened(); n != 2 {
 		t.Errorf("%d connections opened, want 2 because the first must not be reused", n)
 	}
-	l, addr = newLinks(t), serve(t, "Connection: close\r\n")
+	l, addr = newClient(t), serve(t, "Connection: close\r\n")
 	exchange(t, l, addr)
 	exchange(t, l, addr)
 	if n := l.ConnectionsOpened(); n != 2 {
@@ -108,8 +108,8 @@
 	addr := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
 	req := &http.Request{Method: "GET", URL: &url.URL{Scheme: "http", Host: addr.String(), Path: "/"}, Header: http.Header{}, Body: http.NoBody}
-	_, f := newLinks(t).Open(context.Background(), pomelolink.UpstreamRequest{Addr: addr, Request: req})
+	_, f := newClient(t).Open(context.Background(), pomelolink.UpstreamRequest{Addr: addr, Request: req})
 	if f == nil || f.Outcome != pomelolink.OutcomeNotSent || f.Err.Code != pomelorelay.CodeUpstreamUnreached {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want OutcomeNotSent with CodeUpstreamUnreached", f)
 	}
 }
--- a/pomelolink/pool.go
+++ b/pomelolink/pool.go
@@ -137,12 +137,12 @@
 
 // RefusesConnections reports whether the upstream refuses connections, which distinguishes a crash from a single broken connection. It
 // probes twice, since a dying process may close its connections shortly before its listener.
-func (l *Client) RefusesConnections(ctx context.Context, addr netip.AddrPort) bool {
+func (c *Client) RefusesConnections(ctx context.Context, addr netip.AddrPort) bool {
 	for n := range crashProbes {
 		if n > 0 {
 			time.Sleep(crashProbeInterval)
 		}
-		raw, err := l.conns.dialer.DialContext(ctx, "tcp", addr.String())
+		raw, err := c.conns.dialer.DialContext(ctx, "tcp", addr.String())
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true
 		}
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -14,10 +14,10 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// The states of a waiter. Whoever changes it from waiterWaiting, by compare-and-swap, decides how the wait ends.
+// The states of a waiter. The goroutine that changes the state from waiterWaiting, by compare-and-swap, decides how the wait ends.
 const (
 	waiterWaiting int32 = iota
-	waiterGranted
+	waiterAnswered
 	waiterWithdrawn
 )
 
@@ -48,7 +48,8 @@
 // admission implements pomeloroute.Admission by posting events to the control goroutine.
 type admission struct{ n *Node }
 
-// Admit waits for a grant; it fails when the queue refuses the request, when WaitUntil has passed or when ctx is done.
+// Admit waits for a grant, or for a bypass slot while the control goroutine is stalled. It fails when the queue refuses the request, when
+// WaitUntil has passed or when ctx is done.
 func (a admission) Admit(ctx context.Context, r pomeloroute.AdmitRequest) (pomeloroute.Ticket, error) {
 	w := &waiter{request: r, id: pomelorelay.RequestID(a.n.lastAttemptID.Add(1)), answer: make(chan admitResult, 1)}
 	a.n.mail.post(requestQueued{w})
@@ -101,11 +102,11 @@
 	return nil, e
 }
 
-func (g admitResult) unwrap() (pomeloroute.Ticket, error) {
-	if g.err != nil {
-		return nil, g.err
+func (r admitResult) unwrap() (pomeloroute.Ticket, error) {
+	if r.err != nil {
+		return nil, r.err
 	}
-	return g.ticket, nil
+	return r.ticket, nil
 }
 
 // ticket is a granted slot.
@@ -196,14 +197,14 @@
 }
 
 func (c *control) refuse(w *waiter, err error) {
-	if w.state.CompareAndSwap(waiterWaiting, waiterGranted) {
+	if w.state.CompareAndSwap(waiterWaiting, waiterAnswered) {
 		w.answer <- admitResult{err: err}
 	}
 }
 
 // receiveGrant uses an owner's grant for the first request in fair queue order; it returns the grant if it cannot be used.
 func (c *control) receiveGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) {
-	usable := c.asker.AcceptGrant(now, from, g)
+	usable := c.slotRequester.AcceptGrant(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
 	if !usable || !known || c.leaving[g.Upstream] || c.isStale(now) {
 		c.settleGrant(now, g.ID, g.Pool, pomeloslot.Settlement{State: pomelorelay.GrantReturned})
@@ -240,7 +241,7 @@
 			continue
 		}
 		delete(c.waiting, id)
-		if w != nil && w.state.CompareAndSwap(waiterWaiting, waiterGranted) {
+		if w != nil && w.state.CompareAndSwap(waiterWaiting, waiterAnswered) {
 			return w
 		}
 		c.queues.Finish(now, id, 0)
@@ -256,9 +257,9 @@
 	return false
 }
 
-// skip reports whether a request should wait for an upstream other than the grant's, at most maxSkipsPerRequest times. The other
-// upstreams may be in failure domains to which this router sends no demand while its own has idle slots, and without the limit the
-// request could wait until its deadline.
+// skip reports whether a request should wait for an upstream other than the grant's, and counts the skip. It returns true at most
+// maxSkipsPerRequest times per request: the other upstreams may be in failure domains to which this router sends no demand while its
+// own has idle slots, and without the limit the request could wait until its deadline.
 func (c *control) skip(w *waiter, g *pomelorelay.Grant) bool {
 	if w.skips >= maxSkipsPerRequest || !hasFailedAt(w, g.Upstream) || !c.hasAlternative(w, g.Pool) {
 		return false
@@ -284,5 +285,5 @@
 	if ok {
 		s.Head, s.Waiting = head, waiting
 	}
-	c.outgoing = c.asker.SettleGrant(now, id, s, c.outgoing)
+	c.outgoing = c.slotRequester.SettleGrant(now, id, s, c.outgoing)
 }
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -70,13 +70,13 @@
 		Incarnation: n.incarnation,
 		Grant:       pomeloslot.GrantOptions{TTL: s.GrantTTL},
 	})
-	c.asker = pomeloslot.NewRequester(pomeloslot.RequesterConfig{
+	c.slotRequester = pomeloslot.NewRequester(pomeloslot.RequesterConfig{
 		Node:    n.self.Node,
 		Domain:  n.self.Domain,
 		Regions: c.regions,
 		Seed:    uint64(n.incarnation),
 	})
-	c.spreader = pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{
+	c.configSyncer = pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{
 		PullTimeout: s.ConfigPull,
 		Seed:        uint64(n.incarnation),
 		Logger:      n.cfg.Logger,
@@ -134,7 +134,7 @@
 		Alive:            c.mayStillSettle,
 		CommitsPerSecond: n.cfg.Settings.Control.ClaimCommits / float64(n.cfg.Settings.Control.ClaimShards),
 	})
-	c.claimAsker = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
+	c.claimRequester = pomeloclaim.NewRequester(pomeloclaim.RequesterConfig{
 		Node:        n.self.Node,
 		Incarnation: n.incarnation,
 		Shards:      uint32(n.cfg.Settings.Control.ClaimShards),
@@ -153,12 +153,12 @@
 		Self:   n.self.Node,
 		Logger: n.cfg.Logger,
 		FingerprintArbiter: func(f pomelorelay.Fingerprint) (pomelorelay.NodeID, bool) {
-			return pomelomember.Owner(fingerprintKey(f), c.jobs.peers)
+			return pomelomember.Owner(fingerprintKey(f), c.jobs.members)
 		},
 		UpstreamArbiter: func(id pomelorelay.UpstreamID) (pomelorelay.NodeID, bool) {
-			return pomelomember.Owner("suspect/"+string(id), c.jobs.peers)
+			return pomelomember.Owner("suspect/"+string(id), c.jobs.members)
 		},
-		Members: func() []pomelorelay.NodeID { return c.jobs.peers },
+		Members: func() []pomelorelay.NodeID { return c.jobs.members },
 	}
 	c.quarantine = pomeloquarantine.NewTable(cfg)
 	c.arbiter = pomeloquarantine.NewArbiter(cfg)
--- a/pomelonode/bypass.go
+++ b/pomelonode/bypass.go
@@ -12,9 +12,9 @@
 // stallThreshold is the age of the control goroutine's heartbeat from which requests use bypass slots.
 const stallThreshold = 250 * time.Millisecond
 
-// bypassSlots lets one request at a time through to each upstream while the control goroutine is stalled. Without it, all callers
-// would wait until the stall ends, even with idle upstreams. Slot owners do not know of these requests, at most one per router and
-// upstream, but the upstream's reported load includes them.
+// bypassSlots admits one request at a time to each upstream of the router's failure domain while the control goroutine is stalled.
+// Without it, all callers would wait until the stall ends, even with idle upstreams. Slot owners do not know of these requests, at most
+// one per router and upstream, but the upstream's reported load includes them.
 type bypassSlots struct {
 	mu   sync.Mutex
 	busy map[pomelorelay.UpstreamID]bool
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -44,7 +44,7 @@
 	if e.w.cancelled {
 		return
 	}
-	e.w.nonce = c.claimAsker.Claim(now, e.w.key, e.w.content, &c.claimOut)
+	e.w.nonce = c.claimRequester.Claim(now, e.w.key, e.w.content, &c.claimOut)
 	c.claimWaiters[e.w.nonce] = e.w
 }
 
@@ -56,13 +56,13 @@
 	e.w.cancelled = true
 	if c.claimWaiters[e.w.nonce] != nil {
 		delete(c.claimWaiters, e.w.nonce)
-		c.claimAsker.Cancel(now, e.w.nonce, &c.claimOut)
+		c.claimRequester.Cancel(now, e.w.nonce, &c.claimOut)
 		return
 	}
 	select {
 	case v := <-e.w.answer:
 		if v.State == pomelorelay.ClaimFresh {
-			c.claimAsker.Settle(now, v.Nonce, true, 0, pomelorelay.ClaimOutcome{}, &c.claimOut)
+			c.claimRequester.Settle(now, v.Nonce, true, 0, pomelorelay.ClaimOutcome{}, &c.claimOut)
 		}
 	default:
 	}
@@ -75,7 +75,7 @@
 
 func (e claimedRequestEnded) apply(c *control, now time.Time) {
 	s := e.settlement
-	c.claimAsker.Settle(now, e.claim.Nonce, s.Released, s.State, s.Outcome, &c.claimOut)
+	c.claimRequester.Settle(now, e.claim.Nonce, s.Released, s.State, s.Outcome, &c.claimOut)
 }
 
 // storeOpDone is posted when a store operation of the claim keeper returns.
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -22,7 +22,7 @@
 type rootRead struct{ data []byte }
 
 func (e rootRead) apply(c *control, now time.Time) {
-	c.spreader.HandleStoredRoot(now, e.data)
+	c.configSyncer.HandleStoredRoot(now, e.data)
 	c.compile()
 }
 
@@ -30,17 +30,17 @@
 type partRead struct{ data []byte }
 
 func (e partRead) apply(c *control, now time.Time) {
-	c.spreader.HandleStoredPart(now, e.data)
+	c.configSyncer.HandleStoredPart(now, e.data)
 	c.compile()
 }
 
-// fetchConfig reads the root and the parts that the spreader needs from the store.
+// fetchConfig reads the configuration root and parts that the syncer needs from the store.
 func (c *control) fetchConfig(now time.Time) {
-	wants := c.spreader.PendingStoreReads(now)
-	if wants.Root {
+	reads := c.configSyncer.PendingStoreReads(now)
+	if reads.Root {
 		c.n.readRoot()
 	}
-	for _, hash := range wants.Parts {
+	for _, hash := range reads.Parts {
 		c.n.readPart(hash)
 	}
 }
@@ -48,7 +48,7 @@
 // compile builds the snapshot of a complete candidate in a separate goroutine, because with 37,000 accounts it takes long enough
 // to delay grants.
 func (c *control) compile() {
-	candidate, ok := c.spreader.Candidate()
+	candidate, ok := c.configSyncer.Candidate()
 	if !ok || candidate.Root.Generation == c.compiling {
 		return
 	}
@@ -76,11 +76,11 @@
 
 func (e configCompiled) apply(c *control, now time.Time) {
 	if e.err != nil {
-		c.outgoing = c.spreader.MarkRefused(e.generation, pomelorelay.CodeOf(e.err), c.outgoing)
+		c.outgoing = c.configSyncer.MarkRefused(e.generation, pomelorelay.CodeOf(e.err), c.outgoing)
 		return
 	}
-	c.spreader.MarkInForce(e.generation)
-	if c.spreader.Generation() != e.generation {
+	c.configSyncer.MarkInForce(e.generation)
+	if c.configSyncer.Generation() != e.generation {
 		c.compiling = 0
 		c.compile()
 		return
@@ -122,7 +122,7 @@
 		return
 	}
 	c.queues.SetPoolOptions(pool, pomelofair.PoolOptions{CatchUp: service.CatchUp, MaxWaiting: service.MaxWaiting, MaxWaitingBytes: service.MaxWaitingBytes})
-	c.asker.SetSpill(pool, pomeloslot.SpillOptions{DomainMargin: service.SpillDomain, RegionMargin: service.SpillRegion})
+	c.slotRequester.SetSpill(pool, pomeloslot.SpillOptions{DomainMargin: service.SpillDomain, RegionMargin: service.SpillRegion})
 }
 
 // publishTraffic publishes a new trafficView for the request path.
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -28,20 +28,20 @@
 type control struct {
 	n *Node
 
-	memberView   *pomelomember.View
-	members      *pomelomember.Snapshot
-	reachable    []pomelorelay.DomainID
-	reachableNow []pomelorelay.DomainID
-	queues       *pomelofair.Queues
-	owner        *pomeloslot.Owner
-	asker        *pomeloslot.Requester
-	ledger       *pomeloledger.Ledger
-	reporter     *pomeloledger.Reporter
-	keeper       *pomeloclaim.Keeper
-	claimAsker   *pomeloclaim.Requester
-	quarantine   *pomeloquarantine.Table
-	arbiter      *pomeloquarantine.Arbiter
-	spreader     *pomeloconfig.Syncer
+	memberView     *pomelomember.View
+	members        *pomelomember.Snapshot
+	reachable      []pomelorelay.DomainID
+	reachableNow   []pomelorelay.DomainID
+	queues         *pomelofair.Queues
+	owner          *pomeloslot.Owner
+	slotRequester  *pomeloslot.Requester
+	ledger         *pomeloledger.Ledger
+	reporter       *pomeloledger.Reporter
+	keeper         *pomeloclaim.Keeper
+	claimRequester *pomeloclaim.Requester
+	quarantine     *pomeloquarantine.Table
+	arbiter        *pomeloquarantine.Arbiter
+	configSyncer   *pomeloconfig.Syncer
 
 	snapshot      *pomeloconfig.Snapshot
 	compiling     pomelorelay.Generation
@@ -75,7 +75,7 @@
 	expired []pomelorelay.RequestID
 	skipped []pomelorelay.RequestID
 	changes []pomelomember.Change
-	// lastRoundAt is when the last round ended; staleSince is when a pause was detected, zero after a later read of the host list.
+	// lastRoundAt is when the last round ended. staleSince is when a pause was detected; a host list read that started later resets it to zero.
 	lastRoundAt        time.Time
 	staleSince         time.Time
 	lastStatusAt       time.Time
@@ -142,16 +142,16 @@
 	c.outgoing = c.owner.Tick(now, c.outgoing)
 	c.publishSlots(now)
 	c.outgoing = c.memberView.Tick(now, c.outgoing)
-	c.outgoing = c.asker.Tick(now, c.outgoing)
+	c.outgoing = c.slotRequester.Tick(now, c.outgoing)
 	c.tickLedger(now)
 	c.keeper.Tick(now, &c.claimOut)
-	c.claimAsker.Tick(now, &c.claimOut)
+	c.claimRequester.Tick(now, &c.claimOut)
 	c.quarantine.Tick(now, &c.suspectOut)
-	c.outgoing = c.spreader.Tick(now, c.outgoing)
+	c.outgoing = c.configSyncer.Tick(now, c.outgoing)
 	c.fetchConfig(now)
 	for pool := range c.pools {
-		c.queues.SetVirtualTime(pool, c.asker.VirtualTime(pool))
-		c.queues.RaiseMaxVirtualTime(pool, c.asker.MaxVirtualTime(now, pool))
+		c.queues.SetVirtualTime(pool, c.slotRequester.VirtualTime(pool))
+		c.queues.RaiseMaxVirtualTime(pool, c.slotRequester.MaxVirtualTime(now, pool))
 	}
 	if now.Sub(c.lastStatusAt) >= statusInterval {
 		c.lastStatusAt = now
@@ -159,11 +159,11 @@
 	}
 }
 
-// publishSlots passes the state of the slots that this router owns to its digests and to its own asker.
+// publishSlots passes the state of the slots that this router owns to its digests and to its own slot requester.
 func (c *control) publishSlots(now time.Time) {
 	c.slots = c.owner.Digests(now, c.slots[:0])
 	c.memberView.SetSlots(c.slots)
-	c.asker.UpdateDigests(now, c.slots)
+	c.slotRequester.UpdateDigests(now, c.slots)
 }
 
 // chargeProgress charges the cost accrued by running requests.
@@ -201,7 +201,7 @@
 	c.logRebuiltShards()
 }
 
-// flush sends the components' output until there is none left; messages to this router itself can produce more.
+// flush sends the components' output. Messages to this router itself can produce more, which is sent in up to maxLocalRounds rounds.
 func (c *control) flush(now time.Time) {
 	for range maxLocalRounds {
 		c.flushHeads(now)
@@ -228,7 +228,7 @@
 		c.heads = append(c.heads, pomeloslot.PoolDemand{Pool: pool, Head: head, Waiting: waiting})
 		delete(c.changedPools, pool)
 	}
-	c.outgoing = c.asker.UpdateDemand(now, c.heads, c.outgoing)
+	c.outgoing = c.slotRequester.UpdateDemand(now, c.heads, c.outgoing)
 }
 
 // send passes a message to the mesh, or directly to receive if it is for this router. A message that the mesh refuses is lost, as on a
--- a/pomelonode/fleet_test.go
+++ b/pomelonode/fleet_test.go
@@ -72,26 +72,26 @@
 
 var errUnreachable = pomelorelay.NewError(pomelorelay.CodeStoreUnavailable, "unreachable", nil)
 
-func (g *partitionableStore) Get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
-	if g.unreachable.Load() {
+func (s *partitionableStore) Get(ctx context.Context, key pomelorelay.StoreKey) (pomelorelay.Record, error) {
+	if s.unreachable.Load() {
 		return pomelorelay.Record{}, errUnreachable
 	}
-	return g.Store.Get(ctx, key)
+	return s.Store.Get(ctx, key)
 }
 
-func (g *partitionableStore) CompareAndSwap(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, error) {
-	if g.unreachable.Load() {
+func (s *partitionableStore) CompareAndSwap(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, error) {
+	if s.unreachable.Load() {
 		return 0, errUnreachable
 	}
-	return g.Store.CompareAndSwap(ctx, key, value, old, lease)
+	return s.Store.CompareAndSwap(ctx, key, value, old, lease)
 }
 
-func (g *partitionableStore) Watch(ctx context.Context, key pomelorelay.StoreKey, after pomelorelay.Revision) (pomelorelay.Record, error) {
-	if g.unreachable.Load() {
+func (s *partitionableStore) Watch(ctx context.Context, key pomelorelay.StoreKey, after pomelorelay.Revision) (pomelorelay.Record, error) {
+	if s.unreachable.Load() {
 		return pomelorelay.Record{}, errUnreachable
 	}
-	record, err := g.Store.Watch(ctx, key, after)
-	if g.unreachable.Load() {
+	record, err := s.Store.Watch(ctx, key, after)
+	if s.unreachable.Load() {
 		return pomelorelay.Record{}, errUnreachable
 	}
 	return record, err
@@ -103,11 +103,11 @@
 	unreachable atomic.Bool
 }
 
-func (g *partitionableHosts) Hosts(ctx context.Context) ([]pomelorelay.Host, error) {
-	if g.unreachable.Load() {
+func (h *partitionableHosts) Hosts(ctx context.Context) ([]pomelorelay.Host, error) {
+	if h.unreachable.Load() {
 		return nil, errUnreachable
 	}
-	return g.HostList.Hosts(ctx)
+	return h.HostList.Hosts(ctx)
 }
 
 // newFleet starts routers, assigned round robin to the failure domains, on an in-memory network.
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -44,7 +44,7 @@
 		return
 	}
 	c.leaving[id] = true
-	c.asker.MarkLeaving(id)
+	c.slotRequester.MarkLeaving(id)
 	c.owner.MarkLeaving(c.now(), id)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventLeaving, field("Upstream", string(id)))
@@ -72,7 +72,7 @@
 func (c *control) markStaying(now time.Time, id pomelorelay.UpstreamID) {
 	delete(c.leaving, id)
 	delete(c.leavingSeenAt, id)
-	c.asker.ClearLeaving(id)
+	c.slotRequester.ClearLeaving(id)
 	c.outgoing = c.owner.ClearLeaving(now, id, c.outgoing)
 	c.publishTraffic()
 	c.n.log(pomelorelay.EventUpstreamBack, field("Upstream", string(id)))
@@ -95,8 +95,9 @@
 	}
 }
 
-// awaitHostRead waits for the remainder of the interval, which is longer in a large fleet, or until a router contacts this one that the
-// host list did not contain. A new router gets no digests, and cannot serve, until its address is known. It returns false if ctx is done.
+// awaitHostRead waits for the remainder of the interval, which is longer in a large fleet, or until a message arrives from a router that
+// the host list did not contain: a new router gets no digests, and cannot serve, until its address is known. It returns false if ctx is
+// done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
 	timer := time.NewTimer(list.ReadInterval(n.status.Load().members) - list.Interval)
@@ -166,8 +167,9 @@
 	maxStale = 2 * time.Second
 )
 
-// detectPause detects that the control goroutine was paused, for example with the whole process. A grant used right after a pause could
-// send a request to an upstream that left meanwhile, so grants are returned until the host list has been read again.
+// detectPause detects that the control goroutine was paused, for example together with its process. A grant used right after a pause
+// could send a request to an upstream that started leaving during the pause, so grants are returned until the host list has been read
+// again or maxStale has passed.
 func (c *control) detectPause(now time.Time) {
 	if !c.lastRoundAt.IsZero() && now.Sub(c.lastRoundAt) > pauseThreshold {
 		c.staleSince = now
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -18,7 +18,8 @@
 	claims        map[pomelorelay.ShardID]bool
 	// rebuilding holds the hosted ledger shards that are not ready yet.
 	rebuilding map[pomelorelay.ShardID]bool
-	peers      []pomelorelay.NodeID
+	// members lists the live routers of reachable failure domains, including this one.
+	members []pomelorelay.NodeID
 }
 
 func newJobs() jobs {
@@ -35,8 +36,8 @@
 	c.members = c.memberView.Snapshot()
 	c.reachable = c.memberView.ReachableDomains(now, c.reachable[:0])
 	c.n.mesh.SetPeers(c.memberView.Peers(nil))
-	c.jobs.peers = c.reachableMembers()
-	c.spreader.SetPeers(c.otherMembers())
+	c.jobs.members = c.reachableMembers()
+	c.configSyncer.SetPeers(c.otherMembers())
 	c.placeUpstreams(now)
 	c.placeLedger(now)
 	c.placeClaims(now)
@@ -61,7 +62,7 @@
 
 func (c *control) otherMembers() []pomelorelay.NodeID {
 	var nodes []pomelorelay.NodeID
-	for _, node := range c.jobs.peers {
+	for _, node := range c.jobs.members {
 		if node != c.n.self.Node {
 			nodes = append(nodes, node)
 		}
@@ -89,11 +90,11 @@
 	for id, u := range c.upstreams {
 		node, ok := c.slotOwner(id, u.FailureDomain)
 		mine := ok && node == c.n.self.Node
-		stop, held := c.jobs.stopLoadReads[id]
-		if mine == held {
+		stop, owned := c.jobs.stopLoadReads[id]
+		if mine == owned {
 			continue
 		}
-		if held {
+		if owned {
 			stop()
 			delete(c.jobs.stopLoadReads, id)
 			c.owner.RemoveUpstream(id)
@@ -113,7 +114,7 @@
 func (c *control) ownUpstream(now time.Time, id pomelorelay.UpstreamID) {
 	u := c.upstreams[id]
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
-	c.outgoing = c.owner.AddUpstream(now, slot, c.jobs.peers, c.outgoing)
+	c.outgoing = c.owner.AddUpstream(now, slot, c.jobs.members, c.outgoing)
 	if u.FailureDomain != c.n.self.Domain {
 		// The upstream's domain may be partitioned from this one while the owner there still grants slots, so nothing is
 		// granted here until the upstream itself has reported its load.
@@ -189,10 +190,10 @@
 // no router would accept the last settlements, and stopping a whole fleet would reach its time limit. Several keepers of a
 // shard fence each other at the store.
 func (c *control) claimKeeper(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
-	if len(c.jobs.peers) == 0 {
+	if len(c.jobs.members) == 0 {
 		return c.n.self.Node, true
 	}
-	return pomelomember.Owner("claim/"+strconv.Itoa(int(shard)), c.jobs.peers)
+	return pomelomember.Owner("claim/"+strconv.Itoa(int(shard)), c.jobs.members)
 }
 
 func ledgerKey(shard pomelorelay.ShardID) string { return "ledger/" + strconv.Itoa(int(shard)) }
--- a/pomelonode/leaving_test.go
+++ b/pomelonode/leaving_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxLeaveDelay is the longest time after the host list shows an upstream as leaving in which it may get new requests.
+// maxLeaveDelay is how long an upstream may still get new requests after the host list shows it as leaving.
 const maxLeaveDelay = 3 * time.Second
 
 // checkLeaving makes the status server of the first failure domain leave and fails the test if it gets requests from the given
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -18,8 +18,8 @@
 	maxClaimsWait = 20 * time.Second
 )
 
-// headerLimitFactor is the ratio of net/http's header limit to the configured one. Above its limit net/http answers in plain text; between
-// the two limits the handler refuses the request with a result code.
+// headerLimitFactor is the ratio of net/http's header limit to the configured one. Above its own limit net/http refuses a request in plain
+// text; between the two limits the handler refuses it with a result code.
 const headerLimitFactor = 4
 
 // Listen starts serving the caller and the operator port; it fails with CodeListen if it cannot listen on an address.
@@ -81,7 +81,7 @@
 	})
 }
 
-// Drain makes the router not ready and refuse new requests, and hands over its jobs; Stop completes the stop.
+// Drain marks the router as not ready, refuses new requests and hands over its jobs; Stop completes the stop.
 func (n *Node) Drain() {
 	if n.stopping.Swap(true) {
 		return
@@ -150,7 +150,9 @@
 // openClaimsRequested is posted to get the number of open claims after all earlier events have been applied.
 type openClaimsRequested struct{ answer chan int }
 
-func (e openClaimsRequested) apply(c *control, _ time.Time) { e.answer <- c.claimAsker.OpenClaims() }
+func (e openClaimsRequested) apply(c *control, _ time.Time) {
+	e.answer <- c.claimRequester.OpenClaims()
+}
 
 // shutdownServers closes the listeners and waits for requests that arrived in the meantime.
 func (n *Node) shutdownServers(ctx context.Context) {
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -28,7 +28,7 @@
 }
 
 func (e loadRead) apply(c *control, now time.Time) {
-	if _, held := c.jobs.stopLoadReads[e.upstream]; held {
+	if _, owned := c.jobs.stopLoadReads[e.upstream]; owned {
 		c.outgoing = c.owner.HandleLoadReport(now, e.upstream, e.load, c.outgoing)
 		c.loads[e.upstream] = e.load
 	}
@@ -38,7 +38,7 @@
 type loadReadFailed struct{ upstream pomelorelay.UpstreamID }
 
 func (e loadReadFailed) apply(c *control, now time.Time) {
-	if _, held := c.jobs.stopLoadReads[e.upstream]; held {
+	if _, owned := c.jobs.stopLoadReads[e.upstream]; owned {
 		c.owner.MarkCrashed(now, e.upstream)
 		c.n.log(pomelorelay.EventLoadLost, field("Upstream", string(e.upstream)))
 	}
@@ -79,7 +79,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return load, pomelorelay.NewError(pomelorelay.CodeNoUpstream, "the load was not reported", nil)
+		return load, pomelorelay.NewError(pomelorelay.CodeNoUpstream, "GET /load was not answered with status 200", nil)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxLoadBytes)).Decode(&load)
 	return load, err
--- a/pomelonode/node.go
+++ b/pomelonode/node.go
@@ -15,7 +15,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// Config configures a Node. Store, HostList and Mesh are created from Settings if nil; Clock and Logger have defaults.
+// Config configures a Node. Store, HostList and Mesh are created from Settings if nil. A nil Clock means the system clock, a nil Logger
+// no logging.
 type Config struct {
 	Settings pomeloconfig.Settings
 	Store    pomelorelay.Store
@@ -27,7 +28,7 @@
 	Incarnation pomelorelay.Incarnation
 }
 
-// counters are the counters that /debug/vars publishes.
+// counters holds the counters that /debug/vars publishes.
 type counters struct {
 	sendsRefused    atomic.Uint64
 	hostReadsFailed atomic.Uint64
@@ -69,7 +70,7 @@
 	errs      chan error
 }
 
-// New creates a router and starts its goroutines; Listen opens its ports. It fails with the code of the store client or of the mesh.
+// New creates a router and starts its goroutines; Listen opens its ports. It fails if the store client or the mesh cannot be created.
 func New(cfg Config) (*Node, error) {
 	n := &Node{
 		cfg:               cfg,
@@ -225,8 +226,8 @@
 type configSource struct{ n *Node }
 
 // Current returns the active configuration, nil before the first one.
-func (d configSource) Current() pomeloroute.Snapshot {
-	view := d.n.traffic.Load()
+func (s configSource) Current() pomeloroute.Snapshot {
+	view := s.n.traffic.Load()
 	if view == nil || view.snapshot == nil {
 		return nil
 	}
--- a/pomelonode/random_test.go
+++ b/pomelonode/random_test.go
@@ -148,7 +148,7 @@
 	case notRun && runs != 0:
 		t.Errorf("%s ran although every answer stated that it did not", b.key)
 	case answered && runs != 1:
-		t.Errorf("%s was answered and ran %d times", b.key, runs)
+		t.Errorf("%s was answered but ran %d times, want 1", b.key, runs)
 	}
 	return answered
 }
--- a/pomelonode/receive.go
+++ b/pomelonode/receive.go
@@ -11,7 +11,7 @@
 	if e.From != c.n.self.Node {
 		c.memberView.RecordMessage(now, e.From, e.Incarnation)
 		c.generations[e.From] = max(c.generations[e.From], e.Generation)
-		c.outgoing = c.spreader.HandleGeneration(now, e.From, e.Generation, c.outgoing)
+		c.outgoing = c.configSyncer.HandleGeneration(now, e.From, e.Generation, c.outgoing)
 	}
 	switch m := e.Message.(type) {
 	case *pomelorelay.Demand:
@@ -21,7 +21,7 @@
 	case *pomelorelay.GrantReply:
 		c.outgoing = c.owner.HandleReply(now, e.From, m, c.outgoing)
 	case *pomelorelay.RunningQuery:
-		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.asker.RunningReport(m.Upstream)})
+		c.send(now, pomelorelay.Outgoing{To: e.From, Message: c.slotRequester.RunningReport(m.Upstream)})
 	case *pomelorelay.RunningReport:
 		c.outgoing = c.owner.HandleRunningReport(now, e.From, m, c.outgoing)
 	case *pomelorelay.LeavingNotice:
@@ -53,12 +53,12 @@
 	case *pomelorelay.LedgerComponentQuery:
 		c.outgoing = c.ledger.HandleComponentQuery(now, e.From, m, c.outgoing)
 	case *pomelorelay.ConfigPull:
-		c.outgoing = c.spreader.HandlePull(now, e.From, m, c.outgoing)
+		c.outgoing = c.configSyncer.HandlePull(now, e.From, m, c.outgoing)
 	case *pomelorelay.ConfigPush:
-		c.outgoing = c.spreader.HandlePush(now, e.From, m, c.outgoing)
+		c.outgoing = c.configSyncer.HandlePush(now, e.From, m, c.outgoing)
 		c.compile()
 	case *pomelorelay.ConfigApplied:
-		c.spreader.HandleApplied(now, e.From, m)
+		c.configSyncer.HandleApplied(now, e.From, m)
 	default:
 		c.receiveClaimOrSuspect(now, e)
 	}
@@ -70,11 +70,11 @@
 	case *pomelorelay.ClaimAsk:
 		c.keeper.HandleAsk(now, e.From, m, &c.claimOut)
 	case *pomelorelay.ClaimAnswer:
-		c.claimAsker.HandleAnswer(now, m, &c.claimOut)
+		c.claimRequester.HandleAnswer(now, m, &c.claimOut)
 	case *pomelorelay.ClaimSettle:
 		c.keeper.HandleSettle(now, e.From, m, &c.claimOut)
 	case *pomelorelay.ClaimSettled:
-		c.claimAsker.HandleSettled(m)
+		c.claimRequester.HandleSettled(m)
 	case *pomelorelay.SuspectNotice:
 		c.quarantine.HandleSuspectNotice(now, m, &c.suspectOut)
 	case *pomelorelay.SuspectAsk:
@@ -94,8 +94,8 @@
 	if !c.memberView.AddressKnown(e.From) {
 		c.n.requestHostRead()
 	}
-	c.asker.UpdateDigests(now, m.Slots)
-	c.outgoing = c.asker.Tick(now, c.outgoing)
+	c.slotRequester.UpdateDigests(now, m.Slots)
+	c.outgoing = c.slotRequester.Tick(now, c.outgoing)
 }
 
 func (c *control) receiveTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) {
--- a/pomelonode/stall_test.go
+++ b/pomelonode/stall_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestStalledStoreDoesNotBlockIdempotentRequests(t *testing.T) {
-	// The store is slow to answer every call. Idempotent requests must not wait for the store anywhere on their path.
+	// The store delays its answer to every call. Idempotent requests must not wait for the store anywhere on their path.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	before := medianLatency(t, f.routers[0])
--- a/pomelonode/status.go
+++ b/pomelonode/status.go
@@ -76,15 +76,15 @@
 		Domain:      n.self.Domain,
 		Region:      n.self.Region,
 		Incarnation: n.incarnation,
-		Generation:  c.spreader.Generation(),
+		Generation:  c.configSyncer.Generation(),
 		Ready:       n.Ready(),
 		Stopping:    n.stopping.Load(),
 		Evacuated:   c.evacuated,
 		Jobs:        jobStatus{Upstreams: len(c.jobs.stopLoadReads), LedgerShards: len(c.jobs.ledger), ClaimShards: len(c.jobs.claims)},
-		members:     len(c.jobs.peers),
-		Claims:      c.claimAsker.Phases(),
+		members:     len(c.jobs.members),
+		Claims:      c.claimRequester.Phases(),
 	}
-	for _, node := range c.jobs.peers {
+	for _, node := range c.jobs.members {
 		peer, _ := c.members.Peer(node)
 		generation := c.generations[node]
 		if node == n.self.Node {
@@ -108,7 +108,7 @@
 	var pools []poolStatus
 	for pool := range c.pools {
 		head, waiting, _ := c.queues.Head(c.now(), pool)
-		pools = append(pools, poolStatus{pool, waiting, head, c.asker.VirtualTime(pool), running[pool]})
+		pools = append(pools, poolStatus{pool, waiting, head, c.slotRequester.VirtualTime(pool), running[pool]})
 	}
 	slices.SortFunc(pools, func(a, b poolStatus) int { return strings.Compare(string(a.Pool), string(b.Pool)) })
 	return pools
--- a/pomelonode/tls_test.go
+++ b/pomelonode/tls_test.go
@@ -158,7 +158,7 @@
 			node.Close()
 		}
 		if !pomelorelay.IsErrCode(err, pomelorelay.CodeMeshTLS) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: New returned %v, want CodeMeshTLS", c.name, err)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	for i := range f.routers {
 		f.start(i)
 	}
-	await(t, "the coming expiry is logged", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysEnding) > 0 })
+	await(t, "the approaching expiry is logged", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysEnding) > 0 })
 	if n := f.routers[0].log.count(pomelorelay.EventMeshKeysEnding); n != 0 {
 		t.Errorf("the expiry of a certificate with half its validity left was logged %d times, want 0", n)
 	}
--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestRefusedRequestsGetResultCodes(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{MaxHeaders: 10})
 	b.services["status"].MaxBody = 8
 	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {})
@@ -195,7 +195,7 @@
 	first := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	again := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	if runs != 1 || again.body != first.body || again.status != http.StatusCreated || again.head.Get("Content-Type") != "text/x-booking" || again.head.Get("Idempotency-Replayed") != "true" {
-		t.Errorf("%d runs, then %d %q", runs, again.status, again.body)
+		t.Errorf("the booking ran %d times and the retry got %d %q", runs, again.status, again.body)
 	}
 	if p := b.call("POST", "/booking/jobs", "necklace", "Idempotency-Key", "k").problem(t); p.Code != pomelorelay.CodeClaimConflict {
 		t.Errorf("another body under the key: got %+v", p)
@@ -244,7 +244,7 @@
 	}
 }
 
-// A caller cancels a repeatable request. The upstream must be cancelled too, or its slot stays in use for an answer that nobody reads.
+// A caller cancels a repeatable request. The upstream must be cancelled too, or its slot stays in use for an answer that is not read.
 func TestCallerCancelReachesUpstream(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
@@ -319,19 +319,19 @@
 func TestTruncatedLargeAnswerIsDetected(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{MaxBufferedAnswer: 1 << 10})
 	large := strings.Repeat("pearl ", 100<<10)
-	for _, whole := range []bool{true, false} {
+	for _, complete := range []bool{true, false} {
 		b.upstreams = nil
 		b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 			id, _ := w.read(r)
 			text := plainAnswer(id, large)
-			if !whole {
+			if !complete {
 				text = text[:len(text)-1]
 			}
 			conn.Write(text)
 		}).addr())
 		a := b.call("GET", "/status/ring", "")
-		if (a.err == nil && a.body == large) != whole || (a.err == nil) != whole {
-			t.Errorf("complete %v: got %d bytes, %v", whole, len(a.body), a.err)
+		if (a.err == nil && a.body == large) != complete || (a.err == nil) != complete {
+			t.Errorf("complete %v: got %d bytes, %v", complete, len(a.body), a.err)
 		}
 	}
 }
--- a/pomeloroute/bench_test.go
+++ b/pomeloroute/bench_test.go
@@ -52,8 +52,8 @@
 	}
 	slices.Sort(direct)
 	slices.Sort(routed)
-	at := func(list []time.Duration, part int) float64 {
-		return float64(list[len(list)*part/100].Microseconds())
+	at := func(list []time.Duration, percent int) float64 {
+		return float64(list[len(list)*percent/100].Microseconds())
 	}
 	b.ReportMetric(at(direct, 50), "direct-p50-µs")
 	b.ReportMetric(at(routed, 50), "routed-p50-µs")
--- a/pomeloroute/claimed.go
+++ b/pomeloroute/claimed.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// recordOutcome stores a complete answer for retries of the call; of a larger or unbuffered one it stores only status and
-// content type.
+// recordOutcome stores a complete answer for retries of the call. If the answer was not buffered or exceeds MaxStoredOutcome, only its
+// status and content type are stored.
 func (c *call) recordOutcome(resp *http.Response, body []byte, complete bool) {
 	if !c.claimed {
 		return
--- a/pomeloroute/config.go
+++ b/pomeloroute/config.go
@@ -135,7 +135,7 @@
 	Outcome pomelorelay.ClaimOutcome
 }
 
-// Claims stores durable claims on the keys of non-idempotent requests.
+// Claims stores durable claims on idempotency keys.
 type Claims interface {
 	// Claim blocks until the claim's state is known; a claim that could not be stored has the state ClaimRefused.
 	Claim(ctx context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (Claim, error)
@@ -154,7 +154,7 @@
 	QuarantineFor time.Duration
 }
 
-// Suspects limits how many upstreams a request that crashes upstreams can reach.
+// Suspects limits how many upstreams a request can crash.
 type Suspects interface {
 	// CheckQuarantine fails with CodeQuarantined if the fingerprint is quarantined; it never blocks.
 	CheckQuarantine(f pomelorelay.Fingerprint) error
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -25,7 +25,7 @@
 type Handler struct {
 	cfg     Config
 	router  *mux.Router
-	links   *pomelolink.Client
+	client  *pomelolink.Client
 	buffers *pomelolink.Buffers
 	lastID  atomic.Uint64
 	// buffered is the total size in bytes of the bodies of all requests in progress.
@@ -41,17 +41,17 @@
 	h := &Handler{
 		cfg:     cfg,
 		router:  mux.NewRouter().SkipClean(true).UseEncodedPath(),
-		links:   newLinks(cfg),
+		client:  newClient(cfg),
 		budgets: make(map[pomelorelay.ServiceID]*pomelobudget.Budget),
 	}
-	h.buffers = h.links.Buffers()
+	h.buffers = h.client.Buffers()
 	h.router.HandleFunc("/{service}", h.serve)
 	h.router.PathPrefix("/{service}/").HandlerFunc(h.serve)
 	h.router.NotFoundHandler = http.HandlerFunc(h.unknownPath)
 	return h
 }
 
-func newLinks(cfg Config) *pomelolink.Client {
+func newClient(cfg Config) *pomelolink.Client {
 	return pomelolink.New(pomelolink.Config{
 		Protocol:       pomelolink.Protocol{IDHeader: headerRequestID, NotRun: isNotRun},
 		MaxHeaderBytes: cfg.Options.MaxHeaderBytes,
@@ -72,7 +72,7 @@
 
 // Close closes the idle connections to upstreams; it always returns nil.
 func (h *Handler) Close() error {
-	h.links.Close()
+	h.client.Close()
 	return nil
 }
 
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -39,7 +39,7 @@
 	})
 	b.addUpstream(upstream.addr())
 	b.addUpstream(upstream.addr())
-	const leastBytes = 150
+	const minRequestBytes = 150
 	falseNotRun, sentTwice := 0, 0
 	for {
 		before := upstream.started.Load()
@@ -56,7 +56,7 @@
 		}
 		cut.Add(1)
 	}
-	if cut.Load() < leastBytes || falseNotRun != 0 || sentTwice != 0 {
+	if cut.Load() < minRequestBytes || falseNotRun != 0 || sentTwice != 0 {
 		t.Errorf("%d cut requests: %d falsely reported as not run, %d sent twice", cut.Load(), falseNotRun, sentTwice)
 	}
 }
@@ -89,14 +89,14 @@
 				if ran := upstream.requests.Load() - before; ran != 1 {
 					t.Fatalf("cut at %d: ran %d times", cut.Load(), ran)
 				}
-				whole := a.err == nil && a.status == http.StatusOK && a.body == "booked ring 4711"
-				if whole != (cut.Load() >= size.Load()) {
+				complete := a.err == nil && a.status == http.StatusOK && a.body == "booked ring 4711"
+				if complete != (cut.Load() >= size.Load()) {
 					wrong++
 				}
 				if a.err != nil && framing == "length" {
 					t.Fatalf("cut at %d: a short answer was not buffered until it was complete: %v", cut.Load(), a.err)
 				}
-				if !whole && a.err == nil && a.problem(t).Ran != pomelorelay.RanUnknown {
+				if !complete && a.err == nil && a.problem(t).Ran != pomelorelay.RanUnknown {
 					falseNotRun++
 				}
 			}
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// spendRetry reports whether the request may be retried, and takes the retry from the service's budget. Retries after an attempt that was
-// not sent are free: they put no load on an upstream, and a restarting one causes several within milliseconds. So are retries after a
-// crash, when all requests of the upstream retry at once: the one that caused it would use up the budget of the others. Quarantine
-// limits its retries, and the slots of a crashed upstream are not granted.
+// spendRetry reports whether the retry budget allows a retry, and spends it. Retries after unsent attempts are free: they load no upstream,
+// and one restart causes several within milliseconds. So are retries after a crash: all requests of the upstream retry at once, and the one
+// that crashed it would use up the budget of the others. Those are limited by quarantine and by slot owners, which grant no slots of a
+// crashed upstream.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
@@ -156,7 +156,7 @@
 // reportRun reports to Suspects how the attempt ended. An upstream counts as crashed only if the connection broke and it refuses
 // new ones.
 func (c *call) reportRun(ctx context.Context, ticket Ticket, run SuspectRun, f *pomelolink.Failure) {
-	crashed := f != nil && f.ConnectionBroken && c.h.links.RefusesConnections(ctx, ticket.Upstream().Address)
+	crashed := f != nil && f.ConnectionBroken && c.h.client.RefusesConnections(ctx, ticket.Upstream().Address)
 	if !crashed {
 		c.h.cfg.Suspects.AttemptEnded(run, f == nil)
 		return
@@ -225,7 +225,7 @@
 	if err != nil {
 		return pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeBadRequest, err)
 	}
-	x, f := c.h.links.Open(ctx, pomelolink.UpstreamRequest{Addr: up.Address, Request: req, Size: len(c.bytes()), NewConnection: !c.repeatable()})
+	x, f := c.h.client.Open(ctx, pomelolink.UpstreamRequest{Addr: up.Address, Request: req, Size: len(c.bytes()), NewConnection: !c.repeatable()})
 	if f != nil {
 		return f
 	}
--- a/pomeloroute/stream_test.go
+++ b/pomeloroute/stream_test.go
@@ -35,7 +35,7 @@
 	return append(events, "data: [DONE]\n\n")
 }
 
-func wholeStream() string { return strings.Join(engineEvents(0), "") }
+func completeStream() string { return strings.Join(engineEvents(0), "") }
 
 // chunkedStream returns the bytes of an answer with each event as a chunk.
 func chunkedStream(id string, events []string) string {
@@ -84,8 +84,8 @@
 
 // A stream breaks at any byte, and again while it is resumed. The caller must get every event once and in order.
 func TestStreamCutAtEveryByteIsResumed(t *testing.T) {
-	whole := chunkedStream("router-1-7-1", engineEvents(0))
-	size, head := len(whole), strings.Index(whole, "\r\n\r\n")+len("\r\n\r\n")
+	complete := chunkedStream("router-1-7-1", engineEvents(0))
+	size, head := len(complete), strings.Index(complete, "\r\n\r\n")+len("\r\n\r\n")
 	wrong := 0
 	// The long timeout avoids dial failures on an overloaded machine, which would end the request with CodeNoUpstream.
 	options := pomeloroute.Options{DialTimeout: 30 * time.Second}
@@ -94,7 +94,7 @@
 		engine, fresh := newTruncatingEngine(t, []int{cut, cut}, 2, true)
 		b.addUpstream(engine.addr()).Resumes = true
 		a := b.call("POST", "/drafter/v1/completions", streamBody)
-		right := a.err == nil && a.status == http.StatusOK && a.body == wholeStream()
+		right := a.err == nil && a.status == http.StatusOK && a.body == completeStream()
 		if cut < head {
 			// Without a complete header the answer is not known to be a stream, and there is no other engine to retry at.
 			right = a.err == nil && a.problem(t).Ran == pomelorelay.RanUnknown
@@ -122,7 +122,7 @@
 				continue
 			}
 			passed, _, broken := strings.Cut(a.body, "event: error\ndata: ")
-			if a.err != nil || !broken || !strings.HasPrefix(wholeStream(), passed) || strings.Contains(a.body, "[DONE]") || !strings.Contains(a.body, `"Code":1208`) {
+			if a.err != nil || !broken || !strings.HasPrefix(completeStream(), passed) || strings.Contains(a.body, "[DONE]") || !strings.Contains(a.body, `"Code":1208`) {
 				t.Errorf("cut at %d: got %d %v %q", cut, a.status, a.err, a.body)
 			}
 			if r := b.lastResult(); r.Outcome != pomelolink.OutcomeTruncated {
@@ -203,7 +203,7 @@
 			wg.Go(func() {
 				a := b.call("POST", "/drafter/v1/completions", streamBody)
 				done := strings.HasSuffix(a.body, "data: [DONE]\n\n")
-				if a.err == nil && done && a.body != wholeStream() {
+				if a.err == nil && done && a.body != completeStream() {
 					rt.Errorf("a truncated stream was forwarded as complete: %q", a.body)
 				}
 				if a.err == nil && !done && a.status == http.StatusOK && !strings.Contains(a.body, "event: error") {
@@ -215,7 +215,7 @@
 	})
 }
 
-// A caller disconnects during its stream; the engine must be cancelled, or it keeps generating tokens that nobody reads.
+// A caller disconnects during its stream; the engine must be cancelled, or it keeps generating tokens that are not read.
 func TestCallerCancelReachesEngine(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	cancelled := make(chan struct{})
--- a/pomelostore/lost_test.go
+++ b/pomelostore/lost_test.go
@@ -113,7 +113,7 @@
 }
 
 // Guards against a writer that sends a second write after a lost response instead of finding its nonce in the record.
-func TestLostWriteOutcomeByReadBack(t *testing.T) {
+func TestLostWriteIsResolvedByReadBack(t *testing.T) {
 	isOwn := func(value []byte) bool { return string(value) == "nonce" }
 	for _, c := range []struct {
 		record pomelorelay.Record
--- a/pomelostore/store_test.go
+++ b/pomelostore/store_test.go
@@ -126,7 +126,7 @@
 	wantCode(t, client.RenewLease(ctx, lease), pomelorelay.CodeStoreLeaseLapsed)
 }
 
-func TestHosts(t *testing.T) {
+func TestHostListIsDecoded(t *testing.T) {
 	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newMapStore(t))}})
 	hosts, err := client.Hosts(context.Background())
 	if err != nil || len(hosts) != 1 || !hosts[0].Leaving || hosts[0].Addr != netip.MustParseAddrPort("10.0.0.1:80") {
