--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// compile builds the snapshot of a complete candidate in a separate goroutine, because with 37,000 accounts it takes long enough
-// to delay grants.
+// compile builds the snapshot of a complete candidate in a separate goroutine, since for 37,000 accounts it takes long enough to delay
+// grants.
 func (c *control) compile() {
 	candidate, ok := c.configSyncer.Candidate()
 	if !ok || candidate.Root.Generation == c.compiling {
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -68,7 +68,7 @@
 	suspectOut   pomeloquarantine.Output
 	changedPools map[pomelorelay.PoolID]bool
 
-	heads   []pomeloslot.PoolDemand
+	demands []pomeloslot.PoolDemand
 	slots   []pomelorelay.SlotDigest
 	entries []pomelorelay.LedgerEntry
 	keys    []pomelorelay.LedgerKey
@@ -204,7 +204,7 @@
 // flush sends the components' output. Messages to this router itself can produce more, which is sent in up to maxLocalRounds rounds.
 func (c *control) flush(now time.Time) {
 	for range maxLocalRounds {
-		c.flushHeads(now)
+		c.flushDemand(now)
 		c.flushClaims()
 		c.flushSuspects()
 		if len(c.outgoing) == 0 {
@@ -218,17 +218,17 @@
 	}
 }
 
-func (c *control) flushHeads(now time.Time) {
+func (c *control) flushDemand(now time.Time) {
 	if len(c.changedPools) == 0 {
 		return
 	}
-	c.heads = c.heads[:0]
+	c.demands = c.demands[:0]
 	for pool := range c.changedPools {
 		head, waiting, _ := c.queues.Head(now, pool)
-		c.heads = append(c.heads, pomeloslot.PoolDemand{Pool: pool, Head: head, Waiting: waiting})
+		c.demands = append(c.demands, pomeloslot.PoolDemand{Pool: pool, Head: head, Waiting: waiting})
 		delete(c.changedPools, pool)
 	}
-	c.outgoing = c.slotRequester.UpdateDemand(now, c.heads, c.outgoing)
+	c.outgoing = c.slotRequester.UpdateDemand(now, c.demands, c.outgoing)
 }
 
 // send passes a message to the mesh, or directly to receive if it is for this router. A message that the mesh refuses is lost, as on a
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -100,7 +100,7 @@
 // done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
-	timer := time.NewTimer(list.ReadInterval(n.status.Load().members) - list.Interval)
+	timer := time.NewTimer(list.ReadInterval(n.status.Load().memberCount) - list.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -94,8 +94,8 @@
 // Drained returns a channel that is closed when draining starts.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Stop stops the router gracefully: it drains, waits for all requests in progress, and closes. It fails with CodeStopLate if
-// requests are still in progress when ctx is done.
+// Stop stops the router gracefully: it drains, waits for all requests in progress and for the outcomes of claimed ones to be stored, and
+// closes. It fails with CodeStopLate if requests are still in progress when ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
 	n.Drain()
 	err := n.awaitIdle(ctx)
--- a/pomelonode/status.go
+++ b/pomelonode/status.go
@@ -26,7 +26,7 @@
 	// Claims counts the open claims, for which a graceful stop waits.
 	Claims pomeloclaim.Phases
 
-	members int
+	memberCount int
 }
 
 type memberStatus struct {
@@ -81,7 +81,7 @@
 		Stopping:    n.stopping.Load(),
 		Evacuated:   c.evacuated,
 		Jobs:        jobStatus{Upstreams: len(c.jobs.stopLoadReads), LedgerShards: len(c.jobs.ledger), ClaimShards: len(c.jobs.claims)},
-		members:     len(c.jobs.members),
+		memberCount: len(c.jobs.members),
 		Claims:      c.claimRequester.Phases(),
 	}
 	for _, node := range c.jobs.members {
--- a/pomeloroute/stream.go
+++ b/pomeloroute/stream.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errNoUsage = errors.New("stream ended without a usage event")
-	errNoDone  = errors.New("stream ended without [DONE]")
+	errNoUsage          = errors.New("stream ended without a usage event")
+	errStreamIncomplete = errors.New("stream ended without [DONE] or without the end of its framing")
 )
 
 // stream forwards server-sent events, each once and only complete ones.
@@ -74,7 +74,7 @@
 			return nil
 		}
 		if errors.Is(err, io.EOF) {
-			return errNoDone
+			return errStreamIncomplete
 		}
 		if err != nil {
 			return err
@@ -169,7 +169,7 @@
 		s.x.CloseConnection()
 		return pomelolink.NewFailure(pomelolink.OutcomeTruncated, pomelorelay.CodeAnswerMalformed, err)
 	}
-	if errors.Is(err, errNoDone) {
+	if errors.Is(err, errStreamIncomplete) {
 		s.x.CloseConnection()
 		f := pomelolink.NewFailure(pomelolink.OutcomeTruncated, pomelorelay.CodeAnswerCutShort, err)
 		f.ConnectionBroken = true
@@ -213,7 +213,7 @@
 	return true
 }
 
-// abort ends a started stream with an error event; if nothing was sent to the caller, it only returns the failure.
+// abort ends a started stream with an error event, unless the caller has disconnected, and returns the failure.
 func (s *stream) abort(f *pomelolink.Failure) *pomelolink.Failure {
 	if !s.headerSent {
 		return f
