--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -79,7 +79,7 @@
 		case ev := <-c.e.events:
 			now := c.now()
 			ev.apply(c, now)
-			if c.placer.Urgent() && now.Sub(c.reportedAt) >= minReportGap {
+			if c.placer.ReportUrgent() && now.Sub(c.reportedAt) >= minReportGap {
 				c.report(now)
 			}
 		case m := <-c.e.mesh.Receive():
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -10,10 +10,10 @@
 func (c *control) logWarmups(now time.Time) {
 	cold := c.placer.ColdUpstreams(now)
 	for id, s := range cold {
-		if before, known := c.coldUpstreams[id]; known && before.Unreached == s.Unreached {
+		if before, known := c.coldUpstreams[id]; known && before.Unreachable == s.Unreachable {
 			continue
 		}
-		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Remaining.Milliseconds()), field("Unreached", s.Unreached), field("Holder", s.Holder))
+		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Remaining.Milliseconds()), field("Unreached", s.Unreachable), field("Holder", s.Holder))
 	}
 	for id := range c.coldUpstreams {
 		if _, still := cold[id]; !still {
--- a/pomelofake/fleetwire.go
+++ b/pomelofake/fleetwire.go
@@ -36,7 +36,7 @@
 
 // ParseCallerFields parses the headers of a caller's request; missing and malformed values are zero.
 func (TestWireFormat) ParseCallerFields(head http.Header) pomelorelay.CallerFields {
-	f := pomelorelay.CallerFields{ID: head.Get(TestHeaderRequestID), APIKey: head.Get(TestHeaderCallerKey)}
+	f := pomelorelay.CallerFields{RequestID: head.Get(TestHeaderRequestID), APIKey: head.Get(TestHeaderCallerKey)}
 	if ms, err := strconv.Atoi(head.Get(TestHeaderWait)); err == nil {
 		f.Timeout = time.Duration(ms) * time.Millisecond
 	}
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -197,7 +197,7 @@
 
 func (c *call) placementRequest() PlacementRequest {
 	return PlacementRequest{
-		ID:      c.fields.ID,
+		ID:      c.fields.RequestID,
 		Route:   c.route.Name,
 		Account: c.account,
 		Cost:    requestCost(c.fields),
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -62,7 +62,7 @@
 	if err := c.authenticate(); err != nil {
 		return err
 	}
-	if c.service, ok = c.table.PickService(route, c.fields.ID); !ok {
+	if c.service, ok = c.table.PickService(route, c.fields.RequestID); !ok {
 		return pomelorelay.NewError(pomelorelay.CodeNoUpstream, "the route has no service", nil)
 	}
 	c.setDeadline()
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -136,7 +136,7 @@
 		pomelorelay.Field{Key: "PauseMS", Value: c.longestPause.Milliseconds()},
 		pomelorelay.Field{Key: "ExpectedMS", Value: d.ExpectedLatency.Milliseconds()},
 		pomelorelay.Field{Key: "BacklogMS", Value: d.QueueDelay.Milliseconds()},
-		pomelorelay.Field{Key: "Term", Value: string(d.Term)},
+		pomelorelay.Field{Key: "Term", Value: string(d.LargestCostTerm)},
 		pomelorelay.Field{Key: "Missing", Value: int64(d.PrefillTokens)},
 		pomelorelay.Field{Key: "Shared", Value: int64(d.UncachedShared)},
 		pomelorelay.Field{Key: "Copied", Value: int64(d.CopiedTokens)},
@@ -156,7 +156,7 @@
 // log writes an event with the fields that identify the request.
 func (c *call) log(event pomelorelay.EventID, fields ...pomelorelay.Field) {
 	all := []pomelorelay.Field{
-		{Key: "Request", Value: c.fields.ID},
+		{Key: "Request", Value: c.fields.RequestID},
 		{Key: "Account", Value: string(c.account)},
 		{Key: "Upstream", Value: string(c.decision.Upstream.ID)},
 	}
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -92,8 +92,8 @@
 	Bound Bound
 	// Residency is the residency in force when the decision was made.
 	Residency pomelorelay.Residency
-	// Term is the largest term of the placement cost.
-	Term Term
+	// LargestCostTerm is the largest term of the placement cost.
+	LargestCostTerm Term
 	// RetryAfter is the estimated time until capacity is available.
 	RetryAfter time.Duration
 	Upstream   pomelorelay.FleetUpstream
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -185,7 +185,7 @@
 		return p.noUpstreamDecision(now, &r)
 	}
 	d := Decision{
-		Term:      best.largestTerm,
+		LargestCostTerm:      best.largestTerm,
 		ReportAge: p.reportAge(now),
 		Upstream:  best.up.info, ExpectedLatency: best.expectedLatency, QueueDelay: best.queueDelay, PrefillTokens: best.prefillTokens, UncachedShared: best.uncachedShared, Running: best.up.running(),
 	}
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -60,8 +60,8 @@
 // would trigger one; with a higher value other routers would send to the same engine in the meantime.
 const urgentTokens = 4000
 
-// Urgent reports whether a load report should be sent ahead of schedule.
-func (p *Placer) Urgent() bool {
+// ReportUrgent reports whether a load report should be sent ahead of schedule.
+func (p *Placer) ReportUrgent() bool {
 	return p.tokensSinceReport >= urgentTokens || len(p.pendingStarts) > 0
 }
 
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -101,7 +101,7 @@
 		near.RecordEnd(now, d.Run, pomeloplace.ResultCompleted)
 		now = now.Add(20 * time.Millisecond)
 	}
-	if !near.Urgent() {
+	if !near.ReportUrgent() {
 		t.Error("no urgent report to the other routers")
 	}
 	var m pomelorelay.LoadReport
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -139,8 +139,8 @@
 	Cold bool
 	// Remaining is the maximum remaining time of the cold or suspect period.
 	Remaining time.Duration
-	// Unreached reports that the upstream accepted no connection and has not answered since.
-	Unreached bool
+	// Unreachable reports that the upstream accepted no connection and has not answered since.
+	Unreachable bool
 	// Holder reports that this router holds a part of the upstream's bound.
 	Holder bool
 }
@@ -150,7 +150,7 @@
 	if !u.Cold(now) {
 		return Status{}
 	}
-	return Status{Cold: true, Remaining: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreached: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
+	return Status{Cold: true, Remaining: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreachable: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
 }
 
 // Admission returns the upstream's admission class for a request of this router.
--- a/wire.go
+++ b/wire.go
@@ -14,8 +14,8 @@
 
 // CallerFields holds the values of a caller's request headers.
 type CallerFields struct {
-	// ID identifies one attempt of a caller; upstreams echo it in their responses.
-	ID string
+	// RequestID identifies one attempt of a caller; upstreams echo it in their responses.
+	RequestID string
 	// Timeout is the caller's timeout; zero if unspecified.
 	Timeout time.Duration
 	// APIKey is the caller's API key; empty if there is none.
