--- a/cmd/pomelobench/pomeloload/recorder.go
+++ b/cmd/pomelobench/pomeloload/recorder.go
@@ -163,7 +163,7 @@
 // refusalDecidedAt returns when the router decided to refuse the attempt: on arrival if the code says that a queue was full, else
 // the zero time, since the code does not determine it.
 func refusalDecidedAt(sent pomelocheck.RequestSent, o outcome) time.Time {
-	if o.code == pomelorelay.CodeQueueCount || o.code == pomelorelay.CodeQueueBytes {
+	if o.code == pomelorelay.CodeQueueCountFull || o.code == pomelorelay.CodeQueueBytesFull {
 		return sent.At
 	}
 	return time.Time{}
--- a/cmd/pomelorelayd/main.go
+++ b/cmd/pomelorelayd/main.go
@@ -29,7 +29,7 @@
 
 func exitCode(err error) int {
 	switch pomelorelay.CodeOf(err) {
-	case pomelorelay.CodeListen, pomelorelay.CodeMeshListen, pomelorelay.CodeMeshTLS:
+	case pomelorelay.CodeCannotListen, pomelorelay.CodeMeshListen, pomelorelay.CodeMeshTLS:
 		return exitListen
 	case pomelorelay.CodeStopLate, pomelorelay.CodeInternal:
 		return exitRun
--- a/events_node.go
+++ b/events_node.go
@@ -7,9 +7,9 @@
 	EventStopping         EventID = 102
 	EventStopped          EventID = 103
 	EventJobsMoved        EventID = 105
-	EventLeaving          EventID = 106
+	EventUpstreamLeaving  EventID = 106
 	EventLoadLost         EventID = 107
-	EventControlStall     EventID = 108
+	EventControlStalled   EventID = 108
 	EventStopLate         EventID = 110
 	EventUpstreamBack     EventID = 111
 	EventClaimsUnsettled  EventID = 112
@@ -26,9 +26,9 @@
 	{EventStopping, "Stopping", LevelInfo, "A planned stop began; readiness is off.", "None."},
 	{EventStopped, "Stopped", LevelInfo, "The router ended its last request and stops.", "None."},
 	{EventJobsMoved, "JobsMoved", LevelDebug, "Shared jobs of this router changed with the members.", "None."},
-	{EventLeaving, "UpstreamLeaving", LevelInfo, "An upstream leaves and gets nothing new.", "None."},
+	{EventUpstreamLeaving, "UpstreamLeaving", LevelInfo, "An upstream leaves and gets nothing new.", "None."},
 	{EventLoadLost, "LoadLost", LevelWarn, "An upstream's load cannot be read; it gets no grants until it can.", "Look at the upstream."},
-	{EventControlStall, "ControlStalled", LevelWarn, "The control thread did not answer; idempotent requests use the spare slots.", "Look at the host's processor."},
+	{EventControlStalled, "ControlStalled", LevelWarn, "The control thread did not answer; idempotent requests use the spare slots.", "Look at the host's processor."},
 	{EventStopLate, "StopLate", LevelWarn, "A planned stop reached its bound with requests in progress.", "Raise Control.StopWait."},
 	{EventUpstreamBack, "UpstreamBack", LevelInfo, "An upstream is no longer leaving.", "None."},
 	{EventClaimsUnsettled, "ClaimsUnsettled", LevelWarn, "A planned stop ended while the store did not yet hold how some claimed requests ended; their repeats hear that the outcome is unknown.", "Look at the store."},
--- a/events_quarantine.go
+++ b/events_quarantine.go
@@ -2,13 +2,13 @@
 
 // Events of crash suspects and quarantine, 700 to 799.
 const (
-	EventSuspects    EventID = 700
-	EventQuarantined EventID = 701
-	EventLifted      EventID = 702
+	EventSuspects         EventID = 700
+	EventQuarantined      EventID = 701
+	EventQuarantineLifted EventID = 702
 )
 
 var quarantineEvents = []EventInfo{
 	{EventSuspects, "Suspects", LevelWarn, "An upstream crashed; the requests that ran there are suspects.", "Look at the upstream's log."},
 	{EventQuarantined, "Quarantined", LevelError, "A request crashed an upstream a second time and is refused everywhere for a while.", "Tell its client account; lift the quarantine if it is wrong."},
-	{EventLifted, "QuarantineLifted", LevelInfo, "A quarantine was lifted by an operator.", "None."},
+	{EventQuarantineLifted, "QuarantineLifted", LevelInfo, "A quarantine was lifted by an operator.", "None."},
 }
--- a/fleet.go
+++ b/fleet.go
@@ -152,8 +152,8 @@
 	Peers            []Peer
 	RemovedPeers     []NodeID
 	// Evacuated are failure domains whose upstreams get no new requests; Restored are those whose evacuation has ended.
-	Evacuated []DomainID
-	Restored  []DomainID
+	Evacuated       []DomainID
+	RestoredDomains []DomainID
 	// EntryErrors holds an error for each upstream entry that cannot be decoded; these upstreams are also in RemovedUpstreams.
 	EntryErrors []error
 }
--- a/messages.go
+++ b/messages.go
@@ -43,8 +43,8 @@
 	Upstream UpstreamID
 	Pool     PoolID
 	Seq      uint64
-	// Head is the tag of the request at the head of the queue, Waiting the number of queued requests.
-	Head    Tag
+	// HeadTag is the tag of the request at the head of the queue, Waiting the number of queued requests.
+	HeadTag Tag
 	Waiting uint32
 	// Prefixes holds hashes of the prompt prefixes of the request at the head of the queue, for cache affinity.
 	Prefixes []uint64
@@ -52,11 +52,11 @@
 
 // Grant allows a router to send one request to an upstream within TTL after the grant arrives.
 type Grant struct {
-	ID       GrantID
-	Upstream UpstreamID
-	Pool     PoolID
-	TTL      time.Duration
-	LastTag  Tag
+	ID             GrantID
+	Upstream       UpstreamID
+	Pool           PoolID
+	TTL            time.Duration
+	LastGrantedTag Tag
 }
 
 // GrantState is the outcome of a grant.
@@ -218,8 +218,8 @@
 
 // ConfigPull asks a peer for a configuration root newer than Above, and for parts by hash.
 type ConfigPull struct {
-	Above Generation
-	Parts []Hash
+	AboveGeneration Generation
+	Parts           []Hash
 }
 
 // ConfigPush carries the root and parts of the configuration; the receiver verifies all hashes.
@@ -230,9 +230,9 @@
 
 // ConfigApplied announces the generation in force at a router and, if it refused a newer one, that generation and the result code.
 type ConfigApplied struct {
-	Generation Generation
-	Refused    Generation
-	Code       ResultCode
+	Generation        Generation
+	RefusedGeneration Generation
+	Code              ResultCode
 }
 
 // ClaimState is the state of the claim to run a non-idempotent request.
@@ -240,7 +240,7 @@
 
 // Values of ClaimState.
 const (
-	ClaimFresh    ClaimState = iota + 1 // the requesting router holds the claim and may send the request once
+	ClaimGranted  ClaimState = iota + 1 // the requesting router holds the claim and may send the request once
 	ClaimRunning                        // another router holds the claim and may have sent the request
 	ClaimDone                           // the request ran and its outcome is stored
 	ClaimUnknown                        // the request may have run; its outcome is unknown
--- a/messages_load.go
+++ b/messages_load.go
@@ -23,8 +23,8 @@
 	Served    Cost
 }
 
-// PartPlaced reports that a part of a prompt was sent to an upstream, which caches it for a while.
-type PartPlaced struct {
+// PromptPartPlaced reports that a part of a prompt was sent to an upstream, which caches it for a while.
+type PromptPartPlaced struct {
 	Upstream UpstreamID
 	Hash     uint64
 	Tokens   Tokens
@@ -37,7 +37,7 @@
 	Full      bool
 	Upstreams []UpstreamLoad
 	Accounts  []AccountUse
-	Parts     []PartPlaced
+	Parts     []PromptPartPlaced
 	// Leaving are upstreams that the router knows to be draining or gone.
 	Leaving []UpstreamID
 	// Speeds are the measured prefill speeds of the engines.
@@ -92,7 +92,7 @@
 	Peers            []Peer
 	RemovedPeers     []NodeID
 	Evacuated        []DomainID
-	Restored         []DomainID
+	RestoredDomains  []DomainID
 	// Document is the operators' configuration; empty if unchanged.
 	Document []byte
 	// Forwarded states that the relay of a failure domain forwarded the update to the domain's routers.
--- a/pomelobudget/budget.go
+++ b/pomelobudget/budget.go
@@ -10,26 +10,26 @@
 	Max float64
 }
 
-// Budget limits retries to a fraction of a service's requests; it is safe for concurrent use. Without it, upstreams that fail under load
+// RetryBudget limits retries to a fraction of a service's requests; it is safe for concurrent use. Without it, upstreams that fail under load
 // would receive each request several times and never recover: load would rise while the number of answers falls.
-type Budget struct {
+type RetryBudget struct {
 	cfg    Config
 	mu     sync.Mutex
 	tokens float64
 }
 
 // New returns a Budget with the initial number of retries.
-func New(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Initial} }
+func New(cfg Config) *RetryBudget { return &RetryBudget{cfg: cfg, tokens: cfg.Initial} }
 
 // Earn adds the fraction of a retry that one request allows, up to the maximum.
-func (b *Budget) Earn(fraction float64) {
+func (b *RetryBudget) Earn(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+fraction, b.cfg.Max)
 }
 
 // Spend takes one retry from the budget; it reports false if none is left.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -93,9 +93,9 @@
 		t.Errorf("answered before the store held the claim: %+v", got)
 	}
 	d.runStoreOps()
-	d.expectState(1, pomelorelay.ClaimFresh)
+	d.expectState(1, pomelorelay.ClaimGranted)
 	d.ask(1, "k", 7)
-	d.expectState(1, pomelorelay.ClaimFresh)
+	d.expectState(1, pomelorelay.ClaimGranted)
 	d.ask(2, "k", 7)
 	d.expectState(2, pomelorelay.ClaimRunning)
 	d.ask(3, "k", 8)
@@ -151,7 +151,7 @@
 	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[0]), &out)
 	other.HandleAsk(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
 	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[1]), &out)
-	if len(out.Messages) != 1 || out.Messages[0].Message.(*pomelorelay.ClaimAnswer).State != pomelorelay.ClaimFresh {
+	if len(out.Messages) != 1 || out.Messages[0].Message.(*pomelorelay.ClaimAnswer).State != pomelorelay.ClaimGranted {
 		t.Fatalf("the second keeper answered %+v, want one fresh claim", out.Messages)
 	}
 	d.out.StoreOps = paused
@@ -174,7 +174,7 @@
 			t.Errorf("effect %v: answered before the result of the write was known", effect)
 		}
 		d.runStoreOps()
-		d.expectState(1, pomelorelay.ClaimFresh)
+		d.expectState(1, pomelorelay.ClaimGranted)
 	}
 }
 
@@ -237,7 +237,7 @@
 	}
 	d.ask(20000, "k0", 7)
 	d.runStoreOps()
-	d.expectState(20000, pomelorelay.ClaimFresh)
+	d.expectState(20000, pomelorelay.ClaimGranted)
 }
 
 // A stored record is corrupt. Starting from an empty record would allow requests that have run to run again.
@@ -287,7 +287,7 @@
 	for n := range 300 {
 		var out pomeloclaim.Output
 		nonce := a.Claim(now, keyOf(fmt.Sprint(n)), 1, &out)
-		a.HandleAnswer(now, &pomelorelay.ClaimAnswer{Key: keyOf(fmt.Sprint(n)), Nonce: nonce, State: pomelorelay.ClaimFresh}, &out)
+		a.HandleAnswer(now, &pomelorelay.ClaimAnswer{Key: keyOf(fmt.Sprint(n)), Nonce: nonce, State: pomelorelay.ClaimGranted}, &out)
 		a.Settle(now, nonce, false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Body: []byte("x")}, &out)
 	}
 	if a.OpenClaims() != 100 {
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -135,7 +135,7 @@
 	case c.Content != uint64(a.ask.Content):
 		state = pomelorelay.ClaimConflict
 	case c.heldBy(a.ask.Nonce) && !c.Settled:
-		state = pomelorelay.ClaimFresh
+		state = pomelorelay.ClaimGranted
 	case state == pomelorelay.ClaimDone:
 		outcome = c.outcome()
 	case state == pomelorelay.ClaimRunning:
@@ -163,7 +163,7 @@
 // requester cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim
 // that it does not know and ignores the notice otherwise.
 func notifyHolder(a *pendingAsk, c *claimRecord, out *Output) {
-	m := &pomelorelay.ClaimAnswer{Shard: a.ask.Shard, Key: a.ask.Key, State: pomelorelay.ClaimFresh}
+	m := &pomelorelay.ClaimAnswer{Shard: a.ask.Shard, Key: a.ask.Key, State: pomelorelay.ClaimGranted}
 	copy(m.Nonce[:], c.Nonce)
 	out.send(pomelorelay.NodeID(c.Asker), m)
 }
@@ -335,7 +335,7 @@
 	}
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
 		if asks[a] {
-			sendAnswer(a.from, &a.ask, pomelorelay.ClaimFresh, pomelorelay.ClaimOutcome{}, out)
+			sendAnswer(a.from, &a.ask, pomelorelay.ClaimGranted, pomelorelay.ClaimOutcome{}, out)
 		}
 		return asks[a]
 	})
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -17,8 +17,8 @@
 	CommitBurst float64
 	// SettleDelay is how long a settlement may be delayed to share a commit, 500 ms by default.
 	SettleDelay time.Duration
-	// RefuseAfter is how long a claim may wait for the store before it is refused, 2 s by default.
-	RefuseAfter time.Duration
+	// MaxStoreWait is how long a claim may wait for the store before it is refused, 2 s by default.
+	MaxStoreWait time.Duration
 	// RetryDelay is the delay before a failed store operation is repeated, 200 ms by default.
 	RetryDelay time.Duration
 	// SealBytes is the size of the head's claims above which settled claims are moved to a segment, 128 KiB by default.
@@ -91,7 +91,7 @@
 		c.MaxPending = defaultMaxPending
 	}
 	setDefaultDuration(&c.SettleDelay, defaultSettleDelay)
-	setDefaultDuration(&c.RefuseAfter, defaultRefuseAfter)
+	setDefaultDuration(&c.MaxStoreWait, defaultRefuseAfter)
 	setDefaultDuration(&c.RetryDelay, defaultRetryDelay)
 	setDefaultDuration(&c.Retention, defaultRetention)
 	setDefaultDuration(&c.RunningTimeout, defaultRunningTimeout)
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -296,7 +296,7 @@
 	}
 	delete(r.calls, v.Nonce)
 	f.latencies = append(f.latencies, f.now.Sub(c.startedAt))
-	if v.State != pomelorelay.ClaimFresh {
+	if v.State != pomelorelay.ClaimGranted {
 		f.replies[c.key] = append(f.replies[c.key], reply{state: v.State})
 		return
 	}
@@ -319,7 +319,7 @@
 		})
 	default:
 		f.runs[c.key]++
-		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimFresh, ran: true})
+		f.replies[c.key] = append(f.replies[c.key], reply{state: pomelorelay.ClaimGranted, ran: true})
 		f.after(time.Duration(5+f.rng.IntN(200))*time.Millisecond, func() {
 			f.runOn(r, incarnation, func() {
 				settle(false, pomelorelay.ClaimDone, pomelorelay.ClaimOutcome{Status: 201, Body: []byte("booked " + c.key)})
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -21,7 +21,7 @@
 	outage        bool
 }
 
-// outageWaitDivisor divides RefuseAfter while the store is known to be unavailable.
+// outageWaitDivisor divides MaxStoreWait while the store is known to be unavailable.
 const outageWaitDivisor = 8
 
 type opKind int
@@ -134,9 +134,9 @@
 // unavailable, so that callers are refused early and can retry later.
 func (k *Keeper) maxStoreWait() time.Duration {
 	if k.outage {
-		return k.cfg.RefuseAfter / outageWaitDivisor
+		return k.cfg.MaxStoreWait / outageWaitDivisor
 	}
-	return k.cfg.RefuseAfter
+	return k.cfg.MaxStoreWait
 }
 
 // refuseOverdue refuses claims that have waited too long for the store. Such a claim may still become durable; then only
--- a/pomeloclaim/requester.go
+++ b/pomeloclaim/requester.go
@@ -94,7 +94,7 @@
 	}
 	out.Verdicts = append(out.Verdicts, Verdict{Key: m.Key, Nonce: m.Nonce, State: m.State, Outcome: m.Outcome})
 	switch m.State {
-	case pomelorelay.ClaimFresh:
+	case pomelorelay.ClaimGranted:
 		t.phase = phaseRunning
 	case pomelorelay.ClaimDone:
 		a.endAttempt(m.Nonce, t)
@@ -112,7 +112,7 @@
 // releaseUntracked releases a claim of this process that became durable after its attempt ended. Keepers ignore the release
 // of a settled claim, so a duplicate answer is harmless.
 func (a *Requester) releaseUntracked(now time.Time, m *pomelorelay.ClaimAnswer, out *Output) {
-	if m.State != pomelorelay.ClaimFresh || !a.isOwn(m.Nonce) {
+	if m.State != pomelorelay.ClaimGranted || !a.isOwn(m.Nonce) {
 		return
 	}
 	t := a.addAttempt(now, m.Nonce)
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -140,7 +140,7 @@
 		if crashed[key] {
 			continue
 		}
-		valid := state == pomelorelay.ClaimFresh || state == pomelorelay.ClaimRefused || (state == pomelorelay.ClaimUnknown && f.runs[key] == 1)
+		valid := state == pomelorelay.ClaimGranted || state == pomelorelay.ClaimRefused || (state == pomelorelay.ClaimUnknown && f.runs[key] == 1)
 		if ran > 0 {
 			valid = state == pomelorelay.ClaimDone || (unknown && state == pomelorelay.ClaimUnknown)
 		}
--- a/pomeloclaim/shard.go
+++ b/pomeloclaim/shard.go
@@ -195,7 +195,7 @@
 // handleCorruptRecord delays the next read of a shard whose record cannot be decoded. The shard refuses claims meanwhile:
 // starting from an empty record would allow requests that have run to run again.
 func (k *Keeper) handleCorruptRecord(now time.Time, s *shard, key pomelorelay.StoreKey) {
-	s.retryAt = now.Add(k.cfg.RefuseAfter)
+	s.retryAt = now.Add(k.cfg.MaxStoreWait)
 	k.cfg.Logger.Log(pomelorelay.EventClaimRecordBroken, pomelorelay.Field{Key: "Key", Value: string(key)})
 }
 
--- a/pomeloconfig/settings_control.go
+++ b/pomeloconfig/settings_control.go
@@ -8,23 +8,23 @@
 
 // Defaults of the Control section.
 const (
-	DefaultDomainBytes      = pomelorelay.Bytes(128 << 10)
-	DefaultRegionBytes      = pomelorelay.Bytes(128 << 10)
-	DefaultCrossBytes       = pomelorelay.Bytes(64 << 10)
-	DefaultDigestInterval   = time.Second
-	DefaultLedgerInterval   = 250 * time.Millisecond
-	DefaultExchangeInterval = time.Second
-	DefaultProbeWait        = 300 * time.Millisecond
-	DefaultSuspectFor       = time.Second
-	DefaultGrantTTL         = time.Second
-	DefaultLoadInterval     = 250 * time.Millisecond
-	DefaultClaimCommits     = 200.0
-	DefaultConfigPull       = 500 * time.Millisecond
-	DefaultStopWait         = 5 * time.Minute
-	DefaultShards           = 64
-	DefaultClaimShards      = 16
-	DefaultConfigWatchers   = 2
-	DefaultAdmissionCharge  = 0.35
+	DefaultDomainBytesPerSecond = pomelorelay.Bytes(128 << 10)
+	DefaultRegionBytesPerSecond = pomelorelay.Bytes(128 << 10)
+	DefaultCrossBytesPerSecond  = pomelorelay.Bytes(64 << 10)
+	DefaultDigestInterval       = time.Second
+	DefaultLedgerInterval       = 250 * time.Millisecond
+	DefaultExchangeInterval     = time.Second
+	DefaultProbeWait            = 300 * time.Millisecond
+	DefaultSuspectFor           = time.Second
+	DefaultGrantTTL             = time.Second
+	DefaultLoadInterval         = 250 * time.Millisecond
+	DefaultClaimCommits         = 200.0
+	DefaultConfigPull           = 500 * time.Millisecond
+	DefaultStopWait             = 5 * time.Minute
+	DefaultShards               = 64
+	DefaultClaimShards          = 16
+	DefaultConfigWatchers       = 2
+	DefaultAdmissionCharge      = 0.35
 )
 
 // ControlSettings sets the intervals and byte budgets of the traffic between routers.
@@ -64,9 +64,9 @@
 }
 
 func (s *ControlSettings) fillDefaults() {
-	setBytes(&s.DomainBytes, DefaultDomainBytes)
-	setBytes(&s.RegionBytes, DefaultRegionBytes)
-	setBytes(&s.CrossBytes, DefaultCrossBytes)
+	setBytes(&s.DomainBytes, DefaultDomainBytesPerSecond)
+	setBytes(&s.RegionBytes, DefaultRegionBytesPerSecond)
+	setBytes(&s.CrossBytes, DefaultCrossBytesPerSecond)
 	setDuration(&s.DigestInterval, DefaultDigestInterval)
 	setDuration(&s.LedgerInterval, DefaultLedgerInterval)
 	setDuration(&s.ExchangeInterval, DefaultExchangeInterval)
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -172,7 +172,7 @@
 
 // sendPull requests a newer root and the next missing parts of the target.
 func (s *Syncer) sendPull(now time.Time, to pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
-	pull := &pomelorelay.ConfigPull{Above: s.highestKnown(), Parts: s.missingParts(maxPullHashes)}
+	pull := &pomelorelay.ConfigPull{AboveGeneration: s.highestKnown(), Parts: s.missingParts(maxPullHashes)}
 	s.pull.peer = to
 	s.pull.parts = pull.Parts
 	s.pull.deadline = now.Add(s.cfg.PullTimeout)
--- a/pomeloconfig/syncer_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -13,7 +13,7 @@
 	if !s.admitPull(now, from) {
 		return out
 	}
-	if s.inForce.generation() > m.Above {
+	if s.inForce.generation() > m.AboveGeneration {
 		push := &pomelorelay.ConfigPush{Root: s.inForce.data}
 		out = append(out, pomelorelay.Outgoing{To: from, Message: push})
 	}
@@ -220,7 +220,7 @@
 	s.clearTarget()
 	s.cfg.Logger.Log(pomelorelay.EventConfigRefused,
 		pomelorelay.Field{Key: "Generation", Value: generation}, pomelorelay.Field{Key: "Code", Value: code})
-	m := &pomelorelay.ConfigApplied{Generation: s.inForce.generation(), Refused: generation, Code: code}
+	m := &pomelorelay.ConfigApplied{Generation: s.inForce.generation(), RefusedGeneration: generation, Code: code}
 	for _, peer := range s.peers {
 		out = append(out, pomelorelay.Outgoing{To: peer, Message: m})
 	}
@@ -229,7 +229,7 @@
 
 // HandleApplied records a peer's report that it cannot apply a generation.
 func (s *Syncer) HandleApplied(_ time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigApplied) {
-	if _, ok := slices.BinarySearch(s.peers, from); ok && m.Refused > 0 {
+	if _, ok := slices.BinarySearch(s.peers, from); ok && m.RefusedGeneration > 0 {
 		s.refusals[from] = *m
 	}
 }
@@ -238,7 +238,7 @@
 func (s *Syncer) Refusals() map[pomelorelay.NodeID]pomelorelay.ConfigApplied {
 	refusals := make(map[pomelorelay.NodeID]pomelorelay.ConfigApplied, len(s.refusals))
 	for node, m := range s.refusals {
-		if s.peerGenerations[node] < m.Refused {
+		if s.peerGenerations[node] < m.RefusedGeneration {
 			refusals[node] = m
 		}
 	}
--- a/pomeloconfig/syncer_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -124,7 +124,7 @@
 	peer := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{})
 	peer.SetPeers([]pomelorelay.NodeID{"r"})
 	peer.HandleApplied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
-	if got := peer.Refusals()["r"]; got.Refused != 2 || got.Code != pomelorelay.CodeConfigInvalid {
+	if got := peer.Refusals()["r"]; got.RefusedGeneration != 2 || got.Code != pomelorelay.CodeConfigInvalid {
 		t.Fatalf("the peer recorded the refusal %+v", got)
 	}
 	peer.HandleGeneration(epoch, "r", 3, nil)
@@ -183,7 +183,7 @@
 	for step := 1; step <= 1000; step++ {
 		now := epoch.Add(time.Duration(step) * 100 * time.Millisecond)
 		for _, out := range s.Tick(now, nil) {
-			if pull := out.Message.(*pomelorelay.ConfigPull); out.To == "good" && pull.Above < 2 {
+			if pull := out.Message.(*pomelorelay.ConfigPull); out.To == "good" && pull.AboveGeneration < 2 {
 				s.HandlePush(now, "good", &pomelorelay.ConfigPush{Root: two.root}, nil)
 				for _, part := range two.parts {
 					s.HandlePush(now, "good", &pomelorelay.ConfigPush{Parts: [][]byte{part}}, nil)
--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -92,7 +92,7 @@
 // sourcePart is a placed prompt part and the source that placed it.
 type sourcePart struct {
 	source string
-	part   pomelorelay.PartPlaced
+	part   pomelorelay.PromptPartPlaced
 }
 
 // sourceStart is an upstream start and the source that reported it.
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -49,7 +49,7 @@
 		return
 	}
 	p.requestedAt = now
-	if err := c.e.mesh.Send(p.from, &pomelorelay.ConfigPull{Above: c.version()}); err != nil {
+	if err := c.e.mesh.Send(p.from, &pomelorelay.ConfigPull{AboveGeneration: c.version()}); err != nil {
 		// The peer is gone; the next message of another peer announces the generation again.
 		*p = pendingPull{}
 	}
@@ -64,7 +64,7 @@
 
 // sendConfig sends the configuration in force to a peer that has an older one.
 func (c *control) sendConfig(to pomelorelay.NodeID, m *pomelorelay.ConfigPull) {
-	if c.config == nil || c.config.Version <= m.Above {
+	if c.config == nil || c.config.Version <= m.AboveGeneration {
 		return
 	}
 	if err := c.e.mesh.Send(to, &pomelorelay.ConfigPush{Root: c.config.Document}); err != nil {
--- a/pomeloentry/evacuation.go
+++ b/pomeloentry/evacuation.go
@@ -14,7 +14,7 @@
 	for _, domain := range change.Evacuated {
 		c.setEvacuated(now, domain, true, source)
 	}
-	for _, domain := range change.Restored {
+	for _, domain := range change.RestoredDomains {
 		c.setEvacuated(now, domain, false, source)
 	}
 	if !change.Full {
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -58,8 +58,8 @@
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
-	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Evacuated: []pomelorelay.DomainID{"b"}, Restored: []pomelorelay.DomainID{"c"}})
-	if len(m.Evacuated) != 1 || len(m.Restored) != 1 {
+	m := f.UpdateFrom(pomelorelay.FleetChange{Revision: 10, Evacuated: []pomelorelay.DomainID{"b"}, RestoredDomains: []pomelorelay.DomainID{"c"}})
+	if len(m.Evacuated) != 1 || len(m.RestoredDomains) != 1 {
 		t.Fatalf("update without the evacuations that were read: %+v", m)
 	}
 	for _, c := range []struct {
@@ -74,7 +74,7 @@
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 11})
 		}, 2},
 		{"an update that takes one back", func() pomelorelay.Revision {
-			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, Revision: 12, Restored: []pomelorelay.DomainID{"c"}})
+			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, Revision: 12, RestoredDomains: []pomelorelay.DomainID{"c"}})
 		}, 1},
 		{"an old state", func() pomelorelay.Revision {
 			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 11})
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -86,7 +86,7 @@
 	f.store.DecodeConfig = func(document []byte) (*pomelorelay.FleetConfig, error) {
 		var c pomelorelay.FleetConfig
 		if err := json.Unmarshal(document, &c); err != nil {
-			return nil, pomelorelay.NewError(pomelorelay.CodePlatformConfig, "", err)
+			return nil, pomelorelay.NewError(pomelorelay.CodePlatformConfigUnreadable, "", err)
 		}
 		c.Document = document
 		return &c, nil
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -30,7 +30,7 @@
 	balancerDrainTime = 2500 * time.Millisecond
 )
 
-// Listen opens the router's ports and serves them. It fails with CodeListen when an address cannot be bound.
+// Listen opens the router's ports and serves them. It fails with CodeCannotListen when an address cannot be bound.
 func (e *Router) Listen() error {
 	settings := e.cfg.Settings
 	callers := &http.Server{
@@ -65,7 +65,7 @@
 func (e *Router) serve(s *http.Server, addr netip.AddrPort) error {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeListen, addr.String(), err)
+		return pomelorelay.NewError(pomelorelay.CodeCannotListen, addr.String(), err)
 	}
 	e.servers = append(e.servers, s)
 	if s.ConnState != nil {
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -241,6 +241,6 @@
 // send queues a message. One that the mesh refuses counts as lost, as on a broken link; the next full report makes up for it.
 func (c *control) send(to pomelorelay.NodeID, m pomelorelay.Message) {
 	if err := c.e.mesh.Send(to, m); err != nil {
-		c.e.metrics.CountMissedMessage()
+		c.e.metrics.CountUnqueuedMessage()
 	}
 }
--- a/pomeloentry/router_test.go
+++ b/pomeloentry/router_test.go
@@ -57,7 +57,7 @@
 	f.awaitStatus(b, "/old/", 404)
 	leaving.Draining = true
 	f.store.PutUpstream(leaving)
-	f.await("b logs that u1 is leaving", func() bool { return b.log.has(pomelorelay.EventLeaving) })
+	f.await("b logs that u1 is leaving", func() bool { return b.log.has(pomelorelay.EventUpstreamLeaving) })
 	for range 20 {
 		if status, by := f.call(b, "/new/"); status != 200 || by != "u2" {
 			t.Fatalf("status %d from %q after u1 began to leave", status, by)
@@ -92,7 +92,7 @@
 	f.awaitStatus(b, "/new/", 200)
 	leaving.Draining = true
 	f.store.PutUpstream(leaving)
-	f.await("b logs that u1 is leaving", func() bool { return b.log.has(pomelorelay.EventLeaving) })
+	f.await("b logs that u1 is leaving", func() bool { return b.log.has(pomelorelay.EventUpstreamLeaving) })
 	b.view.SetPartitioned(false)
 	f.await("the store is back", func() bool { return b.log.has(pomelorelay.EventPlatformBack) })
 	f.store.DeleteUpstream(leaving.ID)
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -169,7 +169,7 @@
 
 // updateFrom returns the parts of a change that the other routers lack; heartbeats that change nothing are left out.
 func (c *control) updateFrom(r *storeRead) *pomelorelay.FleetUpdate {
-	m := &pomelorelay.FleetUpdate{After: r.after, Revision: r.change.Revision, Full: r.change.Full, RemovedUpstreams: r.change.RemovedUpstreams, RemovedPeers: r.change.RemovedPeers, Evacuated: r.change.Evacuated, Restored: r.change.Restored}
+	m := &pomelorelay.FleetUpdate{After: r.after, Revision: r.change.Revision, Full: r.change.Full, RemovedUpstreams: r.change.RemovedUpstreams, RemovedPeers: r.change.RemovedPeers, Evacuated: r.change.Evacuated, RestoredDomains: r.change.RestoredDomains}
 	if r.change.Config != nil {
 		// The others advance to this revision. If this router died next, none of them would read the configuration again.
 		m.Document = r.change.Config.Document
@@ -245,7 +245,7 @@
 	if applied {
 		change := pomelorelay.FleetChange{
 			Revision: m.Revision, Full: m.Full, Upstreams: m.Upstreams, RemovedUpstreams: m.RemovedUpstreams, Peers: m.Peers, RemovedPeers: m.RemovedPeers,
-			Evacuated: m.Evacuated, Restored: m.Restored,
+			Evacuated: m.Evacuated, RestoredDomains: m.RestoredDomains,
 		}
 		c.applyChange(now, &change, false, string(from))
 	}
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -153,7 +153,7 @@
 	leaving.Draining = true
 	f.store.PutUpstream(leaving)
 	for _, n := range f.nodes {
-		f.await("every router logs that u1 is leaving", func() bool { return n.log.has(pomelorelay.EventLeaving) })
+		f.await("every router logs that u1 is leaving", func() bool { return n.log.has(pomelorelay.EventUpstreamLeaving) })
 	}
 }
 
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -103,7 +103,7 @@
 	}
 	if u.Draining {
 		c.upstreams.leaving[u.ID] = now
-		c.e.log(pomelorelay.EventLeaving, field("Upstream", u.ID), field("Source", source))
+		c.e.log(pomelorelay.EventUpstreamLeaving, field("Upstream", u.ID), field("Source", source))
 		return
 	}
 	delete(c.upstreams.leaving, u.ID)
@@ -184,6 +184,6 @@
 		u.Draining = true
 		c.upstreams.present[id] = u
 		c.placer.PutUpstream(now, u)
-		c.e.log(pomelorelay.EventLeaving, field("Upstream", id), field("Source", from))
+		c.e.log(pomelorelay.EventUpstreamLeaving, field("Upstream", id), field("Source", from))
 	}
 }
--- a/pomelofair/bench_test.go
+++ b/pomelofair/bench_test.go
@@ -35,7 +35,7 @@
 			_ = q.Push(start, pomelofair.Request{ID: id, Pool: pool, Account: names[i]})
 		}
 	}
-	_ = q.ChangedEntries(nil)
+	_ = q.ChangedLedgerEntries(nil)
 	return q, names
 }
 
@@ -51,7 +51,7 @@
 		q.Progress(start, popped, 1)
 		q.Finish(start, popped, 2)
 		if i%256 == 0 {
-			entries = q.ChangedEntries(entries[:0])
+			entries = q.ChangedLedgerEntries(entries[:0])
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		q.Charge(start, pool, names[i%knownAccounts], 1)
-		entries = q.ChangedEntries(entries[:0])
+		entries = q.ChangedLedgerEntries(entries[:0])
 	}
 }
 
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// ChangedEntries appends to out this router's own cumulative entries that changed since the last call.
-func (q *Queues) ChangedEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
+// ChangedLedgerEntries appends to out this router's own cumulative entries that changed since the last call.
+func (q *Queues) ChangedLedgerEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
 	for i, a := range q.changedAccounts {
 		a.dirty = false
 		a.recordReport()
@@ -145,8 +145,8 @@
 	return out
 }
 
-// AllEntries appends to out this router's own cumulative entries of all accounts, as requested by a new ledger host.
-func (q *Queues) AllEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
+// AllLedgerEntries appends to out this router's own cumulative entries of all accounts, as requested by a new ledger host.
+func (q *Queues) AllLedgerEntries(out []pomelorelay.LedgerEntry) []pomelorelay.LedgerEntry {
 	for _, p := range q.orderedPools {
 		for _, a := range p.orderedAccounts {
 			a.recordReport()
--- a/pomelofair/limits.go
+++ b/pomelofair/limits.go
@@ -17,9 +17,9 @@
 	code := pomelorelay.ResultCode(0)
 	switch {
 	case a.waiting >= a.pool.options.MaxWaiting:
-		code = pomelorelay.CodeQueueCount
+		code = pomelorelay.CodeQueueCountFull
 	case a.bytes+r.Bytes > a.pool.options.MaxWaitingBytes:
-		code = pomelorelay.CodeQueueBytes
+		code = pomelorelay.CodeQueueBytesFull
 	default:
 		return nil
 	}
@@ -36,7 +36,7 @@
 
 // WaitTimeoutError returns the error, with RetryAfter, for a request that Expire removed.
 func (q *Queues) WaitTimeoutError(id pomelorelay.PoolID, name pomelorelay.AccountID) *pomelorelay.Error {
-	err := pomelorelay.NewError(pomelorelay.CodeQueueWait, "", nil)
+	err := pomelorelay.NewError(pomelorelay.CodeQueueWaitOver, "", nil)
 	err.RetryAfter = q.account(id, name).retryAfter()
 	return err
 }
--- a/pomelofair/queues.go
+++ b/pomelofair/queues.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Push queues a request or fails with CodeQueueCount, CodeQueueBytes or CodeRequestRepeated; these errors state that the request did not run.
+// Push queues a request or fails with CodeQueueCountFull, CodeQueueBytesFull or CodeRequestRepeated; these errors state that the request did not run.
 func (q *Queues) Push(now time.Time, r Request) error {
 	if _, found := q.requests[r.ID]; found {
 		return pomelorelay.NewError(pomelorelay.CodeRequestRepeated, "", nil)
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -45,7 +45,7 @@
 }
 
 func liftOf(q *pomelofair.Queues, account pomelorelay.AccountID) pomelorelay.Tag {
-	for _, e := range q.AllEntries(nil) {
+	for _, e := range q.AllLedgerEntries(nil) {
 		if e.Account == account {
 			return e.Lift
 		}
@@ -76,8 +76,8 @@
 		r    pomelofair.Request
 		code pomelorelay.ResultCode
 	}{
-		{pomelofair.Request{ID: 3, Pool: pool, Account: "flood"}, pomelorelay.CodeQueueCount},
-		{pomelofair.Request{ID: 4, Pool: pool, Account: "large", Bytes: 101}, pomelorelay.CodeQueueBytes},
+		{pomelofair.Request{ID: 3, Pool: pool, Account: "flood"}, pomelorelay.CodeQueueCountFull},
+		{pomelofair.Request{ID: 4, Pool: pool, Account: "large", Bytes: 101}, pomelorelay.CodeQueueBytesFull},
 		{pomelofair.Request{ID: 1, Pool: pool, Account: "other"}, pomelorelay.CodeRequestRepeated},
 	} {
 		err := q.Push(start, c.r)
--- a/pomelofair/random_test.go
+++ b/pomelofair/random_test.go
@@ -108,7 +108,7 @@
 }
 
 func (m *queuesModel) setTotals(t *rapid.T) {
-	_ = m.q.ChangedEntries(nil)
+	_ = m.q.ChangedLedgerEntries(nil)
 	e := pomelorelay.LedgerEntry{
 		Pool:    pool,
 		Account: pomelorelay.AccountID(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "account"))),
@@ -144,7 +144,7 @@
 		accrued += cost
 	}
 	reported := pomelorelay.Cost(0)
-	for _, e := range m.q.AllEntries(nil) {
+	for _, e := range m.q.AllLedgerEntries(nil) {
 		reported += e.Served
 	}
 	if reported < accrued-1e-6 {
--- a/pomelofake/decode.go
+++ b/pomelofake/decode.go
@@ -63,7 +63,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	busy := len(e.running)+len(e.waiting) > 0 && !e.faults.Stalled
-	return e.cfg.StepTime + time.Duration(len(e.running))*e.cfg.StepPerRequest, busy
+	return e.cfg.StepTime + time.Duration(len(e.running))*e.cfg.StepTimePerRequest, busy
 }
 
 // step admits waiting requests, advances every running one by one step and reports whether one of them crashes the engine.
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -16,8 +16,8 @@
 	Slots int
 	// StepTime is the duration of one decode step, which yields one token per running request, 2 ms by default.
 	StepTime time.Duration
-	// StepPerRequest is the time that each running request adds to a step.
-	StepPerRequest time.Duration
+	// StepTimePerRequest is the time that each running request adds to a step.
+	StepTimePerRequest time.Duration
 	// PrefillPerStep is the number of prompt tokens processed per request and step, 256 by default.
 	PrefillPerStep int
 	// PrefixBlocks is the capacity of the prefix cache in blocks of 64 bytes, 4096 by default.
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -24,7 +24,7 @@
 	nextLease      pomelorelay.LeaseID
 	// compactedAt is the oldest revision from which a watch can continue.
 	compactedAt pomelorelay.Revision
-	calls       FleetCalls
+	calls       FleetStoreCallCounts
 	// DecodeConfig decodes configuration documents; it is required if routers fetch configurations from their peers.
 	DecodeConfig func(document []byte) (*pomelorelay.FleetConfig, error)
 }
@@ -103,11 +103,11 @@
 	s.commit(func(at pomelorelay.Revision) { s.compactedAt = at })
 }
 
-// FleetCalls counts the reads, watches and registrations of routers, including failed ones.
-type FleetCalls struct{ Reads, Watches, Registrations int }
+// FleetStoreCallCounts counts the reads, watches and registrations of routers, including failed ones.
+type FleetStoreCallCounts struct{ Reads, Watches, Registrations int }
 
 // Calls returns the number of calls since the store was created.
-func (s *FleetStore) Calls() FleetCalls {
+func (s *FleetStore) Calls() FleetStoreCallCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -222,7 +222,7 @@
 		add(e, func() { change.Peers = append(change.Peers, e.peer) }, func() { change.RemovedPeers = append(change.RemovedPeers, node) })
 	}
 	for domain, e := range s.evacuated {
-		add(e, func() { change.Evacuated = append(change.Evacuated, domain) }, func() { change.Restored = append(change.Restored, domain) })
+		add(e, func() { change.Evacuated = append(change.Evacuated, domain) }, func() { change.RestoredDomains = append(change.RestoredDomains, domain) })
 	}
 	return changed
 }
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -158,7 +158,7 @@
 	c.decision = d
 	if err != nil {
 		c.decision.Reason = pomeloplace.ReasonTooLate
-		return nil, pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeDeadline, err)
+		return nil, pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeDeadlinePassed, err)
 	}
 	if d.Reason == pomeloplace.ReasonNone {
 		return reservation, nil
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -17,7 +17,7 @@
 	Wire      pomelorelay.WireFormat
 	Tables    TableSource
 	Placement Placement
-	Shutdown  Shutdown
+	Shutdown  ShutdownState
 	Meter     Meter
 	// CallerGone reports whether a request's caller has disconnected, for servers that can detect this before the request's context
 	// ends; nil otherwise.
@@ -59,8 +59,8 @@
 	Done(r pomeloplace.Result)
 }
 
-// Shutdown reports a planned stop of the process.
-type Shutdown interface {
+// ShutdownState reports a planned stop of the process.
+type ShutdownState interface {
 	// TimeLeft returns the time until the process ends, and false when no stop is planned.
 	TimeLeft() (time.Duration, bool)
 }
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -18,12 +18,12 @@
 	buffers *pomelolink.Buffers
 
 	mu      sync.Mutex
-	budgets map[pomelorelay.ServiceID]*pomelobudget.Budget
+	budgets map[pomelorelay.ServiceID]*pomelobudget.RetryBudget
 }
 
 // New creates a Handler; Close ends its idle connections.
 func New(cfg Config) *Handler {
-	h := &Handler{cfg: cfg, budgets: make(map[pomelorelay.ServiceID]*pomelobudget.Budget)}
+	h := &Handler{cfg: cfg, budgets: make(map[pomelorelay.ServiceID]*pomelobudget.RetryBudget)}
 	h.links = pomelolink.New(pomelolink.Config{
 		Protocol: pomelolink.Protocol{
 			IDHeader:            cfg.Wire.RequestIDField(),
@@ -101,7 +101,7 @@
 const minRouters = 8
 
 // retryBudget returns the retry budget of a service. The fleet's slack is divided evenly; the ratio applies to each router's requests.
-func (h *Handler) retryBudget(service pomelorelay.ServiceID) *pomelobudget.Budget {
+func (h *Handler) retryBudget(service pomelorelay.ServiceID) *pomelobudget.RetryBudget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b, ok := h.budgets[service]
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -104,7 +104,7 @@
 		if code == pomelorelay.CodeCallerGone {
 			return NewFailure(OutcomeNotSent, pomelorelay.CodeCancelled, err)
 		}
-		return NewFailure(OutcomeNotSent, pomelorelay.CodeDeadline, err)
+		return NewFailure(OutcomeNotSent, pomelorelay.CodeDeadlinePassed, err)
 	}
 	return NewFailure(OutcomeNotSent, pomelorelay.CodeUpstreamUnreached, err)
 }
--- a/pomelomesh/decode_claim.go
+++ b/pomelomesh/decode_claim.go
@@ -10,7 +10,7 @@
 	for i := range parts {
 		d.copyFixed(parts[i][:], m.GetParts()[i])
 	}
-	return &pomelorelay.ConfigPull{Above: pomelorelay.Generation(m.GetAbove()), Parts: parts}
+	return &pomelorelay.ConfigPull{AboveGeneration: pomelorelay.Generation(m.GetAbove()), Parts: parts}
 }
 
 func (d *decoder) configPush(m *pomelowire.ConfigPush) pomelorelay.Message {
--- a/pomelomesh/decode_kinds.go
+++ b/pomelomesh/decode_kinds.go
@@ -48,7 +48,7 @@
 	case *pomelowire.Item_ConfigApplied:
 		c := kind.ConfigApplied
 		return &pomelorelay.ConfigApplied{
-			Generation: pomelorelay.Generation(c.GetGeneration()), Refused: pomelorelay.Generation(c.GetRefused()), Code: pomelorelay.ResultCode(c.GetCode()),
+			Generation: pomelorelay.Generation(c.GetGeneration()), RefusedGeneration: pomelorelay.Generation(c.GetRefused()), Code: pomelorelay.ResultCode(c.GetCode()),
 		}
 	case *pomelowire.Item_ClaimAsk:
 		return d.claimAsk(kind.ClaimAsk)
@@ -103,14 +103,14 @@
 	d.listLength(len(m.GetPrefixes()), maxPrefixes)
 	return &pomelorelay.Demand{
 		Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Pool: pomelorelay.PoolID(d.name(m.GetPool())),
-		Seq: m.GetSeq(), Head: d.tag(m.GetHead()), Waiting: m.GetWaiting(), Prefixes: m.GetPrefixes(),
+		Seq: m.GetSeq(), HeadTag: d.tag(m.GetHead()), Waiting: m.GetWaiting(), Prefixes: m.GetPrefixes(),
 	}
 }
 
 func (d *decoder) grant(m *pomelowire.Grant) pomelorelay.Message {
 	return &pomelorelay.Grant{
 		ID: pomelorelay.GrantID(m.GetId()), Upstream: pomelorelay.UpstreamID(d.name(m.GetUpstream())), Pool: pomelorelay.PoolID(d.name(m.GetPool())),
-		TTL: d.duration(m.GetTtl()), LastTag: d.tag(m.GetLastTag()),
+		TTL: d.duration(m.GetTtl()), LastGrantedTag: d.tag(m.GetLastTag()),
 	}
 }
 
--- a/pomelomesh/decode_load.go
+++ b/pomelomesh/decode_load.go
@@ -27,10 +27,10 @@
 			Account: pomelorelay.AccountID(d.name(a.GetAccount())), Requested: pomelorelay.Cost(a.GetAsked()), Served: pomelorelay.Cost(a.GetServed()),
 		}
 	}
-	r.Parts = make([]pomelorelay.PartPlaced, d.listLength(len(m.GetParts()), maxListLength))
+	r.Parts = make([]pomelorelay.PromptPartPlaced, d.listLength(len(m.GetParts()), maxListLength))
 	for i := range r.Parts {
 		p := m.GetParts()[i]
-		r.Parts[i] = pomelorelay.PartPlaced{Upstream: pomelorelay.UpstreamID(d.name(p.GetUpstream())), Hash: p.GetHash(), Tokens: d.tokens(p.GetTokens())}
+		r.Parts[i] = pomelorelay.PromptPartPlaced{Upstream: pomelorelay.UpstreamID(d.name(p.GetUpstream())), Hash: p.GetHash(), Tokens: d.tokens(p.GetTokens())}
 	}
 	r.Leaving = make([]pomelorelay.UpstreamID, d.listLength(len(m.GetLeaving()), maxListLength))
 	for i := range r.Leaving {
@@ -89,7 +89,7 @@
 	u := &pomelorelay.FleetUpdate{
 		After: pomelorelay.Revision(m.GetAfter()), Revision: pomelorelay.Revision(m.GetAt()), Full: m.GetWhole(), Forwarded: m.GetForwarded(), Document: m.GetDocument(),
 		Upstreams: d.upstreams(m.GetUpstreams()), Peers: d.routers(m.GetRouters()),
-		Evacuated: d.domains(m.GetEvacuated()), Restored: d.domains(m.GetRestored()),
+		Evacuated: d.domains(m.GetEvacuated()), RestoredDomains: d.domains(m.GetRestored()),
 	}
 	u.RemovedUpstreams = make([]pomelorelay.UpstreamID, d.listLength(len(m.GetGoneUpstreams()), maxListLength))
 	for i := range u.RemovedUpstreams {
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -56,11 +56,11 @@
 	switch m := m.(type) {
 	case *pomelorelay.Demand:
 		return &pomelowire.Item{Kind: &pomelowire.Item_Demand{Demand: &pomelowire.Demand{
-			Upstream: string(m.Upstream), Pool: string(m.Pool), Seq: m.Seq, Head: float64(m.Head), Waiting: m.Waiting, Prefixes: m.Prefixes,
+			Upstream: string(m.Upstream), Pool: string(m.Pool), Seq: m.Seq, Head: float64(m.HeadTag), Waiting: m.Waiting, Prefixes: m.Prefixes,
 		}}}
 	case *pomelorelay.Grant:
 		return &pomelowire.Item{Kind: &pomelowire.Item_Grant{Grant: &pomelowire.Grant{
-			Id: uint64(m.ID), Upstream: string(m.Upstream), Pool: string(m.Pool), Ttl: int64(m.TTL), LastTag: float64(m.LastTag),
+			Id: uint64(m.ID), Upstream: string(m.Upstream), Pool: string(m.Pool), Ttl: int64(m.TTL), LastTag: float64(m.LastGrantedTag),
 		}}}
 	case *pomelorelay.GrantReply:
 		return &pomelowire.Item{Kind: &pomelowire.Item_GrantReply{GrantReply: &pomelowire.GrantReply{
@@ -128,12 +128,12 @@
 		for i := range m.Parts {
 			parts[i] = m.Parts[i][:]
 		}
-		return &pomelowire.Item{Kind: &pomelowire.Item_ConfigPull{ConfigPull: &pomelowire.ConfigPull{Above: uint64(m.Above), Parts: parts}}}
+		return &pomelowire.Item{Kind: &pomelowire.Item_ConfigPull{ConfigPull: &pomelowire.ConfigPull{Above: uint64(m.AboveGeneration), Parts: parts}}}
 	case *pomelorelay.ConfigPush:
 		return &pomelowire.Item{Kind: &pomelowire.Item_ConfigPush{ConfigPush: &pomelowire.ConfigPush{Root: m.Root, Parts: m.Parts}}}
 	case *pomelorelay.ConfigApplied:
 		return &pomelowire.Item{Kind: &pomelowire.Item_ConfigApplied{ConfigApplied: &pomelowire.ConfigApplied{
-			Generation: uint64(m.Generation), Refused: uint64(m.Refused), Code: int32(m.Code),
+			Generation: uint64(m.Generation), Refused: uint64(m.RefusedGeneration), Code: int32(m.Code),
 		}}}
 	}
 	return nil
--- a/pomelomesh/encode_load.go
+++ b/pomelomesh/encode_load.go
@@ -42,7 +42,7 @@
 	for _, node := range m.RemovedPeers {
 		w.GoneRouters = append(w.GoneRouters, string(node))
 	}
-	w.Evacuated, w.Restored = encodeDomains(m.Evacuated), encodeDomains(m.Restored)
+	w.Evacuated, w.Restored = encodeDomains(m.Evacuated), encodeDomains(m.RestoredDomains)
 	return w
 }
 
--- a/pomelometric/metrics.go
+++ b/pomelometric/metrics.go
@@ -64,8 +64,8 @@
 // CountPlacement counts a placement decision; reason is empty if the request was placed.
 func (m *Metrics) CountPlacement(reason string) { m.placements.WithLabelValues(reason).Inc() }
 
-// CountMissedMessage counts a message to another router that could not be queued.
-func (m *Metrics) CountMissedMessage() { m.missedMessages.Inc() }
+// CountUnqueuedMessage counts a message to another router that could not be queued.
+func (m *Metrics) CountUnqueuedMessage() { m.missedMessages.Inc() }
 
 // CountStoreCall counts a call to the platform's store by kind, cause and result code, which is zero for success.
 func (m *Metrics) CountStoreCall(kind, cause string, code pomelorelay.ResultCode) {
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -81,12 +81,12 @@
 	}
 }
 
-// waitEndCode returns CodeQueueWait for a wait that reached its service's limit, CodeDeadline for one that reached the caller's deadline.
+// waitEndCode returns CodeQueueWaitOver for a wait that reached its service's limit, CodeDeadlinePassed for one that reached the caller's deadline.
 func waitEndCode(r pomeloroute.AdmitRequest) pomelorelay.ResultCode {
 	if r.WaitUntil.Before(r.Deadline) {
-		return pomelorelay.CodeQueueWait
+		return pomelorelay.CodeQueueWaitOver
 	}
-	return pomelorelay.CodeDeadline
+	return pomelorelay.CodeDeadlinePassed
 }
 
 // withdraw ends the wait with the given code; if the request was granted or refused concurrently, it returns that result instead.
--- a/pomelonode/bypass.go
+++ b/pomelonode/bypass.go
@@ -33,7 +33,7 @@
 		s.free(upstream.Name)
 		return nil
 	}
-	n.log(pomelorelay.EventControlStall, pomelorelay.Field{Key: "Upstream", Value: string(upstream.Name)})
+	n.log(pomelorelay.EventControlStalled, pomelorelay.Field{Key: "Upstream", Value: string(upstream.Name)})
 	return &bypassTicket{n: n, waiter: w, upstream: upstream}
 }
 
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -61,7 +61,7 @@
 	}
 	select {
 	case v := <-e.w.answer:
-		if v.State == pomelorelay.ClaimFresh {
+		if v.State == pomelorelay.ClaimGranted {
 			c.claimRequester.Settle(now, v.Nonce, true, 0, pomelorelay.ClaimOutcome{}, &c.claimOut)
 		}
 	default:
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -191,7 +191,7 @@
 	if now.Sub(c.lastLedgerReportAt) >= every {
 		c.lastLedgerReportAt = now
 		c.reporter.SetInterval(every)
-		c.entries = c.queues.ChangedEntries(c.entries[:0])
+		c.entries = c.queues.ChangedLedgerEntries(c.entries[:0])
 		c.reporter.UpdateEntries(c.entries)
 		c.keys = c.queues.WaitingAccounts(c.keys[:0])
 		c.reporter.SetInterest(c.keys)
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -47,7 +47,7 @@
 	c.slotRequester.MarkLeaving(id)
 	c.owner.MarkLeaving(c.now(), id)
 	c.publishTraffic()
-	c.n.log(pomelorelay.EventLeaving, field("Upstream", string(id)))
+	c.n.log(pomelorelay.EventUpstreamLeaving, field("Upstream", string(id)))
 }
 
 // leavingNoticeValidity is how long a peer's notice takes precedence over a host list that does not show the upstream as leaving,
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -22,7 +22,7 @@
 // text; between the two limits the handler refuses it with a result code.
 const headerLimitFactor = 4
 
-// Listen starts serving the caller and the operator port; it fails with CodeListen if it cannot listen on an address.
+// Listen starts serving the caller and the operator port; it fails with CodeCannotListen if it cannot listen on an address.
 func (n *Node) Listen() error {
 	limits := n.cfg.Settings.Limits
 	caller := &http.Server{
@@ -50,7 +50,7 @@
 func (n *Node) serve(s *http.Server, addr netip.AddrPort) error {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return pomelorelay.NewError(pomelorelay.CodeListen, addr.String(), err)
+		return pomelorelay.NewError(pomelorelay.CodeCannotListen, addr.String(), err)
 	}
 	n.servers = append(n.servers, s)
 	n.start(func(context.Context) {
--- a/pomelonode/listen_test.go
+++ b/pomelonode/listen_test.go
@@ -24,8 +24,8 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	if err := node.Listen(); !pomelorelay.IsErrCode(err, pomelorelay.CodeListen) {
-		t.Errorf("Listen failed with %v, want CodeListen", err)
+	if err := node.Listen(); !pomelorelay.IsErrCode(err, pomelorelay.CodeCannotListen) {
+		t.Errorf("Listen failed with %v, want CodeCannotListen", err)
 	}
 	if n := log.count(pomelorelay.EventStarted); n != 0 {
 		t.Errorf("a router that cannot listen logged EventStarted %d times, want 0", n)
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -28,7 +28,7 @@
 	pendingStarts []pomelorelay.UpstreamStart
 	// lastAnswerAt is when any upstream last answered this router.
 	lastAnswerAt time.Time
-	pendingParts []pomelorelay.PartPlaced
+	pendingParts []pomelorelay.PromptPartPlaced
 	// oldestReportAt is the time of the oldest of the other routers' latest reports; zero when there is none.
 	oldestReportAt time.Time
 	// tokensSinceReport is the number of prompt tokens sent since the last report.
@@ -348,7 +348,7 @@
 	for i, part := range r.Parts {
 		u.cache.add(part.Hash, part.Tokens)
 		if part.Tokens >= minReportedPart && i < len(r.Parts)-1 && u.cache.markReported(now, part.Hash) {
-			p.pendingParts = append(p.pendingParts, pomelorelay.PartPlaced{Upstream: u.info.ID, Hash: part.Hash, Tokens: part.Tokens})
+			p.pendingParts = append(p.pendingParts, pomelorelay.PromptPartPlaced{Upstream: u.info.ID, Hash: part.Hash, Tokens: part.Tokens})
 		}
 	}
 }
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -93,7 +93,7 @@
 }
 
 // applyParts records the prompt parts used by another router's requests and returns the tokens that each upstream had to prefill for them.
-func (p *Placer) applyParts(now time.Time, parts []pomelorelay.PartPlaced) map[pomelorelay.UpstreamID]pomelorelay.Tokens {
+func (p *Placer) applyParts(now time.Time, parts []pomelorelay.PromptPartPlaced) map[pomelorelay.UpstreamID]pomelorelay.Tokens {
 	prefilled := make(map[pomelorelay.UpstreamID]pomelorelay.Tokens)
 	for _, part := range parts {
 		u := p.upstreams[part.Upstream]
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -223,7 +223,7 @@
 	m := &pomelorelay.QuarantineNotice{Fingerprint: f, Seq: uint64(now.UnixNano())}
 	t.HandleQuarantineNotice(now, m, out)
 	t.broadcast(m, out)
-	t.cfg.Logger.Log(pomelorelay.EventLifted, pomelorelay.Field{Key: "Fingerprint", Value: f})
+	t.cfg.Logger.Log(pomelorelay.EventQuarantineLifted, pomelorelay.Field{Key: "Fingerprint", Value: f})
 }
 
 func (t *Table) broadcast(m pomelorelay.Message, out *Output) {
--- a/pomeloroute/claimed.go
+++ b/pomeloroute/claimed.go
@@ -19,7 +19,7 @@
 	}
 	c.claim = claim
 	switch claim.State {
-	case pomelorelay.ClaimFresh:
+	case pomelorelay.ClaimGranted:
 		c.claimed = true
 		return nil
 	case pomelorelay.ClaimDone:
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -32,7 +32,7 @@
 	buffered atomic.Int64
 
 	mu      sync.Mutex
-	budgets map[pomelorelay.ServiceID]*pomelobudget.Budget
+	budgets map[pomelorelay.ServiceID]*pomelobudget.RetryBudget
 }
 
 // New returns a Handler; Close stops its goroutine and closes its idle connections.
@@ -42,7 +42,7 @@
 		cfg:     cfg,
 		router:  mux.NewRouter().SkipClean(true).UseEncodedPath(),
 		client:  newClient(cfg),
-		budgets: make(map[pomelorelay.ServiceID]*pomelobudget.Budget),
+		budgets: make(map[pomelorelay.ServiceID]*pomelobudget.RetryBudget),
 	}
 	h.buffers = h.client.Buffers()
 	h.router.HandleFunc("/{service}", h.serve)
@@ -118,7 +118,7 @@
 	return fmt.Sprintf("%s-%x-%x", h.cfg.Node, uint64(h.cfg.Incarnation), uint64(id))
 }
 
-func (h *Handler) budget(service pomelorelay.ServiceID) *pomelobudget.Budget {
+func (h *Handler) budget(service pomelorelay.ServiceID) *pomelobudget.RetryBudget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b, ok := h.budgets[service]
--- a/pomeloroute/helpers_test.go
+++ b/pomeloroute/helpers_test.go
@@ -126,7 +126,7 @@
 		return c, nil
 	}
 	b.claims[key] = &storedClaim{content: content, claim: pomeloroute.Claim{Key: key, State: pomelorelay.ClaimRunning}}
-	return pomeloroute.Claim{Key: key, State: pomelorelay.ClaimFresh}, nil
+	return pomeloroute.Claim{Key: key, State: pomelorelay.ClaimGranted}, nil
 }
 
 func (b *harness) Settle(c pomeloroute.Claim, s pomeloroute.Settlement) {
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -211,7 +211,7 @@
 	case errors.Is(ctx.Err(), context.Canceled):
 		coded = pomelorelay.NewError(pomelorelay.CodeCancelled, "", err)
 	case ctx.Err() != nil:
-		coded = pomelorelay.NewError(pomelorelay.CodeDeadline, "", err)
+		coded = pomelorelay.NewError(pomelorelay.CodeDeadlinePassed, "", err)
 	default:
 		coded = codedError(err)
 	}
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -183,7 +183,7 @@
 	if f.cfg.fixedShares {
 		return
 	}
-	entries := r.queues.ChangedEntries(nil)
+	entries := r.queues.ChangedLedgerEntries(nil)
 	interest := r.queues.WaitingAccounts(nil)
 	f.after(linkLatency, func() {
 		for _, e := range entries {
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -71,7 +71,7 @@
 	u.lastTag = r.head
 	u.recordPeak(now, u.takenSlots(), o.cfg.Limit.MaxLoadLag)
 	u.cached.addAll(now, r.prefixes, o.cfg.Grant.MaxPrefixes)
-	m := &pomelorelay.Grant{ID: g.id, Upstream: u.id, Pool: u.pool, TTL: o.cfg.Grant.TTL, LastTag: u.lastTag}
+	m := &pomelorelay.Grant{ID: g.id, Upstream: u.id, Pool: u.pool, TTL: o.cfg.Grant.TTL, LastGrantedTag: u.lastTag}
 	return pomelorelay.Outgoing{To: r.node, Message: m}
 }
 
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -20,7 +20,7 @@
 	}
 	u.heldGrants++
 	u.unansweredSince = time.Time{}
-	u.digest.LastTag = max(u.digest.LastTag, g.LastTag)
+	u.digest.LastTag = max(u.digest.LastTag, g.LastGrantedTag)
 	return !u.leaving && !u.digest.Leaving
 }
 
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -90,7 +90,7 @@
 		return out
 	}
 	r := u.router(from)
-	if r.updateDemand(now, m.Seq, m.Head, m.Waiting) {
+	if r.updateDemand(now, m.Seq, m.HeadTag, m.Waiting) {
 		r.prefixes = m.Prefixes
 	}
 	return o.grantFreeSlots(now, u, out)
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -19,7 +19,7 @@
 }
 
 func demand(seq uint64, head pomelorelay.Tag, waiting uint32) *pomelorelay.Demand {
-	return &pomelorelay.Demand{Upstream: "u", Pool: testPool, Seq: seq, Head: head, Waiting: waiting}
+	return &pomelorelay.Demand{Upstream: "u", Pool: testPool, Seq: seq, HeadTag: head, Waiting: waiting}
 }
 
 func reply(id pomelorelay.GrantID, state pomelorelay.GrantState, seq uint64, waiting uint32) *pomelorelay.GrantReply {
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -128,7 +128,7 @@
 		Upstream: u.digest.Upstream,
 		Pool:     p.id,
 		Seq:      r.nextSeq(now),
-		Head:     p.demand.Head,
+		HeadTag:  p.demand.Head,
 		Waiting:  uint32(waiting),
 	}
 	if waiting > 0 {
--- a/pomelostore/call.go
+++ b/pomelostore/call.go
@@ -162,7 +162,7 @@
 		return pomelorelay.NewError(pomelorelay.CodeStoreLeaseLapsed, detail, nil)
 	case reply.Status == http.StatusRequestEntityTooLarge:
 		c.recordResult(true)
-		return pomelorelay.NewError(pomelorelay.CodeStoreTooLarge, detail, nil)
+		return pomelorelay.NewError(pomelorelay.CodeStoreValueTooLarge, detail, nil)
 	case reply.Status == http.StatusTooManyRequests:
 		c.recordResult(true)
 		c.stats.Throttled.Add(1)
--- a/pomelostore/store.go
+++ b/pomelostore/store.go
@@ -51,7 +51,7 @@
 // old, with CodeStoreUnknown when the write may have taken effect, and otherwise with the code of a write without effect.
 func (c *Client) CompareAndSwap(ctx context.Context, key pomelorelay.StoreKey, value []byte, old pomelorelay.Revision, lease pomelorelay.LeaseID) (pomelorelay.Revision, error) {
 	if pomelorelay.Bytes(len(value)) > c.cfg.MaxValue {
-		return 0, pomelorelay.NewError(pomelorelay.CodeStoreTooLarge, "value of "+string(key)+" has "+strconv.Itoa(len(value))+" bytes, over the limit", nil)
+		return 0, pomelorelay.NewError(pomelorelay.CodeStoreValueTooLarge, "value of "+string(key)+" has "+strconv.Itoa(len(value))+" bytes, over the limit", nil)
 	}
 	query := url.Values{"old": {strconv.FormatUint(uint64(old), 10)}}
 	if lease != 0 {
--- a/pomelostore/store_test.go
+++ b/pomelostore/store_test.go
@@ -146,7 +146,7 @@
 		{http.StatusTemporaryRedirect, "", pomelorelay.CodeStoreUnavailable},
 		{http.StatusConflict, "", pomelorelay.CodeStoreConflict},
 		{http.StatusGone, "", pomelorelay.CodeStoreLeaseLapsed},
-		{http.StatusRequestEntityTooLarge, "", pomelorelay.CodeStoreTooLarge},
+		{http.StatusRequestEntityTooLarge, "", pomelorelay.CodeStoreValueTooLarge},
 		{http.StatusTooManyRequests, "", pomelorelay.CodeStoreThrottled},
 		{http.StatusInternalServerError, "", pomelorelay.CodeStoreUnknown},
 		{http.StatusBadGateway, "", pomelorelay.CodeStoreUnknown},
@@ -180,7 +180,7 @@
 func TestOversizedValueIsNotSent(t *testing.T) {
 	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, MaxValue: 4})
 	_, err := client.CompareAndSwap(context.Background(), "k", []byte("12345"), 0, 0)
-	wantCode(t, err, pomelorelay.CodeStoreTooLarge)
+	wantCode(t, err, pomelorelay.CodeStoreValueTooLarge)
 	if got := client.Stats().Writes.Value(); got != 0 {
 		t.Fatalf("%d writes sent, want 0", got)
 	}
