--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -57,7 +57,7 @@
 	d.keeper.HandleSettle(d.now, "router-1", &m, &d.out)
 }
 
-// answers returns and clears the received answers by nonce; an acknowledgement has state zero.
+// answers returns and clears the received answers by nonce; the acknowledgement of a settlement has state zero.
 func (d *keeperHarness) answers() map[pomelorelay.ClaimNonce]pomelorelay.ClaimAnswer {
 	found := make(map[pomelorelay.ClaimNonce]pomelorelay.ClaimAnswer)
 	for _, m := range d.out.Messages {
@@ -85,7 +85,7 @@
 	return pomelorelay.ClaimSettle{State: pomelorelay.ClaimDone, Outcome: pomelorelay.ClaimOutcome{Status: 201, ContentType: "text/x", Body: []byte(body)}}
 }
 
-// A request is repeated while it runs, with a different body, and after it has ended.
+// A request is repeated while it runs, with a different body, and after it has ended. No repeat may run it again.
 func TestRepeatedRequestGetsFirstOutcome(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
@@ -138,8 +138,8 @@
 	}
 }
 
-// A keeper is paused during a write while another one takes over its shard and grants the same key. After it resumes, the
-// first keeper must not grant its claim.
+// A keeper is paused during a write while another one takes over its shard and grants a claim for the same key. After
+// it resumes, the first keeper must not grant its own claim.
 func TestPausedKeeperIsFenced(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
@@ -152,7 +152,7 @@
 	other.HandleAsk(d.now, "router-2", &pomelorelay.ClaimAsk{Key: keyOf("k"), Nonce: nonceOf(2), Content: 7}, &out)
 	other.HandleStoreResult(d.now, d.store.apply(out.StoreOps[1]), &out)
 	if len(out.Messages) != 1 || out.Messages[0].Message.(*pomelorelay.ClaimAnswer).State != pomelorelay.ClaimGranted {
-		t.Fatalf("the second keeper answered %+v, want one fresh claim", out.Messages)
+		t.Fatalf("the second keeper answered %+v, want one granted claim", out.Messages)
 	}
 	d.out.StoreOps = paused
 	d.runStoreOps()
@@ -205,9 +205,9 @@
 	d.expectState(5, pomelorelay.ClaimDone)
 }
 
-// Claims are added until the head has been sealed many times and old segments have expired. Claims within their retention
-// must be found with their outcome, also after a takeover; an expired claim's key counts as unused, and the number of
-// records in the store stays small.
+// Claims are added until settled ones have been moved to many segments and old segments have expired. Claims within
+// their retention must be found with their outcome, also after a takeover; an expired claim's key counts as unused, and
+// the number of records in the store stays small.
 func TestSealedClaimsAreKeptUntilRetention(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
 	const claims = 600
@@ -263,7 +263,8 @@
 	}
 }
 
-// Claims are never settled. The head must not outgrow the store's size limit; claims above the limit are refused.
+// Claims are never settled. The shard's head record must not outgrow the store's size limit; claims above the limit are
+// refused.
 func TestFullHeadRefusesClaims(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{MaxHeadBytes: 4 << 10, CommitsPerSecond: 1000})
 	refused := 0
@@ -295,8 +296,8 @@
 	}
 }
 
-// The write rate must depend on the shards and their commit rate, not on the request rate: the store accepts several
-// hundred writes per second for the whole fleet.
+// The rate of store writes must depend on the number of shards and their commit rate, not on the request rate: the
+// store accepts several hundred writes per second for the whole fleet.
 func TestWritesDoNotGrowWithClaims(t *testing.T) {
 	const shards, seconds = 16, 20
 	cfg := pomeloclaim.KeeperConfig{}
@@ -323,7 +324,7 @@
 	t.Log("16 shards, 4 commits/s each:\n" + strings.Join(lines, "\n"))
 }
 
-// BenchmarkCommit measures a keeper's work for one claim and its settlement with a head of 500 claims.
+// BenchmarkCommit measures a keeper's work for one claim and its settlement with a head record of 500 claims.
 func BenchmarkCommit(b *testing.B) {
 	f := newFleet(1, 0, pomeloclaim.KeeperConfig{}, 1)
 	k := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{CommitsPerSecond: 1e9, SealBytes: 80 << 10})
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -8,10 +8,11 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// confirmationTTL is how long a keeper may answer from its copy of the head without reading it again.
+// confirmationTTL is how long a keeper may answer from its copy of the head record without reading the record again.
 const confirmationTTL = time.Second
 
-// commit is a compare-and-swap of the head in progress. Its changes are applied to the shard once the store has accepted it.
+// commit is a compare-and-swap of the head record in progress. Its changes are applied to the shard once the store has
+// accepted it.
 type commit struct {
 	put      map[pomelorelay.ClaimKey]*claimRecord
 	removed  map[pomelorelay.ClaimKey]bool
@@ -64,8 +65,8 @@
 	return now.Sub(time.UnixMilli(seg.To)) > k.cfg.Retention
 }
 
-// answerFromStoredState answers what the stored claims already decide. Messages about keys in the current commit wait for
-// its result.
+// answerFromStoredState answers the claim requests and settlements that the stored claims already decide. Those about
+// keys in the current commit wait for its result.
 func (k *Keeper) answerFromStoredState(now time.Time, s *shard, out *Output) {
 	lookupPending := false
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
@@ -92,7 +93,7 @@
 	}
 }
 
-// isFinal reports whether a claim decides a request even if the store holds a newer version of it.
+// isFinal reports whether a claim decides a claim request even if the store holds a newer version of the claim.
 func isFinal(c *claimRecord, a *pendingAsk) bool {
 	if c.Content != uint64(a.ask.Content) {
 		return false
@@ -100,8 +101,8 @@
 	return c.State == int(pomelorelay.ClaimDone) || (c.heldBy(a.ask.Nonce) && !c.Settled)
 }
 
-// headConfirmed reports whether the head was read or written within confirmationTTL. A keeper that was paused or partitioned
-// may have been superseded, and would otherwise keep answering that a settled claim is running.
+// headConfirmed reports whether the head record was read or written within confirmationTTL. Another keeper may have
+// replaced one that was paused or partitioned, which would otherwise keep answering that a settled claim is running.
 func (k *Keeper) headConfirmed(now time.Time, s *shard, out *Output) bool {
 	if now.Sub(s.confirmedAt) <= confirmationTTL {
 		return true
@@ -127,8 +128,8 @@
 	}
 }
 
-// answerWithClaim answers a claim request according to a durable claim. The attempt that holds the claim is answered fresh
-// again until it settles: it asks again only while it has not sent its request to an upstream.
+// answerWithClaim answers a claim request according to a durable claim. The attempt that holds the claim is granted it
+// again until it settles: an attempt repeats its claim request only while it has not sent its request to an upstream.
 func (k *Keeper) answerWithClaim(now time.Time, s *shard, a *pendingAsk, c *claimRecord, out *Output) {
 	state, outcome := k.effectiveState(now, c), pomelorelay.ClaimOutcome{}
 	switch {
@@ -148,8 +149,9 @@
 	sendAnswer(a.from, &a.ask, state, outcome, out)
 }
 
-// pendingDoneSettlement returns the pending settlement that reports the claim's request as done, nil when there is none. Its
-// outcome is valid before it is durable; without it, an immediate repeat would be told that the request is still running.
+// pendingDoneSettlement returns the pending settlement that reports the claim's request as done, nil when there is
+// none. The outcome is valid before the settlement is durable; without it, an immediate repeat would be told that the
+// request is still running.
 func (s *shard) pendingDoneSettlement(c *claimRecord) *pomelorelay.ClaimSettle {
 	for _, p := range s.settles {
 		if c.heldBy(p.settle.Nonce) && !p.settle.Released && p.settle.State == pomelorelay.ClaimDone {
@@ -159,26 +161,26 @@
 	return nil
 }
 
-// notifyHolder notifies a claim's holder that the claim is fresh. A resent request may make a claim durable after its
-// requester cancelled it, and the claim would then block every repeat if its answer was lost. The holder releases a claim
-// that it does not know and ignores the notice otherwise.
+// notifyHolder repeats the granted answer to the router that holds a claim. A resent ClaimAsk may make a claim durable
+// after its requester cancelled it; if the answer was lost, the claim would block every repeat of the request. The
+// holder releases a claim that it does not know and ignores the answer otherwise.
 func notifyHolder(a *pendingAsk, c *claimRecord, out *Output) {
 	m := &pomelorelay.ClaimAnswer{Shard: a.ask.Shard, Key: a.ask.Key, State: pomelorelay.ClaimGranted}
 	copy(m.Nonce[:], c.Nonce)
 	out.send(pomelorelay.NodeID(c.Asker), m)
 }
 
-// alreadySettled reports whether the stored claim already has this settlement. A settlement whose claim is missing or held
-// by another attempt still needs a write: this keeper may be out of date, or an earlier keeper's write may be in progress,
-// and only a successful write rules out both. Acknowledged without it, the settlement could be lost and the claim stay
+// alreadySettled reports whether the stored claim already has this settlement. A settlement whose claim is missing or
+// held by another attempt still needs a write: this keeper may be out of date, or an earlier keeper's write may be in
+// progress, and only a successful write rules out both. Without it, the settlement could be lost and the claim stay
 // running.
 func (s *shard) alreadySettled(p *pendingSettle) bool {
 	c, ok := s.headClaims[p.settle.Key]
 	return ok && c.Settled && c.heldBy(p.settle.Nonce)
 }
 
-// startDueCommit writes the head when a commit is due and the shard's rate limit allows it. Claims are committed at once;
-// settlements are delayed to share commits.
+// startDueCommit writes the head record when a commit is due and the shard's rate limit allows it. Claims are committed
+// at once; settlements are delayed to share commits.
 func (k *Keeper) startDueCommit(now time.Time, s *shard, out *Output) {
 	if s.commit != nil || !s.ready || now.Before(s.retryAt) || !k.commitDue(now, s, out) {
 		return
@@ -272,7 +274,7 @@
 	c.put[key] = &settled
 }
 
-// addClaims adds the shard's claims to the new head, except those that are expired, sealed or removed.
+// addClaims adds the shard's claims to the new head, except those that are expired, moved to a segment or removed.
 func (k *Keeper) addClaims(now time.Time, s *shard, c *commit) {
 	for key, held := range s.headClaims {
 		if c.put[key] == nil && !c.removed[key] && (k.expired(now, held) || s.seal.contains(key)) {
@@ -288,8 +290,8 @@
 	sortClaims(c.head.Claims)
 }
 
-// handleCommitResult handles the result of a commit. After a conflict or an unknown result the head is read again: the
-// stored record is authoritative, and pending messages that it does not reflect go into the next commit.
+// handleCommitResult handles the result of a commit. After a conflict or an unknown result, the head record is read
+// again: it is authoritative, and pending messages that it does not reflect go into the next commit.
 func (k *Keeper) handleCommitResult(now time.Time, s *shard, r StoreResult, out *Output) {
 	c := s.commit
 	if c == nil {
@@ -327,7 +329,7 @@
 	s.answerCommitted(c, out)
 }
 
-// answerCommitted answers the messages that a commit stored, except requests that were dropped meanwhile.
+// answerCommitted answers the messages that a commit stored, except claim requests that were dropped meanwhile.
 func (s *shard) answerCommitted(c *commit, out *Output) {
 	asks := make(map[*pendingAsk]bool, len(c.asks))
 	for _, a := range c.asks {
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -9,11 +9,12 @@
 // KeeperConfig configures a Keeper; zero durations and sizes select the defaults.
 type KeeperConfig struct {
 	Logger pomelorelay.Logger
-	// Alive reports whether a router is alive; unsettled claims of a dead router are unknown. Nil treats all routers as alive.
+	// Alive reports whether a router is alive; the request of an unsettled claim of a dead router counts as unknown,
+	// since it may have run. Nil treats all routers as alive.
 	Alive func(pomelorelay.NodeID) bool
-	// CommitsPerSecond limits the head writes of one shard, 4 by default.
+	// CommitsPerSecond limits the writes of a shard's head record, 4 by default.
 	CommitsPerSecond float64
-	// CommitBurst is the number of commits of a shard that may exceed the rate at once, 2 by default.
+	// CommitBurst is the capacity of a shard's token bucket for these writes, 2 by default.
 	CommitBurst float64
 	// SettleDelay is how long a settlement may be delayed to share a commit, 500 ms by default.
 	SettleDelay time.Duration
@@ -21,37 +22,44 @@
 	MaxStoreWait time.Duration
 	// RetryDelay is the delay before a failed store operation is repeated, 200 ms by default.
 	RetryDelay time.Duration
-	// SealBytes is the size of the head's claims above which settled claims are moved to a segment, 128 KiB by default.
+	// SealBytes is the size of the claims in a shard's head record above which settled claims are moved to a separate
+	// record (segment), 128 KiB by default.
 	SealBytes pomelorelay.Bytes
-	// MaxHeadBytes is the size of the head record above which new claims are refused, 512 KiB by default.
+	// MaxHeadBytes is the size of a shard's head record above which new claims are refused, 512 KiB by default.
 	MaxHeadBytes pomelorelay.Bytes
 	// MaxPending limits the claims of a shard that wait for the store, 4,096 by default; further claims are refused.
 	MaxPending int
 	// Retention is how long a settled claim is kept, 24 h by default.
 	Retention time.Duration
-	// RunningTimeout is the age at which an unsettled claim becomes unknown, 1 h by default.
+	// RunningTimeout is the age at which the request of an unsettled claim counts as unknown, 1 h by default.
 	RunningTimeout time.Duration
-	// MaxOutcomeBytes limits the stored outcome of a claim, 4 KiB by default.
+	// MaxOutcomeBytes limits the stored body and content type of a response, 4 KiB by default; of a larger response
+	// only the status is stored.
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
 // RequesterConfig configures a requester; zero durations and sizes select the defaults.
 type RequesterConfig struct {
-	// Node and Incarnation, the process start in Unix nanoseconds, identify the process in its nonces and must be unique.
+	// Node and Incarnation (the process start in Unix nanoseconds) identify the process in its nonces; the pair must be
+	// unique.
 	Node        pomelorelay.NodeID
 	Incarnation pomelorelay.Incarnation
 	// Shards is the number of claim shards, 64 by default; it must be the same on every router.
 	Shards uint32
 	// Keeper returns the current keeper of a shard, or false when there is none.
 	Keeper func(pomelorelay.ShardID) (pomelorelay.NodeID, bool)
-	// ResendAfter is the initial delay before an unanswered message is resent, 300 ms by default; it doubles up to 8 times that.
+	// ResendAfter is the initial delay before an unanswered message is resent, 300 ms by default; it doubles with each
+	// resend, up to 8 times the initial delay.
 	ResendAfter time.Duration
-	// ClaimTimeout is how long a claim may stay unanswered before it is refused, 4 s by default.
+	// ClaimTimeout is how long a claim request may stay unanswered before the requester refuses the claim, 4 s by
+	// default.
 	ClaimTimeout time.Duration
-	// MaxSettling limits the unacknowledged settlements, 10,000 by default. Above half of it, outcomes are dropped; above all
-	// of it, the oldest settlements are dropped, and their claims end as unknown.
+	// MaxSettling limits the unacknowledged settlements, 10,000 by default. Above half of the limit, response bodies
+	// are dropped from settlements; above the limit, the oldest settlements are dropped, and their requests end as
+	// unknown.
 	MaxSettling int
-	// MaxOutcomeBytes limits the outcome sent with a settlement, 4 KiB by default.
+	// MaxOutcomeBytes limits the body and content type sent with a settlement, 4 KiB by default; of a larger response
+	// only the status is sent.
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// assignShards assigns a router the shards that it keeps according to its own membership view.
+// assignShards assigns a router the claim shards of which it is the keeper according to its own membership view.
 func (f *fleet) assignShards(r *router) {
 	var out pomeloclaim.Output
 	for shard := range pomelorelay.ShardID(f.shards) {
@@ -150,7 +150,8 @@
 	heap.Push(&f.events, event{f.now.Add(d), f.seq, do})
 }
 
-// runOn runs do on the router unless that process has ended; a paused process runs it after it resumes.
+// runOn runs do on the router unless the process with that incarnation has ended; a paused process runs do after it
+// resumes.
 func (f *fleet) runOn(r *router, incarnation int, do func()) {
 	if !r.alive || r.incarnation != incarnation {
 		return
@@ -223,8 +224,8 @@
 	})
 }
 
-// startStoreOp schedules a store operation. During an outage it fails; with storeReplyLoss its result may be lost and its
-// effect delayed.
+// startStoreOp schedules a store operation. During an outage the operation fails; with storeReplyLoss its result may be
+// lost and its effect delayed.
 func (f *fleet) startStoreOp(r *router, op pomeloclaim.StoreOp) {
 	incarnation := r.incarnation
 	reply := func(d time.Duration, res pomeloclaim.StoreResult) {
@@ -286,8 +287,8 @@
 	})
 }
 
-// handleVerdict acts as the traffic path: the request of a fresh claim runs on the plain service and is settled, unless it
-// is not sent or the router dies first.
+// handleVerdict acts as the traffic path: the request of a granted claim runs on the plain service, and the claim is
+// settled, unless the request is not sent or the router dies first.
 func (f *fleet) handleVerdict(r *router, v pomeloclaim.Verdict) {
 	c, ok := r.calls[v.Nonce]
 	if !ok {
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -7,8 +7,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Keeper stores the claims of its shards and answers requesters once their claims are durable. Two keepers of one shard
-// fence each other by compare-and-swap on the shard's head record. A keeper never revokes a claim on its own.
+// Keeper stores the claims of its shards and answers requesters once their claims are durable. If two keepers act for
+// one shard, the compare-and-swap on its head record lets only one of them write. A keeper never revokes a claim on its
+// own.
 type Keeper struct {
 	cfg        KeeperConfig
 	lastOp     OpID
@@ -16,7 +17,8 @@
 	shards     map[pomelorelay.ShardID]*shard
 	// owned lists the shard IDs in ascending order, so that simulated runs are deterministic.
 	owned []pomelorelay.ShardID
-	// processStarts holds the latest process start seen of each router, to recognise claims of processes that have ended.
+	// processStarts holds the latest process start seen of each router, in Unix milliseconds, to recognise claims of
+	// processes that have ended.
 	processStarts map[pomelorelay.NodeID]uint64
 	outage        bool
 }
@@ -36,8 +38,8 @@
 	opReadSlot
 )
 
-// pendingOp records the purpose of a store operation. The result of an operation for an abandoned commit or seal is not
-// attributed to the next one.
+// pendingOp records the purpose of a store operation. commit and seal are those that the operation belongs to, so that
+// its result is not attributed to a later commit or seal.
 type pendingOp struct {
 	kind   opKind
 	shard  *shard
@@ -62,7 +64,7 @@
 	k.cfg.Retention = d
 }
 
-// AddShard takes over a shard; claims are answered once its records have been read.
+// AddShard takes over a shard; claim requests are answered once its records have been read from the store.
 func (k *Keeper) AddShard(now time.Time, id pomelorelay.ShardID, out *Output) {
 	if _, ok := k.shards[id]; ok {
 		return
@@ -74,8 +76,9 @@
 	k.advance(now, s, out)
 }
 
-// RemoveShard gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A write
-// in progress may still take effect; the new keeper's compare-and-swap then fails and it reads the record again.
+// RemoveShard gives up a shard and drops its pending messages, which the requesters send again to the new keeper. A
+// write in progress may still take effect; the compare-and-swap of the new keeper then fails, and that keeper reads the
+// record again.
 func (k *Keeper) RemoveShard(id pomelorelay.ShardID) {
 	delete(k.shards, id)
 	k.owned = slices.DeleteFunc(k.owned, func(o pomelorelay.ShardID) bool { return o == id })
@@ -116,12 +119,14 @@
 	k.advance(now, s, out)
 }
 
-// recordProcessStart records when a router's process started. Unsettled claims of its earlier processes become unknown.
+// recordProcessStart records when a router's process started. The requests of unsettled claims of its earlier processes
+// then count as unknown.
 func (k *Keeper) recordProcessStart(from pomelorelay.NodeID, nonce pomelorelay.ClaimNonce) {
 	k.processStarts[from] = max(k.processStarts[from], processStart(nonce[:]))
 }
 
-// Tick refuses overdue claims, retries failed operations and starts due commits. Call it about every 50 ms.
+// Tick refuses overdue claim requests, retries failed store operations and starts due writes. Call it about every 50
+// ms.
 func (k *Keeper) Tick(now time.Time, out *Output) {
 	for _, id := range k.owned {
 		s := k.shards[id]
@@ -139,8 +144,8 @@
 	return k.cfg.MaxStoreWait
 }
 
-// refuseOverdue refuses claims that have waited too long for the store. Such a claim may still become durable; then only
-// its requester may release it, because another keeper may have answered the requester that the claim is fresh.
+// refuseOverdue refuses claim requests that have waited too long for the store. Such a claim may still become durable;
+// then only its requester may release it, because another keeper may have granted it to the requester.
 func (k *Keeper) refuseOverdue(now time.Time, s *shard, out *Output) {
 	refused := false
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool {
@@ -149,7 +154,7 @@
 		}
 		refused = true
 		if c := s.headClaims[a.ask.Key]; c != nil {
-			// The known claim of the key is more accurate than a refusal.
+			// A claim of the key is known, and an answer with its state is more accurate than a refusal.
 			k.answerWithClaim(now, s, a, c, out)
 			return true
 		}
@@ -211,8 +216,8 @@
 	k.advance(now, s, out)
 }
 
-// effectiveState returns a claim's state, where a running claim is unknown once its holder is dead or has restarted, or
-// once RunningTimeout has passed.
+// effectiveState returns a claim's state, which is unknown instead of running once the router that holds the claim is
+// dead or has restarted, or once RunningTimeout has passed.
 func (k *Keeper) effectiveState(now time.Time, c *claimRecord) pomelorelay.ClaimState {
 	state := pomelorelay.ClaimState(c.State)
 	if state != pomelorelay.ClaimRunning {
@@ -225,7 +230,7 @@
 	return state
 }
 
-// expired reports whether a claim is past its retention; its key then counts as unused.
+// expired reports whether a claim is older than Retention; its key then counts as unused.
 func (k *Keeper) expired(now time.Time, c *claimRecord) bool {
 	return k.sealable(now, c) && now.Sub(c.changedAt()) > k.cfg.Retention
 }
--- a/pomeloclaim/nonce.go
+++ b/pomeloclaim/nonce.go
@@ -8,8 +8,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// A nonce consists of the process start in Unix milliseconds (6 bytes), a hash of the router name and the exact start
-// (6 bytes) and a counter (4 bytes). It is unique per attempt, and keepers can detect a restart of its router.
+// A nonce consists of the process start in Unix milliseconds (6 bytes), a hash of the router's node ID and its exact
+// process start (6 bytes) and a counter (4 bytes). It is unique per attempt, and keepers can detect from it that the
+// router has restarted.
 const (
 	startBytes    = 6
 	processBytes  = 6
--- a/pomeloclaim/output.go
+++ b/pomeloclaim/output.go
@@ -14,8 +14,8 @@
 }
 
 // StoreResult is the result of a StoreOp: the record of a Get, the revision of a CompareAndSwap, or an error with
-// CodeStoreConflict, CodeStoreUnavailable or CodeStoreUnknown. Other errors of a CompareAndSwap count as unknown. Every
-// operation needs a result, so the caller must apply a timeout.
+// CodeStoreConflict, CodeStoreUnavailable or CodeStoreUnknown. After any other error, a CompareAndSwap may have taken
+// effect. Every operation needs a result, so the caller must apply a timeout.
 type StoreResult struct {
 	ID       OpID
 	Record   pomelorelay.Record
--- a/pomeloclaim/record.go
+++ b/pomeloclaim/record.go
@@ -13,24 +13,27 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// headRecord is the record of a shard that every change writes. gob ignores unknown fields and accepts missing ones, so
-// that routers of two versions can be keepers of a shard one after the other.
+// headRecord is a shard's main record in the store, which every change of its claims rewrites. gob ignores unknown
+// fields and accepts missing ones, so that routers of two versions can be keepers of a shard one after the other.
 type headRecord struct {
 	NextSlot uint32
 	Free     []slotRef
-	// Reserve is the slot to which the current keeper may write a segment. Slots are written only after being reserved.
+	// Reserve is the store record to which the current keeper may write a segment. A segment record is written only
+	// after it was reserved.
 	Reserve  *slotRef
 	Segments []segmentRef
 	Claims   []claimRecord
 }
 
-// slotRef names a segment slot and the revision at which it may be written.
+// slotRef identifies a store record for a segment of claims, and the revision that the record must still have when it
+// is written (compare-and-swap); zero if it was never written.
 type slotRef struct {
 	Slot     uint32
 	Revision uint64
 }
 
-// segmentRef refers to a sealed segment whose claims last changed between From and To, in Unix milliseconds.
+// segmentRef refers to the stored record of a segment, whose claims last changed between From and To, in Unix
+// milliseconds.
 type segmentRef struct {
 	Slot     uint32
 	Revision uint64
@@ -42,7 +45,8 @@
 	Claims []claimRecord
 }
 
-// claimRecord is a stored claim. At is when it was created or last changed, in Unix milliseconds.
+// claimRecord is a stored claim. Content is the fingerprint of the request, Asker the router that holds the claim; At
+// is when the claim was created or last changed, in Unix milliseconds.
 type claimRecord struct {
 	Key         []byte
 	Nonce       []byte
@@ -86,7 +90,7 @@
 	return sum[:]
 }
 
-// keyPrefix returns the first 8 bytes of a key for the segment index; a match is verified against the full key.
+// keyPrefix returns the first 8 bytes of a claim key for the segment index; a match is verified against the full key.
 func keyPrefix(key []byte) uint64 {
 	if len(key) < 8 {
 		return 0
--- a/pomeloclaim/requester.go
+++ b/pomeloclaim/requester.go
@@ -11,8 +11,8 @@
 // maxBackoffShift limits the exponential backoff of resends to ResendAfter << maxBackoffShift.
 const maxBackoffShift = 3
 
-// Requester requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that it
-// has refused stays refused: if a later answer makes it fresh, the claim is released.
+// Requester requests claims from keepers for one router and decides whether a claimed request may be sent. A claim that
+// it has refused stays refused: if a keeper grants the claim later, the requester releases it.
 type Requester struct {
 	cfg         RequesterConfig
 	process     pomelorelay.ClaimNonce
@@ -56,7 +56,8 @@
 	return pomelorelay.ShardID(binary.BigEndian.Uint32(key[len(key)-4:]) % shards)
 }
 
-// Claim requests a claim and returns its nonce. The verdict is added to the Output of a later call.
+// Claim requests a claim for a key and the fingerprint of the request's content, and returns the claim's nonce. The
+// verdict is added to the Output of a later call.
 func (a *Requester) Claim(now time.Time, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint, out *Output) pomelorelay.ClaimNonce {
 	a.lastCounter++
 	nonce := withCounter(a.process, a.lastCounter)
@@ -75,7 +76,7 @@
 	return t
 }
 
-// Cancel abandons a claim without a verdict and releases it. No verdict follows.
+// Cancel abandons and releases a claim that has no verdict yet; none follows.
 func (a *Requester) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
 	if t, ok := a.attempts[nonce]; ok && t.phase == phaseAsking {
 		a.release(now, t, out)
@@ -100,11 +101,13 @@
 		a.endAttempt(m.Nonce, t)
 	default:
 		if m.State != pomelorelay.ClaimRefused && t.sends == 1 {
-			// Only one request was sent, and its answer has arrived, so no other request of this attempt can become durable.
+			// Only one ClaimAsk was sent for this attempt, and it has been answered, so no claim of the attempt can
+			// become durable.
 			a.endAttempt(m.Nonce, t)
 			return
 		}
-		// A keeper may still make the claim durable, which would block every repeat of the request.
+		// A keeper may still make the claim durable from a resent ClaimAsk, which would block every repeat of the
+		// request.
 		a.release(now, t, out)
 	}
 }
@@ -124,8 +127,9 @@
 	return [counterOffset]byte(nonce[:counterOffset]) == [counterOffset]byte(a.process[:counterOffset])
 }
 
-// Settle records how the request of a fresh claim ended (released, done or unknown) and sends it to the keeper until it is
-// acknowledged. Outcomes over MaxOutcomeBytes are truncated.
+// Settle records how the request of a granted claim ended and sends this to the keeper until it is acknowledged:
+// released if the request did not run, otherwise done or unknown. If the outcome exceeds MaxOutcomeBytes, only its
+// status is sent, marked Truncated.
 func (a *Requester) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
 	t, ok := a.attempts[nonce]
 	if !ok || t.phase != phaseRunning {
@@ -149,7 +153,7 @@
 	a.limitSettlements()
 }
 
-// limitSettlements bounds the memory of unacknowledged settlements while no keeper is reachable.
+// limitSettlements bounds the memory used by unacknowledged settlements while no keeper is reachable.
 func (a *Requester) limitSettlements() {
 	if a.settlingCount <= a.cfg.MaxSettling/2 {
 		return
@@ -214,8 +218,8 @@
 	out.send(keeper, &settle)
 }
 
-// Phases counts the open claims by what they wait for: a verdict, the end of their request, or the acknowledgement of
-// their settlement.
+// Phases counts the open claims by what they wait for: a verdict, the end of the claimed request, or the
+// acknowledgement of the settlement.
 type Phases struct {
 	Asking   int
 	Running  int
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -17,7 +17,8 @@
 	recoveryTime = 30 * time.Second
 )
 
-// smallRecords makes sealing, expiry and reuse of slots occur within a short schedule.
+// smallRecords sets limits so small that segments are written, expire and have their store records reused within a
+// short schedule.
 var smallRecords = pomeloclaim.KeeperConfig{SealBytes: 1500, CommitsPerSecond: 20, CommitBurst: 4, SettleDelay: 100 * time.Millisecond, Retention: time.Hour}
 
 // Routers crash and pause, store results and messages are lost, and keepers change or overlap, while callers repeat their
@@ -116,7 +117,7 @@
 }
 
 // checkNotBlocked sends every request once more. A request that no crash affected must run now, or be answered with its
-// outcome or with the unknown state that its own router reported.
+// outcome or with the unknown state that the router which sent it has reported.
 func checkNotBlocked(rt *rapid.T, f *fleet, crashed map[string]bool) {
 	for n := range 31 {
 		key := fmt.Sprint("booking-", n)
@@ -132,7 +133,7 @@
 		}
 		state := f.replies[key][before].state
 		if state == pomelorelay.ClaimRunning {
-			// The attempt that holds the claim has ended; the claim is released when it first blocks a repeat.
+			// The attempt that holds the claim has ended; its router releases the claim when it first blocks a repeat.
 			f.send(n%fleetRouters, key)
 			f.run(5 * time.Second)
 			state = f.replies[key][before+1].state
--- a/pomeloclaim/seal.go
+++ b/pomeloclaim/seal.go
@@ -12,17 +12,17 @@
 type sealStep int
 
 const (
-	sealReserveSlot  sealStep = iota + 1 // the head must reserve the slot
-	sealWriteSlot                        // the slot may be written
+	sealReserveSlot  sealStep = iota + 1 // the head must reserve the store record (slot)
+	sealWriteSlot                        // the segment may be written to the slot
 	sealWritePending                     // the write is in progress
 	sealReadSlot                         // the slot must be read because the write's result is unknown
 	sealReadPending
 	sealListSegment // the head must list the segment
 )
 
-// seal moves settled claims from the head to an immutable segment, so that the head stays small. A slot is written only at
-// the revision that the head reserved: a delayed write of a paused keeper then fails instead of overwriting another
-// keeper's segment.
+// seal moves settled claims from the head record to an immutable segment record, so that the head stays small. A
+// segment is written only at the revision that the head reserved: a delayed write of a paused keeper then fails instead
+// of overwriting another keeper's segment.
 type seal struct {
 	step     sealStep
 	slot     slotRef
@@ -36,7 +36,7 @@
 
 func (x *seal) needsCommit() bool { return x.step == sealReserveSlot || x.step == sealListSegment }
 
-// contains reports whether the segment that is being added to the head holds the key.
+// contains reports whether the key is in the segment that the next commit adds to the head.
 func (x *seal) contains(key pomelorelay.ClaimKey) bool {
 	return x != nil && x.step == sealListSegment && x.keys[key]
 }
@@ -51,7 +51,7 @@
 	return s.headSize-maxSegmentRefBytes*len(s.segments) > int(k.cfg.SealBytes)
 }
 
-// advanceSeal starts a seal when one is due and carries out the steps that need no commit.
+// advanceSeal starts a seal when one is due and carries out the steps that do not write the head.
 func (k *Keeper) advanceSeal(now time.Time, s *shard, out *Output) {
 	if s.seal == nil && s.commit == nil && k.sealDue(s) {
 		s.seal = k.newSeal(now, s)
@@ -95,15 +95,15 @@
 	return x
 }
 
-// sealedClaim returns a claim in its final state; one that was never settled is unknown.
+// sealedClaim returns a claim in its final state, which is unknown if the claim was never settled.
 func sealedClaim(now time.Time, k *Keeper, c *claimRecord) claimRecord {
 	copied := *c
 	copied.State = int(k.effectiveState(now, c))
 	return copied
 }
 
-// addSegments adds the segment references to the new head, including a newly written segment. The slots of expired segments
-// become free, and the slot of a seal that is not written yet is reserved.
+// addSegments adds the segment references to the new head, including a newly written segment. The store records (slots)
+// of expired segments become free, and the one for a segment that is not written yet is reserved.
 func (k *Keeper) addSegments(now time.Time, s *shard, c *commit) {
 	for _, seg := range s.segments {
 		if k.segmentExpired(now, seg) {
@@ -149,8 +149,8 @@
 	x.step = sealListSegment
 }
 
-// handleSlotRead checks whether a segment write took effect. If the slot holds something else, it is reserved again at its
-// current revision.
+// handleSlotRead checks whether a segment write took effect. If the store record holds something else, it is reserved
+// again at its current revision.
 func (k *Keeper) handleSlotRead(now time.Time, s *shard, r StoreResult) {
 	x := s.seal
 	if x == nil || x.step != sealReadPending {
@@ -169,7 +169,7 @@
 	x.step = sealReserveSlot
 }
 
-// applySeal advances the seal after a commit and drops the indexes of segments that are no longer listed.
+// applySeal advances the seal after a commit and drops the indexes of segments that the head no longer lists.
 func (s *shard) applySeal(c *commit) {
 	for slot := range s.indexes {
 		if !slices.ContainsFunc(s.segments, func(seg segmentRef) bool { return seg.Slot == slot }) {
--- a/pomeloclaim/seal_list_test.go
+++ b/pomeloclaim/seal_list_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestSegmentListDoesNotFillHead(t *testing.T) {
-	// A shard receives many claims within the retention, until its list of sealed segments alone reaches SealBytes. If the list
-	// counted towards sealing, segments of a few claims each would fill the head, and the shard would refuse all claims until
-	// segments expire.
+	// A shard receives many claims within the retention, until its list of segments (records of settled claims) alone
+	// reaches SealBytes. If the list counted towards that limit, segments of a few claims each would fill the head
+	// record, and the shard would refuse all claims until segments expire.
 	f := newFleet(1, 0, pomeloclaim.KeeperConfig{}, 1)
 	k := pomeloclaim.NewKeeper(pomeloclaim.KeeperConfig{CommitsPerSecond: 1e9, SealBytes: 4 << 10, MaxHeadBytes: 16 << 10})
 	var out pomeloclaim.Output
--- a/pomeloclaim/shard.go
+++ b/pomeloclaim/shard.go
@@ -10,15 +10,15 @@
 // maxIndexReads limits concurrent reads of segments when a shard is taken over.
 const maxIndexReads = 8
 
-// shard is a keeper's state of one shard. headClaims, segments and the other head fields reflect the store's record at
-// revision; asks and settles are pending until a commit has stored them.
+// shard is a keeper's state of one shard. headClaims, segments and the other head fields reflect the shard's head
+// record in the store at revision; asks and settles are pending until a commit has stored them.
 type shard struct {
 	id          pomelorelay.ShardID
 	ready       bool
 	readingHead bool
 	retryAt     time.Time
 	revision    pomelorelay.Revision
-	// confirmedAt is when a read or write last showed that the head is at revision.
+	// confirmedAt is when a read or write last showed that the head record is at revision.
 	confirmedAt     time.Time
 	headSize        int
 	headClaims      map[pomelorelay.ClaimKey]*claimRecord
@@ -34,7 +34,8 @@
 	tokensUpdatedAt time.Time
 }
 
-// segmentIndex holds the sorted key prefixes of a sealed segment, and its claims while requests need them.
+// segmentIndex holds the sorted key prefixes of a segment, and the claims of the segment while claim requests need
+// them.
 type segmentIndex struct {
 	revision uint64
 	prefixes []uint64
@@ -74,7 +75,7 @@
 	return slices.ContainsFunc(s.settles, func(p *pendingSettle) bool { return p.settle.Nonce == nonce })
 }
 
-// removeAsk drops a request that its requester has cancelled.
+// removeAsk drops a claim request that its requester has cancelled.
 func (s *shard) removeAsk(nonce pomelorelay.ClaimNonce) {
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool { return a.ask.Nonce == nonce })
 }
@@ -89,7 +90,7 @@
 	k.startDueCommit(now, s, out)
 }
 
-// load reads the head and then the segment indexes; it reports whether the shard is ready.
+// load reads the head record and then the segments to index; it reports whether the shard is ready.
 func (k *Keeper) load(now time.Time, s *shard, out *Output) bool {
 	if s.readingHead || now.Before(s.retryAt) {
 		return false
@@ -128,7 +129,8 @@
 	return true
 }
 
-// invalidate causes the head to be read again after another keeper wrote it or a write's result is unknown.
+// invalidate causes the head record to be read again after another keeper wrote it or the result of a write was
+// unknown.
 func (s *shard) invalidate() {
 	s.ready = false
 	s.headSize = unknownSize
@@ -136,7 +138,7 @@
 	s.seal = nil
 }
 
-// unknownSize is the headSize of a shard whose head must be read.
+// unknownSize is the headSize of a shard whose head record must be read.
 const unknownSize = -1
 
 func (k *Keeper) handleHeadRead(now time.Time, s *shard, r StoreResult) {
@@ -159,14 +161,14 @@
 	}
 	s.nextSlot, s.free, s.segments = head.NextSlot, head.Free, head.Segments
 	if head.Reserve != nil {
-		// The previous keeper may still write to this slot. The slot's next use then fails its compare-and-swap and reads the
-		// new revision.
+		// The previous keeper may still write to this store record (slot). The next write to it then fails its
+		// compare-and-swap, and the new revision is read.
 		s.free = append(s.free, *head.Reserve)
 	}
 	s.updateIndexes()
 }
 
-// handleHeadConfirm handles a read of the head that checks whether another keeper has written it.
+// handleHeadConfirm handles a read of the head record that checks whether another keeper has written it.
 func (k *Keeper) handleHeadConfirm(now time.Time, s *shard, r StoreResult) {
 	s.readingHead = false
 	switch {
@@ -192,8 +194,8 @@
 	}
 }
 
-// handleCorruptRecord delays the next read of a shard whose record cannot be decoded. The shard refuses claims meanwhile:
-// starting from an empty record would allow requests that have run to run again.
+// handleCorruptRecord delays the next read of a shard with a record that cannot be decoded. The shard refuses claims
+// meanwhile: starting from an empty record would allow requests that have run to run again.
 func (k *Keeper) handleCorruptRecord(now time.Time, s *shard, key pomelorelay.StoreKey) {
 	s.retryAt = now.Add(k.cfg.MaxStoreWait)
 	k.cfg.Logger.Log(pomelorelay.EventClaimRecordBroken, pomelorelay.Field{Key: "Key", Value: string(key)})
@@ -210,7 +212,7 @@
 		return
 	}
 	if uint64(r.Record.Revision) != index.revision {
-		// The slot was reused, so the head is out of date.
+		// The store record was reused for another segment, so this keeper's copy of the head is out of date.
 		s.invalidate()
 		return
 	}
--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// account is the state of a client account in one pool; all service is normalised when it is charged.
+// account is the state of a client account in one pool; all service is divided by the weight at the time of its charge.
 type account struct {
 	id     pomelorelay.AccountID
 	pool   *pool
@@ -14,8 +14,8 @@
 	// ownServed is the service charged by this router, othersServed that charged by the other routers.
 	ownServed    pomelorelay.Tag
 	othersServed pomelorelay.Tag
-	// ownIncrease and othersIncrease are moving averages of the increases of reported and of othersServed between two
-	// updates of the fleet totals.
+	// ownIncrease and othersIncrease are moving averages of how much reported (this router's service) and othersServed
+	// increase between two updates of the fleet totals.
 	ownIncrease    pomelorelay.Tag
 	othersIncrease pomelorelay.Tag
 	// ownAtTotals is the value of reported at the last update of the fleet totals.
@@ -29,13 +29,13 @@
 	// lift is the normalised service that counts as received because the tag was raised to the virtual time or the
 	// catch-up limit.
 	lift pomelorelay.Tag
-	// pending is the part of the admission charges that has not accrued yet.
+	// pending is the part of the running requests' admission charges that is not yet covered by accrued cost.
 	pending pomelorelay.Tag
-	// floor plus ownServed is the minimum of the account's service while awaitingTotals.
+	// floor plus ownServed is the minimum assumed for the account's service while awaitingTotals is set.
 	floor pomelorelay.Tag
 	// awaitingTotals is set from the start of a backlogged period until fleet totals are received.
 	awaitingTotals bool
-	// dirty is set while the account is in changedAccounts.
+	// dirty is set while the account is in Queues.changedAccounts, the accounts to include in the next ledger report.
 	dirty       bool
 	heapIndex   int
 	heapKey     pomelorelay.Tag
@@ -70,9 +70,9 @@
 // served returns the account's normalised service across the fleet as known to this router, including lift.
 func (a *account) served() pomelorelay.Tag { return a.ownServed + a.othersServed + a.lift }
 
-// forecastOthers estimates what the other routers have charged since the last report: this router's own charges times the
-// recent ratio of their charges to its own. Until the next totals, all routers see the same account with the lowest tag;
-// if each of them served its full deficit, the account would receive it once per router.
+// forecastOthers estimates what the other routers have charged since the last report: this router's own charges times
+// the recent ratio of their charges to its own. Until the next totals, all routers see the same account with the lowest
+// tag; without the forecast, each of them would serve the account's whole deficit.
 func (a *account) forecastOthers() pomelorelay.Tag {
 	since := a.ownServed + a.pending - a.chargedAtReport
 	if since <= 0 || a.othersIncrease <= 0 {
@@ -150,7 +150,7 @@
 	a.bytes -= r.bytes
 }
 
-// popIntervalDivisor is the inverse of the weight of the newest interval in the moving average of popInterval.
+// popIntervalDivisor is the inverse of the weight that the newest interval has in popInterval, a moving average.
 const popIntervalDivisor = 8
 
 func (a *account) recordPop(now time.Time) {
--- a/pomelofair/charge.go
+++ b/pomelofair/charge.go
@@ -39,7 +39,8 @@
 	r.account.pool.decreaseKey(r.account)
 }
 
-// accrue moves cost from pending to ownServed; cost in excess of pending raises the tag.
+// accrue charges a request's further cost to ownServed and reduces pending by as much; only cost in excess of pending
+// raises the tag.
 func (q *Queues) accrue(r *request, accrued pomelorelay.Cost) {
 	if accrued <= r.accrued {
 		return
@@ -73,7 +74,7 @@
 	}
 }
 
-// Charge charges an account for service that was not queued at this router.
+// Charge charges an account for the cost of a request that was not queued at this router.
 func (q *Queues) Charge(_ time.Time, id pomelorelay.PoolID, name pomelorelay.AccountID, cost pomelorelay.Cost) {
 	if cost <= 0 {
 		return
--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -16,7 +16,7 @@
 
 // ChargeOptions configures how requests are charged before their final cost is known; zero fields take the defaults.
 type ChargeOptions struct {
-	// AdmissionFraction is the fraction of the expected cost that is charged when a request is popped; default 0.35.
+	// AdmissionFraction is the fraction of its expected cost that a request is charged when it is popped; default 0.35.
 	AdmissionFraction float64
 	// CatchUp is the maximum normalised cost by which a backlogged account may stay behind the virtual time; default 60.
 	CatchUp pomelorelay.Tag
@@ -24,7 +24,8 @@
 	InitialCost pomelorelay.Cost
 	// MeanSmoothing is the weight of the newest request in the moving average of the cost; default 0.125.
 	MeanSmoothing float64
-	// HintFactor limits a caller's cost hint to the range mean/HintFactor to mean*HintFactor; default 2.
+	// HintFactor limits a caller's cost hint to between 1/HintFactor and HintFactor times the account's mean cost;
+	// default 2.
 	HintFactor float64
 }
 
@@ -42,7 +43,7 @@
 type PoolOptions struct {
 	// CatchUp overrides ChargeOptions.CatchUp.
 	CatchUp pomelorelay.Tag
-	// The limits on waiting requests override those of LimitOptions.
+	// MaxWaiting and MaxWaitingBytes override the limits of LimitOptions.
 	MaxWaiting      int
 	MaxWaitingBytes pomelorelay.Bytes
 }
--- a/pomelofair/gapbound.go
+++ b/pomelofair/gapbound.go
@@ -18,22 +18,25 @@
 	CostPerSecond pomelorelay.Cost
 	// MinWeight is the smallest weight of the compared accounts.
 	MinWeight pomelorelay.Weight
-	// AdmissionFraction is that of ChargeOptions.
+	// AdmissionFraction is ChargeOptions.AdmissionFraction.
 	AdmissionFraction float64
-	// LedgerInterval, DemandInterval, DigestInterval and ProgressInterval are the periods of fleet totals, demand updates, digests and progress updates.
+	// LedgerInterval, DemandInterval, DigestInterval and ProgressInterval are the periods at which a router receives
+	// fleet totals, owners receive demand, routers receive digests, and running requests are charged for progress.
 	LedgerInterval, DemandInterval, DigestInterval, ProgressInterval time.Duration
 	// LinkLatency is the one-way latency between routers.
 	LinkLatency time.Duration
-	// PrefixMargin is that of GrantOptions in package pomeloslot.
+	// PrefixMargin is GrantOptions.PrefixMargin of package pomeloslot.
 	PrefixMargin pomelorelay.Tag
 }
 
 const (
 	// ledgerIntervals is the number of ledger intervals during which charges can be unknown to a grant decision.
 	ledgerIntervals = 4
-	// linkTraversals is the number of messages between a charge and a decision that takes it into account.
+	// linkTraversals is the number of messages between a charge and a grant decision that takes the charge into
+	// account.
 	linkTraversals = 6
-	// admissionCharges is how many times the admission charges of all running requests can be missed.
+	// admissionCharges is how many times the admission charges of all of an account's running requests can be unknown
+	// to a grant decision.
 	admissionCharges = 3
 )
 
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -45,8 +45,9 @@
 		return
 	}
 	before := a.lift
-	// Totals may be older than the last ones, or come from a ledger host that lacks entries. Applied as they are, they would
-	// lower an account's tag, and it alone would be served for a while. Sums only increase, so the larger one is newer.
+	// Totals may be older than the last ones, or come from a ledger host that lacks entries. Applied as they are, they
+	// would lower the tag of an account, and only that account would be served for a while. Sums only increase, so the
+	// larger one is newer.
 	others := max(a.othersServed, pomelorelay.Tag(e.Served)-a.reported)
 	increase := pomelorelay.Cost(others-a.othersServed) * pomelorelay.Cost(a.weight)
 	a.updateOthers(others)
@@ -63,7 +64,7 @@
 	p.decreaseKey(a)
 }
 
-// increaseDivisor is the inverse of the weight of the newest increase in the moving averages.
+// increaseDivisor is the inverse of the weight that the newest increase has in ownIncrease and othersIncrease.
 const increaseDivisor = 16
 
 // updateOthers sets the service charged by the other routers and updates the moving averages of the increases.
@@ -76,9 +77,10 @@
 // totalsMaxAge is the age above which totals are considered stale at the start of a backlogged period.
 const totalsMaxAge = 2 * time.Second
 
-// startBacklog starts a backlogged period. With outdated totals the account would claim service that it left unused while
-// idle or received at other routers, and it alone would be served for a while. Until new totals arrive it therefore
-// starts at the virtual time if it was idle, or at the catch-up limit below it if it has running requests and stale totals.
+// startBacklog starts a backlogged period. With outdated totals, an account would be credited for service that it left
+// unused while idle or received at other routers, and only that account would be served for a while. Until new totals
+// arrive, it starts at the virtual time if it was idle, or CatchUp below that time if it has running requests and stale
+// totals.
 func (q *Queues) startBacklog(now time.Time, a *account) {
 	switch {
 	case a.waiting > 0 || a.awaitingTotals:
@@ -95,9 +97,9 @@
 	q.markChanged(a)
 }
 
-// liftToTarget lifts an account that was idle to the virtual time, and one that was backlogged already, here or elsewhere,
-// to the catch-up limit. Without it, service not used while idle or on the other side of a partition would be claimed at
-// once, and no other account would be served meanwhile.
+// liftToTarget lifts an account that was idle to the virtual time, and one that was already backlogged at any router to
+// CatchUp below the maximum virtual time. Without the lift, the account would be credited for all service that it did
+// not use while idle or partitioned, and no other account would be served meanwhile.
 func (q *Queues) liftToTarget(a *account, elsewhere bool) {
 	if a.idle() {
 		return
@@ -121,8 +123,8 @@
 	a.reported = max(a.reported, a.chargedAtReport)
 }
 
-// ledgerEntry returns this router's own entry of the account. Waiting stays false while awaitingTotals: otherwise the
-// totals would show the account as waiting because of this router alone, as if it were backlogged at another one.
+// ledgerEntry returns this router's own entry of the account. Waiting is false while awaitingTotals is set: otherwise
+// this router would find its own entry in the fleet totals and take the account for backlogged at another router.
 func (a *account) ledgerEntry() pomelorelay.LedgerEntry {
 	return pomelorelay.LedgerEntry{
 		Pool:    a.pool.id,
--- a/pomelofair/limits.go
+++ b/pomelofair/limits.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Range of the estimated Retry-After.
+// minRetryAfter and maxRetryAfter bound the Retry-After time that is estimated for rejected requests.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
--- a/pomelofair/pool.go
+++ b/pomelofair/pool.go
@@ -22,7 +22,7 @@
 	hasMeanCost    bool
 }
 
-// raiseVirtualTime raises the virtual time to the tag, unless the virtual time has been set from outside.
+// raiseVirtualTime raises the virtual time to the tag, unless SetVirtualTime has set it.
 func (p *pool) raiseVirtualTime(tag pomelorelay.Tag) {
 	if !p.virtualTimeSet && tag > p.virtualTime {
 		p.virtualTime = tag
@@ -41,7 +41,7 @@
 	p.up(a.heapIndex)
 }
 
-// decreaseKey updates the key of an account whose tag has decreased; lowest updates increased ones.
+// decreaseKey updates the key of an account whose tag has decreased; the key of an increased tag is updated by lowest.
 func (p *pool) decreaseKey(a *account) {
 	if a.heapIndex == notInHeap {
 		return
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -215,7 +215,8 @@
 }
 
 func TestHintEffectIsBounded(t *testing.T) {
-	// A caller's hint is a thousandth or a thousand times the cost of its requests.
+	// A caller's hint is a thousandth or a thousand times the cost of its requests. The admission charge must stay
+	// between half and twice the account's mean cost.
 	for _, c := range []struct {
 		hint pomelorelay.Cost
 		want pomelorelay.Tag
--- a/pomeloledger/account.go
+++ b/pomeloledger/account.go
@@ -24,16 +24,17 @@
 	crossSends   int       // remaining exchanges with other regions that include the component
 }
 
-// account holds the service of one account in one pool.
+// account holds the service that one client account received in one pool.
 type account struct {
 	key     pomelorelay.LedgerKey
 	origins []origin
-	// departed is the sum of the service of ended incarnations, whose origins have been removed. residue is the service of
-	// routers that were unreachable when this host rebuilt the shard; when such a router reports again, its service is
-	// subtracted from residue.
+	// departed is the sum of the service of ended incarnations, whose origins have been removed. residue is the service
+	// of routers that were unreachable when this host rebuilt the shard; when such a router reports again, its service
+	// is subtracted from residue.
 	departed pomelorelay.Cost
 	residue  pomelorelay.Cost
-	// peerSum and peerDeparted are this domain's values as known in other domains; used only during a rebuild.
+	// peerSum and peerDeparted are this domain's total and departed service as known in other domains; used only during
+	// a rebuild.
 	peerSum           pomelorelay.Cost
 	peerDeparted      pomelorelay.Cost
 	lift              pomelorelay.Tag
@@ -61,7 +62,7 @@
 	return a.maxTotal
 }
 
-// mergeReport merges a router's entry by maximum and reports whether anything changed.
+// mergeReport merges a router's entry, keeping the maximum of the service, and reports whether anything changed.
 func (a *account) mergeReport(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, rebuiltAt pomelorelay.Incarnation, e *pomelorelay.LedgerEntry) bool {
 	liftRaised := e.Lift > a.lift
 	a.lift = max(a.lift, e.Lift)
@@ -123,7 +124,7 @@
 	return false
 }
 
-// foreignComponent returns the component of another domain and creates it if it is missing.
+// foreignComponent returns the account's service in another domain, and adds an empty component if there is none.
 func (a *account) foreignComponent(domain pomelorelay.DomainID) *foreignComponent {
 	for i := range a.foreignComponents {
 		if a.foreignComponents[i].domain == domain {
@@ -144,7 +145,7 @@
 	return e
 }
 
-// componentEntry returns the entry to send to other hosts: c's values, or this domain's own when c is nil.
+// componentEntry returns the entry to send to other hosts: the service in c's domain, or in this domain when c is nil.
 func (a *account) componentEntry(now time.Time, p rebuildPhase, c *foreignComponent) pomelorelay.LedgerComponentEntry {
 	e := pomelorelay.LedgerComponentEntry{Pool: a.key.Pool, Account: a.key.Account, Lift: a.lift}
 	if c == nil {
--- a/pomeloledger/config.go
+++ b/pomeloledger/config.go
@@ -31,26 +31,28 @@
 	Options Options
 }
 
-// Options holds the intervals and limits of a Ledger; a zero field takes the default given in its comment.
+// Options holds the intervals and limits of a Ledger; zero fields take the defaults.
 type Options struct {
-	// ExchangeInterval is the interval of exchanges with domains of the same region; 1 s.
+	// ExchangeInterval is the interval at which a host exchanges totals with hosts in other domains of its region;
+	// default 1 s.
 	ExchangeInterval time.Duration
-	// CrossRegionInterval is the interval of exchanges with other regions; 5 s.
+	// CrossRegionInterval is the interval at which regions exchange totals; default 5 s.
 	CrossRegionInterval time.Duration
-	// SendsPerChange is the number of exchanges that include a change, to tolerate a lost message; 2.
+	// SendsPerChange is the number of exchanges that include a changed entry, to tolerate a lost message; default 2.
 	SendsPerChange int
-	// RefreshPerExchange is the number of unchanged entries that each exchange includes, in rotation; 8.
+	// RefreshPerExchange is the number of unchanged entries that each exchange includes, in rotation; default 8.
 	RefreshPerExchange int
-	// MaxEntries limits the entries of this domain in one message to the same region; 512.
+	// MaxEntries limits the entries of this domain's accounts in one message to a host in the same region; default 512.
 	MaxEntries int
-	// RebuildTimeout is how long a new host waits for answers before it serves totals without them; 3 s.
+	// RebuildTimeout is how long a new host waits for answers to its queries before it serves totals without them;
+	// default 3 s.
 	RebuildTimeout time.Duration
-	// QueryInterval is the interval at which a new host repeats unanswered queries; 500 ms.
+	// QueryInterval is the interval at which a new host repeats unanswered queries; default 500 ms.
 	QueryInterval time.Duration
-	// WaitingTTL is how long another domain's report that an account is backlogged remains valid; 2 min.
+	// WaitingTTL is how long another domain's report that an account is backlogged remains valid; default 2 min.
 	WaitingTTL time.Duration
-	// FoldDelay is how long entries of a superseded incarnation are kept separately, to merge late reports, before they
-	// are folded into one sum; 1 min.
+	// FoldDelay is how long the entries of a router's superseded incarnation are kept separately, to merge late
+	// reports, before they are added to the sum of ended incarnations; default 1 min.
 	FoldDelay time.Duration
 }
 
--- a/pomeloledger/exchange.go
+++ b/pomeloledger/exchange.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// exchangeWithinRegion sends changed components, including those from other regions, to the hosts in the region's other
-// domains.
+// exchangeWithinRegion sends changed entries of this domain, and those received from other regions, to the hosts in the
+// region's other domains.
 func (l *Ledger) exchangeWithinRegion(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, s := range l.order {
 		if s.phase != rebuilt {
@@ -75,8 +75,8 @@
 	return out
 }
 
-// exchangeAcrossRegions sends the changed components of this region's domains to one host in each other region. One
-// domain per region sends and receives for a shard, so that a change crosses regions once regardless of the number of
+// exchangeAcrossRegions sends the changed entries of this region's domains to one host in each other region. For each
+// shard, one domain per region sends and receives, so that a change crosses regions once regardless of the number of
 // domains.
 func (l *Ledger) exchangeAcrossRegions(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	domains := l.cfg.Fleet.Domains()
@@ -132,7 +132,8 @@
 	return best
 }
 
-// fromOtherRegion reports whether the sender is a host in another region; its components are forwarded within this one.
+// fromOtherRegion reports whether the sender is a host in another region, whose components are forwarded within this
+// region.
 func (l *Ledger) fromOtherRegion(s *shard, from pomelorelay.NodeID) bool {
 	for _, domain := range l.cfg.Fleet.Domains() {
 		if host, ok := l.cfg.Fleet.Host(s.id, domain.ID); ok && host == from {
--- a/pomeloledger/fleet_test.go
+++ b/pomeloledger/fleet_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// countSum counts the entries of domain d0 with the given sum.
+// countSum counts the entries with the given sum in a component of domain d0, and none in another domain's.
 func countSum(m *pomelorelay.LedgerComponent, sum pomelorelay.Cost) int {
 	n := 0
 	for i := range m.Entries {
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Ledger hosts shards of the ledger for one failure domain.
+// Ledger hosts shards of the ledger for one failure domain: the totals of the service that client accounts received.
 type Ledger struct {
 	cfg                Config
 	shards             map[pomelorelay.ShardID]*shard
@@ -115,8 +115,8 @@
 	}
 }
 
-// MemberGone marks a router as dead: a rebuild stops waiting for it, and its accounts no longer count as backlogged
-// there. Its served totals stay, because the router may only be partitioned.
+// MemberGone marks a router as dead: rebuilds stop waiting for its answer, and accounts with requests waiting there no
+// longer count as backlogged because of them. Its served totals stay, because the router may only be partitioned.
 func (l *Ledger) MemberGone(now time.Time, node pomelorelay.NodeID) {
 	for _, s := range l.order {
 		delete(s.pendingRouters, node)
@@ -136,8 +136,8 @@
 	}
 }
 
-// Tick exchanges components with the hosts in other domains and repeats unanswered rebuild queries. Call it about
-// every 100 ms.
+// Tick exchanges the totals of each domain with the hosts in other domains and repeats unanswered rebuild queries. Call
+// it about every 100 ms.
 func (l *Ledger) Tick(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, s := range l.order {
 		s.foldDue(now)
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -31,7 +31,8 @@
 }
 
 func TestLateReportOfPreviousIncarnationCountsOnce(t *testing.T) {
-	// A router restarts, and a report of its previous incarnation arrives after that incarnation has been folded.
+	// A router restarts, and a report of its previous incarnation arrives after that service was added to the sum of
+	// ended incarnations. The service must count once.
 	w := newTestFleet("north")
 	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
@@ -45,8 +46,8 @@
 }
 
 func TestLateComponentIsNotCountedAsDeparted(t *testing.T) {
-	// The other domain's answer arrives after a router's full report and includes a later report of that router, which the
-	// previous host had passed on.
+	// The other domain's answer arrives after a router's full report and includes a later report of that router, which
+	// the previous host had passed on. The service of the later report must not count twice.
 	w := newTestFleet("north", "north")
 	w.runWithoutFaults(10 * time.Second)
 	w.replaceHost(0, 1)
@@ -75,7 +76,8 @@
 }
 
 func TestReportForEarlierQueryDoesNotEndRebuild(t *testing.T) {
-	// Full reports that answer an earlier host's query arrive late and may be older than what other domains know.
+	// Full reports that answer an earlier host's query arrive late. They may lack service that other domains already
+	// know, so they must not end the rebuild.
 	w := newTestFleet("north")
 	l := w.ledgers[w.hosts["d0"]]
 	w.held = nil
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -6,7 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// rebuild queries the hosts or routers that have not answered, and advances once all have answered or time is up.
+// rebuild queries the hosts or routers that have not answered, and advances the phase once all have answered or the
+// phase has timed out.
 func (l *Ledger) rebuild(now time.Time, s *shard, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	l.advancePhase(now, s)
 	if s.phase == rebuilt || now.Before(s.nextQuery) {
@@ -54,8 +55,9 @@
 	}
 }
 
-// HandleComponentQuery answers another domain's host with all known components. The component of the querying domain is
-// sent first and marked full; with it the querying host counts this domain as having answered.
+// HandleComponentQuery answers another domain's host with a component for each domain, its accounts' service there. The
+// component of the querying domain is sent first and marked full; on receiving it, the querying host counts this domain
+// as having answered.
 func (l *Ledger) HandleComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
@@ -100,7 +102,7 @@
 	return pomelorelay.Outgoing{To: to, Message: m}
 }
 
-// HandleComponent merges a component received from another domain's host.
+// HandleComponent merges a component, the service of one domain's accounts, received from another domain's host.
 func (l *Ledger) HandleComponent(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
@@ -123,7 +125,8 @@
 }
 
 // mergeOwnComponent merges another domain's copy of this domain's component, only while domains are queried. A later
-// copy may be newer than a router's full report, and the difference would be counted again as departed service.
+// copy may be newer than a router's full report; the difference would be kept as residue and counted again with the
+// router's next report.
 func (l *Ledger) mergeOwnComponent(now time.Time, s *shard, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent) {
 	if s.phase != queryingDomains {
 		return
--- a/pomeloledger/reporter.go
+++ b/pomeloledger/reporter.go
@@ -30,14 +30,14 @@
 	nextReport time.Time
 }
 
-// reporterShard holds a router's entries and interests in one shard.
+// reporterShard holds the entries of one shard that a router reports, and the accounts whose fleet totals it requests.
 type reporterShard struct {
 	host     pomelorelay.NodeID
 	entries  []*trackedEntry
 	interest []pomelorelay.LedgerKey
 }
 
-// trackedEntry is an entry and the sequence number of the report that carried its latest value, zero when none has.
+// trackedEntry is an entry with the sequence number of the report that carried its latest value; zero if none has.
 type trackedEntry struct {
 	entry        pomelorelay.LedgerEntry
 	seq          uint64
@@ -98,7 +98,7 @@
 	}
 }
 
-// HandleTotals processes a host's answer and reports whether its entries are usable, which they are if the sender is the
+// HandleTotals processes a host's answer and reports whether its entries are usable. They are if the sender is the
 // shard's current host and has finished its rebuild.
 func (r *Reporter) HandleTotals(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerTotals) bool {
 	s, ok := r.shards[m.Shard]
@@ -139,7 +139,7 @@
 	return out
 }
 
-// appendReport sends the entries that the shard's host has not acknowledged; a new host has acknowledged none.
+// appendReport sends the entries that the shard's host has not acknowledged; after a change of host, these are all.
 func (r *Reporter) appendReport(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s := r.shards[id]
 	host, ok := r.cfg.Host(id)
--- a/pomeloledger/shard.go
+++ b/pomeloledger/shard.go
@@ -16,8 +16,9 @@
 	return pomelorelay.ShardID(xxhash.Sum64String(string(account)) % uint64(shards))
 }
 
-// rebuildPhase is the progress of a shard's rebuild. Other domains are queried before routers, so that a router's full
-// report is at least as new as its share of the other domains' sums; the remainder is then from departed routers.
+// rebuildPhase is the progress of a shard's rebuild. Hosts in other domains are queried for this domain's totals before
+// the local routers, so that each router's full report is at least as new as its service in those totals. What the
+// totals contain beyond the reports is then service of routers that did not report.
 type rebuildPhase int
 
 const (
@@ -46,7 +47,8 @@
 	pendingFolds      []pendingFold
 }
 
-// pendingFold schedules the folding of superseded incarnations for when late reports are no longer expected.
+// pendingFold schedules adding the service of a router's superseded incarnations to departed, for when late reports are
+// no longer expected.
 type pendingFold struct {
 	node pomelorelay.NodeID
 	upTo pomelorelay.Incarnation
@@ -72,8 +74,8 @@
 	return a
 }
 
-// admitIncarnation records a router's incarnation and schedules the folding of earlier ones. It returns false for an
-// incarnation that has been folded already, whose service would otherwise count twice.
+// admitIncarnation records a router's incarnation and schedules adding the service of earlier ones to departed. It
+// returns false for an incarnation whose service is in departed already and would otherwise count twice.
 func (s *shard) admitIncarnation(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, foldDelay time.Duration) bool {
 	if incarnation <= s.foldedUpTo[node] {
 		return false
@@ -105,8 +107,8 @@
 	s.pendingFolds = kept
 }
 
-// finishRebuild ends the rebuild. Service that other domains know beyond the reports of live routers is attributed to
-// departed routers.
+// finishRebuild ends the rebuild. Service that other domains' totals of this domain contain beyond departed and the
+// live routers' reports is kept as residue: it belongs to routers that could not be reached during the rebuild.
 func (s *shard) finishRebuild(now time.Time, sends int) {
 	s.phase = rebuilt
 	s.timedOut = len(s.pendingRouters) > 0 || len(s.pendingHosts) > 0
--- a/pomeloquarantine/admission.go
+++ b/pomeloquarantine/admission.go
@@ -10,7 +10,7 @@
 type admissionStage int
 
 const (
-	stageQueued          admissionStage = iota + 1 // waits for NoticeDelay or for another request of the fingerprint
+	stageQueued          admissionStage = iota + 1 // waits for NoticeDelay or for another request with the fingerprint
 	stageFingerprintLock                           // requests the fingerprint's lock
 	stageUpstreamLock                              // requests the upstream's lock
 	stageAdmitted                                  // may run
@@ -42,7 +42,7 @@
 	t.advance(now, w, out)
 }
 
-// advance sends the requests that an admission needs in its stage.
+// advance sends the lock requests that an admission needs in its stage.
 func (t *Table) advance(now time.Time, w *admission, out *Output) {
 	w.nextAsk = now.Add(t.cfg.AskInterval)
 	switch w.stage {
@@ -59,7 +59,7 @@
 	case stageFingerprintLock:
 		t.askFingerprint(w, out)
 	case stageUpstreamLock:
-		// The fingerprint's lock must be renewed, or it expires while the admission waits for the upstream's.
+		// The fingerprint's lock must be renewed, or it expires while the admission waits for the upstream's lock.
 		t.askFingerprint(w, out)
 		t.askUpstream(w, out)
 	case stageAdmitted, stageAlreadyRunning:
@@ -70,7 +70,8 @@
 }
 
 // lockRunningAttempts requests locks for runs that were in progress when their fingerprint became a suspect. Otherwise
-// another suspect could be sent to the same upstream, and its next crash would be attributed to the wrong one.
+// another suspect could be sent to the same upstream, and the next crash of that upstream would be attributed to the
+// wrong one.
 func (t *Table) lockRunningAttempts(now time.Time, f pomelorelay.Fingerprint, out *Output) {
 	for _, id := range t.sortedAttemptIDs() {
 		r := t.attempts[id]
@@ -89,7 +90,7 @@
 	return !w.ended && w.stage != stageAdmitted && w.stage != stageAlreadyRunning
 }
 
-// fingerprintAdmitted reports whether another request of the fingerprint holds or awaits locks on this router.
+// fingerprintAdmitted reports whether another request with the fingerprint holds or awaits locks on this router.
 func (t *Table) fingerprintAdmitted(w *admission) bool {
 	return slices.ContainsFunc(t.order, func(o *admission) bool {
 		return o != w && !o.ended && o.stage != stageQueued && o.run.Fingerprint == w.run.Fingerprint
@@ -116,8 +117,8 @@
 	out.send(node, &pomelorelay.SuspectAsk{Request: w.run.Request, Fingerprint: w.run.Fingerprint, Upstream: w.run.Upstream, Running: w.stage == stageAlreadyRunning})
 }
 
-// HandleAnswer handles an arbiter's answer. Answers about another upstream belong to an earlier attempt and are ignored:
-// accepting one could let two suspects run on the same upstream.
+// HandleAnswer handles an arbiter's answer to a lock request. An answer about another upstream belongs to an earlier
+// attempt and is ignored: accepting it could let two suspects run on the same upstream.
 func (t *Table) HandleAnswer(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAnswer, out *Output) {
 	w, ok := t.admissions[m.Request]
 	if !ok || w.run.Fingerprint != m.Fingerprint || w.run.Upstream != m.Upstream || w.awaitedArbiter != from || !m.Allowed {
@@ -150,7 +151,7 @@
 	}
 }
 
-// endAdmission ends an admission and releases its locks.
+// endAdmission ends an admission and releases its locks; clean is set if the run ended with a complete response.
 func (t *Table) endAdmission(id pomelorelay.RequestID, clean bool, out *Output) {
 	w, ok := t.admissions[id]
 	if !ok {
@@ -181,8 +182,8 @@
 	}
 }
 
-// Tick resends requests, renews locks, refuses runs that have reached MaxWait and removes expired entries. Call it about
-// every 100 ms.
+// Tick resends lock requests, renews locks, refuses runs that have reached MaxWait and removes expired entries. Call it
+// about every 100 ms.
 func (t *Table) Tick(now time.Time, out *Output) {
 	t.order = slices.DeleteFunc(t.order, func(w *admission) bool { return w.ended })
 	for _, w := range t.order {
--- a/pomeloquarantine/config.go
+++ b/pomeloquarantine/config.go
@@ -10,7 +10,8 @@
 type Config struct {
 	Self   pomelorelay.NodeID
 	Logger pomelorelay.Logger
-	// FingerprintArbiter and UpstreamArbiter return the current arbiter, or false when there is none.
+	// FingerprintArbiter and UpstreamArbiter return the router that currently grants the locks of a fingerprint or an
+	// upstream, or false when there is none.
 	FingerprintArbiter func(pomelorelay.Fingerprint) (pomelorelay.NodeID, bool)
 	UpstreamArbiter    func(pomelorelay.UpstreamID) (pomelorelay.NodeID, bool)
 	// Members returns all live routers; notices are sent to all of them except Self.
@@ -19,19 +20,20 @@
 	SuspectFor time.Duration
 	// QuarantineFor is the duration of a quarantine when the run specifies none, 10 min by default.
 	QuarantineFor time.Duration
-	// CrashWindow is the maximum time between reports of the same crash, 3 s by default.
+	// CrashWindow is the maximum time between reports of the same upstream crash, 3 s by default.
 	CrashWindow time.Duration
-	// NoticeDelay is how long suspects wait after a crash before they request locks, so that every router has received the
-	// notice and has locked the upstreams where suspects still run; 50 ms by default.
+	// NoticeDelay is how long suspects wait after a crash before they request locks, so that every router has received
+	// the notice of the suspects and has locked the upstreams where they still run; 50 ms by default.
 	NoticeDelay time.Duration
 	// LockTTL is how long an arbiter keeps a lock that is not renewed, 6 s by default.
 	LockTTL time.Duration
-	// AskInterval is the interval at which a waiting suspect repeats its request, 200 ms by default.
+	// AskInterval is the interval at which a waiting suspect repeats its lock request, 200 ms by default.
 	AskInterval time.Duration
 	// MaxWait is how long a suspect may wait to be admitted before it is refused, 10 s by default.
 	MaxWait time.Duration
-	// MaxSuspects and MaxQuarantined limit the number of entries, 4,096 and 1,024 by default. A Table evicts the entries
-	// that expire first; an Arbiter denies further locks above MaxSuspects.
+	// MaxSuspects limits the suspects of a Table and the locks of an Arbiter, MaxQuarantined the quarantined
+	// fingerprints of a Table; 4,096 and 1,024 by default. A full Table evicts the entry that expires first; a full
+	// Arbiter denies further locks.
 	MaxSuspects    int
 	MaxQuarantined int
 }
@@ -60,7 +62,8 @@
 type Verdict struct {
 	Run      Run
 	Decision Decision
-	// RetryAfter is the maximum remaining duration of a refusal, zero when the run is not refused.
+	// RetryAfter is how long a refused run is advised to wait: the remaining quarantine or MaxWait; zero when it is not
+	// refused.
 	RetryAfter time.Duration
 }
 
--- a/pomeloquarantine/doc.go
+++ b/pomeloquarantine/doc.go
@@ -9,6 +9,6 @@
 //
 // A Table on each router holds suspects and quarantined fingerprints. An Arbiter
 // grants the locks under which suspects run; which router arbitrates is
-// determined by the fingerprint and by the upstream. Both are driven by messages
-// and the current time, and neither is safe for concurrent use.
+// determined by the fingerprint and by the upstream. Tables and Arbiters are driven
+// by messages and the current time, and neither is safe for concurrent use.
 package pomeloquarantine
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// Overlapping sends reach upstreams before any router knows the suspect. Each may crash one upstream, and one more crash
-// identifies the request.
+// Overlapping sends of a request reach upstreams before any router knows that it is a suspect. Each may crash one
+// upstream, and one more crash identifies the request.
 func TestOverlappingSendsCostOneMoreThanTheirNumber(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		concurrent := rapid.IntRange(2, 4).Draw(rt, "at once")
@@ -85,8 +85,8 @@
 	})
 }
 
-// Messages between routers are lost. A router that missed the notices may lose one upstream before it knows the suspect, and
-// another until it attributes the crash if it also missed the quarantine: at most two per router before the quarantine.
+// Messages between routers are lost. A router that missed the notice of a suspect may send it on and lose one upstream.
+// If it also missed the quarantine, it may lose another before it attributes the crash itself: at most two per router.
 func TestLostNoticesOnlySlowTheQuarantine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f, _ := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0.2, true)
--- a/pomeloquarantine/snapshot.go
+++ b/pomeloquarantine/snapshot.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-// IsSuspect reports whether the fingerprint is a suspect, whose runs need Table.Check.
+// IsSuspect reports whether the fingerprint is a suspect, whose runs may begin only after Table.Check has allowed them.
 func (s *Snapshot) IsSuspect(f pomelorelay.Fingerprint) bool { return s.suspects[f] }
 
 // QuarantineRemaining returns the remaining duration of a fingerprint's quarantine, zero when there is none.
@@ -63,7 +63,8 @@
 	return list
 }
 
-// MemberJoined sends the suspects and quarantines that this router arbitrates to a router that has joined or rejoined the fleet.
+// MemberJoined sends the suspects and quarantines of the fingerprints that this router arbitrates to a router that has
+// joined or rejoined the fleet.
 func (t *Table) MemberJoined(now time.Time, node pomelorelay.NodeID, out *Output) {
 	for f, q := range t.quarantined {
 		if !t.arbitrates(f) {
--- a/pomeloquarantine/table.go
+++ b/pomeloquarantine/table.go
@@ -12,7 +12,8 @@
 	cfg         Config
 	suspects    map[pomelorelay.Fingerprint]suspectEntry
 	quarantined map[pomelorelay.Fingerprint]quarantineEntry
-	// attributed holds when an upstream's crash was attributed to one request; other requests that ran there are not suspects.
+	// attributed holds, by upstream, when its last crash was attributed to one request; other requests that ran there
+	// are then not suspects of that crash.
 	attributed map[pomelorelay.UpstreamID]time.Time
 	attempts   map[pomelorelay.RequestID]*runningAttempt
 	admissions map[pomelorelay.RequestID]*admission
@@ -78,8 +79,9 @@
 	t.attempts[run.Request] = &runningAttempt{run: run, isolated: g != nil && g.stage == stageAdmitted}
 }
 
-// Ended records that a run ended without a crash of its upstream. With clean, its answer was complete and its fingerprint
-// is no longer a suspect; a cancelled run proves nothing.
+// Ended records that a run ended without a crash of its upstream. clean is set if its response was complete; its
+// fingerprint is then no longer a suspect. A cancelled run is not clean, because it might still have crashed the
+// upstream.
 func (t *Table) Ended(run Run, clean bool, out *Output) {
 	_, ok := t.attempts[run.Request]
 	delete(t.attempts, run.Request)
@@ -93,8 +95,9 @@
 	}
 }
 
-// Crashed records that a run's upstream crashed. If a suspect ran there in isolation, it is quarantined; otherwise all runs
-// on the upstream become suspects. All of them are ended at once, so that later calls for the same crash have no effect.
+// Crashed records that a run's upstream crashed. If a suspect ran there alone under its locks, its fingerprint is
+// quarantined; otherwise all runs on the upstream become suspects. All these runs are ended at once, so that later
+// calls for the same crash have no effect.
 func (t *Table) Crashed(now time.Time, run Run, out *Output) {
 	if _, ok := t.attempts[run.Request]; !ok {
 		return
@@ -137,7 +140,7 @@
 	return ids
 }
 
-// quarantineRun quarantines the fingerprint of a run that crashed its upstream in isolation, on all routers.
+// quarantineRun quarantines a fingerprint on all routers after its run, alone under its locks, crashed an upstream.
 func (t *Table) quarantineRun(now time.Time, run Run, out *Output) {
 	d := run.QuarantineFor
 	setDefaultDuration(&d, t.cfg.QuarantineFor)
@@ -152,7 +155,8 @@
 	return ok && now.Sub(at) <= t.cfg.CrashWindow
 }
 
-// addSuspects marks fingerprints as suspects. At MaxSuspects, the entry that expires first is evicted.
+// addSuspects marks fingerprints as suspects. When there are MaxSuspects already, the one that expires first is
+// evicted.
 func (t *Table) addSuspects(now time.Time, u pomelorelay.UpstreamID, fingerprints []pomelorelay.Fingerprint, out *Output) {
 	for _, f := range fingerprints {
 		if t.quarantineRemaining(now, f) > 0 {
@@ -179,7 +183,8 @@
 	}
 }
 
-// HandleCleared handles a notice that a suspect ran without a crash.
+// HandleCleared handles a notice that a run of a suspect ended; if it ended with a complete response, the suspect is
+// cleared.
 func (t *Table) HandleCleared(m *pomelorelay.SuspectCleared) {
 	if m.Clean {
 		t.removeSuspect(m.Fingerprint)
--- a/pomeloslot/bench_test.go
+++ b/pomeloslot/bench_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkRegister measures the selection among 100 upstreams.
+// BenchmarkRegister measures how long a requester takes to select, among 100 upstreams, those to register for.
 func BenchmarkRegister(b *testing.B) {
 	r := newRequester()
 	var digests []pomelorelay.SlotDigest
@@ -65,7 +65,8 @@
 	}
 }
 
-// BenchmarkTable simulates the reference configuration and reports the gap, the utilisation and the control bytes of each seed.
+// BenchmarkTable simulates the reference configuration and reports, for each seed, the gap in normalised service
+// between accounts, the utilisation and the control bytes.
 func BenchmarkTable(b *testing.B) {
 	for seed := range uint64(referenceSeeds) {
 		b.Run(fmt.Sprintf("Seed%d", seed+1), func(b *testing.B) {
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -17,21 +17,26 @@
 
 // GrantOptions holds the timeouts of grants and demand, and the settings for prefix affinity; zero fields take the defaults.
 type GrantOptions struct {
-	// TTL is how long a grant may be used after it arrives at the router; default 500 ms.
+	// TTL is how long after the arrival of a grant the router may send a request under it; default 500 ms.
 	TTL time.Duration
-	// ReplyTimeout is how long an owner waits for the reply to a grant before it queries the router; default 1 s.
+	// ReplyTimeout is how long an owner waits for the reply to a grant before it queries the router for its grants;
+	// default 1 s.
 	ReplyTimeout time.Duration
-	// CheckInterval is how often an owner queries a router for the requests that it runs; default 2 s.
+	// CheckInterval is how long a running request may stay unconfirmed before the owner queries the router that sent
+	// it; default 2 s.
 	CheckInterval time.Duration
-	// RecoveryTimeout is how long a new owner waits for the routers' running reports before it grants without them; default 500 ms.
+	// RecoveryTimeout is how long a new owner waits for the routers' reports of running requests before it grants slots
+	// up to the limit without them; default 500 ms.
 	RecoveryTimeout time.Duration
-	// DemandTTL is how long a registration stays valid without a refresh; default 3 s.
+	// DemandTTL is how long a router's registered demand stays valid without a refresh; default 3 s.
 	DemandTTL time.Duration
-	// ReturnBackoff is how long a router receives no grants after it returned one while requests were waiting; default 100 ms.
+	// ReturnBackoff is how long a router receives no grants for an upstream after it returned one unused although it
+	// had requests waiting; default 100 ms.
 	ReturnBackoff time.Duration
-	// PrefixMargin is the maximum distance above the lowest tag at which a router with a cached prefix is preferred; default 1, negative disables it.
+	// PrefixMargin is the amount by which a router's tag may exceed the lowest tag for the router to be preferred
+	// because the upstream has its prompt prefix cached; default 1, negative disables the preference.
 	PrefixMargin pomelorelay.Tag
-	// PrefixTTL is how long a prefix is assumed to be cached after it was last seen; default 60 s.
+	// PrefixTTL is how long a prefix is assumed to be cached after the last cache event or grant for it; default 60 s.
 	PrefixTTL time.Duration
 	// MaxPrefixes is the maximum number of prefixes tracked per upstream; default 256.
 	MaxPrefixes int
@@ -45,7 +50,8 @@
 	TokenGapTarget time.Duration
 	// Window is how long latencies are collected before the limit is adjusted; default 2 s.
 	Window time.Duration
-	// MinSamples is the number of responses that a window needs before the limit is adjusted; default 20.
+	// MinSamples is the number of responses with latencies that a window needs before the limit is adjusted to them;
+	// default 20.
 	MinSamples int
 	// ShrinkFactor is the factor by which the limit is multiplied when it is lowered; default 0.9.
 	ShrinkFactor float64
@@ -138,19 +144,22 @@
 	Spill        SpillOptions
 }
 
-// RegistrationOptions configures at how many owners and how often a router registers; zero fields take the defaults.
+// RegistrationOptions configures at how many owners and how often a router registers its demand; zero fields take the
+// defaults.
 type RegistrationOptions struct {
-	// BaseOwners is the number of owners without idle slots to register at, before WaitingPerOwner adds any; default 4.
+	// BaseOwners is the number of owners without idle slots at which a router registers while idle slots do not cover
+	// its waiting requests; default 4.
 	BaseOwners int
-	// WaitingPerOwner is the number of waiting requests that add one owner; default 64.
+	// WaitingPerOwner is the number of waiting requests that add one owner to BaseOwners; default 64.
 	WaitingPerOwner int
-	// SpareOwners is the number of additional owners with idle slots, in case other routers take the slots first; default 2.
+	// SpareOwners is the number of owners with idle slots at which a router registers beyond those that cover its
+	// waiting requests, in case other routers take the slots first; default 2.
 	SpareOwners int
 	// ChangeInterval is the minimum time between updates of a registration that changed; default 250 ms.
 	ChangeInterval time.Duration
 	// KeepAliveInterval is the time between refreshes of an unchanged registration; default 1 s.
 	KeepAliveInterval time.Duration
-	// DigestTTL is how long an owner stays eligible after its last digest; default 3 s.
+	// DigestTTL is how long an upstream may be selected after its owner's last digest; default 3 s.
 	DigestTTL time.Duration
 	// StartJitter is the maximum random delay of a router's first registrations; default 200 ms.
 	StartJitter time.Duration
@@ -158,11 +167,14 @@
 
 // SpillOptions configures when demand spills over to other failure domains and regions; zero fields take the defaults.
 type SpillOptions struct {
-	// DomainMargin is how far the last granted tag of another domain must be above that of the local domain; default 10.
+	// DomainMargin is the amount by which the last granted tag of an upstream in another domain of the region must
+	// exceed the local domain's highest for demand to spill to that upstream while it is busy; default 10.
 	DomainMargin pomelorelay.Tag
-	// RegionMargin is the same for another region, where traffic is billed; default 100.
+	// RegionMargin is the corresponding amount for an upstream in another region; it is higher because traffic between
+	// regions is billed; default 100.
 	RegionMargin pomelorelay.Tag
-	// RegionMinWaiting is the minimum number of waiting requests for which idle slots of another region are used; default 1.
+	// RegionMinWaiting is the minimum number of waiting requests at which idle slots of another region are used;
+	// default 1.
 	RegionMinWaiting int
 }
 
@@ -208,16 +220,18 @@
 	Head pomelorelay.Tag
 	// Waiting is the number of waiting requests.
 	Waiting int
-	// Prefixes holds hashes of the prompt prefixes at the head of the queue.
+	// Prefixes holds hashes of the prompt prefixes of the requests at the head of the queue.
 	Prefixes []uint64
 }
 
-// Settlement is the outcome of a grant, with the router's current demand and the latencies of the request.
+// Settlement is what a router reports about a grant: the outcome, the router's current demand and the latencies of the
+// request.
 type Settlement struct {
 	State pomelorelay.GrantState
-	// Head and Waiting are the pool's current demand; zero Waiting means none.
+	// Head and Waiting are the router's current demand in the pool: the lowest tag and the number of waiting requests;
+	// zero Waiting means none.
 	Head    pomelorelay.Tag
 	Waiting int
-	// FirstToken and TokenGap are the measured latencies; zero when none were measured.
+	// FirstToken and TokenGap are the measured times to the first token and between tokens; zero if not measured.
 	FirstToken, TokenGap time.Duration
 }
--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// timeUntilBusy returns the time until all slots of each of a dead owner's upstreams were in use at once under a new owner, at most span.
+// timeUntilBusy returns the time until each upstream of a dead owner has had all its slots in use under a new owner, at
+// most span.
 func (f *fleet) timeUntilBusy(owner int, span time.Duration) time.Duration {
 	var owned []*testUpstream
 	for _, u := range f.upstreams {
--- a/pomeloslot/fleet_test.go
+++ b/pomeloslot/fleet_test.go
@@ -98,18 +98,18 @@
 	owner     *pomeloslot.Owner
 	requester *pomeloslot.Requester
 	runs      map[pomelorelay.RequestID]*run
-	// waitingRequests maps a waiting request to its account index; key 1<<40 plus an account index holds the number of
-	// requests that the account has waiting.
+	// waitingRequests maps the ID of a waiting request to its account index. Keys from 1<<40 are counters: key 1<<40
+	// plus an account index holds how many requests that account has waiting here.
 	waitingRequests map[pomelorelay.RequestID]int
 	nextID          pomelorelay.RequestID
 	dead            bool
 	localRunning    int
 }
 
-// testLedger holds the last entry of each account and router index.
+// testLedger holds the last ledger entry by account and by index of the router that reported it.
 type testLedger map[pomelorelay.AccountID]map[int]pomelorelay.LedgerEntry
 
-// fleet simulates routers, upstreams and a ledger that is exchanged periodically, in virtual time.
+// fleet simulates, in virtual time, routers, upstreams and a ledger to which the routers report periodically.
 type fleet struct {
 	cfg           fleetConfig
 	rng           *rand.Rand
@@ -129,7 +129,7 @@
 	busyUpdatedAt   time.Time
 	running         int
 	messageCounts   map[string]int
-	// pushedAt and waits are recorded for requests of scheduleArrival.
+	// pushedAt and waits hold the push times and the waiting times of the requests that scheduleArrival adds.
 	pushedAt         map[testRequest]time.Time
 	waits            []time.Duration
 	bytes            int
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -11,11 +11,11 @@
 	id       pomelorelay.GrantID
 	router   *router
 	issuedAt time.Time
-	// confirmedAt is when the grant was issued or the router last confirmed that it holds it.
+	// confirmedAt is when the grant was issued or the router last confirmed that it holds the grant.
 	confirmedAt time.Time
 	// used is set once the router has replied that it sent a request under the grant.
 	used bool
-	// next links the free list.
+	// next is the next released grant in Owner.freeGrants.
 	next *grant
 }
 
@@ -98,7 +98,8 @@
 	return r.head < other.head
 }
 
-// preferCached returns the first router in order, within PrefixMargin of best, whose prefix the upstream has cached; otherwise best.
+// preferCached returns the first router in order whose prompt prefix the upstream has cached; if none has, best.
+// Candidates have as many unanswered grants as best and a tag of at most PrefixMargin above best's.
 func (u *upstream) preferCached(now time.Time, best *router, opt GrantOptions) *router {
 	chosen := best
 	found := u.cached.holdsAny(now, best.prefixes, opt.PrefixTTL)
@@ -116,8 +117,8 @@
 	return chosen
 }
 
-// queryOverdue appends queries to the routers with grants that were not confirmed in time. A reply can be lost, or a router
-// can have lost its grant; without a query the slot would stay idle forever.
+// queryOverdue appends queries to the routers whose grants or other running requests were not confirmed in time. A
+// reply can be lost, or a router can have lost its grant; without a query the slot would stay idle forever.
 func (o *Owner) queryOverdue(now time.Time, u *upstream, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	for _, g := range u.grants {
 		wait := o.cfg.Grant.CheckInterval
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// AcceptGrant records a grant and reports whether it may be used; the caller must settle it in either case. A grant may not
-// be used if it is a duplicate or if its upstream is leaving or unknown.
+// AcceptGrant records a grant and reports whether it may be used; in either case the caller must settle it with
+// SettleGrant. A grant may not be used if it is a duplicate or if its upstream is leaving or unknown.
 func (r *Requester) AcceptGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) bool {
 	if r.grants[g.ID] != nil {
 		return false
@@ -24,8 +24,9 @@
 	return !u.leaving && !u.digest.Leaving
 }
 
-// GrantUsable reports whether a request may still be sent under a grant. A claim can take seconds to become durable;
-// without this check an upstream could receive a request after the notice that none would follow.
+// GrantUsable reports whether a request may still be sent under a grant. Storing the claim that makes a non-idempotent
+// request run at most once can take seconds; without this check, the request could then reach an upstream after the
+// notice that no more requests follow.
 func (r *Requester) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
 	h := r.grants[id]
 	if h == nil {
@@ -66,7 +67,8 @@
 	}
 	r.recordReply(now, u, h.owner, s, waiting)
 	if u.digest.Owner != "" && u.digest.Owner != h.owner {
-		// The upstream has a new owner, which counts the grant since it queried the running requests.
+		// The upstream's new owner learned of the grant when it queried the running requests, and counts its slot as
+		// taken.
 		out = append(out, pomelorelay.Outgoing{To: u.digest.Owner, Message: m})
 	}
 	return out
--- a/pomeloslot/limiter.go
+++ b/pomeloslot/limiter.go
@@ -10,21 +10,21 @@
 const maxLateFraction = 0.05
 
 // limiter adapts the concurrency limit of an upstream to its latency targets by additive increase and multiplicative
-// decrease: it adds a slot after a window in which all slots were used and the targets were met, and multiplies by
-// ShrinkFactor after one in which they were missed or most load reports showed queued requests.
+// decrease: it adds a slot after a window in which all slots were used and the latency targets were met, and multiplies
+// by ShrinkFactor after one in which the targets were missed or most load reports showed queued requests.
 type limiter struct {
 	low, high float64
 	value     float64
-	// changedAt is when the current window started; responses to requests issued before are ignored.
+	// changedAt is when the current window started; latencies of requests granted before it are ignored.
 	changedAt   time.Time
 	samples     int
 	lateSamples int
-	// hasLatencies is set once a response carried latencies; those of plain services never do.
+	// hasLatencies is set once a response carried latencies; services other than LLM inference report none.
 	hasLatencies bool
-	// saturated is set when all slots were in use during the window.
+	// saturated is set if all slots were taken at some time during the window.
 	saturated bool
-	// loadReports is the number of load reports in the window, queuedReports that of reports with requests queued at the
-	// upstream.
+	// loadReports is the number of load reports in the window, queuedReports the number of those that showed requests
+	// queued at the upstream.
 	loadReports   int
 	queuedReports int
 }
@@ -37,7 +37,8 @@
 
 func (l *limiter) slots() pomelorelay.Slots { return pomelorelay.Slots(l.value) }
 
-// addSample adds the latencies of one response; zero latencies are ignored.
+// addSample adds the latencies of one response to the window, unless both are zero or the grant was issued before the
+// window.
 func (l *limiter) addSample(issued time.Time, first, gap time.Duration, opt LimitOptions) {
 	if !issued.After(l.changedAt) || first == 0 && gap == 0 {
 		return
@@ -50,8 +51,8 @@
 }
 
 // addLoadReport adds a load report to the window. The limit is too high only if requests are queued in most reports: an
-// upstream frees a slot slightly after the router saw the end of the response, so the next request may arrive earlier.
-// Reacting to single reports would shrink the limit until the upstream was half idle.
+// upstream frees a slot slightly after the router saw the end of the response, so the next request may arrive first and
+// be queued for a moment. Reacting to single reports would shrink the limit until the upstream was half idle.
 func (l *limiter) addLoadReport(waiting int) {
 	l.loadReports++
 	if waiting > 0 {
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// peakIntervals is the number of intervals into which MaxLoadLag is divided.
+// peakIntervals is the number of intervals into which MaxLoadLag is divided to record peaks of taken slots.
 const peakIntervals = 8
 
 // loadTracker compares an upstream's load reports with the slots that its owner has granted.
 type loadTracker struct {
 	lastReport LoadReport
 	reported   bool
-	// excess is the number of reported requests that no known grant accounts for.
+	// excess is the number of requests in the last load report beyond the slots that were recently taken under this
+	// owner; they were granted by another owner.
 	excess int
 	peaks  [peakIntervals + 1]peak
 }
 
-// peak is the largest number of slots taken within one interval.
+// peak is the largest number of slots taken within one interval of MaxLoadLag/peakIntervals.
 type peak struct {
 	interval int64
 	taken    int
@@ -42,14 +43,14 @@
 	return highest
 }
 
-// resetLoad discards the last report after a crash.
+// resetLoad discards the last load report after the upstream crashed.
 func (l *loadTracker) resetLoad() {
 	l.reported, l.excess = false, 0
 }
 
-// updateLoad applies a load report and detects requests sent by another owner. A report describes an earlier state, so
-// only the excess over this owner's recent peak counts; otherwise every request that just ended would be attributed to
-// another owner.
+// updateLoad applies a load report and computes how many of its requests were granted by another owner. A report
+// describes an earlier state, so its requests are compared with the most slots taken within the last MaxLoadLag;
+// otherwise every request that has just ended would count as granted by another owner.
 func (u *upstream) updateLoad(now time.Time, load LoadReport, lag time.Duration) {
 	u.lastReport, u.reported = load, true
 	u.recordPeak(now, u.takenSlots(), lag)
--- a/pomeloslot/owner.go
+++ b/pomeloslot/owner.go
@@ -20,7 +20,7 @@
 	freeGrants *grant
 }
 
-// Layout of a grant ID: a hash of the owner's incarnation in the high bits, a counter in the low bits.
+// Layout of a grant ID: a hash of the owner's node ID and incarnation in the high bits, a counter in the low bits.
 const (
 	grantOwnerBits = 24
 	grantCountBits = 32
@@ -51,7 +51,8 @@
 	return pomelorelay.GrantID(owner<<grantCountBits + 1)
 }
 
-// AddUpstream adds or updates an upstream, and for a new one queries the peers, which must include this router, for the requests that they run there.
+// AddUpstream adds or updates an upstream. For a new one it queries the peers, which must include this router, for the
+// requests that they run there.
 func (o *Owner) AddUpstream(now time.Time, up Upstream, peers []pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if u := o.upstreams[up.ID]; u != nil {
 		u.pool, u.min, u.max = up.Pool, up.Min, up.Max
@@ -96,7 +97,8 @@
 	return o.grantFreeSlots(now, u, out)
 }
 
-// HandleReply handles the outcome of a grant and the router's current demand, and appends the resulting grants to out.
+// HandleReply handles a router's reply with the outcome of a grant and the router's current demand, and appends the
+// resulting grants to out.
 func (o *Owner) HandleReply(now time.Time, from pomelorelay.NodeID, m *pomelorelay.GrantReply, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -30,7 +30,7 @@
 	demand PoolDemand
 	// upstreams is sorted by ID.
 	upstreams []*remoteUpstream
-	// ranked and tags are scratch buffers of selectUpstreams and virtualTime.
+	// ranked and tags are scratch buffers of selectUpstreams and virtualTime, respectively.
 	ranked []*remoteUpstream
 	tags   []pomelorelay.Tag
 }
@@ -46,10 +46,11 @@
 	heldGrants int
 	selected   bool
 	lastSent   sentDemand
-	// unansweredSince is when the router registered at an owner with idle slots that has sent no grant or digest
-	// since; zero when no answer is expected.
+	// unansweredSince is when the router first registered at an owner with idle slots that has sent neither a grant nor
+	// a digest since; zero while no answer is expected.
 	unansweredSince time.Time
-	// idle is the result of usableIdle at the last selection.
+	// idle is the number of idle slots that the router could expect to be granted at the last selection; see
+	// usableIdle.
 	idle pomelorelay.Slots
 }
 
@@ -155,9 +156,9 @@
 	return p.virtualTime(r.cfg.Domain)
 }
 
-// MaxVirtualTime returns the highest virtual time of the local domain and of the other saturated domains with current digests,
-// the latter less their spill margin. Without the margin, all accounts of a domain that is slightly behind would
-// repeatedly be lifted to the same tag and served in arbitrary order.
+// MaxVirtualTime returns the highest virtual time among the local domain and the other domains without idle slots whose
+// digests are current; the spill margin is subtracted from that of each other domain. Without the margin, all accounts
+// of a domain that is slightly behind would repeatedly be lifted to the same tag and served in arbitrary order.
 func (r *Requester) MaxVirtualTime(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -114,8 +114,8 @@
 }
 
 func TestReplyAfterOwnerChange(t *testing.T) {
-	// A request runs while its upstream's owner is replaced. If only the previous owner received its end, the new one
-	// would count the slot as taken until its next query.
+	// A request runs while its upstream's owner is replaced. If only the previous owner learned that the request ended,
+	// the new one would count the slot as taken until its next query.
 	r := newRequester()
 	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	r.AcceptGrant(start, "owner-u1", &pomelorelay.Grant{ID: 5, Upstream: "u1", Pool: testPool, TTL: time.Second})
@@ -156,8 +156,9 @@
 }
 
 func TestMaxVirtualTimeSubtractsMargins(t *testing.T) {
-	// Accounts of another domain have received more, as they may within the margin. Without subtracting the margin, all
-	// local accounts would be lifted to the same tag and served in arbitrary order.
+	// Accounts of another domain have received more service, by less than the spill margin. If the margin were not
+	// subtracted from that domain's virtual time, all local accounts would be lifted to the same tag and served in
+	// arbitrary order.
 	for _, c := range []struct {
 		name    string
 		digests []pomelorelay.SlotDigest
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -33,8 +33,9 @@
 	return !now.Before(r.startAt)
 }
 
-// selectUpstreams marks the upstreams to register for. Upstreams with held grants stay selected: their owner can grant
-// the next free slot at once, while without a registration it would stay idle until the next digest.
+// selectUpstreams marks the upstreams for whose slots the router registers. An upstream for which the router holds a
+// grant stays selected, so that its owner can grant the next free slot at once; otherwise the slot would stay idle
+// until the next digest.
 func (r *Requester) selectUpstreams(now time.Time, p *poolState) {
 	p.ranked = p.ranked[:0]
 	for _, u := range p.upstreams {
@@ -76,9 +77,9 @@
 	return cmp.Or(cmp.Compare(b.digest.LastTag, a.digest.LastTag), cmp.Compare(a.tieBreak, b.tieBreak))
 }
 
-// selectRanked selects from the ranked upstreams. Those with idle slots are selected until their slots cover the waiting
-// requests, plus SpareOwners more. If they do not cover them, BaseOwners busy ones are added, and one for every
-// WaitingPerOwner waiting requests.
+// selectRanked selects from the ranked upstreams. Those with idle slots are selected until their slots cover the
+// waiting requests, plus SpareOwners more. If the idle slots do not suffice, BaseOwners busy upstreams are added, and
+// one for every WaitingPerOwner waiting requests.
 func (r *Requester) selectRanked(p *poolState) {
 	waiting := p.demand.Waiting
 	width := r.cfg.Registration.BaseOwners + waiting/r.cfg.Registration.WaitingPerOwner
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -12,7 +12,8 @@
 	maxDistance     pomelorelay.LinkClass
 	domainThreshold pomelorelay.Tag
 	regionThreshold pomelorelay.Tag
-	// useDomainIdle and useRegionIdle allow the use of idle slots in other domains of the region and in other regions.
+	// useDomainIdle and useRegionIdle allow the use of idle slots in other domains of the region and in other regions,
+	// respectively.
 	useDomainIdle, useRegionIdle bool
 }
 
--- a/pomeloslot/table_test.go
+++ b/pomeloslot/table_test.go
@@ -36,7 +36,8 @@
 	return cfg
 }
 
-// expectation is a configuration with the required results; gaps are in slot seconds.
+// expectation is a variant of the reference configuration with the results that it must reach; gaps are in slot
+// seconds.
 type expectation struct {
 	name                  string
 	change                func(*fleetConfig)
@@ -54,7 +55,8 @@
 // referenceSpan is the simulated time of the reference measurements.
 const referenceSpan = 210 * time.Second
 
-// variedLoadMaxGap is the maximum gap under varied loads; one account with nine of its longest requests at once reached 56.2.
+// variedLoadMaxGap is the maximum gap in slot seconds under varied loads; it reached 56.2 when one account ran nine of
+// its longest requests at the same time.
 const variedLoadMaxGap = 60
 
 func (e expectation) check(t *testing.T) {
--- a/pomeloslot/upstream.go
+++ b/pomeloslot/upstream.go
@@ -18,14 +18,14 @@
 	// sortedRouters is sorted by node ID to make the order of grants deterministic.
 	sortedRouters []*router
 	grants        map[pomelorelay.GrantID]*grant
-	// unreported holds the queried routers that have not sent a running report.
+	// unreported holds the queried routers that have not yet reported the requests that they run on the upstream.
 	unreported map[pomelorelay.NodeID]bool
 	cached     prefixCache
-	// lastTag is the tag of the last grant.
+	// lastTag is the lowest tag of the router that received the last grant, at the time of that grant.
 	lastTag pomelorelay.Tag
 	leaving bool
 	crashed bool
-	// recoveryUntil is when a new owner stops waiting for the routers' running reports.
+	// recoveryUntil is when a new owner stops waiting for the routers' reports of running requests.
 	recoveryUntil time.Time
 	loadTracker
 }
@@ -44,7 +44,7 @@
 	backoffUntil time.Time
 	// unknownRequests is the number of requests that the router runs without a grant known to the owner.
 	unknownRequests int
-	// reportedAt is when the router last sent a running report, queriedAt when it was last queried for one.
+	// reportedAt is when the router last reported its running requests, queriedAt when it was last queried for them.
 	reportedAt time.Time
 	queriedAt  time.Time
 	// queryDue marks a router to be queried; it is set and cleared within queryOverdue.
@@ -106,7 +106,7 @@
 	return r.waiting > r.unansweredGrants && now.Sub(r.demandAt) <= ttl && !now.Before(r.backoffUntil)
 }
 
-// takenSlots returns the number of slots taken according to grants and running reports.
+// takenSlots returns the number of slots taken according to grants and to routers' reports of running requests.
 func (u *upstream) takenSlots() int {
 	n := len(u.grants)
 	for _, r := range u.sortedRouters {
@@ -128,13 +128,15 @@
 	return limit - taken - u.excess
 }
 
-// recovering reports whether a new owner still waits for running reports, so that routers may run requests unknown to it.
+// recovering reports whether a new owner still waits for routers' reports of running requests; until they arrive,
+// routers may run requests that the owner does not know.
 func (u *upstream) recovering(now time.Time) bool {
 	return len(u.unreported) > 0 && now.Before(u.recoveryUntil)
 }
 
-// freeDuringRecovery returns the free slots of a new owner's upstream according to its own load report, and none without
-// one. Granting the full limit at once would load the upstream to twice its limit and delay first tokens.
+// freeDuringRecovery returns the free slots of a new owner's upstream according to the upstream's load report, and zero
+// before one arrives. Granting the full limit at once would load the upstream to twice its limit and delay first
+// tokens, because requests that the previous owner granted still run there.
 func (u *upstream) freeDuringRecovery(limit, taken int) int {
 	if !u.reported {
 		return 0
