--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -171,7 +171,7 @@
 		}
 		d.keeper.HandleStoreResult(d.now, pomeloclaim.StoreResult{ID: op.ID, Err: pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "", nil)}, &d.out)
 		if len(d.answers()) != 0 {
-			t.Errorf("effect %v: answered before the result of the write was known", effect)
+			t.Errorf("write takes effect %v: answered before the result of the write was known", effect)
 		}
 		d.runStoreOps()
 		d.expectState(1, pomelorelay.ClaimGranted)
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -101,8 +101,8 @@
 	return c.State == int(pomelorelay.ClaimDone) || (c.heldBy(a.ask.Nonce) && !c.Settled)
 }
 
-// headConfirmed reports whether the head record was read or written within confirmationTTL. Another keeper may have
-// replaced one that was paused or partitioned, which would otherwise keep answering that a settled claim is running.
+// headConfirmed reports whether the head record was read or written within confirmationTTL. A keeper that was paused or
+// partitioned may have been replaced, and would otherwise keep answering that a settled claim is running.
 func (k *Keeper) headConfirmed(now time.Time, s *shard, out *Output) bool {
 	if now.Sub(s.confirmedAt) <= confirmationTTL {
 		return true
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -9,14 +9,15 @@
 // KeeperConfig configures a Keeper; zero durations and sizes select the defaults.
 type KeeperConfig struct {
 	Logger pomelorelay.Logger
-	// Alive reports whether a router is alive; the request of an unsettled claim of a dead router counts as unknown,
-	// since it may have run. Nil treats all routers as alive.
+	// Alive reports whether a router is alive; the outcome of a dead router's unsettled claims counts as unknown, since
+	// their requests may have run. Nil treats all routers as alive.
 	Alive func(pomelorelay.NodeID) bool
-	// CommitsPerSecond limits the writes of a shard's head record, 4 by default.
+	// CommitsPerSecond limits the rate at which a shard's head record is written, 4 per second by default.
 	CommitsPerSecond float64
-	// CommitBurst is the capacity of a shard's token bucket for these writes, 2 by default.
+	// CommitBurst is the capacity of the token bucket that limits writes of a shard's head record, 2 by default.
 	CommitBurst float64
-	// SettleDelay is how long a settlement may be delayed to share a commit, 500 ms by default.
+	// SettleDelay is how long the settlement of a claim may be delayed so that one write stores several, 500 ms by
+	// default.
 	SettleDelay time.Duration
 	// MaxStoreWait is how long a claim may wait for the store before it is refused, 2 s by default.
 	MaxStoreWait time.Duration
@@ -31,7 +32,7 @@
 	MaxPending int
 	// Retention is how long a settled claim is kept, 24 h by default.
 	Retention time.Duration
-	// RunningTimeout is the age at which the request of an unsettled claim counts as unknown, 1 h by default.
+	// RunningTimeout is the age at which the outcome of an unsettled claim counts as unknown, 1 h by default.
 	RunningTimeout time.Duration
 	// MaxOutcomeBytes limits the stored body and content type of a response, 4 KiB by default; of a larger response
 	// only the status is stored.
@@ -55,8 +56,8 @@
 	// default.
 	ClaimTimeout time.Duration
 	// MaxSettling limits the unacknowledged settlements, 10,000 by default. Above half of the limit, response bodies
-	// are dropped from settlements; above the limit, the oldest settlements are dropped, and their requests end as
-	// unknown.
+	// are dropped from settlements; above the limit, the oldest settlements are dropped, and the outcome of their
+	// claims becomes unknown.
 	MaxSettling int
 	// MaxOutcomeBytes limits the body and content type sent with a settlement, 4 KiB by default; of a larger response
 	// only the status is sent.
--- a/pomeloclaim/doc.go
+++ b/pomeloclaim/doc.go
@@ -7,7 +7,7 @@
 // requester on each router requests and settles claims, and resends its messages
 // when a shard's keeper changes.
 //
-// Keepers and requesters are driven by messages and the current time, start no goroutines and are
-// not safe for concurrent use. Their methods add to an *Output instead of
-// returning messages, because a Keeper also requests store operations.
+// Keepers and requesters are driven by messages and the current time, start no
+// goroutines and are not safe for concurrent use. Their methods add to an *Output
+// instead of returning messages, because a Keeper also requests store operations.
 package pomeloclaim
--- a/pomeloclaim/keeper.go
+++ b/pomeloclaim/keeper.go
@@ -119,14 +119,14 @@
 	k.advance(now, s, out)
 }
 
-// recordProcessStart records when a router's process started. The requests of unsettled claims of its earlier processes
-// then count as unknown.
+// recordProcessStart records when a router's process started. The outcome of unsettled claims of its earlier processes
+// then counts as unknown.
 func (k *Keeper) recordProcessStart(from pomelorelay.NodeID, nonce pomelorelay.ClaimNonce) {
 	k.processStarts[from] = max(k.processStarts[from], processStart(nonce[:]))
 }
 
-// Tick refuses overdue claim requests, retries failed store operations and starts due writes. Call it about every 50
-// ms.
+// Tick refuses overdue claim requests, retries failed store operations and starts due writes.
+// Call it about every 50 ms.
 func (k *Keeper) Tick(now time.Time, out *Output) {
 	for _, id := range k.owned {
 		s := k.shards[id]
@@ -235,7 +235,7 @@
 	return k.sealable(now, c) && now.Sub(c.changedAt()) > k.cfg.Retention
 }
 
-// sealable reports whether a claim can no longer change.
+// sealable reports whether a claim can no longer change, so that it may be moved to a segment.
 func (k *Keeper) sealable(now time.Time, c *claimRecord) bool {
 	return c.Settled || now.Sub(c.changedAt()) > k.cfg.RunningTimeout
 }
--- a/pomeloclaim/record.go
+++ b/pomeloclaim/record.go
@@ -26,7 +26,7 @@
 }
 
 // slotRef identifies a store record for a segment of claims, and the revision that the record must still have when it
-// is written (compare-and-swap); zero if it was never written.
+// is written (compare-and-swap); revision zero means that it was never written.
 type slotRef struct {
 	Slot     uint32
 	Revision uint64
--- a/pomeloclaim/requester.go
+++ b/pomeloclaim/requester.go
@@ -76,7 +76,7 @@
 	return t
 }
 
-// Cancel abandons and releases a claim that has no verdict yet; none follows.
+// Cancel abandons and releases a claim that has no verdict yet; no verdict follows.
 func (a *Requester) Cancel(now time.Time, nonce pomelorelay.ClaimNonce, out *Output) {
 	if t, ok := a.attempts[nonce]; ok && t.phase == phaseAsking {
 		a.release(now, t, out)
--- a/pomeloclaim/seal.go
+++ b/pomeloclaim/seal.go
@@ -30,7 +30,7 @@
 	data     []byte
 	checksum []byte
 	ref      segmentRef
-	// index becomes the segment's index once the head lists the segment.
+	// index becomes the segment's index in shard.indexes once the head lists the segment.
 	index *segmentIndex
 }
 
@@ -41,17 +41,18 @@
 	return x != nil && x.step == sealListSegment && x.keys[key]
 }
 
-// maxSegmentRefBytes is the maximum encoded size of a segment reference in the head.
+// maxSegmentRefBytes is the maximum encoded size of a segment reference in the head record.
 const maxSegmentRefBytes = 32
 
-// sealDue reports whether the head's claims exceed SealBytes. The list of segments is not counted: it shrinks only as
-// segments expire, and once it reached SealBytes by itself, every commit would seal a few claims into a segment of their
-// own until the list filled the head and the shard refused every claim.
+// sealDue reports whether the claims in the head record exceed SealBytes. The list of segments is not counted: it
+// shrinks only as segments expire, and once it reached SealBytes by itself, every commit would move a few claims into a
+// segment of their own until the list filled the head record and the shard refused every claim.
 func (k *Keeper) sealDue(s *shard) bool {
 	return s.headSize-maxSegmentRefBytes*len(s.segments) > int(k.cfg.SealBytes)
 }
 
-// advanceSeal starts a seal when one is due and carries out the steps that do not write the head.
+// advanceSeal starts moving settled claims to a segment when this is due, and carries out the steps that do not write
+// the head record.
 func (k *Keeper) advanceSeal(now time.Time, s *shard, out *Output) {
 	if s.seal == nil && s.commit == nil && k.sealDue(s) {
 		s.seal = k.newSeal(now, s)
@@ -169,7 +170,8 @@
 	x.step = sealReserveSlot
 }
 
-// applySeal advances the seal after a commit and drops the indexes of segments that the head no longer lists.
+// applySeal continues a move of claims to a segment after a commit, and drops the indexes of segments that the head no
+// longer lists.
 func (s *shard) applySeal(c *commit) {
 	for slot := range s.indexes {
 		if !slices.ContainsFunc(s.segments, func(seg segmentRef) bool { return seg.Slot == slot }) {
--- a/pomeloclaim/shard.go
+++ b/pomeloclaim/shard.go
@@ -80,7 +80,8 @@
 	s.asks = slices.DeleteFunc(s.asks, func(a *pendingAsk) bool { return a.ask.Nonce == nonce })
 }
 
-// advance loads the shard if needed, answers what it can, and starts due store operations.
+// advance loads the shard if needed, answers the claim requests and settlements that it can, and starts due store
+// operations.
 func (k *Keeper) advance(now time.Time, s *shard, out *Output) {
 	if !s.ready && !k.load(now, s, out) {
 		return
@@ -161,8 +162,8 @@
 	}
 	s.nextSlot, s.free, s.segments = head.NextSlot, head.Free, head.Segments
 	if head.Reserve != nil {
-		// The previous keeper may still write to this store record (slot). The next write to it then fails its
-		// compare-and-swap, and the new revision is read.
+		// The previous keeper may still write to this store record (slot). If it does, the next write to the slot fails
+		// its compare-and-swap, and the new revision of the slot is read.
 		s.free = append(s.free, *head.Reserve)
 	}
 	s.updateIndexes()
--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -49,7 +49,7 @@
 	popInterval time.Duration
 }
 
-// maxForecastRatio limits the forecast of the other routers' charges to a multiple of this router's own.
+// maxForecastRatio limits the forecast of the other routers' charges to this multiple of this router's own charges.
 const maxForecastRatio = 16
 
 // request is a waiting or running request.
@@ -67,12 +67,14 @@
 	older, newer *request
 }
 
-// served returns the account's normalised service across the fleet as known to this router, including lift.
+// served returns the account's normalised service across the fleet as known to this router, plus its lift, which counts
+// as received.
 func (a *account) served() pomelorelay.Tag { return a.ownServed + a.othersServed + a.lift }
 
 // forecastOthers estimates what the other routers have charged since the last report: this router's own charges times
 // the recent ratio of their charges to its own. Until the next totals, all routers see the same account with the lowest
-// tag; without the forecast, each of them would serve the account's whole deficit.
+// tag; without the forecast, each would serve the account's whole deficit, and the account would receive it once per
+// router.
 func (a *account) forecastOthers() pomelorelay.Tag {
 	since := a.ownServed + a.pending - a.chargedAtReport
 	if since <= 0 || a.othersIncrease <= 0 {
--- a/pomelofair/gapbound.go
+++ b/pomelofair/gapbound.go
@@ -35,8 +35,8 @@
 	// linkTraversals is the number of messages between a charge and a grant decision that takes the charge into
 	// account.
 	linkTraversals = 6
-	// admissionCharges is how many times the admission charges of all of an account's running requests can be unknown
-	// to a grant decision.
+	// admissionCharges is the maximum number of sets of admission charges that can be unknown to a grant decision; a
+	// set is one charge for each running request of an account.
 	admissionCharges = 3
 )
 
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -6,7 +6,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// markChanged schedules the account's entry for the next report.
+// markChanged schedules the account's entry for the next report to the ledger.
 func (q *Queues) markChanged(a *account) {
 	if a.dirty {
 		return
@@ -25,9 +25,9 @@
 	p.maxVirtualTime = max(p.maxVirtualTime, tag)
 }
 
-// RaiseMaxVirtualTime raises the pool's maximum virtual time across failure domains. Backlogged accounts are lifted to
-// within the catch-up limit of it. The current virtual time is no substitute: after a partition it falls to the tags of
-// the accounts that are behind, and the others would receive no service until these had fully caught up.
+// RaiseMaxVirtualTime raises the pool's maximum virtual time across failure domains; backlogged accounts are lifted to
+// at most CatchUp below it. The current virtual time is no substitute: after a partition it falls to the tags of the
+// accounts that are behind, and the others would receive no service until these had fully caught up.
 func (q *Queues) RaiseMaxVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	if p := q.pools[id]; p != nil {
 		p.maxVirtualTime = max(p.maxVirtualTime, tag)
@@ -47,7 +47,7 @@
 	before := a.lift
 	// Totals may be older than the last ones, or come from a ledger host that lacks entries. Applied as they are, they
 	// would lower the tag of an account, and only that account would be served for a while. Sums only increase, so the
-	// larger one is newer.
+	// larger of two sums is the newer one.
 	others := max(a.othersServed, pomelorelay.Tag(e.Served)-a.reported)
 	increase := pomelorelay.Cost(others-a.othersServed) * pomelorelay.Cost(a.weight)
 	a.updateOthers(others)
--- a/pomeloledger/exchange.go
+++ b/pomeloledger/exchange.go
@@ -132,7 +132,7 @@
 	return best
 }
 
-// fromOtherRegion reports whether the sender is a host in another region, whose components are forwarded within this
+// fromOtherRegion reports whether the sender is a host in another region, whose totals are forwarded within this
 // region.
 func (l *Ledger) fromOtherRegion(s *shard, from pomelorelay.NodeID) bool {
 	for _, domain := range l.cfg.Fleet.Domains() {
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -21,8 +21,8 @@
 	return &Ledger{cfg: cfg, shards: make(map[pomelorelay.ShardID]*shard)}
 }
 
-// AddShard starts hosting a shard and its rebuild, which queries the hosts in other domains and then the local routers.
-// It has no effect when the shard is already hosted.
+// AddShard starts hosting and rebuilding a shard; the rebuild queries the hosts in other domains and then the local
+// routers. It has no effect when the shard is already hosted.
 func (l *Ledger) AddShard(now time.Time, id pomelorelay.ShardID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if _, hosted := l.shards[id]; hosted {
 		return out
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// HandleComponentQuery answers another domain's host with a component for each domain, its accounts' service there. The
-// component of the querying domain is sent first and marked full; on receiving it, the querying host counts this domain
-// as having answered.
+// HandleComponentQuery answers another domain's host with one component per domain (the service that accounts received
+// in that domain). The component of the querying domain is sent first and marked full; on receiving it, the querying
+// host counts this domain as having answered.
 func (l *Ledger) HandleComponentQuery(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponentQuery, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
@@ -102,7 +102,7 @@
 	return pomelorelay.Outgoing{To: to, Message: m}
 }
 
-// HandleComponent merges a component, the service of one domain's accounts, received from another domain's host.
+// HandleComponent merges a component (the service that accounts received in one domain) from another domain's host.
 func (l *Ledger) HandleComponent(now time.Time, from pomelorelay.NodeID, m *pomelorelay.LedgerComponent, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	s, ok := l.shards[m.Shard]
 	if !ok {
--- a/pomeloledger/shard.go
+++ b/pomeloledger/shard.go
@@ -47,8 +47,8 @@
 	pendingFolds      []pendingFold
 }
 
-// pendingFold schedules adding the service of a router's superseded incarnations to departed, for when late reports are
-// no longer expected.
+// pendingFold schedules adding the service of a router's superseded incarnations to account.departed, for when late
+// reports are no longer expected.
 type pendingFold struct {
 	node pomelorelay.NodeID
 	upTo pomelorelay.Incarnation
@@ -74,8 +74,8 @@
 	return a
 }
 
-// admitIncarnation records a router's incarnation and schedules adding the service of earlier ones to departed. It
-// returns false for an incarnation whose service is in departed already and would otherwise count twice.
+// admitIncarnation records a router's incarnation and schedules adding the service of earlier ones to account.departed.
+// It returns false for an incarnation whose service was added already and would otherwise count twice.
 func (s *shard) admitIncarnation(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, foldDelay time.Duration) bool {
 	if incarnation <= s.foldedUpTo[node] {
 		return false
@@ -90,8 +90,8 @@
 	return true
 }
 
-// foldDue adds the service of superseded incarnations to departed. Only a later incarnation of the same router proves
-// that an earlier one has ended; a router that is suspected dead may report again.
+// foldDue adds the service of superseded incarnations to account.departed when it is due. Only a later incarnation of
+// the same router proves that an earlier one has ended; a router that is suspected dead may report again.
 func (s *shard) foldDue(now time.Time) {
 	kept := s.pendingFolds[:0]
 	for _, f := range s.pendingFolds {
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -85,8 +85,9 @@
 	})
 }
 
-// Messages between routers are lost. A router that missed the notice of a suspect may send it on and lose one upstream.
-// If it also missed the quarantine, it may lose another before it attributes the crash itself: at most two per router.
+// Messages between routers are lost. A router that missed the notice of a suspect may send the suspect without locks
+// and lose one upstream. If it also missed the quarantine, it may lose another before it attributes the crash itself:
+// at most two per router.
 func TestLostNoticesOnlySlowTheQuarantine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f, _ := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0.2, true)
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -33,8 +33,9 @@
 	// ReturnBackoff is how long a router receives no grants for an upstream after it returned one unused although it
 	// had requests waiting; default 100 ms.
 	ReturnBackoff time.Duration
-	// PrefixMargin is the amount by which a router's tag may exceed the lowest tag for the router to be preferred
-	// because the upstream has its prompt prefix cached; default 1, negative disables the preference.
+	// PrefixMargin is the amount by which a router's lowest waiting tag may exceed the lowest of all routers for the
+	// router still to be preferred because the upstream has its prompt prefix cached; default 1, negative disables the
+	// preference.
 	PrefixMargin pomelorelay.Tag
 	// PrefixTTL is how long a prefix is assumed to be cached after the last cache event or grant for it; default 60 s.
 	PrefixTTL time.Duration
@@ -50,12 +51,13 @@
 	TokenGapTarget time.Duration
 	// Window is how long latencies are collected before the limit is adjusted; default 2 s.
 	Window time.Duration
-	// MinSamples is the number of responses with latencies that a window needs before the limit is adjusted to them;
+	// MinSamples is the minimum number of measured responses in a window for their latencies to change the limit;
 	// default 20.
 	MinSamples int
 	// ShrinkFactor is the factor by which the limit is multiplied when it is lowered; default 0.9.
 	ShrinkFactor float64
-	// MaxLoadLag is the maximum age of the state that a load report describes; default 2 s.
+	// MaxLoadLag is the maximum age of an upstream's state by the time the owner receives the load report that
+	// describes it; default 2 s.
 	MaxLoadLag time.Duration
 }
 
--- a/pomeloslot/grants.go
+++ b/pomeloslot/grants.go
@@ -98,8 +98,9 @@
 	return r.head < other.head
 }
 
-// preferCached returns the first router in order whose prompt prefix the upstream has cached; if none has, best.
-// Candidates have as many unanswered grants as best and a tag of at most PrefixMargin above best's.
+// preferCached returns the router with the lowest tag among those whose prompt prefix the upstream has cached, or best
+// if there is none. Only routers with as many unanswered grants as best, and a tag of at most PrefixMargin above
+// best's, are considered.
 func (u *upstream) preferCached(now time.Time, best *router, opt GrantOptions) *router {
 	chosen := best
 	found := u.cached.holdsAny(now, best.prefixes, opt.PrefixTTL)
@@ -146,8 +147,9 @@
 	return out
 }
 
-// HandleRunningReport handles a router's report of the grants that it holds and appends the resulting grants to out. Unknown grants
-// in the report are added; grants that were issued before the query and are missing from the report are released.
+// HandleRunningReport handles a router's report of the grants that it holds and appends the resulting grants to out.
+// Reported grants that the owner does not know are added; grants that were issued before the query and are missing from
+// the report are released.
 func (o *Owner) HandleRunningReport(now time.Time, from pomelorelay.NodeID, m *pomelorelay.RunningReport, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	u := o.upstreams[m.Upstream]
 	if u == nil {
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -61,7 +61,7 @@
 	u.limit.addLoadReport(load.Waiting)
 }
 
-// updateExcess recomputes the excess from the last load report.
+// updateExcess recomputes excess, the requests granted by other owners, from the last load report.
 func (u *upstream) updateExcess(now time.Time, lag time.Duration) {
 	if !u.reported {
 		return
--- a/pomeloslot/selection.go
+++ b/pomeloslot/selection.go
@@ -65,8 +65,9 @@
 // digests, all of them would wait at that one and at no other.
 const maxComparedIdle = 2
 
-// compareUpstreams orders upstreams with idle slots first, by distance, idle slots and tieBreak, and then the busy ones by
-// descending last granted tag: accounts served there have received more, so a waiting account is served sooner.
+// compareUpstreams orders upstreams with idle slots first, by distance, idle slots and tieBreak, and then the busy ones
+// by descending last granted tag: accounts served there have received more service, so a waiting account with a low tag
+// is served sooner.
 func compareUpstreams(a, b *remoteUpstream) int {
 	if idle := cmp.Compare(min(b.idle, 1), min(a.idle, 1)); idle != 0 {
 		return idle
--- a/pomeloslot/spill.go
+++ b/pomeloslot/spill.go
@@ -17,8 +17,9 @@
 	useDomainIdle, useRegionIdle bool
 }
 
-// spillRange returns the current spill range of a pool. Idle slots are used in the local domain first, then in the region,
-// and in other regions only if enough requests wait. maxDistance is the nearest distance with an available upstream.
+// spillRange returns the current spill range of a pool. Idle slots are used in the local domain first, then in other
+// domains of the region, and in other regions only if enough requests wait. maxDistance is the nearest distance with an
+// available upstream.
 func (r *Requester) spillRange(now time.Time, p *poolState) spillRange {
 	var known, idle [pomelorelay.LinkClassCount]bool
 	highest := pomelorelay.Tag(0)
--- a/pomeloslot/upstream.go
+++ b/pomeloslot/upstream.go
@@ -38,7 +38,8 @@
 	waiting  int
 	prefixes []uint64
 	demandAt time.Time
-	// unansweredGrants is the number of grants without a reply; while it is above zero, head predates them.
+	// unansweredGrants is the number of grants without a reply; while it is above zero, head is older than these
+	// grants.
 	unansweredGrants int
 	// backoffUntil is when the router may receive grants again after it returned one.
 	backoffUntil time.Time
