--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -226,9 +226,9 @@
 	Prefixes []uint64
 }
 
-// Settlement is what a router reports about a grant: the outcome, the router's current demand and the latencies of the
+// GrantOutcome is what a router reports about a grant: the outcome, the router's current demand and the latencies of the
 // request.
-type Settlement struct {
+type GrantOutcome struct {
 	State pomelorelay.GrantState
 	// Head and Waiting are the router's current demand in the pool: the lowest tag and the number of waiting requests;
 	// zero Waiting means none.
