--- a/fleet.go
+++ b/fleet.go
@@ -67,7 +67,7 @@
 	Name ServiceID
 	// MaxConns is the maximum number of connections to one upstream for all callers together; zero means unlimited.
 	MaxConns int
-	// ColdPeriod is the time for which an upstream stays cold after a start; zero disables cold starts.
+	// ColdPeriod is the time after its start for which an upstream is cold, that is, accepts only ColdRate; zero if it is never cold.
 	ColdPeriod time.Duration
 	// ColdRate is the number of requests per second that a cold upstream accepts.
 	ColdRate float64
@@ -107,11 +107,11 @@
 	Document []byte
 }
 
-// ColdUnknown is the remaining cold time of an upstream that does not report whether it is cold.
+// ColdUnknown is the remaining cold time of an upstream that does not report whether it is cold (recently started and limited in rate).
 const ColdUnknown time.Duration = -1
 
-// ColdBounds limits the requests that the fleet sends to a cold upstream in any second, as a multiple of the rate that the upstream
-// accepts plus a constant.
+// ColdBounds limits the requests that the fleet sends in any second to a cold (recently started) upstream: Ratio times the rate that
+// the upstream accepts, plus Slack.
 type ColdBounds struct {
 	Ratio float64
 	Slack float64
@@ -137,7 +137,7 @@
 	StartUnixMilli int64
 }
 
-// FleetChange is the content of the platform's store that concerns routers, or a change of it.
+// FleetChange holds the configuration, upstreams, routers and evacuated domains in the platform's store, or the changes to them.
 type FleetChange struct {
 	// Revision is the store revision that the change leads to.
 	Revision Revision
@@ -151,7 +151,7 @@
 	RemovedUpstreams []UpstreamID
 	Peers            []Peer
 	RemovedPeers     []NodeID
-	// Evacuated are failure domains whose upstreams get no new requests; Restored are those whose evacuation has ended.
+	// Evacuated are failure domains whose upstreams get no new requests; RestoredDomains are those whose evacuation has ended.
 	Evacuated       []DomainID
 	RestoredDomains []DomainID
 	// EntryErrors holds an error for each upstream entry that cannot be decoded; these upstreams are also in RemovedUpstreams.
@@ -160,7 +160,7 @@
 
 // Platform gives a router access to the platform's store; its errors have the result codes of the store.
 type Platform interface {
-	// Read returns the full content. A stale read may lag by seconds and costs the store a tenth of a current one.
+	// Read returns the complete fleet state. A stale read may be seconds out of date and costs the store a tenth of a current one.
 	Read(ctx context.Context, stale bool) (FleetChange, error)
 	// Watch blocks until something has changed since the revision and returns the change, or an empty one once wait has
 	// passed. It fails with CodeStoreCompacted if the store has compacted the history since the revision.
--- a/ids.go
+++ b/ids.go
@@ -36,10 +36,10 @@
 // RequestID is the number of a caller's request, unique within one router incarnation.
 type RequestID uint64
 
-// GrantID is the number of a grant, unique within one incarnation of the slot owner.
+// GrantID is the number of a slot grant, unique within one incarnation of the router that issued the grant.
 type GrantID uint64
 
-// ShardID is the number of a shard of the ledger or of the claims.
+// ShardID is the number of a shard of the service ledger or of the claims to run non-idempotent requests.
 type ShardID uint32
 
 // Fingerprint is a 64-bit hash of a request's account, service and body.
--- a/interfaces.go
+++ b/interfaces.go
@@ -72,11 +72,11 @@
 	Domain DomainID
 	Region RegionID
 	// CPUSpeed is the router's CPU speed relative to other routers; zero when unknown. The fastest routers of a failure domain are
-	// chosen as its relays.
+	// chosen as its relays, which sum up and forward load reports.
 	CPUSpeed float64
 }
 
-// LinkClass is the network distance of a peer, by which byte budgets are set.
+// LinkClass is the network distance of a peer; each class has its own byte budget.
 type LinkClass int
 
 // Values of LinkClass, nearest first.
@@ -93,12 +93,12 @@
 	Received Bytes
 }
 
-// Mesh carries messages between routers. Messages of the same urgency to one peer arrive in order or are lost; a broken connection
-// loses its queue.
+// Mesh carries messages between routers. Messages of the same urgency to one peer arrive in order or are lost; when a connection
+// breaks, the messages queued for it are dropped.
 type Mesh interface {
 	// SetPeers replaces the set of peers that the mesh may connect to.
 	SetPeers(peers []Peer)
-	// SendToAddr sends a message to the router at an address without blocking, whatever its name; an unreachable address is logged.
+	// SendToAddr sends a message, without blocking, to whichever router answers at an address; an unreachable address is logged.
 	// It fails with CodeMeshMalformed.
 	SendToAddr(addr netip.AddrPort, m Message) error
 	// SetGeneration sets the configuration generation that is sent with every message.
--- a/messages.go
+++ b/messages.go
@@ -38,12 +38,13 @@
 	Message    Message
 }
 
-// Demand registers with a slot owner the requests that a router has queued for an upstream; a higher Seq supersedes a lower one.
+// Demand reports the requests that a router has queued for an upstream to the router that grants the upstream's slots. A higher Seq
+// supersedes a lower one.
 type Demand struct {
 	Upstream UpstreamID
 	Pool     PoolID
 	Seq      uint64
-	// HeadTag is the tag of the request at the head of the queue, Waiting the number of queued requests.
+	// HeadTag is the fair-queueing tag of the request at the head of the queue, Waiting the number of queued requests.
 	HeadTag Tag
 	Waiting uint32
 	// Prefixes holds hashes of the prompt prefixes of the request at the head of the queue, for cache affinity.
@@ -71,7 +72,7 @@
 	GrantUpstreamUnreachable                       // the upstream accepted no connection
 )
 
-// GrantReply reports to a slot owner the outcome of a grant and the router's current demand.
+// GrantReply reports the outcome of a grant to the router that issued it, with the sender's current demand.
 type GrantReply struct {
 	ID       GrantID
 	Upstream UpstreamID
@@ -84,19 +85,20 @@
 	TokenGap   time.Duration
 }
 
-// RunningQuery asks a router what it runs on an upstream; a new slot owner sends it to all routers before it grants slots.
+// RunningQuery asks a router for a RunningReport about an upstream. A router that takes over granting the upstream's slots sends it to
+// all others before it issues grants.
 type RunningQuery struct {
 	Upstream UpstreamID
 }
 
-// RunningReport reports to a slot owner the grants that a router holds for an upstream and the number of requests it runs there.
+// RunningReport answers a RunningQuery with the grants that the sender holds for an upstream and the number of its requests running there.
 type RunningReport struct {
 	Upstream UpstreamID
 	Grants   []GrantID
 	Running  uint32
 }
 
-// SlotDigest is the state of an upstream's slots as published by their owner.
+// SlotDigest summarises the slots of an upstream, as published by the router that grants them.
 type SlotDigest struct {
 	Upstream UpstreamID
 	Pool     PoolID
@@ -120,7 +122,7 @@
 	Waiting bool
 }
 
-// LedgerReport reports a router's cumulative service per account to the host of a ledger shard.
+// LedgerReport reports a router's cumulative service per account to the router that hosts a ledger shard.
 type LedgerReport struct {
 	Shard   ShardID
 	Seq     uint64
@@ -138,7 +140,7 @@
 	Account AccountID
 }
 
-// LedgerTotals answers a LedgerReport with fleet totals; Ready is false while the host rebuilds the shard.
+// LedgerTotals answers a LedgerReport with fleet totals; Ready is false while the sender rebuilds the shard.
 type LedgerTotals struct {
 	Shard   ShardID
 	Ready   bool
@@ -147,7 +149,7 @@
 	Seq uint64
 }
 
-// LedgerQuery asks a router for a full report; it is sent by the new host of a ledger shard.
+// LedgerQuery asks a router for a full LedgerReport; the new host of a ledger shard sends it to rebuild the shard.
 type LedgerQuery struct {
 	Shard ShardID
 	// Round distinguishes answers to this query from those to earlier ones.
@@ -172,7 +174,7 @@
 	Waiting  bool
 }
 
-// LedgerComponentQuery asks the host of a ledger shard in another domain for all components that it has.
+// LedgerComponentQuery asks the host of a ledger shard in another failure domain for all of its LedgerComponents of the shard.
 type LedgerComponentQuery struct {
 	Shard ShardID
 }
@@ -195,7 +197,7 @@
 	Status      MemberStatus
 }
 
-// Digest is the periodic heartbeat between routers, with membership changes and slot states.
+// Digest is the periodic heartbeat between routers, with membership changes and slot digests.
 type Digest struct {
 	Seq     uint64
 	Members []MemberState
@@ -216,7 +218,7 @@
 	Target NodeID
 }
 
-// ConfigPull asks a peer for a configuration root newer than Above, and for parts by hash.
+// ConfigPull asks a peer for a configuration root (the list of its parts) above AboveGeneration, and for parts by hash.
 type ConfigPull struct {
 	AboveGeneration Generation
 	Parts           []Hash
@@ -263,7 +265,7 @@
 	Truncated bool
 }
 
-// ClaimAsk asks the router in charge of a claim shard for a durable claim.
+// ClaimAsk asks the router in charge of a claim shard for a durable claim to run a non-idempotent request.
 type ClaimAsk struct {
 	Shard   ShardID
 	Key     ClaimKey
@@ -305,8 +307,8 @@
 	Fingerprints []Fingerprint
 }
 
-// SuspectAsk asks the arbiter of a crash suspect whether the request may run on an upstream; with Running, it reports that the
-// request already runs there.
+// SuspectAsk asks whether a crash suspect, a request that may have crashed an upstream, may run on another upstream. It goes to the
+// router that decides for the fingerprint. With Running, it reports that the request already runs there.
 type SuspectAsk struct {
 	Request     RequestID
 	Fingerprint Fingerprint
@@ -345,7 +347,8 @@
 	Upstream UpstreamID
 }
 
-// Farewell announces that a router is stopping; the other routers take over its shared jobs at once.
+// Farewell announces that a router is stopping. The other routers take over its fleet-wide jobs (slot ownership, ledger and claim
+// shards) at once.
 type Farewell struct {
 	Incarnation Incarnation
 }
--- a/messages_load.go
+++ b/messages_load.go
@@ -12,7 +12,8 @@
 	KVTokens Tokens
 	// PromptTokensSent is the total of prompt tokens sent since the router's start.
 	PromptTokensSent Tokens
-	// Totals of the expected and of the measured times to first token since the router's start.
+	// FirstTokenExpected and FirstTokenMeasured are the sums of the requests' expected and measured times to first token since the
+	// router's start.
 	FirstTokenExpected, FirstTokenMeasured time.Duration
 }
 
@@ -46,12 +47,12 @@
 	Starts []UpstreamStart
 }
 
-// UpstreamStart reports that an upstream accepted no connection and will be cold once it is back, or that it answers again and may be
-// cold.
+// UpstreamStart reports that an upstream accepted no connection, or that it answers again. It may then have restarted and be cold, that
+// is, accept only a low request rate for a while.
 type UpstreamStart struct {
 	Upstream    UpstreamID
 	Unreachable bool
-	// ColdRemaining is the remaining time for which it may be cold; zero while it accepts no connections.
+	// ColdRemaining is the remaining time for which the upstream may be cold; zero while it accepts no connections.
 	ColdRemaining time.Duration
 }
 
@@ -111,13 +112,13 @@
 	Service ServiceID
 	// Answers is the number of responses.
 	Answers float64
-	// Sums of the weights and, weighted, of the tokens read, of the times taken, of the squares of the tokens, and of the products of
-	// tokens and times.
+	// Sum of the responses' weights, and weighted sums of the tokens read, the times taken, the squares of the tokens, and the products
+	// of tokens and times.
 	WeightSum, TokenSum, TimeSum, TokenSquareSum, TokenTimeSum float64
-	// Numbers of streams that ran during a long prefill on their engine, and of those among them that paused for longer than their
-	// callers accept.
+	// DuringPrefill is the number of streams that ran during a long prefill on their engine. Stalled is the number of those that paused
+	// between tokens for longer than their callers accept.
 	DuringPrefill, Stalled float64
-	// Numbers of prompt tokens that were copied from another engine instead of read, and of tokens that could have been read in the
-	// same time.
+	// CopiedTokens is the number of prompt tokens whose KV cache was copied from another engine. CopyTimeTokens is the number of tokens
+	// that the receiving engines could have prefilled in the time that copying took.
 	CopiedTokens, CopyTimeTokens float64
 }
--- a/messages_state.go
+++ b/messages_state.go
@@ -1,7 +1,7 @@
 package pomelorelay
 
-// StateAsk asks a router for its copy of the platform store's content; it is sent by a router that cannot reach the store or that
-// missed an update.
+// StateAsk asks a router for its copy of the configuration, upstreams and routers in the platform's store. It is sent by a router that
+// cannot reach the store or that missed an update.
 type StateAsk struct {
 	// Above is the generation of the sender's configuration; only a newer one is requested.
 	Above Generation
@@ -12,10 +12,11 @@
 // Urgency implements Message; it equals that of configuration messages.
 func (*StateAsk) Urgency() Urgency { return UrgencyNormal }
 
-// CoalesceKey returns the same key for all: a later query replaces an earlier one.
+// CoalesceKey returns the same key for all queries, so that a later query replaces an earlier one.
 func (*StateAsk) CoalesceKey() string { return "StateAsk" }
 
-// FleetState answers a StateAsk with a router's copy of the platform store's content; what was not requested is omitted.
+// FleetState answers a StateAsk with a router's copy of the configuration, upstreams, routers and evacuated domains in the platform's
+// store; what was not requested is omitted.
 type FleetState struct {
 	// Document is the published form of the configuration.
 	Document []byte
@@ -30,5 +31,5 @@
 // Urgency implements Message; it equals that of configuration messages.
 func (*FleetState) Urgency() Urgency { return UrgencyNormal }
 
-// CoalesceKey returns the same key for all: a later state replaces an earlier one.
+// CoalesceKey returns the same key for all answers, so that a later answer replaces an earlier one.
 func (*FleetState) CoalesceKey() string { return "FleetState" }
--- a/messages_urgency.go
+++ b/messages_urgency.go
@@ -123,7 +123,7 @@
 // Urgency implements Message.
 func (*ConfigApplied) Urgency() Urgency { return UrgencyNormal }
 
-// CoalesceKey returns the same key for all: a later message replaces an earlier one.
+// CoalesceKey returns the same key for all messages of this type, so that a later message replaces an earlier one.
 func (*ConfigApplied) CoalesceKey() string { return "ConfigApplied" }
 
 // Urgency implements Message.
--- a/pomeloconfig/answers.go
+++ b/pomeloconfig/answers.go
@@ -63,7 +63,8 @@
 	Maximum pomelorelay.Cost `yaml:"Maximum"`
 }
 
-// SpillAnswers sets when requests may go to another failure domain or region, and how much an account may catch up.
+// SpillAnswers sets when requests may go to another failure domain or region, and how much service an account that fell behind may
+// catch up; all values are in normalised cost.
 type SpillAnswers struct {
 	Domain  pomelorelay.Tag `yaml:"Domain"`
 	Region  pomelorelay.Tag `yaml:"Region"`
--- a/pomeloconfig/configuration.go
+++ b/pomeloconfig/configuration.go
@@ -62,11 +62,11 @@
 	MaxWait         time.Duration     `yaml:"MaxWait"`
 	// Timeout is the time limit of one attempt at an upstream.
 	Timeout time.Duration `yaml:"Timeout"`
-	// SpillDomain and SpillRegion are the margins by which the last tag granted at an upstream of another failure domain or
-	// region must exceed the highest one in the local domain before demand goes there.
+	// SpillDomain and SpillRegion are margins in fair-queueing tags (normalised cost). Requests may go to another failure domain
+	// or region once the last tag granted at an upstream there exceeds the highest one granted in the local domain by the margin.
 	SpillDomain pomelorelay.Tag `yaml:"SpillDomain"`
 	SpillRegion pomelorelay.Tag `yaml:"SpillRegion"`
-	// CatchUp is the maximum lag behind the other accounts that an account may catch up.
+	// CatchUp is the maximum service, in normalised cost, that an account which fell behind the others may catch up.
 	CatchUp pomelorelay.Tag `yaml:"CatchUp"`
 	// RetryBudget is the maximum fraction of requests that may be retried.
 	RetryBudget float64 `yaml:"RetryBudget"`
--- a/pomeloconfig/difference.go
+++ b/pomeloconfig/difference.go
@@ -52,7 +52,8 @@
 	return string(value)
 }
 
-// The limits keep a root that replaces every entry below the store's value limit; the full change can be computed from the parts.
+// These limits keep a root below the store's value limit even if every entry of the configuration changed. The full change can be
+// computed from the parts.
 const (
 	maxSummaryLines     = 50
 	maxSummaryLineBytes = 300
--- a/pomeloconfig/fleet_test.go
+++ b/pomeloconfig/fleet_test.go
@@ -185,7 +185,7 @@
 	f.send(message.to, out)
 }
 
-// readStore performs the store reads that the router requests, and reports the root to routers with a watch.
+// readStore performs the store reads that the router requests; a router that watches the store also gets its current root.
 func (f *fleet) readStore(i int) {
 	s := f.routers[i].syncer
 	reads := s.PendingStoreReads(f.now)
--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -55,8 +55,8 @@
 }
 
 // Publish validates the configuration, writes its parts and replaces the root. It returns the root that contains the change,
-// which is the current one when nothing differs. It returns CodeConfigInvalid, CodeConfigConflict naming the change accepted
-// first, CodeConfigUnsettled when the change may have been or may still be accepted, or a store error when it was not.
+// which is the current one when nothing differs. It fails with CodeConfigInvalid, CodeConfigConflict naming the change accepted
+// first, CodeConfigUnsettled when the change may have been or may still be accepted, or another code when it was not accepted.
 func (p *Publisher) Publish(ctx context.Context, c Configuration, change Change) (Root, error) {
 	c = c.normalised()
 	if err := problemsError(pomelorelay.CodeConfigInvalid, Check(c)); err != nil {
--- a/pomeloconfig/publisher_test.go
+++ b/pomeloconfig/publisher_test.go
@@ -41,11 +41,11 @@
 	publish(t, store, withShare(9), pomeloconfig.Change{Author: "bea", Why: "more for 3"})
 	entries, err := pomeloconfig.Audit(context.Background(), store, pomeloconfig.AuditOptions{})
 	if err != nil || len(entries) != 2 {
-		t.Fatalf("got %v %v", entries, err)
+		t.Fatalf("audit: got entries %v, error %v; want 2 entries", entries, err)
 	}
 	r := entries[0].Root
 	if r.Author != "bea" || r.Why != "more for 3" || r.Time.IsZero() || r.Difference.Altered != 1 {
-		t.Fatalf("got %+v", r)
+		t.Fatalf("newest audit entry: got %+v", r)
 	}
 	if want := "Altered Account/account-00003 Share: 1 -> 9"; r.Difference.Lines[0] != want {
 		t.Fatalf("got %q, want %q", r.Difference.Lines[0], want)
@@ -156,7 +156,8 @@
 	}
 }
 
-// overtakenStore loses the answer to the first write of the root, and lets another change replace it before it is read back.
+// overtakenStore loses the answer to the first write of the root, and lets another change replace that root before the writer reads it
+// back.
 type overtakenStore struct {
 	*memStore
 	concurrent func()
@@ -184,7 +185,7 @@
 	}}
 	root, err := newPublisher(overtaken).Publish(context.Background(), withShare(2), pomeloconfig.Change{Author: "caio"})
 	if err != nil || root.Generation != 2 {
-		t.Fatalf("got generation %d, %v", root.Generation, err)
+		t.Fatalf("got generation %d, error %v", root.Generation, err)
 	}
 }
 
--- a/pomeloconfig/questionnaire_test.go
+++ b/pomeloconfig/questionnaire_test.go
@@ -111,7 +111,7 @@
 	second.Team = "others"
 	_, err := pomeloconfig.Generate([]pomeloconfig.Answers{examples[0], second})
 	if !pomelorelay.IsErrCode(err, pomelorelay.CodeAnswersInvalid) || !strings.Contains(err.Error(), `"booking" is already used`) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error for a duplicate service name: %v", err)
 	}
 }
 
--- a/pomeloconfig/settings_control.go
+++ b/pomeloconfig/settings_control.go
@@ -35,7 +35,7 @@
 	RegionBytes pomelorelay.Bytes `yaml:"RegionBytes"`
 	CrossBytes  pomelorelay.Bytes `yaml:"CrossBytes"`
 	// DigestInterval and LedgerInterval are the intervals of digests and ledger reports to routers of the same failure domain;
-	// ExchangeInterval is that of reports between failure domains.
+	// ExchangeInterval is the interval of ledger exchanges with other failure domains of the same region.
 	DigestInterval   time.Duration `yaml:"DigestInterval"`
 	LedgerInterval   time.Duration `yaml:"LedgerInterval"`
 	ExchangeInterval time.Duration `yaml:"ExchangeInterval"`
@@ -44,11 +44,11 @@
 	ProbeWait  time.Duration `yaml:"ProbeWait"`
 	SuspectFor time.Duration `yaml:"SuspectFor"`
 	GrantTTL   time.Duration `yaml:"GrantTTL"`
-	// LoadInterval is the interval at which a slot owner reads an upstream's load.
+	// LoadInterval is the interval at which the router that grants an upstream's slots reads the upstream's load.
 	LoadInterval time.Duration `yaml:"LoadInterval"`
 	// ClaimCommits is the maximum number of writes per second by all claim shards of the fleet together.
 	ClaimCommits float64 `yaml:"ClaimCommits"`
-	// ConfigPull is how long a configuration pull waits before it asks another peer.
+	// ConfigPull is the time without progress after which a router requests a new configuration from another peer.
 	ConfigPull time.Duration `yaml:"ConfigPull"`
 	// StopWait is the time limit of a graceful stop.
 	StopWait time.Duration `yaml:"StopWait"`
@@ -57,7 +57,7 @@
 	// ClaimShards is the number of claim shards; it must be the same on every router and must not change while claims are
 	// stored, because a key would then be looked up in another shard than the one that holds its claim.
 	ClaimShards int `yaml:"ClaimShards"`
-	// ConfigWatchers is the number of routers per failure domain that watch the store.
+	// ConfigWatchers is the number of routers per failure domain that watch the store for a new configuration.
 	ConfigWatchers int `yaml:"ConfigWatchers"`
 	// AdmissionCharge is the fraction of a request's expected cost that is charged at admission.
 	AdmissionCharge float64 `yaml:"AdmissionCharge"`
--- a/pomeloconfig/settingsdoc_test.go
+++ b/pomeloconfig/settingsdoc_test.go
@@ -45,7 +45,7 @@
 	}
 	inCode := make(map[string]string)
 	collectSettings("", reflect.ValueOf(s), inCode)
-	// minimalSettings sets Insecure to do without key files; its default is false.
+	// minimalSettings sets TLS.Insecure to do without key files; the default of TLS.Insecure is false.
 	inCode["TLS.Insecure"] = "false"
 	page, err := os.ReadFile("../docs/operators/settings.md")
 	if err != nil {
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -27,9 +27,9 @@
 	PullTimeout time.Duration
 	// StoreReadTimeout is how long to wait for a store read before it is requested again.
 	StoreReadTimeout time.Duration
-	// MaxServedPeers is the maximum number of peers whose pulls are answered within the pull timeout; others ask another peer.
-	// Without it every router of a failure domain would pull from the first one with a new generation, and its queue would
-	// fill with answers that arrive too late.
+	// MaxServedPeers is the maximum number of peers whose pulls are answered within one PullTimeout; pulls of other peers get no
+	// answer, so these ask another router. Without the limit every router of a failure domain would pull from the first one with
+	// a new generation, whose send queue would fill with answers that arrive too late.
 	MaxServedPeers int
 	// Seed seeds the random choice of peers.
 	Seed uint64
@@ -55,7 +55,7 @@
 	cfg    SyncerConfig
 	random *rand.Rand
 	peers  []pomelorelay.NodeID
-	// peerGenerations holds the generation last announced by each peer; it falls when a peer restarts.
+	// peerGenerations holds the generation last announced by each peer, which is lower after a restart of the peer.
 	peerGenerations map[pomelorelay.NodeID]pomelorelay.Generation
 
 	inForce     rootWithParts
@@ -126,7 +126,7 @@
 	}
 }
 
-// SetPeers replaces the routers that can be asked, and drops the state of peers that are gone.
+// SetPeers replaces the routers from which configurations can be pulled, and drops the generations and refusals of removed ones.
 func (s *Syncer) SetPeers(peers []pomelorelay.NodeID) {
 	s.peers = slices.Clone(peers)
 	slices.Sort(s.peers)
--- a/pomeloconfig/syncer_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -51,7 +51,8 @@
 	return true
 }
 
-// HandlePush handles a root and parts from a peer. It keeps only a root above the known generations and parts of the target.
+// HandlePush handles a root and parts from a peer. It keeps the root only if its generation is above all known ones, and a part only
+// if the target lists its hash.
 func (s *Syncer) HandlePush(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	progress := false
 	if len(m.Root) > 0 {
--- a/pomeloconfig/syncer_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -59,7 +59,7 @@
 }
 
 // The store is restored from an old copy while the fleet has generation 3 in force. The old root must not be applied, which would
-// revert two accepted changes, and it must be reported, since the next change may get a generation that routers ignore.
+// revert two accepted changes. It must be logged, since the next change may get a generation that routers ignore.
 func TestRestoredStoreIsReportedAndNotApplied(t *testing.T) {
 	events := &eventList{}
 	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{Logger: events})
@@ -79,8 +79,8 @@
 	}
 }
 
-// Neither the store nor a peer has a configuration. The router must keep asking both and must not become ready, because it would
-// reject every caller's token as unknown.
+// Neither the store nor a peer has a configuration. The router must keep asking the store and the peer and must not become ready,
+// because it would reject every caller's token as unknown.
 func TestRouterWithoutConfigurationIsNotReady(t *testing.T) {
 	s := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{})
 	s.SetPeers([]pomelorelay.NodeID{"peer"})
--- a/pomelomember/bench_test.go
+++ b/pomelomember/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// BenchmarkSecond measures one second of a router in a fleet of 360: its ticks and the digests that it receives.
+// BenchmarkSecond measures the work of one router in a fleet of 360 during one second: ten ticks and the digests received.
 func BenchmarkSecond(b *testing.B) {
 	f := newFleet(nil, 6, 60, 1)
 	f.startAll()
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -32,23 +32,25 @@
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is the time that a suspected router has to refute before it is declared dead; default 1 s.
 	SuspicionTimeout time.Duration
-	// Helpers is the number of routers that probe an unresponsive router indirectly, and that send the full state to a new one; default 3.
+	// Helpers is the number of routers that probe an unresponsive router indirectly, and the number of routers that send the status of
+	// all routers to a new one; default 3.
 	Helpers int
 	// Gateways is the number of routers of a failure domain that send digests to each other domain; default 2.
 	Gateways int
-	// SyncInterval is the time between full digests, each of which goes to one router; default 10 s.
+	// SyncInterval is the time between digests with the status of all routers, each of which goes to one router; default 10 s.
 	SyncInterval time.Duration
 	// Retransmits is the number of digests that carry a status change; default 3.
 	Retransmits int
 	// DomainSilent is the time without messages after which a failure domain counts as unreachable; default 5 s.
 	DomainSilent time.Duration
-	// JoinInterval is the time between attempts to contact listed routers that are not known to be alive; default 1 s.
+	// JoinInterval is the time between attempts to contact routers on the host list that are not known to be alive; default 1 s.
 	JoinInterval time.Duration
-	// DeadRetention is the time after its death or departure for which the record of an unlisted router is kept; default 10 min.
+	// DeadRetention is the time after a router's death or departure for which its record is kept if the host list lacks the router;
+	// default 10 min.
 	DeadRetention time.Duration
-	// MaxRelayedSlots limits the slots of other failure domains that a gateway relays in every fourth digest; default 8.
+	// MaxRelayedSlots limits the slot digests of other failure domains that a router relays in every fourth of its digests; default 8.
 	MaxRelayedSlots int
-	// MaxAdvertisedSlots limits the slots of this failure domain that a gateway sends to another domain; default 16.
+	// MaxAdvertisedSlots limits the slot digests of this failure domain in a digest to another domain; default 16.
 	MaxAdvertisedSlots int
 }
 
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -6,14 +6,15 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxReachedDomains limits the reached failure domains that are accepted from one digest.
+// maxReachedDomains limits the failure domains that are accepted from one digest's list of reached domains.
 const maxReachedDomains = 64
 
-// relayInterval is the number of digests from one that carries slots of other failure domains to the next. These slots go to
-// every router of the domain, so they make up most of a gateway's traffic.
+// relayInterval is the number of digests from one that carries slot digests of other failure domains to the next. These slot digests
+// go to every router of the domain, so they make up most of a gateway's traffic.
 const relayInterval = 4
 
-// joinFanout is the number of absent routers contacted per JoinInterval, coldJoinFanout that for a router that knows no live router yet.
+// joinFanout is the number of routers not known to be alive that are contacted per JoinInterval. coldJoinFanout replaces it while no
+// other live router of the failure domain is known.
 const (
 	joinFanout     = 3
 	coldJoinFanout = 16
@@ -41,8 +42,8 @@
 	return v.sendCorrection(now, sender, out)
 }
 
-// acknowledge replies to a router without a known address. Without a host list only the routers named in the settings are known;
-// if they did not reply, they would receive digests from the others and still be declared dead by them.
+// acknowledge replies to a router that neither the host list nor the settings name. Without a host list, routers know only those in the
+// settings; without replies from these, they would declare them dead.
 func (v *View) acknowledge(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m == nil || now.Sub(m.lastNotified) < v.digestInterval()/2 {
 		return out
@@ -61,7 +62,7 @@
 	}
 }
 
-// sendsFullStateTo reports whether this router is one of the few that send the full state to a new router.
+// sendsFullStateTo reports whether this router is one of the Helpers that send the status of all routers to a new router.
 func (v *View) sendsFullStateTo(node pomelorelay.NodeID) bool {
 	ranked := Rank("greet/"+string(node), v.domainMembers(v.cfg.Self.Domain))
 	for _, sender := range ranked[:min(len(ranked), v.cfg.Options.Helpers)] {
@@ -73,7 +74,7 @@
 }
 
 // sendCorrection sends a router its status in this view if that is suspect or dead although its messages still arrive, so that it
-// can refute. Without it, the two sides of a healed partition would keep considering each other dead.
+// can refute. Without these corrections, the two sides of a healed partition would keep considering each other dead.
 func (v *View) sendCorrection(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberLeaving || now.Sub(m.lastNotified) < v.cfg.Options.MinDigestInterval {
 		return out
@@ -84,7 +85,7 @@
 }
 
 // merge applies a status received from another router: the higher incarnation wins, then the later status in the order of
-// MemberStatus. A router seen within MinDigestInterval becomes suspect instead of dead.
+// MemberStatus. A router reported dead becomes suspect instead if a message from it arrived within MinDigestInterval.
 func (v *View) merge(now time.Time, s pomelorelay.MemberState) {
 	if s.Node == v.cfg.Self.Node {
 		v.refute(s)
@@ -103,8 +104,8 @@
 	v.setStatus(now, m, s.Incarnation, s.Status)
 }
 
-// refute raises this router's incarnation above that of a status other than alive. After a restart with a clock set back, it
-// also raises it above the incarnation of the former process.
+// refute raises this router's incarnation above that of a received status that declares this router suspect, leaving or dead. After a
+// restart with a clock set back, the incarnation is also raised above that of the former process.
 func (v *View) refute(s pomelorelay.MemberState) {
 	if s.Incarnation < v.incarnation || s.Incarnation == v.incarnation && s.Status == pomelorelay.MemberAlive || v.leaving {
 		return
@@ -147,7 +148,7 @@
 	return max(v.cfg.Options.DigestInterval, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.MaxDigestsPerSecond))
 }
 
-// changedStates returns this router's own state and the recent status changes, and counts this as one of their retransmits.
+// changedStates returns this router's own status and the recent status changes, and uses up one retransmit of each change.
 func (v *View) changedStates() []pomelorelay.MemberState {
 	states := []pomelorelay.MemberState{v.selfState()}
 	for _, m := range v.members {
@@ -199,8 +200,8 @@
 	return false
 }
 
-// join contacts routers that are listed but not known to be alive: new ones, those across a healed partition and, when this
-// router starts, all.
+// join contacts routers that are on the host list but not known to be alive: new ones, those beyond a healed partition and, when this
+// router starts, all others.
 func (v *View) join(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if now.Before(v.nextJoin) {
 		return out
@@ -228,7 +229,7 @@
 	return out
 }
 
-// sync sends the full state to one router from time to time, which repairs differences caused by lost digests.
+// sync sends the status of all routers to one router per SyncInterval, which repairs differences caused by lost digests.
 func (v *View) sync(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if now.Before(v.nextSync) {
 		return out
--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -98,7 +98,7 @@
 	return hosts
 }
 
-// start starts a new process of a router; seeds replace the host list if there is none.
+// start starts a new process of a router; hosts is nil if the host list is unavailable, and the router then knows only the seeds.
 func (f *fleet) start(r *router, hosts []pomelorelay.Host, seeds ...pomelorelay.Peer) {
 	r.incarnation = pomelorelay.Incarnation(f.now.UnixNano())
 	r.up = true
--- a/pomelomember/gateway.go
+++ b/pomelomember/gateway.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// sendGatewayDigests sends the recent status changes and slots of this failure domain to the other domains that this router is a
-// gateway to.
+// sendGatewayDigests sends the recent status changes and the slot digests of this failure domain to the other domains that this router
+// is a gateway to.
 func (v *View) sendGatewayDigests(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	return v.sendGatewayStates(now, v.changedStates(), out)
 }
@@ -27,7 +27,8 @@
 	return out
 }
 
-// externalDigest returns the digest for other failure domains, with the given states of this domain's routers and its best slots.
+// externalDigest returns the digest for other failure domains: those of the given states that are of this domain's routers, and the
+// slot digests with the most idle slots.
 func (v *View) externalDigest(states []pomelorelay.MemberState) *pomelorelay.Digest {
 	v.digestSeq++
 	digest := &pomelorelay.Digest{Seq: v.digestSeq}
@@ -40,8 +41,8 @@
 	return digest
 }
 
-// counterpart returns the router of another failure domain that this router sends digests to, or false if it is no gateway to that
-// domain. While the other domain is unreachable, its known routers are tried at random.
+// counterpart returns the router of another failure domain that this router sends digests to, or false if this router is no gateway to
+// that domain or knows none of its routers. While the other domain is unreachable, its known routers are tried at random.
 func (v *View) counterpart(now time.Time, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	index := v.gatewayIndex(domain)
 	if index < 0 {
@@ -59,11 +60,11 @@
 	return ranked[index%len(ranked)], true
 }
 
-// gatewayIndex returns this router's index among the gateways to a failure domain, or -1 if it is none.
+// gatewayIndex returns this router's index among the gateways to a failure domain, or -1 if this router is not one of them.
 func (v *View) gatewayIndex(domain pomelorelay.DomainID) int {
 	members := v.domainMembers(v.cfg.Self.Domain)
 	if v.leaving && len(members) == 0 {
-		// All routers of the domain are stopping, and other domains must be informed.
+		// All routers of this domain are stopping, so this one must inform the other domains itself.
 		return 0
 	}
 	ranked := Rank(linkKey(v.cfg.Self.Domain, domain), members)
@@ -75,7 +76,7 @@
 	return -1
 }
 
-// linkKey returns the rendezvous hashing key for a pair of failure domains, in either order.
+// linkKey returns the rendezvous hashing key for a pair of failure domains, the same for both orders of the pair.
 func linkKey(a, b pomelorelay.DomainID) string {
 	return "gateway/" + string(min(a, b)) + "/" + string(max(a, b))
 }
--- a/pomelomember/member.go
+++ b/pomelomember/member.go
@@ -11,8 +11,8 @@
 // member is the record of one router.
 type member struct {
 	peer               pomelorelay.Peer
-	incarnation        pomelorelay.Incarnation // of status; raised by refutations
-	processIncarnation pomelorelay.Incarnation // of the process, from its envelopes
+	incarnation        pomelorelay.Incarnation // incarnation that status applies to; refutations raise it
+	processIncarnation pomelorelay.Incarnation // incarnation at the start of the process, from the envelopes of its messages
 	status             pomelorelay.MemberStatus
 	addressKnown       bool // domain and address are known
 	listed             bool // on the last host list or among the seeds
@@ -20,7 +20,7 @@
 	lastSeen           time.Time
 	suspectedAt        time.Time
 	goneAt             time.Time
-	lastNotified       time.Time // when its status was last sent to it
+	lastNotified       time.Time // when this router last sent the member its status
 	retransmits        int       // remaining digests that carry the status
 }
 
@@ -30,13 +30,14 @@
 }
 
 // receivesDigests reports whether digests are sent to the router. A stopping router gets them until it has been silent for maxSilence:
-// it still has to settle claims, and without digests it would send them to routers that are gone and never finish stopping.
+// it still has to report the outcomes of claimed requests. Without digests it would report them to routers that are gone and never
+// finish stopping.
 func (m *member) receivesDigests(now time.Time, maxSilence time.Duration) bool {
 	stopping := m.status == pomelorelay.MemberLeaving && now.Sub(m.lastSeen) < maxSilence
 	return m.addressKnown && (m.live() || stopping)
 }
 
-// assignable reports whether shared jobs may be assigned to the router.
+// assignable reports whether fleet-wide jobs (slot ownership, ledger and claim shards) may be assigned to the router.
 func (m *member) assignable() bool { return m.addressKnown && m.live() && !m.draining }
 
 func (m *member) state() pomelorelay.MemberState {
@@ -60,8 +61,8 @@
 // lookup returns the record of a router, or nil if there is none.
 func (v *View) lookup(node pomelorelay.NodeID) *member { return v.byNode[node] }
 
-// setStatus sets a member's status, schedules it for digests and invalidates the snapshot. If the member became live or not live or
-// restarted, it adds a Change.
+// setStatus sets a member's status, schedules the status for digests and invalidates the snapshot. It adds a Change if the member's
+// liveness changed or its process restarted.
 func (v *View) setStatus(now time.Time, m *member, incarnation pomelorelay.Incarnation, status pomelorelay.MemberStatus) {
 	restarted := incarnation > m.incarnation && m.processIncarnation != 0 && incarnation > m.processIncarnation+maxRefutations
 	wasLive := m.live()
--- a/pomelomember/rank.go
+++ b/pomelomember/rank.go
@@ -10,7 +10,7 @@
 )
 
 // Rank returns the nodes in order of preference for the job with the given key, by rendezvous hashing: every router computes the
-// same order, and adding or removing a node moves only the jobs of that node.
+// same order, and adding or removing a node moves only the jobs assigned to that node.
 func Rank(key string, nodes []pomelorelay.NodeID) []pomelorelay.NodeID {
 	hash := xxhash.Sum64String(key)
 	scored := make([]scoredNode, len(nodes))
--- a/pomelomember/slots.go
+++ b/pomelomember/slots.go
@@ -17,7 +17,7 @@
 	receivedAt time.Time
 }
 
-// slotTable holds the slots that this router owns and those that it relays between failure domains.
+// slotTable holds the slot digests of upstreams whose slots this router grants, and those received from other routers for relaying.
 type slotTable struct {
 	owned    []pomelorelay.SlotDigest
 	received map[pomelorelay.UpstreamID]receivedSlot
@@ -26,13 +26,13 @@
 
 func (t *slotTable) init() { t.received = make(map[pomelorelay.UpstreamID]receivedSlot) }
 
-// SetSlots replaces the slots that this router owns and publishes in its digests.
+// SetSlots replaces the slot digests of the upstreams whose slots this router grants; they are sent in its membership digests.
 func (v *View) SetSlots(slots []pomelorelay.SlotDigest) {
 	v.slots.owned = append(v.slots.owned[:0], slots...)
 }
 
-// record stores slots that were received directly from their own failure domain. Relayed slots are ignored: two gateways of a
-// domain would otherwise keep refreshing a dead owner's slots for each other.
+// record stores slot digests that were received directly from a router of their own failure domain. Relayed ones are ignored: two
+// gateways of a domain would otherwise keep refreshing a dead owner's slot digests for each other.
 func (t *slotTable) record(now time.Time, from pomelorelay.DomainID, slots []pomelorelay.SlotDigest) {
 	t.now = now
 	for i := range slots {
@@ -46,8 +46,8 @@
 	return append(out, t.owned...)
 }
 
-// appendBest appends up to limit slots of the given failure domain (local) or of all others, best first: those with the most idle
-// capacity, then those that serve the highest tags.
+// appendBest appends up to limit slot digests: with local, those of the given failure domain, otherwise those of all others. Upstreams
+// with the most idle slots come first, then those with the highest last granted fair-queueing tag.
 func (t *slotTable) appendBest(domain pomelorelay.DomainID, local bool, limit int, out []pomelorelay.SlotDigest) []pomelorelay.SlotDigest {
 	found := t.unexpired(func(s *pomelorelay.SlotDigest) bool { return (s.Domain == domain) == local })
 	if local {
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -30,7 +30,7 @@
 
 func TestLossAndPausesCauseNoFalseDeaths(t *testing.T) {
 	// One message in a hundred is lost and routers pause for up to a second, as in garbage collection or a live migration. A router
-	// that is wrongly declared dead loses its jobs needlessly.
+	// that is wrongly declared dead loses the slots and shards assigned to it needlessly.
 	f := newFleet(t, 1, 30, 3)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -50,8 +50,8 @@
 }
 
 func TestPausedRouterDeclaresNoneDead(t *testing.T) {
-	// A router suspects a slow one and then pauses for 20 s itself. When it resumes, the time to refute appears to have expired,
-	// although no refutation could have reached it.
+	// A router suspects another one and then pauses for 20 s itself. When it resumes, the other's time to refute appears to have expired,
+	// although no refutation could have been received during the pause.
 	f := newFleet(t, 1, 3, 4)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -76,8 +76,8 @@
 }
 
 func TestUnlistedRouterRejoins(t *testing.T) {
-	// A running router is missing from the host list and is declared dead while its network is down. Since unlisted routers are not
-	// contacted, it must learn from the replies to its own messages that it has to refute.
+	// A running router is missing from the host list and is declared dead while its network is down. Since routers that are not listed
+	// are not contacted, it must learn from the replies to its own messages that it has to refute.
 	f := newFleet(t, 1, 6, 15)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -117,7 +117,8 @@
 }
 
 func TestOneWayLinkFailureCausesNoFalseDeaths(t *testing.T) {
-	// A network fault drops packets from one router to another in that direction only. Both still work for all other routers.
+	// A network fault drops packets from one router to another in that direction only. Both routers can still exchange packets with all
+	// others.
 	f := newFleet(t, 1, 10, 5)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -195,7 +196,8 @@
 }
 
 // Hosts are replaced one after another, and each router stops while the previous one still finishes its requests. A stopping router
-// that gets no digests would send its claims for settlement to routers that are gone, and its stop would run into the time limit.
+// that gets no digests would report the outcomes of claimed requests to routers that are gone, and its stop would run into the time
+// limit.
 func TestStoppingRouterLearnsOfOtherDepartures(t *testing.T) {
 	f := newFleet(t, 3, 2, 11)
 	f.startAll()
@@ -274,7 +276,7 @@
 	for _, r := range f.routers {
 		members := r.view.Snapshot().Members("domain-0")
 		if len(members) < 2 || members[0] != "r0-00" || members[1] != "r0-01" {
-			t.Errorf("%s sees %v", r.peer.Node, members)
+			t.Errorf("members in the view of %s: %v", r.peer.Node, members)
 		}
 	}
 	for _, r := range f.routers {
@@ -284,7 +286,8 @@
 }
 
 func TestMessagesOverrideStaleHostList(t *testing.T) {
-	// The host list still has a dead host, lacks a running one, and is then returned empty. The views must follow the messages received.
+	// The host list still has a dead host, lacks a running one, and is then returned empty. Routers from which messages arrive must stay
+	// members, and the dead one must not be a member.
 	f := newFleet(t, 1, 8, 12)
 	all := f.hosts()
 	for _, r := range f.routers[1:] {
@@ -293,7 +296,7 @@
 	f.run(10 * time.Second)
 	for _, r := range f.routers[1:7] {
 		if members := r.view.Snapshot().Members("domain-0"); len(members) != 6 {
-			t.Errorf("%s sees %v", r.peer.Node, members)
+			t.Errorf("members in the view of %s: %v", r.peer.Node, members)
 		}
 		r.view.SetHosts(f.now, all, nil)
 		r.view.SetHosts(f.now, nil, nil)
@@ -326,7 +329,8 @@
 }
 
 func TestControlBytesAtTargetFleetSize(t *testing.T) {
-	// Control traffic costs money and is limited. It grows fastest with the digests that each of sixty routers sends to all others.
+	// Control traffic costs money and is limited. The digests that each of the sixty routers of a domain sends to all others grow
+	// fastest with the fleet.
 	f := newFleet(t, 6, 60, 14)
 	f.startAll()
 	f.run(5 * time.Second)
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -11,11 +11,11 @@
 // burstDuration is the time over which a link class may accumulate unused budget.
 const burstDuration = time.Second
 
-// normalReservedFraction is the fraction of the burst reserved for messages of UrgencyNormal or more urgent ones.
+// normalReservedFraction is the fraction of a full bucket that messages of UrgencyLow must leave to more urgent ones.
 const normalReservedFraction = 0.25
 
-// guaranteedFraction is the fraction of the rate left to less urgent messages once urgent ones have exhausted the budget;
-// guaranteedBatch is the number of bytes that one peer gets of it at once.
+// guaranteedFraction is the fraction of the send rate that messages below UrgencyHigh get when the budget is exhausted;
+// guaranteedBatch is the number of bytes of it that one peer gets at once.
 const (
 	guaranteedFraction = 0.25
 	guaranteedBatch    = 512
@@ -66,8 +66,8 @@
 }
 
 // takeGuaranteed returns a batch of the guaranteed bytes, or zero. Messages of UrgencyHigh are always sent and can exceed
-// the budget alone; without a guarantee no digest would be sent then, so that under load routers would declare each
-// other dead and totals would go stale.
+// the budget alone; without a guarantee no digest or ledger report would be sent then, so that under load routers would
+// declare each other dead and ledger totals would go stale.
 func (b *budget) takeGuaranteed() float64 {
 	room := min(b.guaranteed, guaranteedBatch)
 	if room < guaranteedBatch {
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The depths to which fields are counted: in a frame those of the frame, its items and their messages, in an item the last two.
+// Nesting levels whose fields are counted: frame, items and messages in a frame; item and message in an item.
 const (
 	frameDepth = 3
 	itemDepth  = 2
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// countNested counts the fields of a value that may be a message, ignoring parse errors; strings and hashes rarely
-// parse as one and then cost little.
+// countNested counts the fields of a value that may be a message, ignoring parse errors. Strings and hashes rarely parse
+// as a message, and the fields that they then add are few.
 func countNested(data []byte, depth int, remaining *int) {
 	_ = countFields(data, depth, remaining)
 }
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -139,8 +139,8 @@
 }
 
 func TestManyEmptyEntriesAreRejectedBeforeDecoding(t *testing.T) {
-	// Two million empty entries take four megabytes on the wire and several hundred when decoded, for which the router
-	// would be killed.
+	// Two million empty entries take four megabytes on the wire and several hundred megabytes when decoded; the router
+	// would be killed for its memory use.
 	entries := bytes.Repeat([]byte{5<<3 | 2, 0}, 2_000_000)
 	data := protowire.AppendBytes(protowire.AppendTag(nil, 6, protowire.BytesType), entries)
 	allocated := testing.AllocsPerRun(1, func() {
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Self identifies this router in the hello that opens a link.
+// Self identifies this router in the hello, the first message on a link.
 type Self struct {
 	Node        pomelorelay.NodeID
 	Incarnation pomelorelay.Incarnation
@@ -26,7 +26,7 @@
 type QueueLimits struct {
 	// MaxMessages bounds the number of messages; 4096 when zero.
 	MaxMessages int
-	// MaxBytes bounds their encoded size; 8 MiB when zero.
+	// MaxBytes bounds the total encoded size of the messages; 8 MiB when zero.
 	MaxBytes pomelorelay.Bytes
 }
 
@@ -37,11 +37,13 @@
 	// AckDelay is how long a receiver with nothing to send waits before it sends an empty frame as acknowledgement;
 	// 1.2 s, longer than the digest interval, so that acknowledgements are rarely needed within a failure domain.
 	AckDelay time.Duration
-	// AckTimeout is how long after a send without any frame from the peer a link is considered broken; 2 s.
+	// AckTimeout is the time within which a frame must arrive from the peer after one was sent to it; otherwise the link is
+	// considered broken; 2 s.
 	AckTimeout time.Duration
 	// PingInterval is the time without a received frame after which a link is pinged; 10 s.
 	PingInterval time.Duration
-	// IdleTimeout is how long a link to another failure domain is kept open without messages; 30 s.
+	// IdleTimeout is how long a link to another failure domain, or a second link to a router of this one, is kept open
+	// without messages; 30 s.
 	IdleTimeout time.Duration
 	// BackoffMin and BackoffMax bound the backoff, before jitter, between connection attempts; 100 ms and 5 s.
 	BackoffMin time.Duration
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -19,7 +19,7 @@
 	class   atomic.Int32
 	onClose func()
 	closing sync.Once
-	// identified is set when a hello arrives; handshakeError is the error of a failed TLS handshake.
+	// identified is set when the hello, the first message of a link, arrives; handshakeError is the error of a failed TLS handshake.
 	identified     atomic.Bool
 	handshakeError atomic.Pointer[string]
 }
--- a/pomelomesh/contact_test.go
+++ b/pomelomesh/contact_test.go
@@ -27,7 +27,7 @@
 }
 
 // Seed addresses may be unreachable or the router's own. A failed contact must not leave a link or a goroutine, because
-// a router repeats it for as long as the store is unavailable.
+// a router contacts the seeds repeatedly while the store is unavailable.
 func TestFailedContactsLeaveNoLinks(t *testing.T) {
 	a := start(t, config("r1", 11))
 	for _, addr := range []netip.AddrPort{pomelofake.FreeAddr(), a.Addr()} {
--- a/pomelomesh/counters.go
+++ b/pomelomesh/counters.go
@@ -22,7 +22,7 @@
 	UnknownKinds uint64
 	// Malformed counts received messages that could not be decoded.
 	Malformed uint64
-	// Stale counts links and messages rejected because of a lower incarnation or a superseded link.
+	// Stale counts links and messages rejected because a later incarnation of the router, or a later link to it, is in use.
 	Stale uint64
 	// Lost counts messages dropped because their link broke or could not be opened.
 	Lost uint64
@@ -30,7 +30,7 @@
 	Broken uint64
 	// Dialled counts attempts to connect to listed peers.
 	Dialled uint64
-	// Strangers counts accepted connections that closed before a hello.
+	// Strangers counts accepted connections that closed before a hello, the message that identifies the router, arrived.
 	Strangers uint64
 	// Links is the number of open links.
 	Links int
--- a/pomelomesh/decode.go
+++ b/pomelomesh/decode.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Limits of one message. They are far above what a fleet needs and keep a faulty peer from exhausting memory.
+// Limits of one message, in bytes or list entries. They are far above what a fleet needs and keep a faulty peer from exhausting memory.
 const (
 	maxItemBytes  = 4 << 20
 	maxNameBytes  = 256
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -245,8 +245,8 @@
 }
 
 func TestCertificateForAnotherNameIsRefused(t *testing.T) {
-	// A settings file copied to a second host names the wrong Node; the fleet must not accept that host's reports as those
-	// of the first.
+	// A settings file copied to a second host names the first host's router. The fleet must not accept the second host's
+	// reports as those of the first.
 	ca := newAuthority(t)
 	b := start(t, secure("r2", ca.issue(t, t.TempDir(), "r2")))
 	impostor := start(t, secure("r1", ca.issue(t, t.TempDir(), "r9")))
--- a/pomelomesh/fields_test.go
+++ b/pomelomesh/fields_test.go
@@ -52,8 +52,8 @@
 }
 
 func TestEveryFieldRoundTrips(t *testing.T) {
-	// Guards against a message field that the codec omits. Receivers would act on its zero value: a suspect request that
-	// completed cleanly would arrive as one that did not, and stay held on every router.
+	// Guards against a message field that the codec omits. Receivers would act on its zero value: a crash suspect that
+	// completed cleanly would be reported as one that did not, and all routers would go on holding it back.
 	for _, m := range emptyMessages {
 		fill(reflect.ValueOf(m).Elem())
 		data, err := pomelomesh.EncodeMessage(m)
--- a/pomelomesh/integer_test.go
+++ b/pomelomesh/integer_test.go
@@ -23,7 +23,7 @@
 	return append(data, word[:size]...)
 }
 
-// consumePrefixed decodes such an integer without a loop; data must have at least nine bytes.
+// consumePrefixed decodes an integer written by appendPrefixed, without a loop; data must have at least nine bytes.
 func consumePrefixed(data []byte) (uint64, int) {
 	size := bits.TrailingZeros8(^data[0]) + 1
 	if size == 9 {
--- a/pomelomesh/mesh.go
+++ b/pomelomesh/mesh.go
@@ -33,7 +33,7 @@
 	generation        atomic.Uint64
 	counters          counters
 	kinds             kindCounters
-	lastOverBudgetLog atomic.Int64 // Unix nanoseconds of the last log entry
+	lastOverBudgetLog atomic.Int64 // Unix nanoseconds of the last log entry about an exhausted byte budget
 
 	unidentifiedMu     sync.Mutex
 	unidentifiedLogged map[netip.Addr]time.Time
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -115,8 +115,8 @@
 }
 
 func TestUnknownKindIsSkipped(t *testing.T) {
-	// During an update some routers already send a kind that others do not know. Neither the link nor the other messages of
-	// the frame may be lost.
+	// During an update some routers already send a kind of message that others do not know. Neither the link nor the other
+	// messages of the frame may be lost.
 	m := start(t, config("r1", 1))
 	stream := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 1, Domain: "a", Region: "north"})
 	newer := &pomelowire.Item{}
@@ -135,8 +135,8 @@
 }
 
 func TestLowerIncarnationIsRefused(t *testing.T) {
-	// A router is replaced while a connection of the former process survives behind a stalled switch; the former totals and
-	// grants must not be accepted afterwards.
+	// A router is replaced while a connection of its former process survives behind a stalled switch. Ledger totals and
+	// grants of the former process must not be accepted afterwards.
 	m := start(t, config("r1", 1))
 	old := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 10, Domain: "a", Region: "north"})
 	eventually(t, "the first link", func() bool { return m.Counters().Links == 1 })
@@ -241,7 +241,7 @@
 
 func TestUrgentMessagesOverBudgetDoNotStarveDigests(t *testing.T) {
 	// A loaded router's grants alone exceed its byte budget. If no digest were sent then, the other routers would repeatedly
-	// declare it dead and take over its jobs while it works.
+	// declare it dead and take over its slots and shards while it works.
 	cfg := config("r1", 1)
 	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 8000
 	a, b := start(t, cfg), start(t, config("r2", 1))
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -45,8 +45,8 @@
 	return false, true
 }
 
-// appendBatch moves the most urgent messages from the queue to the frame, until the next would exceed maxBatchBytes or
-// the bytes that room allows for its urgency are used up.
+// appendBatch moves the most urgent messages from the queue to the frame, until the next message would exceed
+// maxBatchBytes or the bytes that room allows for its urgency are used up.
 func (q *queue) appendBatch(frame []byte, room func(pomelorelay.Urgency) float64) []byte {
 	start := len(frame)
 	for urgency, lane := range q.lanes {
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -13,7 +13,7 @@
 const (
 	// unidentifiedLogInterval is the minimum time between log entries about one remote address.
 	unidentifiedLogInterval = 10 * time.Second
-	// maxUnidentifiedAddrs bounds the remote addresses remembered to limit these log entries.
+	// maxUnidentifiedAddrs bounds the remote addresses for which the time of the last log entry is kept.
 	maxUnidentifiedAddrs = 1024
 	reasonNoHello        = "connection closed before a hello"
 )
@@ -57,7 +57,7 @@
 	m.cfg.Logger.Log(pomelorelay.EventMeshRefused, pomelorelay.Field{Key: "Remote", Value: remote.String()}, pomelorelay.Field{Key: "Reason", Value: reason})
 }
 
-// unidentifiedLogDue reports whether the address may be logged again.
+// unidentifiedLogDue reports whether a connection from the address that closed before its hello may be logged now.
 func (m *Mesh) unidentifiedLogDue(addr netip.Addr, now time.Time) bool {
 	m.unidentifiedMu.Lock()
 	defer m.unidentifiedMu.Unlock()
--- a/wire.go
+++ b/wire.go
@@ -40,7 +40,8 @@
 	ExpectedUpstream UpstreamID
 	// Account is the client account of the request; empty on public routes.
 	Account AccountID
-	// CopyFrom is the address of an upstream that has more of the prompt cached, from which it is copied instead of read; invalid if none.
+	// CopyFrom is the address of an upstream that has more of the prompt cached; the receiving upstream copies that part of the KV cache
+	// instead of computing it. It is invalid if there is no such upstream.
 	CopyFrom netip.AddrPort
 	// LastEvent is the number of the last event forwarded to the caller, if a stream is resumed (HasLastEvent).
 	LastEvent    uint64
@@ -53,7 +54,7 @@
 	NotRun bool
 	// Misdirected states that the address belongs to another upstream than the expected one.
 	Misdirected bool
-	// Signed states that the response was produced by an upstream.
+	// Signed states that the response has the header with which upstreams mark their own responses.
 	Signed bool
 	// Running and Waiting are the upstream's numbers of running and queued requests, if HasLoad is set.
 	Running, Waiting int
