--- a/events_store.go
+++ b/events_store.go
@@ -1,6 +1,6 @@
 package pomelorelay
 
-// Events of the platform's key-value store and of what routers learn from it, 900 to 999.
+// Events of the platform's key-value store and of the fleet state that routers read from it, 900 to 999.
 const (
 	EventStoreBreakerOpen   EventID = 900
 	EventStoreBreakerClosed EventID = 901
--- a/messages.go
+++ b/messages.go
@@ -85,8 +85,8 @@
 	TokenGap   time.Duration
 }
 
-// RunningQuery asks a router for a RunningReport about an upstream. A router that takes over granting the upstream's slots sends it to
-// all others before it issues grants.
+// RunningQuery asks a router for a RunningReport about an upstream. A router that takes over granting the upstream's slots sends the
+// query to all other routers before it issues grants.
 type RunningQuery struct {
 	Upstream UpstreamID
 }
@@ -114,11 +114,11 @@
 type LedgerEntry struct {
 	Pool    PoolID
 	Account AccountID
-	// Served is the cumulative cost: that of the sending router in a report, that of the fleet in totals.
+	// Served is the cumulative cost of the account's service: by the sending router in a LedgerReport, by the fleet in LedgerTotals.
 	Served Cost
 	// Lift is the normalised service credited to an account on its return from idleness; entries merge by maximum.
 	Lift Tag
-	// Waiting states whether the account is backlogged: at the sending router in a report, at any router in totals.
+	// Waiting states whether the account is backlogged: at the sending router in a LedgerReport, at any router in LedgerTotals.
 	Waiting bool
 }
 
@@ -230,7 +230,8 @@
 	Parts [][]byte
 }
 
-// ConfigApplied announces the generation in force at a router and, if it refused a newer one, that generation and the result code.
+// ConfigApplied announces the configuration generation in force at a router. If the router refused a newer generation, it also
+// announces the refused generation and the result code.
 type ConfigApplied struct {
 	Generation        Generation
 	RefusedGeneration Generation
@@ -307,8 +308,8 @@
 	Fingerprints []Fingerprint
 }
 
-// SuspectAsk asks whether a crash suspect, a request that may have crashed an upstream, may run on another upstream. It goes to the
-// router that decides for the fingerprint. With Running, it reports that the request already runs there.
+// SuspectAsk asks whether a crash suspect, a request that may have crashed an upstream, may run on Upstream. It goes to the router that
+// decides for the fingerprint. With Running, it reports that the request already runs on Upstream.
 type SuspectAsk struct {
 	Request     RequestID
 	Fingerprint Fingerprint
--- a/messages_load.go
+++ b/messages_load.go
@@ -47,8 +47,8 @@
 	Starts []UpstreamStart
 }
 
-// UpstreamStart reports that an upstream accepted no connection, or that it answers again. It may then have restarted and be cold, that
-// is, accept only a low request rate for a while.
+// UpstreamStart reports that an upstream accepted no connection, or that it answers again. In both cases the upstream may have restarted;
+// it is then cold, that is, it accepts only a low request rate for a while.
 type UpstreamStart struct {
 	Upstream    UpstreamID
 	Unreachable bool
@@ -84,7 +84,7 @@
 // FleetUpdate distributes the changes that one router read from the platform's store, so that the others need not read them. It holds
 // the changes since revision After.
 type FleetUpdate struct {
-	// After is the revision of the sender's previous update; zero if the update holds the full content.
+	// After is the store revision of the sender's previous update; zero if the update holds the complete fleet state.
 	After            Revision
 	Revision         Revision
 	Full             bool
@@ -112,8 +112,8 @@
 	Service ServiceID
 	// Answers is the number of responses.
 	Answers float64
-	// Sum of the responses' weights, and weighted sums of the tokens read, the times taken, the squares of the tokens, and the products
-	// of tokens and times.
+	// WeightSum is the sum of the responses' weights. The other fields are weighted sums of the tokens read, of the times taken in
+	// milliseconds, of the squares of the tokens, and of the products of tokens and times.
 	WeightSum, TokenSum, TimeSum, TokenSquareSum, TokenTimeSum float64
 	// DuringPrefill is the number of streams that ran during a long prefill on their engine. Stalled is the number of those that paused
 	// between tokens for longer than their callers accept.
--- a/pomeloconfig/difference.go
+++ b/pomeloconfig/difference.go
@@ -10,7 +10,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// ChangeKind is how an entry changed.
+// ChangeKind is how an entry of the configuration changed.
 type ChangeKind string
 
 // Values of ChangeKind.
--- a/pomeloconfig/settings_control.go
+++ b/pomeloconfig/settings_control.go
@@ -39,8 +39,8 @@
 	DigestInterval   time.Duration `yaml:"DigestInterval"`
 	LedgerInterval   time.Duration `yaml:"LedgerInterval"`
 	ExchangeInterval time.Duration `yaml:"ExchangeInterval"`
-	// ProbeWait is the timeout of a direct probe before others are asked to probe, and of their probes before the router is
-	// suspected; SuspectFor is how long a suspected router can refute the suspicion before it is declared dead.
+	// ProbeWait is the timeout of a direct probe, after which other routers are asked to probe, and of these indirect probes, after
+	// which the router is suspected. SuspectFor is how long a suspected router can refute the suspicion before it is declared dead.
 	ProbeWait  time.Duration `yaml:"ProbeWait"`
 	SuspectFor time.Duration `yaml:"SuspectFor"`
 	GrantTTL   time.Duration `yaml:"GrantTTL"`
--- a/pomeloconfig/store.go
+++ b/pomeloconfig/store.go
@@ -10,10 +10,10 @@
 	"github.com/pomelorelay/pomelorelay/pomelostore"
 )
 
-// RootKey is the store key of the root in force.
+// RootKey is the store key of the root (manifest) of the newest accepted configuration.
 const RootKey = pomelorelay.StoreKey("config/root")
 
-// PartKey returns the store key of a part.
+// PartKey returns the store key of the configuration part with the hash.
 func PartKey(hash pomelorelay.Hash) pomelorelay.StoreKey {
 	return pomelorelay.StoreKey("config/part/" + hashHex(hash))
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeOutcome is the result of a write after reading back where an answer was lost.
+// writeOutcome is the outcome of a write; after a lost answer it is determined by reading the record back.
 type writeOutcome int
 
 const (
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -60,7 +60,7 @@
 
 	inForce     rootWithParts
 	refusedRoot rootWithParts
-	// target is the newest known root above the one in force; its missing parts are collected in fetched.
+	// target is the newest known root above the one in force; fetched collects its parts that are not yet in force.
 	target  rootWithParts
 	fetched map[pomelorelay.Hash][]byte
 	// progressed is set when a root or part arrives, and cleared by the next tick, which sets lastProgress.
@@ -170,7 +170,7 @@
 	return max(s.inForce.generation(), s.target.generation(), s.refusedRoot.generation())
 }
 
-// sendPull requests a newer root and the next missing parts of the target.
+// sendPull requests a root above all known generations and the next missing parts of the target, the newest known root.
 func (s *Syncer) sendPull(now time.Time, to pomelorelay.NodeID, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	pull := &pomelorelay.ConfigPull{AboveGeneration: s.highestKnown(), Parts: s.missingParts(maxPullHashes)}
 	s.pull.peer = to
@@ -179,7 +179,7 @@
 	return append(out, pomelorelay.Outgoing{To: to, Message: pull})
 }
 
-// missingParts returns up to limit hashes of the target's parts that have not been fetched.
+// missingParts returns the hashes of parts of the target, the newest known root, that this router does not have, up to limit.
 func (s *Syncer) missingParts(limit int) []pomelorelay.Hash {
 	var missing []pomelorelay.Hash
 	for _, hash := range s.target.root.Parts {
@@ -193,7 +193,8 @@
 	return missing
 }
 
-// part returns a part of the target from the fetched parts or from the configuration in force, which shares most parts with it.
+// part returns a part from the fetched ones or from the configuration in force, which shares most parts with the newer one that is being
+// fetched.
 func (s *Syncer) part(hash pomelorelay.Hash) []byte {
 	if data, ok := s.fetched[hash]; ok {
 		return data
@@ -221,7 +222,7 @@
 	return s.sendPull(now, peer, out)
 }
 
-// handleStall requests the root from the store after repeated failed pulls, and drops a target whose missing parts have not
+// handleStall requests the root from the store after repeated failed pulls, and drops a target root whose missing parts have not
 // arrived for a long time. Otherwise a corrupt root with a high generation would block every valid one below it forever.
 func (s *Syncer) handleStall(now time.Time) {
 	if s.pull.failures >= failedPullsBeforeStore {
@@ -242,8 +243,8 @@
 	return s.inForce.generation() == 0 || s.target.generation() > 0 || s.NewestGeneration() > s.highestKnown()
 }
 
-// choosePeer returns a random peer that has at least the target's generation in force or, without a target, one that announced
-// a generation above the known ones. If there is none, a router without a configuration asks any peer.
+// choosePeer returns a random peer that announced at least the generation of the target root or, without a target root, a
+// generation above all known ones. If there is no such peer, a router without a configuration asks any peer.
 func (s *Syncer) choosePeer() (pomelorelay.NodeID, bool) {
 	minGeneration := s.target.generation()
 	if minGeneration == 0 {
--- a/pomeloconfig/syncer_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// HandlePull handles a peer's pull: it sends the root in force if it is above the peer's, and the requested parts that are in force,
-// in messages of bounded size.
+// HandlePull handles a peer's pull. It sends the root of the configuration in force if its generation is above the peer's, and those
+// requested parts that belong to the configuration in force, in messages of bounded size.
 func (s *Syncer) HandlePull(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPull, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if !s.admitPull(now, from) {
 		return out
@@ -51,8 +51,8 @@
 	return true
 }
 
-// HandlePush handles a root and parts from a peer. It keeps the root only if its generation is above all known ones, and a part only
-// if the target lists its hash.
+// HandlePush handles a root and parts from a peer. It makes the root the target only if its generation is above all known ones, and
+// keeps a part only if the target root lists its hash.
 func (s *Syncer) HandlePush(now time.Time, from pomelorelay.NodeID, m *pomelorelay.ConfigPush, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	progress := false
 	if len(m.Root) > 0 {
@@ -121,15 +121,15 @@
 	return true
 }
 
-// HandleStoredPart handles a part read from the store. While parts arrive, their reads are not requested again: within the call
-// budget, reading all of them takes longer than StoreReadTimeout.
+// HandleStoredPart handles a part read from the store. While parts arrive, the missing ones are not requested again: within the
+// router's rate limit for store calls, reading all parts takes longer than StoreReadTimeout.
 func (s *Syncer) HandleStoredPart(now time.Time, data []byte) {
 	if len(data) > 0 && s.acceptPart(data) {
 		s.storeRead.partsRequestedAt = now
 	}
 }
 
-// acceptRoot makes a root the target if it is above all known generations, and reports whether it did.
+// acceptRoot makes a root the target, whose parts are then fetched, if it is above all known generations. It reports whether it did.
 func (s *Syncer) acceptRoot(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return true
 }
 
-// dropUnneededParts drops fetched parts that are not in the new target; otherwise parts of superseded targets would accumulate.
+// dropUnneededParts drops fetched parts that are not in the new target root; otherwise parts of superseded roots would accumulate.
 func (s *Syncer) dropUnneededParts() {
 	wanted := make(map[pomelorelay.Hash]bool, len(s.target.root.Parts))
 	for _, hash := range s.target.root.Parts {
@@ -160,7 +160,7 @@
 	}
 }
 
-// acceptPart keeps a missing part of the target, and reports whether it did. The hash is computed from the data, so a corrupt
+// acceptPart keeps a missing part of the target root, and reports whether it did. The hash is computed from the data, so a corrupt
 // part appears as one that was not requested.
 func (s *Syncer) acceptPart(data []byte) bool {
 	hash := HashOf(data)
@@ -182,8 +182,8 @@
 	return false
 }
 
-// Candidate returns the target once all its parts have been fetched. The caller assembles and compiles it outside the control
-// goroutine, and then reports whether it is in force or refused.
+// Candidate returns the target root with its parts once all have been fetched. The caller assembles and compiles the configuration
+// outside the router's control loop, and then calls MarkInForce or MarkRefused.
 func (s *Syncer) Candidate() (Candidate, bool) {
 	if s.target.generation() == 0 || len(s.missingParts(1)) > 0 {
 		return Candidate{}, false
@@ -199,8 +199,8 @@
 	return parts
 }
 
-// MarkInForce records that the candidate of the generation has been put in force. The call is ignored if a newer target has
-// replaced the candidate meanwhile; the newer one becomes the next candidate.
+// MarkInForce records that the candidate of the generation has been put in force. The call is ignored if a newer root has
+// replaced the candidate meanwhile; the newer root becomes the next candidate.
 func (s *Syncer) MarkInForce(generation pomelorelay.Generation) {
 	if generation != s.target.generation() || generation <= s.inForce.generation() || len(s.missingParts(1)) > 0 {
 		return
--- a/pomelolog/logger_test.go
+++ b/pomelolog/logger_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// BenchmarkLine writes a line of the size of those that report the end of a request.
+// BenchmarkLine measures the writing of a log line as large as those logged at the end of each request.
 func BenchmarkLine(b *testing.B) {
 	l := pomelolog.New(pomelolog.Config{Node: "r1", Level: pomelorelay.LevelInfo, Writer: io.Discard, MaxPerSecond: 1 << 30})
 	fields := []pomelorelay.Field{
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -35,7 +35,7 @@
 	// Helpers is the number of routers that probe an unresponsive router indirectly, and the number of routers that send the status of
 	// all routers to a new one; default 3.
 	Helpers int
-	// Gateways is the number of routers of a failure domain that send digests to each other domain; default 2.
+	// Gateways is the number of routers of a failure domain that send digests to any one other domain; default 2.
 	Gateways int
 	// SyncInterval is the time between digests with the status of all routers, each of which goes to one router; default 10 s.
 	SyncInterval time.Duration
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -42,8 +42,8 @@
 	return v.sendCorrection(now, sender, out)
 }
 
-// acknowledge replies to a router that neither the host list nor the settings name. Without a host list, routers know only those in the
-// settings; without replies from these, they would declare them dead.
+// acknowledge replies to a router that neither the host list nor the settings name. While there is no host list, such a router knows
+// only the seeds in its settings, and would declare a seed dead that does not reply.
 func (v *View) acknowledge(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m == nil || now.Sub(m.lastNotified) < v.digestInterval()/2 {
 		return out
@@ -142,7 +142,7 @@
 }
 
 // digestInterval returns the interval between digests, which grows with the size of the failure domain. At a fixed interval, 60 routers
-// that each send digests to 59 others four times a second would spend twice a node's control budget on them.
+// that each send digests to 59 others four times a second would spend twice a node's byte budget for control messages on them.
 func (v *View) digestInterval() time.Duration {
 	routers := len(v.domainMembers(v.cfg.Self.Domain))
 	return max(v.cfg.Options.DigestInterval, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.MaxDigestsPerSecond))
--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -68,7 +68,7 @@
 	options  pomelomember.Options
 
 	suspicions   int // suspect states in received digests
-	foreignSlots int // slots of other failure domains in digests received within a domain
+	foreignSlots int // slot digests of other failure domains in digests received within a domain
 
 	measured     pomelorelay.Message
 	measuredSize int
@@ -247,7 +247,7 @@
 
 func TestDigestRateIsBoundedInLargeDomain(t *testing.T) {
 	// A failure domain of 60 routers is configured for a digest every 250 ms. At that interval each router would send 236 digests a
-	// second, which exceeds the entire control budget of a node in bytes.
+	// second, which exceeds the entire byte budget of a node for control messages.
 	for _, c := range []struct{ routers, minRate, maxRate int }{{8, 28, 36}, {60, 59, 72}} {
 		f := newFleet(t, 1, c.routers, 1)
 		f.options.DigestInterval = 250 * time.Millisecond
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -162,8 +162,8 @@
 	v.relayedProbes = kept
 }
 
-// confirmSuspects ends suspicions after the suspicion timeout: a router that has sent this router a message since is alive, any other
-// is declared dead.
+// confirmSuspects ends suspicions after SuspicionTimeout: a router from which a message arrived in that time is alive, any other is
+// declared dead.
 func (v *View) confirmSuspects(now time.Time) {
 	for _, m := range v.members {
 		if m.status != pomelorelay.MemberSuspect || now.Sub(m.suspectedAt) < v.cfg.Options.SuspicionTimeout {
--- a/pomelomember/view.go
+++ b/pomelomember/view.go
@@ -173,7 +173,7 @@
 
 func (v *View) jitter(d time.Duration) time.Duration { return time.Duration(v.random.Int64N(int64(d))) }
 
-// resetAfterPause restarts the timeouts if this router itself was paused. Without it, a router that resumes after a pause of seconds
+// resetAfterPause restarts the timeouts if this router itself was paused. Otherwise a router that resumes after a pause of seconds
 // would find all its probes unanswered and report every other router as suspect.
 func (v *View) resetAfterPause(now time.Time) {
 	if now.Sub(v.lastTick) < 2*v.cfg.Options.ProbeTimeout {
@@ -205,7 +205,7 @@
 	return out
 }
 
-// Peers appends the routers that the mesh may connect to: those with a known address that are listed or alive.
+// Peers appends the routers that the mesh may connect to: those with a known address that are on the host list, seeds or alive.
 func (v *View) Peers(out []pomelorelay.Peer) []pomelorelay.Peer {
 	for _, m := range v.members {
 		if m.addressKnown && (m.listed || m.live()) {
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -9,7 +9,8 @@
 )
 
 func TestKilledRouterIsDetected(t *testing.T) {
-	// A host loses power. Until the others detect it, the upstreams whose slots it owned are idle and their accounts wait.
+	// The host of a router loses power. Until the other routers detect this, the upstreams whose slots it granted get no requests, and
+	// accounts wait.
 	var slowest, total time.Duration
 	const seeds = 20
 	for seed := range uint64(seeds) {
@@ -94,8 +95,8 @@
 }
 
 func TestSlotsOfDeadDomainAreNotRelayed(t *testing.T) {
-	// A failure domain fails completely. If gateways kept relaying each other's digests of it, routers would go on registering demand
-	// for slots that are gone.
+	// A failure domain fails completely. If gateways kept relaying each other's slot digests of that domain, routers would go on
+	// registering demand for slots that are gone.
 	f := newFleet(t, 2, 6, 16)
 	f.startAll()
 	for _, r := range f.routers {
@@ -130,8 +131,8 @@
 }
 
 func TestHealedPartitionRejoins(t *testing.T) {
-	// A failure domain is partitioned into halves for a minute, so that each half declares the other dead, after the platform has
-	// returned an empty host list. After the heal all routers must rejoin although no process has restarted.
+	// The platform returns an empty host list. Then a failure domain is partitioned into halves for a minute, and each half declares
+	// the routers of the other dead. After the heal all routers must rejoin although no process has restarted.
 	f := newFleet(t, 1, 20, 6)
 	f.startAll()
 	f.converge(10 * time.Second)
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -106,8 +106,8 @@
 }
 
 func TestDecodeRejectsOutOfRangeValues(t *testing.T) {
-	// A faulty or hostile peer may send values that no router produces; if accepted, they would corrupt totals permanently
-	// or exhaust memory.
+	// A faulty or hostile peer may send values that no router produces; if accepted, they would corrupt ledger totals
+	// permanently or exhaust memory.
 	entry := func(e *pomelowire.LedgerEntry) *pomelowire.Item {
 		return &pomelowire.Item{Kind: &pomelowire.Item_LedgerReport{LedgerReport: &pomelowire.LedgerReport{Names: []string{"p"}, Entries: []*pomelowire.LedgerEntry{e}}}}
 	}
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -98,7 +98,8 @@
 }
 
 func encodeDigest(m *pomelorelay.Digest) *pomelowire.Digest {
-	// The first member is the sender, which owns most of the slots: its name is index 0 of the table and not sent again.
+	// The first member is the sender, which is also the Owner of most slot digests. Its name is implied as index 0 of the table of
+	// names and not sent again.
 	var names nameTable
 	if len(m.Members) > 0 {
 		names.index(string(m.Members[0].Node))
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -121,8 +121,8 @@
 }
 
 func TestLargeMessageArrivesOnSlowLink(t *testing.T) {
-	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If that broke the link, the router
-	// behind it would never receive the part.
+	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If the timeout broke the link during
+	// the transfer, the receiving router would never get the part.
 	b := start(t, config("r2", 1))
 	p := startProxy(t, b.Addr())
 	p.slow.Store(true)
--- a/pomelomesh/keys.go
+++ b/pomelomesh/keys.go
@@ -33,8 +33,8 @@
 	expiryWarnDivisor = 5
 )
 
-// poll reloads changed files and logs a certificate that is about to expire. Links stay open for weeks, so without it a
-// fault in new files or a certificate that was not renewed would show only when links break and none can be opened.
+// poll reloads changed files and logs a certificate that is about to expire. Links stay open for weeks, so without polling
+// a fault in new files or a certificate that was not renewed would show only when links break and none can be opened.
 func (k *keys) poll(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// dialRaw opens a link to a mesh as a router of another version may.
+// dialRaw opens a link to a mesh with a plain gRPC client, which can send what routers of other versions may send.
 func dialRaw(t *testing.T, m *pomelomesh.Mesh, hello *pomelowire.Hello) grpc.BidiStreamingClient[pomelowire.Frame, pomelowire.Frame] {
 	t.Helper()
 	conn, err := grpc.NewClient(m.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -159,7 +159,7 @@
 }
 
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
-	// A peer stops reading, as a paused host does. Send is called by the control goroutine, so it must not block but fail
+	// A peer stops reading, as a paused host does. The router's control loop calls Send, so Send must not block but fail
 	// once the queue is full.
 	a := config("r1", 1)
 	a.Queue = pomelomesh.QueueLimits{MaxMessages: 100}
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -18,8 +18,8 @@
 	reasonNoHello        = "connection closed before a hello"
 )
 
-// serverCredentials records why a TLS handshake failed, which gRPC does not report. Without it a router whose
-// certificate is from another authority is rejected without a log entry, and operators look for a network fault.
+// serverCredentials records why a TLS handshake failed, which gRPC does not report. Otherwise a router whose certificate
+// is from another authority would be rejected without a log entry, and operators would look for a network fault.
 type serverCredentials struct {
 	credentials.TransportCredentials
 }
--- a/settings_fleet.go
+++ b/settings_fleet.go
@@ -12,7 +12,7 @@
 	Regions map[DomainID]RegionID
 	// Seeds are addresses of routers to contact first; they may include routers that are gone, and this one.
 	Seeds []netip.AddrPort
-	// Listen addresses for callers' requests, for readiness checks and for metrics.
+	// CallerAddr, ReadinessAddr and MetricsAddr are the listen addresses for callers' requests, readiness checks and metrics.
 	CallerAddr    netip.AddrPort
 	ReadinessAddr netip.AddrPort
 	MetricsAddr   netip.AddrPort
@@ -28,10 +28,10 @@
 	DrainTimeout time.Duration
 	// ConfigApplyTimeout is the time within which a new configuration must be in force on all routers.
 	ConfigApplyTimeout time.Duration
-	// RetryRatio and RetrySlack limit the fleet's retries of a service's requests, to a fraction of the requests plus a constant.
+	// RetryRatio and RetrySlack limit the fleet's retries of a service's requests to RetryRatio times the requests plus RetrySlack.
 	RetryRatio float64
 	RetrySlack float64
-	// ColdBounds limits the requests that the fleet sends to cold upstreams.
+	// ColdBounds limits the requests per second that the fleet sends to a cold (recently started) upstream.
 	ColdBounds ColdBounds
 	// ShareWindow is the time window over which accounts' shares of the engines are computed.
 	ShareWindow time.Duration
--- a/wire.go
+++ b/wire.go
@@ -20,7 +20,7 @@
 	Timeout time.Duration
 	// APIKey is the caller's API key; empty if there is none.
 	APIKey string
-	// Number of prompt tokens and maximum number of generated tokens; zero if unspecified.
+	// PromptTokens is the number of prompt tokens, MaxOutputTokens the maximum number of generated tokens; zero if unspecified.
 	PromptTokens    Tokens
 	MaxOutputTokens Tokens
 	// OutputEstimate is the caller's estimate of the number of generated tokens; zero if unspecified.
@@ -36,7 +36,7 @@
 type UpstreamFields struct {
 	// TimeLeft is the time left of the caller's timeout.
 	TimeLeft time.Duration
-	// ExpectedUpstream is the intended upstream; any other refuses the request without running it.
+	// ExpectedUpstream is the intended upstream; any other upstream refuses the request without running it.
 	ExpectedUpstream UpstreamID
 	// Account is the client account of the request; empty on public routes.
 	Account AccountID
