--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -68,7 +68,7 @@
 	options  pomelomember.Options
 
 	suspicions   int // suspect states in received digests
-	foreignSlots int // slots of other failure domains in digests received within a domain
+	foreignSlots int // slot digests of other failure domains in digests received within a domain
 
 	measured     pomelorelay.Message
 	measuredSize int
@@ -98,7 +98,7 @@
 	return hosts
 }
 
-// start starts a new process of a router; seeds replace the host list if there is none.
+// start starts a new process of a router; hosts is nil if the host list is unavailable, and the router then knows only the seeds.
 func (f *fleet) start(r *router, hosts []pomelorelay.Host, seeds ...pomelorelay.Peer) {
 	r.incarnation = pomelorelay.Incarnation(f.now.UnixNano())
 	r.up = true
@@ -247,7 +247,7 @@
 
 func TestDigestRateIsBoundedInLargeDomain(t *testing.T) {
 	// A failure domain of 60 routers is configured for a digest every 250 ms. At that interval each router would send 236 digests a
-	// second, which exceeds the entire control budget of a node in bytes.
+	// second, which exceeds the entire byte budget of a node for control messages.
 	for _, c := range []struct{ routers, minRate, maxRate int }{{8, 28, 36}, {60, 59, 72}} {
 		f := newFleet(t, 1, c.routers, 1)
 		f.options.DigestInterval = 250 * time.Millisecond
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -106,8 +106,8 @@
 }
 
 func TestDecodeRejectsOutOfRangeValues(t *testing.T) {
-	// A faulty or hostile peer may send values that no router produces; if accepted, they would corrupt totals permanently
-	// or exhaust memory.
+	// A faulty or hostile peer may send values that no router produces; if accepted, they would corrupt ledger totals
+	// permanently or exhaust memory.
 	entry := func(e *pomelowire.LedgerEntry) *pomelowire.Item {
 		return &pomelowire.Item{Kind: &pomelowire.Item_LedgerReport{LedgerReport: &pomelowire.LedgerReport{Names: []string{"p"}, Entries: []*pomelowire.LedgerEntry{e}}}}
 	}
@@ -139,8 +139,8 @@
 }
 
 func TestManyEmptyEntriesAreRejectedBeforeDecoding(t *testing.T) {
-	// Two million empty entries take four megabytes on the wire and several hundred when decoded, for which the router
-	// would be killed.
+	// Two million empty entries take four megabytes on the wire and several hundred megabytes when decoded; the router
+	// would be killed for its memory use.
 	entries := bytes.Repeat([]byte{5<<3 | 2, 0}, 2_000_000)
 	data := protowire.AppendBytes(protowire.AppendTag(nil, 6, protowire.BytesType), entries)
 	allocated := testing.AllocsPerRun(1, func() {
--- a/pomelomesh/fault_test.go
+++ b/pomelomesh/fault_test.go
@@ -121,8 +121,8 @@
 }
 
 func TestLargeMessageArrivesOnSlowLink(t *testing.T) {
-	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If that broke the link, the router
-	// behind it would never receive the part.
+	// On a slow link the transfer of a configuration part takes longer than AckTimeout. If the timeout broke the link during
+	// the transfer, the receiving router would never get the part.
 	b := start(t, config("r2", 1))
 	p := startProxy(t, b.Addr())
 	p.slow.Store(true)
@@ -245,8 +245,8 @@
 }
 
 func TestCertificateForAnotherNameIsRefused(t *testing.T) {
-	// A settings file copied to a second host names the wrong Node; the fleet must not accept that host's reports as those
-	// of the first.
+	// A settings file copied to a second host names the first host's router. The fleet must not accept the second host's
+	// reports as those of the first.
 	ca := newAuthority(t)
 	b := start(t, secure("r2", ca.issue(t, t.TempDir(), "r2")))
 	impostor := start(t, secure("r1", ca.issue(t, t.TempDir(), "r9")))
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// dialRaw opens a link to a mesh as a router of another version may.
+// dialRaw opens a link to a mesh with a plain gRPC client, which can send what routers of other versions may send.
 func dialRaw(t *testing.T, m *pomelomesh.Mesh, hello *pomelowire.Hello) grpc.BidiStreamingClient[pomelowire.Frame, pomelowire.Frame] {
 	t.Helper()
 	conn, err := grpc.NewClient(m.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -115,8 +115,8 @@
 }
 
 func TestUnknownKindIsSkipped(t *testing.T) {
-	// During an update some routers already send a kind that others do not know. Neither the link nor the other messages of
-	// the frame may be lost.
+	// During an update some routers already send a kind of message that others do not know. Neither the link nor the other
+	// messages of the frame may be lost.
 	m := start(t, config("r1", 1))
 	stream := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 1, Domain: "a", Region: "north"})
 	newer := &pomelowire.Item{}
@@ -135,8 +135,8 @@
 }
 
 func TestLowerIncarnationIsRefused(t *testing.T) {
-	// A router is replaced while a connection of the former process survives behind a stalled switch; the former totals and
-	// grants must not be accepted afterwards.
+	// A router is replaced while a connection of its former process survives behind a stalled switch. Ledger totals and
+	// grants of the former process must not be accepted afterwards.
 	m := start(t, config("r1", 1))
 	old := dialRaw(t, m, &pomelowire.Hello{Node: "r2", Incarnation: 10, Domain: "a", Region: "north"})
 	eventually(t, "the first link", func() bool { return m.Counters().Links == 1 })
@@ -159,7 +159,7 @@
 }
 
 func TestSendToAStalledPeerNeverBlocks(t *testing.T) {
-	// A peer stops reading, as a paused host does. Send is called by the control goroutine, so it must not block but fail
+	// A peer stops reading, as a paused host does. The router's control loop calls Send, so Send must not block but fail
 	// once the queue is full.
 	a := config("r1", 1)
 	a.Queue = pomelomesh.QueueLimits{MaxMessages: 100}
@@ -241,7 +241,7 @@
 
 func TestUrgentMessagesOverBudgetDoNotStarveDigests(t *testing.T) {
 	// A loaded router's grants alone exceed its byte budget. If no digest were sent then, the other routers would repeatedly
-	// declare it dead and take over its jobs while it works.
+	// declare it dead and take over its slots and shards while it works.
 	cfg := config("r1", 1)
 	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 8000
 	a, b := start(t, cfg), start(t, config("r2", 1))
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -13,13 +13,13 @@
 const (
 	// unidentifiedLogInterval is the minimum time between log entries about one remote address.
 	unidentifiedLogInterval = 10 * time.Second
-	// maxUnidentifiedAddrs bounds the remote addresses remembered to limit these log entries.
+	// maxUnidentifiedAddrs bounds the remote addresses for which the time of the last log entry is kept.
 	maxUnidentifiedAddrs = 1024
 	reasonNoHello        = "connection closed before a hello"
 )
 
-// serverCredentials records why a TLS handshake failed, which gRPC does not report. Without it a router whose
-// certificate is from another authority is rejected without a log entry, and operators look for a network fault.
+// serverCredentials records why a TLS handshake failed, which gRPC does not report. Otherwise a router whose certificate
+// is from another authority would be rejected without a log entry, and operators would look for a network fault.
 type serverCredentials struct {
 	credentials.TransportCredentials
 }
@@ -57,7 +57,7 @@
 	m.cfg.Logger.Log(pomelorelay.EventMeshRefused, pomelorelay.Field{Key: "Remote", Value: remote.String()}, pomelorelay.Field{Key: "Reason", Value: reason})
 }
 
-// unidentifiedLogDue reports whether the address may be logged again.
+// unidentifiedLogDue reports whether a connection from the address that closed before its hello may be logged now.
 func (m *Mesh) unidentifiedLogDue(addr netip.Addr, now time.Time) bool {
 	m.unidentifiedMu.Lock()
 	defer m.unidentifiedMu.Unlock()
--- a/wire.go
+++ b/wire.go
@@ -20,7 +20,7 @@
 	Timeout time.Duration
 	// APIKey is the caller's API key; empty if there is none.
 	APIKey string
-	// Number of prompt tokens and maximum number of generated tokens; zero if unspecified.
+	// PromptTokens is the number of prompt tokens, MaxOutputTokens the maximum number of generated tokens; zero if unspecified.
 	PromptTokens    Tokens
 	MaxOutputTokens Tokens
 	// OutputEstimate is the caller's estimate of the number of generated tokens; zero if unspecified.
@@ -36,11 +36,12 @@
 type UpstreamFields struct {
 	// TimeLeft is the time left of the caller's timeout.
 	TimeLeft time.Duration
-	// ExpectedUpstream is the intended upstream; any other refuses the request without running it.
+	// ExpectedUpstream is the intended upstream; any other upstream refuses the request without running it.
 	ExpectedUpstream UpstreamID
 	// Account is the client account of the request; empty on public routes.
 	Account AccountID
-	// CopyFrom is the address of an upstream that has more of the prompt cached, from which it is copied instead of read; invalid if none.
+	// CopyFrom is the address of an upstream that has more of the prompt cached; the receiving upstream copies that part of the KV cache
+	// instead of computing it. It is invalid if there is no such upstream.
 	CopyFrom netip.AddrPort
 	// LastEvent is the number of the last event forwarded to the caller, if a stream is resumed (HasLastEvent).
 	LastEvent    uint64
@@ -53,7 +54,7 @@
 	NotRun bool
 	// Misdirected states that the address belongs to another upstream than the expected one.
 	Misdirected bool
-	// Signed states that the response was produced by an upstream.
+	// Signed states that the response has the header with which upstreams mark their own responses.
 	Signed bool
 	// Running and Waiting are the upstream's numbers of running and queued requests, if HasLoad is set.
 	Running, Waiting int
