--- a/pomelobudget/budget.go
+++ b/pomelobudget/budget.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Config holds the settings of a Budget.
+// Config holds the settings of a RetryBudget.
 type Config struct {
 	// Initial is the initial number of retries, available before any request is counted.
 	Initial float64
@@ -18,7 +18,7 @@
 	tokens float64
 }
 
-// New returns a Budget with the initial number of retries.
+// New returns a RetryBudget with the initial number of retries.
 func New(cfg Config) *RetryBudget { return &RetryBudget{cfg: cfg, tokens: cfg.Initial} }
 
 // Earn adds the fraction of a retry that one request allows, up to the maximum.
--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -18,7 +18,7 @@
 	leaving   map[pomelorelay.UpstreamID]bool
 }
 
-// sums holds loads by upstream, use by account and prefill speeds by service.
+// sums holds loads by upstream, usage by account and prefill speeds by service.
 type sums struct {
 	upstreams map[pomelorelay.UpstreamID]pomelorelay.UpstreamLoad
 	accounts  map[pomelorelay.AccountID]pomelorelay.AccountUse
@@ -39,8 +39,8 @@
 	incarnation pomelorelay.Incarnation
 	reportedAt  time.Time
 	sums
-	// baseline holds the counters as first reported, up to and including the first full report, which sets baselineComplete. Counters that
-	// first appear later start from zero.
+	// baseline holds the value with which the source first reported each counter. baselineComplete is set by the first full report: a
+	// counter that first appears after that report counts from zero.
 	baseline         sums
 	baselineComplete bool
 }
@@ -239,8 +239,8 @@
 	}
 }
 
-// report returns the changes since the last flush, or all entries when full is set. It excludes what the source named key
-// reported itself; an empty key excludes nothing.
+// report returns the entries that changed since the last flush of summaries, or all entries when full is set. It excludes what the
+// source named key reported itself; an empty key excludes nothing.
 func (a *aggregate) report(key string, full bool, seq uint64) *pomelorelay.LoadReport {
 	m := &pomelorelay.LoadReport{Seq: seq, Full: full}
 	own := a.sources[key]
@@ -290,8 +290,8 @@
 	return m
 }
 
-// changed reports whether an upstream's or an account's sum, a part, a start or a departure is new since the last flush. Changed speeds
-// alone do not count; the next report includes them.
+// changed reports whether the sums of an upstream or of an account changed since the last flush, or a prompt part, an upstream start
+// or a leaving upstream was added. Changed speeds alone do not count; the next report includes them.
 func (a *aggregate) changed() bool {
 	for _, sum := range a.upstreams {
 		if sum.changed {
--- a/pomeloentry/config.go
+++ b/pomeloentry/config.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// configPullDelay is how long a router waits for its own watch before it requests a newer configuration from a peer. It allows
-	// several store round trips and is a twentieth of the time within which a configuration must be in force.
+	// configPullDelay is how long a router waits for its own watch of the store before it requests a newer configuration from a peer.
+	// It allows several store round trips and is a twentieth of the time within which a configuration must be in force.
 	configPullDelay = 100 * time.Millisecond
-	// configPullInterval is the time between two requests to peers.
+	// configPullInterval is the minimum time between two requests for a configuration.
 	configPullInterval = 300 * time.Millisecond
 )
 
-// pendingPull is the newest configuration generation that a peer announced and this router lacks. since is when the first such
-// generation was announced, requestedAt when it was last requested.
+// pendingPull is the newest configuration generation that a peer announced and this router lacks. since is when a newer generation
+// than this router's was first announced, requestedAt when this router last requested one.
 type pendingPull struct {
 	from        pomelorelay.NodeID
 	generation  pomelorelay.Generation
@@ -37,8 +37,8 @@
 	c.pendingPull.from, c.pendingPull.generation = from, generation
 }
 
-// requestNewerConfig requests a configuration that this router's own watch did not deliver. A router cut off from the store would
-// otherwise keep serving removed routes and keys, and callers would get different answers from different routers.
+// requestNewerConfig requests a configuration that this router's own watch of the store did not deliver. A router cut off from the
+// store would otherwise keep serving removed routes and keys, and callers would get different answers from different routers.
 func (c *control) requestNewerConfig(now time.Time) {
 	p := &c.pendingPull
 	if p.generation == 0 || p.generation <= c.version() {
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -23,9 +23,10 @@
 	relayedReportInterval = 40 * time.Millisecond
 	// fullReportInterval is the interval of full reports, and so the longest time for which a lost report has an effect.
 	fullReportInterval = time.Second
-	// minReportGap is the minimum time between reports; a round trip between regions takes longer.
+	// minReportGap is the minimum time between reports. More frequent reports would gain little, since a round trip between regions
+	// takes longer.
 	minReportGap = 20 * time.Millisecond
-	// gaugeInterval is the interval at which the state metrics are updated.
+	// gaugeInterval is the interval at which the gauges of the router's state are updated.
 	gaugeInterval = time.Second
 )
 
@@ -37,7 +38,7 @@
 	residency *pomeloresidency.Policy
 	config    *pomelorelay.FleetConfig
 	upstreams upstreams
-	// evacuated holds the failure domains under evacuation; only the store or a peer's full state ends an evacuation.
+	// evacuated holds the failure domains under evacuation. Only the store or the full state sent by a peer ends an evacuation.
 	evacuated     map[pomelorelay.DomainID]bool
 	peers         peers
 	pendingPull   pendingPull
@@ -48,7 +49,7 @@
 	reportedAt   time.Time
 	fullReportAt time.Time
 	gaugesAt     time.Time
-	// coldUpstreams holds the upstreams that were cold at the last check.
+	// coldUpstreams holds the upstreams that were cold when logWarmups last ran.
 	coldUpstreams map[pomelorelay.UpstreamID]pomelowarmup.Status
 	// loggedSpeeds holds the prefill speeds that were last logged.
 	loggedSpeeds map[pomelorelay.ServiceID]pomelospeed.PrefillRate
@@ -113,7 +114,8 @@
 	}
 }
 
-// adjust runs the timers of the shares, the placer, the upstreams, the read order and the peers.
+// adjust runs the periodic updates of fair shares, placement, lapsed upstreams, the delay of store reads, missing configuration and
+// state, and peers.
 func (c *control) adjust(now time.Time) {
 	c.shares.Tick(now)
 	c.placer.SetUnreportedRouters(c.unreported(now))
@@ -163,7 +165,8 @@
 func (c *control) place(now time.Time, req pomeloforward.PlacementRequest) pomeloplace.Decision {
 	accounted := req.Cost > 0 && req.Account != ""
 	r := req.Request
-	// Use the configuration in force at each attempt: narrower regions also apply to requests that arrived earlier.
+	// Use the configuration in force at each attempt: if a new configuration allows fewer regions, this also applies to requests that
+	// arrived before it.
 	r.Residency = c.residency.Residency(now, req.Route, req.Account)
 	r.WithinShare = true
 	var share pomeloplace.ShareState
@@ -171,8 +174,8 @@
 		if !req.Retry {
 			c.shares.RecordRequest(req.Account, req.Cost)
 		}
-		// Only retries that may have run and were charged skip the share check. If every retry after an unreachable upstream did, a flood
-		// could exceed its share while many upstreams are down, and requests of other accounts would be refused.
+		// Only retries that may have run and were charged skip the share check. If every retry after an unreachable upstream skipped
+		// it, a flood could exceed its share while many upstreams are down, and requests of other accounts would be refused.
 		r.WithinShare = req.Charged || c.shares.WithinShare(req.Account, req.Cost)
 		r.LeadOverLevel = c.shares.LeadOverLevel(req.Account)
 		r.LeadOverLeastServed = c.shares.LeadOverLeastServed(req.Account)
@@ -194,12 +197,13 @@
 	return d
 }
 
-// maxShareWaitFraction is the longest useful wait for an account's share, as a fraction of the target; the remainder is for the answer.
+// maxShareWaitFraction is the longest useful wait for capacity within an account's share, as a fraction of the latency target; the
+// remainder is for the answer.
 const maxShareWaitFraction = 0.5
 
-// retryAfter returns when a caller over its account's share should retry: when the share covers the request, if the answer can still
-// meet the target, otherwise as soon as a slot may be free. In a lasting flood a longer wait does not improve the chance of a slot
-// and makes the answer late.
+// retryAfter returns when a caller over its account's share should retry: when the share covers the request if the answer can then
+// still meet the target, and otherwise as soon as a slot may be free. In a lasting flood a longer wait does not improve the chance of
+// a slot and makes the answer late.
 func (c *control) retryAfter(d *pomeloplace.Decision, req *pomeloforward.PlacementRequest) time.Duration {
 	wait := c.shares.RetryAfter(req.Account, req.Cost)
 	if wait > time.Duration(maxShareWaitFraction*float64(req.Request.Target)) {
--- a/pomeloentry/evacuation.go
+++ b/pomeloentry/evacuation.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// applyEvacuations applies the started and ended evacuations of failure domains. A full change also ends those that it omits. source is
-// the router that sent the change, or "store" if this router read it.
+// applyEvacuations applies the started and ended evacuations of failure domains. A change with the full state also ends the
+// evacuations that it omits. source is the router that sent the change, or "store" if this router read it.
 func (c *control) applyEvacuations(now time.Time, change *pomelorelay.FleetChange, source string) {
 	for _, domain := range change.Evacuated {
 		c.setEvacuated(now, domain, true, source)
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -54,7 +54,7 @@
 	f.await("every router logs the end of the evacuation", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
-// Guards against updates of the reader that omit evacuations, and against a full state that leaves ended evacuations in place.
+// Guards against updates after a store read that omit evacuations, and against a full state that leaves ended evacuations in place.
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -49,7 +49,7 @@
 	return p.unreported(now.Add(passed), func(*knownPeer) bool { return false })
 }
 
-// RefusedUnread records a request that a full router refused.
+// RefusedUnread records a request that a full router refused without reading it.
 func (d PlacementControl) RefusedUnread(now time.Time, account pomelorelay.AccountID, cost pomelorelay.Cost) {
 	(&refusedUnread{account, cost}).apply(d.c, now)
 }
@@ -66,13 +66,13 @@
 	d.c.receiveReport(now, from, incarnation, m)
 }
 
-// Served returns what an account was served in the window.
+// Served returns the cost that an account was served in the share window.
 func (d PlacementControl) Served(id pomelorelay.AccountID) pomelorelay.Cost {
 	_, served, _ := d.c.shares.Usage(id)
 	return served
 }
 
-// LongestReadPause returns the longest time without an update from a live reader, for a drain wait.
+// LongestReadPause returns the longest time between updates from a router that reads the store continuously, for a drain wait.
 func LongestReadPause(drain time.Duration) time.Duration {
 	return time.Duration((readIntervalFraction + watchWaitFraction) * float64(drain))
 }
@@ -165,7 +165,7 @@
 	s.a.add(now, string(from), from, incarnation, m)
 }
 
-// Reports returns for each source the changes, or all entries when full is set, without its own contribution.
+// Reports returns for each source the entries that changed, or all entries when full is set, without the source's own contribution.
 func (s Aggregate) Reports(full bool, sources ...pomelorelay.NodeID) map[pomelorelay.NodeID]*pomelorelay.LoadReport {
 	all := make(map[pomelorelay.NodeID]*pomelorelay.LoadReport)
 	for _, from := range sources {
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -15,10 +15,10 @@
 const (
 	// listenerCount is the number of HTTP ports of a router.
 	listenerCount = 3
-	// headerTimeout bounds the reading of a request's header; the operators' own limit is 3 s.
+	// headerTimeout bounds the reading of a request's header; the operators' own limit in front of the routers is 3 s.
 	headerTimeout = 10 * time.Second
-	// callerIdleTimeout closes idle connections of callers. It exceeds the operators' limit of 15 s; callers may reuse a connection that
-	// was idle for up to four fifths of that.
+	// callerIdleTimeout closes idle connections of callers. It exceeds the operators' limit of 15 s, because callers may reuse a
+	// connection that was idle for up to four fifths of the 15 s.
 	callerIdleTimeout = 20 * time.Second
 	// maxHeaderBytes bounds a request's header; the operators' limit is 16 KiB.
 	maxHeaderBytes = 64 << 10
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -28,17 +28,17 @@
 	// the fraction of memory available to connections.
 	connMemoryBytes    = 20 << 10
 	connMemoryFraction = 0.3
-	// reservedFDs are the file descriptors reserved for files of the platform; connFDFraction is the fraction of the others available to
-	// callers' connections. Each running request uses a second one for its upstream.
+	// reservedFDs are the file descriptors reserved for files of the platform; connFDFraction is the fraction of the others available
+	// to callers' connections. Each running request uses a second file descriptor for its upstream connection.
 	reservedFDs    = 200
 	connFDFraction = 0.5
 	// nearCapacityFraction is the fraction of a limit from which the router sheds load: it reports not ready and closes callers'
 	// connections after their answers. It does so until nearCapacityHold after the load has dropped.
 	nearCapacityFraction = 0.85
 	nearCapacityHold     = 2500 * time.Millisecond
-	// The request limit follows the processor: each tick later than lateTickThreshold multiplies it by limitDecrease, each punctual tick
-	// near the limit by limitIncrease. The cost of a stream depends on its event rate, so a fixed limit would keep some hosts late for
-	// seconds and make others refuse requests with idle processors.
+	// The request limit follows the processor: each tick later than lateTickThreshold multiplies it by limitDecrease, each punctual
+	// tick near the limit by limitIncrease. The cost of a stream depends on its event rate, so a fixed limit would overload some hosts
+	// for seconds and make others refuse requests with idle processors.
 	limitDecrease = 0.9
 	limitIncrease = 1.02
 	// fullRouterRetryAfter is the Retry-After of a full router; another router can accept the request immediately.
@@ -73,11 +73,13 @@
 
 const (
 	// maxLag is the tick delay above which the processor is overloaded and new requests are refused. A request that waits this long to
-	// be read has used a quarter of its target.
+	// be read has used a quarter of its latency target.
 	maxLag = 100 * time.Millisecond
-	// lateTickThreshold is the tick delay from which the router checks that a caller is still connected before forwarding its request.
+	// lateTickThreshold is the tick delay from which the router lowers its request limit, and checks that a caller is still connected
+	// before it forwards the request.
 	lateTickThreshold = 20 * time.Millisecond
-	// lateTickHold is how long after a late tick these checks continue; callers give up after waiting 1 s.
+	// lateTickHold is how long after a late tick the router keeps checking that callers are still connected; callers give up after
+	// waiting 1 s.
 	lateTickHold = 1500 * time.Millisecond
 	// connOverloadFactor is the multiple of the connection limit above which new connections are closed unread.
 	connOverloadFactor = 1.3
@@ -140,9 +142,9 @@
 	}
 }
 
-// countRefused adds the cost of a request refused unread to its account's demand. Otherwise an account whose callers reach full
-// routers would appear idle and satisfied, and its share would go to others. A full event queue drops the count, because request
-// handling must not wait for the control goroutine.
+// countRefused adds the cost of a request that was refused without reading its body to its account's demand. Otherwise an account
+// whose callers reach full routers would appear idle and satisfied, and its share would go to others. A full event queue drops the
+// count, because request handling must not wait for the control goroutine.
 func (e *Router) countRefused(r *http.Request) {
 	account, cost := e.forward.EstimateCost(r)
 	if cost <= 0 {
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -17,7 +17,8 @@
 	deregisterTimeout = 500 * time.Millisecond
 )
 
-// peerSilenceTimeout is how long an unregistered router may send nothing before it is removed: a few intervals of full reports.
+// peerSilenceTimeout is how long a router without a registration may send nothing before it is removed: a few intervals of full load
+// reports.
 const peerSilenceTimeout = 5 * time.Second
 
 // knownPeer is a router that is registered, or that was and still sends messages.
@@ -62,8 +63,9 @@
 	}
 }
 
-// recordMessage records a message from a router. An unregistered sender is answered over its own link: it may have lost the store
-// before this router could read its registration. An unknown location is taken from the message.
+// recordMessage records a message from a router. A sender without a registration is added too, and answered over its own link: it may
+// have lost access to the store before this router could read its registration. An unknown failure domain and region are taken from
+// the message.
 func (p *peers) recordMessage(now time.Time, peer pomelorelay.Peer) {
 	known := p.byNode[peer.Node]
 	if known == nil {
@@ -76,7 +78,8 @@
 	known.seenAt = now
 }
 
-// acceptReport reports whether a report is newer than all applied reports of the router, and records its number if so.
+// acceptReport reports whether a report is newer than all applied reports of the router, and records its incarnation and sequence
+// number if so.
 func (p *peers) acceptReport(node pomelorelay.NodeID, incarnation pomelorelay.Incarnation, seq uint64) bool {
 	known := p.byNode[node]
 	if known == nil || incarnation < known.incarnation || (incarnation == known.incarnation && seq <= known.lastSeq) {
@@ -89,9 +92,9 @@
 // markFullyReported records a full report from the router.
 func (p *peers) markFullyReported(node pomelorelay.NodeID) { p.byNode[node].fullyReported = true }
 
-// unreportedTimeout is how long a router without a report is assumed to send as much as this one: several intervals of full reports.
-// With a longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for them, and
-// refuse requests although engines are idle until the partition ends.
+// unreportedTimeout is how long a router without a load report is assumed to send as much as this one: several intervals of full
+// reports. With a longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for
+// them, and refuse requests although engines are idle until the partition ends.
 const unreportedTimeout = 3 * time.Second
 
 // unreported returns the number of registered routers that became known within unreportedTimeout and have sent no full report.
@@ -175,7 +178,7 @@
 	c.e.log(pomelorelay.EventPeersChanged, field("Peers", len(list)))
 }
 
-// keepRegistered registers this router in the store and renews the registration, so that the others find it.
+// keepRegistered registers this router in the store and renews the registration, so that the other routers find it.
 func (e *Router) keepRegistered(ctx context.Context) {
 	var lease pomelorelay.LeaseID
 	e.runStoreTask(ctx, storeTask{name: "registration", minInterval: renewInterval, call: func(bool) error {
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against a router that, started while another region is cut off, counts the routers there for ever as sending as much as it
-// does: most of each engine would stay reserved for them, and requests would be refused although engines are idle.
+// Guards against a router that starts while another region is cut off, and forever counts the routers there as sending as much as
+// itself. Most of each engine would stay reserved for them, and requests would be refused although engines are idle.
 func TestUnreportedRoutersStopCountingAfterTimeout(t *testing.T) {
 	for _, c := range []struct {
 		passed time.Duration
@@ -63,8 +63,9 @@
 	}
 }
 
-// Guards against requests refused unread that do not count as demand. The load balancer sends most callers of one account to a full
-// host; routers would assume that it is satisfied, and another account would get twice as much while the first one's callers are refused.
+// Guards against not counting requests that a full router refuses without reading as demand of their account. If the load balancer
+// sends most callers of one account to a full host, the routers would assume that this account is satisfied. Another account would
+// then get twice as much while the first account is refused.
 func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
@@ -89,8 +90,8 @@
 	}
 }
 
-// Guards against late load reports, as from two relays forwarding the same reports or from the former process of a restarted router.
-// Applied after a newer report, an old one restores finished requests; the engine appears full, and requests are refused.
+// Guards against applying late load reports, as when two relays forward the same reports or a report comes from the process before a
+// restart. Applied after a newer report, an old one restores finished requests; the engine appears full, and requests are refused.
 func TestLateReportsAreIgnored(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 1000},
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -8,9 +8,9 @@
 	"github.com/pomelorelay/pomelorelay/pomeloplace"
 )
 
-// In a fleet of up to maxDirectPeers+1 routers, each reports to all others. In a larger one that traffic would grow with the square
-// of the number of routers, so one router of each failure domain is its relay. It sums the reports of its neighbours (the routers of
-// its domain), exchanges sums with the relays of the other domains, and sends each neighbour the sum of all other routers.
+// In a fleet of up to maxDirectPeers+1 routers, each reports to all others. In a larger fleet such reports would grow with the square
+// of the number of routers, so one router of each failure domain, its relay, sums the reports of its neighbours (the routers of its
+// domain). It exchanges sums with the relays of the other domains, and sends each neighbour the sum of all other routers.
 // Registrations and recent messages determine which router is the relay.
 
 const (
@@ -18,25 +18,26 @@
 	maxDirectPeers = 12
 	// relayTimeout is how long a silent router still counts as a possible relay; a live one sends something every second.
 	relayTimeout = 1500 * time.Millisecond
-	// relayGrace is how long a newly known router counts as live.
+	// relayGrace is how long a newly known router that has sent nothing yet counts as live.
 	relayGrace = 3 * time.Second
-	// maxStandbys is the number of successors that a relay announces to its neighbours, and standbyGrace how much longer than their
-	// predecessor they count as live.
+	// maxStandbys is the maximum number of successors that a relay announces to its neighbours. standbyGrace is how much longer than
+	// the relay the first successor counts as live, and each further one longer than the one before.
 	maxStandbys  = 2
 	standbyGrace = 700 * time.Millisecond
 	// flushInterval is the minimum time between two summaries of a relay.
 	flushInterval = 40 * time.Millisecond
 )
 
-// relayState holds the sums of a relay. On a router that is not a relay, it identifies the relay whose summaries are applied.
+// relayState holds the sums of reports on a relay. On a router that is not a relay, it identifies the relay whose summaries are
+// applied.
 type relayState struct {
-	// local sums the routers of this failure domain, all sums these and the other domains.
+	// local sums the reports of the routers of this failure domain; all also includes the summaries of the other domains.
 	local, all    *aggregate
 	flushedAt     time.Time
 	fullSummaryAt time.Time
 	seq           uint64
-	// relayNode is the relay whose summaries this router applies; relayIncarnation and lastSeq are those of its last summary. domainRelays
-	// names the relays of other domains whose summaries this router, as a relay, applies.
+	// relayNode is the relay whose summaries this router applies; relayIncarnation and lastSeq are the incarnation and the sequence
+	// number of its last summary. On a relay, domainRelays names the relays of other domains whose summaries it applies.
 	relayNode        pomelorelay.NodeID
 	relayIncarnation pomelorelay.Incarnation
 	lastSeq          uint64
@@ -92,7 +93,8 @@
 	c.flushSummaries(now)
 }
 
-// startRelaying makes this router a relay. It drops the sums of the previous relay, because this router now gets the reports itself.
+// startRelaying makes this router a relay. It drops the sums of the previous relay, because the routers of the failure domain now
+// report to this router.
 func (c *control) startRelaying() {
 	r := &c.relay
 	if r.local != nil {
@@ -135,8 +137,8 @@
 	}
 }
 
-// applyDomainSummary applies the summary of another failure domain. The first full summary of a new relay replaces the state of the
-// previous one.
+// applyDomainSummary applies the summary of another failure domain. The first full summary of a new relay replaces the loads reported
+// by the previous relay and by the routers of that domain.
 func (c *control) applyDomainSummary(now time.Time, domain pomelorelay.DomainID, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	c.startRelaying()
 	r := &c.relay
@@ -157,7 +159,8 @@
 	c.applyReport(now, m, report)
 }
 
-// applyFleetSummary applies the summary of all other routers. The first full summary of a new relay replaces all loads of others.
+// applyFleetSummary applies the summary of all other routers. The first full summary of a new relay replaces all loads that other
+// routers reported.
 func (c *control) applyFleetSummary(now time.Time, m pomelorelay.Envelope, s *pomelorelay.LoadSummary) {
 	r := &c.relay
 	if r.relayNode != m.From || r.relayIncarnation != m.Incarnation {
@@ -187,7 +190,8 @@
 	c.applyLeaving(now, m.From, report.Leaving)
 }
 
-// flushSummaries sends the sum of this domain to the relays of the other domains, and to each neighbour the sum of all others.
+// flushSummaries sends the sum of this failure domain's reports to the relays of the other domains, and to each neighbour the sum of
+// all reports but its own.
 func (c *control) flushSummaries(now time.Time) {
 	r := &c.relay
 	r.local.removeSilent(now, pomeloplace.PeerTimeout)
@@ -238,7 +242,7 @@
 	return nodes
 }
 
-// send queues a message. One that the mesh refuses counts as lost, as on a broken link; the next full report makes up for it.
+// send queues a message. A message that the mesh refuses counts as lost, as on a broken link; the next full report makes up for it.
 func (c *control) send(to pomelorelay.NodeID, m pomelorelay.Message) {
 	if err := c.e.mesh.Send(to, m); err != nil {
 		c.e.metrics.CountUnqueuedMessage()
--- a/pomeloentry/router.go
+++ b/pomeloentry/router.go
@@ -46,7 +46,7 @@
 	// stopAt is the Unix nanosecond at which a graceful stop ends the process; zero when none is in progress.
 	stopAt   atomic.Int64
 	inFlight atomic.Int64
-	// readDelay is how many nanoseconds must pass without an update before this router reads the store; zero for the primary reader.
+	// readDelay is the time in nanoseconds without an update after which this router reads the store; zero if it reads continuously.
 	// lastUpdateAt is the Unix nanosecond of the last update from another router.
 	readDelay    atomic.Int64
 	lastUpdateAt atomic.Int64
@@ -70,7 +70,8 @@
 	errs      chan error
 }
 
-// eventQueueLength is several times the usual number of concurrent requests of a router.
+// eventQueueLength is the capacity of the control goroutine's event queue: several times the usual number of concurrent requests of a
+// router.
 const eventQueueLength = 1024
 
 // New creates a router and starts its goroutines; Listen opens its ports. It fails with the mesh's result code when the mesh cannot be
--- a/pomeloentry/router_test.go
+++ b/pomeloentry/router_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// hasPeers reports whether a logged list of routers is not empty: the first one may be read before the others have registered.
+// hasPeers reports whether a logged list of routers is not empty. The first list may be read before the other routers have registered.
 func hasPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
 
 // Guards against a router that serves removed routes, refuses new ones or uses a leaving upstream while it is cut off from the store,
@@ -218,7 +218,7 @@
 	for range flood {
 		counts[<-got]++
 	}
-	// A router with a stalled processor closes new connections unread, and logs how late it was.
+	// A router with a stalled processor closes new connections unread, and logs how late its control goroutine was.
 	const maxLagMS = int64(100)
 	late := n.log.hasWith(pomelorelay.EventRouterFull, func(f pomelorelay.Field) bool {
 		ms, ok := f.Value.(int64)
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -9,21 +9,24 @@
 )
 
 const (
-	// stateRequestDelay is how long a router that lacks state waits for the store, which answers in 4 ms when healthy.
+	// stateRequestDelay is how long a router that lacks the configuration, the upstreams or the list of routers waits for the store
+	// before it requests them from another router. A healthy store answers in 4 ms.
 	stateRequestDelay = 300 * time.Millisecond
-	// stateRequestInterval is the time between two requests. An answer from another region takes 25 ms and holds the whole configuration.
+	// stateRequestInterval is the minimum time between two requests to other routers for missing configuration, upstreams or routers.
+	// An answer from another region takes 25 ms and holds the whole configuration.
 	stateRequestInterval = 500 * time.Millisecond
 )
 
-// stateRequests holds since when this router lacks state that peers may have, and when it last requested it.
+// stateRequests holds since when this router lacks the configuration, the upstreams or the list of routers, and when it last requested
+// them from another router.
 type stateRequests struct {
 	since       time.Time
 	requestedAt time.Time
-	// gapRequestedAt is when it last requested the full state because it had missed an update.
+	// gapRequestedAt is when this router last requested the full state because it had missed an update.
 	gapRequestedAt time.Time
 }
 
-// lacksState reports whether the store is silent and the router cannot serve or has no peers.
+// lacksState reports whether the store is silent and this router lacks the configuration, the upstreams or any peers.
 func (c *control) lacksState(now time.Time) bool {
 	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return false
@@ -31,9 +34,9 @@
 	return c.config == nil || !c.e.cursor.hasRead() || len(c.peers.byNode) == 0
 }
 
-// requestMissingState requests the missing state from a peer, or from the seeds while no peer is known. Otherwise a router started
-// in a store outage would refuse every request while its neighbours serve, and one cut off before it read the list of routers would
-// keep serving removed routes and keys.
+// requestMissingState requests the configuration, the upstreams and the list of routers from a peer, or from the seeds while no peer
+// is known. Otherwise a router started in a store outage would refuse every request while its neighbours serve, and one cut off before
+// it read the list of routers would keep serving removed routes and keys.
 func (c *control) requestMissingState(now time.Time) {
 	if !c.lacksState(now) {
 		c.stateRequests.since, c.stateRequests.requestedAt = time.Time{}, time.Time{}
@@ -47,7 +50,7 @@
 	}
 	c.stateRequests.requestedAt = now
 	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.hasRead()}
-	// Map iteration order varies the peer, because any one may lack the same state.
+	// Map iteration order varies which peer is asked, because any single peer may lack the same state.
 	for node := range c.peers.byNode {
 		c.send(node, m)
 		return
@@ -62,7 +65,8 @@
 	}
 }
 
-// requestFullState requests the full state from the sender of an update that follows a missed one.
+// requestFullState requests the full state (upstreams, evacuations and list of routers) from the sender of an update, because an
+// earlier update is missing.
 func (c *control) requestFullState(now time.Time, from pomelorelay.NodeID) {
 	if now.Sub(c.stateRequests.gapRequestedAt) < stateRequestInterval {
 		return
@@ -71,7 +75,8 @@
 	c.send(from, &pomelorelay.StateAsk{Above: c.version(), Upstreams: true})
 }
 
-// sendState answers a state request, even without any state, so that both routers learn each other's address.
+// sendState answers another router's request for the configuration, the upstreams and the list of routers. It answers even without a
+// configuration and upstreams, so that both routers learn each other's address.
 func (c *control) sendState(to pomelorelay.NodeID, ask *pomelorelay.StateAsk) {
 	m := &pomelorelay.FleetState{Peers: append(c.peers.registered(), c.e.cfg.Settings.Self)}
 	if c.config != nil && c.config.Version > ask.Above {
@@ -91,7 +96,7 @@
 	}
 }
 
-// applyPeerState applies the state of a peer where it is newer than this router's.
+// applyPeerState applies the configuration, the upstreams and the list of routers from a peer where they are newer than this router's.
 func (c *control) applyPeerState(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetState) {
 	if len(m.Document) > 0 {
 		c.applyPushedConfig(now, from, &pomelorelay.ConfigPush{Root: m.Document})
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -16,19 +16,20 @@
 // one: the relay of the first domain reads continuously, each later router only after a longer time without updates.
 
 const (
-	// readIntervalFraction is the minimum time between two reads, as a fraction of the drain wait (the time after which a leaving upstream
-	// must get no requests). Upstreams write all the time, so a watch without it would return continuously.
+	// readIntervalFraction is the minimum time between two reads, as a fraction of the drain wait (the time after which a leaving
+	// upstream must get no requests). Upstreams write all the time, so without a minimum a watch would return continuously.
 	readIntervalFraction = 0.2
 	// watchWaitFraction is how long a read waits for a change, as a fraction of the drain wait.
 	watchWaitFraction = 0.2
-	// takeoverFraction is the time without updates after which the second router in order reads, as a fraction of the drain wait;
-	// takeoverStepFraction is added for each further one. A live reader is silent for at most its read interval plus its watch wait.
+	// takeoverFraction is the time without updates after which the second router in the read order reads the store, as a fraction of
+	// the drain wait; takeoverStepFraction is added for each later router. A working reader is silent for at most its read interval
+	// plus its watch wait.
 	takeoverFraction     = 0.5
 	takeoverStepFraction = 0.03
 	// takeoverPollInterval is how often a router checks whether it must read.
 	takeoverPollInterval = 200 * time.Millisecond
-	// startupDelayWork is the base startup delay of a router with the CPU speed of one core; the delay is inversely proportional to the
-	// CPU speed. The fastest routers thus read first and spare the others the calls.
+	// startupDelayWork is the base startup delay of a router with the CPU speed of one core; the delay is inversely proportional to
+	// the CPU speed. The fastest routers thus read the store first, and the others get the changes from them without a store call.
 	startupDelayWork = 250 * time.Millisecond
 	// maxStartupDelay bounds the startup delay.
 	maxStartupDelay = 3 * time.Second
@@ -46,10 +47,11 @@
 	return c.at
 }
 
-// hasRead reports whether the router has the complete state of some revision.
+// hasRead reports whether the router has the complete state of some store revision, read or received from a peer.
 func (c *cursor) hasRead() bool { return c.get() > 0 }
 
-// advance moves the cursor over a change between two revisions. It returns false when the change is old or an earlier one is missing.
+// advance moves the cursor over a change between two revisions. It returns false when the change is old, or when an earlier change is
+// missing.
 func (c *cursor) advance(after, at pomelorelay.Revision, complete bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +160,7 @@
 func (r *storeRead) apply(c *control, now time.Time) {
 	defer close(r.done)
 	if !c.e.cursor.advance(r.after, r.change.Revision, r.change.Full) {
-		// Another router's update arrived first; the next read starts after that.
+		// Another router's update arrived first; the next read starts after that update.
 		return
 	}
 	if !r.stale {
@@ -167,11 +169,13 @@
 	c.applyChange(now, &r.change, r.recovered, "store")
 }
 
-// updateFrom returns the parts of a change that the other routers lack; heartbeats that change nothing are left out.
+// updateFrom returns the parts of a change that the other routers lack; heartbeats of upstreams and routers that change nothing are
+// left out.
 func (c *control) updateFrom(r *storeRead) *pomelorelay.FleetUpdate {
 	m := &pomelorelay.FleetUpdate{After: r.after, Revision: r.change.Revision, Full: r.change.Full, RemovedUpstreams: r.change.RemovedUpstreams, RemovedPeers: r.change.RemovedPeers, Evacuated: r.change.Evacuated, RestoredDomains: r.change.RestoredDomains}
 	if r.change.Config != nil {
-		// The others advance to this revision. If this router died next, none of them would read the configuration again.
+		// The other routers advance their cursors to this revision. If they got no configuration and this router failed next, none of
+		// them would read that configuration again.
 		m.Document = r.change.Config.Document
 	}
 	for _, u := range r.change.Upstreams {
@@ -225,7 +229,8 @@
 	}
 }
 
-// receiveUpdate applies an update from the reader. If an earlier update is missing, the router requests the full state.
+// receiveUpdate applies an update from the router that reads the store. If an earlier update is missing, this router requests the full
+// state.
 func (c *control) receiveUpdate(now time.Time, from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
 	applied := c.e.cursor.advance(m.After, m.Revision, m.Full)
 	missed := !applied && c.e.cursor.isBehind(m.Revision)
@@ -264,7 +269,7 @@
 }
 
 // updateReadDelay computes the time without updates after which this router reads the store. It is zero for the relay of the first
-// failure domain and grows with the position: first the other relays in order, then all other routers in the order of a hash.
+// failure domain and grows with the position in the read order: first the other relays, then all other routers by a hash.
 func (c *control) updateReadDelay(now time.Time) {
 	self := c.e.cfg.Settings.Self
 	rank, position := 0, -1
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloentry"
 )
 
-// Guards against routers that read the store during a normal pause of the reader, and against a takeover so late that a leaving
-// upstream still gets requests after its drain wait.
+// Guards against routers that read the store during a normal pause of the router that reads it continuously, and against a takeover so
+// late that a leaving upstream still gets requests after its drain wait.
 func TestTakeoverWaitsForReadersLongestPause(t *testing.T) {
 	for _, drain := range []time.Duration{2500 * time.Millisecond, 4 * time.Second} {
 		second, pause := pomeloentry.ReadDelayOf(drain, 1), pomeloentry.LongestReadPause(drain)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against a router that keeps using upstreams that left in an update it missed.
+// Guards against a router that keeps using upstreams because it missed the update in which they left.
 func TestMissedUpdateIsRecoveredFromPeerState(t *testing.T) {
 	now := time.Now()
 	up := func(ids ...pomelorelay.UpstreamID) []pomelorelay.FleetUpstream {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Guards against a configuration that is lost to all other routers if the reader dies, because they continue from the revision of its
-// last update.
+// Guards against an update that moves the other routers past the revision of a configuration without applying it: if the router that
+// read the store then fails, none of them reads that configuration again.
 func TestUpdateAppliesConfiguration(t *testing.T) {
 	fleet := newFleet(t)
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
@@ -144,7 +144,7 @@
 	}
 	after := f.store.Calls()
 	// The reader makes a call every 0.2 s, a fifth of the drain wait of 1 s, and reads the complete state once. The bound allows for a
-	// moment with two readers.
+	// moment in which two routers read.
 	allowed := 2*int(time.Since(began)/(200*time.Millisecond)) + 4
 	if calls := after.Watches + after.Reads - before.Watches - before.Reads; calls > allowed {
 		t.Errorf("%d routers made %d calls in %v, want at most %d: %+v, before %+v", routers, calls, time.Since(began), allowed, after, before)
--- a/pomeloentry/storetask.go
+++ b/pomeloentry/storetask.go
@@ -13,12 +13,14 @@
 	// router should have its answer well within the time in which a configuration must be in force.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// maxPassiveRetryPause bounds the pause of tasks that wait for this router's reader to reach the store again.
+	// maxPassiveRetryPause bounds all pauses. Tasks that do not probe an unreachable store may pause this long, because they are woken
+	// when another task of this router reaches the store.
 	maxPassiveRetryPause = 5 * time.Second
 )
 
 // maxPauseOf returns the longest pause of a task between retries. Only the reader probes an unreachable store; its success wakes the
-// other tasks. The bound grows with the router's read delay, because failing calls of a large fleet would use up the store's rate.
+// other tasks. The bound grows with the router's read delay, because failing calls of a large fleet would use up the store's rate
+// limit.
 func (e *Router) maxPauseOf(t *storeTask) time.Duration {
 	if !t.probesStore {
 		return maxPassiveRetryPause
@@ -26,7 +28,7 @@
 	return min(maxRetryPause+time.Duration(e.readDelay.Load())/readDelayDivisor, maxPassiveRetryPause)
 }
 
-// readDelayDivisor divides the read delay; the quotient extends the longest retry pause.
+// readDelayDivisor divides the router's read delay; the quotient is added to the longest retry pause.
 const readDelayDivisor = 4
 
 // storeTask is a repeated call to the store.
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -9,15 +9,18 @@
 const (
 	// defaultDrainWait is the drain wait when the settings name none: the time after which a leaving upstream must get no requests.
 	defaultDrainWait = 2500 * time.Millisecond
-	// reregisterGrace is how long after a store outage a lapsed entry is kept; live upstreams register again within 2 s.
+	// reregisterGrace is how long after a store outage an upstream without an entry in the store is kept; live upstreams register
+	// again within 2 s.
 	reregisterGrace = 2300 * time.Millisecond
-	// massLapseGrace is how long entries are kept when many lapse at once, as after a store outage that this router did not notice.
-	// Together with the read interval it is shorter than the drain wait, after which an upstream that really left must get no requests.
+	// massLapseGrace is how long upstreams are kept when many entries lapse at once, as after a store outage that this router did not
+	// notice. Together with the read interval it is shorter than the drain wait, after which an upstream that really left must get no
+	// requests.
 	massLapseGrace = 1500 * time.Millisecond
-	// massLapseFraction is the fraction of upstreams that must lapse within massLapseGrace to count as a mass lapse.
+	// massLapseFraction is the fraction of upstreams whose entries must lapse within massLapseGrace to count as a mass lapse.
 	massLapseFraction = 0.34
-	// storeSilenceFraction is the time without an answer from the store, as a fraction of the drain wait, after which a router relies on
-	// its peers and expects lapsed entries. Upstreams write every 1.2 s, so each read interval normally brings some changes.
+	// storeSilenceFraction is the time without an answer from the store, as a fraction of the drain wait, after which a router accepts
+	// its peers' information on upstreams and expects lapsed entries. Upstreams write every 1.2 s, so each read interval normally
+	// brings some changes.
 	storeSilenceFraction = 0.8
 	// leavingReportTime is how long load reports name a leaving upstream.
 	leavingReportTime = 3 * time.Second
@@ -35,7 +38,7 @@
 // upstreams holds the registered upstreams known to this router.
 type upstreams struct {
 	present map[pomelorelay.UpstreamID]pomelorelay.FleetUpstream
-	// lapsed holds the time at which an upstream with a missing entry is to be removed.
+	// lapsed holds the time at which each upstream whose entry is missing from the store will be removed.
 	lapsed map[pomelorelay.UpstreamID]time.Time
 	// leaving holds the time at which this router learnt that an upstream drains or has gone.
 	leaving      map[pomelorelay.UpstreamID]time.Time
@@ -170,8 +173,8 @@
 	c.e.log(pomelorelay.EventUpstreamGone, field("Upstream", id))
 }
 
-// applyLeaving marks the upstreams that a peer reports as leaving. It serves a router cut off from the store, which would otherwise
-// send them new requests; a router with access to the store has newer entries than its peers' reports.
+// applyLeaving marks the upstreams that a peer reports as leaving. Without it, a router cut off from the store would send them new
+// requests. A router with access to the store ignores such reports, because its entries are newer.
 func (c *control) applyLeaving(now time.Time, from pomelorelay.NodeID, ids []pomelorelay.UpstreamID) {
 	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -28,9 +28,10 @@
 	deadline time.Time
 	// answerStarted is set once the head of an answer was written to the caller.
 	answerStarted bool
-	// mayHaveRun is set during an attempt and after one whose request may have run.
+	// mayHaveRun is set during an attempt, and stays set after an attempt that the upstream may have run.
 	mayHaveRun bool
-	// runs, refused and unreached count the attempts by outcome; runs are those that may have run.
+	// runs counts the failed attempts that an upstream may have run, refused those that an upstream refused without running, and unreached those
+	// that reached no upstream.
 	runs, refused, unreached int
 	avoid                    []pomelorelay.UpstreamID
 	// lastEvent is the number of the last stream event that the caller has received.
@@ -82,7 +83,7 @@
 	return pomelorelay.NewError(pomelorelay.CodeUnauthorised, "", nil)
 }
 
-// defaultTimeout bounds a request for which neither the caller nor the route sets a shorter timeout.
+// defaultTimeout bounds the time of a request for which neither the caller nor the route sets a shorter timeout.
 const defaultTimeout = time.Minute
 
 func (c *call) setDeadline() {
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -22,7 +22,7 @@
 	// CallerGone reports whether a request's caller has disconnected, for servers that can detect this before the request's context
 	// ends; nil otherwise.
 	CallerGone func(*http.Request) bool
-	// RetryRatio and RetrySlack bound the fleet's retries for a service: to a ratio of its requests, plus a constant number.
+	// RetryRatio and RetrySlack bound the fleet's retries for a service: to this ratio of its requests, plus a constant number of retries.
 	RetryRatio float64
 	RetrySlack float64
 }
@@ -86,14 +86,14 @@
 	idleTimeout = 10 * time.Second
 	// maxIdleConns bounds the idle connections to one upstream: the requests that an engine runs from one router in a burst.
 	maxIdleConns = 64
-	// maxAnswerHeaderBytes bounds the head of an answer.
+	// maxAnswerHeaderBytes bounds the status line and header of an answer.
 	maxAnswerHeaderBytes = 64 << 10
-	// maxUnreached bounds the unreachable upstreams that are tried for one request. With a quarter of all upstreams down, one request in 64
-	// finds three of them in a row, so a bound of three would be too low.
+	// maxUnreached bounds the number of unreachable upstreams that are tried for one request. With a quarter of all upstreams down, one request
+	// in 64 finds three of them in a row, so a bound of three would be too low.
 	maxUnreached = 6
-	// maxRefused bounds the upstreams that may refuse one request without running it.
+	// maxRefused bounds the number of upstreams that may refuse one request without running it before it fails.
 	maxRefused = 2
-	// maxBufferedAnswer is the size up to which a plain answer is buffered completely.
+	// maxBufferedAnswer is the size in bytes up to which a plain answer is buffered completely.
 	maxBufferedAnswer = 64 << 10
 	// writeGrace is how long after a request's deadline its caller may still read the answer.
 	writeGrace = 2 * time.Second
--- a/pomeloforward/ending.go
+++ b/pomeloforward/ending.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// refuse answers with an error. Statuses meaning that a request never ran are used only for such requests.
+// refuse answers with an error. Statuses that mean that a request never ran are used only for such requests.
 func (c *call) refuse(err error) {
 	var e *pomelorelay.Error
 	if !errors.As(err, &e) {
@@ -107,7 +107,8 @@
 	return given
 }
 
-// retryAfter returns fractional seconds; rounded up to whole ones, every caller would retry up to a second late.
+// retryAfter returns the Retry-After value in fractional seconds; if it were rounded up to whole seconds, every caller would retry up to a
+// second late.
 func retryAfter(e *pomelorelay.Error) string {
 	wait := e.RetryAfter
 	if wait <= 0 {
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against retrying a booking whose connection broke before any answer, which might be charged twice, and against a status that
-// states that it did not run, which would make the caller repeat it.
+// Guards against retrying a booking whose connection broke before any answer, which might charge the customer twice. Guards also against a
+// status that states that the booking did not run, which would make the caller repeat it.
 func TestBookingThatMayHaveRunIsNotRetried(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	h := newHarness(t, u.entry("u1"), u.entry("u2"))
@@ -109,8 +109,8 @@
 	}
 }
 
-// Guards against failing a request that did not run: a full upstream says so with 503, and another upstream at a reused address with
-// 421. Both are safe to retry elsewhere, even when the request may run only once.
+// Guards against failing a request that did not run: a full upstream says so with 503, another upstream that now has the address of the selected
+// one with 421. Both are safe to retry elsewhere, even when the request may run only once.
 func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, status := range []int{503, 421} {
 		full := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -261,8 +261,8 @@
 	}
 }
 
-// Guards against a caller waiting past its deadline on an upstream that accepts a request and sends nothing, and against an answer
-// that states that the request did not run.
+// Guards against a caller waiting past its deadline on an upstream that accepts a request and sends nothing. Guards also against an answer that
+// states that the request did not run.
 func TestSilentUpstreamFailsAtDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -273,7 +273,7 @@
 	}
 }
 
-// Guards against a stream or a request accepted too late before the process ends, which would be cut.
+// Guards against a stopping router that accepts a stream or another request too late to finish it before the process ends.
 func TestStoppingRouterAcceptsOnlyRequestsItCanFinish(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
 	h := newHarness(t, u.entry("u"), u.entry("u"))
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -93,20 +93,21 @@
 	c.refuse(pomelorelay.NewError(pomelorelay.CodeInternal, "", nil))
 }
 
-// retryBudgetFraction is the fraction of the fleet's retry limit that routers use: each counts its own requests, and callers are spread
-// unevenly over the routers.
+// retryBudgetFraction is the fraction of the fleet's retry limit that the routers use together. Each router counts only its own requests, and
+// callers are spread unevenly over the routers, so with the full limit the fleet could exceed it.
 const retryBudgetFraction = 0.6
 
-// minRouters is the minimum number of routers among which the retry slack is divided.
-const minRouters = 8
+// assumedRouters is the number of routers among which RetrySlack, the fleet's retries beyond RetryRatio, is divided.
+const assumedRouters = 8
 
-// retryBudget returns the retry budget of a service. The fleet's slack is divided evenly; the ratio applies to each router's requests.
+// retryBudget returns the retry budget of a service. Each router gets an equal part of the fleet's RetrySlack; RetryRatio applies to each
+// router's own requests.
 func (h *Handler) retryBudget(service pomelorelay.ServiceID) *pomelobudget.RetryBudget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b, ok := h.budgets[service]
 	if !ok {
-		slack := retryBudgetFraction * h.cfg.RetrySlack / minRouters
+		slack := retryBudgetFraction * h.cfg.RetrySlack / assumedRouters
 		b = pomelobudget.New(pomelobudget.Config{Initial: slack, Max: slack})
 		h.budgets[service] = b
 	}
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -7,29 +7,29 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Each admission limit protects against another kind of overload. BoundRecompute applies to a flood of sessions whose engines are busy: their
-// shared parts would be prefilled again by engines that others need. BoundSlots applies to more long answers than engines can run, BoundQueue
-// to more prompts than they can prefill, and BoundTime to any request that would begin too late. In-share requests may use all slots and most
-// of the queue; over-share requests may use what remains, and an account whose usage is ahead of a short one gets less the further it is ahead.
+// BoundRecompute protects against a flood of sessions whose engines are busy: other engines would prefill the sessions' shared prefixes again.
+// BoundSlots protects against more long answers than engines can run, BoundQueue against more prompts than they can prefill, BoundTime against
+// late answers. Requests within their account's share (in-share) may use all slots and most of the queue, those beyond it (over-share) the
+// remainder. The further an account is ahead of one that is short of its demand, the less it gets.
 
 const (
-	// These fractions of the shortest target limit the queue delay of requests within their account's share, of those beyond it, and of those
-	// of accounts ahead of one that is short. For the last, the queue and the slots shrink with the square of the lead, down to a factor of
-	// minAheadFraction: callers consider it unfair when an account gets twice as much as another that is short.
+	// These fractions of the shortest latency target limit the queue delay of in-share requests, of over-share requests, and of over-share
+	// requests whose account is ahead of one that is short of its demand. The last limit and the slots shrink with the square of the lead, down
+	// to a factor of minAheadFraction: callers consider it unfair when an account gets twice as much as another that is short.
 	inShareQueueFraction   = 0.45
 	overShareQueueFraction = 0.2
 	aheadQueueFraction     = 0.15
 	minAheadFraction       = 0.4
-	// onTimeFraction is the fraction of the target within which the answer must be expected; the rest absorbs requests of other routers that
-	// are not reported yet.
+	// onTimeFraction is the fraction of the latency target within which the answer must be expected to begin; the remainder absorbs requests of
+	// other routers that are not reported yet.
 	onTimeFraction = 0.85
-	// slotReserveFactor times the square root of an engine's slots is reserved for in-share requests. The number of unreported requests of
-	// other routers varies by about that root, and without the reserve they would find engines full of over-share requests.
-	// maxReserveFraction limits the reserve, which would take nearly all slots of a small engine.
+	// An engine with n slots reserves slotReserveFactor times the square root of n for in-share requests, but at most maxReserveFraction of
+	// them, since a small engine would reserve nearly all. The number of unreported requests of other routers varies by about that root; without
+	// the reserve, in-share requests would find engines full of over-share requests.
 	slotReserveFactor  = 3.0
 	maxReserveFraction = 0.4
-	// yieldedSlotFraction times an account's lead is the fraction of slots left to an account far below its share, up to
-	// maxYieldedSlotFraction.
+	// yieldedSlotFraction times the lead is the fraction of an engine's slots that an account leaves free while it is ahead of one far short of
+	// its demand; maxYieldedSlotFraction limits that fraction.
 	yieldedSlotFraction    = 0.1
 	maxYieldedSlotFraction = 0.35
 	// maxRecomputeTokens limits the shared tokens that an over-share request may prefill although a busier engine has them cached; it is about
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -32,11 +32,11 @@
 	MaxWait time.Duration
 	// WithinShare reports whether the request is within its account's fair share.
 	WithinShare bool
-	// LeadOverLevel is the account's usage divided by the most that it may have while another account is below its share. Above 1, the
-	// account's over-share requests get a shorter queue and fewer slots.
+	// LeadOverLevel is the account's usage divided by the maximum that an account beyond its fair share is allowed while another account is
+	// short of its demand; zero while none is. Above 1, the account's over-share requests get a shorter queue and fewer slots.
 	LeadOverLevel float64
-	// LeadOverLeastServed is the account's usage divided by the most that it may have while another account is far below its share. Above 1,
-	// all of the account's requests get fewer slots.
+	// LeadOverLeastServed is the account's usage divided by the maximum that any account is allowed while another one is far short of its
+	// demand; zero while none is. Above 1, all of the account's requests get fewer slots.
 	LeadOverLeastServed float64
 	// Residency restricts the regions in which the request may be served.
 	Residency pomelorelay.Residency
@@ -59,7 +59,7 @@
 	ReasonNoUpstreamInRegion Reason = "Region"
 	// ReasonEvacuated means that every upstream of the service is in a failure domain under evacuation.
 	ReasonEvacuated Reason = "Evacuated"
-	// ReasonCold means that every upstream of the service is cold and its rate limit is used up.
+	// ReasonCold means that only cold upstreams are available, and this router may not send to them yet.
 	ReasonCold Reason = "Cold"
 	// ReasonTooLate means that the answer could not begin within the target.
 	ReasonTooLate Reason = "Late"
@@ -80,17 +80,18 @@
 	BoundTime Bound = "Time"
 	// BoundSlots limits the requests running at an engine.
 	BoundSlots Bound = "Slots"
-	// BoundRecompute limits the prefill of shared prompt parts that a busier engine holds in its cache.
+	// BoundRecompute limits the shared prompt tokens that a request beyond its account's share may prefill although another engine has them
+	// cached.
 	BoundRecompute Bound = "Again"
 )
 
 // Decision is the result of placing a request: the selected upstream, or the reason for refusal and when to retry.
 type Decision struct {
 	Reason Reason
-	// Cause is the reason why no upstream in the allowed regions accepts the request; empty for other reasons of refusal.
+	// Cause explains ReasonNoUpstreamInRegion: why the upstreams in the allowed regions accept no request. It is empty for any other Reason.
 	Cause Reason
 	Bound Bound
-	// Residency is the residency in force when the decision was made.
+	// Residency is the set of regions in which the request was allowed to run at the time of the decision.
 	Residency pomelorelay.Residency
 	// LargestCostTerm is the largest term of the placement cost.
 	LargestCostTerm Term
@@ -100,11 +101,11 @@
 	Run        *Run
 	// ExpectedLatency is the estimated time until the answer begins.
 	ExpectedLatency time.Duration
-	// QueueDelay is the part of that time spent waiting for earlier requests.
+	// QueueDelay is the part of ExpectedLatency spent waiting for earlier requests.
 	QueueDelay time.Duration
-	// PrefillTokens is the prefill work of the request at the upstream, in tokens of a short prompt.
+	// PrefillTokens is the prefill work of the request at the upstream, as the number of tokens of a short prompt that take as long.
 	PrefillTokens pomelorelay.Tokens
-	// UncachedShared is the number of uncached tokens in prompt parts that other requests share.
+	// UncachedShared is the number of tokens in shared prompt parts that the upstream does not have cached.
 	UncachedShared pomelorelay.Tokens
 	// CopyFrom is the upstream from which part of the prompt's KV cache is copied; its ID is empty when nothing is copied.
 	CopyFrom pomelorelay.FleetUpstream
@@ -123,8 +124,8 @@
 // ShareState is an account's usage of the shared capacity at the time of a decision.
 type ShareState struct {
 	Cost pomelorelay.Cost
-	// Requested and Served are the account's totals in the current window. FairShare is the level up to which accounts are served; it is
-	// zero when the capacity is unknown or covers all requests, and no account is short.
+	// Requested and Served are the account's costs in the sliding window. FairShare is the cost per window up to which each account is served.
+	// It is zero when no account is limited: the capacity is unknown or covers all requests, and no account is short of its demand.
 	Requested, Served, FairShare pomelorelay.Cost
 	WithinShare                  bool
 }
@@ -138,7 +139,8 @@
 	copiedTokens pomelorelay.Tokens
 	// queuedTokens is the estimated number of prompt tokens queued at the engine before this request.
 	queuedTokens float64
-	// waitedForSlot reports that no slot was free; the time to first token of such a run is not a sample of the prefill speed.
+	// waitedForSlot reports whether no slot was free when the request was sent; the time to first token of such a run is not a sample of the
+	// prefill speed.
 	waitedForSlot bool
 	memoryTokens  pomelorelay.Tokens
 	started       bool
@@ -172,9 +174,10 @@
 }
 
 const (
-	// initialPrefillRate is the initial estimate of an engine's prefill rate when no token capacity is configured.
+	// initialPrefillRate is the initial estimate of an engine's prefill rate, in tokens per millisecond, when no token capacity is configured.
 	initialPrefillRate pomelospeed.PrefillRate = 100
-	// prefillRateFactor converts an engine's average output rate to its prefill rate: about half of its time goes to decoding.
+	// prefillRateFactor converts an engine's configured average throughput to its prefill rate: an engine spends about half of its time on
+	// decoding.
 	prefillRateFactor = 2
 	// initialServiceTime is the initial estimate of a plain service's time per request.
 	initialServiceTime = 40 * time.Millisecond
@@ -184,8 +187,8 @@
 	noRegionRetryAfter = 30 * time.Second
 	// evacuatedRetryAfter is the Retry-After while all upstreams are under evacuation, which takes at least several seconds.
 	evacuatedRetryAfter = 2 * time.Second
-	// hungConnectAfter is the connect time from which a failure is attributed to the network rather than to the upstream, unless other
-	// upstreams answered in the meantime.
+	// hungConnectAfter is the duration from which a failed connection attempt counts as hung. A hung attempt is attributed to the network rather
+	// than to the upstream, unless other upstreams answered in the meantime.
 	hungConnectAfter = 100 * time.Millisecond
 	// failureAlpha is the weight of a new result in the moving failure rate.
 	failureAlpha = 0.25
@@ -196,8 +199,8 @@
 	// every router, and requests that try several of them in a row are refused.
 	unreachableBackoff    = 700 * time.Millisecond
 	maxUnreachableBackoff = 2800 * time.Millisecond
-	// minPendingFraction is the fraction of pending prompt tokens that counts as queued even if they should have been processed by now at
-	// the estimated rate.
+	// minPendingFraction is the lower bound of the queue estimate, as a fraction of the prompt tokens of requests without an answer. The
+	// estimated prefill rate may be too high: at that rate, these tokens may already count as processed.
 	minPendingFraction = 0.3
 	// maxMemoryFraction is the fraction of KV cache memory that running requests may fill; above it, the engine evicts running requests.
 	maxMemoryFraction = 0.9
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// An engine copies the KV cache of shared parts that another engine has cached and it lacks. Idle engines can then serve requests of busy
-// sessions without another prefill, and a burst of requests to one session's engine spreads over the others.
+// An engine can copy the KV cache of a shared prompt prefix from another engine instead of prefilling it. Idle engines can then serve requests
+// of busy sessions, and a burst of requests to one session's engine spreads over the others.
 
 // minCopyTokens is the minimum number of tokens for which a copy is worth its own latency.
 const minCopyTokens = 256
@@ -35,7 +35,7 @@
 }
 
 // planCopy decides whether the candidate copies uncached parts from the source, and returns the estimated copy time. Nothing is copied when
-// that takes as long as prefilling.
+// copying takes as long as prefilling.
 func (p *Placer) planCopy(c *candidate, from copySource, uncached pomelorelay.Tokens) time.Duration {
 	tokens := uncached - from.uncached
 	if p.cfg.Disabled.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
--- a/pomeloplace/domain.go
+++ b/pomeloplace/domain.go
@@ -31,7 +31,7 @@
 	return &domainState{hung: make(map[pomelorelay.UpstreamID]bool)}
 }
 
-// unreachable reports whether the domain counts as unreachable, including the time after a backoff.
+// unreachable reports whether the domain counts as unreachable. It still does after a backoff, until one of its upstreams answers.
 func (d *domainState) unreachable() bool { return len(d.hung) >= minHungUpstreams }
 
 // inBackoff reports whether the domain is in backoff.
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -17,27 +17,28 @@
 // to a few engines that streams avoid.
 
 const (
-	// longCapacityFactor scales the capacity assigned to long prompts relative to their work; short answers use the rest of it.
+	// longCapacityFactor is the ratio of the prefill capacity assigned to long prompts to their measured prefill work; requests with short
+	// answers use what remains of that capacity.
 	longCapacityFactor = 1.0
 	// maxLongFraction limits the fraction of a service's engines assigned to long prompts.
 	maxLongFraction = 0.25
-	// streamOnLongEngineCost and shortOnLongEngineCost are the costs in engine time of other requests on an engine assigned to long prompts:
-	// a stream of many events usually pauses too long there, an answer of a few events sometimes.
+	// streamOnLongEngineCost and shortOnLongEngineCost are the costs, in engine time, of sending other requests to an engine assigned to long
+	// prompts: a stream of many events usually pauses too long there, an answer of a few events sometimes.
 	streamOnLongEngineCost = 400 * time.Millisecond
 	shortOnLongEngineCost  = 25 * time.Millisecond
 	// minStreamEvents is the number of events from which an answer counts as a stream.
 	minStreamEvents = 8
-	// longEngineHold is how long an engine stays assigned to long prompts that fewer engines could serve. Each change moves cached prompts
-	// to other engines, where their shared parts are prefilled again.
+	// longEngineHold is how long the number of engines assigned to long prompts is kept when fewer would suffice. Each change moves cached
+	// prompts to other engines, where their shared parts are prefilled again.
 	longEngineHold = 15 * time.Second
-	// workHalfLife is the half-life of the measured work rate.
+	// workHalfLife is the half-life of the measured rate of prefill work.
 	workHalfLife = 3 * time.Second
 	// attentionCost is the cost of attention between two tokens, relative to the prefill of one token. It determines the length from which
 	// the quadratic part of the prefill matters.
 	attentionCost = 1.86e-5
 )
 
-// prefillWork returns the work to prefill the uncached part of a prompt, in tokens of a short prompt.
+// prefillWork returns the work to prefill the uncached part of a prompt, as the number of tokens of a short prompt that take as long.
 func prefillWork(uncached, prompt pomelorelay.Tokens) pomelorelay.Tokens {
 	m, all := float64(uncached), float64(max(uncached, prompt))
 	return uncached + pomelorelay.Tokens(attentionCost*(m*all-m*m/2))
@@ -45,7 +46,8 @@
 
 // workRate measures the rate of prefill work and the fraction of it that comes from long prompts.
 type workRate struct {
-	total, own, long float64 // tokens per second
+	// total is the rate of all routers' requests, own that of this router's, and long that of its long prompts, in tokens per second.
+	total, own, long float64
 	updatedAt        time.Time
 }
 
@@ -95,9 +97,10 @@
 	pauseRatio *pomelospeed.DecayingRatio
 	// copyRatio is the time to copy cached parts from another engine, as a fraction of the time to prefill them.
 	copyRatio *pomelospeed.DecayingRatio
-	// pauseWeight and copyFraction are the estimates in use, as of the last placement.
+	// pauseWeight and copyFraction are the values derived from pauseRatio and copyRatio when refreshEstimates was last called.
 	pauseWeight, copyFraction float64
-	// byLongRank is sorted by a hash that is the same on every router; the first engines are assigned to long prompts.
+	// byLongRank holds the same upstreams, sorted by a hash that is equal on every router, so that all routers assign the same first engines to
+	// long prompts.
 	byLongRank []*upstream
 	work       workRate
 	// longEngines is the number of engines assigned to long prompts; longEnginesNeededAt is when that many were last needed.
@@ -114,7 +117,8 @@
 	return &pool{speed: pomelospeed.NewFirstTokenModel(initialPrefillRate), pauseRatio: pomelospeed.NewPauseRatio(), copyRatio: pomelospeed.NewCopyTimeRatio()}
 }
 
-// refreshEstimates updates the estimates in use, once for all candidates of a request.
+// refreshEstimates updates pauseWeight and copyFraction. Placement calls it once per request, so that all candidates are compared by the same
+// values.
 func (s *pool) refreshEstimates(now time.Time) {
 	s.pauseWeight = pomelospeed.PauseWeight(s.pauseRatio.Value(now))
 	s.copyFraction = max(0, s.copyRatio.Value(now))
@@ -189,7 +193,7 @@
 	}
 }
 
-// longEngineCost returns the cost of sending other requests to an engine assigned to long prompts.
+// longEngineCost returns the cost of sending a request to an engine assigned to long prompts; zero if the request's own prompt is long.
 func longEngineCost(u *upstream, r *Request, work pomelorelay.Tokens) time.Duration {
 	if !u.servesLong || u.pool.isLong(work) {
 		return 0
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -34,7 +34,7 @@
 	SlotReserve bool
 	// OverShareQueue disables the shorter queue limit for requests beyond their account's share.
 	OverShareQueue bool
-	// AheadLimits disables the stricter limits for accounts with high usage while another account is below its share.
+	// AheadLimits disables the stricter limits for accounts with high usage while another account is short of its demand.
 	AheadLimits bool
 	// SharedTarget disables the use of the shortest target of a service's routes as the base of its queue limit.
 	SharedTarget bool
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -23,13 +23,13 @@
 	engineCount int
 	peers       map[pomelorelay.NodeID]*peer
 	domains     map[pomelorelay.DomainID]*domainState
-	// warmup tracks cold upstreams; pendingStarts holds upstream starts for the next load report.
+	// warmup tracks cold upstreams; pendingStarts holds the upstream starts to include in the next load report.
 	warmup        *pomelowarmup.Gate
 	pendingStarts []pomelorelay.UpstreamStart
 	// lastAnswerAt is when any upstream last answered this router.
 	lastAnswerAt time.Time
 	pendingParts []pomelorelay.PromptPartPlaced
-	// oldestReportAt is the time of the oldest of the other routers' latest reports; zero when there is none.
+	// oldestReportAt is when the last load report of the longest silent router arrived; zero when no router has reported.
 	oldestReportAt time.Time
 	// tokensSinceReport is the number of prompt tokens sent since the last report.
 	tokensSinceReport pomelorelay.Tokens
@@ -251,7 +251,7 @@
 	return cold
 }
 
-// SetEvacuated starts or ends the evacuation of a failure domain. After an evacuation, its upstreams may be cold.
+// SetEvacuated starts or ends the evacuation of a failure domain. When it ends, the domain's upstreams may be cold.
 func (p *Placer) SetEvacuated(now time.Time, domain pomelorelay.DomainID, evacuated bool) {
 	p.ensureDomain(domain).evacuated = evacuated
 	if evacuated {
@@ -291,8 +291,8 @@
 	return best, outcome, found
 }
 
-// bestCandidate returns the candidate with the lowest cost among the upstreams of a class. Upstreams in backoff and those that failed this
-// request are considered only if there is no other.
+// bestCandidate returns the candidate with the lowest cost among the upstreams of an admission class. Upstreams in backoff and those that failed
+// this request are considered only if there is no other.
 func (p *Placer) bestCandidate(now time.Time, r *Request, class pomelowarmup.Admission) (candidate, bool) {
 	var best candidate
 	s := p.pools[r.Service]
--- a/pomeloplace/prefixcache.go
+++ b/pomeloplace/prefixcache.go
@@ -8,7 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// prefixCache estimates which prompt parts an engine has cached: the latest ones from all routers, up to its memory.
+// prefixCache estimates which prompt parts an engine has cached: the most recently used ones of all routers' requests, up to the engine's
+// memory.
 type prefixCache struct {
 	capacity pomelorelay.Tokens
 	used     pomelorelay.Tokens
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelospeed"
 )
 
-// peer is the latest state reported by another router.
+// peer holds the latest loads and prefill speeds reported by another router.
 type peer struct {
 	incarnation pomelorelay.Incarnation
 	seenAt      time.Time
@@ -53,7 +53,7 @@
 	return answers >= s.reportedAnswers+min(max(1, s.reportedAnswers/10), maxUnreportedAnswers)
 }
 
-// maxUnreportedAnswers limits the number of answers whose times are held back until the next full report.
+// maxUnreportedAnswers is the number of answers with unreported times to first token from which a speed report is due in any case.
 const maxUnreportedAnswers = 20
 
 // urgentTokens is the number of prompt tokens sent since the last report that triggers an immediate report. With a lower value each request
--- a/pomeloplace/simulation_test.go
+++ b/pomeloplace/simulation_test.go
@@ -55,10 +55,11 @@
 	choose    func(p *simulation, router int, r pomeloplace.Request) pomeloplace.Decision
 	cached    map[pomelorelay.UpstreamID]map[uint64]bool
 
-	// slots and eventTokens are engine parameters; reportDelay is the delivery delay of load reports.
+	// slots and eventTokens are the slots and the tokens per event of each engine; reportDelay is the delivery delay of load reports.
 	slots, eventTokens int
 	reportDelay        time.Duration
-	// reportBlackout is the initial time without report delivery; unreportedKnown sets the number of unreported routers meanwhile.
+	// reportBlackout is the initial time in which no load reports are delivered. unreportedKnown makes each placer count all other routers as
+	// unreported during it.
 	reportBlackout  time.Duration
 	unreportedKnown bool
 	// sessionFactor multiplies the number of sessions.
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -24,7 +24,7 @@
 // upstream is the state of an upstream, including the load from other routers.
 type upstream struct {
 	info pomelorelay.FleetUpstream
-	// region is the region of the failure domain; otherRegion reports whether it differs from this router's region.
+	// region is the region of the upstream's failure domain; otherRegion reports whether it differs from this router's region.
 	region      pomelorelay.RegionID
 	otherRegion bool
 	domain      *domainState
@@ -102,7 +102,7 @@
 	u.queueEstimate += float64(tokens)
 }
 
-// noteLongPrefill records the time if the queued prefill takes at least the maximum pause.
+// noteLongPrefill records the time if prefilling the queue takes at least the maximum pause between events of a stream.
 func (u *upstream) noteLongPrefill(now time.Time) {
 	if u.pool.maxPause > 0 && u.prefillTime(u.queueEstimate) >= u.pool.maxPause {
 		u.longPrefillAt = now
@@ -185,8 +185,8 @@
 	u.backoffUntil = now.Add(u.backoff)
 }
 
-// observeFirstToken updates the speed estimates with a time to first token, which includes the round trip to another region. It returns
-// the excess over the estimate without that round trip, or rtt if the time is not a usable sample of it.
+// observeFirstToken updates the speed estimates with a run's time to first token; rtt is the estimated round trip to another region within it.
+// It returns a new sample of that round trip: the time in excess of the engine's estimate, or rtt itself if the run gives no usable sample.
 func (u *upstream) observeFirstToken(now time.Time, r *Run, latency, rtt time.Duration) time.Duration {
 	if u.engine == nil {
 		u.serviceTime += scale(serviceTimeAlpha, latency-rtt-u.serviceTime)
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -15,11 +15,12 @@
 	TermPrefill Term = "Read"
 	// TermCopy is the copying of cached parts from another engine; it limits the spread of a busy session.
 	TermCopy Term = "Copy"
-	// TermAffinity is the engine's position in a hash order for the shared parts; it concentrates parts that no engine has cached yet.
+	// TermAffinity is the engine's position in a hash order for the prompt's shared parts; it concentrates parts that no engine has cached yet
+	// on few engines.
 	TermAffinity Term = "Home"
 	// TermWait is the time until the answer begins; it evens out queues.
 	TermWait Term = "Wait"
-	// TermLateness is the time beyond a fraction of the target; it leaves room for bursts of requests from other routers.
+	// TermLateness is the expected latency beyond a fraction of the target; it leaves room for bursts of requests from other routers.
 	TermLateness Term = "Late"
 	// TermPause is the delay that a long prefill causes to streams on the same engine.
 	TermPause Term = "Pause"
@@ -36,7 +37,8 @@
 )
 
 const (
-	// prefillWeight weights prefill time, which delays later requests; prefilling a shared part on another engine also evicts others there.
+	// prefillWeight weights prefill time, which delays later requests; prefilling a shared prompt part on another engine also evicts other parts
+	// there.
 	prefillWeight = 4.5
 	// copyWeight weights copy time: a copied part occupies memory on two engines and evicts other parts.
 	copyWeight = 2.5
@@ -58,11 +60,12 @@
 	// longPauseCost is the cost in engine time of one stream with too long a pause. It is several times the actual loss, to keep long
 	// prefills away from streams even when a pause is uncertain.
 	longPauseCost = 400 * time.Millisecond
-	// failureCost is the cost of an upstream that fails every request, compared to one that fails none.
+	// failureCost is the cost of an upstream that fails every request, compared to one that fails none. An engine whose memory the request would
+	// overfill has the same cost.
 	failureCost = 3 * time.Second
-	// affinityStep is the additional cost of each engine in the hash order of a prompt's shared parts, up to maxAffinityCost. It lets all
-	// routers send uncached parts to the same few engines, whatever the number of engines. With a small step, the first ten of a hundred
-	// engines would have nearly equal costs.
+	// affinityStep is the cost added for each position in the hash order of a prompt's shared parts, up to maxAffinityCost. It lets all routers
+	// send uncached parts to the same few engines, whatever the number of engines. With a small step, the first ten of a hundred engines would
+	// have nearly equal costs.
 	affinityStep    = 8 * time.Millisecond
 	maxAffinityCost = 60 * time.Millisecond
 	// initialRegionLatency is the initial estimate of the additional round-trip time to another region.
@@ -74,7 +77,7 @@
 	slotFreeInterval = 80 * time.Millisecond
 )
 
-// candidate is an upstream under consideration for a request.
+// candidate is an upstream under consideration for a request, with the estimates for sending the request there.
 type candidate struct {
 	up             *upstream
 	prefillTokens  pomelorelay.Tokens
@@ -195,9 +198,9 @@
 	return now.Sub(u.busySince)
 }
 
-// pauseCost returns the cost to the engine's streams of prefilling a prompt after the backlog. It counts the larger of two fractions of them:
-// those that pause too long during the backlog and the prompt, and those that the prompt adds after the engine's uninterrupted prefill so far
-// and the backlog.
+// pauseCost returns the cost of the pauses that a prompt's prefill causes to the engine's streams. The fraction of streams that pause too long
+// is the larger of two estimates. One is for a pause that lasts for the backlog and the prefill; the other is what the prefill adds to a pause
+// that began with the engine's current uninterrupted prefill.
 func (u *upstream) pauseCost(now time.Time, backlog, prefill time.Duration) time.Duration {
 	if u.pool.maxPause <= 0 {
 		return 0
--- a/pomeloresidency/policy.go
+++ b/pomeloresidency/policy.go
@@ -21,7 +21,7 @@
 	previousEnds time.Time
 }
 
-// rules are the residencies of the routes and accounts that one version limits to regions.
+// rules holds the allowed regions of the routes and accounts that one configuration version restricts.
 type rules struct {
 	routes   map[pomelorelay.RouteID]pomelorelay.Residency
 	accounts map[pomelorelay.AccountID]pomelorelay.Residency
@@ -58,8 +58,8 @@
 	return r.routes[route].Intersect(r.accounts[account])
 }
 
-// Residency returns the residency of a request of the account on the route; the account may be empty. Within the overlap after a change, both
-// versions apply, or only the current one if they have no region in common.
+// Residency returns the regions in which a request of the account on the route may be served; the account may be empty. Within the overlap after
+// a configuration change these are the regions allowed by both versions, or those of the current version if the two have none in common.
 func (p *Policy) Residency(now time.Time, route pomelorelay.RouteID, account pomelorelay.AccountID) pomelorelay.Residency {
 	current := p.current.residency(route, account)
 	if !now.Before(p.previousEnds) {
--- a/pomeloresidency/policy_test.go
+++ b/pomeloresidency/policy_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Guards against a request that is served in a region that one of two versions forbids while some routers still apply the older one.
+// Guards against serving a request in a region that one of two configuration versions forbids while some routers still apply the older one.
 func TestStricterVersionAppliesDuringAChange(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
@@ -77,7 +77,7 @@
 	}
 }
 
-// Guards against a region that the current version does not allow, whatever earlier versions allowed.
+// Guards against allowing a region that the current configuration version does not allow, whatever earlier versions allowed.
 func TestOnlyRegionsOfTheNewestVersionAreAllowed(t *testing.T) {
 	all := regions("a", "b", "c", "")
 	draw := rapid.SliceOfDistinct(rapid.SampledFrom(all[:3]), func(r pomelorelay.RegionID) pomelorelay.RegionID { return r })
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -45,10 +45,13 @@
 	currentStep int
 	stepStart   time.Time
 	startedAt   time.Time
-	level       pomelorelay.Cost
-	// minServedShort is the lowest served cost among short accounts; zero when no account is short.
+	// level is the fair level as of the last Tick, in tokens per window; zero when the capacity is unknown or covers all requests.
+	level pomelorelay.Cost
+	// minServedShort is the lowest served cost among short accounts, those with much unserved demand (see minUnmetFraction); zero when no
+	// account is short.
 	minServedShort pomelorelay.Cost
-	// minServedFarShort is the same among accounts that are far short.
+	// minServedFarShort is the lowest served cost among short accounts with at least minFarUnmetTokens of unserved demand; zero when there is
+	// none.
 	minServedFarShort pomelorelay.Cost
 	demands           []pomelorelay.Cost
 }
@@ -101,7 +104,7 @@
 }
 
 // MergeReport merges another router's sums since its start. Reports must be passed in the order in which they were sent, and may be lost or
-// repeated: only the difference from the last one counts, which is negative where requests did not run.
+// repeated: only the difference from the previous report counts. It is negative where requests were refunded because they did not run.
 func (s *Shares) MergeReport(from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, entries []pomelorelay.AccountUse) {
 	p := s.peers[from]
 	firstReport := p == nil
@@ -116,7 +119,8 @@
 		current := usage{requested: e.Requested, served: e.Served}
 		previous := p.reported[e.Account]
 		p.reported[e.Account] = current
-		// A router in its first window has no earlier sums of its peers: the first report is the baseline of the next ones.
+		// A peer's sums cover all of its requests since its start. A router in its first window has no earlier sums to compare with, so the
+		// first report of each peer only sets the baseline.
 		if firstReport && s.inFirstWindow() {
 			continue
 		}
@@ -148,7 +152,7 @@
 	return out
 }
 
-// Tick advances the window to now and recomputes the level.
+// Tick advances the window to now and recomputes the fair level and the lowest served costs of short accounts.
 func (s *Shares) Tick(now time.Time) {
 	if s.startedAt.IsZero() {
 		s.startedAt, s.stepStart = now, now
@@ -172,11 +176,13 @@
 	minUnmetFraction = 0.35
 	// minUnmetTokens is the unserved cost from which an account counts as short: two large requests.
 	minUnmetTokens = 25000
-	// leadTolerance is the ratio to the level, or to the least served short account, up to which an account beyond its share may be served.
-	// Users consider a ratio of 2 unfair; the margin allows for the delay of other routers' reports.
+	// leadTolerance limits what an account beyond its share is served while another account is short, as a multiple of the fair level or of the
+	// cost served to the least served short account, whichever is higher. Users consider a ratio of 2 unfair; the margin allows for the delay of
+	// other routers' reports.
 	leadTolerance = 1.25
-	// farLeadTolerance is the ratio to the least served far-short account up to which an account may be served first, even within its share;
-	// users consider a ratio of 2 unfair. A short account is far short when at least minFarUnmetTokens of its demand are unserved.
+	// farLeadTolerance is the ratio of an account's served cost to that of the least served far-short account above which the account should
+	// yield, even within its share; users consider a ratio of 2 unfair. A short account is far short when at least minFarUnmetTokens of its
+	// demand are unserved.
 	farLeadTolerance  = 1.7
 	minFarUnmetTokens = 3 * minUnmetTokens
 )
@@ -196,8 +202,9 @@
 	return lowest
 }
 
-// LeadOverLevel returns the ratio of the account's served cost to the most that an account beyond its share may have while another account is
-// short. Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers all requests.
+// LeadOverLevel returns the ratio of the account's served cost to the maximum that an account beyond its share is allowed while another account
+// is short of its demand. Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers
+// all requests.
 func (s *Shares) LeadOverLevel(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.minServedShort == 0 {
 		return 0
@@ -217,8 +224,8 @@
 	}
 }
 
-// computeLevel returns the max-min fair level: accounts that request less get all of it, and the others get the level. It is zero when the
-// capacity is unknown or covers all requests.
+// computeLevel returns the max-min fair level per window: accounts that request less than the level are served in full, and the others get the
+// level. It is zero when the capacity is unknown or covers all requests.
 func (s *Shares) computeLevel() pomelorelay.Cost {
 	remaining := s.capacity * pomelorelay.Cost(s.cfg.Window.Seconds())
 	if remaining <= 0 {
@@ -241,7 +248,7 @@
 	return 0
 }
 
-// WithinShare reports whether a request of the given cost is within the account's share; it is when the capacity is unknown or covers all
+// WithinShare reports whether a request of the given cost is within the account's share; always true when the capacity is unknown or covers all
 // requests.
 func (s *Shares) WithinShare(id pomelorelay.AccountID, cost pomelorelay.Cost) bool {
 	if s.level == 0 {
@@ -252,8 +259,8 @@
 	return served+cost/2 <= s.level || served <= s.minServedShort
 }
 
-// LeadOverLeastServed returns the ratio of the account's served cost to the most that any account may have, even within its share, while
-// another one is far short. Above 1 the account should yield; the ratio is 0 when no account is far short.
+// LeadOverLeastServed returns the ratio of the account's served cost to the maximum that any account is allowed, even within its share, while
+// another account is far short of its demand. Above 1 the account should yield; the ratio is 0 when no account is far short.
 func (s *Shares) LeadOverLeastServed(id pomelorelay.AccountID) float64 {
 	if s.minServedFarShort == 0 {
 		return 0
--- a/pomelospeed/copies.go
+++ b/pomelospeed/copies.go
@@ -7,8 +7,8 @@
 	copyPrior = 0.3
 	// copyPriorTokens is the number of copied tokens that the prior counts for, a few prompts.
 	copyPriorTokens = 20_000
-	// copyHalfLife is the half-life of observed copies. Routers stop copying when it takes as long as prefilling; without decay, a short period
-	// of full engines would disable copying for good.
+	// copyHalfLife is the half-life of observed copies. Routers stop copying, and so observe no copies, when copying takes as long as
+	// prefilling; without decay, a short period of full engines would disable copying for good.
 	copyHalfLife = 10 * time.Second
 	// maxCopyReportTokens bounds the number of copied tokens that one report of another router counts for.
 	maxCopyReportTokens = 200_000
--- a/pomelospeed/factor.go
+++ b/pomelospeed/factor.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// factorHalfLife is the half-life of one engine's answers, short enough to detect an engine that becomes slow within a second.
+	// factorHalfLife is the half-life of one engine's answers in the ratio, short enough to detect an engine that becomes slow within a second.
 	factorHalfLife = 500 * time.Millisecond
-	// factorPrior is added to the actual and to the expected time, so that a single outlier has little effect on a new engine.
+	// factorPrior is added to the sums of the actual and of the expected times to first token, so that a single outlier has little effect on a
+	// new engine.
 	factorPrior = 300 * time.Millisecond
 	// The dozen or so answers within a half-life vary by chance and by unreported requests of other routers: a ratio up to noiseRatio is
 	// ignored, one from significantRatio on applies in full. With lower values, noise would divert requests from the engines that cache
--- a/pomelospeed/first_token_model.go
+++ b/pomelospeed/first_token_model.go
@@ -20,17 +20,17 @@
 	// overhead varies less between engines; the answers of a fleet in half a second outweigh both.
 	priorRateAnswers     = 1
 	priorOverheadAnswers = 6
-	// priorPrefillTime is the prefill time at the second point of the prior's line until answers are observed.
+	// priorPrefillTime is the prefill time of the prompt that, with an empty one, represents the prior until answers are observed.
 	priorPrefillTime = 200 * time.Millisecond
 	// observationHalfLife is the half-life of observed answers: step times change with the running batch.
 	observationHalfLife = 4 * time.Second
 	// minAnswers is the number of answers down to which observations decay, so that a fleet under low load keeps its estimate.
 	minAnswers = 50
-	// maxReportAnswers bounds the number of answers that one report of another router counts for: its first report covers all answers since
-	// its start.
+	// maxReportAnswers bounds the number of answers that one report of another router counts for. A router's first report covers all answers
+	// since its start and would outweigh recent ones.
 	maxReportAnswers = 200
-	// outlierRatio is the ratio to the expected time, or its inverse, at which a time to first token is clamped: the answers of a stalled
-	// engine do not show its prefill rate. Below settledAnswers the limit is wider, since the fit itself may be as far off.
+	// outlierRatio is the ratio to the expected time, or its inverse, at which a time to first token is clamped: the answers of a stalled engine
+	// do not show its prefill rate. With fewer than settledAnswers observed answers the limit is wider, since the fit itself may be as far off.
 	outlierRatio   = 4
 	settledAnswers = 30
 	// answersPerRateStep is the number of answers that raise the upper bound of the rate by the prior rate.
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -21,7 +21,7 @@
 
 // DecayingRatioConfig holds the prior and the decay settings of an estimate.
 type DecayingRatioConfig struct {
-	// Prior is the value before any observation, PriorWeight the denominator that it counts for.
+	// Prior is the value before any observation. PriorWeight is the denominator with which the prior counts beside the observed sums.
 	Prior, PriorWeight float64
 	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
 	HalfLife  time.Duration
--- a/pomelowarmup/config.go
+++ b/pomelowarmup/config.go
@@ -6,17 +6,18 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// DefaultHolders is the default of Config.Holders; with one holder, its failure would leave no router that sends to the upstream.
+// DefaultHolders is the default of Config.Holders, the number of routers that may send to a cold upstream. With only one, its failure would
+// leave no router that may.
 const DefaultHolders = 2
 
 const (
-	// boundFraction is the fraction of the bound that the holders use together. The rest covers routers that compute different holders, for
-	// example just after the registrations have changed.
+	// boundFraction is the fraction of a cold upstream's request limit that its holders, the routers that may send to it, use together. The
+	// remainder covers routers that compute different holders, for example just after the registrations have changed.
 	boundFraction = 0.5
-	// steadyFraction is the fraction of a holder's part that refills its bucket each second; the rest is the burst.
+	// steadyFraction is the fraction of a router's part of the limit that refills its token bucket each second; the remainder is the burst.
 	steadyFraction = 0.5
 	// suspectDuration is how long an upstream that accepted no connection counts as possibly restarted, unless newer information arrives. The
-	// holders try it again within that time.
+	// routers that may send to cold upstreams try it again within that time.
 	suspectDuration = 4 * time.Second
 )
 
@@ -27,7 +28,8 @@
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
 	// Bounds relate the bound of a cold upstream to the request rate that its service is configured to accept.
 	Bounds pomelorelay.ColdBounds
-	// Holders is the number of routers that hold parts of an upstream's bound; DefaultHolders when zero.
+	// Holders is the number of routers that may send to a cold upstream, each within an equal part of its request limit; DefaultHolders when
+	// zero.
 	Holders int
 }
 
@@ -39,7 +41,7 @@
 	bound float64
 }
 
-// bucket returns the rate, in requests per second, and the burst of each holder's token bucket.
+// bucket returns the rate, in requests per second, and the burst of the token bucket of each holder, a router that may send to a cold upstream.
 func (s coldSpec) bucket(holders int) (rate, burst float64) {
 	perHolder := boundFraction * s.bound / float64(holders)
 	return steadyFraction * perHolder, max(1, (1-steadyFraction)*perHolder)
--- a/pomelowarmup/gate.go
+++ b/pomelowarmup/gate.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// isHolder reports whether this router holds a part of the upstream's bound.
+// isHolder reports whether this router is one of the holders of the upstream, which may send to it while it is cold.
 func (g *Gate) isHolder(u *Upstream) bool {
 	if u.holderVersion != g.routersVersion {
 		u.holderVersion, u.holder = g.routersVersion, g.ranksAsHolder(u)
@@ -54,7 +54,7 @@
 }
 
 // ranksAsHolder reports whether this router is among the first cfg.Holders routers of the upstream's region by rendezvous hash. If no router of
-// that region is registered, the routers of this router's region are ranked.
+// that region is registered, the routers of this router's own region are ranked instead.
 func (g *Gate) ranksAsHolder(u *Upstream) bool {
 	region := g.routers[g.cfg.Regions[u.info.Domain]]
 	if len(region) == 0 {
@@ -80,7 +80,8 @@
 	return g.cfg.Regions[u.info.Domain] == g.cfg.Self.Region
 }
 
-// bucket returns the rate and the burst of this router's token bucket for an upstream whose bound it holds a part of.
+// bucket returns the rate, in requests per second, and the burst of the token bucket with which a holder, a router that may send to a cold
+// upstream, limits its requests.
 func (g *Gate) bucket(u *Upstream) (rate, burst float64) {
 	return g.specs[u.info.Service].bucket(g.cfg.Holders)
 }
--- a/pomelowarmup/gate_test.go
+++ b/pomelowarmup/gate_test.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelowarmup"
 )
 
-// Guards against a cold upstream that receives more requests in a second than the bound, from routers that learn of it at different times,
-// that restart meanwhile, or that compute different holders; and against one that receives hardly any requests.
+// Guards against a cold upstream that receives more requests in a second than its limit, from routers that learn of it at different times,
+// restart meanwhile, or disagree on which routers may send to it. Guards also against one that receives hardly any requests.
 func TestFleetStaysWithinTheBoundOfAColdUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -66,7 +66,8 @@
 	}
 }
 
-// Guards against a number of holders whose bursts together exceed the bound, such as all routers of a large region.
+// Guards against so many holders (routers that may send to a cold upstream) that their bursts together exceed the limit, such as all routers of
+// a large region.
 func TestTooManyHoldersExceedTheBound(t *testing.T) {
 	for _, c := range []struct {
 		holders int
@@ -105,7 +106,7 @@
 	for _, c := range []struct {
 		name        string
 		newUpstream func(g *pomelowarmup.Gate) *pomelowarmup.Upstream
-		// cold is how long the upstream then counts as cold.
+		// cold is the time for which the upstream counts as cold after newUpstream.
 		cold time.Duration
 	}{
 		{"listed as warm", func(g *pomelowarmup.Gate) *pomelowarmup.Upstream { return g.NewUpstream(start, entry(0)) }, 0},
@@ -173,7 +174,7 @@
 	}
 }
 
-// Guards against a suspect upstream that no router tries again, and against one that every router tries.
+// Guards against an upstream that no router tries again after a failed connection, and against one that every router tries again.
 func TestOnlyHoldersSendToASuspectUpstream(t *testing.T) {
 	f := newFleet(3, 78, pomelowarmup.DefaultHolders)
 	senders := 0
@@ -188,7 +189,7 @@
 	}
 }
 
-// Guards against a returned wait after which the router may still not send a request.
+// Guards against a RetryAfter after which the router may still not send a request.
 func TestRouterMaySendAfterRetryAfter(t *testing.T) {
 	f := newFleet(5, 12, pomelowarmup.DefaultHolders)
 	for i, s := range f.states {
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -10,12 +10,12 @@
 type Admission int
 
 const (
-	// AdmissionOpen means that the upstream accepts requests: it is warm, or suspect and tried again by this router.
+	// AdmissionOpen means that the upstream accepts requests: it is warm, or this router tries it again after a failed connection.
 	AdmissionOpen Admission = iota
-	// AdmissionFallback means that the upstream is cold and accepts a request, within this router's part of its bound, that no open upstream
-	// admits.
+	// AdmissionFallback means that the upstream is cold and that this router may send it, within its part of the upstream's request limit, a
+	// request that no open upstream admits.
 	AdmissionFallback
-	// AdmissionClosed means that the upstream is cold or suspect and accepts no request of this router at present.
+	// AdmissionClosed means that the upstream is cold or possibly restarted and accepts no request of this router at present.
 	AdmissionClosed
 )
 
@@ -23,14 +23,16 @@
 type Upstream struct {
 	gate *Gate
 	info pomelorelay.FleetUpstream
-	// coldUntil is the end of the cold period, suspectUntil the end of the period in which an unnoticed restart is possible.
+	// coldUntil is the end of the cold period. suspectUntil is the end of the suspect period, in which the upstream may have restarted because
+	// it accepted no connection.
 	coldUntil, suspectUntil time.Time
 	// suspectSince is the time of the first failed connection of the suspect period.
 	suspectSince time.Time
 	// tokens is the fill of this router's token bucket at refilledAt, in requests.
 	tokens     float64
 	refilledAt time.Time
-	// holder reports whether this router holds a part of the bound, computed for the routersVersion in holderVersion.
+	// holder reports whether this router may send to the upstream while it is cold. It was computed for the router list whose
+	// Gate.routersVersion is holderVersion.
 	holder        bool
 	holderVersion uint64
 }
@@ -57,7 +59,7 @@
 	return u
 }
 
-// UpdateEntry updates the upstream from a newer list entry of the same start.
+// UpdateEntry updates the upstream from a newer registration entry of the same start.
 func (u *Upstream) UpdateEntry(now time.Time, info pomelorelay.FleetUpstream) {
 	previous := u.info.ColdRemaining
 	u.info = info
@@ -70,9 +72,9 @@
 	}
 }
 
-// RecordConnectFailure records that the upstream accepted no connection; whatever the cause, it will be cold when it is reachable again. It
-// reports whether to notify the other routers: routers of other regions do not, as they cannot tell a broken link from an upstream that is
-// down.
+// RecordConnectFailure records that the upstream accepted no connection; whatever the cause, it counts as cold when it is reachable again. It
+// reports whether to notify the other routers. A router of another region ignores the failure and returns false, as it cannot tell a broken link
+// from an upstream that is down.
 func (u *Upstream) RecordConnectFailure(now time.Time) bool {
 	if !u.gate.sameRegion(u) {
 		return false
@@ -93,9 +95,9 @@
 	return true
 }
 
-// RecordAnswer records an answer to a request that was sent at the given time. If it ends a suspect period, the upstream counts as cold, and the
-// remaining time and true are returned, for notifying the other routers. An answer to a request sent before the failed connection is ignored,
-// since it does not show that the upstream is running again.
+// RecordAnswer records an answer to a request that was sent at the given time. If it is the first since a failed connection, the upstream counts
+// as cold, and the remaining time and true are returned, for notifying the other routers. An answer to a request sent before the failed
+// connection is ignored, since it does not show that the upstream is running again.
 func (u *Upstream) RecordAnswer(now, sent time.Time) (time.Duration, bool) {
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
 		return 0, false
@@ -139,11 +141,11 @@
 // Status is the warm-up state of an upstream for the log.
 type Status struct {
 	Cold bool
-	// Remaining is the maximum remaining time of the cold or suspect period.
+	// Remaining is the maximum time until the upstream counts as warm.
 	Remaining time.Duration
-	// Unreachable reports that the upstream accepted no connection and has not answered since.
+	// Unreachable reports whether the upstream accepted no connection and has not answered since.
 	Unreachable bool
-	// Holder reports that this router holds a part of the upstream's bound.
+	// Holder reports whether this router may send to the upstream while it is cold.
 	Holder bool
 }
 
@@ -184,7 +186,7 @@
 	return u.tokens
 }
 
-// RetryAfter returns the time until this router may send a request to the upstream, at most the rest of the cold or suspect period.
+// RetryAfter returns the time until this router may send a request to the upstream, at most the time until the upstream counts as warm.
 func (u *Upstream) RetryAfter(now time.Time) time.Duration {
 	if !u.Cold(now) {
 		return 0
