--- a/pomeloentry/aggregate.go
+++ b/pomeloentry/aggregate.go
@@ -306,7 +306,7 @@
 	return len(a.parts)+len(a.starts)+len(a.leaving) > 0
 }
 
-// markFlushed clears the change marks after a flush.
+// markFlushed clears the marks of changed entries after summaries were sent.
 func (a *aggregate) markFlushed() {
 	for _, sum := range a.upstreams {
 		sum.changed = false
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -67,19 +67,19 @@
 		apply func() pomelorelay.Revision
 		want  int
 	}{
-		{"an update of everything", func() pomelorelay.Revision {
+		{"a full update", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
 		}, 2},
-		{"an update that says nothing", func() pomelorelay.Revision {
+		{"an update without evacuations", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 11})
 		}, 2},
-		{"an update that takes one back", func() pomelorelay.Revision {
+		{"an update that ends an evacuation", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, Revision: 12, RestoredDomains: []pomelorelay.DomainID{"c"}})
 		}, 1},
 		{"an old state", func() pomelorelay.Revision {
 			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 11})
 		}, 1},
-		{"a newer state without it", func() pomelorelay.Revision {
+		{"a newer state without evacuations", func() pomelorelay.Revision {
 			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 14})
 		}, 0},
 	} {
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -15,12 +15,12 @@
 const (
 	// listenerCount is the number of HTTP ports of a router.
 	listenerCount = 3
-	// headerTimeout bounds the reading of a request's header; the operators' own limit in front of the routers is 3 s.
+	// headerTimeout bounds the reading of a request's header; the limit in the operators' configuration is 3 s.
 	headerTimeout = 10 * time.Second
-	// callerIdleTimeout closes idle connections of callers. It exceeds the operators' limit of 15 s, because callers may reuse a
-	// connection that was idle for up to four fifths of the 15 s.
+	// callerIdleTimeout closes idle connections of callers. It exceeds the limit of 15 s in the operators' configuration, because
+	// callers may reuse a connection that was idle for up to four fifths of those 15 s.
 	callerIdleTimeout = 20 * time.Second
-	// maxHeaderBytes bounds a request's header; the operators' limit is 16 KiB.
+	// maxHeaderBytes bounds a request's header; the limit in the operators' configuration is 16 KiB.
 	maxHeaderBytes = 64 << 10
 	// stopPollInterval is how often a graceful stop checks whether the last connection has closed.
 	stopPollInterval = 20 * time.Millisecond
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -22,7 +22,7 @@
 	requestMemoryFraction = 0.3
 	// initialRequestsPerCore is the initial limit of concurrent streams per core.
 	initialRequestsPerCore = 1000
-	// minRequests is the minimum limit, which keeps a host of unknown size in service.
+	// minRequests is the minimum of the limits on requests and on connections, which keeps a host of unknown size in service.
 	minRequests = 64
 	// connMemoryBytes is the memory of an idle connection: a stack, two 4 KB buffers and the state of net/http. connMemoryFraction is
 	// the fraction of memory available to connections.
@@ -32,8 +32,8 @@
 	// to callers' connections. Each running request uses a second file descriptor for its upstream connection.
 	reservedFDs    = 200
 	connFDFraction = 0.5
-	// nearCapacityFraction is the fraction of a limit from which the router sheds load: it reports not ready and closes callers'
-	// connections after their answers. It does so until nearCapacityHold after the load has dropped.
+	// nearCapacityFraction is the fraction of the request or the connection limit from which the router sheds load: it reports not
+	// ready and closes callers' connections after their answers. It does so until nearCapacityHold after the load has dropped.
 	nearCapacityFraction = 0.85
 	nearCapacityHold     = 2500 * time.Millisecond
 	// The request limit follows the processor: each tick later than lateTickThreshold multiplies it by limitDecrease, each punctual
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -36,7 +36,7 @@
 		retry, charged bool
 		want           pomeloplace.Reason
 	}{
-		{"first asked", false, false, pomeloplace.ReasonOverShare},
+		{"is placed for the first time", false, false, pomeloplace.ReasonOverShare},
 		{"found an upstream down", true, false, pomeloplace.ReasonOverShare},
 		{"ran and failed", true, true, pomeloplace.ReasonNone},
 	} {
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -20,8 +20,8 @@
 	relayTimeout = 1500 * time.Millisecond
 	// relayGrace is how long a newly known router that has sent nothing yet counts as live.
 	relayGrace = 3 * time.Second
-	// maxStandbys is the maximum number of successors that a relay announces to its neighbours. standbyGrace is how much longer than
-	// the relay the first successor counts as live, and each further one longer than the one before.
+	// maxStandbys is the maximum number of successors that a relay announces to the routers of its failure domain. standbyGrace is how
+	// much longer than the relay the first successor counts as live, and each further one longer than the one before.
 	maxStandbys  = 2
 	standbyGrace = 700 * time.Millisecond
 	// flushInterval is the minimum time between two summaries of a relay.
@@ -112,7 +112,7 @@
 	c.relay.all.add(now, string(from), from, incarnation, m)
 }
 
-// addNeighbourReport adds a neighbour's report to the sums if this router is the relay.
+// addNeighbourReport adds the report of a neighbour, a router of the same failure domain, to the sums if this router is the relay.
 func (c *control) addNeighbourReport(now time.Time, m pomelorelay.Envelope, report *pomelorelay.LoadReport) {
 	p := c.peers.byNode[m.From]
 	if c.reportsDirectly() || p == nil || p.Domain != c.e.cfg.Settings.Self.Domain || !c.isRelay(now) {
@@ -190,8 +190,8 @@
 	c.applyLeaving(now, m.From, report.Leaving)
 }
 
-// flushSummaries sends the sum of this failure domain's reports to the relays of the other domains, and to each neighbour the sum of
-// all reports but its own.
+// flushSummaries sends the sum of this failure domain's reports to the relays of the other domains, and to each router of this domain
+// the sum of all reports but its own.
 func (c *control) flushSummaries(now time.Time) {
 	r := &c.relay
 	r.local.removeSilent(now, pomeloplace.PeerTimeout)
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -205,7 +205,8 @@
 	c.applyPeers(now, change)
 }
 
-// sendUpdate sends an update to the relays of the other failure domains, and to the neighbours directly or through their relay.
+// sendUpdate sends an update to the relays of the other failure domains, and to the routers of this domain, directly or through their
+// relay.
 func (c *control) sendUpdate(now time.Time, m *pomelorelay.FleetUpdate) {
 	self := c.e.cfg.Settings.Self
 	for _, domain := range c.domains() {
@@ -218,7 +219,7 @@
 	}
 }
 
-// forwardUpdate sends an update to the neighbours.
+// forwardUpdate sends an update to the routers of this failure domain, except to the router it came from.
 func (c *control) forwardUpdate(from pomelorelay.NodeID, m *pomelorelay.FleetUpdate) {
 	forwarded := *m
 	forwarded.Forwarded = true
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -91,7 +91,7 @@
 	// maxUnreached bounds the number of unreachable upstreams that are tried for one request. With a quarter of all upstreams down, one request
 	// in 64 finds three of them in a row, so a bound of three would be too low.
 	maxUnreached = 6
-	// maxRefused bounds the number of upstreams that may refuse one request without running it before it fails.
+	// maxRefused is the number of upstreams that may refuse a request without running it until the request fails.
 	maxRefused = 2
 	// maxBufferedAnswer is the size in bytes up to which a plain answer is buffered completely.
 	maxBufferedAnswer = 64 << 10
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -25,7 +25,7 @@
 	h := newHarness(t, u.entry("u1"))
 	got := h.call("POST", "/book/a%2Fb?x=1", "hello", "Custom", "kept")
 	if got.status != 201 || got.body != "made" || got.head.Get(pomelofake.TestHeaderSignedBy) != "me" || got.bodyErr != nil {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answer %+v, want a signed 201 with the complete body", got)
 	}
 	if want := "POST /book/a%2Fb?x=1 Client-Account=acct body=hello"; u.heads[0] != want {
 		t.Errorf("the upstream got %q, want %q", u.heads[0], want)
@@ -100,7 +100,7 @@
 			good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "read")) })
 			h := newHarness(t, bad.entry("bad"), good.entry("good"))
 			if got := h.call("GET", "/read/", ""); got.status != 200 || got.body != "read" {
-				t.Fatalf("%+v", got)
+				t.Fatalf("answer %+v, want 200 from the second upstream", got)
 			}
 			if h.results[0] != pomeloplace.ResultFailed || len(h.requests[1].Request.Avoid) != 1 || !h.requests[1].Retry {
 				t.Errorf("results %v, second placement request %+v", h.results, h.requests[1])
@@ -119,11 +119,11 @@
 		good := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, 200, "booked")) })
 		h := newHarness(t, full.entry("full"), good.entry("good"))
 		if got := h.call("POST", "/book/", "x"); got.status != 200 || got.body != "booked" {
-			t.Fatalf("%d: %+v", status, got)
+			t.Fatalf("%d from the first upstream: answer %+v, want 200 from the second", status, got)
 		}
 		h = newHarness(t, full.entry("full"), full.entry("full"), full.entry("full"))
 		if got := h.call("POST", "/book/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
-			t.Errorf("%d from every upstream: %+v", status, got)
+			t.Errorf("%d from every upstream: answer %+v, want 503 with Retry-After", status, got)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	complete := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, head(r, 200, "\r\nall of it")); conn.Close() })
 	if got := newHarness(t, complete.entry("u")).call("POST", "/book/", "x"); got.status != 200 || got.body != "all of it" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answer %+v, want 200 with the complete body", got)
 	}
 	broken := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, head(r, 200, "\r\nhalf of it"))
@@ -163,7 +163,7 @@
 	for i := range 3 {
 		id := "req-" + strconv.Itoa(i)
 		if got := h.call("GET", "/read/", "", pomelofake.TestHeaderRequestID, id); got.body != "mine" || got.head.Get(pomelofake.TestHeaderRequestID) != id {
-			t.Fatalf("%+v", got)
+			t.Fatalf("answer %+v, want the answer to the same request", got)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	u := newUpstream(t, stream(1, 2, 2, 3))
 	got := newHarness(t, u.entry("u")).call("POST", "/draft/", "x")
 	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n"; got.body != want || got.bodyErr != nil {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answer %+v, want each event once and a complete stream", got)
 	}
 }
 
@@ -206,7 +206,7 @@
 		u := newUpstream(t, answer)
 		got := newHarness(t, u.entry("u"), u.entry("u")).call("POST", "/draft/", "x")
 		if got.bodyErr == nil || strings.Contains(got.body, "id: 2") || strings.Contains(got.body, "id: 3") || u.requests() != 1 {
-			t.Errorf("%s: %+v after %d sends", name, got, u.requests())
+			t.Errorf("%s: answer %+v after %d sends, want a cut stream after one", name, got, u.requests())
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	})
 	got := newHarness(t, first.entry("a"), second.entry("b")).call("POST", "/chat/", "x")
 	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"; got.body != want || got.bodyErr != nil {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answer %+v, want each event once and a complete stream", got)
 	}
 }
 
@@ -269,7 +269,7 @@
 	u := newUpstream(t, func(net.Conn, *http.Request) { <-hold })
 	got := newHarness(t, u.entry("u")).call("POST", "/book/", "x", pomelofake.TestHeaderWait, "200")
 	if got.status != 504 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answer %+v, want 504", got)
 	}
 }
 
@@ -279,14 +279,14 @@
 	h := newHarness(t, u.entry("u"), u.entry("u"))
 	h.stopping, h.stopsIn = true, 2*time.Second
 	if got := h.call("POST", "/draft/", "x"); got.status != 503 || got.head.Get("Retry-After") == "" {
-		t.Errorf("a stream with 2 s left: %+v", got)
+		t.Errorf("a stream with 2 s left: answer %+v, want 503 with Retry-After", got)
 	}
 	if got := h.call("POST", "/book/", "x"); got.status != 200 {
-		t.Errorf("a booking with 2 s left: %+v", got)
+		t.Errorf("a booking with 2 s left: answer %+v, want 200", got)
 	}
 	h.stopsIn = 100 * time.Millisecond
 	if got := h.call("POST", "/book/", "x"); got.status != 503 {
-		t.Errorf("a booking with 100 ms left: %+v", got)
+		t.Errorf("a booking with 100 ms left: answer %+v, want 503", got)
 	}
 }
 
@@ -325,7 +325,7 @@
 	}
 	h := newHarness(t, append(upstreams, live.entry("live"))...)
 	if got := h.call("POST", "/book/1", "x"); got.status != http.StatusOK || got.body != "ok" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answer %+v, want 200 from the live upstream", got)
 	}
 	for i, request := range h.requests {
 		if request.Retry != (i > 0) || request.Charged {
@@ -352,7 +352,7 @@
 	h.callerGone = func() bool { return checks.Add(1) > 2 }
 	h.mu.Unlock()
 	if got := h.call("POST", "/book/1", "x"); got.bodyErr == nil {
-		t.Errorf("%+v although the caller disconnected", got)
+		t.Errorf("answer %+v although the caller disconnected, want a broken connection", got)
 	}
 	if n := runs.Load(); n != 0 {
 		t.Errorf("the upstream got %d requests", n)
@@ -381,7 +381,7 @@
 		})
 		h := newHarness(t, u.entry("u1"))
 		if got := h.call("POST", "/talk/", "x"); got.status != 200 || got.bodyErr != nil {
-			t.Fatalf("%+v", got)
+			t.Fatalf("answer %+v, want 200 with the complete body", got)
 		}
 		if got := h.result(0); got != c.want {
 			t.Errorf("after a pause of %v: %v, want %v", c.pause, got, c.want)
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -139,7 +139,8 @@
 	case c.expectedLatency <= scale(onTimeFraction, r.Target):
 		return BoundNone
 	case ownTime > r.Target/2 && ownTime < r.MaxWait/2:
-		// The prefill of a long prompt takes most of the target by itself; held to the target, the longest prompts would never be served.
+		// The prefill of a long prompt takes most of the target by itself; with the target as the limit, the longest prompts would never be
+		// served.
 		return BoundNone
 	}
 	return BoundTime
--- a/pomeloplace/evacuation_test.go
+++ b/pomeloplace/evacuation_test.go
@@ -35,7 +35,7 @@
 	} {
 		d := p.Place(now, c.request)
 		if d.Reason != c.reason || d.Cause != c.cause || d.RetryAfter <= 0 {
-			t.Errorf("%s: %+v", c.name, d)
+			t.Errorf("request allowed %s: decision %+v, want a refusal with the expected reason, cause and Retry-After", c.name, d)
 		}
 	}
 	p.SetEvacuated(now, "a", false)
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// scaleToFleet adds an equal count for each router without a load report to this router's own count.
+// scaleToFleet returns this router's own count plus the same count for each registered router that has not yet sent a load report.
 func (s *pool) scaleToFleet(own int) int { return own * (1 + s.unreportedRouters) }
 
 // recordPause records whether a stream that ran during a long prefill paused for too long.
--- a/pomeloplace/prefixcache.go
+++ b/pomeloplace/prefixcache.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because
-// the other routers would otherwise consider a part that only this router uses as unused since its prefill.
+// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because the
+// other routers would otherwise consider a part that only this router uses as unused since its prefill, and expect its eviction.
 func (c *prefixCache) markReported(now time.Time, hash uint64) bool {
 	p := c.parts[hash]
 	if p == nil || (!p.reportedAt.IsZero() && now.Sub(p.reportedAt) < partReportInterval) {
--- a/pomeloresidency/policy_test.go
+++ b/pomeloresidency/policy_test.go
@@ -41,7 +41,7 @@
 		p.SetConfig(start, config(c.route, c.account))
 		got := p.Residency(start.Add(overlap), "route", "account")
 		if got.Restricted != c.limited || !slices.Equal(got.Regions, c.allowed) || got.Empty() != (c.limited && len(c.allowed) == 0) {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: residency %+v", c.name, got)
 		}
 		if other := p.Residency(start.Add(overlap), "anywhere", "free"); other.Restricted {
 			t.Errorf("%s: a route and an account without regions are limited to %v", c.name, other.Regions)
@@ -69,10 +69,10 @@
 		p.SetConfig(changed, config(c.after, nil))
 		during, after := p.Residency(changed, "route", "free"), p.Residency(changed.Add(overlap), "route", "free")
 		if during.Restricted != c.limitedDuring || !slices.Equal(during.Regions, c.during) {
-			t.Errorf("%s: %+v during the change", c.name, during)
+			t.Errorf("%s: residency %+v during the change", c.name, during)
 		}
 		if after.Restricted != c.limitedFinal || !slices.Equal(after.Regions, c.final) {
-			t.Errorf("%s: %+v after the change", c.name, after)
+			t.Errorf("%s: residency %+v after the change", c.name, after)
 		}
 	}
 }
--- a/pomelospeed/first_token_model.go
+++ b/pomelospeed/first_token_model.go
@@ -33,7 +33,7 @@
 	// do not show its prefill rate. With fewer than settledAnswers observed answers the limit is wider, since the fit itself may be as far off.
 	outlierRatio   = 4
 	settledAnswers = 30
-	// answersPerRateStep is the number of answers that raise the upper bound of the rate by the prior rate.
+	// answersPerRateStep is the number of observed answers by which the upper bound of the fitted rate grows by one prior rate.
 	answersPerRateStep = 4
 )
 
