--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -17,8 +17,8 @@
 	// tickInterval is the interval of timer checks, adjustInterval that of share and load updates.
 	tickInterval   = 20 * time.Millisecond
 	adjustInterval = 50 * time.Millisecond
-	// directReportInterval and relayedReportInterval are the intervals of load reports, sent to each router directly or through relays.
-	// Until the next report, the other routers place by older loads.
+	// directReportInterval and relayedReportInterval are the intervals of load reports, sent to each router directly or through
+	// relays. Until the next report, the other routers place requests by older loads.
 	directReportInterval  = 100 * time.Millisecond
 	relayedReportInterval = 40 * time.Millisecond
 	// fullReportInterval is the interval of full reports, and so the longest time for which a lost report has an effect.
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -21,7 +21,7 @@
 // reports.
 const peerSilenceTimeout = 5 * time.Second
 
-// knownPeer is a router that is registered, or that was and still sends messages.
+// knownPeer is another router that is registered or still sends messages.
 type knownPeer struct {
 	pomelorelay.Peer
 	registered bool
@@ -30,7 +30,7 @@
 	knownSince time.Time
 	// fullyReported is set after the peer's first full load report.
 	fullyReported bool
-	// incarnation and lastSeq are those of the last applied report.
+	// incarnation and lastSeq are the incarnation and the sequence number of the last applied load report.
 	incarnation pomelorelay.Incarnation
 	lastSeq     uint64
 }
--- a/pomeloentry/router.go
+++ b/pomeloentry/router.go
@@ -191,7 +191,7 @@
 // Current returns the route table in force, or nil.
 func (t tables) Current() *pomelotable.Table { return t.e.table.Load() }
 
-// stopping implements pomeloforward.Shutdown.
+// stopping implements pomeloforward.ShutdownState.
 type stopping struct{ e *Router }
 
 // TimeLeft returns the time until the process ends, and false when no stop is in progress.
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -26,7 +26,8 @@
 	gapRequestedAt time.Time
 }
 
-// lacksState reports whether the store is silent and this router lacks the configuration, the upstreams or any peers.
+// lacksState reports whether the store has not answered for some time and this router lacks the configuration, the upstreams or any
+// peers.
 func (c *control) lacksState(now time.Time) bool {
 	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return false
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -26,7 +26,7 @@
 	// plus its watch wait.
 	takeoverFraction     = 0.5
 	takeoverStepFraction = 0.03
-	// takeoverPollInterval is how often a router checks whether it must read.
+	// takeoverPollInterval is how often a router checks whether it must read the store.
 	takeoverPollInterval = 200 * time.Millisecond
 	// startupDelayWork is the base startup delay of a router with the CPU speed of one core; the delay is inversely proportional to
 	// the CPU speed. The fastest routers thus read the store first, and the others get the changes from them without a store call.
@@ -65,7 +65,8 @@
 // isBehind reports whether the cursor is before the revision, so that a change is missing.
 func (c *cursor) isBehind(at pomelorelay.Revision) bool { return at > c.get() }
 
-// readStoreLoop reads the store whenever shouldRead reports that this router must.
+// readStoreLoop reads the store until this router has its complete state, and afterwards whenever shouldRead reports that this router
+// must.
 func (e *Router) readStoreLoop(ctx context.Context) {
 	started := time.Now()
 	delay := e.startupDelay()
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -78,7 +78,7 @@
 	}
 	now = now.Add(3 * time.Second)
 	f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 10})
-	// The update from 10 to 14, in which u1 left, is lost.
+	// The update from revision 10 to 14, in which u1 left, is lost.
 	if at := f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 14, Revision: 17, Upstreams: up("u5")}); at != 10 {
 		t.Fatalf("cursor at %d although the update from 10 to 14 is missing, want 10", at)
 	}
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	e := pomelorelay.NewError(pomelorelay.CodeStopping, "", nil)
-	// Another router can accept it immediately.
+	// Another router can accept the request immediately.
 	e.RetryAfter = time.Millisecond
 	return e
 }
--- a/pomeloforward/call.go
+++ b/pomeloforward/call.go
@@ -24,7 +24,7 @@
 	account   pomelorelay.AccountID
 	service   pomelorelay.ServiceID
 	body      *bytes.Buffer
-	// deadline is the earlier of the caller's deadline and the route's timeout.
+	// deadline is the earliest of the caller's deadline, the end of the route's timeout and that of defaultTimeout.
 	deadline time.Time
 	// answerStarted is set once the head of an answer was written to the caller.
 	answerStarted bool
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -82,7 +82,7 @@
 	dialTimeout = 500 * time.Millisecond
 	// ackTimeout is how long an upstream's host may leave data unacknowledged: ten one-way trips between regions, and two lost packets.
 	ackTimeout = 2 * time.Second
-	// idleTimeout closes idle connections; upstreams may announce shorter times.
+	// idleTimeout closes idle connections to upstreams; upstreams may announce shorter times.
 	idleTimeout = 10 * time.Second
 	// maxIdleConns bounds the idle connections to one upstream: the requests that an engine runs from one router in a burst.
 	maxIdleConns = 64
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -110,7 +110,7 @@
 }
 
 // Guards against failing a request that did not run: a full upstream says so with 503, another upstream that now has the address of the selected
-// one with 421. Both are safe to retry elsewhere, even when the request may run only once.
+// one with 421. After either status the request is safe to retry elsewhere, even when it may run only once.
 func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, status := range []int{503, 421} {
 		full := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -347,7 +347,7 @@
 	})
 	h := newHarness(t, up.entry("up"))
 	var checks atomic.Int64
-	// The first two checks come before the placement and before the connection is opened.
+	// The first two checks whether the caller has disconnected come before the placement and before the connection is opened.
 	h.mu.Lock()
 	h.callerGone = func() bool { return checks.Add(1) > 2 }
 	h.mu.Unlock()
--- a/pomeloforward/handler.go
+++ b/pomeloforward/handler.go
@@ -62,8 +62,8 @@
 	c.run()
 }
 
-// EstimateCost returns the account and the cost of a request from its header, for requests refused before their body is read. The
-// cost is zero when there is no configuration or no known key.
+// EstimateCost returns the account and the cost of a request from its header, for requests refused before their body is read. The cost is zero
+// when there is no configuration or the API key is unknown.
 func (h *Handler) EstimateCost(r *http.Request) (pomelorelay.AccountID, pomelorelay.Cost) {
 	table := h.cfg.Tables.Current()
 	if table == nil {
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -14,7 +14,7 @@
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
 	// ColdBounds limits the request rate of the fleet to cold upstreams.
 	ColdBounds pomelorelay.ColdBounds
-	// Disabled lists the disabled mechanisms.
+	// Disabled selects the placement mechanisms that are disabled.
 	Disabled Mechanisms
 }
 
@@ -61,7 +61,7 @@
 	ReasonEvacuated Reason = "Evacuated"
 	// ReasonCold means that only cold upstreams are available, and this router may not send to them yet.
 	ReasonCold Reason = "Cold"
-	// ReasonTooLate means that the answer could not begin within the target.
+	// ReasonTooLate means that no upstream could be expected to begin the answer within the target.
 	ReasonTooLate Reason = "Late"
 	// ReasonOverShare means that the request exceeds its account's share while the upstreams are busy.
 	ReasonOverShare Reason = "Share"
@@ -74,7 +74,7 @@
 const (
 	// BoundNone means that the request was admitted or that no upstream was available.
 	BoundNone Bound = ""
-	// BoundQueue limits the prompt tokens queued at an engine.
+	// BoundQueue limits the expected wait for earlier requests at the upstream.
 	BoundQueue Bound = "Queue"
 	// BoundTime limits the expected time until the answer begins.
 	BoundTime Bound = "Time"
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Many routers with delayed load reports share many small engines, and half of the requests exceed their accounts' shares. If those were
+// Many routers with delayed load reports share many small engines, and half of the requests exceed their accounts' shares. If such requests were
 // admitted until the engines are full, they would delay the in-share requests.
 func TestInShareRequestsMeetTargetUnderFlood(t *testing.T) {
 	s := newSimulation(1, 33, 56)
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -276,7 +276,7 @@
 	}
 }
 
-// A router that receives no reports keeps placing requests by the last ones. The request log must show how old they were.
+// A router that receives no load reports keeps placing requests by the last ones. The request log must show how old those reports were.
 func TestDecisionIncludesReportAge(t *testing.T) {
 	p := withEngines(2)
 	if d := p.Place(start, prompt(1, 500, 10)); d.ReportAge != 0 {
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -17,7 +17,7 @@
 	removed     map[pomelorelay.UpstreamID]*upstream
 	pools       map[pomelorelay.ServiceID]*pool
 	engineSpecs map[pomelorelay.ServiceID]*pomelorelay.EngineSpec
-	// capacity is the configured output of all engines in tokens per second; zero when not configured.
+	// capacity is the configured throughput of all engines together, in tokens per second; zero when not configured.
 	capacity pomelorelay.Cost
 	// engineCount is the number of upstreams that are model engines.
 	engineCount int
@@ -156,7 +156,7 @@
 	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.StartUnixMilli == info.StartUnixMilli || info.StartUnixMilli == 0)
 }
 
-// maxRemoved limits the number of removed upstreams that are remembered.
+// maxRemoved limits the number of removed upstreams that are remembered; all of them are forgotten when it is reached.
 const maxRemoved = 256
 
 // RemoveUpstream removes an upstream. Its requests continue, and its state is kept in case it is listed again.
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -13,7 +13,7 @@
 	coldRate = 15.0
 )
 
-// withColdEngines returns the placer of the named router, one of two in the region, with engines that are cold after a start.
+// withColdEngines returns the placer of the named router, one of the two routers in the engines' region. The engines are cold after a start.
 func withColdEngines(self pomelorelay.NodeID, listed ...pomelorelay.FleetUpstream) *pomeloplace.Placer {
 	peers := []pomelorelay.Peer{{Node: "r1", Domain: "a", Region: "ra"}, {Node: "r2", Domain: "a", Region: "ra"}, {Node: "far", Domain: "b", Region: "rb"}}
 	var own pomelorelay.Peer
@@ -64,7 +64,7 @@
 	}
 }
 
-// Guards against refusing all requests of a service while its engines are cold, and against sending them more than their limit.
+// Guards against refusing all requests of a service while its engines are cold, and against sending the engines more requests than their limit.
 func TestColdEnginesServeWithinTheirBound(t *testing.T) {
 	sent := 0
 	var refused pomeloplace.Decision
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -42,7 +42,8 @@
 	prefillWeight = 4.5
 	// copyWeight weights copy time: a copied part occupies memory on two engines and evicts other parts.
 	copyWeight = 2.5
-	// waitWeight weights a wait that ends well within the target, where the choice between engines matters little.
+	// waitWeight weights the expected latency. It is small, since the choice between engines matters little while answers begin well within the
+	// target.
 	waitWeight = 0.1
 	// latenessThreshold is the fraction of the target beyond which each millisecond of expected latency also counts latenessWeight, since
 	// requests of other routers that are not yet known may delay the answer past its target. A larger weight would move requests from short
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -171,10 +171,10 @@
 }
 
 const (
-	// minUnmetFraction is the unserved fraction of its demand from which an account counts as short. Users consider it unfair when
-	// half is unserved; with a lower threshold, an account that misses one large request would hold back the others while engines are idle.
+	// minUnmetFraction is the minimum unserved fraction of a short account's demand. Users consider it unfair when half is unserved; with a
+	// lower threshold, an account that misses one large request would hold back the others while engines are idle.
 	minUnmetFraction = 0.35
-	// minUnmetTokens is the unserved cost from which an account counts as short: two large requests.
+	// minUnmetTokens is the minimum unserved cost of a short account, in tokens: that of two large requests.
 	minUnmetTokens = 25000
 	// leadTolerance limits what an account beyond its share is served while another account is short, as a multiple of the fair level or of the
 	// cost served to the least served short account, whichever is higher. Users consider a ratio of 2 unfair; the margin allows for the delay of
@@ -218,8 +218,8 @@
 		old := a.steps[s.currentStep]
 		a.steps[s.currentStep] = usage{}
 		a.window.requested -= old.requested
-		// May fall below zero: a refund can be recorded in a later step than the request that it refunds. With a minimum of zero, the
-		// refunded cost would stay in the window for good.
+		// The served cost may fall below zero: a refund can be recorded in a later step than the request that it refunds. If it were kept at
+		// zero, the refunded cost would stay in the window for good.
 		a.window.served -= old.served
 	}
 }
@@ -255,7 +255,7 @@
 		return true
 	}
 	served := s.account(id).window.served
-	// Counts half of the cost, so that about every second request that straddles the level is served.
+	// Half of the cost is counted, so that about every second request that would cross the level is served.
 	return served+cost/2 <= s.level || served <= s.minServedShort
 }
 
@@ -268,9 +268,9 @@
 	return float64(s.account(id).window.served / (farLeadTolerance * s.minServedFarShort))
 }
 
-// effectiveLevel returns the level up to which accounts are served. Engines often produce more than the configured capacity; the surplus
-// goes to the least served short account. If it went to the first requests, a flood would take most of it, and an account slightly above
-// the configured level would get less than half of what the flood gets.
+// effectiveLevel returns the level up to which accounts are served. Engines often produce more than the configured capacity; the surplus goes to
+// the least served short account. If the surplus went to whichever requests come first, a flood would take most of it, and an account slightly
+// above the configured level would get less than half of what the flood gets.
 func (s *Shares) effectiveLevel() pomelorelay.Cost { return max(s.level, s.minServedShort) }
 
 // Usage returns the account's requested and served cost within the window, and the level up to which accounts are served.
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// Guards against an account that gets more than twice as much as another one that waits constantly: the engines produce less than the
-// configured capacity, so that the requests of both are within their shares.
+// Guards against an account that gets more than twice as much as another one with constant unserved demand. If the engines produce less than the
+// configured capacity, the requests of both accounts are within their shares.
 func TestAccountFarAheadYieldsToAShortAccount(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -5,7 +5,7 @@
 	// pausePriorStreams is the number of streams that it counts for.
 	pausePrior        = 0.1
 	pausePriorStreams = 4
-	// minStreams is the number of streams down to which observations decay.
+	// minStreams is the number of observed streams below which observations do not decay.
 	minStreams = 100
 	// pauseBaseline is the fraction of paused streams up to which long prefills have no weight, since faults cause about as many pauses;
 	// pauseSaturation is the fraction from which they have full weight.
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -26,8 +26,8 @@
 	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
 	HalfLife  time.Duration
 	MinWeight float64
-	// MaxReportWeight bounds the denominator of one report of another router: its first report covers all observations since
-	// its start.
+	// MaxReportWeight bounds the denominator with which one report of another router counts. A router's first report covers all observations
+	// since its start and would outweigh recent ones.
 	MaxReportWeight float64
 }
 
--- a/pomelowarmup/config.go
+++ b/pomelowarmup/config.go
@@ -26,7 +26,7 @@
 	Self pomelorelay.Peer
 	// Regions maps each failure domain to its region.
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
-	// Bounds relate the bound of a cold upstream to the request rate that its service is configured to accept.
+	// Bounds determines the request limit of a cold upstream from the request rate that its service is configured to accept while cold.
 	Bounds pomelorelay.ColdBounds
 	// Holders is the number of routers that may send to a cold upstream, each within an equal part of its request limit; DefaultHolders when
 	// zero.
