--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -54,7 +54,7 @@
 	f.await("every router logs the end of the evacuation", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
-// Guards against updates of the reader that omit evacuations, and against a full state that leaves ended evacuations in place.
+// Guards against updates after a store read that omit evacuations, and against a full state that leaves ended evacuations in place.
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
@@ -67,19 +67,19 @@
 		apply func() pomelorelay.Revision
 		want  int
 	}{
-		{"an update of everything", func() pomelorelay.Revision {
+		{"a full update", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{Revision: 10, Full: true, Evacuated: []pomelorelay.DomainID{"b", "c"}})
 		}, 2},
-		{"an update that says nothing", func() pomelorelay.Revision {
+		{"an update without evacuations", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 10, Revision: 11})
 		}, 2},
-		{"an update that takes one back", func() pomelorelay.Revision {
+		{"an update that ends an evacuation", func() pomelorelay.Revision {
 			return f.Receive(now, "a-0", &pomelorelay.FleetUpdate{After: 11, Revision: 12, RestoredDomains: []pomelorelay.DomainID{"c"}})
 		}, 1},
 		{"an old state", func() pomelorelay.Revision {
 			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 11})
 		}, 1},
-		{"a newer state without it", func() pomelorelay.Revision {
+		{"a newer state without evacuations", func() pomelorelay.Revision {
 			return f.ApplyPeerState(now, "a-0", &pomelorelay.FleetState{Revision: 14})
 		}, 0},
 	} {
--- a/pomeloplace/domain.go
+++ b/pomeloplace/domain.go
@@ -31,14 +31,14 @@
 	return &domainState{hung: make(map[pomelorelay.UpstreamID]bool)}
 }
 
-// unreachable reports whether the domain counts as unreachable, including the time after a backoff.
+// unreachable reports whether the domain counts as unreachable. It still does after a backoff, until one of its upstreams answers.
 func (d *domainState) unreachable() bool { return len(d.hung) >= minHungUpstreams }
 
 // inBackoff reports whether the domain is in backoff.
 func (d *domainState) inBackoff(now time.Time) bool { return now.Before(d.backoffUntil) }
 
-// recordSend records a request to the domain. The first request to an unreachable domain after its backoff is a probe; a new backoff holds
-// other requests back until its outcome is known.
+// recordSend records a request to the domain. The first request to an unreachable domain after its backoff is a probe; a new backoff holds other
+// requests back until the outcome of the probe is known.
 func (d *domainState) recordSend(now time.Time) {
 	if d.unreachable() && !d.inBackoff(now) {
 		d.backoffUntil, d.probing = now.Add(unreachableBackoff), true
--- a/pomeloplace/prefixcache.go
+++ b/pomeloplace/prefixcache.go
@@ -8,7 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// prefixCache estimates which prompt parts an engine has cached: the latest ones from all routers, up to its memory.
+// prefixCache estimates which prompt parts an engine has cached: the most recently used ones of all routers' requests, up to the engine's
+// memory.
 type prefixCache struct {
 	capacity pomelorelay.Tokens
 	used     pomelorelay.Tokens
@@ -60,8 +61,8 @@
 	}
 }
 
-// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because
-// the other routers would otherwise consider a part that only this router uses as unused since its prefill.
+// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because the
+// other routers would otherwise consider a part that only this router uses as unused since its prefill, and expect its eviction.
 func (c *prefixCache) markReported(now time.Time, hash uint64) bool {
 	p := c.parts[hash]
 	if p == nil || (!p.reportedAt.IsZero() && now.Sub(p.reportedAt) < partReportInterval) {
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -21,13 +21,13 @@
 
 // DecayingRatioConfig holds the prior and the decay settings of an estimate.
 type DecayingRatioConfig struct {
-	// Prior is the value before any observation, PriorWeight the denominator that it counts for.
+	// Prior is the value before any observation. PriorWeight is the denominator with which the prior counts beside the observed sums.
 	Prior, PriorWeight float64
 	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
 	HalfLife  time.Duration
 	MinWeight float64
-	// MaxReportWeight bounds the denominator of one report of another router: its first report covers all observations since
-	// its start.
+	// MaxReportWeight bounds the denominator with which one report of another router counts. A router's first report covers all observations
+	// since its start and would outweigh recent ones.
 	MaxReportWeight float64
 }
 
