--- a/cmd/pomelobench/pomelobounds/bounds.go
+++ b/cmd/pomelobench/pomelobounds/bounds.go
@@ -47,7 +47,7 @@
 // Verdict is a bound with the measured values.
 type Verdict struct {
 	Bound Bound
-	// Values has one value per run of the benchmark that reported the metric; without any, Met is false.
+	// Values are the measured values, one per run of the benchmark that reported the metric; if there are none, Met is false.
 	Values []float64
 	Met    bool
 }
--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -16,7 +16,8 @@
 // outcome is the result of an attempt as its caller sees it.
 type outcome struct {
 	kind outcomeKind
-	// matchesRequest and complete are set for answers.
+	// matchesRequest reports whether an answer belongs to the request, complete whether it is not truncated; both are set for
+	// answers only.
 	matchesRequest bool
 	complete       bool
 	// ran, code, retryAfter and hasRetryAfter are set for refusals; ran and code also for streams that end with an error event.
@@ -109,7 +110,7 @@
 	o.matchesRequest = !o.complete || answer.Proof == q.digest
 }
 
-// chatAnswer contains the fields used of an engine's answer or stream event.
+// chatAnswer decodes the fields that the load generator uses of an engine's answer or stream event.
 type chatAnswer struct {
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
@@ -135,7 +136,7 @@
 	o.compareText(answer.Choices[0].Message.Content, answer.Usage.CompletionTokens, q)
 }
 
-// compareText compares the text with the one that the stand-in generates for the request.
+// compareText sets matchesRequest and complete by comparing the text with the one that the stand-in engine generates for q.
 func (o *outcome) compareText(text string, tokens int, q request) {
 	o.matchesRequest = strings.HasPrefix(text, q.digest.AnswerToken(0)) || text == ""
 	var want strings.Builder
@@ -192,7 +193,7 @@
 	return event.Usage.CompletionTokens
 }
 
-// readStreamError records an error event, which tells the caller that the stream is incomplete.
+// readStreamError records an error event, by which a router or engine reports that the stream is incomplete.
 func (o *outcome) readStreamError(data string) {
 	var p problem
 	_ = json.Unmarshal([]byte(data), &p)
--- a/cmd/pomelobench/pomeloload/balancer.go
+++ b/cmd/pomelobench/pomeloload/balancer.go
@@ -67,8 +67,8 @@
 	b.targets = append(b.targets, t)
 }
 
-// pick returns a random ready target that serves the service and is among the names, which may be empty for all. If none of these
-// is ready, it chooses from fallback.
+// pick returns a random ready target that serves the service and is listed in names; an empty list allows all targets. If none of
+// these targets is ready, pick chooses from those that fallback returns.
 func (b *balancer) pick(service pomelorelay.ServiceID, names []pomelorelay.NodeID, rng *rand.Rand) *target {
 	var ready, matching []*target
 	for _, t := range b.targets {
@@ -89,8 +89,8 @@
 	return ready[rng.IntN(len(ready))]
 }
 
-// fallback returns all ready routers, as a load balancer would use when the preferred ones are down, or the matching targets if no
-// router is ready.
+// fallback returns all ready routers, since a load balancer would use them when the preferred ones are down. If no router is ready,
+// it returns the matching targets.
 func (b *balancer) fallback(matching []*target) []*target {
 	var ready []*target
 	for _, t := range b.targets {
--- a/cmd/pomelobench/pomeloload/caller.go
+++ b/cmd/pomelobench/pomeloload/caller.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// sendRequest sends a request until it is answered, may not be sent again, or has used its attempts.
+// sendRequest sends a request until it is answered, may not be sent again, or has used its attempts. A fraction of the requests of
+// an at-most-once service is also sent twice concurrently, or again after the answer.
 func (c *callers) sendRequest(ctx, issueCtx context.Context, account Account, service Service, load Load, rng *rand.Rand) {
 	q, err := newRequest(account, service, load, c.lastRequest.Add(1))
 	if err != nil {
@@ -110,9 +111,9 @@
 	}
 }
 
-// mayResend reports whether a caller sends a request again: when the refusal says that it did not run, when its connection broke
-// (requests without an Idempotency-Key are idempotent), or when it has such a key, which prevents a second run. Requests with a
-// marker are sent again after any failure, as human users do.
+// mayResend reports whether a caller sends a request again: after a refusal that reports that the request did not run, and after a
+// broken connection, since requests without an Idempotency-Key are idempotent. Requests with such a key, which prevents a second
+// run, and requests with a prompt marker, whose callers imitate persistent users, are sent again after any failure.
 func mayResend(q request, o outcome) bool {
 	if o.kind == outcomeRefused && o.ran == pomelorelay.RanNo {
 		return true
@@ -152,8 +153,8 @@
 	return readAnswer(resp, q)
 }
 
-// newHTTPRequest hides the type of the body from net/http. With a rewindable body and an Idempotency-Key the transport would
-// retry by itself after a broken connection, and two sends would be recorded as one attempt.
+// newHTTPRequest wraps the body so that net/http cannot rewind it. Otherwise the transport would resend requests with an
+// Idempotency-Key by itself after a broken connection, and two sends would be recorded as one attempt.
 func (c *callers) newHTTPRequest(ctx context.Context, t *target, q request, id string) (*http.Request, error) {
 	path := q.path()
 	if !c.plan.Direct {
@@ -177,8 +178,8 @@
 	return r, nil
 }
 
-// transportFailure returns the outcome of a failed round trip: a failure to connect is a refusal without a run, any other a
-// broken connection.
+// transportFailure returns the outcome of a failed round trip. A failure to connect counts as a refusal of a request that did not
+// run, any other failure as a broken connection.
 func transportFailure(err error) outcome {
 	o := outcome{kind: outcomeBroken, endedAt: time.Now(), detail: err.Error()}
 	var op *net.OpError
--- a/cmd/pomelobench/pomeloload/evaluate.go
+++ b/cmd/pomelobench/pomeloload/evaluate.go
@@ -144,7 +144,8 @@
 // sampleInterval is the resolution of the utilisation samples.
 const sampleInterval = 100 * time.Millisecond
 
-// slotUse is the number of busy and of existing slots of a pool in each sample; both are zero in samples without waiting work.
+// slotUse is how many of a pool's request slots are busy and how many exist, in each sample; both numbers are zero in samples in
+// which no request waited.
 type slotUse struct {
 	busy  []float64
 	slots []float64
@@ -178,7 +179,7 @@
 	}
 }
 
-// addInterval adds to each sample the fraction of it that the interval covers.
+// addInterval adds to each sample the fraction of the sample's duration that the interval covers.
 func addInterval(samples []float64, start time.Time, s interval) {
 	first := max(0, int(s.from.Sub(start)/sampleInterval))
 	for i := first; i < len(samples); i++ {
@@ -233,7 +234,7 @@
 	}
 }
 
-// utilisation returns busy over existing slots in the samples [from, to), or zero if no work waited during them.
+// utilisation returns the ratio of busy to existing slots in the samples [from, to), or zero if no request waited during them.
 func (u *slotUse) utilisation(from, to int) float64 {
 	busy, slots := 0.0, 0.0
 	for i := max(0, from); i < min(to, len(u.busy)); i++ {
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -39,7 +39,7 @@
 }
 
 // Guards against checks that miss faults: callers use faulty upstreams without a router between, so each fault must appear in the
-// result. A check that misses it here would also miss it behind a router that does not handle it.
+// result. A check that misses a fault here would also miss it behind a router that does not handle the fault.
 func TestFaultsWithoutRouterAreDetected(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -73,7 +73,7 @@
 type testRouter struct {
 	plain    *pomelofake.PlainService
 	stopping atomic.Bool
-	// falseNotRunEvery n > 0 refuses each nth request as not run after running it.
+	// falseNotRunEvery, if n > 0, makes the router refuse every n-th request as not run although it ran.
 	falseNotRunEvery int64
 	requests         atomic.Int64
 	vars             func() string
@@ -186,8 +186,8 @@
 	})
 }
 
-// A router restarts with an older configuration: the lower generation is detected, and its control bytes are counted across the
-// counter reset.
+// A router restarts with an older configuration: the lower generation must be detected, and the router's control traffic must be
+// counted although its byte counters restart at zero.
 func TestRouterCountersAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newTestNetwork(t)
@@ -213,7 +213,7 @@
 	})
 }
 
-// Callers send a booking twice concurrently, and without a router nothing prevents the second run.
+// Callers send a booking twice concurrently. Without a router nothing prevents the second run, which must be counted.
 func TestOverlappingSendsAndMarkedRunsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := directPlan()
@@ -230,7 +230,8 @@
 	})
 }
 
-// The same unfair load is checked from its start and from its last 100 ms on: service before GapCheckFrom must not count.
+// The same unfair load is checked once over its whole time and once over its last 100 ms only: service before GapCheckFrom must not
+// count toward the fairness gap.
 func TestGapIsCheckedFromGapCheckFrom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := directPlan()
--- a/cmd/pomelobench/pomeloload/marks.go
+++ b/cmd/pomelobench/pomeloload/marks.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// readMarks adds the complete lines after offset and returns their length in bytes.
+// readMarks records the marks on the complete lines after offset and returns the length of these lines in bytes.
 func (r *recorder) readMarks(path string, offset int64, logf func(string, ...any)) (int64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// addMark dates a kill, stop or freeze two polling intervals back, since a mark is read with a delay and failures within that
-// delay follow from it.
+// addMark records a mark read at now. It dates a kill, stop or suspension two polling intervals back: the mark is read with a delay,
+// and failures within that delay already result from the kill, stop or suspension.
 func (r *recorder) addMark(m Mark, now time.Time) {
 	at := now.Add(-2 * marksInterval)
 	if m.Killed != "" {
--- a/cmd/pomelobench/pomeloload/plan.go
+++ b/cmd/pomelobench/pomeloload/plan.go
@@ -27,11 +27,12 @@
 	Upstreams []Upstream `yaml:"Upstreams"`
 	Accounts  []Account  `yaml:"Accounts"`
 	Steps     []Step     `yaml:"Steps"`
-	// MaxWait limits the time of a request over all attempts, and of a backlogged account without service; Timeout plus 3 s by default.
+	// MaxWait is the maximum time that a request may take over all its attempts, and the maximum time that a backlogged account may
+	// receive no service; Timeout plus 3 s by default.
 	MaxWait time.Duration `yaml:"MaxWait"`
 	// GapCheckFrom is the time after the start from which the fairness gap is checked, so that a plan can exclude the time of a fault.
 	GapCheckFrom time.Duration `yaml:"GapFrom"`
-	// HostListAdmin is the admin address of the process that runs the stand-ins of host list and store.
+	// HostListAdmin is the admin address of the process that simulates the platform's host list and store.
 	HostListAdmin netip.AddrPort `yaml:"HostAdmin"`
 }
 
@@ -60,7 +61,8 @@
 	Path string `yaml:"Path"`
 	// AtMostOnce sends every request with an Idempotency-Key, since it may run at most once.
 	AtMostOnce bool `yaml:"Once"`
-	// InputCost and OutputCost are the costs of one token; the cost of a plain service's request is its slot time in seconds.
+	// InputCost and OutputCost are the costs of one prompt token and one answer token at a model engine. A request to a plain service
+	// costs its run time in seconds.
 	InputCost  pomelorelay.Cost `yaml:"InputCost"`
 	OutputCost pomelorelay.Cost `yaml:"OutputCost"`
 	// GapBound is the maximum fairness gap in normalised service (cost over weight), zero for none.
@@ -70,7 +72,7 @@
 // Pool returns the ID of the pool that serves the service.
 func (s Service) Pool() pomelorelay.PoolID { return pomelorelay.Pool(s.Name, s.Model) }
 
-// Upstream is the stand-in of an upstream.
+// Upstream is a simulated upstream.
 type Upstream struct {
 	Name    pomelorelay.UpstreamID `yaml:"Name"`
 	Service pomelorelay.ServiceID  `yaml:"Service"`
--- a/cmd/pomelobench/pomeloload/random.go
+++ b/cmd/pomelobench/pomeloload/random.go
@@ -14,11 +14,11 @@
 	meanFaultInterval = 2 * time.Second
 	minFaultDuration  = time.Second
 	maxFaultDuration  = 5 * time.Second
-	// faultFreeEnd is the time without faults at the end of a run, in which their effects can end.
+	// faultFreeEnd is the time without faults at the end of a run, in which the effects of earlier faults can end.
 	faultFreeEnd = 5 * time.Second
 )
 
-// drawnFault is a random fault at an admin address, with the fault that clears it.
+// drawnFault is a random fault to post to an admin address, with the request body that clears it again.
 type drawnFault struct {
 	admin netip.AddrPort
 	set   pomelofake.Fault
--- a/cmd/pomelobench/pomeloload/recorder.go
+++ b/cmd/pomelobench/pomeloload/recorder.go
@@ -23,7 +23,7 @@
 	tally        Tally
 	seconds      map[int]*secondStats
 	start        time.Time
-	// leftAt is when the host list showed an upstream as leaving.
+	// leftAt is when the host list began to show each upstream as leaving.
 	leftAt map[pomelorelay.UpstreamID]time.Time
 	// failureCounts counts broken and refused attempts by message.
 	failureCounts map[string]int
@@ -42,7 +42,7 @@
 	run      pomelofake.Run
 }
 
-// controlRecord is the control traffic of one router between two readings of its counters.
+// controlRecord is the traffic between one router and its peers from one reading of the router's counters to the next.
 type controlRecord struct {
 	at          time.Time
 	node        pomelorelay.NodeID
@@ -59,7 +59,7 @@
 
 // Tally counts requests, attempts and their outcomes.
 type Tally struct {
-	// Attempts counts every attempt at a request, Resends those after the first.
+	// Requests counts each request once, Attempts every attempt at a request, and Resends the attempts after the first.
 	Requests int
 	Attempts int
 	Resends  int
@@ -71,7 +71,7 @@
 	Runs      int
 }
 
-// secondStats counts the attempts that ended within one second of a run.
+// secondStats holds the counts and latencies of the attempts that ended during one particular second of the load run.
 type secondStats struct {
 	tally     Tally
 	latency   *hdrhistogram.Histogram
@@ -160,8 +160,8 @@
 	})
 }
 
-// refusalDecidedAt returns when the router decided to refuse the attempt: on arrival if the code says that a queue was full, else
-// the zero time, since the code does not determine it.
+// refusalDecidedAt returns when the router decided to refuse the attempt. A full queue is detected on arrival, so for its codes this
+// is the time of sending; other codes do not determine the time, and the result is zero.
 func refusalDecidedAt(sent pomelocheck.RequestSent, o outcome) time.Time {
 	if o.code == pomelorelay.CodeQueueCountFull || o.code == pomelorelay.CodeQueueBytesFull {
 		return sent.At
--- a/cmd/pomelobench/pomeloload/request.go
+++ b/cmd/pomelobench/pomeloload/request.go
@@ -11,7 +11,8 @@
 	"github.com/pomelorelay/pomelorelay/pomelofake"
 )
 
-// request is a request of a caller, sent in one or more attempts. Its body is unique, which identifies its runs and answers.
+// request is a request of a caller, sent in one or more attempts. Its body is unique, and the body's digest identifies the runs and
+// the answers of the request.
 type request struct {
 	account Account
 	service Service
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -11,12 +11,12 @@
 // PoolResult contains the measurements of one pool.
 type PoolResult struct {
 	Pool pomelorelay.PoolID
-	// FairnessGap and FairnessBound are in normalised service: cost over weight.
+	// FairnessGap is the maximum difference in normalised service (cost over weight) between two accounts, FairnessBound its limit.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
 	MostServed    pomelorelay.AccountID `json:"More"`
 	LeastServed   pomelorelay.AccountID `json:"Less"`
-	// Utilisation is busy over existing slots while work waited, which was for WaitingSeconds.
+	// Utilisation is the ratio of busy to existing slots while requests waited; WaitingSeconds is how long requests waited.
 	Utilisation    float64
 	WaitingSeconds float64
 }
@@ -26,7 +26,7 @@
 	// FairnessGap and FairnessBound are those of the pool with the largest ratio of gap to bound.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
-	// Utilisation is busy over existing slots of all pools, each while work waited for it.
+	// Utilisation is the ratio of busy to existing slots over all pools; a pool counts only while requests waited for it.
 	Utilisation float64
 	// ControlBytesPerNodeSecond is the average control traffic of a router, sent and received, in bytes per second.
 	ControlBytesPerNodeSecond float64
@@ -45,9 +45,10 @@
 	GapOverBound      int
 	// MinAnswers is the smallest number of answers that an account got from a pool it called.
 	MinAnswers int `json:"LeastAnswers"`
-	// MaxMarkedRuns is the largest number of runs of one request with a marker.
+	// MaxMarkedRuns is the largest number of times that one request with a prompt marker ran.
 	MaxMarkedRuns int `json:"MostMarkedRuns"`
-	// GenerationReadings counts the readings of generations in force; at zero, GenerationFell and GenerationLate were not checked.
+	// GenerationReadings counts how often a router's configuration generation was read; if it is zero, GenerationFell and
+	// GenerationLate were not checked.
 	GenerationReadings int `json:"GenerationsSeen"`
 	// The latencies are those of answered attempts, from sending to the first byte and to the end, queueing included.
 	FirstByteP50Milliseconds float64
@@ -83,7 +84,8 @@
 	Second int
 	At     time.Time
 	Tally
-	// Gaps are between the accounts backlogged throughout the 5 s that end with the sample.
+	// Gaps are the maximum differences in normalised service per pool between the accounts that were backlogged throughout the 5 s
+	// before At.
 	Gaps                     map[pomelorelay.PoolID]pomelorelay.Tag
 	Utilisation              map[pomelorelay.PoolID]float64
 	ControlBytesPerNode      float64
@@ -236,7 +238,7 @@
 	return busy / slots
 }
 
-// totalControlBytes returns the average per node in bytes per second, and the bytes sent between regions.
+// totalControlBytes returns the average control traffic per router in bytes per second, and the bytes sent between regions.
 func (r *recorder) totalControlBytes() (float64, pomelorelay.Bytes) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
--- a/cmd/pomelobench/pomeloload/run.go
+++ b/cmd/pomelobench/pomeloload/run.go
@@ -23,7 +23,7 @@
 const progressInterval = time.Second
 
 // Run generates the plan's load, waits for the requests in progress and checks the observations. It fails as Plan.Validate does,
-// and when a router is not ready in time or the runs of a stand-in cannot be read.
+// and when a router is not ready in time or a stand-in's list of executed requests cannot be read.
 func Run(ctx context.Context, p Plan, opts Options) (Report, error) {
 	if err := p.Validate(); err != nil {
 		return Report{}, err
@@ -98,7 +98,8 @@
 	return r.recorder.evaluate(r.plan, issueEnd), nil
 }
 
-// settleTime is how long runs without a caller may take to end, such as streams that an engine keeps to be resumed.
+// settleTime is the wait before the stand-ins' lists of executed requests are read for the last time. Requests that still run after
+// their callers disconnected can end meanwhile, such as streams that an engine keeps running so that they can be resumed.
 const settleTime = 3 * time.Second
 
 func (r *runner) readFinalRuns(ctx context.Context) error {
--- a/cmd/pomelobench/pomeloload/steps.go
+++ b/cmd/pomelobench/pomeloload/steps.go
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// drain records the stop before it requests it, so that every failure it causes is recorded later.
+// drain records the planned stop of a router before requesting it, so that every failure caused by the stop has a later time.
 func (s *stepRunner) drain(ctx context.Context, node pomelorelay.NodeID) error {
 	i := slices.IndexFunc(s.plan.Routers, func(r Router) bool { return r.Name == node })
 	if i < 0 {
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -34,10 +34,11 @@
 	return c.DomainSent + c.DomainReceived + c.RegionSent + c.RegionReceived + c.CrossSent + c.CrossReceived
 }
 
-// crossRegion returns the bytes sent, but not those received, so that a sum over routers counts each byte once.
+// crossRegion returns the control-message bytes sent to other regions. It leaves out those received, so that a sum over routers
+// counts each byte once.
 func (v routerVars) crossRegion() pomelorelay.Bytes { return v.Pomelo.ControlBytes.CrossSent }
 
-// watcher polls the counters of routers and the runs of stand-ins.
+// watcher polls the counters of routers and the stand-ins' lists of executed requests.
 type watcher struct {
 	plan         Plan
 	client       *http.Client
@@ -95,7 +96,7 @@
 	}
 	total, crossRegion := vars.total()-last.vars.total(), vars.crossRegion()-last.vars.crossRegion()
 	if total < 0 || crossRegion < 0 {
-		// The router was restarted, and its counters with it.
+		// The router was restarted, and its counters began at zero again.
 		total, crossRegion = vars.total(), vars.crossRegion()
 	}
 	w.recorder.addControlBytes(controlRecord{at: now, node: r.Name, total: total, crossRegion: crossRegion, interval: now.Sub(last.readAt)})
--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -113,7 +113,7 @@
 		m.failures++
 		return
 	}
-	// The client's timeout of one minute is within the histogram's range.
+	// The error can be ignored, since the client's timeout of one minute keeps the value within the histogram's range.
 	_ = m.latencies.RecordValue(int64(took))
 }
 
--- a/cmd/pomeloctl/pomelocommand/apply.go
+++ b/cmd/pomeloctl/pomelocommand/apply.go
@@ -27,12 +27,13 @@
 	routers  []string
 }
 
-// applyResult is the accepted change and the routers on which it is or is not yet in force.
+// applyResult is a change accepted by the store, and the routers on which it is in force or still pending.
 type applyResult struct {
 	Generation pomelorelay.Generation
 	ChangeID   pomeloconfig.ChangeID
 	Difference pomeloconfig.DifferenceSummary
-	// InForce and Pending are the operator addresses of the routers waited for.
+	// InForce and Pending are the operator addresses of the routers that --wait polled: those that have applied the change, and
+	// those that had not when the wait ended.
 	InForce []netip.AddrPort `json:",omitempty"`
 	Pending []netip.AddrPort `json:",omitempty"`
 }
@@ -77,7 +78,8 @@
 	})
 }
 
-// waitInForce polls the routers until all have the generation or a higher one; it fails with CodeConfigNotInForce when ctx ends.
+// waitInForce polls the routers until each has r.Generation or a higher one in force; it fails with CodeConfigNotInForce when ctx
+// ends before that.
 func (r *applyResult) waitInForce(ctx context.Context, routers []netip.AddrPort) error {
 	for {
 		replies, _ := queryRouters(ctx, routers)
--- a/cmd/pomeloctl/pomelocommand/diff.go
+++ b/cmd/pomeloctl/pomelocommand/diff.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// readBaseline reads the configuration to compare with from the file, or from the store when file is empty. An empty store is an
-// empty configuration.
+// readBaseline reads the configuration to compare with from the file, or from the store when file is empty. An empty store yields
+// an empty configuration.
 func (a *app) readBaseline(ctx context.Context, file string) (pomeloconfig.Configuration, error) {
 	switch {
 	case file != "":
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -14,7 +14,7 @@
 	store         *pomelostore.Client
 	configuration pomeloconfig.Configuration
 	change        pomeloconfig.Change
-	// routers are queried for the generations in force; with wait, repeatedly until they have the new one.
+	// routers are queried for the generation that each has in force; if wait is set, they are polled until all have the new one.
 	routers []netip.AddrPort
 	wait    bool
 	// textPrefix precedes the result in text output.
--- a/cmd/pomeloctl/pomelocommand/status.go
+++ b/cmd/pomeloctl/pomelocommand/status.go
@@ -65,7 +65,7 @@
 	return replies, lastErr
 }
 
-// highestGeneration returns the highest generation in force on any router, zero without replies.
+// highestGeneration returns the highest configuration generation in force on any router, or zero if no router replied.
 func highestGeneration(replies []routerReply) pomelorelay.Generation {
 	var highest pomelorelay.Generation
 	for _, reply := range replies {
--- a/cmd/pomeloctl/pomelocommand/token.go
+++ b/cmd/pomeloctl/pomelocommand/token.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// tokenBytes is the number of random bytes of a token, as many as its SHA-256 hash has, so that it cannot be guessed.
+// tokenBytes is the number of random bytes of a token: 256 bits, the length of its SHA-256 hash, so that a token cannot be guessed.
 const tokenBytes = 32
 
 // generatedToken is a bearer token and the hash that the configuration stores in its place.
--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -22,10 +22,11 @@
 const (
 	// memoryLimitFraction is the Go memory limit as a fraction of the memory that the platform allows.
 	memoryLimitFraction = 0.6
-	// storeTimeout bounds a call to the platform's store, which normally answers in 4 ms and in a few hundred when it is slow.
+	// storeTimeout bounds a call to the platform's store, which normally answers within 4 ms, and within a few hundred milliseconds
+	// when it is slow.
 	storeTimeout = 1500 * time.Millisecond
-	// storeBreakerCooldown is how long no call is made after several consecutive failures. It is short compared with the 4 s after
-	// which a router is assumed to have seen what the store holds.
+	// storeBreakerCooldown is how long the router makes no call to the store after several consecutive failed ones. It is short
+	// compared with the 4 s after which every router is assumed to have seen a change of the store.
 	storeBreakerCooldown = 400 * time.Millisecond
 	// storeCallsPerSecond limits the calls of one router to the store.
 	storeCallsPerSecond = 20
@@ -104,8 +105,8 @@
 	return router, nil
 }
 
-// serveEntry runs the router until a signal or a failure ends it. SIGHUP only validates the settings file and logs the result:
-// the router keeps its addresses until it is restarted.
+// serveEntry runs the router until a signal or a failure ends it. SIGHUP only validates the settings file and logs the result;
+// the router applies changed settings, such as its addresses, when it is restarted.
 func serveEntry(router *pomeloentry.Router, path string, signals <-chan os.Signal, logger pomelorelay.Logger) error {
 	for {
 		select {
--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -10,18 +10,20 @@
 
 // Config sets the limits that a Checker enforces; a zero duration takes its default.
 type Config struct {
-	// GapBounds are the maximum differences of normalised service per pool; a pool without one is not checked.
+	// GapBounds are the maximum differences in normalised service (cost over weight) between two accounts of a pool; a pool without
+	// a bound is not checked.
 	GapBounds map[pomelorelay.PoolID]pomelorelay.Tag
 	// GapSampleInterval is the time between samples of the normalised service, 100 ms by default.
 	GapSampleInterval time.Duration
-	// MaxWait limits the time of a request over all attempts, and of a backlogged account without service, 60 s by default.
+	// MaxWait is the maximum time that a request may take over all its attempts, and the maximum time that a backlogged account may
+	// receive no service; 60 s by default.
 	MaxWait time.Duration
 	// LeaveGrace is how long a leaving upstream may still receive new requests, 3 s by default.
 	LeaveGrace time.Duration
 	// MaxConfigDelay is the maximum time until an accepted configuration is in force on all routers, 17 s by default.
 	MaxConfigDelay time.Duration
-	// MaxRefusalDelay limits the time from a router's decision to refuse, from the first byte of the refusal, and from the deadline,
-	// each to the end of the answer, 1 s by default.
+	// MaxRefusalDelay limits three times: from a router's decision to refuse an attempt to the end of the refusal, from the first to
+	// the last byte of the refusal, and from the caller's deadline to the end of the attempt. It is 1 s by default.
 	MaxRefusalDelay time.Duration
 	// MaxClockSkew is the maximum difference between the clocks of two observers, zero by default.
 	MaxClockSkew time.Duration
--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -12,7 +12,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// sent returns an attempt at a content that may run at most once, sent to router r1.
+// sent returns the event of an attempt sent to router r1, at a request that may run at most once.
 func sent(attempt, content string, when time.Duration) pomelocheck.RequestSent {
 	return pomelocheck.RequestSent{
 		Attempt: pomelocheck.AttemptID(attempt), Content: pomelocheck.ContentID(content),
@@ -159,7 +159,8 @@
 	})
 }
 
-// A router uses a stale grant or upstream list after an upstream started to leave. Requests started there are lost with the host.
+// A router uses a stale list of upstreams, or a stale grant of their capacity, after an upstream started to leave. Requests that start
+// on this upstream are lost with its host.
 func TestDetectsNewWorkAfterLeave(t *testing.T) {
 	leaving := pomelocheck.UpstreamLeaving{Upstream: "u1", At: at(10 * time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
--- a/pomelocheck/events.go
+++ b/pomelocheck/events.go
@@ -9,7 +9,8 @@
 // AttemptID identifies one attempt of a caller at a request; each resend is a new attempt.
 type AttemptID string
 
-// ContentID identifies the content of a request; all attempts and runs of a request have the same one.
+// ContentID identifies what a request asks for, for instance by a digest of its body; it is the same for all attempts and runs of the
+// request.
 type ContentID string
 
 // Event is one observation; all implementations are in this package.
@@ -26,7 +27,7 @@
 	At      time.Time
 	// Deadline is when the caller stops waiting; zero means no deadline.
 	Deadline time.Time
-	// AtMostOnce reports whether the content may run at most once.
+	// AtMostOnce reports whether the request may run at most once in total, over all attempts with the same Content.
 	AtMostOnce bool
 }
 
--- a/pomelocheck/fleet.go
+++ b/pomelocheck/fleet.go
@@ -69,7 +69,8 @@
 	return out
 }
 
-// dueGeneration returns the newest generation that must be in force at the time of s.
+// dueGeneration returns the newest configuration generation that must be in force at s.At, since it was accepted more than
+// MaxConfigDelay earlier.
 func (c *Checker) dueGeneration(s ConfigInForce) pomelorelay.Generation {
 	var newest pomelorelay.Generation
 	for _, a := range c.accepted {
@@ -80,8 +81,8 @@
 	return newest
 }
 
-// suspendedDuration returns how long a router was suspended between two times. A suspended router can neither answer nor measure how long a
-// request waited to be read, so this time does not count against its deadlines.
+// suspendedDuration returns how long a router was suspended between two times. A suspended router can neither answer nor measure how
+// long a request waited to be read, so this time does not count against the deadlines of requests.
 func (c *Checker) suspendedDuration(node pomelorelay.NodeID, from, to time.Time) time.Duration {
 	var total time.Duration
 	for _, suspended := range c.suspensions[node] {
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -57,7 +57,7 @@
 	s.backlogChanges = append(s.backlogChanges, e)
 }
 
-// Gaps returns the maximum gap of each pool up to now, ordered by pool; the cost is quadratic in the number of accounts.
+// Gaps returns the maximum gap of each pool up to now, ordered by pool; the computing time is quadratic in the number of accounts.
 func (c *Checker) Gaps(now time.Time) []Gap {
 	start, ok := c.sampleAll(now)
 	if !ok {
@@ -79,7 +79,8 @@
 	return gaps
 }
 
-// WindowGaps returns per pool the maximum difference of normalised service in a window between accounts backlogged throughout it.
+// WindowGaps returns, for each pool, the maximum difference between the normalised service that its accounts received in the window.
+// It considers only accounts that were backlogged throughout the window.
 func (c *Checker) WindowGaps(from, to time.Time) map[pomelorelay.PoolID]pomelorelay.Tag {
 	minService, maxService := make(map[pomelorelay.PoolID]pomelorelay.Tag), make(map[pomelorelay.PoolID]pomelorelay.Tag)
 	for key, s := range c.services {
@@ -123,8 +124,8 @@
 	return keys
 }
 
-// sampleAll samples the cumulative normalised service of all accounts; it returns the time of the first sample, and false if no account
-// was ever backlogged.
+// sampleAll samples the cumulative normalised service of all accounts. It returns the time of the first sample, and false if no
+// account was ever backlogged.
 func (c *Checker) sampleAll(now time.Time) (time.Time, bool) {
 	var start time.Time
 	for _, s := range c.services {
@@ -161,7 +162,7 @@
 	return intervals
 }
 
-// sample returns the cumulative normalised service at each sample, with each service spread evenly over its duration.
+// sample returns the cumulative normalised service at each sample time, with the cost of each request spread evenly over its run.
 func (c *Checker) sample(served []AccountServed, start time.Time, samples int) []pomelorelay.Tag {
 	sums := make([]pomelorelay.Tag, samples)
 	for _, s := range served {
@@ -178,7 +179,7 @@
 	return sums
 }
 
-// servedFraction returns the fraction of s that was served by t.
+// servedFraction returns the fraction of s.Cost that was served before time t.
 func servedFraction(s AccountServed, t time.Time) float64 {
 	if !t.Before(s.To) {
 		return 1
@@ -197,7 +198,8 @@
 	return start.Add(time.Duration(i) * c.cfg.GapSampleInterval)
 }
 
-// updateGap raises the gap to the maximum change of the difference between the two accounts in any period in which both were backlogged.
+// updateGap raises g to the gap between accounts a and b if that is larger: the maximum change of the difference between their
+// cumulative normalised service within any period in which both were backlogged.
 func (c *Checker) updateGap(g *Gap, start time.Time, a, b accountKey) {
 	x, y := c.services[a], c.services[b]
 	for _, p := range x.backlogIntervals {
--- a/pomelocheck/gap_test.go
+++ b/pomelocheck/gap_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// All requests of one account are at a router that holds more slots than its share, so that they are served before those of
-// other accounts.
+// All requests of one account are at a router that holds more upstream slots than its fair share, so that they are served before
+// those of other accounts.
 func TestDetectsGapOverBound(t *testing.T) {
 	both := []pomelocheck.Event{backlogged("recife", 0, true), backlogged("olinda", 0, true)}
 	with := func(events ...pomelocheck.Event) []pomelocheck.Event {
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// checkAnswers finds answers that belong to another request, are truncated without an error, or follow an earlier end of the attempt.
-// A caller would act on such an answer; only the digest of its request reveals it.
+// checkAnswers finds answers that belong to another request or are truncated without an error, and attempts that ended more than
+// once. A caller would act on such an answer; only the digest of the request reveals that it is wrong.
 func (c *Checker) checkAnswers(out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, answer := range a.answered {
@@ -58,7 +58,8 @@
 }
 
 // checkWaits finds requests that took longer than MaxWait. The wait spans all attempts, since a caller that is refused
-// repeatedly is not served either; it ends with the first answer or the first refusal as quarantined, which is final.
+// repeatedly is not served either; it ends with the first answer, or with the first refusal
+// that reports the request as quarantined, since that is final.
 func (c *Checker) checkWaits(now time.Time, out []Violation) []Violation {
 	for id, t := range c.contents {
 		first, end := c.waitSpan(t, now)
@@ -70,7 +71,8 @@
 	return out
 }
 
-// waitSpan returns when the content was first sent, and when it was first answered or quarantined, or else when its last attempt ended.
+// waitSpan returns when the request was first sent, and when its wait ended: at the first answer or refusal as quarantined, or else
+// at the end of its last attempt.
 func (c *Checker) waitSpan(t *content, now time.Time) (first, end time.Time) {
 	var settled time.Time
 	for _, id := range t.attempts {
@@ -118,8 +120,8 @@
 	return when
 }
 
-// checkRefusals finds refusals that are late, sent slowly, or without Retry-After. A router that delays a refusal after
-// giving up the request keeps the caller from trying elsewhere.
+// checkRefusals finds refusals that are late, sent slowly, or without Retry-After, and attempts that end too long after their
+// deadline. A router that delays a refusal after giving up the request keeps the caller from trying elsewhere.
 func (c *Checker) checkRefusals(now time.Time, out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, r := range a.refused {
@@ -190,8 +192,8 @@
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.AtMostOnce })
 }
 
-// causedByAttempt reports whether an attempt sent before the run was not refused as not run. Later attempts are ignored, since
-// a resend may run although an earlier attempt was refused, but it cannot explain a run before it was sent.
+// causedByAttempt reports whether any attempt can have caused the run: it was sent before the run, and no refusal reported that it
+// did not run. An attempt sent after the run cannot explain it, even if that attempt ran too.
 func (c *Checker) causedByAttempt(t *content, run RunStarted) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
--- a/pomelocheck/violations.go
+++ b/pomelocheck/violations.go
@@ -25,7 +25,7 @@
 // Violation is one violated invariant.
 type Violation struct {
 	Kind Kind
-	// Subject is the ID of the attempt, content, account, upstream, router or pool concerned.
+	// Subject is the ID of the attempt, request (its ContentID), account, upstream, router or pool concerned.
 	Subject string
 	At      time.Time
 	Detail  string
--- a/pomelofake/address.go
+++ b/pomelofake/address.go
@@ -12,8 +12,8 @@
 // addressCount is the number of addresses that FreeAddr has returned.
 var addressCount atomic.Uint32
 
-// FreeAddr returns an unused loopback address. The IP address is derived from the process ID and the port is not ephemeral, since a
-// port that is merely free when looked up can be taken by another process's test before it is listened on.
+// FreeAddr returns an unused loopback address. The IP address is derived from the process ID and the port is not ephemeral, since
+// otherwise another process's test could take the port between this call and the moment when the caller listens on it.
 func FreeAddr() netip.AddrPort {
 	pid := os.Getpid()
 	ip := netip.AddrFrom4([4]byte{127, byte(64 + pid>>16&63), byte(pid >> 8), byte(pid)})
--- a/pomelofake/admin.go
+++ b/pomelofake/admin.go
@@ -33,7 +33,7 @@
 	// Leave is a host to mark as leaving, and Remove one to remove from the host list.
 	Leave  string
 	Remove string
-	// Copy takes a snapshot of the store, and Restore goes back to the last snapshot.
+	// Copy takes a snapshot of the store's records; Restore replaces the records with those of the last snapshot.
 	Copy    bool
 	Restore bool
 }
@@ -88,8 +88,8 @@
 	writeJSON(w, http.StatusOK, FaultAnswer{Shows: a.updateHostList(f)})
 }
 
-// missingTarget returns an error text if a target of the fault does not exist, and an empty string otherwise. Without it
-// a mistyped name would look like a fault that was set.
+// missingTarget returns an error text if a target of the fault does not exist, and an empty string otherwise. Without this check a
+// fault with a mistyped target name would seem to have been injected.
 func (a *Admin) missingTarget(f Fault) string {
 	upstream := pomelorelay.UpstreamID(f.Target)
 	if (f.Engine != nil || f.Crash) && a.cfg.Engines[upstream] == nil {
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -148,7 +148,8 @@
 	return nil
 }
 
-// await waits until ready returns true or the wait is over; it fails with CodeStoreUnavailable if the store is unavailable or ctx ends.
+// await waits until ready returns true or the wait is over. It fails with CodeStoreUnavailable if the store is unavailable or
+// partitioned from the router, or if ctx ends.
 func (c *StoreClient) await(ctx context.Context, wait time.Duration, ready func() bool) error {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -171,7 +172,7 @@
 	}
 }
 
-// Read returns the whole content; see pomelorelay.Platform. The result is never stale.
+// Read returns the configuration and all upstreams, routers and evacuations; see pomelorelay.Platform. The result is never stale.
 func (c *StoreClient) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
 	c.s.countCall(&c.s.calls.Reads)
 	change := pomelorelay.FleetChange{Full: true}
@@ -232,7 +233,7 @@
 	return c.s.DecodeConfig(document)
 }
 
-// Register registers a router; see pomelorelay.Platform. Its lease does not expire by itself.
+// Register registers a router and returns a lease, which does not expire by itself; see pomelorelay.Platform.
 func (c *StoreClient) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
 	c.s.countCall(&c.s.calls.Registrations)
 	if err := c.available(); err != nil {
--- a/pomelofake/hostlist.go
+++ b/pomelofake/hostlist.go
@@ -30,7 +30,8 @@
 
 	mu     sync.Mutex
 	faults HostListFaults
-	// versions are the lists in the order in which they become visible; the first one is visible.
+	// versions are the visible list and those not yet visible, in the order in which they become visible. Visible removes outdated
+	// ones from the front.
 	versions []hostVersion
 }
 
--- a/pomelofake/rawanswer.go
+++ b/pomelofake/rawanswer.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// swapTimeout is how long an answer waits for another one to swap with.
+// swapTimeout is how long an answer is delayed until another request's answer is available to be swapped with it.
 const swapTimeout = 200 * time.Millisecond
 
-// pendingSwap is an answer that waits for another one to swap with.
+// pendingSwap is an answer to be swapped with that of the next request.
 type pendingSwap struct {
 	own     PlainAnswer
 	partner chan PlainAnswer
@@ -67,7 +67,8 @@
 	return f.Short > 0 || f.Repeat || f.Cut || f.IdleClose > 0
 }
 
-// writeRawAnswer writes the answer to the hijacked connection, since net/http does not let a handler violate the protocol.
+// writeRawAnswer writes the answer, with the faults that violate HTTP, to the hijacked connection, since net/http would not let a
+// handler write them.
 func (p *PlainService) writeRawAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/pomelofake/relay.go
+++ b/pomelofake/relay.go
@@ -9,7 +9,7 @@
 
 // RelayConfig configures a Relay.
 type RelayConfig struct {
-	// Listen opens the listener to which the sources connect.
+	// Listen opens the listener on which the relay accepts connections.
 	Listen func() (net.Listener, error)
 	// Dial connects to the target.
 	Dial func() (net.Conn, error)
--- a/pomelofake/relayforward.go
+++ b/pomelofake/relayforward.go
@@ -83,7 +83,7 @@
 			dropped = true
 			continue
 		}
-		// Count before writing: the receiver may read the count before this goroutine is scheduled again.
+		// Count before writing: a test that has received the bytes may read the count before this goroutine is scheduled again.
 		r.addForwarded(len(c.data))
 		if _, err := to.Write(c.data); err != nil {
 			return
--- a/pomelofake/runs.go
+++ b/pomelofake/runs.go
@@ -15,7 +15,8 @@
 	Proof     BodyDigest
 	Start     time.Time
 	End       time.Time
-	// Prompt, Cached and Completion are token counts; zero for a plain service.
+	// Prompt, Cached and Completion are the numbers of prompt tokens, of prompt tokens found in the prefix cache, and of answer tokens;
+	// zero for a plain service.
 	Prompt     int
 	Cached     int
 	Completion int
--- a/pomelofake/store.go
+++ b/pomelofake/store.go
@@ -31,10 +31,10 @@
 type StoreFaults struct {
 	// Outage answers every call with 503, without effect.
 	Outage bool
-	// Slow delays calls before they take effect, and SlowAnswer delays writes after they took effect.
+	// Slow delays every call before it takes effect. SlowAnswer delays the answer to a write after the write took effect.
 	Slow       time.Duration
 	SlowAnswer time.Duration
-	// LoseAnswers is the number of writes whose connection is closed after they took effect.
+	// LoseAnswers is the number of following writes that take effect but whose connection is closed instead of answered.
 	LoseAnswers int
 	// Throttle answers every call with 429, without effect.
 	Throttle bool
@@ -66,7 +66,7 @@
 	records     map[pomelorelay.StoreKey]*storeRecord
 	leases      map[pomelorelay.LeaseID]*storeLease
 	lastLease   pomelorelay.LeaseID
-	// changed is closed and replaced whenever the content changes.
+	// changed is closed and replaced whenever a record changes.
 	changed chan struct{}
 }
 
@@ -81,7 +81,7 @@
 	timer *time.Timer
 }
 
-// StoreSnapshot is a copy of a Store's content for Restore.
+// StoreSnapshot is a copy of a Store's records for Restore.
 type StoreSnapshot struct {
 	records map[pomelorelay.StoreKey]storeRecord
 }
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Snapshot returns a copy of the current content.
+// Snapshot returns a copy of all current records.
 func (s *Store) Snapshot() StoreSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,8 @@
 	return StoreSnapshot{records: records}
 }
 
-// Restore replaces the content by a snapshot, as an operator does with a backup. The revision counter is not reset.
+// Restore replaces all records with those of a snapshot, as an operator does with a backup. The store's revision counter is not
+// reset, so that later writes get new revisions.
 func (s *Store) Restore(old StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -81,7 +81,7 @@
 }
 
 // The store is down, throttles, or loses the answer to a write that took effect. A client that treats the lost answer as a
-// failed write would write again or give up what it holds.
+// failed write would write again, or give up a claim or lock that the write obtained.
 func TestStoreFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, client := newTestStore(t, pomelofake.StoreConfig{})
--- a/pomelofake/storehttp.go
+++ b/pomelofake/storehttp.go
@@ -11,7 +11,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxWatchWait is the maximum time that a watch waits.
+// maxWatchWait is the maximum time that a watch waits for a change before it is answered 204.
 const maxWatchWait = time.Minute
 
 type revisionAnswer struct {
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -68,7 +68,8 @@
 	done
 }
 
-# finish stops all processes, the routers first, since they settle their claims in the store.
+# finish stops all processes, the routers first: while they stop, they write the outcomes of requests with idempotency keys to the
+# store, which must still run.
 finish() {
 	status=$?
 	trap - EXIT INT TERM
@@ -104,8 +105,8 @@
 	echo "{\"Name\":\"$1\",\"Kind\":\"$2\",\"Addr\":\"$3\",\"Domain\":\"$4\",\"Region\":\"$5\",\"Leaving\":false}"
 }
 
-# control_address and store_address print the addresses at which peers reach a router, and a router reaches the store: those of
-# the relays if links=1.
+# control_address prints the address at which peers reach a router, and store_address the one at which a router reaches the store.
+# If links=1, these are the addresses of relays.
 control_address() {
 	if [ "$links" = 1 ]; then
 		echo "$net.$1.$((50 + $2)):8081"
@@ -212,7 +213,7 @@
 	echo "$1 was stopped gracefully and exited with 0"
 }
 
-# kill_router kills a router. It writes the mark first, so that pomelobench does not count the broken requests as cut by a planned
+# kill_router kills a router. It first writes a mark of the kill to the marks file, so that pomelobench does not count the broken requests as cut by a planned
 # stop.
 kill_router() {
 	echo "{\"Killed\":\"$1\"}" >>"$marks"
--- a/scripts/proofs/deadly.sh
+++ b/scripts/proofs/deadly.sh
@@ -1,5 +1,5 @@
 # A request with a marker crashes every engine that runs it. Its caller keeps resending it through any router, beside ordinary load.
-# At most two engines crash, although routers may resend it too.
+# At most two engines crash, although routers may resend the request too.
 duration=20s
 timeout=10s
 # Nine attempts one second apart: a request that is refused for longer than MaxWait would count as starved.
--- a/scripts/proofs/leaving.sh
+++ b/scripts/proofs/leaving.sh
@@ -1,5 +1,6 @@
-# The host list shows two upstreams as leaving. One router is cut off from the store and the host list before the first and learns
-# of it from its peers; another is frozen during the second. No request starts at an upstream 3 s after it is shown as leaving.
+# The host list shows two upstreams as leaving, one after the other. Before the first change one router is cut off from the store
+# and the host list, so that it learns of the change from its peers; another router is frozen during the second change. No request
+# starts at an upstream later than 3 s after it is shown as leaving.
 duration=22s
 timeout=12s
 # The frozen router does not answer for 6 s.
--- a/scripts/proofs/once.sh
+++ b/scripts/proofs/once.sh
@@ -1,6 +1,6 @@
-# Bookings with idempotency keys are sent twice concurrently and again after their answers, through any router, while one router,
-# responsible for an eighth of the keys, is killed, two others are frozen for 6 s each, longer than the peers' failure detection
-# takes, store answers are lost after the write, and the store is slow. No booking runs twice.
+# Bookings with idempotency keys are sent twice concurrently and again after their answers, through any router. Meanwhile one router,
+# responsible for an eighth of the keys, is killed. Two others are frozen for 6 s each, longer than their peers take to detect a
+# failure. The store is slow, and some of its answers are lost after the write. No booking runs twice.
 duration=24s
 timeout=10s
 stand_in_flags="--min-time 20ms"
