--- a/cmd/pomelobench/pomelobounds/bounds_test.go
+++ b/cmd/pomelobench/pomelobounds/bounds_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if v := bounds.Compare(runs)[0]; v.Met != c.met {
-			t.Errorf("%s: %v", c.name, v)
+			t.Errorf("bound %s: got verdict %v, want the opposite", c.name, v)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	// A bound without a limit, for instance because its key is misspelt, would be met by every run without checking anything.
 	for _, text := range []string{"{Package: a, Benchmark: b, Metric: c}", "{Package: a, Benchmark: b, Metric: c, Mots: 1}"} {
 		if _, err := pomelobounds.Read(write(t, "Bounds:\n- "+text+"\n")); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("bound %s: got error %v, want CodeBenchPlan", text, err)
 		}
 	}
 }
--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -76,7 +76,7 @@
 	o.detail = err.Error()
 }
 
-// readRefusal reads a refusal of a router, or of a stand-in in a direct run.
+// readRefusal reads a refusal of a router, or of a simulated upstream in a run without routers.
 func (o *outcome) readRefusal(resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/cmd/pomelobench/pomeloload/balancer.go
+++ b/cmd/pomelobench/pomeloload/balancer.go
@@ -17,7 +17,7 @@
 // DialFunc connects to an address.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// target is a router, or in a direct run an upstream.
+// target is a router, or an upstream in a run without routers.
 type target struct {
 	name         pomelorelay.NodeID
 	service      pomelorelay.ServiceID
--- a/cmd/pomelobench/pomeloload/evaluate.go
+++ b/cmd/pomelobench/pomeloload/evaluate.go
@@ -207,7 +207,7 @@
 	return b
 }
 
-// workWaiting reports for each sample whether at least one request waited in the pool throughout it.
+// workWaiting reports for each sample whether at least one request was waiting in the pool throughout the sample.
 func (r *recorder) workWaiting(pool pomelorelay.PoolID, waits map[poolAccount][]interval, n int) []bool {
 	var intervals []interval
 	for key, accountIntervals := range waits {
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		report := runPlan(t, newTestNetwork(t), directPlan())
 		if failures := report.Result.Failures(); len(failures) > 0 {
-			t.Errorf("%v: %v", failures, report.Violations)
+			t.Errorf("got violations %v: %v, want none", failures, report.Violations)
 		}
 		r := report.Result
 		if r.Answers != r.Requests || r.Runs != r.Requests || r.Requests < 1000 {
@@ -141,7 +141,7 @@
 		network := newTestNetwork(t)
 		report := runPlan(t, network, routedPlan(t, network, &testRouter{falseNotRunEvery: 10}))
 		if report.Result.FalseNotRun == 0 || report.Result.DoubleRuns == 0 {
-			t.Errorf("got %+v", report.Result)
+			t.Errorf("got %+v, want FalseNotRun and DoubleRuns above zero", report.Result)
 		}
 	})
 }
@@ -154,7 +154,7 @@
 		p.Steps = []pomeloload.Step{{After: 5 * time.Second, DrainRouter: "r1"}}
 		report := runPlan(t, network, p)
 		if report.Result.CutOff == 0 || len(report.Faults) != 1 {
-			t.Errorf("%d requests cut off, faults %v", report.Result.CutOff, report.Faults)
+			t.Errorf("%d requests cut off, want at least one; faults %v, want one", report.Result.CutOff, report.Faults)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 		p.Steps = []pomeloload.Step{{After: 4 * time.Second, LeavingUpstream: "p1"}}
 		report := runPlan(t, network, p)
 		if report.Result.NewWorkAfterLeave == 0 {
-			t.Errorf("got %+v", report.Result)
+			t.Errorf("got %+v, want NewWorkAfterLeave above zero", report.Result)
 		}
 	})
 }
@@ -181,7 +181,7 @@
 		p.Duration = 12 * time.Second
 		report := runPlan(t, network, p)
 		if report.Result.Starved == 0 {
-			t.Errorf("got %+v", report.Result)
+			t.Errorf("got %+v, want Starved above zero", report.Result)
 		}
 	})
 }
@@ -202,10 +202,10 @@
 		}})
 		report := runPlan(t, network, p)
 		if report.Result.GenerationFell == 0 || report.Result.GenerationReadings == 0 {
-			t.Errorf("the generation fell %d times in %d readings", report.Result.GenerationFell, report.Result.GenerationReadings)
+			t.Errorf("the generation fell %d times in %d readings, want at least once", report.Result.GenerationFell, report.Result.GenerationReadings)
 		}
 		if b := report.Result.ControlBytesPerNodeSecond; b < 1500 || b > 2200 {
-			t.Errorf("%v control bytes a second, want about 2,000 less those lost at the restart", b)
+			t.Errorf("%v control bytes a second, want 1,500 to 2,200: about 2,000 less those lost at the restart", b)
 		}
 		if report.Result.ControlBytesCrossRegion < 7000 || report.Result.ControlBytesCrossRegion > 11000 {
 			t.Errorf("%v control bytes between regions, want 7,000 to 11,000", report.Result.ControlBytesCrossRegion)
@@ -225,7 +225,7 @@
 		}
 		r := runPlan(t, newTestNetwork(t), p).Result
 		if r.DoubleRuns == 0 || r.MaxMarkedRuns != 1 || r.MinAnswers != 2 {
-			t.Errorf("%d double runs, at most %d runs of a marked request, at least %d answers per account and pool", r.DoubleRuns, r.MaxMarkedRuns, r.MinAnswers)
+			t.Errorf("%d double runs, at most %d runs of a marked request, at least %d answers per account and pool; want at least 1, exactly 1 and exactly 2", r.DoubleRuns, r.MaxMarkedRuns, r.MinAnswers)
 		}
 	})
 }
@@ -241,7 +241,7 @@
 		p.GapCheckFrom = p.Duration - 100*time.Millisecond
 		tail := runPlan(t, newTestNetwork(t), p).Result
 		if full.GapOverBound == 0 || tail.GapOverBound != 0 {
-			t.Errorf("violations of the bound: %d in the full run, %d in its last 100 ms", full.GapOverBound, tail.GapOverBound)
+			t.Errorf("violations of the gap bound: %d in the full run, want at least 1; %d in its last 100 ms, want 0", full.GapOverBound, tail.GapOverBound)
 		}
 	})
 }
@@ -279,7 +279,7 @@
 			p := directPlan()
 			breakPlan(&p)
 			if err := p.Validate(); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) || !strings.Contains(err.Error(), "BenchPlan") {
-				t.Errorf("got %v", err)
+				t.Errorf("got %v, want an error with CodeBenchPlan", err)
 			}
 		})
 	}
--- a/cmd/pomelobench/pomeloload/plan.go
+++ b/cmd/pomelobench/pomeloload/plan.go
@@ -13,7 +13,7 @@
 
 // Plan describes a load run: its targets, its requests and the faults injected.
 type Plan struct {
-	// Seed makes random arrivals, the choice of routers and resends reproducible.
+	// Seed makes the random choices of a run reproducible: arrival times, routers and resends.
 	Seed     uint64        `yaml:"Seed"`
 	Duration time.Duration `yaml:"Duration"`
 	// Timeout is the time limit of an attempt, sent as X-Timeout; 20 s by default.
@@ -110,7 +110,7 @@
 	OverlapFraction float64 `yaml:"Overlap"`
 	// MaxRequestsPerCaller is the number of requests after which a closed-loop caller stops, zero for no limit.
 	MaxRequestsPerCaller int `yaml:"Requests"`
-	// PromptMarker is a text included in the prompts, such as the crash marker of a stand-in.
+	// PromptMarker is a text included in the prompts, such as the marker that makes a simulated engine crash.
 	PromptMarker string `yaml:"Marker"`
 }
 
--- a/cmd/pomelobench/pomeloload/random_test.go
+++ b/cmd/pomelobench/pomeloload/random_test.go
@@ -22,14 +22,14 @@
 		}
 		again, err := pomeloload.RandomSteps(p)
 		if err != nil || !reflect.DeepEqual(steps, again) {
-			t.Fatalf("drew %v and %v", steps, again)
+			t.Fatalf("the same seed drew %v and %v, want equal steps", steps, again)
 		}
 		if len(steps)%2 != 0 {
-			t.Fatalf("%d steps", len(steps))
+			t.Fatalf("drew %d steps, want an even number: each fault is set and cleared", len(steps))
 		}
 		for _, s := range steps {
 			if s.After > p.Duration-5*time.Second {
-				t.Fatalf("%+v comes too late", s)
+				t.Fatalf("step %+v is in the last 5 s, want those free of steps", s)
 			}
 		}
 	})
@@ -52,7 +52,7 @@
 			p.Steps = steps
 			report := runPlan(t, network, p)
 			if len(report.Result.Failures()) == 0 {
-				t.Errorf("seed %d: %d faults and no failure", seed, len(steps)/2)
+				t.Errorf("seed %d: %d faults caused no violation, want at least one", seed, len(steps)/2)
 			}
 		})
 	}
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -21,16 +21,16 @@
 	WaitingSeconds float64
 }
 
-// Result is the summary of a run, printed as its last line.
+// Result is the summary of a run, which pomelobench prints as the last line of its output.
 type Result struct {
 	// FairnessGap and FairnessBound are those of the pool with the largest ratio of gap to bound.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
 	// Utilisation is the ratio of busy to existing slots over all pools; a pool counts only while requests waited for it.
 	Utilisation float64
-	// ControlBytesPerNodeSecond is the average control traffic of a router, sent and received, in bytes per second.
+	// ControlBytesPerNodeSecond is the average traffic of a router with its peers, sent and received, in bytes per second.
 	ControlBytesPerNodeSecond float64
-	// ControlBytesCrossRegion is the control traffic between regions, counted at the senders.
+	// ControlBytesCrossRegion is the number of bytes that all routers sent to peers in other regions.
 	ControlBytesCrossRegion pomelorelay.Bytes
 	Tally
 	WrongAnswers      int
@@ -238,7 +238,7 @@
 	return busy / slots
 }
 
-// totalControlBytes returns the average control traffic per router in bytes per second, and the bytes sent between regions.
+// totalControlBytes returns the average traffic of a router with its peers, in bytes per second, and the bytes sent between regions.
 func (r *recorder) totalControlBytes() (float64, pomelorelay.Bytes) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
@@ -273,7 +273,7 @@
 	return samples
 }
 
-// controlRates returns the control traffic per node, and between regions, in bytes per second.
+// controlRates returns the average traffic of a router with its peers, and the traffic between regions, in bytes per second.
 func (r *recorder) controlRates(from, to time.Time) (float64, float64) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
--- a/cmd/pomelobench/pomelomeasure/measure_test.go
+++ b/cmd/pomelobench/pomelomeasure/measure_test.go
@@ -32,7 +32,7 @@
 	for i, want := range []struct{ requests, failures int64 }{{40, 0}, {40, 0}, {0, 40}} {
 		got := results[i]
 		if got.Requests != want.requests || got.Failures != want.failures {
-			t.Errorf("got %+v, want %+v", got, want)
+			t.Errorf("target %+v, want requests and failures %+v", got, want)
 		}
 	}
 	if results[0].P50Milliseconds <= 0 || results[1].AddedP50Milliseconds != results[1].P50Milliseconds-results[0].P50Milliseconds {
--- a/cmd/pomelobench/pomeloreport/page_test.go
+++ b/cmd/pomelobench/pomeloreport/page_test.go
@@ -72,6 +72,6 @@
 func TestUnwritablePathIsReported(t *testing.T) {
 	err := pomeloreport.Write(filepath.Join(t.TempDir(), "missing", "report.html"), "", testReport())
 	if !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchRecord) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want CodeBenchRecord", err)
 	}
 }
--- a/cmd/pomeloctl/pomelocommand/command_test.go
+++ b/cmd/pomeloctl/pomelocommand/command_test.go
@@ -109,24 +109,24 @@
 	mustRun(t, "check", first)
 	out := mustRun(t, "apply", first, "--store", address, "--why", "first", "--author", "ana", "--wait", "--router", address)
 	if !strings.Contains(out, "Generation 1,") || !strings.Contains(out, "In force on "+address) {
-		t.Fatal(out)
+		t.Fatalf("apply printed %q, want generation 1 in force on %s", out, address)
 	}
 	second := writeFile(t, strings.Replace(text, "MaxSlots: 8", "MaxSlots: 9", 1))
 	if diff := mustRun(t, "diff", second, "--store", address); !strings.Contains(diff, "MaxSlots: 8 -> 9") {
-		t.Fatal(diff)
+		t.Fatalf("diff printed %q, want the change of MaxSlots", diff)
 	}
 	mustRun(t, "apply", second, "--store", address, "--why", "one more", "--author", "bea", "--base", "1")
 	if diff := mustRun(t, "diff", second, "--store", address); diff != "Nothing differs.\n" {
-		t.Fatal(diff)
+		t.Fatalf("diff after apply printed %q, want no difference", diff)
 	}
 	if shown := mustRun(t, "show", "--store", address); !strings.HasPrefix(shown, "# Generation 2,") || !strings.Contains(shown, "MaxSlots: 9") {
-		t.Fatal(shown[:80])
+		t.Fatalf("show printed %q..., want generation 2 with MaxSlots 9", shown[:80])
 	}
 	if trail := mustRun(t, "audit", "--store", address); !strings.Contains(trail, "bea") || !strings.Contains(trail, "why: one more") || !strings.Contains(trail, "why: first") {
-		t.Fatal(trail)
+		t.Fatalf("audit printed %q, want the authors and reasons of both changes", trail)
 	}
 	if status := mustRun(t, "status", "--router", address); !strings.Contains(status, "router-1") || !strings.Contains(status, "ready") {
-		t.Fatal(status)
+		t.Fatalf("status printed %q, want router-1 as ready", status)
 	}
 	mustRun(t, "drain", "--router", address)
 	if !p.drained {
@@ -142,13 +142,13 @@
 		{"diff", file, "--store", address}, {"show", "--store", address}, {"audit", "--store", address}, {"status", "--router", address}, {"token"},
 	} {
 		if out := mustRun(t, append([]string{"--output", "json"}, args...)...); !json.Valid([]byte(out)) {
-			t.Errorf("%v: %s", args, out)
+			t.Errorf("%v printed %s, want valid JSON", args, out)
 		}
 	}
 	_, _, diag := runCommand("--output", "json", "check", "no-such-file")
 	var failure struct{ Code int }
 	if err := json.Unmarshal([]byte(diag), &failure); err != nil || failure.Code != int(pomelorelay.CodeFileUnreadable) {
-		t.Errorf("%v %s", err, diag)
+		t.Errorf("decoding the error report: %v; got %s, want code CodeFileUnreadable", err, diag)
 	}
 }
 
@@ -181,7 +181,7 @@
 		}
 	}
 	if code, _, _ := runCommand("--help"); code != 0 {
-		t.Errorf("--help has exit code %d", code)
+		t.Errorf("--help has exit code %d, want 0", code)
 	}
 }
 
@@ -192,21 +192,21 @@
 	mustRun(t, "apply", file, "--store", address, "--why", "first")
 	out := mustRun(t, "evacuate", "recife-a", "--store", address, "--why", "power work", "--author", "ana", "--wait", "--router", address)
 	if !strings.Contains(out, "recife-a gets nothing new") || !strings.Contains(out, "Generation 2,") || !strings.Contains(out, "In force on "+address) {
-		t.Fatal(out)
+		t.Fatalf("evacuate printed %q, want generation 2 in force on %s", out, address)
 	}
 	if shown := mustRun(t, "show", "--store", address); strings.Count(shown, "Evacuated:") != 1 {
-		t.Fatal(shown)
+		t.Fatalf("show printed %q, want one evacuated failure domain", shown)
 	}
 	if trail := mustRun(t, "audit", "--store", address); !strings.Contains(trail, "why: power work") {
-		t.Fatal(trail)
+		t.Fatalf("audit printed %q, want the reason of the evacuation", trail)
 	}
 	for _, args := range [][]string{{"recife-a"}, {"nowhere"}, {"salvador-a", "--cancel"}} {
 		if code, _, diag := runCommand(append([]string{"evacuate", "--store", address, "--why", "w"}, args...)...); code == 0 || !strings.Contains(diag, fmt.Sprint(int(pomelorelay.CodeConfigInvalid))) {
-			t.Errorf("%v: exit code %d, %s", args, code, diag)
+			t.Errorf("evacuate %v: exit code %d, %s; want a failure with CodeConfigInvalid", args, code, diag)
 		}
 	}
 	mustRun(t, "evacuate", "recife-a", "--cancel", "--store", address, "--why", "power is back")
 	if diff := mustRun(t, "diff", file, "--store", address); diff != "Nothing differs.\n" {
-		t.Fatal(diff)
+		t.Fatalf("diff after the cancelled evacuation printed %q, want no difference", diff)
 	}
 }
--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -56,7 +56,7 @@
 type Checker struct {
 	cfg         Config
 	attempts    map[AttemptID]*attempt
-	contents    map[ContentID]*content
+	requests    map[ContentID]*requestHistory
 	services    map[accountKey]*accountService
 	leaving     map[pomelorelay.UpstreamID]time.Time
 	stops       map[pomelorelay.NodeID]time.Time
@@ -74,7 +74,7 @@
 	broken   []RequestBroken
 }
 
-type content struct {
+type requestHistory struct {
 	attempts []AttemptID
 	runs     []RunStarted
 }
@@ -84,7 +84,7 @@
 	return &Checker{
 		cfg:         cfg.withDefaults(),
 		attempts:    make(map[AttemptID]*attempt),
-		contents:    make(map[ContentID]*content),
+		requests:    make(map[ContentID]*requestHistory),
 		services:    make(map[accountKey]*accountService),
 		leaving:     make(map[pomelorelay.UpstreamID]time.Time),
 		stops:       make(map[pomelorelay.NodeID]time.Time),
@@ -114,7 +114,7 @@
 	return out
 }
 
-// compareViolations breaks ties by kind and subject, so that the order is deterministic.
+// compareViolations orders violations by time, and those of the same time by kind and subject, so that the order is deterministic.
 func compareViolations(a, b Violation) int {
 	if order := a.At.Compare(b.At); order != 0 {
 		return order
@@ -134,18 +134,18 @@
 	return a
 }
 
-func (c *Checker) content(id ContentID) *content {
-	t, ok := c.contents[id]
+func (c *Checker) requestHistory(id ContentID) *requestHistory {
+	t, ok := c.requests[id]
 	if !ok {
-		t = &content{}
-		c.contents[id] = t
+		t = &requestHistory{}
+		c.requests[id] = t
 	}
 	return t
 }
 
 func (e RequestSent) apply(c *Checker) {
 	c.attempt(e.Attempt).sent = &e
-	t := c.content(e.Content)
+	t := c.requestHistory(e.Content)
 	t.attempts = append(t.attempts, e.Attempt)
 }
 
@@ -165,7 +165,7 @@
 }
 
 func (e RunStarted) apply(c *Checker) {
-	t := c.content(e.Content)
+	t := c.requestHistory(e.Content)
 	t.runs = append(t.runs, e)
 }
 
--- a/pomelocheck/fleet.go
+++ b/pomelocheck/fleet.go
@@ -9,7 +9,7 @@
 )
 
 func (c *Checker) checkLeaving(out []Violation) []Violation {
-	for id, t := range c.contents {
+	for id, t := range c.requests {
 		for _, run := range t.runs {
 			leavingSince, ok := c.leaving[run.Upstream]
 			if !ok || run.At.Sub(leavingSince) <= c.cfg.LeaveGrace+c.cfg.MaxClockSkew {
--- a/pomelocheck/gap_test.go
+++ b/pomelocheck/gap_test.go
@@ -77,7 +77,7 @@
 		}
 		got := c.Gaps(at(seconds * time.Second))
 		if math.Abs(float64(got[0].Value)-want) > 1e-9 {
-			t.Fatalf("got %v, want %v", got[0].Value, want)
+			t.Fatalf("got a gap of %v, exhaustive search finds %v", got[0].Value, want)
 		}
 	})
 }
@@ -92,6 +92,6 @@
 	}
 	got := c.WindowGaps(at(10*time.Second), at(20*time.Second))
 	if len(got) != 1 || math.Abs(float64(got["p"])-5) > 1e-9 {
-		t.Errorf("got %v, want 5", got)
+		t.Errorf("got window gaps %v, want 5 for pool p", got)
 	}
 }
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -61,7 +61,7 @@
 // repeatedly is not served either; it ends with the first answer, or with the first refusal
 // that reports the request as quarantined, since that is final.
 func (c *Checker) checkWaits(now time.Time, out []Violation) []Violation {
-	for id, t := range c.contents {
+	for id, t := range c.requests {
 		first, end := c.waitSpan(t, now)
 		if wait := end.Sub(first); wait > c.cfg.MaxWait {
 			detail := fmt.Sprintf("waited %s in %d attempts:%s", wait, len(t.attempts), c.describeAttempts(t, first, now))
@@ -73,7 +73,7 @@
 
 // waitSpan returns when the request was first sent, and when its wait ended: at the first answer or refusal as quarantined, or else
 // at the end of its last attempt.
-func (c *Checker) waitSpan(t *content, now time.Time) (first, end time.Time) {
+func (c *Checker) waitSpan(t *requestHistory, now time.Time) (first, end time.Time) {
 	var settled time.Time
 	for _, id := range t.attempts {
 		a := c.attempts[id]
@@ -94,7 +94,7 @@
 }
 
 // describeAttempts lists the router, start, end and refusal codes of each attempt, so that a violation can be traced to a fault.
-func (c *Checker) describeAttempts(t *content, first, now time.Time) string {
+func (c *Checker) describeAttempts(t *requestHistory, first, now time.Time) string {
 	var text strings.Builder
 	for _, id := range t.attempts {
 		a := c.attempts[id]
@@ -168,7 +168,7 @@
 }
 
 func (c *Checker) checkRuns(out []Violation) []Violation {
-	for id, t := range c.contents {
+	for id, t := range c.requests {
 		out = c.checkDoubleRun(id, t, out)
 		for _, run := range t.runs {
 			if len(t.attempts) == 0 || c.causedByAttempt(t, run) {
@@ -180,7 +180,7 @@
 	return out
 }
 
-func (c *Checker) checkDoubleRun(id ContentID, t *content, out []Violation) []Violation {
+func (c *Checker) checkDoubleRun(id ContentID, t *requestHistory, out []Violation) []Violation {
 	if len(t.runs) < 2 || !c.runsAtMostOnce(t) {
 		return out
 	}
@@ -188,13 +188,13 @@
 	return append(out, Violation{DoubleRun, string(id), last.At, fmt.Sprintf("ran %d times", len(t.runs))})
 }
 
-func (c *Checker) runsAtMostOnce(t *content) bool {
+func (c *Checker) runsAtMostOnce(t *requestHistory) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.AtMostOnce })
 }
 
 // causedByAttempt reports whether any attempt can have caused the run: it was sent before the run, and no refusal reported that it
 // did not run. An attempt sent after the run cannot explain it, even if that attempt ran too.
-func (c *Checker) causedByAttempt(t *content, run RunStarted) bool {
+func (c *Checker) causedByAttempt(t *requestHistory, run RunStarted) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
 		return !a.sent.At.After(run.At.Add(c.cfg.MaxClockSkew)) && !a.refusedAsNotRun()
--- a/pomelofake/engine_test.go
+++ b/pomelofake/engine_test.go
@@ -66,11 +66,11 @@
 			id := fmt.Sprint("r", stream)
 			status, text, header := call(t, client, http.MethodPost, chatPath, body, "X-Request-Id", id)
 			if status != http.StatusOK || header.Get("X-Request-Id") != id {
-				t.Fatalf("status %d, id %q", status, header.Get("X-Request-Id"))
+				t.Fatalf("got status %d and X-Request-Id %q, want 200 and that of the request", status, header.Get("X-Request-Id"))
 			}
 			got, done := streamText(t, text)
 			if got != expectedText(body, 5) || done != stream {
-				t.Errorf("stream %v: got %q, done %v", stream, got, done)
+				t.Errorf("stream %v: got text %q, end marker %v, want the complete answer, with an end marker only in a stream", stream, got, done)
 			}
 			if !strings.Contains(text, `"completion_tokens":5`) {
 				t.Errorf("no usage in %s", text)
@@ -140,7 +140,7 @@
 		firstText, _ := streamText(t, first)
 		restText, done := streamText(t, rest)
 		if status != http.StatusOK || firstText+restText != expectedText(body, 10) || !done {
-			t.Errorf("got %q and %q, done %v", firstText, restText, done)
+			t.Errorf("got %q before and %q after the resume, end marker %v, want the complete answer and an end marker", firstText, restText, done)
 		}
 		if engine.RunsByRequestID("r1") != 1 {
 			t.Errorf("ran %d times, want once", engine.RunsByRequestID("r1"))
@@ -169,7 +169,7 @@
 		_ = resp.Body.Close()
 		time.Sleep(1900 * time.Millisecond)
 		if runs := engine.Runs(0); len(runs) != 0 {
-			t.Errorf("ended within the grace period: %+v", runs)
+			t.Errorf("runs ended within the grace period: %+v, want none", runs)
 		}
 		time.Sleep(200 * time.Millisecond)
 		runs := engine.Runs(0)
@@ -196,11 +196,11 @@
 		}
 		wg.Wait()
 		if status, text, _ := call(t, client, http.MethodGet, "/load", ""); status != 0 {
-			t.Errorf("answered %d %s during the downtime", status, text)
+			t.Errorf("answered %d %s during the downtime, want a refused connection", status, text)
 		}
 		time.Sleep(1100 * time.Millisecond)
 		if status, text, _ := call(t, client, http.MethodGet, "/load", ""); status != http.StatusOK {
-			t.Errorf("answered %d %s after the downtime", status, text)
+			t.Errorf("answered %d %s after the downtime, want 200", status, text)
 		}
 		if runs := engine.Runs(0); len(runs) != 2 {
 			t.Errorf("counted %d runs, want 2", len(runs))
--- a/pomelofake/load.go
+++ b/pomelofake/load.go
@@ -13,7 +13,7 @@
 	Slots   int
 }
 
-// laggedLoad keeps a history of loads to report each with a delay.
+// laggedLoad keeps a history of loads, so that each load is reported with a delay of lag.
 type laggedLoad struct {
 	lag     time.Duration
 	history []loadSample
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -127,7 +127,7 @@
 // Receive returns the channel of received messages.
 func (m *Mesh) Receive() <-chan pomelorelay.Envelope { return m.inbox }
 
-// Traffic returns the number of sent messages per link class.
+// Traffic returns the number of sent messages per link class: same failure domain, same region or different regions.
 func (m *Mesh) Traffic() [pomelorelay.LinkClassCount]pomelorelay.LinkBytes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -39,7 +39,7 @@
 		}
 		status, answer := postBooking(t, client, "k1", "resolder")
 		if status != http.StatusOK || answer.Run != 4 || plain.RunsByKey("k1") != 4 {
-			t.Errorf("got %d %+v, counted %d", status, answer, plain.RunsByKey("k1"))
+			t.Errorf("got status %d, answer %+v and %d counted runs, want 200 and 4 runs in both", status, answer, plain.RunsByKey("k1"))
 		}
 		if answer.Proof != pomelofake.DigestBody([]byte("resolder")) || answer.RequestID != "id-k1" {
 			t.Errorf("the answer %+v does not identify its request", answer)
@@ -68,7 +68,7 @@
 		}
 		plain.SetFaults(pomelofake.PlainFaults{CutEarly: true})
 		if status, _ := postBooking(t, client, "early", "resolder"); status != 0 || plain.RunsByKey("early") != 0 {
-			t.Errorf("cut before the run: status %d, ran %d times", status, plain.RunsByKey("early"))
+			t.Errorf("cut before the run: status %d, ran %d times, want a broken connection and no run", status, plain.RunsByKey("early"))
 		}
 	})
 }
@@ -101,18 +101,18 @@
 		client, _ := serve(t, plain)
 		plain.SetFaults(pomelofake.PlainFaults{Repeat: true})
 		if status, answer := postBooking(t, client, "k1", "k1"); status != http.StatusOK || answer.Key != "k1" {
-			t.Errorf("repeated answer: status %d, %+v", status, answer)
+			t.Errorf("repeated answer: status %d, %+v, want 200 and the answer to k1", status, answer)
 		}
 		plain.SetFaults(pomelofake.PlainFaults{IdleClose: time.Second, Every: 2})
 		for _, key := range []string{"k2", "k3"} {
 			if status, _ := postBooking(t, client, key, key); status != http.StatusOK {
-				t.Errorf("%s: status %d", key, status)
+				t.Errorf("%s: status %d, want 200", key, status)
 			}
 		}
 		plain.SetFaults(pomelofake.PlainFaults{Refuse: true})
 		status, _, header := call(t, client, http.MethodPost, "/bookings", "x", "Idempotency-Key", "k4")
 		if status != http.StatusServiceUnavailable || header.Get("Ran") != "No" || plain.RunsByKey("k4") != 0 {
-			t.Errorf("refused with status %d and Ran %q, ran %d times", status, header.Get("Ran"), plain.RunsByKey("k4"))
+			t.Errorf("refused with status %d and Ran %q, ran %d times, want 503, \"No\" and no run", status, header.Get("Ran"), plain.RunsByKey("k4"))
 		}
 	})
 }
--- a/pomelofake/relay_test.go
+++ b/pomelofake/relay_test.go
@@ -81,17 +81,17 @@
 		relay, dial := newTestRelay(t)
 		conn := dial()
 		if b, err := exchangeByte(conn, 1); b != 2 || err != nil {
-			t.Fatalf("got %d, %v", b, err)
+			t.Fatalf("without a fault: got %d, %v, want 2", b, err)
 		}
 		delay := pomelofake.RelayEffect{Delay: 100 * time.Millisecond}
 		relay.SetRules([]pomelofake.RelayRule{{Toward: delay, Back: delay}})
 		began := time.Now()
 		if b, err := exchangeByte(conn, 3); b != 4 || err != nil || time.Since(began) != 200*time.Millisecond {
-			t.Errorf("got %d, %v after %s", b, err, time.Since(began))
+			t.Errorf("got %d, %v after %s, want 4 after 200ms", b, err, time.Since(began))
 		}
 		relay.SetRules([]pomelofake.RelayRule{{Back: pomelofake.RelayEffect{Block: true}}})
 		if b, err := exchangeByte(conn, 5); err == nil {
-			t.Errorf("got %d while the answers are blocked", b)
+			t.Errorf("got %d while the answers are blocked, want no answer", b)
 		}
 		relay.SetRules(nil)
 		if b, err := readByte(conn); b != 6 || err != nil {
@@ -107,7 +107,7 @@
 		conn := dial()
 		relay.SetRules([]pomelofake.RelayRule{{Toward: pomelofake.RelayEffect{Drop: true}}})
 		if b, err := exchangeByte(conn, 1); err == nil {
-			t.Errorf("got %d while the requests are dropped", b)
+			t.Errorf("got %d while the requests are dropped, want no answer", b)
 		}
 		relay.SetRules(nil)
 		if _, err := exchangeByte(conn, 3); err != io.EOF {
@@ -115,7 +115,7 @@
 		}
 		conn = dial()
 		if b, err := exchangeByte(conn, 1); b != 2 || err != nil {
-			t.Fatalf("got %d, %v", b, err)
+			t.Fatalf("without a fault: got %d, %v, want 2", b, err)
 		}
 		relay.SetRules([]pomelofake.RelayRule{{Cut: true}})
 		if _, err := readByte(conn); err != io.EOF {
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("the watch took %s, want 5s to 6s", took)
 		}
 		if counts := store.Counts(); counts.Watches != 2 || counts.Writes != 1 || counts.Reads != 0 {
-			t.Errorf("counted %+v", counts)
+			t.Errorf("counted %+v, want 2 watches, 1 write and no reads", counts)
 		}
 	})
 }
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -213,8 +213,8 @@
 	echo "$1 was stopped gracefully and exited with 0"
 }
 
-# kill_router kills a router. It first writes a mark of the kill to the marks file, so that pomelobench does not count the broken requests as cut by a planned
-# stop.
+# kill_router kills a router. It first writes a mark of the kill to the marks file, so that pomelobench does not count the broken
+# requests as cut by a planned stop.
 kill_router() {
 	echo "{\"Killed\":\"$1\"}" >>"$marks"
 	sleep 0.2
--- a/scripts/proofs/config.sh
+++ b/scripts/proofs/config.sh
@@ -1,7 +1,7 @@
 # Four operators apply different configurations concurrently, five times: without faults, with store answers lost after the write,
 # with one router frozen, with one failure domain partitioned from the others and the store, and after the store was restored from
-# an old copy. Of the changes based on the same generation exactly one is accepted; it is in force on every router within 10 s, and no router's
-# generation decreases.
+# an old copy. Of the changes based on the same generation exactly one is accepted; it is in force on every router within 10 s, and
+# no router's generation decreases.
 duration=38s
 timeout=12s
 links=1
--- a/scripts/proofs/partition.sh
+++ b/scripts/proofs/partition.sh
@@ -1,6 +1,6 @@
 # One failure domain is partitioned from all others and from the store, then reconnected. Then the outgoing messages of a second
-# domain are lost while a router of a third domain is killed. All guarantees hold throughout; the fairness gap, which may grow while domains are
-# disconnected, is checked from 4 s after the last partition has healed.
+# domain are lost while a router of a third domain is killed. All guarantees hold throughout; the fairness gap, which may grow while
+# domains are disconnected, is checked from 4 s after the last partition has healed.
 duration=30s
 timeout=10s
 # A domain cut off from the store accepts no bookings for 5 s.
