--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -193,7 +193,7 @@
 	return event.Usage.CompletionTokens
 }
 
-// readStreamError records an error event, by which a router or engine reports that the stream is incomplete.
+// readStreamError records an error event, by which the server reports that the stream is incomplete.
 func (o *outcome) readStreamError(data string) {
 	var p problem
 	_ = json.Unmarshal([]byte(data), &p)
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -73,7 +73,7 @@
 type testRouter struct {
 	plain    *pomelofake.PlainService
 	stopping atomic.Bool
-	// falseNotRunEvery, if n > 0, makes the router refuse every n-th request as not run although it ran.
+	// falseNotRunEvery is n if the router refuses every n-th request as not run although it ran; zero disables these refusals.
 	falseNotRunEvery int64
 	requests         atomic.Int64
 	vars             func() string
--- a/cmd/pomelobench/pomeloload/recorder.go
+++ b/cmd/pomelobench/pomeloload/recorder.go
@@ -160,8 +160,8 @@
 	})
 }
 
-// refusalDecidedAt returns when the router decided to refuse the attempt. A full queue is detected on arrival, so for its codes this
-// is the time of sending; other codes do not determine the time, and the result is zero.
+// refusalDecidedAt returns when the router decided to refuse the attempt. A full queue is detected on arrival, so for a code that
+// reports one this is the time of sending. Other codes do not determine the time, and the result is zero.
 func refusalDecidedAt(sent pomelocheck.RequestSent, o outcome) time.Time {
 	if o.code == pomelorelay.CodeQueueCountFull || o.code == pomelorelay.CodeQueueBytesFull {
 		return sent.At
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -16,7 +16,7 @@
 	FairnessBound pomelorelay.Tag
 	MostServed    pomelorelay.AccountID `json:"More"`
 	LeastServed   pomelorelay.AccountID `json:"Less"`
-	// Utilisation is the ratio of busy to existing slots while requests waited; WaitingSeconds is how long requests waited.
+	// Utilisation is the ratio of busy to existing slots, measured while at least one request waited: for WaitingSeconds in total.
 	Utilisation    float64
 	WaitingSeconds float64
 }
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -17,7 +17,7 @@
 	runPollInterval    = time.Second
 )
 
-// routerVars contains the fields used of a router's /debug/vars.
+// routerVars decodes the fields that the load generator uses of a router's /debug/vars.
 type routerVars struct {
 	Pomelo struct {
 		Generation   pomelorelay.Generation
--- a/cmd/pomelobench/pomelomeasure/measure_test.go
+++ b/cmd/pomelobench/pomelomeasure/measure_test.go
@@ -42,7 +42,7 @@
 
 func TestMeasureLatencyRequiresTargets(t *testing.T) {
 	if _, err := pomelomeasure.MeasureLatency(context.Background(), pomelomeasure.LatencyConfig{}); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
-		t.Error(err)
+		t.Errorf("got error %v, want CodeBenchPlan", err)
 	}
 }
 
--- a/cmd/pomelobench/standin.go
+++ b/cmd/pomelobench/standin.go
@@ -17,7 +17,7 @@
 	"github.com/go-faster/errors"
 )
 
-// standInCommand runs stand-ins of upstreams, platform and links in one process.
+// standInCommand runs stand-ins (simulated upstreams, store, host list and links) in one process.
 type standInCommand struct {
 	engines       map[string]string
 	plainServices map[string]string
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -58,8 +58,8 @@
 }
 
 // checkWaits finds requests that took longer than MaxWait. The wait spans all attempts, since a caller that is refused
-// repeatedly is not served either; it ends with the first answer, or with the first refusal
-// that reports the request as quarantined, since that is final.
+// repeatedly is not served either. It ends with the first answer, or with the first refusal that reports the request as
+// quarantined, since such a refusal is final.
 func (c *Checker) checkWaits(now time.Time, out []Violation) []Violation {
 	for id, t := range c.requests {
 		first, end := c.waitSpan(t, now)
@@ -192,8 +192,9 @@
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.AtMostOnce })
 }
 
-// causedByAttempt reports whether any attempt can have caused the run: it was sent before the run, and no refusal reported that it
-// did not run. An attempt sent after the run cannot explain it, even if that attempt ran too.
+// causedByAttempt reports whether an attempt can have caused the run: it was sent before the run and was not refused as not run.
+// Later attempts do not count: a resend may run although an earlier attempt was refused, but it cannot explain a run that started
+// before the resend was sent.
 func (c *Checker) causedByAttempt(t *requestHistory, run RunStarted) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
--- a/pomelofake/decode.go
+++ b/pomelofake/decode.go
@@ -66,7 +66,8 @@
 	return e.cfg.StepTime + time.Duration(len(e.running))*e.cfg.StepTimePerRequest, busy
 }
 
-// step admits waiting requests, runs one decode step for every running request and reports whether one of them crashes the engine.
+// step admits waiting requests, advances each running request by one prefill or decode step, and reports whether one of them crashes
+// the engine.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -75,7 +75,7 @@
 	Refuse bool
 	// Late delays the start of every answer.
 	Late time.Duration
-	// CutAfter is the number of events after which a stream's connection is closed; Cuts is how many connections are closed so.
+	// CutAfter is the number of events after which a stream's connection is closed. Cuts is the number of connections to close.
 	CutAfter int
 	Cuts     int
 	// NoEnd ends streams correctly at the transport level but without usage and [DONE].
--- a/scripts/proofs/config.sh
+++ b/scripts/proofs/config.sh
@@ -43,7 +43,8 @@
 	echo $((($(date +%s%N) - began) / 1000000))
 }
 
-# race runs four concurrent applies based on the last generation: race ROUND PATTERN-OF-ROUTERS-LEFT-OUT FLAGS-OF-APPLY...
+# race runs pomeloctl apply four times concurrently, each time based on the last generation:
+# race ROUND PATTERN-OF-ROUTERS-LEFT-OUT FLAGS-OF-APPLY...
 race() {
 	round=$1
 	left_out=$2
--- a/scripts/proofs/notrun.sh
+++ b/scripts/proofs/notrun.sh
@@ -1,5 +1,5 @@
 # Checks refusals with "Ran: No" while the store is down for 6 s, upstreams crash, refuse, and cut connections before or after the
-# run, and callers resend. According to the stand-ins, a request whose every attempt was refused as not run did not run.
+# run, and callers resend. If all attempts at a request were refused as not run, the stand-ins' records must show no run of it.
 duration=22s
 timeout=6s
 # No booking can run during the 6 s in which the store is down.
