--- a/cmd/pomelobench/pomeloload/plan.go
+++ b/cmd/pomelobench/pomeloload/plan.go
@@ -59,7 +59,7 @@
 	Model pomelorelay.ModelID   `yaml:"Model"`
 	// Path is the URL path of a plain service.
 	Path string `yaml:"Path"`
-	// AtMostOnce sends every request with an Idempotency-Key, since it may run at most once.
+	// AtMostOnce sends every request with an Idempotency-Key, since the service may run each of them at most once.
 	AtMostOnce bool `yaml:"Once"`
 	// InputCost and OutputCost are the costs of one prompt token and one answer token at a model engine. A request to a plain service
 	// costs its run time in seconds.
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -102,7 +102,7 @@
 	w.recorder.addControlBytes(controlRecord{at: now, node: r.Name, total: total, crossRegion: crossRegion, interval: now.Sub(last.readAt)})
 }
 
-// pollStandIns reads the runs of every stand-in periodically until ctx ends.
+// pollStandIns periodically reads which requests each stand-in executed, until ctx ends.
 func (w *watcher) pollStandIns(ctx context.Context) {
 	ticker := time.NewTicker(runPollInterval)
 	defer ticker.Stop()
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -71,7 +71,7 @@
 
 // EngineFaults are the faults injected into an Engine; the zero value injects none.
 type EngineFaults struct {
-	// Refuse answers completions with 503 and Ran: No.
+	// Refuse answers completion requests with 503 and the header Ran: No, without running them.
 	Refuse bool
 	// Late delays the start of every answer.
 	Late time.Duration
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -37,7 +37,7 @@
 type PlainFaults struct {
 	// Every applies the other faults to every n-th request only; zero and one mean all.
 	Every int
-	// Refuse answers with 503 and Ran: No.
+	// Refuse answers with 503 and the header Ran: No, without running the request.
 	Refuse bool
 	// Late delays the answer after the run.
 	Late time.Duration
