--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		report := runPlan(t, newTestNetwork(t), directPlan())
 		if failures := report.Result.Failures(); len(failures) > 0 {
-			t.Errorf("%v: %v", failures, report.Violations)
+			t.Errorf("got violations %v: %v, want none", failures, report.Violations)
 		}
 		r := report.Result
 		if r.Answers != r.Requests || r.Runs != r.Requests || r.Requests < 1000 {
@@ -39,7 +39,7 @@
 }
 
 // Guards against checks that miss faults: callers use faulty upstreams without a router between, so each fault must appear in the
-// result. A check that misses it here would also miss it behind a router that does not handle it.
+// result. A check that misses a fault here would also miss it behind a router that does not handle the fault.
 func TestFaultsWithoutRouterAreDetected(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -73,7 +73,7 @@
 type testRouter struct {
 	plain    *pomelofake.PlainService
 	stopping atomic.Bool
-	// falseNotRunEvery n > 0 refuses each nth request as not run after running it.
+	// falseNotRunEvery is n if the router refuses every n-th request as not run although it ran; zero disables these refusals.
 	falseNotRunEvery int64
 	requests         atomic.Int64
 	vars             func() string
@@ -141,7 +141,7 @@
 		network := newTestNetwork(t)
 		report := runPlan(t, network, routedPlan(t, network, &testRouter{falseNotRunEvery: 10}))
 		if report.Result.FalseNotRun == 0 || report.Result.DoubleRuns == 0 {
-			t.Errorf("got %+v", report.Result)
+			t.Errorf("got %+v, want FalseNotRun and DoubleRuns above zero", report.Result)
 		}
 	})
 }
@@ -154,7 +154,7 @@
 		p.Steps = []pomeloload.Step{{After: 5 * time.Second, DrainRouter: "r1"}}
 		report := runPlan(t, network, p)
 		if report.Result.CutOff == 0 || len(report.Faults) != 1 {
-			t.Errorf("%d requests cut off, faults %v", report.Result.CutOff, report.Faults)
+			t.Errorf("%d requests cut off, want at least one; faults %v, want one", report.Result.CutOff, report.Faults)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 		p.Steps = []pomeloload.Step{{After: 4 * time.Second, LeavingUpstream: "p1"}}
 		report := runPlan(t, network, p)
 		if report.Result.NewWorkAfterLeave == 0 {
-			t.Errorf("got %+v", report.Result)
+			t.Errorf("got %+v, want NewWorkAfterLeave above zero", report.Result)
 		}
 	})
 }
@@ -181,13 +181,13 @@
 		p.Duration = 12 * time.Second
 		report := runPlan(t, network, p)
 		if report.Result.Starved == 0 {
-			t.Errorf("got %+v", report.Result)
+			t.Errorf("got %+v, want Starved above zero", report.Result)
 		}
 	})
 }
 
-// A router restarts with an older configuration: the lower generation is detected, and its control bytes are counted across the
-// counter reset.
+// A router restarts with an older configuration: the lower generation must be detected, and the router's control traffic must be
+// counted although its byte counters restart at zero.
 func TestRouterCountersAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newTestNetwork(t)
@@ -202,10 +202,10 @@
 		}})
 		report := runPlan(t, network, p)
 		if report.Result.GenerationFell == 0 || report.Result.GenerationReadings == 0 {
-			t.Errorf("the generation fell %d times in %d readings", report.Result.GenerationFell, report.Result.GenerationReadings)
+			t.Errorf("the generation fell %d times in %d readings, want at least once", report.Result.GenerationFell, report.Result.GenerationReadings)
 		}
 		if b := report.Result.ControlBytesPerNodeSecond; b < 1500 || b > 2200 {
-			t.Errorf("%v control bytes a second, want about 2,000 less those lost at the restart", b)
+			t.Errorf("%v control bytes a second, want 1,500 to 2,200: about 2,000 less those lost at the restart", b)
 		}
 		if report.Result.ControlBytesCrossRegion < 7000 || report.Result.ControlBytesCrossRegion > 11000 {
 			t.Errorf("%v control bytes between regions, want 7,000 to 11,000", report.Result.ControlBytesCrossRegion)
@@ -213,7 +213,7 @@
 	})
 }
 
-// Callers send a booking twice concurrently, and without a router nothing prevents the second run.
+// Callers send a booking twice concurrently. Without a router nothing prevents the second run, which must be counted.
 func TestOverlappingSendsAndMarkedRunsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := directPlan()
@@ -225,12 +225,13 @@
 		}
 		r := runPlan(t, newTestNetwork(t), p).Result
 		if r.DoubleRuns == 0 || r.MaxMarkedRuns != 1 || r.MinAnswers != 2 {
-			t.Errorf("%d double runs, at most %d runs of a marked request, at least %d answers per account and pool", r.DoubleRuns, r.MaxMarkedRuns, r.MinAnswers)
+			t.Errorf("%d double runs, at most %d runs of a marked request, at least %d answers per account and pool; want at least 1, exactly 1 and exactly 2", r.DoubleRuns, r.MaxMarkedRuns, r.MinAnswers)
 		}
 	})
 }
 
-// The same unfair load is checked from its start and from its last 100 ms on: service before GapCheckFrom must not count.
+// The same unfair load is checked once over its whole time and once over its last 100 ms only: service before GapCheckFrom must not
+// count toward the fairness gap.
 func TestGapIsCheckedFromGapCheckFrom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := directPlan()
@@ -240,7 +241,7 @@
 		p.GapCheckFrom = p.Duration - 100*time.Millisecond
 		tail := runPlan(t, newTestNetwork(t), p).Result
 		if full.GapOverBound == 0 || tail.GapOverBound != 0 {
-			t.Errorf("violations of the bound: %d in the full run, %d in its last 100 ms", full.GapOverBound, tail.GapOverBound)
+			t.Errorf("violations of the gap bound: %d in the full run, want at least 1; %d in its last 100 ms, want 0", full.GapOverBound, tail.GapOverBound)
 		}
 	})
 }
@@ -278,7 +279,7 @@
 			p := directPlan()
 			breakPlan(&p)
 			if err := p.Validate(); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) || !strings.Contains(err.Error(), "BenchPlan") {
-				t.Errorf("got %v", err)
+				t.Errorf("got %v, want an error with CodeBenchPlan", err)
 			}
 		})
 	}
--- a/cmd/pomelobench/pomeloload/result.go
+++ b/cmd/pomelobench/pomeloload/result.go
@@ -11,26 +11,26 @@
 // PoolResult contains the measurements of one pool.
 type PoolResult struct {
 	Pool pomelorelay.PoolID
-	// FairnessGap and FairnessBound are in normalised service: cost over weight.
+	// FairnessGap is the maximum difference in normalised service (cost over weight) between two accounts, FairnessBound its limit.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
 	MostServed    pomelorelay.AccountID `json:"More"`
 	LeastServed   pomelorelay.AccountID `json:"Less"`
-	// Utilisation is busy over existing slots while work waited, which was for WaitingSeconds.
+	// Utilisation is the ratio of busy to existing slots, measured while at least one request waited: for WaitingSeconds in total.
 	Utilisation    float64
 	WaitingSeconds float64
 }
 
-// Result is the summary of a run, printed as its last line.
+// Result is the summary of a run, which pomelobench prints as the last line of its output.
 type Result struct {
 	// FairnessGap and FairnessBound are those of the pool with the largest ratio of gap to bound.
 	FairnessGap   pomelorelay.Tag
 	FairnessBound pomelorelay.Tag
-	// Utilisation is busy over existing slots of all pools, each while work waited for it.
+	// Utilisation is the ratio of busy to existing slots over all pools; a pool counts only while requests waited for it.
 	Utilisation float64
-	// ControlBytesPerNodeSecond is the average control traffic of a router, sent and received, in bytes per second.
+	// ControlBytesPerNodeSecond is the average traffic of a router with its peers, sent and received, in bytes per second.
 	ControlBytesPerNodeSecond float64
-	// ControlBytesCrossRegion is the control traffic between regions, counted at the senders.
+	// ControlBytesCrossRegion is the number of bytes that all routers sent to peers in other regions.
 	ControlBytesCrossRegion pomelorelay.Bytes
 	Tally
 	WrongAnswers      int
@@ -45,9 +45,10 @@
 	GapOverBound      int
 	// MinAnswers is the smallest number of answers that an account got from a pool it called.
 	MinAnswers int `json:"LeastAnswers"`
-	// MaxMarkedRuns is the largest number of runs of one request with a marker.
+	// MaxMarkedRuns is the largest number of times that one request with a prompt marker ran.
 	MaxMarkedRuns int `json:"MostMarkedRuns"`
-	// GenerationReadings counts the readings of generations in force; at zero, GenerationFell and GenerationLate were not checked.
+	// GenerationReadings counts how often a router's configuration generation was read; if it is zero, GenerationFell and
+	// GenerationLate were not checked.
 	GenerationReadings int `json:"GenerationsSeen"`
 	// The latencies are those of answered attempts, from sending to the first byte and to the end, queueing included.
 	FirstByteP50Milliseconds float64
@@ -83,7 +84,8 @@
 	Second int
 	At     time.Time
 	Tally
-	// Gaps are between the accounts backlogged throughout the 5 s that end with the sample.
+	// Gaps are the maximum differences in normalised service per pool between the accounts that were backlogged throughout the 5 s
+	// before At.
 	Gaps                     map[pomelorelay.PoolID]pomelorelay.Tag
 	Utilisation              map[pomelorelay.PoolID]float64
 	ControlBytesPerNode      float64
@@ -236,7 +238,7 @@
 	return busy / slots
 }
 
-// totalControlBytes returns the average per node in bytes per second, and the bytes sent between regions.
+// totalControlBytes returns the average traffic of a router with its peers, in bytes per second, and the bytes sent between regions.
 func (r *recorder) totalControlBytes() (float64, pomelorelay.Bytes) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
@@ -271,7 +273,7 @@
 	return samples
 }
 
-// controlRates returns the control traffic per node, and between regions, in bytes per second.
+// controlRates returns the average traffic of a router with its peers, and the traffic between regions, in bytes per second.
 func (r *recorder) controlRates(from, to time.Time) (float64, float64) {
 	var total, crossRegion pomelorelay.Bytes
 	var observed time.Duration
--- a/cmd/pomelobench/pomelomeasure/measure_test.go
+++ b/cmd/pomelobench/pomelomeasure/measure_test.go
@@ -32,7 +32,7 @@
 	for i, want := range []struct{ requests, failures int64 }{{40, 0}, {40, 0}, {0, 40}} {
 		got := results[i]
 		if got.Requests != want.requests || got.Failures != want.failures {
-			t.Errorf("got %+v, want %+v", got, want)
+			t.Errorf("target %+v, want requests and failures %+v", got, want)
 		}
 	}
 	if results[0].P50Milliseconds <= 0 || results[1].AddedP50Milliseconds != results[1].P50Milliseconds-results[0].P50Milliseconds {
@@ -42,7 +42,7 @@
 
 func TestMeasureLatencyRequiresTargets(t *testing.T) {
 	if _, err := pomelomeasure.MeasureLatency(context.Background(), pomelomeasure.LatencyConfig{}); !pomelorelay.IsErrCode(err, pomelorelay.CodeBenchPlan) {
-		t.Error(err)
+		t.Errorf("got error %v, want CodeBenchPlan", err)
 	}
 }
 
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -14,7 +14,7 @@
 	store         *pomelostore.Client
 	configuration pomeloconfig.Configuration
 	change        pomeloconfig.Change
-	// routers are queried for the generations in force; with wait, repeatedly until they have the new one.
+	// routers are queried for the generation that each has in force; if wait is set, they are polled until all have the new one.
 	routers []netip.AddrPort
 	wait    bool
 	// textPrefix precedes the result in text output.
@@ -33,7 +33,8 @@
 	return routers, nil
 }
 
-// publish writes a configuration to the store, waits until it is in force when p.wait is set, and prints the result.
+// publish writes a configuration to the store and prints the result. If p.wait is set, it first waits until all p.routers have the
+// configuration in force.
 func (a *app) publish(ctx context.Context, p publication) error {
 	// The new generation must exceed every generation in force. Routers that do not answer are ignored, so that they cannot
 	// block a change.
--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -10,18 +10,20 @@
 
 // Config sets the limits that a Checker enforces; a zero duration takes its default.
 type Config struct {
-	// GapBounds are the maximum differences of normalised service per pool; a pool without one is not checked.
+	// GapBounds are the maximum differences in normalised service (cost over weight) between two accounts of a pool; a pool without
+	// a bound is not checked.
 	GapBounds map[pomelorelay.PoolID]pomelorelay.Tag
 	// GapSampleInterval is the time between samples of the normalised service, 100 ms by default.
 	GapSampleInterval time.Duration
-	// MaxWait limits the time of a request over all attempts, and of a backlogged account without service, 60 s by default.
+	// MaxWait is the maximum time that a request may take over all its attempts, and the maximum time that a backlogged account may
+	// receive no service; 60 s by default.
 	MaxWait time.Duration
 	// LeaveGrace is how long a leaving upstream may still receive new requests, 3 s by default.
 	LeaveGrace time.Duration
 	// MaxConfigDelay is the maximum time until an accepted configuration is in force on all routers, 17 s by default.
 	MaxConfigDelay time.Duration
-	// MaxRefusalDelay limits the time from a router's decision to refuse, from the first byte of the refusal, and from the deadline,
-	// each to the end of the answer, 1 s by default.
+	// MaxRefusalDelay limits three times: from a router's decision to refuse an attempt to the end of the refusal, from the first to
+	// the last byte of the refusal, and from the caller's deadline to the end of the attempt. It is 1 s by default.
 	MaxRefusalDelay time.Duration
 	// MaxClockSkew is the maximum difference between the clocks of two observers, zero by default.
 	MaxClockSkew time.Duration
@@ -54,7 +56,7 @@
 type Checker struct {
 	cfg         Config
 	attempts    map[AttemptID]*attempt
-	contents    map[ContentID]*content
+	requests    map[ContentID]*requestHistory
 	services    map[accountKey]*accountService
 	leaving     map[pomelorelay.UpstreamID]time.Time
 	stops       map[pomelorelay.NodeID]time.Time
@@ -72,7 +74,7 @@
 	broken   []RequestBroken
 }
 
-type content struct {
+type requestHistory struct {
 	attempts []AttemptID
 	runs     []RunStarted
 }
@@ -82,7 +84,7 @@
 	return &Checker{
 		cfg:         cfg.withDefaults(),
 		attempts:    make(map[AttemptID]*attempt),
-		contents:    make(map[ContentID]*content),
+		requests:    make(map[ContentID]*requestHistory),
 		services:    make(map[accountKey]*accountService),
 		leaving:     make(map[pomelorelay.UpstreamID]time.Time),
 		stops:       make(map[pomelorelay.NodeID]time.Time),
@@ -112,7 +114,7 @@
 	return out
 }
 
-// compareViolations breaks ties by kind and subject, so that the order is deterministic.
+// compareViolations orders violations by time, and those of the same time by kind and subject, so that the order is deterministic.
 func compareViolations(a, b Violation) int {
 	if order := a.At.Compare(b.At); order != 0 {
 		return order
@@ -132,18 +134,18 @@
 	return a
 }
 
-func (c *Checker) content(id ContentID) *content {
-	t, ok := c.contents[id]
+func (c *Checker) requestHistory(id ContentID) *requestHistory {
+	t, ok := c.requests[id]
 	if !ok {
-		t = &content{}
-		c.contents[id] = t
+		t = &requestHistory{}
+		c.requests[id] = t
 	}
 	return t
 }
 
 func (e RequestSent) apply(c *Checker) {
 	c.attempt(e.Attempt).sent = &e
-	t := c.content(e.Content)
+	t := c.requestHistory(e.Content)
 	t.attempts = append(t.attempts, e.Attempt)
 }
 
@@ -163,7 +165,7 @@
 }
 
 func (e RunStarted) apply(c *Checker) {
-	t := c.content(e.Content)
+	t := c.requestHistory(e.Content)
 	t.runs = append(t.runs, e)
 }
 
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// checkAnswers finds answers that belong to another request, are truncated without an error, or follow an earlier end of the attempt.
-// A caller would act on such an answer; only the digest of its request reveals it.
+// checkAnswers finds answers that belong to another request or are truncated without an error, and attempts that ended more than
+// once. A caller would act on such an answer; only the digest of the request reveals that it is wrong.
 func (c *Checker) checkAnswers(out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, answer := range a.answered {
@@ -58,9 +58,10 @@
 }
 
 // checkWaits finds requests that took longer than MaxWait. The wait spans all attempts, since a caller that is refused
-// repeatedly is not served either; it ends with the first answer or the first refusal as quarantined, which is final.
+// repeatedly is not served either. It ends with the first answer, or with the first refusal that reports the request as
+// quarantined, since such a refusal is final.
 func (c *Checker) checkWaits(now time.Time, out []Violation) []Violation {
-	for id, t := range c.contents {
+	for id, t := range c.requests {
 		first, end := c.waitSpan(t, now)
 		if wait := end.Sub(first); wait > c.cfg.MaxWait {
 			detail := fmt.Sprintf("waited %s in %d attempts:%s", wait, len(t.attempts), c.describeAttempts(t, first, now))
@@ -70,8 +71,9 @@
 	return out
 }
 
-// waitSpan returns when the content was first sent, and when it was first answered or quarantined, or else when its last attempt ended.
-func (c *Checker) waitSpan(t *content, now time.Time) (first, end time.Time) {
+// waitSpan returns when the request was first sent, and when its wait ended: at the first answer or refusal as quarantined, or else
+// at the end of its last attempt.
+func (c *Checker) waitSpan(t *requestHistory, now time.Time) (first, end time.Time) {
 	var settled time.Time
 	for _, id := range t.attempts {
 		a := c.attempts[id]
@@ -92,7 +94,7 @@
 }
 
 // describeAttempts lists the router, start, end and refusal codes of each attempt, so that a violation can be traced to a fault.
-func (c *Checker) describeAttempts(t *content, first, now time.Time) string {
+func (c *Checker) describeAttempts(t *requestHistory, first, now time.Time) string {
 	var text strings.Builder
 	for _, id := range t.attempts {
 		a := c.attempts[id]
@@ -118,8 +120,8 @@
 	return when
 }
 
-// checkRefusals finds refusals that are late, sent slowly, or without Retry-After. A router that delays a refusal after
-// giving up the request keeps the caller from trying elsewhere.
+// checkRefusals finds refusals that are late, sent slowly, or without Retry-After, and attempts that end too long after their
+// deadline. A router that delays a refusal after giving up the request keeps the caller from trying elsewhere.
 func (c *Checker) checkRefusals(now time.Time, out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, r := range a.refused {
@@ -166,7 +168,7 @@
 }
 
 func (c *Checker) checkRuns(out []Violation) []Violation {
-	for id, t := range c.contents {
+	for id, t := range c.requests {
 		out = c.checkDoubleRun(id, t, out)
 		for _, run := range t.runs {
 			if len(t.attempts) == 0 || c.causedByAttempt(t, run) {
@@ -178,7 +180,7 @@
 	return out
 }
 
-func (c *Checker) checkDoubleRun(id ContentID, t *content, out []Violation) []Violation {
+func (c *Checker) checkDoubleRun(id ContentID, t *requestHistory, out []Violation) []Violation {
 	if len(t.runs) < 2 || !c.runsAtMostOnce(t) {
 		return out
 	}
@@ -186,13 +188,14 @@
 	return append(out, Violation{DoubleRun, string(id), last.At, fmt.Sprintf("ran %d times", len(t.runs))})
 }
 
-func (c *Checker) runsAtMostOnce(t *content) bool {
+func (c *Checker) runsAtMostOnce(t *requestHistory) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.AtMostOnce })
 }
 
-// causedByAttempt reports whether an attempt sent before the run was not refused as not run. Later attempts are ignored, since
-// a resend may run although an earlier attempt was refused, but it cannot explain a run before it was sent.
-func (c *Checker) causedByAttempt(t *content, run RunStarted) bool {
+// causedByAttempt reports whether an attempt can have caused the run: it was sent before the run and was not refused as not run.
+// Later attempts do not count: a resend may run although an earlier attempt was refused, but it cannot explain a run that started
+// before the resend was sent.
+func (c *Checker) causedByAttempt(t *requestHistory, run RunStarted) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
 		return !a.sent.At.After(run.At.Add(c.cfg.MaxClockSkew)) && !a.refusedAsNotRun()
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -71,11 +71,11 @@
 
 // EngineFaults are the faults injected into an Engine; the zero value injects none.
 type EngineFaults struct {
-	// Refuse answers completions with 503 and Ran: No.
+	// Refuse answers completion requests with 503 and the header Ran: No, without running them.
 	Refuse bool
 	// Late delays the start of every answer.
 	Late time.Duration
-	// CutAfter is the number of events after which a stream's connection is closed; this happens Cuts times.
+	// CutAfter is the number of events after which a stream's connection is closed. Cuts is the number of connections to close.
 	CutAfter int
 	Cuts     int
 	// NoEnd ends streams correctly at the transport level but without usage and [DONE].
--- a/pomelofake/store_test.go
+++ b/pomelofake/store_test.go
@@ -75,13 +75,13 @@
 			t.Errorf("the watch took %s, want 5s to 6s", took)
 		}
 		if counts := store.Counts(); counts.Watches != 2 || counts.Writes != 1 || counts.Reads != 0 {
-			t.Errorf("counted %+v", counts)
+			t.Errorf("counted %+v, want 2 watches, 1 write and no reads", counts)
 		}
 	})
 }
 
 // The store is down, throttles, or loses the answer to a write that took effect. A client that treats the lost answer as a
-// failed write would write again or give up what it holds.
+// failed write would write again, or give up a claim or lock that the write obtained.
 func TestStoreFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, client := newTestStore(t, pomelofake.StoreConfig{})
