--- a/pomelolink/buffer.go
+++ b/pomelolink/buffer.go
@@ -32,7 +32,7 @@
 // Body returns an empty buffer for a message body; PutBody returns it to the pool.
 func (p *Buffers) Body() *bytes.Buffer { return p.bodies.Get().(*bytes.Buffer) }
 
-// PutBody returns a body buffer to the pool; one over 256 KiB is dropped.
+// PutBody returns a body buffer to the pool; one with a capacity over 256 KiB is dropped.
 func (p *Buffers) PutBody(b *bytes.Buffer) {
 	if b.Cap() > maxPooledBuffer {
 		return
--- a/pomelolink/conn.go
+++ b/pomelolink/conn.go
@@ -68,9 +68,9 @@
 	return c.SetDeadline(deadline)
 }
 
-// stillIdle reports whether the peer neither sent data nor closed the connection while it was idle. Reusing a connection that is being
-// closed leaves the request's outcome unknown, and a duplicate answer would be taken for the next request's. The check makes both rare;
-// what arrives after it is handled by the request id check and OutcomeUnknown.
+// stillIdle reports whether the peer has neither sent data on the idle connection nor closed it. A request sent while the peer closes the
+// connection has an unknown outcome, and a duplicate answer would be taken for the next request's. The check makes both cases rare; if one
+// occurs after it, the attempt ends with OutcomeUnknown or the request id check finds the wrong answer.
 func (c *upstreamConn) stillIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/pomelolink/event.go
+++ b/pomelolink/event.go
@@ -103,7 +103,7 @@
 // Buffer returns the reader's current buffer, so that the caller can return it to its pool after the stream.
 func (r *EventReader) Buffer() []byte { return r.buf }
 
-// delimiterOverlap is the length of the longest event delimiter less one byte.
+// delimiterOverlap is how many bytes before newly read data may belong to an event delimiter: the longest has four bytes.
 const delimiterOverlap = 3
 
 func eventLength(p []byte) int {
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	// maxInlineBody is the largest body that is written completely before the answer is read; larger ones are written concurrently.
+	// maxInlineBody is the largest request body, in bytes, that is written completely before the answer is read; larger ones are written
+	// concurrently.
 	maxInlineBody = 16 << 10
 	// maxResponses limits the responses read for one request: 1xx responses and the final one.
 	maxResponses = 5
-	// maxDrainBytes is the largest body of a refusal that is read so that the connection can be reused.
+	// maxDrainBytes is the largest body of a refusal, in bytes, that is read to the end so that the connection can be reused.
 	maxDrainBytes = 4 << 10
 )
 
@@ -35,9 +36,9 @@
 	// Response is the answer; reading its body fails if the answer is truncated.
 	Response *http.Response
 	stop     func() bool
-	// writeDone receives the result of a concurrent write; nil if there was none or its result was received.
+	// writeDone receives the result of writing the request concurrently; nil if it was not written concurrently or its result was received.
 	writeDone chan error
-	// Complete is set by the reader once the complete answer was read.
+	// Complete is set by the code that reads the answer's body, once the body was read to its end.
 	Complete bool
 	// IDEchoed is set if the answer carries the request's id.
 	IDEchoed bool
@@ -252,7 +253,8 @@
 	x.awaitWrite()
 }
 
-// keepAliveFraction is the fraction of the upstream's Keep-Alive timeout that is used, since its timer started before ours.
+// keepAliveFraction is the fraction of the upstream's Keep-Alive timeout after which the client stops reusing the connection, since the
+// upstream's idle timer started earlier than the client's.
 const keepAliveFraction = 0.75
 
 // maxIdle returns how long the connection may stay idle. If an upstream closes an idle connection while it is being reused,
--- a/pomelolink/pool.go
+++ b/pomelolink/pool.go
@@ -104,7 +104,7 @@
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// closeIdleBefore closes connections that have been idle since before the given time; each list is sorted oldest first.
+// closeIdleBefore closes connections that have been idle since before the given time; the list of each upstream is sorted oldest first.
 func (p *pool) closeIdleBefore(before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -14,20 +14,20 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// The states of a waiter. The goroutine that changes the state from waiterWaiting, by compare-and-swap, decides how the wait ends.
+// The states of a waiting request. The goroutine that changes the state from waiterWaiting, by compare-and-swap, decides how the wait ends.
 const (
 	waiterWaiting int32 = iota
 	waiterAnswered
 	waiterWithdrawn
 )
 
-// maxSkipsPerGrant limits how many requests are skipped to find one for a grant.
+// maxSkipsPerGrant limits how many queued requests are skipped to find one that has not failed at the upstream of a granted slot.
 const maxSkipsPerGrant = 16
 
-// maxSkipsPerRequest limits how often a request is skipped because it failed at the upstream of a grant.
+// maxSkipsPerRequest limits how often one request is skipped because it has failed at the upstream of a granted slot.
 const maxSkipsPerRequest = 3
 
-// stallCheckInterval is how often a waiting request checks whether the control goroutine is stalled.
+// stallCheckInterval is how often a waiting request checks whether the control goroutine, which assigns slots to requests, is stalled.
 const stallCheckInterval = 100 * time.Millisecond
 
 // waiter is a request that waits for a slot.
@@ -35,7 +35,7 @@
 	request pomeloroute.AdmitRequest
 	id      pomelorelay.RequestID
 	state   atomic.Int32
-	// skips counts how often the request was skipped; only the control goroutine uses it.
+	// skips counts the granted slots for which this request was skipped; only the control goroutine uses it.
 	skips  int
 	answer chan admitResult
 }
@@ -48,8 +48,8 @@
 // admission implements pomeloroute.Admission by posting events to the control goroutine.
 type admission struct{ n *Node }
 
-// Admit waits for a grant, or for a bypass slot while the control goroutine is stalled. It fails when the queue refuses the request, when
-// WaitUntil has passed or when ctx is done.
+// Admit waits until the control goroutine assigns a slot; while that goroutine is stalled, Admit may take one from bypassSlots instead. It
+// fails when the queue refuses the request, when WaitUntil has passed or when ctx is done.
 func (a admission) Admit(ctx context.Context, r pomeloroute.AdmitRequest) (pomeloroute.Ticket, error) {
 	w := &waiter{request: r, id: pomelorelay.RequestID(a.n.lastAttemptID.Add(1)), answer: make(chan admitResult, 1)}
 	a.n.mail.post(requestQueued{w})
@@ -67,8 +67,8 @@
 		case <-waitTimer.C:
 			return a.withdraw(w, waitEndCode(r))
 		case <-stallTicker.C:
-			// After the whole process was paused, the control goroutine's heartbeat is old although it is not stalled. Using a
-			// bypass slot then could send the request to an upstream that started leaving during the pause.
+			// After the whole process was paused, the control goroutine's heartbeat is old although that goroutine is not stalled.
+			// Bypassing it then could send the request to an upstream that started leaving during the pause.
 			paused := time.Since(lastCheck) > stallThreshold
 			lastCheck = time.Now()
 			if paused {
@@ -89,7 +89,7 @@
 	return pomelorelay.CodeDeadlinePassed
 }
 
-// withdraw ends the wait with the given code; if the request was granted or refused concurrently, it returns that result instead.
+// withdraw ends the wait with the given code; if the request was granted a slot or refused concurrently, it returns that result instead.
 func (a admission) withdraw(w *waiter, code pomelorelay.ResultCode) (pomeloroute.Ticket, error) {
 	if !w.state.CompareAndSwap(waiterWaiting, waiterWithdrawn) {
 		got := <-w.answer
@@ -109,14 +109,14 @@
 	return r.ticket, nil
 }
 
-// ticket is a granted slot.
+// ticket is a slot that was granted to one attempt.
 type ticket struct {
 	n        *Node
 	waiter   *waiter
 	grant    pomelorelay.GrantID
 	upstream *pomeloconfig.Upstream
 	started  time.Time
-	// plain is set for requests of plain services, whose cost is the time that they hold the slot.
+	// plain is set for services that are not model engines; their requests cost the time in seconds for which they hold the slot.
 	plain bool
 	// accrued holds the float64 bits of the cost reported so far; the control goroutine reads it on each tick.
 	accrued atomic.Uint64
@@ -126,7 +126,7 @@
 // Upstream returns the upstream to send the attempt to.
 func (t *ticket) Upstream() *pomeloconfig.Upstream { return t.upstream }
 
-// Usable reports whether the upstream is not leaving.
+// Usable reports whether the upstream may get new work; it may not while it is being removed or evacuated.
 func (t *ticket) Usable() bool { return t.n.isStaying(t.upstream.Name) }
 
 // Progress stores the cost accrued so far.
@@ -202,7 +202,8 @@
 	}
 }
 
-// receiveGrant uses an owner's grant for the first request in fair queue order; it returns the grant if it cannot be used.
+// receiveGrant gives a slot that its owner granted to the first waiting request in fair-queue order. It returns the slot to the owner if
+// the slot cannot be used.
 func (c *control) receiveGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) {
 	usable := c.slotRequester.AcceptGrant(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
@@ -221,8 +222,8 @@
 	w.answer <- admitResult{ticket: t}
 }
 
-// nextWaiter pops the first request that still waits and has not failed at the grant's upstream. Those that have are skipped and
-// requeued; left at the head, they would block the requests behind them.
+// nextWaiter pops the next waiting request for a granted slot. Requests that skip selects, because they have failed at the slot's upstream,
+// are requeued; left at the head, they would block the requests behind them.
 func (c *control) nextWaiter(now time.Time, g *pomelorelay.Grant) *waiter {
 	c.skipped = c.skipped[:0]
 	defer func() {
@@ -257,9 +258,9 @@
 	return false
 }
 
-// skip reports whether a request should wait for an upstream other than the grant's, and counts the skip. It returns true at most
-// maxSkipsPerRequest times per request: the other upstreams may be in failure domains to which this router sends no demand while its
-// own has idle slots, and without the limit the request could wait until its deadline.
+// skip reports whether a request that has failed at the granted slot's upstream should wait for another one, and counts the skip. It does
+// so at most maxSkipsPerRequest times per request: while the router's own failure domain has idle slots, the router requests none of other
+// domains, and without the limit the request could wait until its deadline.
 func (c *control) skip(w *waiter, g *pomelorelay.Grant) bool {
 	if w.skips >= maxSkipsPerRequest || !hasFailedAt(w, g.Upstream) || !c.hasAlternative(w, g.Pool) {
 		return false
@@ -279,7 +280,7 @@
 	return false
 }
 
-// settleGrant reports to the owner how its grant was used, together with the pool's current demand.
+// settleGrant reports to the slot's owner how a granted slot was used, together with the pool's current demand for slots.
 func (c *control) settleGrant(now time.Time, id pomelorelay.GrantID, pool pomelorelay.PoolID, s pomeloslot.Settlement) {
 	head, waiting, ok := c.queues.Head(now, pool)
 	if ok {
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -13,7 +13,7 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// maxQueueWait exceeds the wait limit of every service.
+// maxQueueWait is the queues' own wait limit. It exceeds the limit of every service, so that only the timer in Admit ends a wait.
 const maxQueueWait = 24 * time.Hour
 
 func newControl(n *Node) *control {
@@ -61,7 +61,8 @@
 	c.members = c.memberView.Snapshot()
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
-		// Each wait is ended by a timer in Admit at its service's limit.
+		// A timer in Admit ends each wait at its service's limit. MaxWait is set so that the queues' default of 60 s does not end a longer
+		// wait before that.
 		Limit: pomelofair.LimitOptions{MaxWait: maxQueueWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
@@ -142,7 +143,8 @@
 	})
 }
 
-// mayStillSettle reports whether a router can still settle its claims; one that stops gracefully can until it exits.
+// mayStillSettle reports whether a router may still report the outcomes of requests whose idempotency keys it claimed. A router that is
+// stopping gracefully may until it exits.
 func (c *control) mayStillSettle(node pomelorelay.NodeID) bool {
 	return !c.dead[node]
 }
--- a/pomelonode/badinput_test.go
+++ b/pomelonode/badinput_test.go
@@ -32,7 +32,7 @@
 	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
 		t.Fatal(err)
 	}
-	// Ignores the error of a write that fails because the router refused the request before it had read all of it.
+	// A write error is ignored: the router may refuse a request and close the connection before the whole request has been read.
 	_, _ = io.WriteString(conn, text)
 	_ = conn.(*net.TCPConn).CloseWrite()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/pomelonode/bypass.go
+++ b/pomelonode/bypass.go
@@ -9,18 +9,18 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// stallThreshold is the age of the control goroutine's heartbeat from which requests use bypass slots.
+// stallThreshold is the age of the control goroutine's heartbeat above which that goroutine counts as stalled and requests bypass it.
 const stallThreshold = 250 * time.Millisecond
 
-// bypassSlots admits one request at a time to each upstream of the router's failure domain while the control goroutine is stalled.
-// Without it, all callers would wait until the stall ends, even with idle upstreams. Slot owners do not know of these requests, at most
-// one per router and upstream, but the upstream's reported load includes them.
+// bypassSlots admits one request at a time to each upstream of the router's failure domain while the control goroutine is stalled. Without
+// it, all callers would wait until the stall ends, even with idle upstreams. The routers that own the upstreams' slots do not know of these
+// requests, at most one per router and upstream, but the loads that the upstreams report include them.
 type bypassSlots struct {
 	mu   sync.Mutex
 	busy map[pomelorelay.UpstreamID]bool
 }
 
-// ticket returns a bypass slot if the control goroutine is stalled and a slot is free, else nil.
+// ticket returns a slot for the request if the control goroutine is stalled and a slot is free, else nil.
 func (s *bypassSlots) ticket(n *Node, w *waiter) pomeloroute.Ticket {
 	if !n.isControlStalled() {
 		return nil
@@ -71,7 +71,7 @@
 // Upstream returns the upstream to send the attempt to.
 func (t *bypassTicket) Upstream() *pomeloconfig.Upstream { return t.upstream }
 
-// Usable reports whether the upstream is not leaving.
+// Usable reports whether the upstream may get new work; it may not while it is being removed or evacuated.
 func (t *bypassTicket) Usable() bool { return t.n.isStaying(t.upstream.Name) }
 
 // Progress does nothing, since a stalled control goroutine cannot charge the cost.
@@ -85,7 +85,7 @@
 	})
 }
 
-// bypassEnded is posted when a request in a bypass slot ends.
+// bypassEnded is posted when a request that bypassed the control goroutine ends.
 type bypassEnded struct {
 	w    *waiter
 	cost pomelorelay.Cost
--- a/pomelonode/claims.go
+++ b/pomelonode/claims.go
@@ -12,7 +12,7 @@
 // claims implements pomeloroute.Claims by posting events to the control goroutine.
 type claims struct{ n *Node }
 
-// Claim waits for the claim's verdict; if ctx is done first, it cancels the claim and fails with ctx's error.
+// Claim claims an idempotency key and waits for the result; if ctx is done first, it cancels the claim and fails with ctx's error.
 func (a claims) Claim(ctx context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (pomeloroute.Claim, error) {
 	w := &claimWaiter{key: key, content: content, answer: make(chan pomeloclaim.Verdict, 1)}
 	a.n.mail.post(claimRequested{w})
@@ -25,7 +25,7 @@
 	}
 }
 
-// Settle reports the result of the request of a fresh claim.
+// Settle reports the result of a request whose claim was granted.
 func (a claims) Settle(c pomeloroute.Claim, s pomeloroute.Settlement) {
 	a.n.mail.post(claimedRequestEnded{c, s})
 }
@@ -50,8 +50,8 @@
 
 type claimCancelled struct{ w *claimWaiter }
 
-// apply cancels a claim whose caller has disconnected. A fresh claim granted concurrently is released, since the caller's retry
-// would otherwise be refused as still running.
+// apply cancels a claim whose caller has disconnected. If the claim was granted at the same time, it is released; otherwise the caller's
+// retry would be refused because the first request would count as still running.
 func (e claimCancelled) apply(c *control, now time.Time) {
 	e.w.cancelled = true
 	if c.claimWaiters[e.w.nonce] != nil {
@@ -78,7 +78,7 @@
 	c.claimRequester.Settle(now, e.claim.Nonce, s.Released, s.State, s.Outcome, &c.claimOut)
 }
 
-// storeOpDone is posted when a store operation of the claim keeper returns.
+// storeOpDone is posted when a store operation of the claim keeper, which stores the claims on idempotency keys, returns.
 type storeOpDone struct{ result pomeloclaim.StoreResult }
 
 func (e storeOpDone) apply(c *control, now time.Time) {
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -11,14 +11,14 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// trafficView is the immutable state that the request path reads.
+// trafficView is what the request path reads: an immutable copy of the configuration, its upstreams and those that are leaving.
 type trafficView struct {
 	snapshot *pomeloconfig.Snapshot
 	pools    map[pomelorelay.PoolID][]*pomeloconfig.Upstream
 	leaving  map[pomelorelay.UpstreamID]bool
 }
 
-// rootRead is posted when the configuration root was read or a watch reported a new one.
+// rootRead is posted when the configuration root, the store record that names the parts of the configuration, was read or changed.
 type rootRead struct{ data []byte }
 
 func (e rootRead) apply(c *control, now time.Time) {
@@ -34,7 +34,7 @@
 	c.compile()
 }
 
-// fetchConfig reads the configuration root and parts that the syncer needs from the store.
+// fetchConfig reads the configuration root and the parts that the syncer lacks from the store.
 func (c *control) fetchConfig(now time.Time) {
 	reads := c.configSyncer.PendingStoreReads(now)
 	if reads.Root {
@@ -45,8 +45,8 @@
 	}
 }
 
-// compile builds the snapshot of a complete candidate in a separate goroutine, since for 37,000 accounts it takes long enough to delay
-// grants.
+// compile builds the snapshot of a new configuration once all of its parts are known. It does so in a separate goroutine, since for 37,000
+// accounts it takes long enough to delay the granting of slots.
 func (c *control) compile() {
 	candidate, ok := c.configSyncer.Candidate()
 	if !ok || candidate.Root.Generation == c.compiling {
@@ -67,7 +67,7 @@
 	return pomeloconfig.NewSnapshot(candidate.Root, configuration)
 }
 
-// configCompiled is posted when the compilation of a candidate has succeeded or failed.
+// configCompiled is posted when the compilation of a new configuration has succeeded or failed.
 type configCompiled struct {
 	generation pomelorelay.Generation
 	snapshot   *pomeloconfig.Snapshot
@@ -88,7 +88,7 @@
 	c.activate(now, e.snapshot)
 }
 
-// activate applies a configuration to every component.
+// activate makes a compiled configuration the active one and applies it to every component.
 func (c *control) activate(now time.Time, s *pomeloconfig.Snapshot) {
 	first := c.snapshot == nil
 	c.snapshot = s
@@ -115,7 +115,7 @@
 	}
 }
 
-// configurePool applies a service's queue limits and spill margins to a pool.
+// configurePool applies a service's queue limits to a pool, and its margins for using slots of other failure domains and regions.
 func (c *control) configurePool(pool pomelorelay.PoolID) {
 	service, ok := c.snapshot.PoolService(pool)
 	if !ok {
@@ -138,7 +138,8 @@
 	c.n.traffic.Store(view)
 }
 
-// maxRetention returns the longest retention of any service, which applies to all claims since a shard holds claims of every service.
+// maxRetention returns the longest time for which any service keeps claims on idempotency keys. It applies to all claims, since a claim
+// shard holds claims of every service.
 func maxRetention(s *pomeloconfig.Snapshot) time.Duration {
 	var longest time.Duration
 	for _, service := range s.Services() {
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -18,9 +18,9 @@
 	tickInterval = 50 * time.Millisecond
 	// statusInterval is the interval at which the status for operators is published.
 	statusInterval = 250 * time.Millisecond
-	// maxMessageBatch limits the further messages processed in one round before the components' output is sent.
+	// maxMessageBatch limits how many messages, after the first, are processed before the components' output is sent.
 	maxMessageBatch = 128
-	// maxLocalRounds limits the rounds of delivering messages that a router sends to itself.
+	// maxLocalRounds limits how often one flush delivers messages that the router sends to itself, since each can produce another.
 	maxLocalRounds = 16
 )
 
@@ -75,7 +75,8 @@
 	expired []pomelorelay.RequestID
 	skipped []pomelorelay.RequestID
 	changes []pomelomember.Change
-	// lastRoundAt is when the last round ended. staleSince is when a pause was detected; a host list read that started later resets it to zero.
+	// lastRoundAt is when the control loop last ended a round. staleSince is when a pause of the loop was detected; a read of the host list
+	// that started after that resets staleSince to zero.
 	lastRoundAt        time.Time
 	staleSince         time.Time
 	lastStatusAt       time.Time
@@ -159,14 +160,15 @@
 	}
 }
 
-// publishSlots passes the state of the slots that this router owns to its digests and to its own slot requester.
+// publishSlots publishes the state of the upstreams whose slots this router owns: to other routers in its membership digests, and directly
+// to its own slot requester.
 func (c *control) publishSlots(now time.Time) {
 	c.slots = c.owner.Digests(now, c.slots[:0])
 	c.memberView.SetSlots(c.slots)
 	c.slotRequester.UpdateDigests(now, c.slots)
 }
 
-// chargeProgress charges the cost accrued by running requests.
+// chargeProgress charges accounts for the cost that their running requests have accrued so far.
 func (c *control) chargeProgress(now time.Time) {
 	for id, t := range c.running {
 		c.queues.Progress(now, id, t.cost(now))
@@ -201,7 +203,8 @@
 	c.logRebuiltShards()
 }
 
-// flush sends the components' output. Messages to this router itself can produce more, which is sent in up to maxLocalRounds rounds.
+// flush sends the components' output. Handling a message that the router sends to itself can produce more output, so flush repeats this up
+// to maxLocalRounds times.
 func (c *control) flush(now time.Time) {
 	for range maxLocalRounds {
 		c.flushDemand(now)
--- a/pomelonode/evacuation_test.go
+++ b/pomelonode/evacuation_test.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Guards against sending new work from any router to an evacuated failure domain, and against leaving it unused after the
+// Guards against sending new work from any router to an evacuated failure domain, and against leaving that domain unused after the
 // evacuation has ended.
 func TestEvacuatedDomainGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 4)
--- a/pomelonode/fleet_test.go
+++ b/pomelonode/fleet_test.go
@@ -58,7 +58,7 @@
 	hosts    *partitionableHosts
 	mesh     pomelorelay.Mesh
 	log      *eventLog
-	// logger replaces log if it is set.
+	// logger, if set, is used by the router instead of log.
 	logger   pomelorelay.Logger
 	url      string
 	operator string
@@ -221,7 +221,7 @@
 	return u
 }
 
-// publish publishes the fleet's content as the accepted configuration.
+// publish publishes f.content as the fleet's new configuration.
 func (f *fleet) publish(why string) pomeloconfig.Root {
 	f.t.Helper()
 	if f.publisher == nil {
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -50,8 +50,8 @@
 	c.n.log(pomelorelay.EventUpstreamLeaving, field("Upstream", string(id)))
 }
 
-// leavingNoticeValidity is how long a peer's notice takes precedence over a host list that does not show the upstream as leaving,
-// since the list lags.
+// leavingNoticeValidity is how long a peer's notice that an upstream is leaving takes precedence over a host list that does not show that,
+// since the host list may be outdated.
 const leavingNoticeValidity = 30 * time.Second
 
 // restoreStaying lets upstreams that the host list no longer shows as leaving get new work again.
@@ -95,9 +95,9 @@
 	}
 }
 
-// awaitHostRead waits for the remainder of the interval, which is longer in a large fleet, or until a message arrives from a router that
-// the host list did not contain: a new router gets no digests, and cannot serve, until its address is known. It returns false if ctx is
-// done.
+// awaitHostRead waits until the next read of the host list is due; the interval grows with the fleet. It returns early when a message
+// arrives from a router that is not on the list, since a new router gets no digests and cannot serve until the others know its address. It
+// returns false if ctx is done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
 	timer := time.NewTimer(list.ReadInterval(n.status.Load().memberCount) - list.Interval)
@@ -144,8 +144,8 @@
 	return leaving
 }
 
-// isStaying reports whether neither the control goroutine nor the last host list marks an upstream as leaving. The list is checked
-// directly because requests can bypass a stalled control goroutine, which has not processed it.
+// isStaying reports whether neither the control goroutine nor the last host list marks an upstream as leaving. The list is checked directly
+// because requests can bypass a stalled control goroutine, which has not processed the list.
 func (n *Node) isStaying(id pomelorelay.UpstreamID) bool {
 	if n.listedLeaving(id) {
 		return false
@@ -161,9 +161,10 @@
 }
 
 const (
-	// pauseThreshold is the time between two rounds of the control goroutine above which its state of upstreams counts as stale.
+	// pauseThreshold is the time between two rounds of the control loop above which its list of leaving upstreams counts as stale.
 	pauseThreshold = time.Second
-	// maxStale limits how long the state counts as stale, so that a router that cannot read the host list continues to work.
+	// maxStale limits how long the list of leaving upstreams counts as stale after a pause of the control loop, so that a router that
+	// cannot read the host list continues to work.
 	maxStale = 2 * time.Second
 )
 
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -12,11 +12,11 @@
 
 // jobs holds the fleet-wide jobs assigned to this router: slot ownership of upstreams, ledger shards and claim shards.
 type jobs struct {
-	// stopLoadReads has an entry for each upstream whose slots this router owns.
+	// stopLoadReads holds, for each upstream whose slots this router owns, the function that stops reading the upstream's load.
 	stopLoadReads map[pomelorelay.UpstreamID]func()
 	ledger        map[pomelorelay.ShardID]bool
 	claims        map[pomelorelay.ShardID]bool
-	// rebuilding holds the hosted ledger shards that are not ready yet.
+	// rebuilding holds the ledger shards that this router hosts but has not finished rebuilding.
 	rebuilding map[pomelorelay.ShardID]bool
 	// members lists the live routers of reachable failure domains, including this one.
 	members []pomelorelay.NodeID
@@ -31,7 +31,7 @@
 	}
 }
 
-// placeJobs recomputes which jobs this router does.
+// placeJobs recomputes which fleet-wide jobs this router does: slot ownership, ledger and claim shards, and watching the configuration.
 func (c *control) placeJobs(now time.Time) {
 	c.members = c.memberView.Snapshot()
 	c.reachable = c.memberView.ReachableDomains(now, c.reachable[:0])
@@ -44,8 +44,8 @@
 	c.placeConfigWatch()
 }
 
-// reachableMembers returns the live routers of reachable failure domains. A job assigned to a router behind a network partition
-// would not be done for this side.
+// reachableMembers returns the live routers of reachable failure domains. A fleet-wide job assigned to a router behind a network partition
+// would not be done for the routers on this side.
 func (c *control) reachableMembers() []pomelorelay.NodeID {
 	var nodes []pomelorelay.NodeID
 	for _, d := range c.members.Domains() {
@@ -70,8 +70,9 @@
 	return nodes
 }
 
-// slotOwner returns the router that owns an upstream's slots: one of its failure domain or, if none is alive there, one of its
-// region. Without the fallback, an upstream would be unused after its domain lost its routers, although others reach it.
+// slotOwner returns the router that owns an upstream's slots: one of the upstream's failure domain or, if that domain has no live or
+// reachable router, one of its region. Without the fallback, an upstream would be unused after its domain lost its routers, although
+// routers of other domains reach it.
 func (c *control) slotOwner(id pomelorelay.UpstreamID, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	key := "slot/" + string(id)
 	if node, ok := c.members.Owner(key, domain); ok && c.isReachable(domain) {
@@ -116,8 +117,8 @@
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
 	c.outgoing = c.owner.AddUpstream(now, slot, c.jobs.members, c.outgoing)
 	if u.FailureDomain != c.n.self.Domain {
-		// The upstream's domain may be partitioned from this one while the owner there still grants slots, so nothing is
-		// granted here until the upstream itself has reported its load.
+		// The upstream's failure domain may only be partitioned from this one, and a slot owner there may still grant slots. This router
+		// therefore grants none until the upstream itself has reported its load.
 		c.owner.MarkCrashed(now, id)
 	}
 	if c.leaving[id] {
@@ -153,7 +154,7 @@
 	c.n.log(pomelorelay.EventLedgerDropped, field("Shard", uint32(shard)))
 }
 
-// logRebuiltShards logs the ledger shards that became ready.
+// logRebuiltShards logs the ledger shards that have become ready or whose rebuild has timed out.
 func (c *control) logRebuiltShards() {
 	for shard := range c.jobs.rebuilding {
 		if _, ready := c.ledger.ShardStatus(shard); !ready {
@@ -186,9 +187,9 @@
 	}
 }
 
-// claimKeeper returns the router that keeps a claim shard. If all reachable routers are stopping, each is its own keeper; otherwise
-// no router would accept the last settlements, and stopping a whole fleet would reach its time limit. Several keepers of a
-// shard fence each other at the store.
+// claimKeeper returns the router that stores a shard's claims on idempotency keys. If all reachable routers are stopping, each stores its
+// own; otherwise no router would accept the outcomes of the last requests, and stopping a whole fleet would reach its time limit. Several
+// keepers of a shard fence each other at the store.
 func (c *control) claimKeeper(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 	if len(c.jobs.members) == 0 {
 		return c.n.self.Node, true
@@ -198,7 +199,8 @@
 
 func ledgerKey(shard pomelorelay.ShardID) string { return "ledger/" + strconv.Itoa(int(shard)) }
 
-// placeConfigWatch decides whether this router watches the configuration root; the others learn of a new generation from their peers.
+// placeConfigWatch decides whether this router watches the configuration in the store. Routers that do not watch it learn of a new
+// generation from their peers.
 func (c *control) placeConfigWatch() {
 	ranked := pomelomember.Rank("config", c.members.Members(c.n.self.Domain))
 	watch := false
--- a/pomelonode/keys_test.go
+++ b/pomelonode/keys_test.go
@@ -24,7 +24,7 @@
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	serial      int64
-	// validFor is the remaining validity of issued certificates, whose validity began an hour ago.
+	// validFor is how long from now the issued certificates are valid; their validity begins an hour before now.
 	validFor time.Duration
 }
 
--- a/pomelonode/leaving_test.go
+++ b/pomelonode/leaving_test.go
@@ -12,8 +12,8 @@
 // maxLeaveDelay is how long an upstream may still get new requests after the host list shows it as leaving.
 const maxLeaveDelay = 3 * time.Second
 
-// checkLeaving makes the status server of the first failure domain leave and fails the test if it gets requests from the given
-// routers after maxLeaveDelay.
+// checkLeaving makes the upstream of the status service in the first failure domain leave, and fails the test if that upstream gets
+// requests from the given routers after maxLeaveDelay.
 func (f *fleet) checkLeaving(t *testing.T, routers ...int) {
 	t.Helper()
 	server := f.statuses[domains[0]]
@@ -34,7 +34,7 @@
 }
 
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	// The platform removes a status server. One router cannot read the host list, and its LeavingNotice messages are lost. If it
+	// The platform removes a server. One router cannot read the host list, and the LeavingNotice messages to that router are lost. If it
 	// continued to send to the server, callers would get errors from a server that is being shut down.
 	f := newFleet(t, 4)
 	f.awaitReady()
@@ -48,8 +48,8 @@
 }
 
 func TestLeavingUpstreamWithPartitionedOwnerGetsNoNewWork(t *testing.T) {
-	// The router that owns the slots of a status server is partitioned when the server starts leaving, so its last grants are not
-	// revoked. Used after maxLeaveDelay, they would send callers to a server that no longer exists.
+	// The router that owns the slots of a server is partitioned when the server starts leaving, so that the slots granted last are not
+	// revoked. If these grants were used after maxLeaveDelay, requests would be sent to a server that no longer exists.
 	f := newFleet(t, 6)
 	f.awaitReady()
 	upstream := pomelorelay.UpstreamID("status-" + string(domains[0]))
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -14,7 +14,7 @@
 const (
 	// stopPollInterval is how often a graceful stop checks whether requests or claims are still in progress.
 	stopPollInterval = 20 * time.Millisecond
-	// maxClaimsWait limits how long a graceful stop waits until the outcomes of claimed requests are stored.
+	// maxClaimsWait limits how long a graceful stop waits until the outcomes of requests with claimed idempotency keys are stored.
 	maxClaimsWait = 20 * time.Second
 )
 
@@ -81,7 +81,8 @@
 	})
 }
 
-// Drain marks the router as not ready, refuses new requests and hands over its jobs; Stop completes the stop.
+// Drain marks the router as not ready, refuses new requests and hands its fleet-wide jobs (slot ownership, ledger and claim shards) over to
+// other routers; Stop completes the stop.
 func (n *Node) Drain() {
 	if n.stopping.Swap(true) {
 		return
@@ -94,8 +95,8 @@
 // Drained returns a channel that is closed when draining starts.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Stop stops the router gracefully: it drains, waits for all requests in progress and for the outcomes of claimed ones to be stored, and
-// closes. It fails with CodeStopLate if requests are still in progress when ctx is done.
+// Stop stops the router gracefully: it drains, waits for all requests in progress and until the outcomes of those with claimed idempotency
+// keys are stored, and closes. It fails with CodeStopLate if requests are still in progress when ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
 	n.Drain()
 	err := n.awaitIdle(ctx)
@@ -118,9 +119,9 @@
 	return nil
 }
 
-// awaitClaims waits until the outcomes of all claimed requests are stored. It asks the control goroutine, since the published status may
-// not yet include the last settlement; a retry of that request would then get "outcome unknown". In a store outage the wait ends at
-// maxClaimsWait, since that answer is then correct.
+// awaitClaims waits until the outcomes of all requests with claimed idempotency keys are stored; a retry of the others would be answered
+// "outcome unknown". It asks the control goroutine, since the published status may not yet include the last request. In a store outage the
+// wait ends after maxClaimsWait, since "outcome unknown" is then the correct answer.
 func (n *Node) awaitClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimsWait)
 	defer cancel()
@@ -147,22 +148,23 @@
 	}
 }
 
-// openClaimsRequested is posted to get the number of open claims after all earlier events have been applied.
+// openClaimsRequested is posted to get the number of claims whose outcomes are not stored, after all earlier events have been applied.
 type openClaimsRequested struct{ answer chan int }
 
 func (e openClaimsRequested) apply(c *control, _ time.Time) {
 	e.answer <- c.claimRequester.OpenClaims()
 }
 
-// shutdownServers closes the listeners and waits for requests that arrived in the meantime.
+// shutdownServers closes the listeners and waits for requests that arrived after the wait for requests in progress had ended.
 func (n *Node) shutdownServers(ctx context.Context) {
 	for _, s := range n.servers {
-		// An error means that ctx is done; the caller then closes the servers.
+		// An error means that ctx is done; Stop then closes the server.
 		_ = s.Shutdown(ctx)
 	}
 }
 
-// drainStarted is posted when draining starts: jobs are handed over to other routers, requests in progress continue.
+// drainStarted is posted when draining starts: other routers take over the fleet-wide jobs of this router (slot ownership, ledger and claim
+// shards), while its requests in progress continue.
 type drainStarted struct{}
 
 func (drainStarted) apply(c *control, now time.Time) {
--- a/pomelonode/listen_test.go
+++ b/pomelonode/listen_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestFailedListenDoesNotLogStart(t *testing.T) {
-	// Another process, often the router's previous one, uses the caller port. Operators who count starts by EventStarted would count
-	// a router that does not listen.
+	// Another process, often the previous process of the same router, uses the caller port. If EventStarted were logged nevertheless,
+	// operators who count starts by it would count a router that does not listen.
 	f := newFleet(t, 1)
 	f.awaitReady()
 	first := f.routers[0]
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxLoadBytes limits the size of an upstream's load report.
+	// maxLoadBytes limits the size in bytes of an upstream's load report.
 	maxLoadBytes = 64 << 10
 	// loadTimeout limits one read of an upstream's load.
 	loadTimeout = time.Second
--- a/pomelonode/mailbox.go
+++ b/pomelonode/mailbox.go
@@ -10,8 +10,8 @@
 	apply(c *control, now time.Time)
 }
 
-// mailbox is the queue of events for the control goroutine. Posting never blocks, so a stalled control goroutine does not block the
-// others. The queue's length is bounded by the requests and store calls in progress, since each posts a bounded number of events.
+// mailbox is the queue of events for the control goroutine. Posting never blocks, so a stalled control goroutine does not block other
+// goroutines. The queue's length is bounded by the requests and store calls in progress, since each posts a bounded number of events.
 type mailbox struct {
 	mu     sync.Mutex
 	events []event
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// memberAlive adds a live router. One that restarted before it was detected as dead has lost its grants, so they are reclaimed
-// immediately; otherwise their slots would count as taken although they are idle, until the next RunningQuery.
+// memberAlive adds a live router. If the router restarted before it was detected as dead, it has lost the slots that were granted to it.
+// They are reclaimed immediately; otherwise they would count as taken, although they are idle, until the next RunningQuery.
 func (c *control) memberAlive(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	event := pomelorelay.EventMemberUp
 	if before := c.incarnations[node]; before != 0 && incarnation > before && !c.dead[node] {
@@ -48,7 +48,7 @@
 	c.quarantine.MemberJoined(now, node, &c.suspectOut)
 }
 
-// reclaimFrom reclaims the grants and other state of a router that died or restarted.
+// reclaimFrom reclaims the slots granted to a router that died or restarted, and removes the router's other state.
 func (c *control) reclaimFrom(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
 	c.outgoing = c.owner.RemoveRouter(now, node, c.outgoing)
@@ -75,7 +75,8 @@
 	c.placeJobs(now)
 }
 
-// domainReachable sends the routers of a failure domain that became reachable the crash suspects that they missed.
+// domainReachable sends the requests that are suspected of crashing upstreams to the routers of a failure domain that became reachable,
+// since these routers may have missed them.
 func (c *control) domainReachable(now time.Time, domain pomelorelay.DomainID) {
 	c.n.log(pomelorelay.EventDomainReachable, field("Domain", string(domain)))
 	for _, node := range c.members.Members(domain) {
--- a/pomelonode/node_test.go
+++ b/pomelonode/node_test.go
@@ -75,8 +75,8 @@
 }
 
 func TestIdempotentRequestsBypassStalledControlGoroutine(t *testing.T) {
-	// A router's control goroutine is blocked, here in a send. Without a bypass, all callers of the router would wait until it
-	// resumes, although the upstreams are idle.
+	// A router's control goroutine is blocked, here in a send. If requests could not bypass it, all callers of the router would wait until
+	// it resumes, although the upstreams are idle.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	await(t, "requests are served", func() bool {
@@ -104,7 +104,8 @@
 }
 
 func TestStoreOutageRefusesOnlyNonIdempotentRequests(t *testing.T) {
-	// The store is down. A booking sent without a claim could run twice, so it must be refused; idempotent requests must be served.
+	// The store is down. A booking sent without a stored claim on its idempotency key could run twice, so it must be refused; idempotent
+	// requests must be served.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	f.store.SetFaults(pomelofake.StoreFaults{Outage: true})
@@ -148,7 +149,7 @@
 		if n := f.bookingRuns(key); n != 1 {
 			t.Errorf("the booking %s ran %d times", key, n)
 		}
-		// The settlement is a message to the keeper; until it arrives, a retry is correctly refused as still running.
+		// The outcome is sent to the router that stores the claim; until it arrives, a retry is correctly refused as still running.
 		await(t, "a retry of a completed booking gets the stored answer", func() bool {
 			got := f.routers[0].call(http.MethodPost, "/booking/jobs", key, `{"piece":"ring"}`)
 			return got.status == http.StatusOK && got.header.Get("Idempotency-Replayed") == "true"
--- a/pomelonode/partition_test.go
+++ b/pomelonode/partition_test.go
@@ -81,8 +81,8 @@
 }
 
 func TestUpstreamsOfDomainWithoutRoutersAreServedByRegion(t *testing.T) {
-	// Both routers of a failure domain fail, but its upstreams do not. Without an owner the upstreams would be unused while requests
-	// wait for those of other domains.
+	// Both routers of a failure domain fail, but its upstreams do not. If no other router took over their slots, the upstreams would be
+	// unused while requests wait for upstreams of other domains.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	f.routers[1].node.Close()
--- a/pomelonode/random_test.go
+++ b/pomelonode/random_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// injectFaults injects random faults, at most two at once; each ends when the second one after it begins.
+// injectFaults injects random faults, at most two at once: before a third begins, the older one ends.
 func (f *fleet) injectFaults(t *testing.T, random *rand.Rand) {
 	kinds := f.faults()
 	var ends []func()
--- a/pomelonode/stall_test.go
+++ b/pomelonode/stall_test.go
@@ -69,8 +69,9 @@
 }
 
 func TestPausedSlotOwnerDoesNotBlockRequests(t *testing.T) {
-	// The router that owns the slots of a domain's service is paused: its links stay open, but it does not answer. Calls through the
-	// other router of the domain must be served by another domain, or by the next owner once the paused router is declared dead.
+	// The router that owns the slots of an upstream is paused: its links stay open, but it does not answer. Calls through the other router
+	// of the failure domain must be served by upstreams of another domain, or by this upstream once the paused router is declared dead and
+	// another router owns its slots.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	active, paused := f.routers[0], f.routers[2]
--- a/pomelonode/status.go
+++ b/pomelonode/status.go
@@ -23,7 +23,7 @@
 	Upstreams   []upstreamStatus
 	Pools       []poolStatus
 	Jobs        jobStatus
-	// Claims counts the open claims, for which a graceful stop waits.
+	// Claims counts the claims on idempotency keys whose outcomes are not stored; a graceful stop waits for them.
 	Claims pomeloclaim.Phases
 
 	memberCount int
--- a/pomelonode/storeio.go
+++ b/pomelonode/storeio.go
@@ -14,7 +14,7 @@
 	storeTimeout = 2 * time.Second
 	// watchRetryDelay is the delay after a failed watch, so that an outage does not cause a burst of calls.
 	watchRetryDelay = 500 * time.Millisecond
-	// watcherCheckInterval is how often a router that is not a watcher checks whether it has become one.
+	// watcherCheckInterval is how often a router that does not watch the configuration checks whether it has been chosen to.
 	watcherCheckInterval = 250 * time.Millisecond
 )
 
@@ -57,7 +57,7 @@
 	return n.cfg.Store.Get(ctx, key)
 }
 
-// watchRoot watches the configuration root while this router is one of the watchers of its failure domain.
+// watchRoot watches the configuration root while this router is one of those that its failure domain chose to watch it.
 func (n *Node) watchRoot(ctx context.Context) {
 	var seen pomelorelay.Revision
 	for ctx.Err() == nil {
--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -9,10 +9,11 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// suspects implements pomeloroute.Suspects: it reads from a snapshot and posts everything else to the control goroutine.
+// suspects implements pomeloroute.Suspects. It answers from a snapshot of suspected and quarantined requests where it can, and posts
+// everything else to the control goroutine.
 type suspects struct{ n *Node }
 
-// CheckQuarantine fails with CodeQuarantined while the fingerprint is quarantined.
+// CheckQuarantine fails with CodeQuarantined while requests with the fingerprint are quarantined.
 func (a suspects) CheckQuarantine(f pomelorelay.Fingerprint) error {
 	remaining := a.n.suspects.Load().QuarantineRemaining(a.n.cfg.Clock.Now(), f)
 	if remaining <= 0 {
@@ -27,7 +28,8 @@
 	return e
 }
 
-// AwaitPermission returns nil immediately for a request that is not a suspect; a suspect waits for the decision of the arbiters.
+// AwaitPermission returns nil immediately for a request that is not suspected of crashing upstreams. A suspected request waits for the
+// decision of the routers that arbitrate for its fingerprint and for the upstream.
 func (a suspects) AwaitPermission(ctx context.Context, run pomeloroute.SuspectRun) error {
 	if !run.KnownSuspect && !a.n.suspects.Load().IsSuspect(run.Fingerprint) {
 		return nil
@@ -43,7 +45,7 @@
 	}
 }
 
-// verdictError converts a decision into an error. It refuses an upstream that has started leaving, since the decision may have taken seconds
+// verdictError converts a decision into an error. It also fails if the upstream has started leaving: the decision may have taken seconds,
 // and the upstream would get new work long after the host list showed it as leaving.
 func (a suspects) verdictError(v pomeloquarantine.Verdict) error {
 	switch v.Decision {
--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -244,7 +244,8 @@
 	}
 }
 
-// A caller cancels a repeatable request. The upstream must be cancelled too, or its slot stays in use for an answer that is not read.
+// A caller cancels a repeatable request. The request must be cancelled at the upstream too, or its slot there stays in use for an answer
+// that is not read.
 func TestCallerCancelReachesUpstream(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
@@ -269,8 +270,8 @@
 	}
 }
 
-// An upstream crashes while it runs a repeatable request. The request must be marked as a suspect before it is retried; a broken
-// connection to an upstream that still accepts connections must not mark it.
+// An upstream crashes while it runs a repeatable request. The request must be marked as suspected of the crash before it is retried. If
+// only the connection broke and the upstream still accepts new ones, it must not be marked.
 func TestOnlyCrashMarksSuspect(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	var dying *scriptedUpstream
@@ -336,8 +337,8 @@
 	}
 }
 
-// The router panics just before it sends a booking. The caller must get RanUnknown, the slot must be released and the claim
-// must be settled as unknown.
+// The router panics just before it sends a booking. The caller must be told that the booking may have run (RanUnknown), the slot must be
+// released, and the claim on the idempotency key must be settled as unknown.
 func TestPanicSettlesClaimAsUnknown(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {})
--- a/pomeloroute/call.go
+++ b/pomeloroute/call.go
@@ -37,7 +37,7 @@
 	hint    pomelorelay.Cost
 	key     string
 	body    *bytes.Buffer
-	// bufferedBytes is this call's contribution to Handler.buffered.
+	// bufferedBytes is the number of bytes that this call has added to Handler.buffered.
 	bufferedBytes int64
 	// deadline ends the call; waitUntil ends the wait for a slot.
 	deadline    time.Time
@@ -52,7 +52,7 @@
 	suspect        bool
 	// mayHaveRun is set during an attempt and stays set if the upstream may have run the request.
 	mayHaveRun bool
-	// outcome is the result of a claimed request that ran; nil before that.
+	// outcome is the answer that is stored for retries with the same idempotency key; nil until the answer is complete.
 	outcome         *pomelorelay.ClaimOutcome
 	failedUpstreams []pomelorelay.UpstreamID
 }
@@ -206,7 +206,7 @@
 	return c.body.Bytes()
 }
 
-// release returns the body's buffer to the pool, early enough that a stream that runs for minutes does not hold it.
+// release returns the buffer of the request body to the pool. Streams call it once the request is written, since they can run for minutes.
 func (c *call) release() {
 	if c.body == nil {
 		return
@@ -228,8 +228,8 @@
 	c.h.writeProblem(c.w, err)
 }
 
-// context returns the context of an attempt. A claimed request continues when its caller disconnects, so that its outcome is stored
-// for the caller's retry; any other request is cancelled at its upstream.
+// context returns the context of an attempt. A request with a claimed idempotency key continues when its caller disconnects, so that its
+// outcome is stored for the caller's retry; any other request is cancelled at its upstream.
 func (c *call) context() (context.Context, context.CancelFunc) {
 	parent := c.r.Context()
 	if c.claimed {
--- a/pomeloroute/claimed.go
+++ b/pomeloroute/claimed.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// takeClaim claims the call's idempotency key. It sets claimed if the request may run; if it returns nil without setting it, the outcome
-// of an earlier run must be replayed. Otherwise it fails with a code that describes the state of the key.
+// takeClaim claims the call's idempotency key. If it returns nil, either c.claimed is set and the request may run, or the outcome of an
+// earlier run must be replayed. Otherwise it fails with a code that describes the state of the key.
 func (c *call) takeClaim() error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -46,11 +46,11 @@
 	head.Set(headerReplayed, "true")
 	head.Set(headerRan, string(pomelorelay.RanYes))
 	c.w.WriteHeader(c.claim.Outcome.Status)
-	// A caller that has disconnected can retry.
+	// A write error means that the caller has disconnected; it can retry.
 	_, _ = c.w.Write(c.claim.Outcome.Body)
 }
 
-// settleClaim reports how the claimed request ended; it is deferred, so that it also runs after a panic.
+// settleClaim reports how the request that holds the claim ended; it is deferred, so that it also runs after a panic.
 func (c *call) settleClaim() {
 	switch {
 	case c.outcome != nil:
@@ -62,8 +62,8 @@
 	}
 }
 
-// recordOutcome stores a complete answer for retries of the call. If the answer was not buffered or exceeds MaxStoredOutcome, only its
-// status and content type are stored.
+// recordOutcome keeps a complete answer for retries with the same idempotency key. If its body was not completely buffered or exceeds
+// MaxStoredOutcome, only its status and content type are kept.
 func (c *call) recordOutcome(resp *http.Response, body []byte, complete bool) {
 	if !c.claimed {
 		return
--- a/pomeloroute/config.go
+++ b/pomeloroute/config.go
@@ -31,11 +31,11 @@
 	MaxHeaderBytes pomelorelay.Bytes
 	// MaxBody limits the size of a request body, even if the service allows more, 16 MiB by default.
 	MaxBody pomelorelay.Bytes
-	// MaxBufferedBodies limits the total size of the bodies of all requests in progress, 256 MiB by default.
+	// MaxBufferedBodies limits the total size of the request bodies that are buffered at a time, 256 MiB by default.
 	MaxBufferedBodies pomelorelay.Bytes
 	// MaxBufferedAnswer is the largest plain answer that is buffered completely before it is forwarded, 64 KiB by default.
 	MaxBufferedAnswer pomelorelay.Bytes
-	// MaxStoredOutcome is the largest answer that is stored for retries with the same idempotency key, 4 KiB by default.
+	// MaxStoredOutcome is the largest answer body that is stored for retries with the same idempotency key, 4 KiB by default.
 	MaxStoredOutcome pomelorelay.Bytes
 	// DialTimeout limits the duration of a connection attempt, 1 s by default.
 	DialTimeout time.Duration
@@ -43,9 +43,9 @@
 	IdleConns int
 	// IdleTimeout is how long an unused connection is kept, 30 s by default.
 	IdleTimeout time.Duration
-	// Timeout, added to MaxWait, limits the whole request if the service sets no timeout, 10 min by default.
+	// Timeout is used for services that set none, 10 min by default. A request must end within its maximum wait plus its timeout.
 	Timeout time.Duration
-	// MaxWait limits the wait for a slot if the service sets no limit, 1 min by default.
+	// MaxWait limits the wait for a slot for services that set no limit, 1 min by default.
 	MaxWait time.Duration
 	// MaxAttempts limits the attempts of one request that reach an upstream, 3 by default.
 	MaxAttempts int
@@ -61,7 +61,7 @@
 
 // Snapshot is an immutable version of the configuration.
 type Snapshot interface {
-	// Authenticate returns the account of a bearer token; its duration does not depend on the stored hashes.
+	// Authenticate returns the account of a bearer token; its duration does not depend on the stored token hashes.
 	Authenticate(token string) (pomelorelay.AccountID, bool)
 	// MayCall reports whether the account may call the service.
 	MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool
@@ -86,7 +86,7 @@
 	// Deadline is when the request must end, WaitUntil when its wait for a slot must end.
 	Deadline  time.Time
 	WaitUntil time.Time
-	// FailedUpstreams lists upstreams at which earlier attempts failed; they are used only if there is no other.
+	// FailedUpstreams lists upstreams at which earlier attempts of the request failed; Admission avoids them while there are others.
 	FailedUpstreams []pomelorelay.UpstreamID
 }
 
@@ -126,7 +126,7 @@
 	Outcome pomelorelay.ClaimOutcome
 }
 
-// Settlement is the result of a claimed request.
+// Settlement is the result of a request whose idempotency key was claimed.
 type Settlement struct {
 	// Released is set if the request did not run, which frees its key.
 	Released bool
@@ -139,14 +139,14 @@
 type Claims interface {
 	// Claim blocks until the claim's state is known; a claim that could not be stored has the state ClaimRefused.
 	Claim(ctx context.Context, key pomelorelay.ClaimKey, content pomelorelay.Fingerprint) (Claim, error)
-	// Settle reports the result of the request of a fresh claim; it never blocks.
+	// Settle reports the result of a request whose claim was granted; it never blocks.
 	Settle(c Claim, s Settlement)
 }
 
 // SuspectRun identifies one attempt for crash detection.
 type SuspectRun struct {
-	// KnownSuspect is set if an earlier attempt of this request ran on an upstream that crashed; the check must then not rely on a
-	// snapshot, which may be older than the crash.
+	// KnownSuspect is set if an earlier attempt of this request ran on an upstream that crashed; the check must then not rely on the
+	// router's snapshot of suspected requests, which may be older than the crash.
 	KnownSuspect  bool
 	Request       pomelorelay.RequestID
 	Fingerprint   pomelorelay.Fingerprint
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -28,7 +28,7 @@
 	client  *pomelolink.Client
 	buffers *pomelolink.Buffers
 	lastID  atomic.Uint64
-	// buffered is the total size in bytes of the bodies of all requests in progress.
+	// buffered is the total size in bytes of the request bodies that are buffered now.
 	buffered atomic.Int64
 
 	mu      sync.Mutex
--- a/pomeloroute/meter.go
+++ b/pomeloroute/meter.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// readUsage reads the token usage from an event's data or a body, and reports whether there is one.
+// readUsage reads the token usage from an event's data or an answer's body, and reports whether it contains one.
 func (m *meter) readUsage(data []byte) bool {
 	var holder usageMessage
 	if json.Unmarshal(data, &holder) != nil || holder.Usage == nil {
@@ -83,7 +83,7 @@
 	return m.estimatedInput + pomelorelay.Cost(m.tokens)*m.service.OutputCost
 }
 
-// stop ends the measurement and returns the result without outcome and code.
+// stop ends the measurement and returns the measured fields of the result; Outcome and Code are not set.
 func (m *meter) stop() Result {
 	if m.slotClock != nil {
 		m.slotClock.stop()
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// The first attempt may have run and the second finds no upstream. The second refusal states "not run", which is false for the
-// request.
+// The first attempt of a request may have run, and the second finds no upstream. The second failure alone would be reported as "not run",
+// which may be false for the request.
 func TestLaterRefusalDoesNotHideAnEarlierRun(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
@@ -187,7 +187,7 @@
 	}
 }
 
-// Every upstream fails. Retries beyond the budget would double the load on upstreams that already fail.
+// Every upstream fails. Retries beyond the retry budget would double the load on upstreams that already fail.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	b.services["status"].RetryBudget = 0.1
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -56,10 +56,9 @@
 	}
 }
 
-// spendRetry reports whether the retry budget allows a retry, and spends it. Retries after unsent attempts are free: they load no upstream,
-// and one restart causes several within milliseconds. So are retries after a crash: all requests of the upstream retry at once, and the one
-// that crashed it would use up the budget of the others. Those are limited by quarantine and by slot owners, which grant no slots of a
-// crashed upstream.
+// spendRetry takes a retry from the retry budget and reports whether one was left. Retries of unsent attempts are free: they load no
+// upstream, and one restart causes several within milliseconds. Retries after a crash are free too, or a request that crashes upstreams
+// would use up the budget of others; quarantine limits them, and so do slot owners, which grant no slots of a crashed upstream.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
@@ -103,7 +102,8 @@
 		return admissionFailure(ctx, err)
 	}
 	if !ticket.Usable() {
-		// A suspect may wait for seconds. If its upstream has started leaving, the request would be cut off when the host stops.
+		// A request suspected of crashing upstreams may have waited for seconds. If its upstream has started leaving since then, the
+		// request would be cut off when the host stops.
 		return pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeUpstreamUnreached, nil)
 	}
 	// Until the outcome is known, the request counts as one that may have run, so that this also holds after a panic.
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// reportRun reports to Suspects how the attempt ended. An upstream counts as crashed only if the connection broke and it refuses
-// new ones.
+// reportRun reports to Suspects how the attempt ended. An upstream counts as crashed only if the connection broke and the upstream refuses
+// new connections.
 func (c *call) reportRun(ctx context.Context, ticket Ticket, run SuspectRun, f *pomelolink.Failure) {
 	crashed := f != nil && f.ConnectionBroken && c.h.client.RefusesConnections(ctx, ticket.Upstream().Address)
 	if !crashed {
--- a/pomeloroute/slotclock.go
+++ b/pomeloroute/slotclock.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// slotClock periodically reports how long a plain service's request has held its slot.
+// slotClock periodically reports how long a request has held its slot, for services that are not model engines.
 type slotClock struct {
 	mu      sync.Mutex
 	timer   *time.Timer
--- a/pomeloroute/stream.go
+++ b/pomeloroute/stream.go
@@ -18,7 +18,7 @@
 	// maxResumes limits consecutive resumes that deliver no new event.
 	maxResumes = 3
 	resumePath = "/v1/streams/"
-	// framingEndTimeout limits the wait for the end of the body after [DONE].
+	// framingEndTimeout limits the wait for the end of the HTTP body after the [DONE] event.
 	framingEndTimeout = 100 * time.Millisecond
 )
 
@@ -65,8 +65,8 @@
 	}
 }
 
-// forwardEvents returns nil at the end of a complete stream. A model engine's stream is complete after a usage event and [DONE]; any
-// other when its body ended according to its framing.
+// forwardEvents returns nil at the end of a complete stream. A model engine's stream is complete after a usage event and [DONE]; any other
+// stream is complete when its body has ended as its Content-Length or chunked encoding requires.
 func (s *stream) forwardEvents() error {
 	for {
 		event, err := s.events.Next()
@@ -133,7 +133,7 @@
 	s.sendHeader()
 	s.c.write(e.Raw)
 	s.c.flush()
-	// Only the end of the body remains; if it does not arrive in time, the connection is not reused.
+	// Only the end of the HTTP body remains; if it does not arrive in time, the connection is not reused.
 	if s.x.SetReadTimeout(framingEndTimeout) != nil {
 		return nil
 	}
@@ -182,8 +182,8 @@
 	return f.ConnectionBroken && s.engine && s.up.Resumes && s.resumes < maxResumes && s.ctx.Err() == nil && (s.hasID || !s.headerSent)
 }
 
-// resume continues the stream at the same engine after the last forwarded event, and reports whether that succeeded. The answer is
-// checked like any other; it fails if the engine has discarded the stream.
+// resume continues the stream at the same engine after the last forwarded event, and reports whether that succeeded. The engine's answer is
+// checked like any other; resume fails if the engine has discarded the stream.
 func (s *stream) resume() bool {
 	s.resumes++
 	head := http.Header{headerRequestID: {s.c.wireID}, "User-Agent": {""}}
--- a/pomelostore/breaker_test.go
+++ b/pomelostore/breaker_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against many concurrent calls that are all sent as probes when the breaker's time ends and overload a recovering store.
+// Guards against many concurrent calls that are all sent as probes when the breaker's open period ends, and overload a recovering store.
 func TestOpenBreakerAllowsOneProbe(t *testing.T) {
 	var calls atomic.Int64
 	var hold atomic.Bool
--- a/pomelostore/call.go
+++ b/pomelostore/call.go
@@ -18,7 +18,8 @@
 	"github.com/go-faster/errors"
 )
 
-// maxResponseOverhead is the size allowed in bytes for a response beyond its value, which base64 enlarges by a third.
+// maxResponseOverhead is how many bytes a response may have in addition to its base64-encoded value, which is a third larger than the
+// value.
 const maxResponseOverhead = 64 << 10
 
 // Call is one HTTP call to the store.
@@ -30,7 +31,7 @@
 	Body  []byte
 	// ContentType is the Content-Type header; empty sends none.
 	ContentType string
-	// Timeout limits the whole call; for a watch it must exceed the wait.
+	// Timeout limits the whole call; for a watch it must exceed the time for which the store may hold the call.
 	Timeout time.Duration
 	// Counter is incremented when the call is sent; it is required.
 	Counter *expvar.Int
--- a/pomelostore/store.go
+++ b/pomelostore/store.go
@@ -72,8 +72,8 @@
 	return response.Revision, nil
 }
 
-// Watch waits until the record's revision differs from after and returns the record. It fails when ctx ends, and as Get does without
-// retrying, so that the caller chooses the back-off.
+// Watch waits until the record's revision differs from after and returns the record. It fails when ctx ends or when a call fails as in Get.
+// It does not retry a failed call, so that the caller chooses the back-off.
 func (c *Client) Watch(ctx context.Context, key pomelorelay.StoreKey, after pomelorelay.Revision) (pomelorelay.Record, error) {
 	for {
 		call := c.watchCall(key, after)
--- a/pomelostore/store_test.go
+++ b/pomelostore/store_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// Guards against accepting a response for another key, which would apply the wrong content.
+// Guards against accepting a response for another key, whose record would be taken for the requested one.
 func TestResponseForOtherKeyIsRejected(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(pomelorelay.Record{Key: "other", Value: []byte("x"), Revision: 1})
