--- a/pomelolink/event.go
+++ b/pomelolink/event.go
@@ -103,7 +103,8 @@
 // Buffer returns the reader's current buffer, so that the caller can return it to its pool after the stream.
 func (r *EventReader) Buffer() []byte { return r.buf }
 
-// delimiterOverlap is how many bytes before newly read data may belong to an event delimiter: the longest has four bytes.
+// delimiterOverlap is how many bytes before newly read data can belong to an event delimiter that ends in that data: the longest delimiter
+// has four bytes.
 const delimiterOverlap = 3
 
 func eventLength(p []byte) int {
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -258,9 +258,9 @@
 	return false
 }
 
-// skip reports whether a request that has failed at the granted slot's upstream should wait for another one, and counts the skip. It does
-// so at most maxSkipsPerRequest times per request: while the router's own failure domain has idle slots, the router requests none of other
-// domains, and without the limit the request could wait until its deadline.
+// skip reports whether a request that has failed at the granted slot's upstream should wait for another upstream, and counts the skip. It
+// returns true at most maxSkipsPerRequest times per request. Without the limit a request could wait until its deadline: the other upstreams
+// may be in failure domains from which this router requests no slots while its own has idle ones.
 func (c *control) skip(w *waiter, g *pomelorelay.Grant) bool {
 	if w.skips >= maxSkipsPerRequest || !hasFailedAt(w, g.Upstream) || !c.hasAlternative(w, g.Pool) {
 		return false
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// awaitClaims waits until the outcomes of all requests with claimed idempotency keys are stored; a retry of the others would be answered
-// "outcome unknown". It asks the control goroutine, since the published status may not yet include the last request. In a store outage the
-// wait ends after maxClaimsWait, since "outcome unknown" is then the correct answer.
+// awaitClaims waits until the outcomes of all requests with claimed idempotency keys are stored; until then a retry through another router
+// would be answered "outcome unknown". It asks the control goroutine, since the published status may lag behind. In a store outage the wait
+// ends after maxClaimsWait, since "outcome unknown" is then the correct answer.
 func (n *Node) awaitClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimsWait)
 	defer cancel()
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -35,7 +35,7 @@
 }
 
 // memberAlive adds a live router. If the router restarted before it was detected as dead, it has lost the slots that were granted to it.
-// They are reclaimed immediately; otherwise they would count as taken, although they are idle, until the next RunningQuery.
+// These slots are reclaimed immediately; otherwise they would count as taken, although idle, until the next RunningQuery.
 func (c *control) memberAlive(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	event := pomelorelay.EventMemberUp
 	if before := c.incarnations[node]; before != 0 && incarnation > before && !c.dead[node] {
--- a/pomelonode/storeio.go
+++ b/pomelonode/storeio.go
@@ -57,7 +57,7 @@
 	return n.cfg.Store.Get(ctx, key)
 }
 
-// watchRoot watches the configuration root while this router is one of those that its failure domain chose to watch it.
+// watchRoot watches the configuration root while this router is among the routers of its failure domain that are chosen to do so.
 func (n *Node) watchRoot(ctx context.Context) {
 	var seen pomelorelay.Revision
 	for ctx.Err() == nil {
--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -198,7 +198,7 @@
 		t.Errorf("the booking ran %d times and the retry got %d %q", runs, again.status, again.body)
 	}
 	if p := b.call("POST", "/booking/jobs", "necklace", "Idempotency-Key", "k").problem(t); p.Code != pomelorelay.CodeClaimConflict {
-		t.Errorf("another body under the key: got %+v", p)
+		t.Errorf("another body under the same key: got %+v, want CodeClaimConflict", p)
 	}
 	req, _ := http.NewRequest("POST", b.url+"/booking/jobs", strings.NewReader("ring"))
 	req.Header.Set("Authorization", "Bearer "+rivalToken)
@@ -266,7 +266,7 @@
 		return len(b.results) == 1
 	})
 	if r := b.lastResult(); r.Code != pomelorelay.CodeCallerGone {
-		t.Errorf("got %+v", r)
+		t.Errorf("result %+v, want CodeCallerGone", r)
 	}
 }
 
@@ -304,7 +304,7 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nhalf of it")
 	}).addr())
 	if p := b.call("GET", "/status/ring", "").problem(t); p.Ran != pomelorelay.RanUnknown {
-		t.Errorf("got %+v", p)
+		t.Errorf("answer without framing: got %+v, want RanUnknown", p)
 	}
 	b.upstreams = nil
 	b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
@@ -345,7 +345,7 @@
 	b.panicOnStart = true
 	a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	if p := a.problem(t); p.Code != pomelorelay.CodeInternal || p.Ran != pomelorelay.RanUnknown {
-		t.Errorf("got %+v", p)
+		t.Errorf("got %+v, want CodeInternal and RanUnknown", p)
 	}
 	if len(b.results) != 1 || len(b.settled) != 1 || b.settled[0].State != pomelorelay.ClaimUnknown {
 		t.Errorf("results %+v, settled %+v", b.results, b.settled)
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -183,7 +183,7 @@
 	b.addUpstream(broken.addr())
 	p := b.call("GET", "/status/ring", "").problem(t)
 	if p.Code != pomelorelay.CodeNoUpstream || p.Ran != pomelorelay.RanUnknown {
-		t.Errorf("got %+v", p)
+		t.Errorf("got %+v, want CodeNoUpstream and RanUnknown", p)
 	}
 }
 
@@ -215,14 +215,14 @@
 	})
 	a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	if p := a.problem(t); p.Ran != pomelorelay.RanNo || a.head.Get("Retry-After") == "" || !b.settled[0].Released {
-		t.Errorf("got %+v, settled %+v", p, b.settled)
+		t.Errorf("got %+v, want RanNo; settled %+v, want released", p, b.settled)
 	}
 	closed := newScriptedUpstream(t, func(*scriptedUpstream, int64, net.Conn, *bufio.Reader) {})
 	closed.ln.Close()
 	b.addUpstream(closed.addr())
 	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "booked") })
 	if a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k"); a.body != "booked" {
-		t.Errorf("got %d %q", a.status, a.body)
+		t.Errorf("with a working upstream: got %d %q", a.status, a.body)
 	}
 }
 
@@ -243,10 +243,10 @@
 	})
 	for range 3 {
 		if a := b.call("POST", "/status/x", large); a.body != large {
-			t.Errorf("got %d, %d bytes of %d", a.status, len(a.body), len(large))
+			t.Errorf("status %d, echoed %d bytes of %d", a.status, len(a.body), len(large))
 		}
 		if a := b.call("POST", "/status/refuse", large); a.status/100 != 5 {
-			t.Errorf("refused: got %d", a.status)
+			t.Errorf("refused body: got %d, want a 5xx status", a.status)
 		}
 	}
 }
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// spendRetry takes a retry from the retry budget and reports whether one was left. Retries of unsent attempts are free: they load no
-// upstream, and one restart causes several within milliseconds. Retries after a crash are free too, or a request that crashes upstreams
-// would use up the budget of others; quarantine limits them, and so do slot owners, which grant no slots of a crashed upstream.
+// spendRetry reports whether a retry is allowed and takes it from the retry budget unless it is free. Retries of unsent attempts are free:
+// they load no upstream, and one restart causes several within milliseconds. Retries after a crash are free, since all requests of the
+// upstream retry at once and would use up the budget; quarantine limits them, and slot owners grant no slots of a crashed upstream.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
--- a/pomelostore/store_test.go
+++ b/pomelostore/store_test.go
@@ -94,15 +94,15 @@
 		t.Fatalf("got %v %v, want no record", record, err)
 	}
 	if revision, err := client.CompareAndSwap(ctx, key, []byte("one"), 0, 0); err != nil || revision != 1 {
-		t.Fatalf("got %d %v", revision, err)
+		t.Fatalf("first write: got revision %d, %v, want 1", revision, err)
 	}
 	_, err := client.CompareAndSwap(ctx, key, []byte("two"), 0, 0)
 	wantCode(t, err, pomelorelay.CodeStoreConflict)
 	if record, err := client.Get(ctx, key); err != nil || string(record.Value) != "one" || record.Key != key {
-		t.Fatalf("got %v %v", record, err)
+		t.Fatalf("read after the conflict: got %v %v", record, err)
 	}
 	if record, err := client.Watch(ctx, key, 1); err != nil || record.Revision != 2 {
-		t.Fatalf("got %v %v", record, err)
+		t.Fatalf("watch after revision 1: got %v %v", record, err)
 	}
 	if got := client.Stats().Writes.Value(); got != 2 {
 		t.Fatalf("%d writes counted, want 2", got)
@@ -115,7 +115,7 @@
 	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newMapStore(t))}})
 	lease, err := client.OpenLease(ctx, time.Second)
 	if err != nil || lease != 7 {
-		t.Fatalf("got %d %v", lease, err)
+		t.Fatalf("got lease %d, %v, want 7", lease, err)
 	}
 	if err := client.RenewLease(ctx, lease); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	client := newClient(t, pomelostore.Config{Addresses: []netip.AddrPort{addressOf(t, newMapStore(t))}})
 	hosts, err := client.Hosts(context.Background())
 	if err != nil || len(hosts) != 1 || !hosts[0].Leaving || hosts[0].Addr != netip.MustParseAddrPort("10.0.0.1:80") {
-		t.Fatalf("got %v %v", hosts, err)
+		t.Fatalf("got hosts %v, %v", hosts, err)
 	}
 }
 
