--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -162,7 +162,7 @@
 	c.markChanged(r.Pool)
 }
 
-// requestWithdrawn is posted when a request stops waiting without a grant.
+// requestWithdrawn is posted when a request stops waiting although it got no slot.
 type requestWithdrawn struct{ w *waiter }
 
 func (e requestWithdrawn) apply(c *control, now time.Time) {
@@ -174,7 +174,7 @@
 	c.markChanged(e.w.request.Pool)
 }
 
-// attemptEnded is posted when a granted request releases its slot.
+// attemptEnded is posted when an attempt ends and releases its slot.
 type attemptEnded struct {
 	t *ticket
 	r pomeloroute.Result
@@ -202,8 +202,8 @@
 	}
 }
 
-// receiveGrant gives a slot that its owner granted to the first waiting request in fair-queue order. It returns the slot to the owner if
-// the slot cannot be used.
+// receiveGrant handles the grant of a slot to this router: it assigns the slot to the first waiting request in fair-queue order, or returns
+// it to its owner if it cannot be used.
 func (c *control) receiveGrant(now time.Time, from pomelorelay.NodeID, g *pomelorelay.Grant) {
 	usable := c.slotRequester.AcceptGrant(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
@@ -222,8 +222,8 @@
 	w.answer <- admitResult{ticket: t}
 }
 
-// nextWaiter pops the next waiting request for a granted slot. Requests that skip selects, because they have failed at the slot's upstream,
-// are requeued; left at the head, they would block the requests behind them.
+// nextWaiter pops the next waiting request for a granted slot. Requests that have failed at the slot's upstream may be skipped and are then
+// requeued; left at the head, they would block the requests behind them.
 func (c *control) nextWaiter(now time.Time, g *pomelorelay.Grant) *waiter {
 	c.skipped = c.skipped[:0]
 	defer func() {
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -10,7 +10,7 @@
 // hostsRead is posted when the host list was read.
 type hostsRead struct {
 	hosts []pomelorelay.Host
-	// startedAt is when the read started.
+	// startedAt is when the read started; a list read before a pause of the control loop may be outdated.
 	startedAt time.Time
 }
 
@@ -96,8 +96,8 @@
 }
 
 // awaitHostRead waits until the next read of the host list is due; the interval grows with the fleet. It returns early when a message
-// arrives from a router that is not on the list, since a new router gets no digests and cannot serve until the others know its address. It
-// returns false if ctx is done.
+// arrives from a router that is not on the list, since a new router gets no membership digests and cannot serve until the others know its
+// address. It returns false if ctx is done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
 	timer := time.NewTimer(list.ReadInterval(n.status.Load().memberCount) - list.Interval)
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// stopPollInterval is how often a graceful stop checks whether requests or claims are still in progress.
+	// stopPollInterval is how often a graceful stop checks whether requests are in progress or outcomes are not yet stored.
 	stopPollInterval = 20 * time.Millisecond
 	// maxClaimsWait limits how long a graceful stop waits until the outcomes of requests with claimed idempotency keys are stored.
 	maxClaimsWait = 20 * time.Second
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -35,7 +35,8 @@
 }
 
 // memberAlive adds a live router. If the router restarted before it was detected as dead, it has lost the slots that were granted to it.
-// These slots are reclaimed immediately; otherwise they would count as taken, although idle, until the next RunningQuery.
+// These slots are reclaimed immediately; otherwise they would count as taken, although idle, until the router is next asked which requests
+// it runs (RunningQuery).
 func (c *control) memberAlive(now time.Time, node pomelorelay.NodeID, incarnation pomelorelay.Incarnation) {
 	event := pomelorelay.EventMemberUp
 	if before := c.incarnations[node]; before != 0 && incarnation > before && !c.dead[node] {
--- a/pomeloroute/call.go
+++ b/pomeloroute/call.go
@@ -50,7 +50,7 @@
 	// errorEventSent is set once a broken stream was ended with an error event.
 	errorEventSent bool
 	suspect        bool
-	// mayHaveRun is set during an attempt and stays set if the upstream may have run the request.
+	// mayHaveRun is set during an attempt and stays set once an upstream may have run the request.
 	mayHaveRun bool
 	// outcome is the answer that is stored for retries with the same idempotency key; nil until the answer is complete.
 	outcome         *pomelorelay.ClaimOutcome
--- a/pomeloroute/config.go
+++ b/pomeloroute/config.go
@@ -80,7 +80,7 @@
 	Fingerprint pomelorelay.Fingerprint
 	// PrefixHash is a hash of the first 512 bytes of the body, for cache affinity.
 	PrefixHash uint64
-	// CostHint is the cost that the caller expects; zero if it gave none.
+	// CostHint is the cost of the request that the caller expects; zero if the caller gave no hint.
 	CostHint pomelorelay.Cost
 	Bytes    pomelorelay.Bytes
 	// Deadline is when the request must end, WaitUntil when its wait for a slot must end.
--- a/pomeloroute/meter.go
+++ b/pomeloroute/meter.go
@@ -10,7 +10,7 @@
 
 const (
 	progressInterval = 100 * time.Millisecond
-	// bytesPerToken estimates the prompt's tokens from the body size until the engine reports its usage.
+	// bytesPerToken is how many bytes of the request body count as one prompt token until the engine reports the token usage.
 	bytesPerToken = 4
 )
 
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -198,7 +198,7 @@
 	for range requests {
 		b.call("GET", "/status/ring", "")
 	}
-	// The initial budget is three retries; after that, ten requests earn one.
+	// The initial budget is three retries; after that, ten requests earn one more.
 	if got := broken.requests.Load(); got <= requests || got > requests+3+5 {
 		t.Errorf("%d requests were sent %d times", requests, got)
 	}
@@ -226,8 +226,8 @@
 	}
 }
 
-// A body larger than the socket buffers must be written while the answer is read, since the upstream may refuse it before it has
-// read it.
+// A body larger than the socket buffers must be written while the answer is read, since the upstream may refuse the request before it has
+// read the whole body.
 func TestLargeBodyIsWrittenWhileAnswerIsRead(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
 	large := strings.Repeat("pearl ", 40<<10)
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// run processes a call: quarantine check, claim and attempts.
+// run processes a call: it checks for a quarantine, claims the idempotency key if there is one, and makes attempts.
 func (c *call) run() error {
 	if err := c.h.cfg.Suspects.CheckQuarantine(c.fingerprint); err != nil {
 		return err
@@ -57,8 +57,9 @@
 }
 
 // spendRetry reports whether a retry is allowed and takes it from the retry budget unless it is free. Retries of unsent attempts are free:
-// they load no upstream, and one restart causes several within milliseconds. Retries after a crash are free, since all requests of the
-// upstream retry at once and would use up the budget; quarantine limits them, and slot owners grant no slots of a crashed upstream.
+// they load no upstream, and one restart causes several within milliseconds. Retries after a crash are free too, since the crashing request
+// makes all others of the upstream retry and would use up their budget; quarantine limits them, and slot owners grant no slots of a crashed
+// upstream.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
