--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -193,7 +193,7 @@
 	case pomelolink.OutcomeTruncated, pomelolink.OutcomeUnknown:
 		state = pomelorelay.GrantFailed
 	}
-	c.settleGrant(now, e.t.grant, e.t.waiter.request.Pool, pomeloslot.Settlement{State: state, FirstToken: e.r.FirstToken, TokenGap: e.r.TokenGap})
+	c.settleGrant(now, e.t.grant, e.t.waiter.request.Pool, pomeloslot.GrantOutcome{State: state, FirstToken: e.r.FirstToken, TokenGap: e.r.TokenGap})
 }
 
 func (c *control) refuse(w *waiter, err error) {
@@ -208,17 +208,17 @@
 	usable := c.slotRequester.AcceptGrant(now, from, g)
 	upstream, known := c.upstreams[g.Upstream]
 	if !usable || !known || c.leaving[g.Upstream] || c.isStale(now) {
-		c.settleGrant(now, g.ID, g.Pool, pomeloslot.Settlement{State: pomelorelay.GrantReturned})
+		c.settleGrant(now, g.ID, g.Pool, pomeloslot.GrantOutcome{State: pomelorelay.GrantReturned})
 		return
 	}
 	w := c.nextWaiter(now, g)
 	if w == nil {
-		c.settleGrant(now, g.ID, g.Pool, pomeloslot.Settlement{State: pomelorelay.GrantReturned})
+		c.settleGrant(now, g.ID, g.Pool, pomeloslot.GrantOutcome{State: pomelorelay.GrantReturned})
 		return
 	}
 	t := &ticket{n: c.n, waiter: w, grant: g.ID, upstream: upstream, started: now, plain: c.isPlain(upstream.Service)}
 	c.running[w.id] = t
-	c.settleGrant(now, g.ID, g.Pool, pomeloslot.Settlement{State: pomelorelay.GrantUsed})
+	c.settleGrant(now, g.ID, g.Pool, pomeloslot.GrantOutcome{State: pomelorelay.GrantUsed})
 	w.answer <- admitResult{ticket: t}
 }
 
@@ -281,7 +281,7 @@
 }
 
 // settleGrant reports to the slot's owner how a granted slot was used, together with the pool's current demand for slots.
-func (c *control) settleGrant(now time.Time, id pomelorelay.GrantID, pool pomelorelay.PoolID, s pomeloslot.Settlement) {
+func (c *control) settleGrant(now time.Time, id pomelorelay.GrantID, pool pomelorelay.PoolID, s pomeloslot.GrantOutcome) {
 	head, waiting, ok := c.queues.Head(now, pool)
 	if ok {
 		s.Head, s.Waiting = head, waiting
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -212,8 +212,8 @@
 	Prefixes []uint64
 }
 
-// Settlement is the outcome of a grant, with the router's current demand and the latencies of the request.
-type Settlement struct {
+// GrantOutcome is the outcome of a grant, with the router's current demand and the latencies of the request.
+type GrantOutcome struct {
 	State pomelorelay.GrantState
 	// Head and Waiting are the pool's current demand; zero Waiting means none.
 	Head    pomelorelay.Tag
--- a/pomeloslot/fleetmessages_test.go
+++ b/pomeloslot/fleetmessages_test.go
@@ -83,7 +83,7 @@
 
 func (f *fleet) settle(r *testRouter, id pomelorelay.GrantID, state pomelorelay.GrantState) {
 	tag, waiting, _ := r.queues.Head(f.now, testPool)
-	f.send(r, r.requester.SettleGrant(f.now, id, pomeloslot.Settlement{State: state, Head: tag, Waiting: waiting}, nil))
+	f.send(r, r.requester.SettleGrant(f.now, id, pomeloslot.GrantOutcome{State: state, Head: tag, Waiting: waiting}, nil))
 }
 
 // dispatch sends a popped request to an upstream and refills its account's queue.
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -36,7 +36,7 @@
 }
 
 // SettleGrant appends to out the reply to a grant's owner, with the grant's outcome and the router's current demand.
-func (r *Requester) SettleGrant(now time.Time, id pomelorelay.GrantID, s Settlement, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
+func (r *Requester) SettleGrant(now time.Time, id pomelorelay.GrantID, s GrantOutcome, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	h := r.grants[id]
 	if h == nil {
 		return out
@@ -73,7 +73,7 @@
 }
 
 // recordReply stores the pool's current demand and, for the upstream, the demand that the reply carried.
-func (r *Requester) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s Settlement, waiting int) {
+func (r *Requester) recordReply(now time.Time, u *remoteUpstream, to pomelorelay.NodeID, s GrantOutcome, waiting int) {
 	if p := r.pools[u.digest.Pool]; p != nil {
 		p.demand.Head, p.demand.Waiting = s.Head, s.Waiting
 	}
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -99,7 +99,7 @@
 	if r.AcceptGrant(now, "owner-u1", &pomelorelay.Grant{ID: 2, Upstream: "u1", Pool: testPool, TTL: time.Second}) {
 		t.Error("a grant for a leaving upstream was accepted")
 	}
-	out := r.SettleGrant(now, 2, pomeloslot.Settlement{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
+	out := r.SettleGrant(now, 2, pomeloslot.GrantOutcome{State: pomelorelay.GrantReturned, Head: 50, Waiting: 3}, nil)
 	if m, ok := out[0].Message.(*pomelorelay.GrantReply); !ok || m.Waiting != 0 {
 		t.Errorf("reply %+v requests slots of a leaving upstream", out[0].Message)
 	}
@@ -125,7 +125,7 @@
 	d := digest("u1", "a", 10, 4)
 	d.Owner = "successor"
 	r.UpdateDigests(start, []pomelorelay.SlotDigest{d})
-	out := r.SettleGrant(start, 5, pomeloslot.Settlement{State: pomelorelay.GrantFinished}, nil)
+	out := r.SettleGrant(start, 5, pomeloslot.GrantOutcome{State: pomelorelay.GrantFinished}, nil)
 	if len(out) != 2 || out[0].To != "owner-u1" || out[1].To != "successor" {
 		t.Errorf("replies %+v, want one to each owner", out)
 	}
