--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -198,7 +198,7 @@
 		t.Errorf("the booking ran %d times and the retry got %d %q", runs, again.status, again.body)
 	}
 	if p := b.call("POST", "/booking/jobs", "necklace", "Idempotency-Key", "k").problem(t); p.Code != pomelorelay.CodeClaimConflict {
-		t.Errorf("another body under the key: got %+v", p)
+		t.Errorf("another body under the same key: got %+v, want CodeClaimConflict", p)
 	}
 	req, _ := http.NewRequest("POST", b.url+"/booking/jobs", strings.NewReader("ring"))
 	req.Header.Set("Authorization", "Bearer "+rivalToken)
@@ -244,7 +244,8 @@
 	}
 }
 
-// A caller cancels a repeatable request. The upstream must be cancelled too, or its slot stays in use for an answer that is not read.
+// A caller cancels a repeatable request. The request must be cancelled at the upstream too, or its slot there stays in use for an answer
+// that is not read.
 func TestCallerCancelReachesUpstream(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
@@ -265,12 +266,12 @@
 		return len(b.results) == 1
 	})
 	if r := b.lastResult(); r.Code != pomelorelay.CodeCallerGone {
-		t.Errorf("got %+v", r)
+		t.Errorf("result %+v, want CodeCallerGone", r)
 	}
 }
 
-// An upstream crashes while it runs a repeatable request. The request must be marked as a suspect before it is retried; a broken
-// connection to an upstream that still accepts connections must not mark it.
+// An upstream crashes while it runs a repeatable request. The request must be marked as suspected of the crash before it is retried. If
+// only the connection broke and the upstream still accepts new ones, it must not be marked.
 func TestOnlyCrashMarksSuspect(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	var dying *scriptedUpstream
@@ -303,7 +304,7 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nhalf of it")
 	}).addr())
 	if p := b.call("GET", "/status/ring", "").problem(t); p.Ran != pomelorelay.RanUnknown {
-		t.Errorf("got %+v", p)
+		t.Errorf("answer without framing: got %+v, want RanUnknown", p)
 	}
 	b.upstreams = nil
 	b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
@@ -336,15 +337,15 @@
 	}
 }
 
-// The router panics just before it sends a booking. The caller must get RanUnknown, the slot must be released and the claim
-// must be settled as unknown.
+// The router panics just before it sends a booking. The caller must be told that the booking may have run (RanUnknown), the slot must be
+// released, and the claim on the idempotency key must be settled as unknown.
 func TestPanicSettlesClaimAsUnknown(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {})
 	b.panicOnStart = true
 	a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	if p := a.problem(t); p.Code != pomelorelay.CodeInternal || p.Ran != pomelorelay.RanUnknown {
-		t.Errorf("got %+v", p)
+		t.Errorf("got %+v, want CodeInternal and RanUnknown", p)
 	}
 	if len(b.results) != 1 || len(b.settled) != 1 || b.settled[0].State != pomelorelay.ClaimUnknown {
 		t.Errorf("results %+v, settled %+v", b.results, b.settled)
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -175,19 +175,19 @@
 	}
 }
 
-// The first attempt may have run and the second finds no upstream. The second refusal states "not run", which is false for the
-// request.
+// The first attempt of a request may have run, and the second finds no upstream. The second failure alone would be reported as "not run",
+// which may be false for the request.
 func TestLaterRefusalDoesNotHideAnEarlierRun(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
 	b.addUpstream(broken.addr())
 	p := b.call("GET", "/status/ring", "").problem(t)
 	if p.Code != pomelorelay.CodeNoUpstream || p.Ran != pomelorelay.RanUnknown {
-		t.Errorf("got %+v", p)
+		t.Errorf("got %+v, want CodeNoUpstream and RanUnknown", p)
 	}
 }
 
-// Every upstream fails. Retries beyond the budget would double the load on upstreams that already fail.
+// Every upstream fails. Retries beyond the retry budget would double the load on upstreams that already fail.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	b.services["status"].RetryBudget = 0.1
@@ -198,7 +198,7 @@
 	for range requests {
 		b.call("GET", "/status/ring", "")
 	}
-	// The initial budget is three retries; after that, ten requests earn one.
+	// The initial budget is three retries; after that, ten requests earn one more.
 	if got := broken.requests.Load(); got <= requests || got > requests+3+5 {
 		t.Errorf("%d requests were sent %d times", requests, got)
 	}
@@ -215,19 +215,19 @@
 	})
 	a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k")
 	if p := a.problem(t); p.Ran != pomelorelay.RanNo || a.head.Get("Retry-After") == "" || !b.settled[0].Released {
-		t.Errorf("got %+v, settled %+v", p, b.settled)
+		t.Errorf("got %+v, want RanNo; settled %+v, want released", p, b.settled)
 	}
 	closed := newScriptedUpstream(t, func(*scriptedUpstream, int64, net.Conn, *bufio.Reader) {})
 	closed.ln.Close()
 	b.addUpstream(closed.addr())
 	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "booked") })
 	if a := b.call("POST", "/booking/jobs", "ring", "Idempotency-Key", "k"); a.body != "booked" {
-		t.Errorf("got %d %q", a.status, a.body)
+		t.Errorf("with a working upstream: got %d %q", a.status, a.body)
 	}
 }
 
-// A body larger than the socket buffers must be written while the answer is read, since the upstream may refuse it before it has
-// read it.
+// A body larger than the socket buffers must be written while the answer is read, since the upstream may refuse the request before it has
+// read the whole body.
 func TestLargeBodyIsWrittenWhileAnswerIsRead(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
 	large := strings.Repeat("pearl ", 40<<10)
@@ -243,10 +243,10 @@
 	})
 	for range 3 {
 		if a := b.call("POST", "/status/x", large); a.body != large {
-			t.Errorf("got %d, %d bytes of %d", a.status, len(a.body), len(large))
+			t.Errorf("status %d, echoed %d bytes of %d", a.status, len(a.body), len(large))
 		}
 		if a := b.call("POST", "/status/refuse", large); a.status/100 != 5 {
-			t.Errorf("refused: got %d", a.status)
+			t.Errorf("refused body: got %d, want a 5xx status", a.status)
 		}
 	}
 }
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// run processes a call: quarantine check, claim and attempts.
+// run processes a call: it checks for a quarantine, claims the idempotency key if there is one, and makes attempts.
 func (c *call) run() error {
 	if err := c.h.cfg.Suspects.CheckQuarantine(c.fingerprint); err != nil {
 		return err
@@ -56,10 +56,10 @@
 	}
 }
 
-// spendRetry reports whether the retry budget allows a retry, and spends it. Retries after unsent attempts are free: they load no upstream,
-// and one restart causes several within milliseconds. So are retries after a crash: all requests of the upstream retry at once, and the one
-// that crashed it would use up the budget of the others. Those are limited by quarantine and by slot owners, which grant no slots of a
-// crashed upstream.
+// spendRetry reports whether a retry is allowed and takes it from the retry budget unless it is free. Retries of unsent attempts are free:
+// they load no upstream, and one restart causes several within milliseconds. Retries after a crash are free too, since the crashing request
+// makes all others of the upstream retry and would use up their budget; quarantine limits them, and slot owners grant no slots of a crashed
+// upstream.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
@@ -103,7 +103,8 @@
 		return admissionFailure(ctx, err)
 	}
 	if !ticket.Usable() {
-		// A suspect may wait for seconds. If its upstream has started leaving, the request would be cut off when the host stops.
+		// A request suspected of crashing upstreams may have waited for seconds. If its upstream has started leaving since then, the
+		// request would be cut off when the host stops.
 		return pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeUpstreamUnreached, nil)
 	}
 	// Until the outcome is known, the request counts as one that may have run, so that this also holds after a panic.
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// reportRun reports to Suspects how the attempt ended. An upstream counts as crashed only if the connection broke and it refuses
-// new ones.
+// reportRun reports to Suspects how the attempt ended. An upstream counts as crashed only if the connection broke and the upstream refuses
+// new connections.
 func (c *call) reportRun(ctx context.Context, ticket Ticket, run SuspectRun, f *pomelolink.Failure) {
 	crashed := f != nil && f.ConnectionBroken && c.h.client.RefusesConnections(ctx, ticket.Upstream().Address)
 	if !crashed {
