--- a/messages.go
+++ b/messages.go
@@ -168,7 +168,7 @@
 type LedgerComponentEntry struct {
 	Pool     PoolID
 	Account  AccountID
-	Sum      Cost
+	Served   Cost
 	Departed Cost
 	Lift     Tag
 	Waiting  bool
@@ -235,7 +235,7 @@
 type ConfigApplied struct {
 	Generation        Generation
 	RefusedGeneration Generation
-	Code              ResultCode
+	RefusalCode       ResultCode
 }
 
 // ClaimState is the state of the claim to run a non-idempotent request.
--- a/pomeloconfig/interval.go
+++ b/pomeloconfig/interval.go
@@ -5,10 +5,10 @@
 // MaxPeriodicMessagesPerSecond is the maximum rate at which a router sends messages of one periodic kind to its failure domain.
 const MaxPeriodicMessagesPerSecond = 55
 
-// PeriodicInterval returns the interval at which a router sends one kind of periodic message to every router of its failure domain: the
+// RateLimitedInterval returns the interval at which a router sends one kind of periodic message to every router of its failure domain: the
 // configured interval, or a longer one that keeps to MaxPeriodicMessagesPerSecond. With a fixed interval a router's traffic would grow
 // with its domain, and in a domain of 60 routers digests alone would use up the byte budget for control messages.
-func PeriodicInterval(interval time.Duration, routers int) time.Duration {
+func RateLimitedInterval(interval time.Duration, routers int) time.Duration {
 	return max(interval, time.Duration(routers)*time.Second/MaxPeriodicMessagesPerSecond)
 }
 
--- a/pomeloconfig/interval_test.go
+++ b/pomeloconfig/interval_test.go
@@ -12,7 +12,7 @@
 		routers int
 		want    time.Duration
 	}{{1, 250 * time.Millisecond}, {13, 250 * time.Millisecond}, {22, 400 * time.Millisecond}, {55, time.Second}, {110, 2 * time.Second}} {
-		if got := pomeloconfig.PeriodicInterval(250*time.Millisecond, c.routers); got != c.want {
+		if got := pomeloconfig.RateLimitedInterval(250*time.Millisecond, c.routers); got != c.want {
 			t.Errorf("%d routers: %v, want %v", c.routers, got, c.want)
 		}
 	}
--- a/pomeloconfig/syncer_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -221,7 +221,7 @@
 	s.clearTarget()
 	s.cfg.Logger.Log(pomelorelay.EventConfigRefused,
 		pomelorelay.Field{Key: "Generation", Value: generation}, pomelorelay.Field{Key: "Code", Value: code})
-	m := &pomelorelay.ConfigApplied{Generation: s.inForce.generation(), RefusedGeneration: generation, Code: code}
+	m := &pomelorelay.ConfigApplied{Generation: s.inForce.generation(), RefusedGeneration: generation, RefusalCode: code}
 	for _, peer := range s.peers {
 		out = append(out, pomelorelay.Outgoing{To: peer, Message: m})
 	}
--- a/pomeloconfig/syncer_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -124,7 +124,7 @@
 	peer := pomeloconfig.NewSyncer(pomeloconfig.SyncerConfig{})
 	peer.SetPeers([]pomelorelay.NodeID{"r"})
 	peer.HandleApplied(epoch, "r", out[0].Message.(*pomelorelay.ConfigApplied))
-	if got := peer.Refusals()["r"]; got.RefusedGeneration != 2 || got.Code != pomelorelay.CodeConfigInvalid {
+	if got := peer.Refusals()["r"]; got.RefusedGeneration != 2 || got.RefusalCode != pomelorelay.CodeConfigInvalid {
 		t.Fatalf("the peer recorded the refusal %+v", got)
 	}
 	peer.HandleGeneration(epoch, "r", 3, nil)
--- a/pomeloentry/control.go
+++ b/pomeloentry/control.go
@@ -59,7 +59,7 @@
 	s := e.cfg.Settings
 	return &control{
 		e:            e,
-		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.ColdBounds, Disabled: e.cfg.DisabledMechanisms}),
+		placer:       pomeloplace.New(pomeloplace.Config{Self: s.Self, Regions: s.Regions, ColdBounds: s.ColdBounds, DisabledMechanisms: e.cfg.DisabledMechanisms}),
 		shares:       pomeloshare.New(pomeloshare.Config{Window: s.ShareWindow}),
 		residency:    pomeloresidency.New(pomeloresidency.Config{Overlap: s.ConfigApplyTimeout}),
 		upstreams:    newUpstreams(),
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -32,7 +32,7 @@
 
 type node struct {
 	router   *pomeloentry.Router
-	view     *pomelofake.StoreClient
+	view     *pomelofake.FleetStoreClient
 	settings pomelorelay.FleetSettings
 	log      *eventLog
 }
--- a/pomeloentry/warmup.go
+++ b/pomeloentry/warmup.go
@@ -13,7 +13,7 @@
 		if before, known := c.coldUpstreams[id]; known && before.Unreachable == s.Unreachable {
 			continue
 		}
-		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Remaining.Milliseconds()), field("Unreached", s.Unreachable), field("Holder", s.Holder))
+		c.e.log(pomelorelay.EventUpstreamCold, field("Upstream", id), field("LeftMS", s.Remaining.Milliseconds()), field("Unreached", s.Unreachable), field("Holder", s.MaySendWhileCold))
 	}
 	for id := range c.coldUpstreams {
 		if _, still := cold[id]; !still {
--- a/pomelofake/fleetstore.go
+++ b/pomelofake/fleetstore.go
@@ -119,27 +119,27 @@
 	*calls++
 }
 
-// StoreClient is one router's connection to a FleetStore.
-type StoreClient struct {
+// FleetStoreClient is one router's connection to a FleetStore.
+type FleetStoreClient struct {
 	s           *FleetStore
 	mu          sync.Mutex
 	partitioned bool
 }
 
-var _ pomelorelay.Platform = (*StoreClient)(nil)
+var _ pomelorelay.Platform = (*FleetStoreClient)(nil)
 
 // NewClient returns a new connection to the store for one router.
-func (s *FleetStore) NewClient() *StoreClient { return &StoreClient{s: s} }
+func (s *FleetStore) NewClient() *FleetStoreClient { return &FleetStoreClient{s: s} }
 
 // SetPartitioned sets whether the router is partitioned from the store.
-func (c *StoreClient) SetPartitioned(partitioned bool) {
+func (c *FleetStoreClient) SetPartitioned(partitioned bool) {
 	c.mu.Lock()
 	c.partitioned = partitioned
 	c.mu.Unlock()
 	c.s.commit(func(pomelorelay.Revision) {})
 }
 
-func (c *StoreClient) availableLocked() error {
+func (c *FleetStoreClient) availableLocked() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.partitioned || c.s.unavailable {
@@ -150,7 +150,7 @@
 
 // await waits until ready returns true or the wait is over. It fails with CodeStoreUnavailable if the store is unavailable or
 // partitioned from the router, or if ctx ends.
-func (c *StoreClient) await(ctx context.Context, wait time.Duration, ready func() bool) error {
+func (c *FleetStoreClient) await(ctx context.Context, wait time.Duration, ready func() bool) error {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -173,7 +173,7 @@
 }
 
 // Read returns the configuration and all upstreams, routers and evacuations; see pomelorelay.Platform. The result is never stale.
-func (c *StoreClient) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
+func (c *FleetStoreClient) Read(ctx context.Context, _ bool) (pomelorelay.FleetChange, error) {
 	c.s.countCall(&c.s.calls.Reads)
 	change := pomelorelay.FleetChange{Full: true}
 	err := c.await(ctx, 0, func() bool {
@@ -184,7 +184,7 @@
 }
 
 // Watch returns the changes after a revision; see pomelorelay.Platform.
-func (c *StoreClient) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
+func (c *FleetStoreClient) Watch(ctx context.Context, after pomelorelay.Revision, wait time.Duration) (pomelorelay.FleetChange, error) {
 	c.s.countCall(&c.s.calls.Watches)
 	var change pomelorelay.FleetChange
 	compacted := false
@@ -229,12 +229,12 @@
 }
 
 // ParseConfig decodes a configuration document received from a peer.
-func (c *StoreClient) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
+func (c *FleetStoreClient) ParseConfig(document []byte) (*pomelorelay.FleetConfig, error) {
 	return c.s.DecodeConfig(document)
 }
 
 // Register registers a router and returns a lease, which does not expire by itself; see pomelorelay.Platform.
-func (c *StoreClient) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
+func (c *FleetStoreClient) Register(_ context.Context, self pomelorelay.Peer, _ time.Duration) (pomelorelay.LeaseID, error) {
 	c.s.countCall(&c.s.calls.Registrations)
 	if err := c.available(); err != nil {
 		return 0, err
@@ -249,14 +249,14 @@
 	return lease, nil
 }
 
-func (c *StoreClient) available() error {
+func (c *FleetStoreClient) available() error {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	return c.availableLocked()
 }
 
 // RenewLease renews a lease; it fails with CodeStoreLeaseLapsed if the lease has ended.
-func (c *StoreClient) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
+func (c *FleetStoreClient) RenewLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	if err := c.availableLocked(); err != nil {
@@ -269,7 +269,7 @@
 }
 
 // CloseLease ends a lease and deletes the registration of its router.
-func (c *StoreClient) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
+func (c *FleetStoreClient) CloseLease(_ context.Context, lease pomelorelay.LeaseID) error {
 	if err := c.available(); err != nil {
 		return err
 	}
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -55,7 +55,7 @@
 	if buffer.Len() > maxBufferedAnswer {
 		return c.forwardLong(x, buffer)
 	}
-	x.Complete = true
+	x.BodyComplete = true
 	c.writeHead(x.Response, int64(buffer.Len()))
 	c.write(buffer.Bytes())
 	return nil
@@ -70,7 +70,7 @@
 		n, err := x.Response.Body.Read(chunk)
 		c.write(chunk[:n])
 		if errors.Is(err, io.EOF) {
-			x.Complete = true
+			x.BodyComplete = true
 			return nil
 		}
 		if err != nil {
--- a/pomeloforward/attempt.go
+++ b/pomeloforward/attempt.go
@@ -101,7 +101,7 @@
 	}
 	// Checked as late as possible: on an overloaded processor, a second can pass between the reading of a request and its placement.
 	if c.callerGone() {
-		reservation.Done(pomeloplace.ResultNotSent)
+		reservation.Done(pomeloplace.ResultCancelledUnsent)
 		c.abandon()
 	}
 	up := c.decision.Upstream
@@ -118,7 +118,7 @@
 		}
 		return nil
 	}
-	if result == pomeloplace.ResultNotSent && c.callerGone() {
+	if result == pomeloplace.ResultCancelledUnsent && c.callerGone() {
 		c.mayHaveRun = ranBefore
 		c.abandon()
 	}
@@ -142,7 +142,7 @@
 	case f == nil:
 		return pomeloplace.ResultCompleted
 	case f.Outcome == pomelolink.OutcomeNotSent && (f.Err.Code == pomelorelay.CodeCancelled || errors.Is(ctx.Err(), context.Canceled)):
-		return pomeloplace.ResultNotSent
+		return pomeloplace.ResultCancelledUnsent
 	case errors.Is(ctx.Err(), context.Canceled):
 		return pomeloplace.ResultCancelled
 	case f.Outcome == pomelolink.OutcomeNotSent:
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -359,7 +359,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.results) != 1 || h.results[0] != pomeloplace.ResultNotSent {
+	if len(h.results) != 1 || h.results[0] != pomeloplace.ResultCancelledUnsent {
 		t.Errorf("results %v, want one not sent", h.results)
 	}
 }
--- a/pomeloforward/stream.go
+++ b/pomeloforward/stream.go
@@ -78,7 +78,7 @@
 	if events.HasPartialEvent() {
 		return pomelolink.NewFailure(pomelolink.OutcomeTruncated, pomelorelay.CodeAnswerCutShort, errPartial)
 	}
-	x.Complete = true
+	x.BodyComplete = true
 	if !c.answerStarted {
 		c.writeHead(x.Response, -1)
 	}
--- a/pomeloledger/account.go
+++ b/pomeloledger/account.go
@@ -149,12 +149,12 @@
 func (a *account) componentEntry(now time.Time, p rebuildPhase, c *foreignComponent) pomelorelay.LedgerComponentEntry {
 	e := pomelorelay.LedgerComponentEntry{Pool: a.key.Pool, Account: a.key.Account, Lift: a.lift}
 	if c == nil {
-		e.Sum = a.domainTotal(p)
+		e.Served = a.domainTotal(p)
 		e.Departed = a.departed
 		e.Waiting = a.isWaiting()
 		return e
 	}
-	e.Sum = c.sum
+	e.Served = c.sum
 	e.Departed = c.departed
 	e.Waiting = now.Before(c.waitingUntil)
 	return e
--- a/pomeloledger/fleet_test.go
+++ b/pomeloledger/fleet_test.go
@@ -108,7 +108,7 @@
 func countSum(m *pomelorelay.LedgerComponent, sum pomelorelay.Cost) int {
 	n := 0
 	for i := range m.Entries {
-		if m.Domain == "d0" && m.Entries[i].Sum == sum {
+		if m.Domain == "d0" && m.Entries[i].Served == sum {
 			n++
 		}
 	}
--- a/pomeloledger/ledger_test.go
+++ b/pomeloledger/ledger_test.go
@@ -206,7 +206,7 @@
 			l.HandleReport(w.now, "r0", w.routers[0].incarnation, report, nil)
 			l.HandleReport(w.now, "r1", w.routers[1].incarnation, report, nil)
 			for d := range 5 {
-				l.HandleComponent(w.now, "x", &pomelorelay.LedgerComponent{Domain: pomelorelay.DomainID(fmt.Sprintf("x%d", d)), Entries: []pomelorelay.LedgerComponentEntry{{Pool: "assistant/small", Account: key, Sum: 1}}}, nil)
+				l.HandleComponent(w.now, "x", &pomelorelay.LedgerComponent{Domain: pomelorelay.DomainID(fmt.Sprintf("x%d", d)), Entries: []pomelorelay.LedgerComponentEntry{{Pool: "assistant/small", Account: key, Served: 1}}}, nil)
 			}
 		}
 		b.ReportMetric(float64(heap()-before)/n, "B/account")
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -64,7 +64,7 @@
 		l.HandleReport(w.now, r.node, r.incarnation, &pomelorelay.LedgerReport{Full: true, Round: round, Entries: entriesServed(value)}, nil)
 	}
 	sendFullReport(0, 90)
-	lateComponent := &pomelorelay.LedgerComponent{Domain: "d0", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Sum: 100}}}
+	lateComponent := &pomelorelay.LedgerComponent{Domain: "d0", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: accounts[0].Pool, Account: accounts[0].Account, Served: 100}}}
 	l.HandleComponent(w.now, w.hosts["d1"], lateComponent, nil)
 	sendFullReport(1, 0)
 	sendFullReport(2, 0)
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -134,7 +134,7 @@
 	for i := range m.Entries {
 		e := &m.Entries[i]
 		a := s.account(pomelorelay.LedgerKey{Pool: e.Pool, Account: e.Account})
-		a.peerSum = max(a.peerSum, e.Sum)
+		a.peerSum = max(a.peerSum, e.Served)
 		a.peerDeparted = max(a.peerDeparted, e.Departed)
 		a.lift = max(a.lift, e.Lift)
 	}
@@ -146,8 +146,8 @@
 
 func (l *Ledger) mergeForeignEntry(now time.Time, a *account, domain pomelorelay.DomainID, e *pomelorelay.LedgerComponentEntry, regionSends int) {
 	c := a.foreignComponent(domain)
-	changed := e.Sum > c.sum || e.Departed > c.departed || e.Lift > a.lift || e.Waiting != now.Before(c.waitingUntil)
-	c.sum = max(c.sum, e.Sum)
+	changed := e.Served > c.sum || e.Departed > c.departed || e.Lift > a.lift || e.Waiting != now.Before(c.waitingUntil)
+	c.sum = max(c.sum, e.Served)
 	c.departed = max(c.departed, e.Departed)
 	a.lift = max(a.lift, e.Lift)
 	c.waitingUntil = time.Time{}
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -38,8 +38,8 @@
 	stop     func() bool
 	// writeDone receives the result of writing the request concurrently; nil if it was not written concurrently or its result was received.
 	writeDone chan error
-	// Complete is set by the code that reads the answer's body, once the body was read to its end.
-	Complete bool
+	// BodyComplete is set by the code that reads the answer's body, once the body was read to its end.
+	BodyComplete bool
 	// IDEchoed is set if the answer carries the request's id.
 	IDEchoed bool
 }
@@ -235,7 +235,7 @@
 	}
 	if n := x.Response.ContentLength; n >= 0 && n <= maxDrainBytes {
 		_, err := io.Copy(io.Discard, x.Response.Body)
-		x.Complete = err == nil
+		x.BodyComplete = err == nil
 	}
 	return f
 }
@@ -243,7 +243,7 @@
 // Close returns the connection to the idle pool if the exchange is complete and the upstream echoes ids, and closes it otherwise.
 func (x *Exchange) Close() {
 	released := x.stop()
-	keep := x.Complete && released && x.IDEchoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
+	keep := x.BodyComplete && released && x.IDEchoed && !x.Response.Close && x.conn.reader.Buffered() == 0 && x.writeSucceeded()
 	if keep {
 		x.conn.maxIdle = x.maxIdle()
 		x.client.conns.put(x.addr, x.conn)
--- a/pomelolink/link_test.go
+++ b/pomelolink/link_test.go
@@ -69,7 +69,7 @@
 	if _, err := io.ReadAll(x.Response.Body); err != nil {
 		t.Fatal(err)
 	}
-	x.Complete = true
+	x.BodyComplete = true
 	x.Close()
 }
 
--- a/pomelomesh/codec_test.go
+++ b/pomelomesh/codec_test.go
@@ -33,7 +33,7 @@
 		&pomelorelay.LedgerReport{Shard: 3, Seq: 4, Full: true, Entries: entries, Interest: []pomelorelay.LedgerKey{{Pool: "p", Account: "a"}}, Round: 2},
 		&pomelorelay.LedgerTotals{Shard: 3, Ready: true, Entries: entries, Seq: 4},
 		&pomelorelay.LedgerQuery{Shard: 3, Round: 2},
-		&pomelorelay.LedgerComponent{Shard: 3, Domain: "a", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: "p", Account: "a", Sum: 2, Departed: 1, Lift: 5, Waiting: true}}},
+		&pomelorelay.LedgerComponent{Shard: 3, Domain: "a", Full: true, Entries: []pomelorelay.LedgerComponentEntry{{Pool: "p", Account: "a", Served: 2, Departed: 1, Lift: 5, Waiting: true}}},
 		&pomelorelay.LedgerComponentQuery{Shard: 3},
 		&pomelorelay.Digest{
 			Seq: 1, Members: []pomelorelay.MemberState{{Node: "r1", Incarnation: 5, Status: pomelorelay.MemberSuspect}},
@@ -44,7 +44,7 @@
 		&pomelorelay.ProbeAck{Seq: 1, Target: "r2"},
 		&pomelorelay.ConfigPull{AboveGeneration: 3, Parts: []pomelorelay.Hash{{1}, {2}}},
 		&pomelorelay.ConfigPush{Root: []byte("root"), Parts: [][]byte{[]byte("part")}},
-		&pomelorelay.ConfigApplied{Generation: 3, RefusedGeneration: 4, Code: pomelorelay.CodeMeshMalformed},
+		&pomelorelay.ConfigApplied{Generation: 3, RefusedGeneration: 4, RefusalCode: pomelorelay.CodeMeshMalformed},
 		&pomelorelay.ClaimAsk{Shard: 1, Key: key, Nonce: nonce, Content: 77},
 		&pomelorelay.ClaimAnswer{Shard: 1, Key: key, Nonce: nonce, State: pomelorelay.ClaimDone, Outcome: outcome},
 		&pomelorelay.ClaimSettle{Shard: 1, Key: key, Nonce: nonce, Released: true, State: pomelorelay.ClaimUnknown, Outcome: outcome},
--- a/pomelomesh/decode_kinds.go
+++ b/pomelomesh/decode_kinds.go
@@ -48,7 +48,7 @@
 	case *pomelowire.Item_ConfigApplied:
 		c := kind.ConfigApplied
 		return &pomelorelay.ConfigApplied{
-			Generation: pomelorelay.Generation(c.GetGeneration()), RefusedGeneration: pomelorelay.Generation(c.GetRefused()), Code: pomelorelay.ResultCode(c.GetCode()),
+			Generation: pomelorelay.Generation(c.GetGeneration()), RefusedGeneration: pomelorelay.Generation(c.GetRefused()), RefusalCode: pomelorelay.ResultCode(c.GetCode()),
 		}
 	case *pomelowire.Item_ClaimAsk:
 		return d.claimAsk(kind.ClaimAsk)
--- a/pomelomesh/decode_ledger.go
+++ b/pomelomesh/decode_ledger.go
@@ -40,7 +40,7 @@
 		e := m.GetEntries()[i]
 		c.Entries[i] = pomelorelay.LedgerComponentEntry{
 			Pool: pomelorelay.PoolID(d.nameAt(m.GetNames(), e.GetPool())), Account: pomelorelay.AccountID(d.name(e.GetAccount())),
-			Sum: d.cost(e.GetSum()), Departed: d.cost(e.GetDeparted()), Lift: d.tag(e.GetLift()), Waiting: e.GetWaiting(),
+			Served: d.cost(e.GetSum()), Departed: d.cost(e.GetDeparted()), Lift: d.tag(e.GetLift()), Waiting: e.GetWaiting(),
 		}
 	}
 	return c
--- a/pomelomesh/encode.go
+++ b/pomelomesh/encode.go
@@ -134,7 +134,7 @@
 		return &pomelowire.Item{Kind: &pomelowire.Item_ConfigPush{ConfigPush: &pomelowire.ConfigPush{Root: m.Root, Parts: m.Parts}}}
 	case *pomelorelay.ConfigApplied:
 		return &pomelowire.Item{Kind: &pomelowire.Item_ConfigApplied{ConfigApplied: &pomelowire.ConfigApplied{
-			Generation: uint64(m.Generation), Refused: uint64(m.RefusedGeneration), Code: int32(m.Code),
+			Generation: uint64(m.Generation), Refused: uint64(m.RefusedGeneration), Code: int32(m.RefusalCode),
 		}}}
 	}
 	return nil
--- a/pomelomesh/encode_ledger.go
+++ b/pomelomesh/encode_ledger.go
@@ -68,7 +68,7 @@
 	c := &pomelowire.LedgerComponent{Shard: uint32(m.Shard), Domain: string(m.Domain), Full: m.Full}
 	for _, e := range m.Entries {
 		c.Entries = append(c.Entries, &pomelowire.LedgerComponentEntry{
-			Pool: names.index(string(e.Pool)), Account: string(e.Account), Sum: float64(e.Sum), Departed: float64(e.Departed), Lift: float64(e.Lift), Waiting: e.Waiting,
+			Pool: names.index(string(e.Pool)), Account: string(e.Account), Sum: float64(e.Served), Departed: float64(e.Departed), Lift: float64(e.Lift), Waiting: e.Waiting,
 		})
 	}
 	c.Names = names.list
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -189,7 +189,7 @@
 }
 
 func (c *control) tickLedger(now time.Time) {
-	every := pomeloconfig.PeriodicInterval(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
+	every := pomeloconfig.RateLimitedInterval(c.n.cfg.Settings.Control.LedgerInterval, len(c.members.Members(c.n.self.Domain)))
 	if now.Sub(c.lastLedgerReportAt) >= every {
 		c.lastLedgerReportAt = now
 		c.reporter.SetInterval(every)
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -85,7 +85,7 @@
 }
 
 func (p *Placer) allowance(u *upstream, r *Request) allowance {
-	disabled, target := &p.cfg.Disabled, r.Target
+	disabled, target := &p.cfg.DisabledMechanisms, r.Target
 	if !disabled.SharedTarget {
 		target = minNonZero(u.pool.target, r.Target)
 	}
@@ -130,7 +130,7 @@
 func (p *Placer) exceededBound(c candidate, r *Request, a allowance) Bound {
 	ownTime := c.expectedLatency - c.queueDelay
 	switch {
-	case !r.WithinShare && c.recomputed > maxRecomputeTokens && !p.cfg.Disabled.RecomputeLimit:
+	case !r.WithinShare && c.recomputed > maxRecomputeTokens && !p.cfg.DisabledMechanisms.RecomputeLimit:
 		return BoundRecompute
 	case c.up.engine != nil && c.up.running() >= a.maxRunning:
 		return BoundSlots
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -14,8 +14,8 @@
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
 	// ColdBounds limits the request rate of the fleet to cold upstreams.
 	ColdBounds pomelorelay.ColdBounds
-	// Disabled selects the placement mechanisms that are disabled.
-	Disabled Mechanisms
+	// DisabledMechanisms selects the placement mechanisms that are disabled.
+	DisabledMechanisms Mechanisms
 }
 
 // Request describes a request to be placed.
@@ -162,15 +162,15 @@
 	ResultUnreachable
 	// ResultRefused is a response in which the upstream states that it did not run the request.
 	ResultRefused
-	// ResultNotSent is a cancellation by the caller before the request was sent.
-	ResultNotSent
+	// ResultCancelledUnsent is a cancellation by the caller before the request was sent.
+	ResultCancelledUnsent
 	// ResultLongPause is a complete answer with a pause between events that exceeds the route's limit.
 	ResultLongPause
 )
 
 // NotRun reports whether the upstream certainly did not run the request.
 func (r Result) NotRun() bool {
-	return r == ResultUnreachable || r == ResultRefused || r == ResultNotSent
+	return r == ResultUnreachable || r == ResultRefused || r == ResultCancelledUnsent
 }
 
 const (
--- a/pomeloplace/copy.go
+++ b/pomeloplace/copy.go
@@ -23,7 +23,7 @@
 func (p *Placer) findCopySource(now time.Time, s *pool, r *Request) copySource {
 	best := copySource{uncached: r.PromptTokens}
 	for _, u := range s.upstreams {
-		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.inBackoff(now, &p.cfg.Disabled) || u.cache.parts[r.Parts[0].Hash] == nil {
+		if u.engine == nil || len(r.Parts) == 0 || !p.allowed(u, r) || u.domain.evacuated || u.inBackoff(now, &p.cfg.DisabledMechanisms) || u.cache.parts[r.Parts[0].Hash] == nil {
 			continue
 		}
 		uncached := u.cache.uncached(r)
@@ -38,7 +38,7 @@
 // copying takes as long as prefilling.
 func (p *Placer) planCopy(c *candidate, from copySource, uncached pomelorelay.Tokens) time.Duration {
 	tokens := uncached - from.uncached
-	if p.cfg.Disabled.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
+	if p.cfg.DisabledMechanisms.Copies || from.up == nil || from.up == c.up || tokens < minCopyTokens {
 		return 0
 	}
 	if c.up.pool.copyFraction >= 1 {
--- a/pomeloplace/domain_test.go
+++ b/pomeloplace/domain_test.go
@@ -31,7 +31,7 @@
 
 func newDomainOutage(t *testing.T, disabled pomeloplace.Mechanisms, perDomain int) *domainOutage {
 	p := pomeloplace.New(pomeloplace.Config{
-		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, Disabled: disabled,
+		Self: pomelorelay.Peer{Node: "r1", Domain: "a", Region: "ra"}, Regions: map[pomelorelay.DomainID]pomelorelay.RegionID{"a": "ra", "b": "ra"}, DisabledMechanisms: disabled,
 	})
 	p.SetConfig(&pomelorelay.FleetConfig{Routes: routes, Services: []pomelorelay.ServiceSpec{{Name: engines, Engine: &pomelorelay.EngineSpec{Slots: 64, KVCapacity: 500_000, TokensPerEvent: 7}}}})
 	for i := range perDomain {
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -305,7 +305,7 @@
 	s.refreshEstimates(now)
 	for round := 0; round < 2 && !found; round++ {
 		for _, u := range s.upstreams {
-			if !p.usable(u, r) || u.warmup.Admission(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.Disabled) || slices.Contains(r.Avoid, u.info.ID))) {
+			if !p.usable(u, r) || u.warmup.Admission(now) != class || (round == 0 && (u.inBackoff(now, &p.cfg.DisabledMechanisms) || slices.Contains(r.Avoid, u.info.ID))) {
 				continue
 			}
 			c := p.evaluate(now, u, source, r)
--- a/pomeloplace/report.go
+++ b/pomeloplace/report.go
@@ -83,7 +83,7 @@
 	for _, l := range m.Upstreams {
 		before := o.loads[l.Upstream]
 		p.applyLoad(now, o, l)
-		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.Disabled.RemoteCacheUse {
+		if u := p.upstreams[l.Upstream]; u != nil && before.sent > 0 && !p.cfg.DisabledMechanisms.RemoteCacheUse {
 			u.cache.addUnidentified(l.PromptTokensSent - before.sent - identified[l.Upstream])
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 func (p *Placer) applySpeeds(now time.Time, o *peer, speeds []pomelorelay.SpeedSums) {
-	if p.cfg.Disabled.SharedSpeeds {
+	if p.cfg.DisabledMechanisms.SharedSpeeds {
 		return
 	}
 	for _, sums := range speeds {
@@ -173,7 +173,7 @@
 // this assumption, routers that start at once would all see idle engines and overfill them several times before the first reports arrive,
 // and callers would get answers seconds late after a restart of the fleet.
 func (p *Placer) SetUnreportedRouters(routers int) {
-	if p.cfg.Disabled.UnreportedRouterLoad {
+	if p.cfg.DisabledMechanisms.UnreportedRouterLoad {
 		routers = 0
 	}
 	for _, s := range p.pools {
@@ -184,7 +184,7 @@
 // Tick removes routers whose reports have expired and updates the assignment of long prompts.
 func (p *Placer) Tick(now time.Time) {
 	for _, s := range p.pools {
-		s.assignLongEngines(now, &p.cfg.Disabled)
+		s.assignLongEngines(now, &p.cfg.DisabledMechanisms)
 	}
 	p.oldestReportAt = time.Time{}
 	for node, o := range p.peers {
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -109,7 +109,7 @@
 func (p *Placer) evaluate(now time.Time, u *upstream, from copySource, r *Request) candidate {
 	c := candidate{up: u, queueDelay: u.queueDelay(now)}
 	c.expectedLatency = c.queueDelay + p.regionLatency(u)
-	disabled := &p.cfg.Disabled
+	disabled := &p.cfg.DisabledMechanisms
 	if u.otherRegion && !disabled.RegionCost {
 		c.addCost(TermRegion, u.poolPrefillTime(crossRegionTokens))
 	}
@@ -127,7 +127,7 @@
 }
 
 func (p *Placer) evaluateEngine(now time.Time, c *candidate, from copySource, r *Request) {
-	u, disabled := c.up, &p.cfg.Disabled
+	u, disabled := c.up, &p.cfg.DisabledMechanisms
 	uncached := u.cache.uncached(r)
 	copyTime := p.planCopy(c, from, uncached)
 	uncached -= c.copiedTokens
--- a/pomeloroute/answer.go
+++ b/pomeloroute/answer.go
@@ -45,7 +45,7 @@
 }
 
 func (c *call) forwardBuffered(x *pomelolink.Exchange, buffer *bytes.Buffer, m *meter) *pomelolink.Failure {
-	x.Complete = true
+	x.BodyComplete = true
 	if c.service.Kind == pomeloconfig.ServiceModel {
 		m.readUsage(buffer.Bytes())
 	}
@@ -73,7 +73,7 @@
 			c.flush()
 		}
 	}
-	x.Complete = true
+	x.BodyComplete = true
 	c.recordOutcome(x.Response, nil, false)
 	c.writeTrailer(x.Response)
 	return nil
--- a/pomeloroute/stream.go
+++ b/pomeloroute/stream.go
@@ -93,8 +93,8 @@
 	if s.engine {
 		return false
 	}
-	s.x.Complete = s.x.Response.ContentLength >= 0 || len(s.x.Response.TransferEncoding) > 0
-	return s.x.Complete
+	s.x.BodyComplete = s.x.Response.ContentLength >= 0 || len(s.x.Response.TransferEncoding) > 0
+	return s.x.BodyComplete
 }
 
 // alreadyForwarded reports whether the event was forwarded before; an engine may repeat some after a resume.
@@ -138,7 +138,7 @@
 		return nil
 	}
 	if _, err := s.events.Next(); errors.Is(err, io.EOF) {
-		s.x.Complete = true
+		s.x.BodyComplete = true
 	}
 	return nil
 }
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -16,7 +16,7 @@
 // NewPauseRatio returns an estimate of the fraction of streams that pause for longer than their callers accept, among those that run while
 // their engine prefills for that long. Engines that prefill in short chunks, or whose events hold few tokens, keep sending events meanwhile.
 func NewPauseRatio() *DecayingRatio {
-	return NewDecayingRatio(DecayingRatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinWeight: minStreams, MaxReportWeight: maxReportAnswers})
+	return NewDecayingRatio(DecayingRatioConfig{Prior: pausePrior, PriorWeight: pausePriorStreams, HalfLife: observationHalfLife, MinDenominator: minStreams, MaxReportWeight: maxReportAnswers})
 }
 
 // PauseWeight returns the weight, from 0 to 1, of the cost of long prefills, given the fraction of streams that pause too long during them.
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -24,8 +24,8 @@
 	// Prior is the value before any observation. PriorWeight is the denominator with which the prior counts beside the observed sums.
 	Prior, PriorWeight float64
 	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
-	HalfLife  time.Duration
-	MinWeight float64
+	HalfLife       time.Duration
+	MinDenominator float64
 	// MaxReportWeight bounds the denominator with which one report of another router counts. A router's first report covers all observations
 	// since its start and would outweigh recent ones.
 	MaxReportWeight float64
@@ -79,9 +79,9 @@
 	if passed <= 0 {
 		return
 	}
-	if !r.decayedAt.IsZero() && r.observed.Denominator > r.cfg.MinWeight {
+	if !r.decayedAt.IsZero() && r.observed.Denominator > r.cfg.MinDenominator {
 		retained := math.Exp2(-float64(passed) / float64(r.cfg.HalfLife))
-		r.observed.scale(max(retained, r.cfg.MinWeight/r.observed.Denominator))
+		r.observed.scale(max(retained, r.cfg.MinDenominator/r.observed.Denominator))
 	}
 	r.decayedAt = now
 }
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -145,8 +145,8 @@
 	Remaining time.Duration
 	// Unreachable reports whether the upstream accepted no connection and has not answered since.
 	Unreachable bool
-	// Holder reports whether this router may send to the upstream while it is cold.
-	Holder bool
+	// MaySendWhileCold reports whether this router may send to the upstream while it is cold.
+	MaySendWhileCold bool
 }
 
 // Status returns the warm-up state for the log.
@@ -154,7 +154,7 @@
 	if !u.Cold(now) {
 		return Status{}
 	}
-	return Status{Cold: true, Remaining: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreachable: now.Before(u.suspectUntil), Holder: u.gate.isHolder(u)}
+	return Status{Cold: true, Remaining: max(u.coldUntil.Sub(now), u.suspectUntil.Sub(now)), Unreachable: now.Before(u.suspectUntil), MaySendWhileCold: u.gate.isHolder(u)}
 }
 
 // Admission returns the upstream's admission class for a request of this router.
