--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Guards against requests of a removed router that stay counted, and against a new relay that counts the tokens that routers have sent
-// for hours as sent just now.
+// Guards against requests of a removed router that stay counted, and against a new relay that counts all tokens sent since the routers started,
+// hours ago, as newly sent.
 func TestAggregateRemovesSilentSourcesAndStartsAtBaseline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sum := pomeloentry.NewAggregate()
--- a/pomeloentry/doc.go
+++ b/pomeloentry/doc.go
@@ -1,5 +1,6 @@
 // Package pomeloentry runs one router of the fleet. A single control goroutine
-// owns all decision state (placement, shares, fleet membership). The request path,
-// the store reader, the mesh links to other routers and the HTTP listeners run in
-// other goroutines and send it events.
+// owns all decision state (placement, shares, fleet membership). Other
+// goroutines handle requests, read the platform's store, serve the mesh links
+// to other routers and listen for HTTP connections; they send events to the
+// control goroutine.
 package pomeloentry
--- a/pomeloentry/evacuation_test.go
+++ b/pomeloentry/evacuation_test.go
@@ -12,8 +12,8 @@
 func loggedRestoration(n *node) bool         { return n.log.has(pomelorelay.EventDomainRestored) }
 func inDomainB(u *pomelorelay.FleetUpstream) { u.Domain = "b" }
 
-// Guards against an evacuation that a router does not apply because it is cut off from the store or starts in an outage, and against
-// one that ends when a router reads the complete state again.
+// Guards against an evacuation that a router does not apply because the router is cut off from the store or starts in an outage,
+// and against an evacuation that ends when a router reads the complete state again.
 func TestEvacuationReachesEveryRouter(t *testing.T) {
 	f := newFleet(t)
 	f.store.PublishConfig(f.config(1, "/a/"))
@@ -54,7 +54,8 @@
 	f.await("every router logs the end of the evacuation", func() bool { return loggedRestoration(a) && loggedRestoration(b) && loggedRestoration(late) })
 }
 
-// Guards against updates after a store read that omit evacuations, and against a full state that leaves ended evacuations in place.
+// Guards against updates that omit evacuations read from the store, and against a full state that leaves ended evacuations in
+// force.
 func TestUpdatesAndStatesCarryEvacuations(t *testing.T) {
 	now := time.Now()
 	f := pomeloentry.NewUpdateControl("a-1", 4*time.Second, peersOf(2, 3))
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -42,7 +42,8 @@
 	return PlacementControl{c}
 }
 
-// UnreportedAfter returns how many routers count as unreported at the given time after one registered that never sends a report.
+// UnreportedAfter returns how many routers count as unreported when the given time has passed since the registration of a router that never
+// sends a report.
 func UnreportedAfter(passed time.Duration) int {
 	p, now := newPeers(), time.Now()
 	p.register(now, pomelorelay.Peer{Node: "silent", Domain: "b", Region: "rb"})
@@ -72,7 +73,7 @@
 	return served
 }
 
-// LongestReadPause returns the longest time between updates from a router that reads the store continuously, for a drain wait.
+// LongestReadPause returns, for a drain wait, the longest time between updates from a router that reads the store continuously.
 func LongestReadPause(drain time.Duration) time.Duration {
 	return time.Duration((readIntervalFraction + watchWaitFraction) * float64(drain))
 }
--- a/pomeloentry/fleet_test.go
+++ b/pomeloentry/fleet_test.go
@@ -71,7 +71,7 @@
 	return false
 }
 
-// print writes the router's log to the test output, so that a rare failure can be analysed from its run.
+// print writes the router's log to the test output, so that a rare failure can be analysed from the run in which it occurred.
 func (l *eventLog) print(t *testing.T, node pomelorelay.NodeID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pomeloentry/listen.go
+++ b/pomeloentry/listen.go
@@ -24,7 +24,7 @@
 	maxHeaderBytes = 64 << 10
 	// stopPollInterval is how often a graceful stop checks whether the last connection has closed.
 	stopPollInterval = 20 * time.Millisecond
-	// stopMargin is how long before the process is killed a graceful stop ends by itself.
+	// stopMargin is the time by which a graceful stop ends before the process would be killed.
 	stopMargin = 700 * time.Millisecond
 	// balancerDrainTime is how long after the stop signal the load balancer may send new connections: two readiness checks, 1 s apart.
 	balancerDrainTime = 2500 * time.Millisecond
--- a/pomeloentry/load.go
+++ b/pomeloentry/load.go
@@ -36,9 +36,10 @@
 	// ready and closes callers' connections after their answers. It does so until nearCapacityHold after the load has dropped.
 	nearCapacityFraction = 0.85
 	nearCapacityHold     = 2500 * time.Millisecond
-	// The request limit follows the processor: each tick later than lateTickThreshold multiplies it by limitDecrease, each punctual
-	// tick near the limit by limitIncrease. The cost of a stream depends on its event rate, so a fixed limit would overload some hosts
-	// for seconds and make others refuse requests with idle processors.
+	// The request limit follows the processor: each tick later than lateTickThreshold multiplies the limit by limitDecrease; each
+	// punctual tick, while the number of requests is close to the limit, multiplies the limit by limitIncrease. The cost of a stream
+	// depends on its event rate, so a fixed limit would overload some hosts for seconds and make others refuse requests with idle
+	// processors.
 	limitDecrease = 0.9
 	limitIncrease = 1.02
 	// fullRouterRetryAfter is the Retry-After of a full router; another router can accept the request immediately.
@@ -75,8 +76,8 @@
 	// maxLag is the tick delay above which the processor is overloaded and new requests are refused. A request that waits this long to
 	// be read has used a quarter of its latency target.
 	maxLag = 100 * time.Millisecond
-	// lateTickThreshold is the tick delay from which the router lowers its request limit, and checks that a caller is still connected
-	// before it forwards the request.
+	// lateTickThreshold is the tick delay from which the router lowers its request limit, and checks before forwarding a request that
+	// its caller is still connected.
 	lateTickThreshold = 20 * time.Millisecond
 	// lateTickHold is how long after a late tick the router keeps checking that callers are still connected; callers give up after
 	// waiting 1 s.
@@ -113,7 +114,8 @@
 	e.requestLimit.Store(int64(limit))
 }
 
-// recentlyLate reports whether the control goroutine was late within lateTickHold; requests that waited meanwhile are read only now.
+// recentlyLate reports whether the control goroutine is late, or was late at most lateTickHold ago. Requests that arrived meanwhile
+// are read late, and their callers may have given up.
 func (e *Router) recentlyLate() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	return e.lag() >= lateTickThreshold || now-e.lastLateTickAt.Load() < int64(lateTickHold)
@@ -143,8 +145,8 @@
 }
 
 // countRefused adds the cost of a request that was refused without reading its body to its account's demand. Otherwise an account
-// whose callers reach full routers would appear idle and satisfied, and its share would go to others. A full event queue drops the
-// count, because request handling must not wait for the control goroutine.
+// whose callers reach full routers would appear idle and satisfied, and its share would go to others. If the event queue is full,
+// the cost is dropped, because request handling must not wait for the control goroutine.
 func (e *Router) countRefused(r *http.Request) {
 	account, cost := e.forward.EstimateCost(r)
 	if cost <= 0 {
@@ -164,7 +166,7 @@
 }
 
 // callerGone reports whether the caller closed its connection. On an overloaded processor net/http detects this late, and requests
-// would be forwarded whose callers have already given up.
+// of callers that have already given up would be forwarded.
 func (e *Router) callerGone(r *http.Request) bool {
 	if !e.recentlyLate() {
 		return false
@@ -186,7 +188,7 @@
 	return gone || err != nil
 }
 
-// nearCapacity reports whether the router is close to its capacity, or was within nearCapacityHold.
+// nearCapacity reports whether the router is close to its capacity, or was close to it at most nearCapacityHold ago.
 func (e *Router) nearCapacity() bool {
 	now := e.cfg.Clock.Now().UnixNano()
 	full := e.lag() > maxLag || float64(e.inFlight.Load()) > nearCapacityFraction*float64(e.requestLimit.Load()) || float64(e.conns.Load()) > nearCapacityFraction*float64(e.hostLimits.maxConns)
--- a/pomeloentry/peers.go
+++ b/pomeloentry/peers.go
@@ -40,8 +40,8 @@
 	return now.Sub(p.seenAt) <= relayTimeout || now.Sub(p.knownSince) <= relayGrace
 }
 
-// peers holds the other routers. One that cannot reach the store loses its registration but still gets every message while its own
-// messages arrive; otherwise it would keep an old configuration although its neighbours could send it the new one.
+// peers holds the other routers. A router that cannot reach the store loses its registration but still gets every message while its own messages
+// arrive; otherwise it would keep an old configuration although its neighbours could send it the new one.
 type peers struct {
 	byNode map[pomelorelay.NodeID]*knownPeer
 }
@@ -92,9 +92,9 @@
 // markFullyReported records a full report from the router.
 func (p *peers) markFullyReported(node pomelorelay.NodeID) { p.byNode[node].fullyReported = true }
 
-// unreportedTimeout is how long a router without a load report is assumed to send as much as this one: several intervals of full
-// reports. With a longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for
-// them, and refuse requests although engines are idle until the partition ends.
+// unreportedTimeout is how long a router without a load report is assumed to send as much as this one: several intervals of full reports. With a
+// longer time, a router started while other regions are cut off would reserve most of the reachable upstreams for the routers there, and refuse
+// requests until the partition ends although engines are idle.
 const unreportedTimeout = 3 * time.Second
 
 // unreported returns the number of registered routers that became known within unreportedTimeout and have sent no full report.
--- a/pomeloentry/place_test.go
+++ b/pomeloentry/place_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// Guards against a router that starts while another region is cut off, and forever counts the routers there as sending as much as
-// itself. Most of each engine would stay reserved for them, and requests would be refused although engines are idle.
+// Guards against capacity that stays reserved for routers that never report. A router that starts while another region is cut off
+// would assume that each router there sends as much as itself, reserve most of each engine for them, and refuse requests although
+// engines are idle.
 func TestUnreportedRoutersStopCountingAfterTimeout(t *testing.T) {
 	for _, c := range []struct {
 		passed time.Duration
@@ -63,9 +64,9 @@
 	}
 }
 
-// Guards against not counting requests that a full router refuses without reading as demand of their account. If the load balancer
-// sends most callers of one account to a full host, the routers would assume that this account is satisfied. Another account would
-// then get twice as much while the first account is refused.
+// Guards against underestimating the demand of an account whose requests full routers refuse unread. If the load balancer sends
+// most callers of the account to a full host, the routers would assume that the account is satisfied, and another account would get
+// twice as much while requests of the first one are refused.
 func TestRequestsRefusedByFullRouterCountAsDemand(t *testing.T) {
 	d := pomeloentry.NewPlacementControl(pomelorelay.FleetConfig{
 		Limits:   pomelorelay.CallerLimits{TokensPerSecond: 10_000},
--- a/pomeloentry/placement.go
+++ b/pomeloentry/placement.go
@@ -72,7 +72,7 @@
 }
 
 // apply ends a run. The cost of a request that did not run is returned to its account: otherwise, while upstreams are down, an
-// account whose requests hit them first would use up its share without service and get its other requests refused.
+// account whose requests are sent to them would use up its share without being served, and its other requests would be refused.
 func (e *runEnded) apply(c *control, now time.Time) {
 	c.placer.RecordEnd(now, e.run, e.result)
 	if e.result.NotRun() && e.request.Cost > 0 && e.request.Account != "" && !e.request.Charged {
--- a/pomeloentry/relay.go
+++ b/pomeloentry/relay.go
@@ -221,7 +221,7 @@
 	r.all.markFlushed()
 }
 
-// nextRelays returns the routers of this failure domain next in line as relay.
+// nextRelays returns the routers of this failure domain that would next become its relay.
 func (c *control) nextRelays(now time.Time) []pomelorelay.NodeID {
 	var live []pomelorelay.Peer
 	for _, p := range c.peers.byNode {
--- a/pomeloentry/router_test.go
+++ b/pomeloentry/router_test.go
@@ -35,8 +35,8 @@
 // hasPeers reports whether a logged list of routers is not empty. The first list may be read before the other routers have registered.
 func hasPeers(f pomelorelay.Field) bool { return f.Key == "Peers" && f.Value != 0 }
 
-// Guards against a router that serves removed routes, refuses new ones or uses a leaving upstream while it is cut off from the store,
-// although its peers could update it.
+// Guards against a router that, while cut off from the store, serves removed routes, refuses new ones or uses a leaving upstream, although its
+// peers could update it.
 func TestRouterWithoutStoreIsUpdatedByPeers(t *testing.T) {
 	f := newFleet(t)
 	f.store.PublishConfig(f.config(1, "/old/"))
@@ -102,7 +102,8 @@
 	}
 }
 
-// Guards against an older configuration from a restored store or a peer replacing a newer one: the router would accept a revoked key.
+// Guards against replacing a configuration by an older one, received from a restored store or from a peer: the router would accept a revoked
+// key.
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	f := newFleet(t)
 	f.store.PublishConfig(f.config(5, "/new/"))
@@ -197,8 +198,8 @@
 	})
 }
 
-// Guards against a small host that accepts all requests of one account's flood: they would be answered late, and the process would be
-// killed for its memory use with all other requests.
+// Guards against a small host that accepts all requests of one account's flood: they would be answered late, and the process would be killed for
+// its memory use, which would end all its other requests.
 func TestFullRouterRefusesRequests(t *testing.T) {
 	f := newFleet(t)
 	f.store.PublishConfig(f.config(1, "/a/"))
--- a/pomeloentry/state.go
+++ b/pomeloentry/state.go
@@ -17,8 +17,8 @@
 	stateRequestInterval = 500 * time.Millisecond
 )
 
-// stateRequests holds since when this router lacks the configuration, the upstreams or the list of routers, and when it last requested
-// them from another router.
+// stateRequests holds the time since which this router lacks the configuration, the upstreams or the list of routers, and the time of its last
+// request to another router for them.
 type stateRequests struct {
 	since       time.Time
 	requestedAt time.Time
@@ -51,7 +51,7 @@
 	}
 	c.stateRequests.requestedAt = now
 	m := &pomelorelay.StateAsk{Above: c.version(), Upstreams: !c.e.cursor.hasRead()}
-	// Map iteration order varies which peer is asked, because any single peer may lack the same state.
+	// The random order of map iteration lets repeated requests reach different peers, because any single peer may lack the same state.
 	for node := range c.peers.byNode {
 		c.send(node, m)
 		return
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -21,9 +21,9 @@
 	readIntervalFraction = 0.2
 	// watchWaitFraction is how long a read waits for a change, as a fraction of the drain wait.
 	watchWaitFraction = 0.2
-	// takeoverFraction is the time without updates after which the second router in the read order reads the store, as a fraction of
-	// the drain wait; takeoverStepFraction is added for each later router. A working reader is silent for at most its read interval
-	// plus its watch wait.
+	// takeoverFraction is the time without updates after which the second router in the read order reads the store, as a fraction of the drain
+	// wait; takeoverStepFraction is added for each later router. While the router that reads the store works, the time without updates is at most
+	// its read interval plus its watch wait.
 	takeoverFraction     = 0.5
 	takeoverStepFraction = 0.03
 	// takeoverPollInterval is how often a router checks whether it must read the store.
@@ -136,7 +136,8 @@
 	return "takeover"
 }
 
-// postRead sends a read result to the control goroutine and waits until it is applied, because the next read starts after it.
+// postRead sends a read result to the control goroutine and waits until the result is applied, because that advances the cursor from which the
+// next read starts.
 func (e *Router) postRead(ctx context.Context, r *storeRead) {
 	r.done = make(chan struct{})
 	if !e.post(r) {
--- a/pomeloentry/storereader_test.go
+++ b/pomeloentry/storereader_test.go
@@ -10,8 +10,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloentry"
 )
 
-// Guards against routers that read the store during a normal pause of the router that reads it continuously, and against a takeover so
-// late that a leaving upstream still gets requests after its drain wait.
+// Guards against routers that read the store during a normal pause of the router that reads it continuously, and against routers that take over
+// from a failed one so late that a leaving upstream still gets requests after its drain wait.
 func TestTakeoverWaitsForReadersLongestPause(t *testing.T) {
 	for _, drain := range []time.Duration{2500 * time.Millisecond, 4 * time.Second} {
 		second, pause := pomeloentry.ReadDelayOf(drain, 1), pomeloentry.LongestReadPause(drain)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against a router that keeps using upstreams because it missed the update in which they left.
+// Guards against a router that keeps using upstreams because it missed the update that removed them.
 func TestMissedUpdateIsRecoveredFromPeerState(t *testing.T) {
 	now := time.Now()
 	up := func(ids ...pomelorelay.UpstreamID) []pomelorelay.FleetUpstream {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Guards against an update without the configuration that was read with it.
+// Guards against a router that reads a configuration from the store and omits it from its update to the other routers.
 func TestReaderSendsConfigurationItRead(t *testing.T) {
 	fleet := newFleet(t)
 	f := pomeloentry.NewUpdateControl("a-0", 4*time.Second, peersOf(2, 3))
@@ -143,8 +143,8 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	after := f.store.Calls()
-	// The reader makes a call every 0.2 s, a fifth of the drain wait of 1 s, and reads the complete state once. The bound allows for a
-	// moment in which two routers read.
+	// The router that reads the store makes a call every 0.2 s, a fifth of the drain wait of 1 s, and reads the complete state once. The bound
+	// allows for a moment in which two routers read.
 	allowed := 2*int(time.Since(began)/(200*time.Millisecond)) + 4
 	if calls := after.Watches + after.Reads - before.Watches - before.Reads; calls > allowed {
 		t.Errorf("%d routers made %d calls in %v, want at most %d: %+v, before %+v", routers, calls, time.Since(began), allowed, after, before)
--- a/pomeloentry/storetask.go
+++ b/pomeloentry/storetask.go
@@ -18,9 +18,9 @@
 	maxPassiveRetryPause = 5 * time.Second
 )
 
-// maxPauseOf returns the longest pause of a task between retries. Only the reader probes an unreachable store; its success wakes the
-// other tasks. The bound grows with the router's read delay, because failing calls of a large fleet would use up the store's rate
-// limit.
+// maxPauseOf returns the longest pause of a task between retries. Only the task that reads the store probes it while it is
+// unreachable; the success of that task wakes the others. The bound grows with the router's read delay, because failing calls of a
+// large fleet would use up the store's rate limit.
 func (e *Router) maxPauseOf(t *storeTask) time.Duration {
 	if !t.probesStore {
 		return maxPassiveRetryPause
--- a/pomeloentry/upstreams.go
+++ b/pomeloentry/upstreams.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// defaultDrainWait is the drain wait when the settings name none: the time after which a leaving upstream must get no requests.
+	// defaultDrainWait is the drain wait, the time after which a leaving upstream must get no new requests, if the settings have no
+	// DrainTimeout.
 	defaultDrainWait = 2500 * time.Millisecond
 	// reregisterGrace is how long after a store outage an upstream without an entry in the store is kept; live upstreams register
 	// again within 2 s.
 	reregisterGrace = 2300 * time.Millisecond
 	// massLapseGrace is how long upstreams are kept when many entries lapse at once, as after a store outage that this router did not
-	// notice. Together with the read interval it is shorter than the drain wait, after which an upstream that really left must get no
-	// requests.
+	// notice. The sum of this time and the read interval is shorter than the drain wait, after which an upstream that really left must
+	// get no requests.
 	massLapseGrace = 1500 * time.Millisecond
 	// massLapseFraction is the fraction of upstreams whose entries must lapse within massLapseGrace to count as a mass lapse.
 	massLapseFraction = 0.34
 	// storeSilenceFraction is the time without an answer from the store, as a fraction of the drain wait, after which a router accepts
-	// its peers' information on upstreams and expects lapsed entries. Upstreams write every 1.2 s, so each read interval normally
-	// brings some changes.
+	// its peers' information on upstreams and keeps upstreams with lapsed entries for reregisterGrace. Upstreams write every 1.2 s, so
+	// each read interval normally brings some changes.
 	storeSilenceFraction = 0.8
 	// leavingReportTime is how long load reports name a leaving upstream.
 	leavingReportTime = 3 * time.Second
 )
 
-// scaledDrainWait returns a fraction of the drain wait.
+// scaledDrainWait returns a fraction of the drain wait, which is DrainTimeout in the settings.
 func (e *Router) scaledDrainWait(fraction float64) time.Duration {
 	drain := e.cfg.Settings.DrainTimeout
 	if drain <= 0 {
@@ -114,7 +115,7 @@
 }
 
 // lapseUpstream handles an entry that is missing from the store. Leases lapse in a store outage, and live upstreams register again
-// after it; removing them at once would leave a whole service without upstreams for two seconds.
+// after it; removing the upstreams at once would leave a whole service without upstreams for two seconds.
 func (c *control) lapseUpstream(now time.Time, id pomelorelay.UpstreamID) {
 	u, known := c.upstreams.present[id]
 	if !known {
@@ -173,8 +174,8 @@
 	c.e.log(pomelorelay.EventUpstreamGone, field("Upstream", id))
 }
 
-// applyLeaving marks the upstreams that a peer reports as leaving. Without it, a router cut off from the store would send them new
-// requests. A router with access to the store ignores such reports, because its entries are newer.
+// applyLeaving marks the upstreams that a peer reports as leaving. Otherwise a router cut off from the store would send new
+// requests to these upstreams. A router with access to the store ignores such reports, because its entries are newer.
 func (c *control) applyLeaving(now time.Time, from pomelorelay.NodeID, ids []pomelorelay.UpstreamID) {
 	if now.Sub(c.upstreams.listedAt) <= c.e.scaledDrainWait(storeSilenceFraction) {
 		return
--- a/pomeloforward/answer.go
+++ b/pomeloforward/answer.go
@@ -96,7 +96,8 @@
 	c.w.WriteHeader(resp.StatusCode)
 }
 
-// write sends bytes to the caller. A write error is ignored: the loss of the caller ends the call's context, which ends the reading.
+// write sends bytes to the caller. A write error is ignored: when the caller has disconnected, the call's context ends, and with it
+// the reading of the answer.
 func (c *call) write(p []byte) {
 	if len(p) > 0 {
 		_, _ = c.w.Write(p)
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -78,13 +78,14 @@
 	defaultRetryAfter = 500 * time.Millisecond
 	// answerGrace is how long after the deadline the router waits for the upstream's own final answer, which takes a one-way trip between regions.
 	answerGrace = 100 * time.Millisecond
-	// dialTimeout bounds a connection attempt: a round trip to another region, and a lost packet, which costs 200 ms.
+	// dialTimeout bounds a connection attempt. It allows for a round trip to another region and a lost packet, which costs 200 ms.
 	dialTimeout = 500 * time.Millisecond
-	// ackTimeout is how long an upstream's host may leave data unacknowledged: ten one-way trips between regions, and two lost packets.
+	// ackTimeout is how long an upstream's host may leave data unacknowledged. It allows for ten one-way trips between regions and two lost
+	// packets.
 	ackTimeout = 2 * time.Second
 	// idleTimeout closes idle connections to upstreams; upstreams may announce shorter times.
 	idleTimeout = 10 * time.Second
-	// maxIdleConns bounds the idle connections to one upstream: the requests that an engine runs from one router in a burst.
+	// maxIdleConns bounds the number of idle connections to one upstream; in a burst, an engine runs about as many requests of one router.
 	maxIdleConns = 64
 	// maxAnswerHeaderBytes bounds the status line and header of an answer.
 	maxAnswerHeaderBytes = 64 << 10
--- a/pomeloforward/forward_test.go
+++ b/pomeloforward/forward_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Guards against failing a request that did not run: a full upstream says so with 503, another upstream that now has the address of the selected
-// one with 421. After either status the request is safe to retry elsewhere, even when it may run only once.
+// Guards against failing a request that did not run: a full upstream answers with 503, and another upstream that has taken over the address of
+// the selected one with 421. After either status the request is safe to retry elsewhere, even when it may run only once.
 func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, status := range []int{503, 421} {
 		full := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// Guards against forwarding a status that states that the request did not run, from an upstream that ran it.
+// Guards against forwarding a status for "not run" that the upstream does not confirm: the caller would repeat a request that may have run.
 func TestUnconfirmedNotRunStatusBecomesBadGateway(t *testing.T) {
 	for _, status := range []int{408, 429, 503} {
 		u := newUpstream(t, func(conn net.Conn, r *http.Request) { write(conn, plainAnswer(r, status, "busy")) })
@@ -154,7 +154,7 @@
 	}
 }
 
-// Guards against extra bytes or a repeated answer on a connection being taken for the next answer, which would reach another caller.
+// Guards against taking extra bytes or a repeated answer on a connection for the next answer, which would go to another caller.
 func TestExtraBytesAreNotForwarded(t *testing.T) {
 	u := newUpstream(t, func(conn net.Conn, r *http.Request) {
 		write(conn, plainAnswer(r, 200, "mine")+plainAnswer(r, 200, "extra"))
@@ -337,8 +337,8 @@
 	}
 }
 
-// Guards against sending a request whose caller gave up while the processor stalled and the connection to the upstream was opened.
-// Its reservation must be released and its account not charged.
+// Guards against sending a request whose caller gave up while the router, on a stalled processor, opened the connection to the upstream. The
+// reservation of the request must be released and its account not charged.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	var runs atomic.Int64
 	up := newUpstream(t, func(conn net.Conn, r *http.Request) {
@@ -347,7 +347,7 @@
 	})
 	h := newHarness(t, up.entry("up"))
 	var checks atomic.Int64
-	// The first two checks whether the caller has disconnected come before the placement and before the connection is opened.
+	// The caller counts as connected in the first two checks: before the placement and before the connection is opened.
 	h.mu.Lock()
 	h.callerGone = func() bool { return checks.Add(1) > 2 }
 	h.mu.Unlock()
@@ -364,7 +364,7 @@
 	}
 }
 
-// Guards against counting a stream as a good answer although it paused too long while its engine processed another long prompt:
+// Guards against counting a stream as a good answer although it paused too long while its engine processed the long prompt of another request:
 // placement would not learn to send long prompts elsewhere.
 func TestStreamWithLongPauseIsReportedAsPaused(t *testing.T) {
 	for _, c := range []struct {
--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -7,15 +7,15 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// BoundRecompute protects against a flood of sessions whose engines are busy: other engines would prefill the sessions' shared prefixes again.
-// BoundSlots protects against more long answers than engines can run, BoundQueue against more prompts than they can prefill, BoundTime against
-// late answers. Requests within their account's share (in-share) may use all slots and most of the queue, those beyond it (over-share) the
-// remainder. The further an account is ahead of one that is short of its demand, the less it gets.
+// BoundRecompute limits the cached tokens prefilled again when a flood of sessions finds its engines busy, BoundSlots the requests running at an
+// engine when answers are long, BoundQueue the wait when prompts exceed the prefill rate, BoundTime the time until the answer begins. In-share
+// requests (within the account's share) may use all slots and most of the queue, over-share requests less. An account is ahead when it has been
+// served more than an account that is short of its demand; the larger this lead, the lower its limits.
 
 const (
-	// These fractions of the shortest latency target limit the queue delay of in-share requests, of over-share requests, and of over-share
-	// requests whose account is ahead of one that is short of its demand. The last limit and the slots shrink with the square of the lead, down
-	// to a factor of minAheadFraction: callers consider it unfair when an account gets twice as much as another that is short.
+	// These fractions of the shortest latency target limit the queue delay of in-share requests, of over-share requests, and of over-share requests
+	// whose account is ahead of one that is short of its demand. The last limit and the slots of such requests are divided by the square of the
+	// lead, at most to minAheadFraction of their value: callers consider it unfair when an account gets twice as much as a short one.
 	inShareQueueFraction   = 0.45
 	overShareQueueFraction = 0.2
 	aheadQueueFraction     = 0.15
@@ -28,12 +28,12 @@
 	// the reserve, in-share requests would find engines full of over-share requests.
 	slotReserveFactor  = 3.0
 	maxReserveFraction = 0.4
-	// yieldedSlotFraction times the lead is the fraction of an engine's slots that an account leaves free while it is ahead of one far short of
-	// its demand; maxYieldedSlotFraction limits that fraction.
+	// yieldedSlotFraction times Request.LeadOverLeastServed is the fraction of an engine's slots that an account leaves free while it is ahead of
+	// an account that is far short of its demand; maxYieldedSlotFraction is the maximum of that fraction.
 	yieldedSlotFraction    = 0.1
 	maxYieldedSlotFraction = 0.35
-	// maxRecomputeTokens limits the shared tokens that an over-share request may prefill although a busier engine has them cached; it is about
-	// what an engine processes in one step.
+	// maxRecomputeTokens is the maximum number of shared tokens that an over-share request may prefill although a busier engine has them cached; an
+	// engine processes about as many in one step.
 	maxRecomputeTokens = 400
 	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. The minimum is the time in which an engine frees a slot and load
 	// reports of it reach the routers; callers that retry within their target can still be served on time.
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -32,11 +32,11 @@
 	MaxWait time.Duration
 	// WithinShare reports whether the request is within its account's fair share.
 	WithinShare bool
-	// LeadOverLevel is the account's usage divided by the maximum that an account beyond its fair share is allowed while another account is
-	// short of its demand; zero while none is. Above 1, the account's over-share requests get a shorter queue and fewer slots.
+	// LeadOverLevel is the account's usage divided by the maximum that an account beyond its fair share is allowed while another account is short
+	// of its demand; zero while no account is short. Above 1, the account's over-share requests get a shorter queue and fewer slots.
 	LeadOverLevel float64
-	// LeadOverLeastServed is the account's usage divided by the maximum that any account is allowed while another one is far short of its
-	// demand; zero while none is. Above 1, all of the account's requests get fewer slots.
+	// LeadOverLeastServed is the account's usage divided by the maximum that any account is allowed while another one is far short of its demand;
+	// zero while no account is far short. Above 1, all of the account's requests get fewer slots.
 	LeadOverLeastServed float64
 	// Residency restricts the regions in which the request may be served.
 	Residency pomelorelay.Residency
@@ -78,10 +78,10 @@
 	BoundQueue Bound = "Queue"
 	// BoundTime limits the expected time until the answer begins.
 	BoundTime Bound = "Time"
-	// BoundSlots limits the requests running at an engine.
+	// BoundSlots limits the number of requests running at an engine.
 	BoundSlots Bound = "Slots"
-	// BoundRecompute limits the shared prompt tokens that a request beyond its account's share may prefill although another engine has them
-	// cached.
+	// BoundRecompute limits the number of shared prompt tokens that a request beyond its account's share may prefill although another engine has
+	// them cached.
 	BoundRecompute Bound = "Again"
 )
 
--- a/pomeloplace/domain.go
+++ b/pomeloplace/domain.go
@@ -37,8 +37,8 @@
 // inBackoff reports whether the domain is in backoff.
 func (d *domainState) inBackoff(now time.Time) bool { return now.Before(d.backoffUntil) }
 
-// recordSend records a request to the domain. The first request to an unreachable domain after its backoff is a probe; a new backoff holds other
-// requests back until the outcome of the probe is known.
+// recordSend records a request to the domain. The first request to an unreachable domain after its backoff is a probe; a new backoff keeps other
+// requests away from the domain until the outcome of the probe is known.
 func (d *domainState) recordSend(now time.Time) {
 	if d.unreachable() && !d.inBackoff(now) {
 		d.backoffUntil, d.probing = now.Add(unreachableBackoff), true
--- a/pomeloplace/load_test.go
+++ b/pomeloplace/load_test.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// Guards against successive prefills of long prompts beside the same streams. At low load, with engines prefilling a third of the time,
-// each delay is short, but together they make streams pause for too long.
+// Guards against prefilling several long prompts in succession on an engine with running streams. At low load, with engines prefilling a third
+// of the time, each delay is short, but together they make streams pause for too long.
 func TestStreamsSeldomPauseAtLowLoad(t *testing.T) {
 	const (
 		seeds             = 3
--- a/pomeloplace/long.go
+++ b/pomeloplace/long.go
@@ -20,7 +20,7 @@
 	// longCapacityFactor is the ratio of the prefill capacity assigned to long prompts to their measured prefill work; requests with short
 	// answers use what remains of that capacity.
 	longCapacityFactor = 1.0
-	// maxLongFraction limits the fraction of a service's engines assigned to long prompts.
+	// maxLongFraction is the maximum fraction of a service's engines that are assigned to long prompts.
 	maxLongFraction = 0.25
 	// streamOnLongEngineCost and shortOnLongEngineCost are the costs, in engine time, of sending other requests to an engine assigned to long
 	// prompts: a stream of many events usually pauses too long there, an answer of a few events sometimes.
@@ -46,7 +46,8 @@
 
 // workRate measures the rate of prefill work and the fraction of it that comes from long prompts.
 type workRate struct {
-	// total is the rate of all routers' requests, own that of this router's, and long that of its long prompts, in tokens per second.
+	// total is the rate over the requests of all routers, own over the requests of this router, and long over the long prompts of this router, all
+	// in tokens per second.
 	total, own, long float64
 	updatedAt        time.Time
 }
--- a/pomeloplace/mechanism.go
+++ b/pomeloplace/mechanism.go
@@ -36,7 +36,7 @@
 	OverShareQueue bool
 	// AheadLimits disables the stricter limits for accounts with high usage while another account is short of its demand.
 	AheadLimits bool
-	// SharedTarget disables the use of the shortest target of a service's routes as the base of its queue limit.
+	// SharedTarget disables the use of the shortest latency target of a service's routes as the base of its queue limit.
 	SharedTarget bool
 	// RecomputeLimit disables the refusal of over-share requests whose shared prompt parts would be prefilled a second time.
 	RecomputeLimit bool
--- a/pomeloplace/mechanism_test.go
+++ b/pomeloplace/mechanism_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// The round trip to another region takes longer than the initial estimate. Routers that do not learn it would expect answers too early and
-// send requests to the other region that are then late.
+// The round trip to another region takes longer than the initial estimate. Guards against routers that do not learn that time: they would
+// underestimate the latency of the other region, and answers to requests sent there would be late.
 func TestRegionLatencyIsLearnt(t *testing.T) {
 	p := newPlacer()
 	far := engine("e0")
--- a/pomeloplace/place_test.go
+++ b/pomeloplace/place_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Guards against admitting a request when every queue is long. It would miss its target and delay the next ones, whereas a refusal gives
-// the caller a time to retry.
+// Guards against admitting a request when every queue is long. The request would miss its target and delay later ones, whereas a refusal states
+// when the caller should retry.
 func TestRefusesRequestsThatWouldMissTheirTarget(t *testing.T) {
 	p := withEngines(2)
 	refused := pomeloplace.Decision{}
@@ -153,8 +153,8 @@
 	place(t, p, now, r)
 }
 
-// An account exceeds its share while the engine with its cached prompt is full and another one is idle. Prefilling long shared parts again
-// would take the idle engine from in-share requests; copying them costs very little.
+// Guards against over-share requests that prefill cached shared parts again on an idle engine because the engine with the cached parts is full.
+// The idle engine would be unavailable to in-share requests; copying the parts costs very little.
 func TestOverShareRequestsDoNotRecomputeCachedParts(t *testing.T) {
 	p := withEngines(2)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
@@ -177,8 +177,8 @@
 	}
 }
 
-// The engine with a session's cached parts is overloaded and others are idle. Waiting for it makes answers late, and another prefill
-// elsewhere takes engine time from other requests.
+// The engine with a session's cached parts is overloaded and others are idle. Waiting for that engine makes answers late, and prefilling the
+// parts again on another one takes engine time from other requests.
 func TestPrefixIsCopiedFromOverloadedEngine(t *testing.T) {
 	p := withEngines(3)
 	holder := place(t, p, start, prompt(1, 5000, 100)).Upstream.ID
@@ -201,7 +201,7 @@
 	place(t, p, start, prompt(1, 100, 50_000))
 }
 
-// Guards against an upstream that looks idle because it fails requests, and so attracts those of every router.
+// Guards against an upstream that looks idle because it fails requests, and so attracts the requests of every router.
 func TestFailingUpstreamsGetFewRequests(t *testing.T) {
 	p := withEngines(2)
 	now := start
@@ -226,7 +226,8 @@
 	}
 }
 
-// An upstream that was unlisted while the store was unavailable still has its cache. One that restarted under the same name has lost it.
+// Guards against forgetting the cache of an upstream that was only unlisted while the store was unavailable, and against assuming that an
+// upstream restarted under the same name still has its cache.
 func TestCacheKeptOnRelistingAndClearedOnRestart(t *testing.T) {
 	p := withEngines(1)
 	d := place(t, p, start, prompt(1, 5000, 100))
@@ -244,8 +245,8 @@
 	}
 }
 
-// Guards against load that is counted forever and makes an upstream look full, because the report of its end was lost or its router has
-// gone.
+// Guards against an upstream that looks full forever because the report of a request's end was lost, or because the router that sent the request
+// has gone.
 func TestLoadClearedAfterLostReportOrRouterTimeout(t *testing.T) {
 	a, b := withEngines(1), withEngines(1)
 	d := place(t, a, start, prompt(1, 100, 100))
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -156,7 +156,7 @@
 	return u.info.Service == info.Service && u.info.Addr == info.Addr && (u.info.StartUnixMilli == info.StartUnixMilli || info.StartUnixMilli == 0)
 }
 
-// maxRemoved limits the number of removed upstreams that are remembered; all of them are forgotten when it is reached.
+// maxRemoved limits the number of removed upstreams that are remembered; all of them are forgotten when that number is reached.
 const maxRemoved = 256
 
 // RemoveUpstream removes an upstream. Its requests continue, and its state is kept in case it is listed again.
--- a/pomeloplace/prefixcache.go
+++ b/pomeloplace/prefixcache.go
@@ -14,9 +14,9 @@
 	capacity pomelorelay.Tokens
 	used     pomelorelay.Tokens
 	parts    map[uint64]*cachedPart
-	// unidentified holds prompt tokens of other routers whose parts were not reported, oldest first. They occupy memory too: without them,
-	// each router would expect parts to stay cached longer by a factor of the number of routers, and send requests to engines that must
-	// prefill the parts again.
+	// unidentified holds prompt tokens of other routers whose parts were not reported, oldest first. They occupy engine memory too: if they were
+	// not counted, each of n routers would expect parts to stay cached n times as long, and would send requests to engines that must prefill those
+	// parts again.
 	unidentified []cachedPart
 	seq          uint64
 }
@@ -61,8 +61,8 @@
 	}
 }
 
-// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported because the
-// other routers would otherwise consider a part that only this router uses as unused since its prefill, and expect its eviction.
+// markReported reports whether a use of the part is due for a load report, and marks it as reported. Repeated uses are reported too: otherwise
+// the other routers would treat a part that only this router uses as unused since its prefill, and expect its eviction.
 func (c *prefixCache) markReported(now time.Time, hash uint64) bool {
 	p := c.parts[hash]
 	if p == nil || (!p.reportedAt.IsZero() && now.Sub(p.reportedAt) < partReportInterval) {
--- a/pomeloplace/simulation_test.go
+++ b/pomeloplace/simulation_test.go
@@ -11,7 +11,7 @@
 )
 
 // Parameters of simulated engines. A step generates one token for each running stream and prefills up to chunkTokens of prompts in FIFO order.
-// Its time in ms has a fixed part, a part for each running stream, and the prefill with its attention between pairs of tokens.
+// Its time in ms has a fixed part, a part for each running stream, and a part for the prefill, including the attention between pairs of tokens.
 const (
 	stepMS              = 2.97
 	stepMSPerStream     = 0.0222
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -44,7 +44,8 @@
 	queueEstimateAt time.Time
 	// busySince is when the current uninterrupted prefill began.
 	busySince time.Time
-	// speedFactor compares the engine's times to first token with the service's estimate; slowdown compares it with the median engine.
+	// speedFactor compares the engine's times to first token with the service's estimate; slowdown compares speedFactor with that of the median
+	// engine.
 	speedFactor pomelospeed.SlowdownFactor
 	slowdown    float64
 	// longPrefillAt is when the engine last had a backlog long enough to pause concurrent streams for too long.
@@ -109,8 +110,8 @@
 	}
 }
 
-// queuedTokens returns the estimated number of prompt tokens queued before a new request. It is at most the tokens of requests without an
-// answer, and at least a fraction of them, since late answers show that prefill is slower than estimated.
+// queuedTokens returns the estimated number of prompt tokens queued before a new request. It is at most the number of tokens of requests without
+// an answer, and at least minPendingFraction of that number, since late answers show that prefill is slower than estimated.
 func (u *upstream) queuedTokens(now time.Time) float64 {
 	u.drainQueue(now)
 	u.queueEstimate = min(u.queueEstimate, u.pendingPrefill())
@@ -185,8 +186,9 @@
 	u.backoffUntil = now.Add(u.backoff)
 }
 
-// observeFirstToken updates the speed estimates with a run's time to first token; rtt is the estimated round trip to another region within it.
-// It returns a new sample of that round trip: the time in excess of the engine's estimate, or rtt itself if the run gives no usable sample.
+// observeFirstToken updates the speed estimates with the latency of a run, its time to first token, which includes the estimated round trip rtt
+// to another region. It returns a new sample of that round trip: the time in excess of the engine's estimate, or rtt itself if the run gives no
+// usable sample.
 func (u *upstream) observeFirstToken(now time.Time, r *Run, latency, rtt time.Duration) time.Duration {
 	if u.engine == nil {
 		u.serviceTime += scale(serviceTimeAlpha, latency-rtt-u.serviceTime)
@@ -209,8 +211,9 @@
 	return excess
 }
 
-// copySample returns the cost of a copy in tokens that could have been prefilled in the same time: the excess over the expected time to
-// first token. The excess is clamped, since it may have other causes.
+// copySample returns a sample of the copy time ratio: the time of a run's copy, as the number of tokens that could have been prefilled
+// meanwhile, over the number of copied tokens. That time is the excess over the expected time to first token, clamped because the excess may
+// have other causes.
 func (u *upstream) copySample(r *Run, excess time.Duration) pomelospeed.RatioSums {
 	tokens := float64(r.copiedTokens)
 	return pomelospeed.RatioSums{Numerator: min(max(milliseconds(excess)*u.prefillRate(), -tokens), 2*tokens), Denominator: tokens}
--- a/pomeloplace/warmup_test.go
+++ b/pomeloplace/warmup_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// Guards against an engine that crashes and gets the requests of the whole fleet when it is reachable again, before its restart is listed.
+// Guards against sending the requests of the whole fleet to a crashed engine that is reachable again but whose restart is not yet listed in the
+// store.
 func TestUnreachableEngineIsColdForTheWholeFleet(t *testing.T) {
 	near, other, far := withColdEngines("r1", engine("e0"), engine("e1")), withColdEngines("r2", engine("e0"), engine("e1")), withColdEngines("far", engine("e0"), engine("e1"))
 	now := start
--- a/pomeloplace/weigh.go
+++ b/pomeloplace/weigh.go
@@ -45,8 +45,8 @@
 	// waitWeight weights the expected latency. It is small, since the choice between engines matters little while answers begin well within the
 	// target.
 	waitWeight = 0.1
-	// latenessThreshold is the fraction of the target beyond which each millisecond of expected latency also counts latenessWeight, since
-	// requests of other routers that are not yet known may delay the answer past its target. A larger weight would move requests from short
+	// latenessThreshold is the fraction of the target beyond which expected latency has an additional cost of latenessWeight per millisecond:
+	// requests of other routers that are not reported yet may delay the answer past its target. A larger weight would move requests from short
 	// queues to engines where they delay streams.
 	latenessThreshold = 0.55
 	latenessWeight    = 1.0
@@ -200,8 +200,8 @@
 }
 
 // pauseCost returns the cost of the pauses that a prompt's prefill causes to the engine's streams. The fraction of streams that pause too long
-// is the larger of two estimates. One is for a pause that lasts for the backlog and the prefill; the other is what the prefill adds to a pause
-// that began with the engine's current uninterrupted prefill.
+// is the larger of two estimates. The first assumes a pause as long as the backlog and this prefill; the second is the increase that this
+// prefill causes if the pause began with the engine's current uninterrupted prefill.
 func (u *upstream) pauseCost(now time.Time, backlog, prefill time.Duration) time.Duration {
 	if u.pool.maxPause <= 0 {
 		return 0
--- a/pomeloproblem/problem.go
+++ b/pomeloproblem/problem.go
@@ -19,7 +19,7 @@
 	Ran    pomelorelay.Ran        `json:"Ran"`
 }
 
-// New returns the Problem of an error, with the meaning of its result code where the error has no detail.
+// New returns the Problem of an error. Its detail is that of the error or, if the error has none, the meaning of the result code.
 func New(e *pomelorelay.Error) Problem {
 	info := e.Code.Info()
 	detail := e.Detail
--- a/pomeloshare/share.go
+++ b/pomeloshare/share.go
@@ -45,7 +45,8 @@
 	currentStep int
 	stepStart   time.Time
 	startedAt   time.Time
-	// level is the fair level as of the last Tick, in tokens per window; zero when the capacity is unknown or covers all requests.
+	// level is the max-min fair level (see computeLevel) as of the last Tick, in tokens per window; zero when the capacity is unknown or covers all
+	// requests.
 	level pomelorelay.Cost
 	// minServedShort is the lowest served cost among short accounts, those with much unserved demand (see minUnmetFraction); zero when no
 	// account is short.
@@ -171,18 +172,18 @@
 }
 
 const (
-	// minUnmetFraction is the minimum unserved fraction of a short account's demand. Users consider it unfair when half is unserved; with a
-	// lower threshold, an account that misses one large request would hold back the others while engines are idle.
+	// minUnmetFraction is the minimum unserved fraction of a short account's demand. Users consider it unfair when half is unserved; with a lower
+	// threshold, an account with one large unserved request would lower the limits of all others while engines are idle.
 	minUnmetFraction = 0.35
 	// minUnmetTokens is the minimum unserved cost of a short account, in tokens: that of two large requests.
 	minUnmetTokens = 25000
-	// leadTolerance limits what an account beyond its share is served while another account is short, as a multiple of the fair level or of the
-	// cost served to the least served short account, whichever is higher. Users consider a ratio of 2 unfair; the margin allows for the delay of
-	// other routers' reports.
+	// leadTolerance is the maximum cost served to an account beyond its share while another account is short, as a multiple of the fair level or of
+	// the cost served to the least served short account, whichever is higher. Users consider a ratio of 2 unfair; the margin allows for the delay
+	// of other routers' reports.
 	leadTolerance = 1.25
-	// farLeadTolerance is the ratio of an account's served cost to that of the least served far-short account above which the account should
-	// yield, even within its share; users consider a ratio of 2 unfair. A short account is far short when at least minFarUnmetTokens of its
-	// demand are unserved.
+	// farLeadTolerance is the ratio of an account's served cost to that of the least served far-short account above which the account's limits
+	// should be lowered, even within its share; users consider a ratio of 2 unfair. A short account is far short when at least minFarUnmetTokens of
+	// its demand are unserved.
 	farLeadTolerance  = 1.7
 	minFarUnmetTokens = 3 * minUnmetTokens
 )
@@ -203,8 +204,8 @@
 }
 
 // LeadOverLevel returns the ratio of the account's served cost to the maximum that an account beyond its share is allowed while another account
-// is short of its demand. Above 1 the account should yield; the ratio is 0 when no account is short, or when the capacity is unknown or covers
-// all requests.
+// is short of its demand. Above 1, the account's limits should be lowered; the ratio is 0 when no account is short, or when the capacity is
+// unknown or covers all requests.
 func (s *Shares) LeadOverLevel(id pomelorelay.AccountID) float64 {
 	if s.level == 0 || s.minServedShort == 0 {
 		return 0
@@ -260,7 +261,7 @@
 }
 
 // LeadOverLeastServed returns the ratio of the account's served cost to the maximum that any account is allowed, even within its share, while
-// another account is far short of its demand. Above 1 the account should yield; the ratio is 0 when no account is far short.
+// another account is far short of its demand. Above 1, the account's limits should be lowered; the ratio is 0 when no account is far short.
 func (s *Shares) LeadOverLeastServed(id pomelorelay.AccountID) float64 {
 	if s.minServedFarShort == 0 {
 		return 0
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Guards against a flood that takes all free capacity: one account sends many times its usual load through every router and is served far
-// more than a short account, whose callers see half of their requests refused.
+// Guards against a flood that takes all free capacity: one account sends many times its usual load through every router and is served far more
+// than an account that is short of its demand and has half of its requests refused.
 func TestFloodLeadsAnAccountWithUnmetDemand(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
@@ -145,8 +145,8 @@
 	})
 }
 
-// Guards against a flood that takes the surplus when engines produce more than the configured capacity: an account that requests a little
-// more than its share of the configured capacity would have half of that refused.
+// Guards against a flood that takes the surplus when engines produce more than the configured capacity: an account that requests a little more
+// than its share of the configured capacity would have half of its requests refused.
 func TestSpareCapacityGoesToTheLeastServedAccount(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
@@ -164,8 +164,8 @@
 	}
 }
 
-// Guards against two accounts that lead a short one by different amounts and are held back alike: the smaller of the two would get less
-// than half of what the larger one gets.
+// Guards against equal limits for two accounts that have been served more than a third one, which is short of its demand, by different amounts:
+// the less served of the two would get less than half of what the other one gets.
 func TestLeadGrowsWithServedTokens(t *testing.T) {
 	const tokens = 100_000
 	s := pomeloshare.New(pomeloshare.Config{Window: window})
@@ -181,8 +181,9 @@
 	}
 }
 
-// Guards against requests that never ran but count as served: when a quarter of the engines crash, an account's requests are placed there,
-// fail, and are placed again or refused. They would use up the account's share, and its callers would be refused while others are served.
+// Guards against requests that never ran but count as served: when a quarter of the engines crash, an account's requests are placed there, fail,
+// and are placed again or refused. The failed requests would use up the account's share, and its callers would be refused while others are
+// served.
 func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
 	sender, receiver := newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000}), newSharesWithDemand(map[pomelorelay.AccountID]pomelorelay.Cost{"large": 1000})
 	for at := time.Duration(0); at < window/2; at += 100 * time.Millisecond {
@@ -208,7 +209,7 @@
 }
 
 // Guards against an account that gets more than twice as much as another one with constant unserved demand. If the engines produce less than the
-// configured capacity, the requests of both accounts are within their shares.
+// configured capacity, the requests of both accounts are within their shares, so the share check alone does not limit the first account.
 func TestAccountFarAheadYieldsToAShortAccount(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
--- a/pomelospeed/first_token_model.go
+++ b/pomelospeed/first_token_model.go
@@ -20,9 +20,10 @@
 	// overhead varies less between engines; the answers of a fleet in half a second outweigh both.
 	priorRateAnswers     = 1
 	priorOverheadAnswers = 6
-	// priorPrefillTime is the prefill time of the prompt that, with an empty one, represents the prior until answers are observed.
+	// priorPrefillTime is the prefill time of one of the two prompts that represent the prior until answers are observed; the other prompt is
+	// empty.
 	priorPrefillTime = 200 * time.Millisecond
-	// observationHalfLife is the half-life of observed answers: step times change with the running batch.
+	// observationHalfLife is the half-life of the weight of observed answers, short because step times change with the running batch.
 	observationHalfLife = 4 * time.Second
 	// minAnswers is the number of answers down to which observations decay, so that a fleet under low load keeps its estimate.
 	minAnswers = 50
--- a/pomelospeed/first_token_model_test.go
+++ b/pomelospeed/first_token_model_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Guards against engines that stall for seconds: a few answers take a hundred times the expected time. Without clamping they would make
-// all engines look slow, and requests would be refused while engines are idle.
+// Guards against a rate that drops because of a few outliers: when engines stall for seconds, their answers take a hundred times the expected
+// time. Without clamping, all engines would look slow, and requests would be refused while engines are idle.
 func TestOutliersBarelyMoveTheRate(t *testing.T) {
 	e := &engine{rng: rand.New(rand.NewPCG(3, 3)), rate: 100, overhead: 30 * time.Millisecond, spread: 0.2}
 	m := pomelospeed.NewFirstTokenModel(100)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Guards against copying that is disabled for good: copies between full engines take longer than prefilling, so routers stop copying and
-// observe no later, faster copies. Shared prompt parts would be prefilled again until the routers restart.
+// Guards against copying that is disabled for good: copies between full engines take longer than prefilling, so routers stop copying and cannot
+// observe that copies have become faster. Shared prompt parts would be prefilled again until the routers restart.
 func TestCopyTimeEstimateRecoversWithoutCopies(t *testing.T) {
 	copies := pomelospeed.NewCopyTimeRatio()
 	copies.Observe(start, pomelospeed.RatioSums{Numerator: 400_000, Denominator: 200_000})
--- a/pomelospeed/rapid_test.go
+++ b/pomelospeed/rapid_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against an expected time that is not a finite positive number, with which all upstreams would compare as equal. Answers take any
-// time, the clock may stand still, and another router reports sums that cannot result from answers.
+// Guards against an expected time that is not a finite positive number, with which all upstreams would compare as equal. The inputs include
+// answers of any duration, a clock that stands still, and sums from another router that cannot result from answers.
 func TestExpectedTimeIsAlwaysFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := pomelospeed.NewFirstTokenModel(pomelospeed.PrefillRate(rapid.Float64Range(-10, 1e6).Draw(t, "prior rate")))
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -23,7 +23,7 @@
 type DecayingRatioConfig struct {
 	// Prior is the value before any observation. PriorWeight is the denominator with which the prior counts beside the observed sums.
 	Prior, PriorWeight float64
-	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinWeight.
+	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinDenominator.
 	HalfLife       time.Duration
 	MinDenominator float64
 	// MaxReportWeight bounds the denominator with which one report of another router counts. A router's first report covers all observations
--- a/pomelowarmup/config.go
+++ b/pomelowarmup/config.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// DefaultHolders is the default of Config.Holders, the number of routers that may send to a cold upstream. With only one, its failure would
-// leave no router that may.
+// DefaultHolders is the default of Config.Holders, the number of routers that may send to a cold upstream. With only one holder, its failure
+// would leave no router that may send to the upstream.
 const DefaultHolders = 2
 
 const (
--- a/pomelowarmup/upstream.go
+++ b/pomelowarmup/upstream.go
@@ -12,8 +12,8 @@
 const (
 	// AdmissionOpen means that the upstream accepts requests: it is warm, or this router tries it again after a failed connection.
 	AdmissionOpen Admission = iota
-	// AdmissionFallback means that the upstream is cold and that this router may send it, within its part of the upstream's request limit, a
-	// request that no open upstream admits.
+	// AdmissionFallback means that the upstream is cold and accepts only requests that no open upstream admits, within this router's part of the
+	// upstream's request limit.
 	AdmissionFallback
 	// AdmissionClosed means that the upstream is cold or possibly restarted and accepts no request of this router at present.
 	AdmissionClosed
@@ -23,8 +23,8 @@
 type Upstream struct {
 	gate *Gate
 	info pomelorelay.FleetUpstream
-	// coldUntil is the end of the cold period. suspectUntil is the end of the suspect period, in which the upstream may have restarted because
-	// it accepted no connection.
+	// coldUntil is the end of the cold period. suspectUntil is the end of the suspect period, in which the upstream counts as possibly restarted
+	// because a connection to it failed.
 	coldUntil, suspectUntil time.Time
 	// suspectSince is the time of the first failed connection of the suspect period.
 	suspectSince time.Time
@@ -72,9 +72,9 @@
 	}
 }
 
-// RecordConnectFailure records that the upstream accepted no connection; whatever the cause, it counts as cold when it is reachable again. It
-// reports whether to notify the other routers. A router of another region ignores the failure and returns false, as it cannot tell a broken link
-// from an upstream that is down.
+// RecordConnectFailure records that the upstream accepted no connection, and reports whether to notify the other routers. Whatever the cause,
+// the upstream counts as cold when it is reachable again. A router of another region ignores the failure and returns false, because it cannot
+// distinguish a broken link from an upstream that is down.
 func (u *Upstream) RecordConnectFailure(now time.Time) bool {
 	if !u.gate.sameRegion(u) {
 		return false
@@ -82,7 +82,8 @@
 	return u.MarkSuspect(now)
 }
 
-// MarkSuspect records that a router of the upstream's region could not connect to it; it reports whether upstreams of the service can be cold.
+// MarkSuspect records that a router of the upstream's region could not connect to the upstream. It returns false and records nothing if
+// upstreams of the service are never cold.
 func (u *Upstream) MarkSuspect(now time.Time) bool {
 	if u.gate.coldDuration(u) <= 0 {
 		return false
@@ -95,9 +96,9 @@
 	return true
 }
 
-// RecordAnswer records an answer to a request that was sent at the given time. If it is the first since a failed connection, the upstream counts
-// as cold, and the remaining time and true are returned, for notifying the other routers. An answer to a request sent before the failed
-// connection is ignored, since it does not show that the upstream is running again.
+// RecordAnswer records an answer to a request that was sent at the given time. After the first answer since a failed connection, the upstream
+// counts as cold; RecordAnswer then returns the remaining time and true, so that the other routers are notified. An answer to a request sent
+// before the failed connection is ignored, since it does not show that the upstream is running again.
 func (u *Upstream) RecordAnswer(now, sent time.Time) (time.Duration, bool) {
 	if !now.Before(u.suspectUntil) || sent.Before(u.suspectSince) {
 		return 0, false
