--- a/pomeloplace/admit.go
+++ b/pomeloplace/admit.go
@@ -14,8 +14,9 @@
 
 const (
 	// These fractions of the shortest latency target limit the queue delay of in-share requests, of over-share requests, and of over-share requests
-	// whose account is ahead of one that is short of its demand. The last limit and the slots of such requests are divided by the square of the
-	// lead, at most to minAheadFraction of their value: callers consider it unfair when an account gets twice as much as a short one.
+	// whose account is ahead of an account that is short of its demand. The last limit and the slots of such requests are divided by the square of
+	// the lead (Request.LeadOverLevel), to no less than minAheadFraction of their value: callers consider it unfair when an account gets twice as
+	// much as a short one.
 	inShareQueueFraction   = 0.45
 	overShareQueueFraction = 0.2
 	aheadQueueFraction     = 0.15
@@ -43,9 +44,9 @@
 
 // latencyTargets holds the strictest latency requirements of the routes to a service.
 type latencyTargets struct {
-	// target is the shortest time to the first byte or event; maxPause is the shortest limit on the pause between events. Zero means unset.
-	// The shortest target limits the queue for all requests: with its own target as the limit, a request with a long target would fill the
-	// queue and keep out requests with a short one.
+	// target is the shortest time to the first byte or event; maxPause is the shortest limit on the pause between events. Zero means unset. The
+	// shortest target limits the queue for all requests: if each request's own target did, requests with a long target would fill the queue and
+	// keep out those with a short one.
 	target, maxPause time.Duration
 }
 
--- a/pomeloplace/config.go
+++ b/pomeloplace/config.go
@@ -12,7 +12,7 @@
 	Self pomelorelay.Peer
 	// Regions maps each failure domain to its region.
 	Regions map[pomelorelay.DomainID]pomelorelay.RegionID
-	// ColdBounds limits the request rate of the fleet to cold upstreams.
+	// ColdBounds limits the rate of the fleet's requests to cold upstreams.
 	ColdBounds pomelorelay.ColdBounds
 	// DisabledMechanisms selects the placement mechanisms that are disabled.
 	DisabledMechanisms Mechanisms
@@ -204,6 +204,6 @@
 	minPendingFraction = 0.3
 	// maxMemoryFraction is the fraction of KV cache memory that running requests may fill; above it, the engine evicts running requests.
 	maxMemoryFraction = 0.9
-	// PeerTimeout is the report age after which a router and its requests are considered gone.
+	// PeerTimeout is the age of a router's last load report above which the router and its requests are not counted.
 	PeerTimeout = 3 * time.Second
 )
--- a/pomeloplace/placer.go
+++ b/pomeloplace/placer.go
@@ -29,7 +29,7 @@
 	// lastAnswerAt is when any upstream last answered this router.
 	lastAnswerAt time.Time
 	pendingParts []pomelorelay.PromptPartPlaced
-	// oldestReportAt is when the last load report of the longest silent router arrived; zero when no router has reported.
+	// oldestReportAt is the earliest arrival time among the last load reports of all routers; zero when no router has reported.
 	oldestReportAt time.Time
 	// tokensSinceReport is the number of prompt tokens sent since the last report.
 	tokensSinceReport pomelorelay.Tokens
--- a/pomeloplace/upstream.go
+++ b/pomeloplace/upstream.go
@@ -212,8 +212,8 @@
 }
 
 // copySample returns a sample of the copy time ratio: the time of a run's copy, as the number of tokens that could have been prefilled
-// meanwhile, over the number of copied tokens. That time is the excess over the expected time to first token, clamped because the excess may
-// have other causes.
+// meanwhile, over the number of copied tokens. The time of the copy is the excess over the expected time to first token, clamped because the
+// excess may have other causes.
 func (u *upstream) copySample(r *Run, excess time.Duration) pomelospeed.RatioSums {
 	tokens := float64(r.copiedTokens)
 	return pomelospeed.RatioSums{Numerator: min(max(milliseconds(excess)*u.prefillRate(), -tokens), 2*tokens), Denominator: tokens}
--- a/pomeloshare/share_test.go
+++ b/pomeloshare/share_test.go
@@ -89,15 +89,15 @@
 	s.RecordServed("short", tokens)
 	s.Tick(start.Add(100 * time.Millisecond))
 	if s.LeadOverLevel("flood") <= 1 {
-		t.Error("the flooding account does not lead")
+		t.Error("LeadOverLevel of the flooding account is at most 1 although the other account is short of its demand")
 	}
 	if s.LeadOverLevel("short") > 1 {
-		t.Error("the short account leads")
+		t.Error("LeadOverLevel of the account that is short of its demand is above 1")
 	}
 	s.RecordServed("short", 3*tokens)
 	s.Tick(start.Add(200 * time.Millisecond))
 	if s.LeadOverLevel("flood") > 1 {
-		t.Error("the flooding account leads an account without unmet demand")
+		t.Error("LeadOverLevel of the flooding account is above 1 although the demand of the other account is met")
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 	s.Tick(start.Add(100 * time.Millisecond))
 	if first, second := s.LeadOverLevel("first"), s.LeadOverLevel("second"); first <= second || second <= 1 {
-		t.Errorf("leads of %.2f and %.2f, want the first above the second and both above 1", first, second)
+		t.Errorf("LeadOverLevel of %.2f and %.2f, want the first above the second and both above 1", first, second)
 	}
 }
 
