--- a/pomeloclaim/claim_test.go
+++ b/pomeloclaim/claim_test.go
@@ -85,7 +85,8 @@
 	return pomelorelay.ClaimSettle{State: pomelorelay.ClaimDone, Outcome: pomelorelay.ClaimOutcome{Status: 201, ContentType: "text/x", Body: []byte(body)}}
 }
 
-// A request is repeated while it runs, with a different body, and after it has ended. No repeat may run it again.
+// A caller repeats a request while it runs, with a different body under the same key, and after it has ended. No repeat
+// may run the request again.
 func TestRepeatedRequestGetsFirstOutcome(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
@@ -116,7 +117,8 @@
 	d.expectState(5, pomelorelay.ClaimDone)
 }
 
-// During a store outage a claim is refused as not run. After the outage a repeat must not be blocked by that claim.
+// A claim is refused during a store outage, and its request does not run. After the outage the refused claim must not
+// block a repeat of the request.
 func TestClaimRefusedInOutageDoesNotBlockRepeats(t *testing.T) {
 	f := newFleet(1, 2, pomeloclaim.KeeperConfig{}, 1)
 	f.run(time.Second)
@@ -138,8 +140,8 @@
 	}
 }
 
-// A keeper is paused during a write while another one takes over its shard and grants a claim for the same key. After
-// it resumes, the first keeper must not grant its own claim.
+// A keeper is paused while it writes a claim, and another keeper takes over its shard and grants a claim for the same
+// key. After the pause, the first keeper must not grant the claim that it was writing.
 func TestPausedKeeperIsFenced(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
 	d.ask(1, "k", 7)
@@ -159,7 +161,8 @@
 	d.expectState(1, pomelorelay.ClaimRunning)
 }
 
-// The result of a write is lost, whether or not the write took effect. The keeper must read the record back.
+// The result of a write is lost, and the write may or may not have taken effect. The keeper must read the record back
+// before it answers the claim request.
 func TestUnknownWriteResultIsReadBack(t *testing.T) {
 	for _, effect := range []bool{true, false} {
 		d := newKeeperHarness(t, pomeloclaim.KeeperConfig{})
@@ -205,9 +208,9 @@
 	d.expectState(5, pomelorelay.ClaimDone)
 }
 
-// Claims are added until settled ones have been moved to many segments and old segments have expired. Claims within
-// their retention must be found with their outcome, also after a takeover; an expired claim's key counts as unused, and
-// the number of records in the store stays small.
+// Claims are added until settled ones have been moved to many segments (records of settled claims) and the oldest
+// segments have expired. Claims within their retention must be found with their outcome, also after a takeover; an
+// expired claim's key counts as unused, and the number of records in the store stays small.
 func TestSealedClaimsAreKeptUntilRetention(t *testing.T) {
 	d := newKeeperHarness(t, pomeloclaim.KeeperConfig{SealBytes: 3000, Retention: 10 * time.Minute, CommitsPerSecond: 1000})
 	const claims = 600
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -172,7 +172,7 @@
 
 // alreadySettled reports whether the stored claim already has this settlement. A settlement whose claim is missing or
 // held by another attempt still needs a write: this keeper may be out of date, or an earlier keeper's write may be in
-// progress, and only a successful write rules out both. Without it, the settlement could be lost and the claim stay
+// progress, and only a successful write rules out both. Otherwise the settlement could be lost and the claim stay
 // running.
 func (s *shard) alreadySettled(p *pendingSettle) bool {
 	c, ok := s.headClaims[p.settle.Key]
--- a/pomeloclaim/config.go
+++ b/pomeloclaim/config.go
@@ -28,14 +28,15 @@
 	SealBytes pomelorelay.Bytes
 	// MaxHeadBytes is the size of a shard's head record above which new claims are refused, 512 KiB by default.
 	MaxHeadBytes pomelorelay.Bytes
-	// MaxPending limits the claims of a shard that wait for the store, 4,096 by default; further claims are refused.
+	// MaxPending limits the number of claims of a shard that wait for the store, 4,096 by default; further claims are
+	// refused.
 	MaxPending int
 	// Retention is how long a settled claim is kept, 24 h by default.
 	Retention time.Duration
 	// RunningTimeout is the age at which the outcome of an unsettled claim counts as unknown, 1 h by default.
 	RunningTimeout time.Duration
-	// MaxOutcomeBytes limits the stored body and content type of a response, 4 KiB by default; of a larger response
-	// only the status is stored.
+	// MaxOutcomeBytes limits the total size of the stored body and content type of a response, 4 KiB by default; of a
+	// larger response only the status is stored.
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
@@ -55,12 +56,12 @@
 	// ClaimTimeout is how long a claim request may stay unanswered before the requester refuses the claim, 4 s by
 	// default.
 	ClaimTimeout time.Duration
-	// MaxSettling limits the unacknowledged settlements, 10,000 by default. Above half of the limit, response bodies
-	// are dropped from settlements; above the limit, the oldest settlements are dropped, and the outcome of their
-	// claims becomes unknown.
+	// MaxSettling limits the number of unacknowledged settlements, 10,000 by default. Above half of the limit, response
+	// bodies are dropped from settlements; above the limit, the oldest settlements are dropped, and the outcome of
+	// their claims becomes unknown.
 	MaxSettling int
-	// MaxOutcomeBytes limits the body and content type sent with a settlement, 4 KiB by default; of a larger response
-	// only the status is sent.
+	// MaxOutcomeBytes limits the total size of the body and content type sent with a settlement, 4 KiB by default; of a
+	// larger response only the status is sent.
 	MaxOutcomeBytes pomelorelay.Bytes
 }
 
--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -287,8 +287,8 @@
 	})
 }
 
-// handleVerdict acts as the traffic path: the request of a granted claim runs on the plain service, and the claim is
-// settled, unless the request is not sent or the router dies first.
+// handleVerdict acts as a router's request handler. The request of a granted claim runs on the plain service, and the
+// claim is settled when the request ends, unless the router dies first; a request that is not sent releases its claim.
 func (f *fleet) handleVerdict(r *router, v pomeloclaim.Verdict) {
 	c, ok := r.calls[v.Nonce]
 	if !ok {
--- a/pomeloclaim/record.go
+++ b/pomeloclaim/record.go
@@ -13,8 +13,9 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// headRecord is a shard's main record in the store, which every change of its claims rewrites. gob ignores unknown
-// fields and accepts missing ones, so that routers of two versions can be keepers of a shard one after the other.
+// headRecord is a shard's main record in the store; it is rewritten on every change of the shard's claims. gob ignores
+// unknown fields and accepts missing ones, so that routers of two versions can be keepers of a shard one after the
+// other.
 type headRecord struct {
 	NextSlot uint32
 	Free     []slotRef
--- a/pomeloclaim/requester.go
+++ b/pomeloclaim/requester.go
@@ -127,9 +127,9 @@
 	return [counterOffset]byte(nonce[:counterOffset]) == [counterOffset]byte(a.process[:counterOffset])
 }
 
-// Settle records how the request of a granted claim ended and sends this to the keeper until it is acknowledged:
-// released if the request did not run, otherwise done or unknown. If the outcome exceeds MaxOutcomeBytes, only its
-// status is sent, marked Truncated.
+// Settle records how the request of a granted claim ended and sends the settlement to the keeper until it is
+// acknowledged: released if the request did not run, otherwise done or unknown. If the outcome exceeds MaxOutcomeBytes,
+// only its status is sent, marked Truncated.
 func (a *Requester) Settle(now time.Time, nonce pomelorelay.ClaimNonce, released bool, state pomelorelay.ClaimState, outcome pomelorelay.ClaimOutcome, out *Output) {
 	t, ok := a.attempts[nonce]
 	if !ok || t.phase != phaseRunning {
--- a/pomeloclaim/schedule_test.go
+++ b/pomeloclaim/schedule_test.go
@@ -116,8 +116,9 @@
 	reassignShards(f)
 }
 
-// checkNotBlocked sends every request once more. A request that no crash affected must run now, or be answered with its
-// outcome or with the unknown state that the router which sent it has reported.
+// checkNotBlocked sends every request once more. Among the requests that no crash affected, one that has not run must
+// not be blocked by a claim, and one that has run must be answered with its outcome, or as unknown if an earlier reply
+// said so.
 func checkNotBlocked(rt *rapid.T, f *fleet, crashed map[string]bool) {
 	for n := range 31 {
 		key := fmt.Sprint("booking-", n)
@@ -133,7 +134,8 @@
 		}
 		state := f.replies[key][before].state
 		if state == pomelorelay.ClaimRunning {
-			// The attempt that holds the claim has ended; its router releases the claim when it first blocks a repeat.
+			// An attempt that has ended still holds the claim. Its router releases the claim when the claim first
+			// blocks a repeat, so the next repeat is not blocked.
 			f.send(n%fleetRouters, key)
 			f.run(5 * time.Second)
 			state = f.replies[key][before+1].state
--- a/pomeloclaim/shard.go
+++ b/pomeloclaim/shard.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxIndexReads limits concurrent reads of segments when a shard is taken over.
+// maxIndexReads limits the number of concurrent segment reads when a shard is taken over.
 const maxIndexReads = 8
 
 // shard is a keeper's state of one shard. headClaims, segments and the other head fields reflect the shard's head
--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -14,11 +14,11 @@
 	// ownServed is the service charged by this router, othersServed that charged by the other routers.
 	ownServed    pomelorelay.Tag
 	othersServed pomelorelay.Tag
-	// ownIncrease and othersIncrease are moving averages of how much reported (this router's service) and othersServed
-	// increase between two updates of the fleet totals.
+	// ownIncrease and othersIncrease are moving averages of the increase of this router's service (the field reported)
+	// and of the other routers' service (othersServed) between two updates of the fleet totals.
 	ownIncrease    pomelorelay.Tag
 	othersIncrease pomelorelay.Tag
-	// ownAtTotals is the value of reported at the last update of the fleet totals.
+	// ownAtTotals is the value of the field reported at the last update of the fleet totals.
 	ownAtTotals pomelorelay.Tag
 	// totalsAt is when fleet totals were last received.
 	totalsAt time.Time
@@ -72,9 +72,8 @@
 func (a *account) served() pomelorelay.Tag { return a.ownServed + a.othersServed + a.lift }
 
 // forecastOthers estimates what the other routers have charged since the last report: this router's own charges times
-// the recent ratio of their charges to its own. Until the next totals, all routers see the same account with the lowest
-// tag; without the forecast, each would serve the account's whole deficit, and the account would receive it once per
-// router.
+// the recent ratio of their charges to its own. Until the next totals arrive, the same account has the lowest tag at
+// all routers; without the forecast, each router would serve the account's whole deficit.
 func (a *account) forecastOthers() pomelorelay.Tag {
 	since := a.ownServed + a.pending - a.chargedAtReport
 	if since <= 0 || a.othersIncrease <= 0 {
--- a/pomelofair/catchup_test.go
+++ b/pomelofair/catchup_test.go
@@ -9,8 +9,9 @@
 )
 
 func TestCatchUpIsBoundedAfterPartition(t *testing.T) {
-	// Both sides of a partition serve one account, and only one side serves another. When the partition heals, the first
-	// account's total jumps; without a limit it would receive nothing until the other had caught up completely.
+	// Both sides of a partition serve one account, and only one side serves another. When the partition heals, the
+	// total of the first account jumps; without a catch-up limit, that account would receive nothing until the other
+	// had caught up completely.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "both")
 	push(t, q, 2, "one")
@@ -26,8 +27,8 @@
 }
 
 func TestMaxVirtualTimeOfAnotherDomain(t *testing.T) {
-	// A partitioned failure domain received less service than another one. The other domain's accounts must not wait until it
-	// has caught up completely.
+	// The accounts of a partitioned failure domain received less service than those of another domain. After the
+	// partition, the accounts of the other domain must not wait until these have caught up completely.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
 	q.SetVirtualTime(pool, 100)
@@ -40,8 +41,9 @@
 }
 
 func TestRunningAccountIgnoresStaleTotals(t *testing.T) {
-	// An account has one long request running and none waiting, so the router receives no totals for it while other routers
-	// serve it. Its next request must not be ordered by totals that are a minute old.
+	// An account has one long request running and none waiting. A router requests fleet totals of served cost only for
+	// accounts with waiting requests, so it does not learn what other routers serve the account meanwhile. The
+	// account's next request must not be ordered by totals that are a minute old.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
 	setTotals(q, "a", 10, true)
--- a/pomelofair/config.go
+++ b/pomelofair/config.go
@@ -29,7 +29,8 @@
 	HintFactor float64
 }
 
-// LimitOptions limits the waiting requests of one account in one pool at one router; zero fields take the defaults.
+// LimitOptions holds the limits on the waiting requests of one account in one pool at one router; zero fields take the
+// defaults.
 type LimitOptions struct {
 	// MaxWaiting is the maximum number of waiting requests; default 256.
 	MaxWaiting int
--- a/pomelofair/gapbound.go
+++ b/pomelofair/gapbound.go
@@ -21,7 +21,7 @@
 	// AdmissionFraction is ChargeOptions.AdmissionFraction.
 	AdmissionFraction float64
 	// LedgerInterval, DemandInterval, DigestInterval and ProgressInterval are the periods at which a router receives
-	// fleet totals, owners receive demand, routers receive digests, and running requests are charged for progress.
+	// fleet totals, owners receive demand, routers receive slot digests, and running requests are charged for progress.
 	LedgerInterval, DemandInterval, DigestInterval, ProgressInterval time.Duration
 	// LinkLatency is the one-way latency between routers.
 	LinkLatency time.Duration
--- a/pomelofair/pool.go
+++ b/pomelofair/pool.go
@@ -5,8 +5,9 @@
 // notInHeap is the heapIndex of an account that is not in the heap.
 const notInHeap = -1
 
-// pool keeps the accounts with waiting requests in a min-heap by heapKey. A key may be lower than its account's tag, but
-// never higher: tags mostly increase, so an increased tag is only updated when its account reaches the top.
+// pool keeps the accounts with waiting requests in a min-heap by heapKey. A key may be lower than the tag of its
+// account, but never higher: tags mostly increase, so the key of an account whose tag increased is updated only when
+// that account reaches the top.
 type pool struct {
 	id              pomelorelay.PoolID
 	options         PoolOptions
--- a/pomelofair/queues_test.go
+++ b/pomelofair/queues_test.go
@@ -138,8 +138,8 @@
 }
 
 func TestBackloggedAccountKeepsItsTagWithinCatchUp(t *testing.T) {
-	// A backlogged account appears at another router, or its router was partitioned for long. It may catch up only within
-	// the limit; otherwise it would take every slot after the partition heals.
+	// A backlogged account appears at another router, or its router was partitioned for long. The account may catch up
+	// only within the limit; otherwise it would take every slot after the partition heals.
 	for _, c := range []struct {
 		served pomelorelay.Cost
 		lift   pomelorelay.Tag
@@ -183,7 +183,7 @@
 
 func TestStaleTotalsNeverLowerTag(t *testing.T) {
 	// Totals arrive late, twice, or from a new ledger host that has not received all reports. If they lowered an
-	// account's tag, it alone would be served for a while.
+	// account's tag, only that account would be served for a while.
 	q := pomelofair.New(pomelofair.Config{})
 	push(t, q, 1, "a")
 	for _, served := range []pomelorelay.Cost{100, 100, 40, 0} {
--- a/pomeloledger/config.go
+++ b/pomeloledger/config.go
@@ -42,7 +42,8 @@
 	SendsPerChange int
 	// RefreshPerExchange is the number of unchanged entries that each exchange includes, in rotation; default 8.
 	RefreshPerExchange int
-	// MaxEntries limits the entries of this domain's accounts in one message to a host in the same region; default 512.
+	// MaxEntries limits the number of entries of this domain's accounts in one message to a host in the same region;
+	// default 512.
 	MaxEntries int
 	// RebuildTimeout is how long a new host waits for answers to its queries before it serves totals without them;
 	// default 3 s.
--- a/pomeloledger/fleet_test.go
+++ b/pomeloledger/fleet_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// countSum counts the entries with the given sum in a component of domain d0, and none in another domain's.
+// countSum counts the entries with the given sum in a component of domain d0; it returns zero for a component of
+// another domain.
 func countSum(m *pomelorelay.LedgerComponent, sum pomelorelay.Cost) int {
 	n := 0
 	for i := range m.Entries {
--- a/pomeloledger/ledger.go
+++ b/pomeloledger/ledger.go
@@ -6,7 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Ledger hosts shards of the ledger for one failure domain: the totals of the service that client accounts received.
+// Ledger hosts ledger shards for one failure domain. A shard holds the totals of the service that its client accounts
+// received.
 type Ledger struct {
 	cfg                Config
 	shards             map[pomelorelay.ShardID]*shard
@@ -115,8 +116,8 @@
 	}
 }
 
-// MemberGone marks a router as dead: rebuilds stop waiting for its answer, and accounts with requests waiting there no
-// longer count as backlogged because of them. Its served totals stay, because the router may only be partitioned.
+// MemberGone marks a router as dead: rebuilds stop waiting for its answer, and requests waiting at it no longer make
+// their accounts count as backlogged. Its served totals stay, because the router may only be partitioned.
 func (l *Ledger) MemberGone(now time.Time, node pomelorelay.NodeID) {
 	for _, s := range l.order {
 		delete(s.pendingRouters, node)
--- a/pomeloledger/ledger_test.go
+++ b/pomeloledger/ledger_test.go
@@ -30,7 +30,7 @@
 
 func TestTotalsAreExactAfterMessageFaults(t *testing.T) {
 	// Messages are lost, duplicated, reordered and sent to two hosts, and hosts are replaced by empty ones. An account
-	// whose service is counted twice is served too late, one whose service is lost is served too early.
+	// whose service is counted twice would be served too late, and one whose service is lost too early.
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTestFleet("north", "north", "south")
 		replaced := 0
@@ -90,7 +90,8 @@
 }
 
 func TestDepartedServiceSurvivesHostChange(t *testing.T) {
-	// A router dies, then the host that holds its service. The new host can learn that service only from the other domain.
+	// A router dies, and then the ledger host that recorded its service dies too. The new host can learn that service
+	// only from the other domain.
 	w := newTestFleet("north", "north")
 	w.recordServed(w.routers[0], accounts[0], 70)
 	w.recordServed(w.routers[1], accounts[0], 30)
@@ -110,8 +111,8 @@
 }
 
 func TestNotReadyBeforeRebuild(t *testing.T) {
-	// A new host that served totals before its rebuild would report zeroes, and the accounts with the most service would be
-	// preferred.
+	// A new host must not answer with totals before its rebuild is complete: they would be zero, and the accounts that
+	// have received the most service would be preferred.
 	w := newTestFleet("north", "north")
 	w.recordServed(w.routers[0], accounts[0], 50)
 	w.runWithoutFaults(10 * time.Second)
@@ -140,8 +141,8 @@
 }
 
 func TestChangeCrossesRegionsOnce(t *testing.T) {
-	// Traffic between regions is billed by volume. With a full mesh between the six domains each change would cross
-	// regions nine times.
+	// Traffic between regions is billed by volume, so one domain of each region exchanges changes for the others. With
+	// a full mesh between the six domains, each change would cross regions nine times.
 	w := newTestFleet("north", "north", "north", "south", "south", "south")
 	w.runWithoutFaults(20 * time.Second)
 	w.recordServed(w.routers[0], accounts[0], 10)
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -20,7 +20,8 @@
 }
 
 func TestLateReportDoesNotLowerTotal(t *testing.T) {
-	// Reports arrive out of order. Replacing a value by an older one would credit the account with service it has received.
+	// Reports arrive out of order. If an older value replaced a newer one, the account's total would fall, and the
+	// account would receive again service that it has already received.
 	w := newTestFleet("north")
 	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
@@ -31,8 +32,8 @@
 }
 
 func TestLateReportOfPreviousIncarnationCountsOnce(t *testing.T) {
-	// A router restarts, and a report of its previous incarnation arrives after that service was added to the sum of
-	// ended incarnations. The service must count once.
+	// A router restarts, and a report of its previous incarnation arrives after that incarnation's service was added to
+	// the sum of ended incarnations. The service must count once.
 	w := newTestFleet("north")
 	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
@@ -46,8 +47,8 @@
 }
 
 func TestLateComponentIsNotCountedAsDeparted(t *testing.T) {
-	// The other domain's answer arrives after a router's full report and includes a later report of that router, which
-	// the previous host had passed on. The service of the later report must not count twice.
+	// A new host receives a router's full report and then the other domain's answer, which contains a later report of
+	// that router that the previous host had passed on. The service of the later report must not count twice.
 	w := newTestFleet("north", "north")
 	w.runWithoutFaults(10 * time.Second)
 	w.replaceHost(0, 1)
@@ -76,8 +77,8 @@
 }
 
 func TestReportForEarlierQueryDoesNotEndRebuild(t *testing.T) {
-	// Full reports that answer an earlier host's query arrive late. They may lack service that other domains already
-	// know, so they must not end the rebuild.
+	// A new host receives full reports that answer the query of an earlier host. They may lack service that other
+	// domains already know, so they must not end the rebuild.
 	w := newTestFleet("north")
 	l := w.ledgers[w.hosts["d0"]]
 	w.held = nil
@@ -116,7 +117,8 @@
 }
 
 func TestLostReportIsResent(t *testing.T) {
-	// The only report of an account's last request is lost, and no later request triggers another.
+	// The only report of an account's last request is lost, and no later request triggers another report. The router
+	// must resend the lost one.
 	w := newTestFleet("north")
 	w.runWithoutFaults(5 * time.Second)
 	w.recordServed(w.routers[0], accounts[0], 10)
--- a/pomeloledger/rebuild.go
+++ b/pomeloledger/rebuild.go
@@ -39,8 +39,9 @@
 	return hosts
 }
 
-// advancePhase moves a rebuild to its next phase. Totals served before the rebuild is complete would be too low, and
-// accounts that have received much service would be preferred until the missing reports arrived.
+// advancePhase moves a rebuild to its next phase when that is due. Totals sent to routers before the rebuild is
+// complete would be too low, and accounts that have received much service would be preferred until the missing reports
+// arrived.
 func (l *Ledger) advancePhase(now time.Time, s *shard) {
 	elapsed := now.Sub(s.hostedSince)
 	if s.phase == queryingDomains && (len(s.pendingHosts) == 0 || elapsed >= l.cfg.Options.RebuildTimeout/2) {
@@ -76,7 +77,7 @@
 	return out
 }
 
-// domainOfHost returns the domain in which a router hosts a shard, or false when it hosts it in none.
+// domainOfHost returns the domain in which a router hosts a shard, or false when the router does not host the shard.
 func (l *Ledger) domainOfHost(id pomelorelay.ShardID, node pomelorelay.NodeID) (pomelorelay.DomainID, bool) {
 	for _, domain := range l.cfg.Fleet.Domains() {
 		if host, ok := l.cfg.Fleet.Host(id, domain.ID); ok && host == node {
--- a/pomeloledger/reporter.go
+++ b/pomeloledger/reporter.go
@@ -16,7 +16,7 @@
 	Interval time.Duration
 	// ResendAfter is the time without an answer after which entries are sent again; 2 s when zero.
 	ResendAfter time.Duration
-	// MaxEntries limits the entries of an incremental report; 512 when zero. Full reports are not limited.
+	// MaxEntries limits the number of entries in an incremental report; 512 when zero. Full reports are not limited.
 	MaxEntries int
 }
 
--- a/pomeloquarantine/arbiter.go
+++ b/pomeloquarantine/arbiter.go
@@ -72,8 +72,8 @@
 }
 
 // lockRunning takes the free locks for a run that is already in progress. Overlapping sends of a fingerprint may run on
-// several upstreams. Each of these is locked, whoever holds the fingerprint's lock, so that no other suspect is sent
-// there and blamed for a crash.
+// several upstreams. Each of these upstreams is locked, whichever router holds the lock of the fingerprint, so that no
+// other suspect is sent there and blamed for a crash.
 func (a *Arbiter) lockRunning(now time.Time, from pomelorelay.NodeID, m *pomelorelay.SuspectAsk) {
 	p := a.newLock(now, from, m)
 	if old := a.byFingerprint[m.Fingerprint]; (old == nil && len(a.byFingerprint) < a.cfg.MaxSuspects) || (old != nil && old.sameHolder(p)) {
--- a/pomeloquarantine/config.go
+++ b/pomeloquarantine/config.go
@@ -31,9 +31,9 @@
 	AskInterval time.Duration
 	// MaxWait is how long a suspect may wait to be admitted before it is refused, 10 s by default.
 	MaxWait time.Duration
-	// MaxSuspects limits the suspects of a Table and the locks of an Arbiter, MaxQuarantined the quarantined
-	// fingerprints of a Table; 4,096 and 1,024 by default. A full Table evicts the entry that expires first; a full
-	// Arbiter denies further locks.
+	// MaxSuspects limits the number of suspects of a Table and of locks of an Arbiter, MaxQuarantined the number of
+	// quarantined fingerprints of a Table; 4,096 and 1,024 by default. A full Table evicts the entry that expires
+	// first; a full Arbiter denies further locks.
 	MaxSuspects    int
 	MaxQuarantined int
 }
--- a/pomeloquarantine/quarantine_test.go
+++ b/pomeloquarantine/quarantine_test.go
@@ -86,8 +86,8 @@
 }
 
 // Messages between routers are lost. A router that missed the notice of a suspect may send the suspect without locks
-// and lose one upstream. If it also missed the quarantine, it may lose another before it attributes the crash itself:
-// at most two per router.
+// and crash one upstream. If it also missed the quarantine, it may crash a second upstream before it attributes the
+// crash itself, so the limit is two crashes per router.
 func TestLostNoticesOnlySlowTheQuarantine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f, _ := runCrashingRequest(rapid.Uint64().Draw(rt, "seed"), true, 1, 40, 0.2, true)
@@ -245,7 +245,8 @@
 	}
 }
 
-// A router that returns from a partition has missed the quarantines and suspects announced meanwhile.
+// A router that returns from a partition has missed the quarantines and suspects announced meanwhile. They must be sent
+// to it when it joins.
 func TestJoinedRouterReceivesQuarantines(t *testing.T) {
 	h := newHarness(pomeloquarantine.Config{})
 	h.crash(1, 1, "u1")
--- a/pomeloslot/config.go
+++ b/pomeloslot/config.go
@@ -30,12 +30,12 @@
 	RecoveryTimeout time.Duration
 	// DemandTTL is how long a router's registered demand stays valid without a refresh; default 3 s.
 	DemandTTL time.Duration
-	// ReturnBackoff is how long a router receives no grants for an upstream after it returned one unused although it
-	// had requests waiting; default 100 ms.
+	// ReturnBackoff is how long a router receives no grants for an upstream after the router returned one unused
+	// although it had requests waiting; default 100 ms.
 	ReturnBackoff time.Duration
-	// PrefixMargin is the amount by which a router's lowest waiting tag may exceed the lowest of all routers for the
-	// router still to be preferred because the upstream has its prompt prefix cached; default 1, negative disables the
-	// preference.
+	// PrefixMargin limits the preference for routers whose prompt prefix the upstream has cached: such a router is
+	// preferred while its lowest waiting tag exceeds the lowest of all routers by at most this amount; default 1,
+	// negative disables the preference.
 	PrefixMargin pomelorelay.Tag
 	// PrefixTTL is how long a prefix is assumed to be cached after the last cache event or grant for it; default 60 s.
 	PrefixTTL time.Duration
@@ -170,7 +170,8 @@
 // SpillOptions configures when demand spills over to other failure domains and regions; zero fields take the defaults.
 type SpillOptions struct {
 	// DomainMargin is the amount by which the last granted tag of an upstream in another domain of the region must
-	// exceed the local domain's highest for demand to spill to that upstream while it is busy; default 10.
+	// exceed the highest one in the local domain before demand spills to that upstream while it has no idle slots;
+	// default 10.
 	DomainMargin pomelorelay.Tag
 	// RegionMargin is the corresponding amount for an upstream in another region; it is higher because traffic between
 	// regions is billed; default 100.
--- a/pomeloslot/failures_test.go
+++ b/pomeloslot/failures_test.go
@@ -155,8 +155,8 @@
 }
 
 func TestTwoOwnersStayWithinLimit(t *testing.T) {
-	// Two routers own the same upstream, as can happen for seconds after a partition heals. If owners ignored its load
-	// report, each would grant the full limit, and first tokens would be late for all requests there.
+	// Two routers own the same upstream, as can happen for seconds after a partition heals. If the owners ignored the
+	// upstream's load report, each would grant the full limit, and first tokens would be late for all requests there.
 	owners := []*pomeloslot.Owner{newOwner("r1"), newOwner("r2")}
 	for _, o := range owners {
 		o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a", "b"}, nil)
--- a/pomeloslot/gapbound_test.go
+++ b/pomeloslot/gapbound_test.go
@@ -72,8 +72,8 @@
 }
 
 func TestGapExceedsBoundWithoutCoordination(t *testing.T) {
-	// With fixed shares and no coordination, an account that is alone at its router receives far more than those that
-	// share one. This verifies that the bound is able to detect unfairness.
+	// With fixed shares and no coordination, an account that is alone at its router receives far more than accounts
+	// that share a router. The gap must then exceed the bound; otherwise the bound could not detect unfairness.
 	cfg := referenceConfig(1)
 	cfg.fixedShares = true
 	f := newFleet(cfg)
--- a/pomeloslot/heldgrants.go
+++ b/pomeloslot/heldgrants.go
@@ -25,8 +25,8 @@
 }
 
 // GrantUsable reports whether a request may still be sent under a grant. Storing the claim that makes a non-idempotent
-// request run at most once can take seconds; without this check, the request could then reach an upstream after the
-// notice that no more requests follow.
+// request run at most once can take seconds, and the upstream may be leaving by then; without this check, the request
+// could reach the upstream after the notice that no more requests follow.
 func (r *Requester) GrantUsable(now time.Time, id pomelorelay.GrantID) bool {
 	h := r.grants[id]
 	if h == nil {
@@ -48,7 +48,8 @@
 	u := r.upstreams[h.upstream]
 	waiting := s.Waiting
 	if u == nil || u.leaving || u.digest.Leaving {
-		// An owner that does not know yet that the upstream is leaving would grant again at once, in an endless loop.
+		// An owner that does not know yet that the upstream is leaving would otherwise grant a slot again at once, and
+		// owner and router would exchange grants in an endless loop.
 		waiting = 0
 	}
 	m := &pomelorelay.GrantReply{
@@ -67,8 +68,8 @@
 	}
 	r.recordReply(now, u, h.owner, s, waiting)
 	if u.digest.Owner != "" && u.digest.Owner != h.owner {
-		// The upstream's new owner learned of the grant when it queried the running requests, and counts its slot as
-		// taken.
+		// The upstream's new owner learned of the grant when it queried the running requests; without the reply it
+		// would keep counting the slot as taken.
 		out = append(out, pomelorelay.Outgoing{To: u.digest.Owner, Message: m})
 	}
 	return out
--- a/pomeloslot/idleanswer_test.go
+++ b/pomeloslot/idleanswer_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestDemandSpillsWhenOwnerDoesNotAnswer(t *testing.T) {
-	// An owner in the local domain is paused just after it published idle slots. A request would wait almost 2 s for it,
-	// until it is declared dead, although another domain of the region has idle slots.
+	// An owner in the local domain is paused just after it published idle slots. A request would wait almost 2 s, until
+	// that owner is declared dead, although another domain of the region has idle slots.
 	for _, c := range []struct {
 		name   string
 		answer func(r *pomeloslot.Requester, at time.Time)
--- a/pomeloslot/load.go
+++ b/pomeloslot/load.go
@@ -10,7 +10,7 @@
 	lastReport LoadReport
 	reported   bool
 	// excess is the number of requests in the last load report beyond the slots that were recently taken under this
-	// owner; they were granted by another owner.
+	// owner; these requests were granted by another owner.
 	excess int
 	peaks  [peakIntervals + 1]peak
 }
--- a/pomeloslot/owner_test.go
+++ b/pomeloslot/owner_test.go
@@ -56,8 +56,8 @@
 }
 
 func TestFreeSlotsAlternateBetweenRouters(t *testing.T) {
-	// Several slots become free at once. The tag of the first router is outdated after its first grant; without taking
-	// that into account, its account would receive all of the slots.
+	// Several slots become free at once. After its first grant a router's tag is outdated; if the owner relied on that
+	// tag, the router's account would receive all of the slots.
 	o := newOwner("r1")
 	o.AddUpstream(start, upstream(3), []pomelorelay.NodeID{"x"}, nil)
 	o.HandleDemand(start, "a", demand(1, 10, 5), nil)
@@ -91,8 +91,8 @@
 }
 
 func TestRequestInLoadAndRunningReportCountsOnce(t *testing.T) {
-	// The upstream's load report reaches a new owner before the routers' running reports. The requests in both must not
-	// count twice, or slots would stay idle until the next load report.
+	// The upstream's load report reaches a new owner before the routers' running reports. Requests that appear in both
+	// reports must not count twice, or slots would stay idle until the next load report.
 	o := newOwner("r2")
 	o.AddUpstream(start, upstream(8), []pomelorelay.NodeID{"a"}, nil)
 	o.HandleDemand(start, "b", demand(1, 1, 9), nil)
@@ -157,7 +157,8 @@
 }
 
 func TestUnrefreshedDemandExpires(t *testing.T) {
-	// A router is partitioned in one direction: its demand has arrived, but later messages do not.
+	// A router is partitioned in one direction: its demand has arrived, but later messages do not. If its demand did
+	// not expire, the router would be granted slots that it never uses.
 	o := newOwnerOfUpstream(1)
 	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 1), nil))
 	o.HandleDemand(start, "cut", demand(1, 0, 9), nil)
@@ -170,7 +171,8 @@
 }
 
 func TestLeavingUpstreamReceivesNoGrants(t *testing.T) {
-	// The host list shows an upstream as leaving while requests wait for it and run on it.
+	// The host list shows an upstream as leaving while requests wait for it and run on it. Slots that become free must
+	// not be granted again, because a leaving upstream must get no new requests.
 	o := newOwnerOfUpstream(2)
 	ids, _ := grantsIn(o.HandleDemand(start, "a", demand(1, 1, 9), nil))
 	o.MarkLeaving(start, "u")
@@ -212,8 +214,8 @@
 }
 
 func TestLimitFollowsLatencies(t *testing.T) {
-	// An upstream's responses are slow at its full limit, and no load report shows it. The limit decreases until 95% of
-	// first tokens meet the target, and then increases again.
+	// An upstream's responses are slow at its full limit, although no load report shows queued requests. The limit must
+	// decrease until 95% of first tokens meet the target, and then increase again.
 	o := newOwnerOfUpstream(100)
 	now, seq := start, uint64(1)
 	ids, _ := grantsIn(o.HandleDemand(now, "a", demand(seq, 1, 1_000_000), nil))
@@ -242,7 +244,9 @@
 }
 
 func TestCachedPrefixDecidesOnlyWithinMargin(t *testing.T) {
-	// An upstream probably has a prompt prefix cached, according to cache events that may be late or missing.
+	// An upstream probably has the prompt prefix of router b cached, according to cache events that may be late or
+	// missing. Router b is preferred to router a, which has a lower tag, only within the margin and while the prefix is
+	// assumed to be cached.
 	for _, c := range []struct {
 		name string
 		head pomelorelay.Tag
--- a/pomeloslot/partition_test.go
+++ b/pomeloslot/partition_test.go
@@ -53,8 +53,9 @@
 }
 
 func TestCatchUpAfterPartition(t *testing.T) {
-	// A partition lasts two minutes. Accounts with callers on both sides are served by both, the others by one. After the
-	// partition those that received less may catch up, but the others must not stop being served for minutes.
+	// A partition lasts two minutes. Accounts with callers on both sides are served on both, the other accounts on one.
+	// After the partition the accounts that received less may catch up, but service to the others must not stop for
+	// minutes.
 	for seed := range uint64(1) {
 		f := newFleet(referenceConfig(seed + 1))
 		f.runUntil(time.Minute)
--- a/pomeloslot/randomfaults_test.go
+++ b/pomeloslot/randomfaults_test.go
@@ -8,8 +8,9 @@
 )
 
 func TestSlotsAreNeitherLostNorOvercommitted(t *testing.T) {
-	// Control messages are lost at random, or a router that owns upstreams dies. An upstream with more requests than slots
-	// responds late; a slot that is wrongly counted as taken stays idle forever.
+	// Control messages are lost at random, or a router that owns upstreams dies. No upstream may get more requests than
+	// it has slots, since its responses would be late, and no slot may stay wrongly counted as taken, since it would be
+	// idle forever.
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := drawFleet(t)
 		cfg.dropFraction = rapid.SampledFrom([]float64{0, 0.01, 0.1, 0.3}).Draw(t, "drop")
--- a/pomeloslot/requester.go
+++ b/pomeloslot/requester.go
@@ -158,7 +158,8 @@
 
 // MaxVirtualTime returns the highest virtual time among the local domain and the other domains without idle slots whose
 // digests are current; the spill margin is subtracted from that of each other domain. Without the margin, all accounts
-// of a domain that is slightly behind would repeatedly be lifted to the same tag and served in arbitrary order.
+// of a domain whose virtual time is slightly lower would repeatedly be lifted to the same tag and served in arbitrary
+// order.
 func (r *Requester) MaxVirtualTime(now time.Time, id pomelorelay.PoolID) pomelorelay.Tag {
 	p := r.pools[id]
 	if p == nil {
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -76,8 +76,8 @@
 }
 
 func TestGrantInFlightWhenUpstreamLeaves(t *testing.T) {
-	// An owner that does not know yet that an upstream is leaving grants its slots, or a router's claim takes so long that
-	// the upstream leaves or the grant expires meanwhile. Requests would start after the leaving notice.
+	// A request must not start after the leaving notice of its upstream. It could if an owner that does not know yet of
+	// the leaving grants a slot, or if a claim takes so long that the upstream leaves or the grant expires meanwhile.
 	r := newRequester()
 	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
--- a/pomeloslot/table_test.go
+++ b/pomeloslot/table_test.go
@@ -55,8 +55,8 @@
 // referenceSpan is the simulated time of the reference measurements.
 const referenceSpan = 210 * time.Second
 
-// variedLoadMaxGap is the maximum gap in slot seconds under varied loads; it reached 56.2 when one account ran nine of
-// its longest requests at the same time.
+// variedLoadMaxGap is the largest fairness gap, in slot seconds, that the tests with varied loads accept. The largest
+// measured was 56.2, when one account ran nine of its longest requests at the same time.
 const variedLoadMaxGap = 60
 
 func (e expectation) check(t *testing.T) {
@@ -86,8 +86,9 @@
 }
 
 func TestFixedSharesBaseline(t *testing.T) {
-	// Each router serves its accounts with a fixed share of the slots, as fleets without coordination do: an account at one
-	// router receives far less than one at seven. The other tests would prove little if this gap disappeared.
+	// Each router serves its accounts with a fixed share of the slots, as fleets without coordination do: an account at
+	// one router receives far less than one at seven routers. If this gap disappeared, the other tests could not show
+	// that coordination removes it.
 	cfg := referenceConfig(1)
 	cfg.fixedShares = true
 	m := newFleet(cfg).measure(warmUp, 210*time.Second, nil)
--- a/pomeloslot/upstream.go
+++ b/pomeloslot/upstream.go
@@ -41,7 +41,7 @@
 	// unansweredGrants is the number of grants without a reply; while it is above zero, head is older than these
 	// grants.
 	unansweredGrants int
-	// backoffUntil is when the router may receive grants again after it returned one.
+	// backoffUntil is when the router may receive grants again after it returned one unused.
 	backoffUntil time.Time
 	// unknownRequests is the number of requests that the router runs without a grant known to the owner.
 	unknownRequests int
