--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -73,7 +73,8 @@
 
 // forecastOthers estimates what the other routers have charged since the last report: this router's own charges times
 // the recent ratio of their charges to its own. Until the next totals arrive, the same account has the lowest tag at
-// all routers; without the forecast, each router would serve the account's whole deficit.
+// all routers; without the forecast, each router would serve the account's whole deficit, which the account would thus
+// receive once per router.
 func (a *account) forecastOthers() pomelorelay.Tag {
 	since := a.ownServed + a.pending - a.chargedAtReport
 	if since <= 0 || a.othersIncrease <= 0 {
--- a/pomelofair/catchup_test.go
+++ b/pomelofair/catchup_test.go
@@ -28,7 +28,8 @@
 
 func TestMaxVirtualTimeOfAnotherDomain(t *testing.T) {
 	// The accounts of a partitioned failure domain received less service than those of another domain. After the
-	// partition, the accounts of the other domain must not wait until these have caught up completely.
+	// partition, the accounts of the other domain must not wait until those of the partitioned one have caught up
+	// completely.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
 	q.SetVirtualTime(pool, 100)
@@ -42,7 +43,7 @@
 
 func TestRunningAccountIgnoresStaleTotals(t *testing.T) {
 	// An account has one long request running and none waiting. A router requests fleet totals of served cost only for
-	// accounts with waiting requests, so it does not learn what other routers serve the account meanwhile. The
+	// accounts with waiting requests, so it does not learn how much service the account receives at other routers. The
 	// account's next request must not be ordered by totals that are a minute old.
 	q := pomelofair.New(pomelofair.Config{Charge: pomelofair.ChargeOptions{CatchUp: 60}})
 	push(t, q, 1, "a")
--- a/pomelofair/ledger.go
+++ b/pomelofair/ledger.go
@@ -26,8 +26,8 @@
 }
 
 // RaiseMaxVirtualTime raises the pool's maximum virtual time across failure domains; backlogged accounts are lifted to
-// at most CatchUp below it. The current virtual time would not do: after a partition it falls to the tags of the
-// accounts that received less, and the other accounts would receive no service until these had caught up completely.
+// at most CatchUp below it. The current virtual time cannot be used instead: after a partition it falls to the tags of
+// the accounts that received less, and the others would receive no service until these had caught up completely.
 func (q *Queues) RaiseMaxVirtualTime(id pomelorelay.PoolID, tag pomelorelay.Tag) {
 	if p := q.pools[id]; p != nil {
 		p.maxVirtualTime = max(p.maxVirtualTime, tag)
@@ -54,8 +54,8 @@
 	a.totalsAt = now
 	a.lift = max(a.lift, e.Lift)
 	if !a.awaitingTotals && increase > pomelorelay.Cost(a.pool.options.CatchUp) {
-		// An increase above CatchUp means that a partition has ended and the totals now include the service from the
-		// other side.
+		// The increase exceeds CatchUp after a partition, when the totals first include the service from the other
+		// side.
 		p.maxVirtualTime = max(p.maxVirtualTime, a.served())
 	}
 	q.liftToTarget(a, e.Waiting)
--- a/pomeloledger/merge_test.go
+++ b/pomeloledger/merge_test.go
@@ -21,7 +21,7 @@
 
 func TestLateReportDoesNotLowerTotal(t *testing.T) {
 	// Reports arrive out of order. If an older value replaced a newer one, the account's total would fall, and the
-	// account would receive again service that it has already received.
+	// account would be preferred as if it had not received the difference.
 	w := newTestFleet("north")
 	w.runWithoutFaults(time.Second)
 	l := w.ledgers[w.hosts["d0"]]
--- a/pomeloslot/requester_test.go
+++ b/pomeloslot/requester_test.go
@@ -76,8 +76,9 @@
 }
 
 func TestGrantInFlightWhenUpstreamLeaves(t *testing.T) {
-	// A request must not start after the leaving notice of its upstream. It could if an owner that does not know yet of
-	// the leaving grants a slot, or if a claim takes so long that the upstream leaves or the grant expires meanwhile.
+	// A request must not start after the leaving notice of its upstream. It could if an owner grants a slot before it
+	// knows that the upstream is leaving, or if a claim takes so long that the upstream leaves or the grant expires
+	// meanwhile.
 	r := newRequester()
 	r.UpdateDigests(start, []pomelorelay.SlotDigest{digest("u1", "a", 10, 4)})
 	now := start.Add(time.Millisecond)
