--- a/pomeloclaim/fleet_test.go
+++ b/pomeloclaim/fleet_test.go
@@ -28,7 +28,7 @@
 	// Injected faults.
 	outage         bool
 	messageLoss    float64 // probability that a message is lost
-	storeReplyLoss float64 // probability that a store result is lost, whether or not the operation took effect in time
+	storeReplyLoss float64 // probability that a store result is lost; the operation takes effect, in half of the cases late
 	partitioned    map[[2]int]bool
 	keeperOf       func(shard pomelorelay.ShardID, requester int) int
 
--- a/pomelofair/charge.go
+++ b/pomelofair/charge.go
@@ -64,7 +64,7 @@
 	a := r.account
 	q.accrue(r, final)
 	a.releaseCharge(r)
-	if r.accrued > 0 { // a request that never ran is no sample of the cost
+	if r.accrued > 0 { // the cost of a request that never ran must not lower the means
 		q.updateMeans(a, r.accrued)
 	}
 	q.recycle(r)
