--- a/fleet.go
+++ b/fleet.go
@@ -15,7 +15,7 @@
 	RouteIdempotent RouteKind = "Idempotent"
 	// RouteOnce requests run at most once.
 	RouteOnce RouteKind = "Once"
-	// RouteStream requests are answered with an event stream; they run at most once unless the route is resumable.
+	// RouteStream requests are answered with an event stream; such a request runs at most once unless the route is resumable.
 	RouteStream RouteKind = "Stream"
 )
 
@@ -33,7 +33,7 @@
 	Kind   RouteKind
 	// Timeout bounds the time for which a caller waits.
 	Timeout time.Duration
-	// TargetLatency is the latency that callers expect, up to the response or to a stream's first event.
+	// TargetLatency is the latency that callers expect: the time to the response or, for a stream, to its first event.
 	TargetLatency time.Duration
 	// MaxEventGap is the longest gap between events that callers expect; zero when unspecified.
 	MaxEventGap time.Duration
@@ -67,7 +67,8 @@
 	Name ServiceID
 	// MaxConns is the maximum number of connections to one upstream for all callers together; zero means unlimited.
 	MaxConns int
-	// ColdPeriod is the time after its start for which an upstream is cold, that is, accepts only ColdRate; zero if it is never cold.
+	// ColdPeriod is the time after the start of an upstream for which the upstream is cold, that is, accepts only ColdRate; zero if
+	// upstreams are never cold.
 	ColdPeriod time.Duration
 	// ColdRate is the number of requests per second that a cold upstream accepts.
 	ColdRate float64
@@ -110,8 +111,8 @@
 // ColdUnknown is the remaining cold time of an upstream that does not report whether it is cold (recently started and limited in rate).
 const ColdUnknown time.Duration = -1
 
-// ColdBounds limits the requests that the fleet sends in any second to a cold (recently started) upstream: Ratio times the rate that
-// the upstream accepts, plus Slack.
+// ColdBounds limits the number of requests that the fleet sends in any second to a cold (recently started) upstream. The limit is Ratio
+// times the rate that the upstream accepts, plus Slack.
 type ColdBounds struct {
 	Ratio float64
 	Slack float64
@@ -131,7 +132,7 @@
 	Slots   Slots
 	// Draining upstreams get no new requests.
 	Draining bool
-	// ColdRemaining is the remaining time for which the upstream reports to be cold; ColdUnknown if it does not report it.
+	// ColdRemaining is the time for which the upstream will remain cold, as reported by the upstream; ColdUnknown if it reports none.
 	ColdRemaining time.Duration
 	// StartUnixMilli is the start time of the upstream's process in Unix milliseconds; zero if the upstream does not report it.
 	StartUnixMilli int64
@@ -162,8 +163,8 @@
 type Platform interface {
 	// Read returns the complete fleet state. A stale read may be seconds out of date and costs the store a tenth of a current one.
 	Read(ctx context.Context, stale bool) (FleetChange, error)
-	// Watch blocks until something has changed since the revision and returns the change, or an empty one once wait has
-	// passed. It fails with CodeStoreCompacted if the store has compacted the history since the revision.
+	// Watch blocks until the fleet state has changed since the revision and returns the change; once wait has passed, it returns an empty
+	// change. It fails with CodeStoreCompacted if the store has compacted the history since the revision.
 	Watch(ctx context.Context, after Revision, wait time.Duration) (FleetChange, error)
 	// ParseConfig decodes a configuration document received from a peer.
 	ParseConfig(document []byte) (*FleetConfig, error)
--- a/ids.go
+++ b/ids.go
@@ -30,7 +30,7 @@
 // Incarnation distinguishes successive processes of a router: the start time in Unix nanoseconds, incremented to refute suspicions.
 type Incarnation uint64
 
-// Generation is the number of an accepted configuration; it never decreases.
+// Generation is the number of an accepted configuration; a later configuration has a higher number.
 type Generation uint64
 
 // RequestID is the number of a caller's request, unique within one router incarnation.
@@ -39,7 +39,7 @@
 // GrantID is the number of a slot grant, unique within one incarnation of the router that issued the grant.
 type GrantID uint64
 
-// ShardID is the number of a shard of the service ledger or of the claims to run non-idempotent requests.
+// ShardID is the number of a ledger shard (part of the service ledger) or claim shard (part of the claims to run non-idempotent requests).
 type ShardID uint32
 
 // Fingerprint is a 64-bit hash of a request's account, service and body.
--- a/interfaces.go
+++ b/interfaces.go
@@ -30,7 +30,7 @@
 	// It fails with CodeStoreConflict if the record is at another revision, with CodeStoreUnavailable if
 	// the write certainly had no effect, and with CodeStoreUnknown if it may have had one.
 	CompareAndSwap(ctx context.Context, key StoreKey, value []byte, old Revision, lease LeaseID) (Revision, error)
-	// Watch blocks until the record's revision differs from after and returns the record; it fails when ctx ends.
+	// Watch blocks until the record has another revision than the given one and returns the record; it fails when ctx ends.
 	Watch(ctx context.Context, key StoreKey, after Revision) (Record, error)
 	// OpenLease opens a lease that expires unless it is renewed within ttl.
 	OpenLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
@@ -98,8 +98,8 @@
 type Mesh interface {
 	// SetPeers replaces the set of peers that the mesh may connect to.
 	SetPeers(peers []Peer)
-	// SendToAddr sends a message, without blocking, to whichever router answers at an address; an unreachable address is logged.
-	// It fails with CodeMeshMalformed.
+	// SendToAddr sends a message, without blocking, to whichever router answers at an address; an unreachable address is logged. It fails
+	// with CodeMeshMalformed if receivers would reject the message.
 	SendToAddr(addr netip.AddrPort, m Message) error
 	// SetGeneration sets the configuration generation that is sent with every message.
 	SetGeneration(generation Generation)
--- a/messages.go
+++ b/messages.go
@@ -38,8 +38,8 @@
 	Message    Message
 }
 
-// Demand reports the requests that a router has queued for an upstream to the router that grants the upstream's slots. A higher Seq
-// supersedes a lower one.
+// Demand describes the requests that the sender has queued for an upstream; it is sent to the router that grants the upstream's slots. A
+// higher Seq supersedes a lower one.
 type Demand struct {
 	Upstream UpstreamID
 	Pool     PoolID
@@ -91,14 +91,15 @@
 	Upstream UpstreamID
 }
 
-// RunningReport answers a RunningQuery with the grants that the sender holds for an upstream and the number of its requests running there.
+// RunningReport answers a RunningQuery with the grants that the sender holds for an upstream and the number of the sender's requests
+// running on the upstream.
 type RunningReport struct {
 	Upstream UpstreamID
 	Grants   []GrantID
 	Running  uint32
 }
 
-// SlotDigest summarises the slots of an upstream, as published by the router that grants them.
+// SlotDigest is the slot state of an upstream, as published by the router that grants the upstream's slots.
 type SlotDigest struct {
 	Upstream UpstreamID
 	Pool     PoolID
@@ -114,9 +115,10 @@
 type LedgerEntry struct {
 	Pool    PoolID
 	Account AccountID
-	// Served is the cumulative cost of the account's service: by the sending router in a LedgerReport, by the fleet in LedgerTotals.
+	// Served is the cumulative cost of the service that the account received: from the sending router in a LedgerReport, from the whole
+	// fleet in LedgerTotals.
 	Served Cost
-	// Lift is the normalised service credited to an account on its return from idleness; entries merge by maximum.
+	// Lift is the normalised service credited to an account on its return from idleness; when entries are merged, the highest Lift is kept.
 	Lift Tag
 	// Waiting states whether the account is backlogged: at the sending router in a LedgerReport, at any router in LedgerTotals.
 	Waiting bool
@@ -128,7 +130,7 @@
 	Seq     uint64
 	Full    bool
 	Entries []LedgerEntry
-	// Interest lists the accounts whose fleet totals the router requests.
+	// Interest lists the accounts whose fleet totals of served cost the router requests.
 	Interest []LedgerKey
 	// Round is the Round of the LedgerQuery that a full report answers.
 	Round uint64
@@ -140,19 +142,19 @@
 	Account AccountID
 }
 
-// LedgerTotals answers a LedgerReport with fleet totals; Ready is false while the sender rebuilds the shard.
+// LedgerTotals answers a LedgerReport with the fleet totals of served cost; Ready is false while the sender rebuilds the shard.
 type LedgerTotals struct {
 	Shard   ShardID
 	Ready   bool
 	Entries []LedgerEntry
-	// Seq is the Seq of the report answered.
+	// Seq is the Seq of the LedgerReport that this message answers.
 	Seq uint64
 }
 
 // LedgerQuery asks a router for a full LedgerReport; the new host of a ledger shard sends it to rebuild the shard.
 type LedgerQuery struct {
 	Shard ShardID
-	// Round distinguishes answers to this query from those to earlier ones.
+	// Round distinguishes the answers to this query from answers to earlier queries.
 	Round uint64
 }
 
@@ -164,7 +166,7 @@
 	Entries []LedgerComponentEntry
 }
 
-// LedgerComponentEntry is the cumulative service of an account in one domain; Departed is the part of Sum from routers that are gone.
+// LedgerComponentEntry is the cumulative service of an account in one domain; Departed is the part of Served from routers that are gone.
 type LedgerComponentEntry struct {
 	Pool     PoolID
 	Account  AccountID
@@ -174,7 +176,8 @@
 	Waiting  bool
 }
 
-// LedgerComponentQuery asks the host of a ledger shard in another failure domain for all of its LedgerComponents of the shard.
+// LedgerComponentQuery asks the host of a ledger shard in another failure domain for the LedgerComponents of the shard, one for each
+// domain.
 type LedgerComponentQuery struct {
 	Shard ShardID
 }
@@ -182,7 +185,7 @@
 // MemberStatus is the status of a router in the membership protocol.
 type MemberStatus int
 
-// Values of MemberStatus; a later one overrides an earlier one of the same incarnation.
+// Values of MemberStatus; for the same incarnation of a router, a status overrides those listed above it.
 const (
 	MemberAlive MemberStatus = iota + 1
 	MemberSuspect
@@ -190,14 +193,14 @@
 	MemberDead
 )
 
-// MemberState is the status of one incarnation of a router, which digests disseminate.
+// MemberState is the status of one incarnation of a router, as disseminated by digests (membership heartbeats).
 type MemberState struct {
 	Node        NodeID
 	Incarnation Incarnation
 	Status      MemberStatus
 }
 
-// Digest is the periodic heartbeat between routers, with membership changes and slot digests.
+// Digest is the periodic heartbeat between routers, with membership changes and the slot states of upstreams.
 type Digest struct {
 	Seq     uint64
 	Members []MemberState
@@ -294,7 +297,7 @@
 	Outcome  ClaimOutcome
 }
 
-// ClaimSettled acknowledges a ClaimSettle once it is stored.
+// ClaimSettled acknowledges a ClaimSettle once the reported outcome is stored.
 type ClaimSettled struct {
 	Shard ShardID
 	Key   ClaimKey
@@ -308,8 +311,8 @@
 	Fingerprints []Fingerprint
 }
 
-// SuspectAsk asks whether a crash suspect, a request that may have crashed an upstream, may run on Upstream. It goes to the router that
-// decides for the fingerprint. With Running, it reports that the request already runs on Upstream.
+// SuspectAsk asks whether a crash suspect, a request that may have crashed an upstream, may run on Upstream. The message is sent to the
+// router that decides about the fingerprint. If Running is set, the message reports that the request already runs on Upstream.
 type SuspectAsk struct {
 	Request     RequestID
 	Fingerprint Fingerprint
@@ -334,7 +337,7 @@
 	Clean       bool
 }
 
-// QuarantineNotice announces a quarantined fingerprint, or the end of its quarantine if the duration is zero. Upstream is the one
+// QuarantineNotice announces a quarantined fingerprint, or the end of its quarantine if the duration is zero. Upstream is the upstream
 // whose crash identified the fingerprint; other suspects of that crash are cleared.
 type QuarantineNotice struct {
 	Fingerprint Fingerprint
--- a/messages_load.go
+++ b/messages_load.go
@@ -61,21 +61,21 @@
 	return !r.Full && len(r.Upstreams)+len(r.Accounts)+len(r.Parts)+len(r.Leaving)+len(r.Speeds)+len(r.Starts) == 0
 }
 
-// Urgency implements Message; load is urgent because other routers place requests by it.
+// Urgency implements Message; load is urgent because other routers choose upstreams by the reported load.
 func (*LoadReport) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey returns an empty key: a report holds only changes, so none may be replaced.
 func (*LoadReport) CoalesceKey() string { return "" }
 
-// LoadSummary is the sum of the load reports of several routers. The relay of a failure domain sends it to the domain's routers,
-// covering all other routers, and to the relays of other domains, covering its own domain.
+// LoadSummary is the sum of the load reports of several routers. The relay of a failure domain sends a summary of all other routers to the
+// routers of its domain, and a summary of its own domain to the relays of other domains.
 type LoadSummary struct {
 	Report *LoadReport
 	// Standby are the routers that take over as relay, in order, if the sender fails.
 	Standby []NodeID
 }
 
-// Urgency implements Message; load is urgent because other routers place requests by it.
+// Urgency implements Message; load is urgent because other routers choose upstreams by the reported load.
 func (*LoadSummary) Urgency() Urgency { return UrgencyHigh }
 
 // CoalesceKey returns an empty key: a summary holds only changes, so none may be replaced.
@@ -106,8 +106,8 @@
 // CoalesceKey returns an empty key: an update holds only changes, so none may be replaced.
 func (*FleetUpdate) CoalesceKey() string { return "" }
 
-// SpeedSums holds one router's sums for a linear regression of the time to first token, in milliseconds, on the prompt tokens read,
-// over a service's weighted responses since the router's start.
+// SpeedSums holds one router's sums for a linear regression of the time to first token, in milliseconds, on the number of prompt tokens
+// read. The sums cover the weighted responses of one service since the router's start.
 type SpeedSums struct {
 	Service ServiceID
 	// Answers is the number of responses.
--- a/messages_state.go
+++ b/messages_state.go
@@ -3,7 +3,7 @@
 // StateAsk asks a router for its copy of the configuration, upstreams and routers in the platform's store. It is sent by a router that
 // cannot reach the store or that missed an update.
 type StateAsk struct {
-	// Above is the generation of the sender's configuration; only a newer one is requested.
+	// Above is the generation of the sender's configuration; only a newer configuration is requested.
 	Above Generation
 	// Upstreams states that the registered upstreams are requested too.
 	Upstreams bool
--- a/pomeloconfig/answers.go
+++ b/pomeloconfig/answers.go
@@ -17,7 +17,7 @@
 	Accounts   []AccountAnswers   `yaml:"Accounts"`
 }
 
-// MayRepeat is the answer to whether a service's calls may be repeated.
+// MayRepeat states whether the calls of a service may be repeated.
 type MayRepeat string
 
 // Values of MayRepeat; there is no default, because a wrong guess runs paid work twice.
@@ -63,8 +63,8 @@
 	Maximum pomelorelay.Cost `yaml:"Maximum"`
 }
 
-// SpillAnswers sets when requests may go to another failure domain or region, and how much service an account that fell behind may
-// catch up; all values are in normalised cost.
+// SpillAnswers sets when requests may go to another failure domain or region, and how much missed service an account that fell behind may
+// make up; all values are in normalised cost.
 type SpillAnswers struct {
 	Domain  pomelorelay.Tag `yaml:"Domain"`
 	Region  pomelorelay.Tag `yaml:"Region"`
--- a/pomeloconfig/configuration.go
+++ b/pomeloconfig/configuration.go
@@ -66,7 +66,7 @@
 	// or region once the last tag granted at an upstream there exceeds the highest one granted in the local domain by the margin.
 	SpillDomain pomelorelay.Tag `yaml:"SpillDomain"`
 	SpillRegion pomelorelay.Tag `yaml:"SpillRegion"`
-	// CatchUp is the maximum service, in normalised cost, that an account which fell behind the others may catch up.
+	// CatchUp is the maximum amount of missed service, in normalised cost, that an account which fell behind the others may make up.
 	CatchUp pomelorelay.Tag `yaml:"CatchUp"`
 	// RetryBudget is the maximum fraction of requests that may be retried.
 	RetryBudget float64 `yaml:"RetryBudget"`
--- a/pomeloconfig/defaults.go
+++ b/pomeloconfig/defaults.go
@@ -26,8 +26,8 @@
 	DefaultShare           = pomelorelay.Weight(1)
 )
 
-// The spill margins and the catch-up limit scale with MaxCost, the cost of the most expensive request. With margins far below
-// it a single request would move work to other failure domains; with margins far above it slots there would stay idle.
+// The spill margins and the catch-up limit scale with MaxCost, the cost of the most expensive request. With margins far below MaxCost a
+// single request would move work to other failure domains; with margins far above MaxCost slots in other failure domains would stay idle.
 const (
 	spillDomainPerMaxCost = 0.125
 	spillRegionPerDomain  = 8
--- a/pomeloconfig/generate.go
+++ b/pomeloconfig/generate.go
@@ -48,7 +48,7 @@
 	return all
 }
 
-// answerPaths holds the path in the answers of each upstream of the generated configuration.
+// answerPaths holds, for each upstream of the generated configuration, its path in the answers.
 type answerPaths struct {
 	upstreams []string
 }
--- a/pomeloconfig/parts_test.go
+++ b/pomeloconfig/parts_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// A part is corrupt, swapped with another, missing, or of a newer format. Assemble must return an error; a partial
-// configuration would reject the requests of the accounts that it lacks.
+// A part is corrupt, swapped with another, missing, or of a newer format. Assemble must return an error; a router with a partial
+// configuration would reject the requests of the missing accounts.
 func TestAssembleRejectsInvalidParts(t *testing.T) {
 	hashes, byHash := mustParts(t, sample(1500))
 	root := pomeloconfig.Root{Format: pomeloconfig.FormatVersion, Generation: 1, Parts: hashes}
--- a/pomeloconfig/propagation_test.go
+++ b/pomeloconfig/propagation_test.go
@@ -8,8 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// measureApplyTimes publishes changes one after the other. It returns the sorted times until each router has each change in
-// force, and the bytes of roots and parts sent per change and router.
+// measureApplyTimes publishes changes one after the other. It returns the sorted times from publishing a change until a router has the
+// change in force, for all changes and routers, and the bytes of roots and parts sent per change and router.
 func measureApplyTimes(t *testing.T, f *fleet, changes int) ([]time.Duration, pomelorelay.Bytes) {
 	t.Helper()
 	f.publishNext(t)
@@ -31,8 +31,9 @@
 	return times, f.sentBytes / pomelorelay.Bytes(changes*len(f.routers))
 }
 
-// A change is published in a failure domain of 60 routers, with two routers watching the store or with the store reachable from
-// one router only. The change must be in force on all routers within the bound; a late router would apply outdated shares.
+// A change is published in a failure domain of 60 routers, with two routers watching the store or with the store reachable from one router
+// only. The 99th percentile of the times until a router has the change in force must be within the bound; a late router would apply
+// outdated shares.
 func TestChangeIsInForceWithinBound(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/pomeloconfig/publisher.go
+++ b/pomeloconfig/publisher.go
@@ -54,9 +54,9 @@
 	return &Publisher{cfg: cfg, store: configStore{store: cfg.Store}}
 }
 
-// Publish validates the configuration, writes its parts and replaces the root. It returns the root that contains the change,
-// which is the current one when nothing differs. It fails with CodeConfigInvalid, CodeConfigConflict naming the change accepted
-// first, CodeConfigUnsettled when the change may have been or may still be accepted, or another code when it was not accepted.
+// Publish validates the configuration, writes its parts and replaces the root. It returns the root that contains the change, or the current
+// root when nothing differs. It fails with CodeConfigInvalid, CodeConfigConflict naming the change accepted first, CodeConfigUnsettled when
+// the change may have been or may still be accepted, or another code when it was not accepted.
 func (p *Publisher) Publish(ctx context.Context, c Configuration, change Change) (Root, error) {
 	c = c.normalised()
 	if err := problemsError(pomelorelay.CodeConfigInvalid, Check(c)); err != nil {
@@ -229,8 +229,8 @@
 	return Root{}, err
 }
 
-// resolveConflict returns next if it was accepted and has already been replaced, in which case it is in the history chain;
-// otherwise it returns a conflict error.
+// resolveConflict returns the root next if that root was accepted and has already been replaced, in which case it is in the history chain;
+// otherwise resolveConflict returns a conflict error.
 func (p *Publisher) resolveConflict(ctx context.Context, next Root, hash pomelorelay.Hash, found pomelorelay.Record) (Root, error) {
 	accepted, err := DecodeRoot(found.Value)
 	if err != nil {
--- a/pomeloconfig/publisher_test.go
+++ b/pomeloconfig/publisher_test.go
@@ -174,8 +174,8 @@
 	return 0, pomelorelay.NewError(pomelorelay.CodeStoreUnknown, "lost", nil)
 }
 
-// A change is accepted, the answer is lost, and another change replaces it before the read-back. If Publish
-// looked only at the newest root, it would report a conflict although the change is in the audit trail.
+// A change is accepted, the answer is lost, and another change replaces the accepted one before the read-back. If Publish looked only at
+// the newest root, it would report a conflict although the change is in the audit trail.
 func TestReplacedChangeIsReportedAsAccepted(t *testing.T) {
 	store := newMemStore()
 	publish(t, store, withShare(1), pomeloconfig.Change{Author: "ana"})
--- a/pomeloconfig/questionnaire.go
+++ b/pomeloconfig/questionnaire.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Question is one line of the questionnaire, with the question that it answers.
+// Question is one line of the questionnaire, with the question that the line answers.
 type Question struct {
 	// Line is the answer's line in the file, with an example or the default value.
 	Line string
--- a/pomeloconfig/questionnaire_test.go
+++ b/pomeloconfig/questionnaire_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// Two teams use the same name for different services. Requests for one service would reach the upstreams of the other.
+// Two teams use the same name for different services. If Generate accepted this, requests for one service would reach the upstreams of the
+// other.
 func TestGenerateRejectsDuplicateServiceNames(t *testing.T) {
 	examples := loadExamples(t)
 	second := examples[0]
--- a/pomeloconfig/settings_control.go
+++ b/pomeloconfig/settings_control.go
@@ -34,8 +34,8 @@
 	DomainBytes pomelorelay.Bytes `yaml:"DomainBytes"`
 	RegionBytes pomelorelay.Bytes `yaml:"RegionBytes"`
 	CrossBytes  pomelorelay.Bytes `yaml:"CrossBytes"`
-	// DigestInterval and LedgerInterval are the intervals of digests and ledger reports to routers of the same failure domain;
-	// ExchangeInterval is the interval of ledger exchanges with other failure domains of the same region.
+	// DigestInterval and LedgerInterval are the intervals of digests (membership heartbeats) and ledger reports to routers of the same
+	// failure domain; ExchangeInterval is the interval of ledger exchanges with other failure domains of the same region.
 	DigestInterval   time.Duration `yaml:"DigestInterval"`
 	LedgerInterval   time.Duration `yaml:"LedgerInterval"`
 	ExchangeInterval time.Duration `yaml:"ExchangeInterval"`
--- a/pomeloconfig/settings_limits.go
+++ b/pomeloconfig/settings_limits.go
@@ -18,7 +18,7 @@
 // LimitSettings limits the memory and connections that callers can take up at a router.
 type LimitSettings struct {
 	HeaderBytes pomelorelay.Bytes `yaml:"HeaderBytes"`
-	// BodyBytes is the maximum size of a request's body, also where the service allows more.
+	// BodyBytes is the maximum size of a request's body, even if the service allows more.
 	BodyBytes pomelorelay.Bytes `yaml:"BodyBytes"`
 	// BufferedBytes is the maximum total size of the bodies waiting at the router.
 	BufferedBytes pomelorelay.Bytes `yaml:"BufferedBytes"`
--- a/pomeloconfig/settingsdoc_test.go
+++ b/pomeloconfig/settingsdoc_test.go
@@ -20,7 +20,7 @@
 TLS: {Insecure: true}
 `
 
-// inheritedDefaults maps settings to the settings whose values are their defaults.
+// inheritedDefaults maps a setting to the setting whose value it takes by default.
 var inheritedDefaults = map[string]string{"HostList.Addresses": "Store.Addresses", "HostList.Timeout": "Store.Timeout"}
 
 // collectSettings collects the formatted settings of a value by YAML path; a slice of structs is described by one element.
@@ -45,7 +45,7 @@
 	}
 	inCode := make(map[string]string)
 	collectSettings("", reflect.ValueOf(s), inCode)
-	// minimalSettings sets TLS.Insecure to do without key files; the default of TLS.Insecure is false.
+	// minimalSettings sets TLS.Insecure so that no key files are needed; the default of TLS.Insecure is false.
 	inCode["TLS.Insecure"] = "false"
 	page, err := os.ReadFile("../docs/operators/settings.md")
 	if err != nil {
--- a/pomeloconfig/snapshot.go
+++ b/pomeloconfig/snapshot.go
@@ -19,7 +19,7 @@
 	serviceIndex  map[pomelorelay.ServiceID]int32
 	upstreams     []Upstream
 	upstreamIndex map[pomelorelay.UpstreamID]int32
-	// poolServiceIndex is the index in services of each pool's service.
+	// poolServiceIndex maps each pool to the index of its service in services.
 	poolServiceIndex map[pomelorelay.PoolID]int32
 	accounts         []compiledAccount
 	accountIndex     map[pomelorelay.AccountID]int32
@@ -153,7 +153,8 @@
 	return 0
 }
 
-// MayCall reports whether the account may call the service: one of its own team, or one listed in its shares.
+// MayCall reports whether the account may call the service, that is, whether the service belongs to the account's team or is listed in the
+// account's shares.
 func (s *Snapshot) MayCall(account pomelorelay.AccountID, service pomelorelay.ServiceID) bool {
 	accountAt, accountKnown := s.accountIndex[account]
 	serviceAt, serviceKnown := s.serviceIndex[service]
--- a/pomeloconfig/syncer.go
+++ b/pomeloconfig/syncer.go
@@ -27,9 +27,9 @@
 	PullTimeout time.Duration
 	// StoreReadTimeout is how long to wait for a store read before it is requested again.
 	StoreReadTimeout time.Duration
-	// MaxServedPeers is the maximum number of peers whose pulls are answered within one PullTimeout; pulls of other peers get no
-	// answer, so these ask another router. Without the limit every router of a failure domain would pull from the first one with
-	// a new generation, whose send queue would fill with answers that arrive too late.
+	// MaxServedPeers is the maximum number of peers whose pulls are answered within one PullTimeout; pulls of other peers get no answer, so
+	// that those peers ask another router. Without the limit every router of a failure domain would pull from the first router that has a
+	// new generation, and the send queue of that router would fill with answers that arrive too late.
 	MaxServedPeers int
 	// Seed seeds the random choice of peers.
 	Seed uint64
@@ -99,7 +99,7 @@
 	rootNeeded       bool
 }
 
-// NewSyncer returns the state of a router that has no configuration yet.
+// NewSyncer returns the Syncer of a router that has no configuration yet.
 func NewSyncer(cfg SyncerConfig) *Syncer {
 	if cfg.MaxPushBytes == 0 {
 		cfg.MaxPushBytes = DefaultMaxPushBytes
@@ -141,7 +141,7 @@
 // Generation returns the generation in force; it is zero when there is none, and the router is then not ready.
 func (s *Syncer) Generation() pomelorelay.Generation { return s.inForce.generation() }
 
-// NewestGeneration returns the highest generation that is in force, whose root is known or that a peer announced.
+// NewestGeneration returns the highest of the generation in force, that of the newest known root, and those announced by peers.
 func (s *Syncer) NewestGeneration() pomelorelay.Generation {
 	newest := max(s.inForce.generation(), s.target.generation())
 	for _, generation := range s.peerGenerations {
@@ -150,7 +150,8 @@
 	return newest
 }
 
-// HandleGeneration records the generation in the envelope of a peer's message, and starts a pull if it is newer than any known one.
+// HandleGeneration records the generation from the envelope of a peer's message, and starts a pull if that generation is newer than any
+// known one.
 func (s *Syncer) HandleGeneration(now time.Time, from pomelorelay.NodeID, generation pomelorelay.Generation, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if s.peerGenerations[from] == generation {
 		return out
--- a/pomeloconfig/syncer_receive.go
+++ b/pomeloconfig/syncer_receive.go
@@ -37,7 +37,7 @@
 	return append(out, pomelorelay.Outgoing{To: from, Message: &pomelorelay.ConfigPush{Parts: parts}})
 }
 
-// admitPull reports whether to answer the peer: it is already being served, or fewer than MaxServedPeers are.
+// admitPull reports whether the peer's pull may be answered: the peer is already being served, or fewer than MaxServedPeers peers are.
 func (s *Syncer) admitPull(now time.Time, from pomelorelay.NodeID) bool {
 	for peer, until := range s.servedUntil {
 		if !now.Before(until) {
@@ -129,7 +129,8 @@
 	}
 }
 
-// acceptRoot makes a root the target, whose parts are then fetched, if it is above all known generations. It reports whether it did.
+// acceptRoot makes a root whose generation is above all known ones the target root, whose parts are then fetched. It reports whether the
+// root became the target.
 func (s *Syncer) acceptRoot(data []byte) bool {
 	root, err := DecodeRoot(data)
 	if err != nil {
--- a/pomeloconfig/syncer_test.go
+++ b/pomeloconfig/syncer_test.go
@@ -58,7 +58,7 @@
 	s.MarkInForce(candidate.Root.Generation)
 }
 
-// The store is restored from an old copy while the fleet has generation 3 in force. The old root must not be applied, which would
+// The store is restored from an old copy while the fleet has generation 3 in force. The old root must not be applied, because that would
 // revert two accepted changes. It must be logged, since the next change may get a generation that routers ignore.
 func TestRestoredStoreIsReportedAndNotApplied(t *testing.T) {
 	events := &eventList{}
--- a/pomelolog/limiter.go
+++ b/pomelolog/limiter.go
@@ -12,8 +12,8 @@
 // defaultPerSecond is the default number of lines per second of one event: more than the requests per second that a small host serves.
 const defaultPerSecond = 300
 
-// limiter bounds the lines per second of each event and counts the suppressed lines. Without a limit a flood of requests would cause a
-// flood of lines and use up the CPU. Limits are per event, so that a frequent event does not suppress the lines of others.
+// limiter limits the number of lines per second of each event and counts the suppressed lines. Without a limit a flood of requests would
+// cause a flood of lines and use up the CPU. Limits are per event, so that a frequent event does not suppress the lines of others.
 type limiter struct {
 	limit      int
 	mu         sync.Mutex
--- a/pomelolog/logger.go
+++ b/pomelolog/logger.go
@@ -11,7 +11,7 @@
 	"github.com/phuslu/log"
 )
 
-// queueLength is the number of lines queued for a slow writer; further lines are dropped.
+// queueLength is the maximum number of lines queued for a slow writer; further lines are dropped.
 const queueLength = 4096
 
 // Config configures a Logger.
@@ -20,7 +20,7 @@
 	Level pomelorelay.Level
 	// Writer is the destination of the lines.
 	Writer io.Writer
-	// MaxPerSecond limits the lines per second of each event; zero means 300.
+	// MaxPerSecond limits the number of lines per second of each event; zero means 300.
 	MaxPerSecond int
 	// Clock is the clock of the rate limit; nil means the system clock.
 	Clock pomelorelay.Clock
--- a/pomelolog/logger_test.go
+++ b/pomelolog/logger_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// The reader of the log output stops reading. A Logger that waited for it would block every request of the router.
+// The process that reads the log output stops reading. A Logger that waited for that process would block every request of the router.
 func TestLogDoesNotBlockOnStalledReader(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
--- a/pomelomember/config.go
+++ b/pomelomember/config.go
@@ -10,7 +10,7 @@
 type Config struct {
 	Self        pomelorelay.Peer
 	Incarnation pomelorelay.Incarnation
-	// Seeds are routers named in the settings, which are contacted first while there is no host list.
+	// Seeds are the routers named in the settings; they are contacted first while there is no host list.
 	Seeds []pomelorelay.Peer
 	// Seed is the seed of the random choices, such as the order of probes.
 	Seed    uint64
@@ -19,9 +19,10 @@
 
 // Options holds the intervals and limits of a View; a zero field means the default stated in its comment.
 type Options struct {
-	// DigestInterval is the minimum interval between periodic digests to the routers of the failure domain; default 1 s.
+	// DigestInterval is the minimum interval between periodic digests (membership heartbeats) to the routers of the domain; default 1 s.
 	DigestInterval time.Duration
-	// MaxDigestsPerSecond limits the rate of periodic digests to the failure domain; in larger domains the interval grows; default 60.
+	// MaxDigestsPerSecond limits the number of periodic digests per second that a router sends to its failure domain; the interval grows
+	// with the domain to stay within the limit; default 60.
 	MaxDigestsPerSecond int
 	// MinDigestInterval is the minimum time between the last digest and an early one that carries a status change; default 200 ms.
 	MinDigestInterval time.Duration
@@ -35,9 +36,9 @@
 	// Helpers is the number of routers that probe an unresponsive router indirectly, and the number of routers that send the status of
 	// all routers to a new one; default 3.
 	Helpers int
-	// Gateways is the number of routers of a failure domain that send digests to any one other domain; default 2.
+	// Gateways is the number of routers of a failure domain that send digests to a given other domain; default 2.
 	Gateways int
-	// SyncInterval is the time between digests with the status of all routers, each of which goes to one router; default 10 s.
+	// SyncInterval is the time between digests that carry the status of all routers; each such digest goes to one router; default 10 s.
 	SyncInterval time.Duration
 	// Retransmits is the number of digests that carry a status change; default 3.
 	Retransmits int
@@ -48,9 +49,11 @@
 	// DeadRetention is the time after a router's death or departure for which its record is kept if the host list lacks the router;
 	// default 10 min.
 	DeadRetention time.Duration
-	// MaxRelayedSlots limits the slot digests of other failure domains that a router relays in every fourth of its digests; default 8.
+	// MaxRelayedSlots limits the number of SlotDigests (the slot state of one upstream) from other failure domains that a router relays; it
+	// relays them in every fourth Digest that it sends; default 8.
 	MaxRelayedSlots int
-	// MaxAdvertisedSlots limits the slot digests of this failure domain in a digest to another domain; default 16.
+	// MaxAdvertisedSlots limits the number of SlotDigests (the slot state of one upstream) from this failure domain that a Digest to
+	// another domain carries; default 16.
 	MaxAdvertisedSlots int
 }
 
--- a/pomelomember/digest.go
+++ b/pomelomember/digest.go
@@ -6,15 +6,15 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxReachedDomains limits the failure domains that are accepted from one digest's list of reached domains.
+// maxReachedDomains limits the number of failure domains that are accepted from the Reached list of one Digest.
 const maxReachedDomains = 64
 
-// relayInterval is the number of digests from one that carries slot digests of other failure domains to the next. These slot digests
-// go to every router of the domain, so they make up most of a gateway's traffic.
+// relayInterval is the number of digests to this failure domain of which one also carries SlotDigests (the slot state of one upstream) from
+// other failure domains. These SlotDigests go to every router of the domain, so they make up most of a gateway's traffic.
 const relayInterval = 4
 
-// joinFanout is the number of routers not known to be alive that are contacted per JoinInterval. coldJoinFanout replaces it while no
-// other live router of the failure domain is known.
+// joinFanout is the number of routers that are contacted per JoinInterval, out of those not known to be alive. coldJoinFanout is used
+// instead while no other live router of the failure domain is known.
 const (
 	joinFanout     = 3
 	coldJoinFanout = 16
@@ -42,8 +42,8 @@
 	return v.sendCorrection(now, sender, out)
 }
 
-// acknowledge replies to a router that neither the host list nor the settings name. While there is no host list, such a router knows
-// only the seeds in its settings, and would declare a seed dead that does not reply.
+// acknowledge replies to a router that is listed neither on the host list nor in the settings. While there is no host list, such a router
+// knows only the seeds in its own settings, and would declare a seed that does not reply dead.
 func (v *View) acknowledge(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m == nil || now.Sub(m.lastNotified) < v.digestInterval()/2 {
 		return out
@@ -53,7 +53,7 @@
 	return append(out, pomelorelay.Outgoing{To: m.peer.Node, Message: &pomelorelay.Digest{Seq: v.digestSeq, Members: []pomelorelay.MemberState{v.selfState(), m.state()}}})
 }
 
-// recordReached records the failure domains that another router of this domain recently received messages from.
+// recordReached records the failure domains from which another router of this domain recently received messages.
 func (v *View) recordReached(now time.Time, domains []pomelorelay.DomainID) {
 	for _, domain := range domains[:min(len(domains), maxReachedDomains)] {
 		if domain != v.cfg.Self.Domain {
@@ -73,8 +73,9 @@
 	return false
 }
 
-// sendCorrection sends a router its status in this view if that is suspect or dead although its messages still arrive, so that it
-// can refute. Without these corrections, the two sides of a healed partition would keep considering each other dead.
+// sendCorrection sends a router the status that it has in this view, if this status is suspect or dead although messages from the router
+// still arrive, so that the router can refute it. Without these corrections, the two sides of a healed partition would keep considering
+// each other dead.
 func (v *View) sendCorrection(now time.Time, m *member, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberLeaving || now.Sub(m.lastNotified) < v.cfg.Options.MinDigestInterval {
 		return out
@@ -142,7 +143,7 @@
 }
 
 // digestInterval returns the interval between digests, which grows with the size of the failure domain. At a fixed interval, 60 routers
-// that each send digests to 59 others four times a second would spend twice a node's byte budget for control messages on them.
+// that each send digests to 59 others four times a second would use twice a node's byte budget for control messages.
 func (v *View) digestInterval() time.Duration {
 	routers := len(v.domainMembers(v.cfg.Self.Domain))
 	return max(v.cfg.Options.DigestInterval, time.Duration(routers)*time.Second/time.Duration(v.cfg.Options.MaxDigestsPerSecond))
--- a/pomelomember/fleet_test.go
+++ b/pomelomember/fleet_test.go
@@ -205,7 +205,8 @@
 	}
 }
 
-// viewsAgree reports whether all running routers of a domain have exactly the running routers of the observed domain as members.
+// viewsAgree reports whether every running router of the first domain has exactly the running routers of the second domain as its members
+// there.
 func (f *fleet) viewsAgree(viewers, observed pomelorelay.DomainID) bool {
 	var up []pomelorelay.NodeID
 	for _, r := range f.routers {
--- a/pomelomember/gateway.go
+++ b/pomelomember/gateway.go
@@ -6,8 +6,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// sendGatewayDigests sends the recent status changes and the slot digests of this failure domain to the other domains that this router
-// is a gateway to.
+// sendGatewayDigests sends the recent status changes and the slot states of this failure domain to those other domains to which this router
+// is a gateway.
 func (v *View) sendGatewayDigests(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	return v.sendGatewayStates(now, v.changedStates(), out)
 }
@@ -27,8 +27,8 @@
 	return out
 }
 
-// externalDigest returns the digest for other failure domains: those of the given states that are of this domain's routers, and the
-// slot digests with the most idle slots.
+// externalDigest returns the digest for other failure domains: the given states of this domain's routers, and the SlotDigests (the slot
+// state of one upstream) with the most idle slots.
 func (v *View) externalDigest(states []pomelorelay.MemberState) *pomelorelay.Digest {
 	v.digestSeq++
 	digest := &pomelorelay.Digest{Seq: v.digestSeq}
--- a/pomelomember/member.go
+++ b/pomelomember/member.go
@@ -29,9 +29,9 @@
 	return m.status == pomelorelay.MemberAlive || m.status == pomelorelay.MemberSuspect
 }
 
-// receivesDigests reports whether digests are sent to the router. A stopping router gets them until it has been silent for maxSilence:
-// it still has to report the outcomes of claimed requests. Without digests it would report them to routers that are gone and never
-// finish stopping.
+// receivesDigests reports whether digests are sent to the router. A stopping router gets digests until it has been silent for maxSilence,
+// because it still has to report the outcomes of claimed requests. Without digests it would report the outcomes to routers that are gone
+// and never finish stopping.
 func (m *member) receivesDigests(now time.Time, maxSilence time.Duration) bool {
 	stopping := m.status == pomelorelay.MemberLeaving && now.Sub(m.lastSeen) < maxSilence
 	return m.addressKnown && (m.live() || stopping)
--- a/pomelomember/probe.go
+++ b/pomelomember/probe.go
@@ -22,10 +22,11 @@
 	sentAt       time.Time
 }
 
-// maxRelayedProbes limits the unanswered indirect probes sent on behalf of other routers.
+// maxRelayedProbes limits the number of unanswered indirect probes sent on behalf of other routers.
 const maxRelayedProbes = 256
 
-// HandleProbe processes a received probe: it appends the answer or, if the probe has another target, an indirect probe.
+// HandleProbe processes a received probe: it appends the answer or, if the probe names another router as its target, an indirect probe to
+// that router.
 func (v *View) HandleProbe(now time.Time, from pomelorelay.NodeID, incarnation pomelorelay.Incarnation, p *pomelorelay.Probe, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	v.RecordMessage(now, from, incarnation)
 	if p.Target == "" || p.Target == v.cfg.Self.Node {
@@ -56,8 +57,8 @@
 	return out
 }
 
-// recordIndirectAck records that a probed router answered an indirect probe, so that a path broken in one direction only does not
-// get a working router declared dead.
+// recordIndirectAck records that a probed router answered an indirect probe, so that a working router is not declared dead when the path to
+// it is broken in one direction only.
 func (v *View) recordIndirectAck(now time.Time, a *pomelorelay.ProbeAck) {
 	for _, p := range v.pendingProbes {
 		if p.seq != a.Seq || p.node != a.Target {
@@ -69,7 +70,7 @@
 	}
 }
 
-// probeNext probes the next router of the failure domain; each round covers all of them in random order.
+// probeNext probes the next router of the failure domain; each round covers all routers of the domain in random order.
 func (v *View) probeNext(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	if now.Before(v.nextProbe) {
 		return out
@@ -112,7 +113,8 @@
 	return append(out, pomelorelay.Outgoing{To: node, Message: &pomelorelay.Probe{Seq: v.probeSeq}})
 }
 
-// checkProbes sends indirect probes for a router that did not answer, and suspects it if these get no answer either.
+// checkProbes sends indirect probes for a router that did not answer, and marks the router as suspect if the indirect probes get no answer
+// either.
 func (v *View) checkProbes(now time.Time, out []pomelorelay.Outgoing) []pomelorelay.Outgoing {
 	kept := v.pendingProbes[:0]
 	for _, p := range v.pendingProbes {
--- a/pomelomember/slots.go
+++ b/pomelomember/slots.go
@@ -8,7 +8,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// slotTTL is the time for which a slot digest is relayed without being refreshed.
+// slotTTL is the time for which a SlotDigest (the slot state of one upstream) is relayed without being refreshed.
 const slotTTL = 5 * time.Second
 
 // receivedSlot is a slot digest with its time of receipt.
@@ -26,7 +26,7 @@
 
 func (t *slotTable) init() { t.received = make(map[pomelorelay.UpstreamID]receivedSlot) }
 
-// SetSlots replaces the slot digests of the upstreams whose slots this router grants; they are sent in its membership digests.
+// SetSlots replaces the slot states of the upstreams whose slots this router grants; they are sent in its digests (membership heartbeats).
 func (v *View) SetSlots(slots []pomelorelay.SlotDigest) {
 	v.slots.owned = append(v.slots.owned[:0], slots...)
 }
@@ -46,8 +46,8 @@
 	return append(out, t.owned...)
 }
 
-// appendBest appends up to limit slot digests: with local, those of the given failure domain, otherwise those of all others. Upstreams
-// with the most idle slots come first, then those with the highest last granted fair-queueing tag.
+// appendBest appends up to limit slot digests: those of the given failure domain if local is set, otherwise those of all other domains.
+// Upstreams with the most idle slots come first, then those with the highest last granted fair-queueing tag.
 func (t *slotTable) appendBest(domain pomelorelay.DomainID, local bool, limit int, out []pomelorelay.SlotDigest) []pomelorelay.SlotDigest {
 	found := t.unexpired(func(s *pomelorelay.SlotDigest) bool { return (s.Domain == domain) == local })
 	if local {
--- a/pomelomember/view_test.go
+++ b/pomelomember/view_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestKilledRouterIsDetected(t *testing.T) {
-	// The host of a router loses power. Until the other routers detect this, the upstreams whose slots it granted get no requests, and
-	// accounts wait.
+	// The host of a router loses power. Until the other routers detect the failure, the upstreams whose slots the lost router granted get
+	// no requests, and accounts wait.
 	var slowest, total time.Duration
 	const seeds = 20
 	for seed := range uint64(seeds) {
@@ -51,8 +51,8 @@
 }
 
 func TestPausedRouterDeclaresNoneDead(t *testing.T) {
-	// A router suspects another one and then pauses for 20 s itself. When it resumes, the other's time to refute appears to have expired,
-	// although no refutation could have been received during the pause.
+	// A router suspects another router and then pauses for 20 s. After the pause, the suspected router's time to refute appears to have
+	// expired, although no refutation could have been received meanwhile.
 	f := newFleet(t, 1, 3, 4)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -95,8 +95,8 @@
 }
 
 func TestSlotsOfDeadDomainAreNotRelayed(t *testing.T) {
-	// A failure domain fails completely. If gateways kept relaying each other's slot digests of that domain, routers would go on
-	// registering demand for slots that are gone.
+	// A failure domain fails completely. If gateways kept relaying the SlotDigests (slot states) of that domain to each other, routers
+	// would go on registering demand for slots that are gone.
 	f := newFleet(t, 2, 6, 16)
 	f.startAll()
 	for _, r := range f.routers {
@@ -119,7 +119,7 @@
 
 func TestOneWayLinkFailureCausesNoFalseDeaths(t *testing.T) {
 	// A network fault drops packets from one router to another in that direction only. Both routers can still exchange packets with all
-	// others.
+	// others, so neither may be suspected or declared dead.
 	f := newFleet(t, 1, 10, 5)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -131,8 +131,8 @@
 }
 
 func TestHealedPartitionRejoins(t *testing.T) {
-	// The platform returns an empty host list. Then a failure domain is partitioned into halves for a minute, and each half declares
-	// the routers of the other dead. After the heal all routers must rejoin although no process has restarted.
+	// The platform returns an empty host list. Then a failure domain is partitioned into halves for a minute, and each half declares the
+	// routers of the other half dead. After the heal all routers must rejoin although no process has restarted.
 	f := newFleet(t, 1, 20, 6)
 	f.startAll()
 	f.converge(10 * time.Second)
@@ -227,8 +227,8 @@
 }
 
 func TestViewsConvergeAfterHalfTheFleetRestarts(t *testing.T) {
-	// A faulty image is rolled back: every second router restarts without state at the same time, some before the others detected
-	// that they had stopped.
+	// A faulty image is rolled back: every second router restarts without state at the same time, some of them before the other routers
+	// detected the stop.
 	f := newFleet(t, 3, 20, 9)
 	f.startAll()
 	f.converge(20 * time.Second)
--- a/pomelomesh/budget.go
+++ b/pomelomesh/budget.go
@@ -11,11 +11,12 @@
 // burstDuration is the time over which a link class may accumulate unused budget.
 const burstDuration = time.Second
 
-// normalReservedFraction is the fraction of a full bucket that messages of UrgencyLow must leave to more urgent ones.
+// normalReservedFraction is the fraction of a full token bucket that messages of UrgencyLow must leave to more urgent
+// ones.
 const normalReservedFraction = 0.25
 
 // guaranteedFraction is the fraction of the send rate that messages below UrgencyHigh get when the budget is exhausted;
-// guaranteedBatch is the number of bytes of it that one peer gets at once.
+// guaranteedBatch is the number of these guaranteed bytes that one peer gets at once.
 const (
 	guaranteedFraction = 0.25
 	guaranteedBatch    = 512
@@ -65,9 +66,9 @@
 	return b.takeGuaranteed()
 }
 
-// takeGuaranteed returns a batch of the guaranteed bytes, or zero. Messages of UrgencyHigh are always sent and can exceed
-// the budget alone; without a guarantee no digest or ledger report would be sent then, so that under load routers would
-// declare each other dead and ledger totals would go stale.
+// takeGuaranteed returns a batch of the guaranteed bytes, or zero. Messages of UrgencyHigh are always sent and can
+// exceed the budget by themselves. Without the guarantee no digest (membership heartbeat) or ledger report would then
+// be sent: under load, routers would declare each other dead and ledger totals would go stale.
 func (b *budget) takeGuaranteed() float64 {
 	room := min(b.guaranteed, guaranteedBatch)
 	if room < guaranteedBatch {
--- a/pomelomesh/codec.go
+++ b/pomelomesh/codec.go
@@ -11,7 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Nesting levels whose fields are counted: frame, items and messages in a frame; item and message in an item.
+// Nesting levels whose fields are counted: for an encoded frame the frame, its items and their messages; for an encoded
+// item the item and its message.
 const (
 	frameDepth = 3
 	itemDepth  = 2
@@ -31,7 +32,7 @@
 	return protowire.AppendBytes(frame, item)
 }
 
-// frameCodec is a gRPC codec that sends encoded frames unchanged and bounds the number of fields of received ones.
+// frameCodec is a gRPC codec that sends encoded frames unchanged and bounds the number of fields of received frames.
 type frameCodec struct{}
 
 // Name returns the gRPC content subtype of the codec.
--- a/pomelomesh/config.go
+++ b/pomelomesh/config.go
@@ -22,7 +22,7 @@
 	Authority   string
 }
 
-// QueueLimits bounds the messages queued for one peer.
+// QueueLimits limits the number and the total size of the messages queued for one peer.
 type QueueLimits struct {
 	// MaxMessages bounds the number of messages; 4096 when zero.
 	MaxMessages int
@@ -34,16 +34,17 @@
 type Timing struct {
 	// ConnectTimeout bounds dialling, the TLS handshake and the exchange of hellos; 1.5 s.
 	ConnectTimeout time.Duration
-	// AckDelay is how long a receiver with nothing to send waits before it sends an empty frame as acknowledgement;
-	// 1.2 s, longer than the digest interval, so that acknowledgements are rarely needed within a failure domain.
+	// AckDelay is how long a receiver with nothing to send waits before it acknowledges with an empty frame; 1.2 s,
+	// longer than the interval of digests (membership heartbeats), so that acknowledgements are rarely needed within a
+	// failure domain.
 	AckDelay time.Duration
-	// AckTimeout is the time within which a frame must arrive from the peer after one was sent to it; otherwise the link is
-	// considered broken; 2 s.
+	// AckTimeout is the time within which a frame must arrive from the peer after a frame was sent to the peer;
+	// otherwise the link is considered broken; 2 s.
 	AckTimeout time.Duration
 	// PingInterval is the time without a received frame after which a link is pinged; 10 s.
 	PingInterval time.Duration
-	// IdleTimeout is how long a link to another failure domain, or a second link to a router of this one, is kept open
-	// without messages; 30 s.
+	// IdleTimeout is how long a link to another failure domain, or a second link to a router of the same failure
+	// domain, is kept open without messages; 30 s.
 	IdleTimeout time.Duration
 	// BackoffMin and BackoffMax bound the backoff, before jitter, between connection attempts; 100 ms and 5 s.
 	BackoffMin time.Duration
--- a/pomelomesh/conn.go
+++ b/pomelomesh/conn.go
@@ -9,7 +9,7 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// maxConns bounds the accepted connections; it is well above the number of routers in a fleet.
+// maxConns bounds the number of accepted connections; it is well above the number of routers in a fleet.
 const maxConns = 4096
 
 // countedConn counts the bytes of a connection by link class, below TLS.
--- a/pomelomesh/fields_test.go
+++ b/pomelomesh/fields_test.go
@@ -52,8 +52,9 @@
 }
 
 func TestEveryFieldRoundTrips(t *testing.T) {
-	// Guards against a message field that the codec omits. Receivers would act on its zero value: a crash suspect that
-	// completed cleanly would be reported as one that did not, and all routers would go on holding it back.
+	// Guards against a message field that the codec omits. Receivers would act on its zero value: a crash suspect (a
+	// request that may have crashed an upstream) that completed cleanly would be reported as one that did not, and all
+	// routers would go on delaying that request.
 	for _, m := range emptyMessages {
 		fill(reflect.ValueOf(m).Elem())
 		data, err := pomelomesh.EncodeMessage(m)
--- a/pomelomesh/link.go
+++ b/pomelomesh/link.go
@@ -41,7 +41,7 @@
 	ackPendingSince atomic.Int64 // receipt of the first frame not yet acknowledged by this router
 	lastReceived    atomic.Int64 // last frame received
 	lastMessage     atomic.Int64 // last message sent or received
-	inboxBlocked    atomic.Bool  // the reader is waiting for space in the inbox
+	inboxBlocked    atomic.Bool  // the goroutine that reads is waiting for space in the inbox
 }
 
 func (m *Mesh) newLink(ctx context.Context, stream frameStream) *link {
@@ -77,9 +77,9 @@
 	return true
 }
 
-// awaitAck starts or extends the wait for an acknowledgement by the frame's transfer time at minLinkRate. The peer
-// acknowledges a frame only after receiving all of it, so without the extension a large configuration part would
-// repeatedly break a slow link.
+// awaitAck starts the wait for an acknowledgement or extends a wait in progress; either way it allows for the frame's
+// transfer time at minLinkRate. The peer acknowledges a frame only after receiving all of it, so without the extension
+// a large configuration part would repeatedly break a slow link.
 func (l *link) awaitAck(now int64, size int) {
 	transfer := int64(size) * int64(time.Second) / minLinkRate
 	for {
@@ -126,9 +126,9 @@
 
 func (l *link) chargeFrame(frame []byte) { l.m.budgets[l.class].charge(len(frame) + frameOverhead) }
 
-// expired reports whether the link must be closed: it is idle without keepIdle, or an acknowledgement is missing. A
-// half-open connection accepts writes for minutes while callers wait for grants that never arrive. Since the peer
-// acknowledges every frame within AckDelay, a missing acknowledgement reveals such a connection.
+// expired reports whether the link must be closed: the link is idle and keepIdle is not set, or an acknowledgement is
+// missing. A half-open connection accepts writes for minutes while callers wait for grants that never arrive. Since the
+// peer acknowledges every frame within AckDelay, a missing acknowledgement reveals such a connection.
 func (l *link) expired(now time.Time, keepIdle bool) bool {
 	since := l.ackAwaitedSince.Load()
 	if since != 0 && now.UnixNano()-since >= int64(l.m.cfg.Timing.AckTimeout) {
--- a/pomelomesh/mesh_test.go
+++ b/pomelomesh/mesh_test.go
@@ -183,8 +183,8 @@
 }
 
 func TestOverBudgetUrgentMessagesAreSentAndOthersCoalesce(t *testing.T) {
-	// Every account becomes active at once, and ledger totals and demands exceed the byte budget of a link; grants must not
-	// wait behind them.
+	// Every account becomes active at once, so that ledger totals and demands exceed the byte budget of a link. Grants
+	// must not wait behind these less urgent messages.
 	cfg := config("r1", 1)
 	cfg.BytesPerSecond[pomelorelay.LinkSameDomain] = 4000
 	a, b := start(t, cfg), start(t, config("r2", 1))
--- a/pomelomesh/peer.go
+++ b/pomelomesh/peer.go
@@ -125,8 +125,9 @@
 	}
 }
 
-// pickLink returns the link to write on, nil if a link must be dialled, or the time to wait when there is nothing to send
-// or dialling must back off. It returns the same link while that is open, because messages on two links could be reordered.
+// pickLink returns the link to write on, nil if a link must be dialled, or the time to wait when there is nothing to
+// send or dialling must back off. It returns the same link while that link is open, because messages on two links could
+// be reordered.
 func (p *peer) pickLink(now time.Time) (*link, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,8 +218,9 @@
 	}
 }
 
-// accept reports whether a message received on the link may be delivered. A peer switches to another link only after the
-// previous one broke at its end. A message that still arrives on the previous link after that is out of order.
+// accept reports whether a message received on the link may be delivered. A peer switches to another link only after
+// the previous link broke at the peer's end. A message that still arrives on the previous link after that is out of
+// order.
 func (p *peer) accept(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pomelomesh/queue.go
+++ b/pomelomesh/queue.go
@@ -4,7 +4,7 @@
 
 const numUrgencies = int(pomelorelay.UrgencyLow) + 1
 
-// maxBatchBytes bounds the messages batched into one frame; a larger message gets a frame of its own.
+// maxBatchBytes bounds the total size of the messages batched into one frame; a larger message gets a frame of its own.
 const maxBatchBytes = 32 << 10
 
 // queuedMessage is an encoded message waiting to be sent to a peer.
--- a/pomelomesh/unidentified.go
+++ b/pomelomesh/unidentified.go
@@ -13,7 +13,7 @@
 const (
 	// unidentifiedLogInterval is the minimum time between log entries about one remote address.
 	unidentifiedLogInterval = 10 * time.Second
-	// maxUnidentifiedAddrs bounds the remote addresses for which the time of the last log entry is kept.
+	// maxUnidentifiedAddrs bounds the number of remote addresses for which the time of the last log entry is kept.
 	maxUnidentifiedAddrs = 1024
 	reasonNoHello        = "connection closed before a hello"
 )
--- a/settings_fleet.go
+++ b/settings_fleet.go
@@ -10,7 +10,7 @@
 	// Self is this router; its address is the one that other routers connect to.
 	Self    Peer
 	Regions map[DomainID]RegionID
-	// Seeds are addresses of routers to contact first; they may include routers that are gone, and this one.
+	// Seeds are addresses of routers to contact first; they may include routers that are gone, and this router.
 	Seeds []netip.AddrPort
 	// CallerAddr, ReadinessAddr and MetricsAddr are the listen addresses for callers' requests, readiness checks and metrics.
 	CallerAddr    netip.AddrPort
@@ -28,10 +28,11 @@
 	DrainTimeout time.Duration
 	// ConfigApplyTimeout is the time within which a new configuration must be in force on all routers.
 	ConfigApplyTimeout time.Duration
-	// RetryRatio and RetrySlack limit the fleet's retries of a service's requests to RetryRatio times the requests plus RetrySlack.
+	// RetryRatio and RetrySlack limit the number of the fleet's retries of a service's requests to RetryRatio times the number of requests
+	// plus RetrySlack.
 	RetryRatio float64
 	RetrySlack float64
-	// ColdBounds limits the requests per second that the fleet sends to a cold (recently started) upstream.
+	// ColdBounds limits the number of requests per second that the fleet sends to a cold (recently started) upstream.
 	ColdBounds ColdBounds
 	// ShareWindow is the time window over which accounts' shares of the engines are computed.
 	ShareWindow time.Duration
--- a/units.go
+++ b/units.go
@@ -6,7 +6,7 @@
 // Weight is an account's share of a pool relative to the pool's other accounts; it is positive.
 type Weight float64
 
-// Tag is normalised service, which is cost divided by weight; backlogged accounts are served in ascending order of it.
+// Tag is normalised service, that is, cost divided by weight; backlogged accounts are served in ascending order of their tags.
 type Tag float64
 
 // Bytes is a size in bytes.
--- a/wire.go
+++ b/wire.go
@@ -34,21 +34,21 @@
 
 // UpstreamFields holds the values of the request headers that a router sends to an upstream.
 type UpstreamFields struct {
-	// TimeLeft is the time left of the caller's timeout.
+	// TimeLeft is the remaining part of the caller's timeout.
 	TimeLeft time.Duration
 	// ExpectedUpstream is the intended upstream; any other upstream refuses the request without running it.
 	ExpectedUpstream UpstreamID
 	// Account is the client account of the request; empty on public routes.
 	Account AccountID
 	// CopyFrom is the address of an upstream that has more of the prompt cached; the receiving upstream copies that part of the KV cache
-	// instead of computing it. It is invalid if there is no such upstream.
+	// instead of computing it. The address is invalid if there is no such upstream.
 	CopyFrom netip.AddrPort
 	// LastEvent is the number of the last event forwarded to the caller, if a stream is resumed (HasLastEvent).
 	LastEvent    uint64
 	HasLastEvent bool
 }
 
-// AnswerFields holds what the status and headers of an upstream's response state.
+// AnswerFields holds the values parsed from the status and headers of the response of an upstream.
 type AnswerFields struct {
 	// NotRun states that the upstream did not run the request.
 	NotRun bool
