--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -16,8 +16,8 @@
 // outcome is the result of an attempt as its caller sees it.
 type outcome struct {
 	kind outcomeKind
-	// matchesRequest reports whether an answer belongs to the request, complete whether it is not truncated; both are set for
-	// answers only.
+	// matchesRequest reports whether the answer belongs to the request, and complete reports whether the answer is complete; both
+	// are set for answers only.
 	matchesRequest bool
 	complete       bool
 	// ran, code, retryAfter and hasRetryAfter are set for refusals; ran and code also for streams that end with an error event.
@@ -110,7 +110,7 @@
 	o.matchesRequest = !o.complete || answer.Proof == q.digest
 }
 
-// chatAnswer decodes the fields that the load generator uses of an engine's answer or stream event.
+// chatAnswer contains the fields of an engine's answer or stream event that the load generator uses.
 type chatAnswer struct {
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
--- a/cmd/pomelobench/pomeloload/record.go
+++ b/cmd/pomelobench/pomeloload/record.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// ReadRecord reads a report written by WriteRecord. It fails with CodeBenchRecord, also for a record without a result, which an
-// aborted run leaves.
+// ReadRecord reads a report written by WriteRecord. It fails with CodeBenchRecord, including for the record of an aborted run, which
+// contains no result.
 func ReadRecord(path string) (Report, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -17,7 +17,7 @@
 	runPollInterval    = time.Second
 )
 
-// routerVars decodes the fields that the load generator uses of a router's /debug/vars.
+// routerVars contains the fields of a router's /debug/vars that the load generator uses.
 type routerVars struct {
 	Pomelo struct {
 		Generation   pomelorelay.Generation
--- a/cmd/pomelobench/pomelomeasure/latency.go
+++ b/cmd/pomelobench/pomelomeasure/latency.go
@@ -42,7 +42,7 @@
 	AddedP99Milliseconds float64
 }
 
-// maxInFlight limits concurrent requests; at the limit, further requests are delayed.
+// maxInFlight is the maximum number of concurrent requests; further requests are delayed.
 const maxInFlight = 256
 
 // targetMeter measures one target.
--- a/cmd/pomelobench/pomelomeasure/propagation.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -25,9 +25,9 @@
 	ChangeTimeout time.Duration
 }
 
-// PropagationResult contains publish times, which end when the store accepts a change, and propagation times, which run from then
-// until the change is in force on all routers, or on the first one for FirstRouterP50Milliseconds. FirstPublishMilliseconds and
-// FirstInForceMilliseconds are times of the initial configuration, the other ones those of the changes after it.
+// PropagationResult contains publish times, until the store accepts a configuration, and propagation times, from then until the
+// configuration is in force on all routers (for FirstRouterP50Milliseconds, on the first router). FirstPublishMilliseconds and
+// FirstInForceMilliseconds are the times of the initial configuration; all other times are those of the changes after it.
 type PropagationResult struct {
 	Accounts                   int
 	Routers                    int
@@ -60,8 +60,9 @@
 	}
 }
 
-// MeasurePropagation publishes the configuration, then one change after another to the share of a single account, and measures each.
-// It fails as Publisher.Publish does, or with CodeConfigNotInForce when the initial configuration is not in force within ChangeTimeout.
+// MeasurePropagation publishes the configuration, then cfg.Changes changes one after another, each to the share of one account, and
+// measures the publish and propagation times. It fails as Publisher.Publish does, or with CodeConfigNotInForce when the initial
+// configuration is not in force within ChangeTimeout.
 func MeasurePropagation(ctx context.Context, cfg PropagationConfig) (PropagationResult, error) {
 	r := PropagationResult{Accounts: len(cfg.Configuration.Accounts), Routers: len(cfg.OperatorAddrs), Changes: cfg.Changes}
 	client, err := pomelostore.New(pomelostore.Config{Addresses: []netip.AddrPort{cfg.Store}, CallsPerSecond: 300})
@@ -102,7 +103,7 @@
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // propagation contains the times from the acceptance of a generation until it was in force on the first and on the last router.
-// complete reports whether every router had it in force before the timeout.
+// complete reports whether every router had the generation in force before the timeout.
 type propagation struct {
 	firstRouter, lastRouter time.Duration
 	complete                bool
--- a/cmd/pomelobench/pomeloreport/page.go
+++ b/cmd/pomelobench/pomeloreport/page.go
@@ -37,7 +37,7 @@
 </body></html>
 `
 
-// maxViolations limits the violations listed on a page.
+// maxViolations is the maximum number of violations listed on a page.
 const maxViolations = 100
 
 // Write renders a report to an HTML file; it fails with CodeBenchRecord.
--- a/cmd/pomelobench/run.go
+++ b/cmd/pomelobench/run.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// maxPrinted limits the number of printed violations, and that of printed failures.
+// maxPrinted is the maximum number of printed violations, and also of printed failures.
 const maxPrinted = 20
 
 // runCommand generates the load of a plan.
--- a/cmd/pomeloctl/pomelocommand/app.go
+++ b/cmd/pomeloctl/pomelocommand/app.go
@@ -21,7 +21,7 @@
 	outputJSON = "json"
 )
 
-// app holds the streams and the global flags of one invocation.
+// app holds the standard streams and the global flags of one invocation.
 type app struct {
 	stdin   io.Reader
 	stdout  io.Writer
--- a/cmd/pomeloctl/pomelocommand/command_test.go
+++ b/cmd/pomeloctl/pomelocommand/command_test.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// Scripts act on the exit code alone, so each kind of failure needs its own, and the message must contain the error code and advice.
+// Scripts act on the exit code alone, so each kind of failure needs an exit code of its own. Operators read the message, so it must
+// contain the error code and advice.
 func TestExitCodesDistinguishFailures(t *testing.T) {
 	p, address := newFakePlatform(t)
 	text := mustRun(t, "generate", "--answers", hearthwayAnswers)
--- a/cmd/pomeloctl/pomelocommand/exit.go
+++ b/cmd/pomeloctl/pomelocommand/exit.go
@@ -13,8 +13,8 @@
 	exitUnreachable = 6
 )
 
-// storeCallsPerSecond limits the calls of pomeloctl to the store. The limit is high enough to load a large configuration in seconds,
-// and well under the store's own rate limit.
+// storeCallsPerSecond is the maximum rate of pomeloctl's calls to the store. The rate is high enough to load a large configuration in
+// seconds, and well under the store's own rate limit.
 const storeCallsPerSecond = 200
 
 func exitCode(code pomelorelay.ResultCode) int {
--- a/cmd/pomeloctl/pomelocommand/publish.go
+++ b/cmd/pomeloctl/pomelocommand/publish.go
@@ -33,8 +33,8 @@
 	return routers, nil
 }
 
-// publish writes a configuration to the store and prints the result. If p.wait is set, it first waits until all p.routers have the
-// configuration in force.
+// publish writes a configuration to the store, waits until all p.routers have the configuration in force if p.wait is set, and
+// prints the result.
 func (a *app) publish(ctx context.Context, p publication) error {
 	// The new generation must exceed every generation in force. Routers that do not answer are ignored, so that they cannot
 	// block a change.
--- a/cmd/pomelorelayd/entry.go
+++ b/cmd/pomelorelayd/entry.go
@@ -28,7 +28,7 @@
 	// storeBreakerCooldown is how long the router makes no call to the store after several consecutive failed ones. It is short
 	// compared with the 4 s after which every router is assumed to have seen a change of the store.
 	storeBreakerCooldown = 400 * time.Millisecond
-	// storeCallsPerSecond limits the calls of one router to the store.
+	// storeCallsPerSecond is the maximum rate of one router's calls to the store.
 	storeCallsPerSecond = 20
 )
 
--- a/pomelocheck/checker.go
+++ b/pomelocheck/checker.go
@@ -22,8 +22,8 @@
 	LeaveGrace time.Duration
 	// MaxConfigDelay is the maximum time until an accepted configuration is in force on all routers, 17 s by default.
 	MaxConfigDelay time.Duration
-	// MaxRefusalDelay limits three times: from a router's decision to refuse an attempt to the end of the refusal, from the first to
-	// the last byte of the refusal, and from the caller's deadline to the end of the attempt. It is 1 s by default.
+	// MaxRefusalDelay is the maximum for each of three durations: from a router's decision to refuse an attempt to the end of the
+	// refusal, from the first to the last byte of the refusal, and from the caller's deadline to the end of the attempt; 1 s by default.
 	MaxRefusalDelay time.Duration
 	// MaxClockSkew is the maximum difference between the clocks of two observers, zero by default.
 	MaxClockSkew time.Duration
--- a/pomelocheck/checker_test.go
+++ b/pomelocheck/checker_test.go
@@ -12,7 +12,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// sent returns the event of an attempt sent to router r1, at a request that may run at most once.
+// sent returns the event of a caller sending an attempt to router r1; the request may run at most once.
 func sent(attempt, content string, when time.Duration) pomelocheck.RequestSent {
 	return pomelocheck.RequestSent{
 		Attempt: pomelocheck.AttemptID(attempt), Content: pomelocheck.ContentID(content),
@@ -136,8 +136,8 @@
 	})
 }
 
-// A router knows that it cannot serve a request, but sends the refusal late or a few bytes at a time. The caller waits
-// although it could have tried elsewhere.
+// A router has decided to refuse a request, but sends the refusal late or a few bytes at a time. The caller waits for the
+// refusal although another router could have served the request in the meantime.
 func TestDetectsDelayedRefusals(t *testing.T) {
 	late, slow, noRetryAfter := refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo), refused("a", 10*time.Second, pomelorelay.RanNo)
 	late.DecidedAt = at(8 * time.Second)
@@ -159,8 +159,8 @@
 	})
 }
 
-// A router uses a stale list of upstreams, or a stale grant of their capacity, after an upstream started to leave. Requests that start
-// on this upstream are lost with its host.
+// A router starts requests on a leaving upstream, because the router's list of upstreams or its grant of upstream capacity is stale.
+// These requests are lost with the upstream's host.
 func TestDetectsNewWorkAfterLeave(t *testing.T) {
 	leaving := pomelocheck.UpstreamLeaving{Upstream: "u1", At: at(10 * time.Second)}
 	runCases(t, pomelocheck.Config{}, []checkCase{
@@ -182,8 +182,8 @@
 	})
 }
 
-// The store is restored from an old backup, or a peer sends an old configuration, and a router applies it. An account that
-// was removed would be served again.
+// A router applies an old configuration, which it reads from a store restored from a backup or receives from a peer. An account
+// that was removed would be served again.
 func TestDetectsRegressedAndLateGenerations(t *testing.T) {
 	inForce := func(generation pomelorelay.Generation, when time.Duration) pomelocheck.ConfigInForce {
 		return pomelocheck.ConfigInForce{Node: "r1", Generation: generation, At: at(when)}
--- a/pomelocheck/events.go
+++ b/pomelocheck/events.go
@@ -35,7 +35,7 @@
 type RequestAnswered struct {
 	Attempt AttemptID
 	At      time.Time
-	// MatchesRequest reports whether the answer's digest is that of this request.
+	// MatchesRequest reports whether the digest in the answer equals the digest of the attempt's request.
 	MatchesRequest bool
 	// Complete reports whether the answer is complete; the transport can end a truncated answer without an error.
 	Complete bool
@@ -99,7 +99,7 @@
 	At   time.Time
 }
 
-// RouterKilled is the event of a router being killed; connections that broke after it are not attributed to a planned stop.
+// RouterKilled is the event of a router being killed; connections that broke after the kill are not attributed to a planned stop.
 type RouterKilled struct {
 	Node pomelorelay.NodeID
 	At   time.Time
--- a/pomelocheck/gap.go
+++ b/pomelocheck/gap.go
@@ -30,7 +30,7 @@
 // Gap is the maximum difference of normalised service between two accounts of a pool over any period in which both were backlogged.
 type Gap struct {
 	Pool pomelorelay.PoolID
-	// MostServed and LeastServed are the accounts that received more and less service during the period.
+	// MostServed is the account that received more service during the period, LeastServed the one that received less.
 	MostServed  pomelorelay.AccountID
 	LeastServed pomelorelay.AccountID
 	Value       pomelorelay.Tag
--- a/pomelocheck/gap_test.go
+++ b/pomelocheck/gap_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// All requests of one account are at a router that holds more upstream slots than its fair share, so that they are served before
-// those of other accounts.
+// One account receives more service than its weight allows. This happens when all its requests are at a router that holds more
+// than its fair share of the upstream slots, so that they are served before those of other accounts.
 func TestDetectsGapOverBound(t *testing.T) {
 	both := []pomelocheck.Event{backlogged("recife", 0, true), backlogged("olinda", 0, true)}
 	with := func(events ...pomelocheck.Event) []pomelocheck.Event {
--- a/pomelocheck/requests.go
+++ b/pomelocheck/requests.go
@@ -10,7 +10,7 @@
 )
 
 // checkAnswers finds answers that belong to another request or are truncated without an error, and attempts that ended more than
-// once. A caller would act on such an answer; only the digest of the request reveals that it is wrong.
+// once. A caller would act on another request's answer, since only the digest in the answer reveals the mistake.
 func (c *Checker) checkAnswers(out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, answer := range a.answered {
@@ -121,7 +121,7 @@
 }
 
 // checkRefusals finds refusals that are late, sent slowly, or without Retry-After, and attempts that end too long after their
-// deadline. A router that delays a refusal after giving up the request keeps the caller from trying elsewhere.
+// deadline. A router that delays a refusal after giving up the request keeps the caller from trying another router.
 func (c *Checker) checkRefusals(now time.Time, out []Violation) []Violation {
 	for id, a := range c.attempts {
 		for _, r := range a.refused {
@@ -192,9 +192,8 @@
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool { return c.attempts[id].sent.AtMostOnce })
 }
 
-// causedByAttempt reports whether an attempt can have caused the run: it was sent before the run and was not refused as not run.
-// Later attempts do not count: a resend may run although an earlier attempt was refused, but it cannot explain a run that started
-// before the resend was sent.
+// causedByAttempt reports whether any attempt can have caused the run: one sent before the run started and not refused as not run.
+// A resend may run although an earlier attempt was refused, but it cannot have caused a run that started before it was sent.
 func (c *Checker) causedByAttempt(t *requestHistory, run RunStarted) bool {
 	return slices.ContainsFunc(t.attempts, func(id AttemptID) bool {
 		a := c.attempts[id]
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -27,7 +27,7 @@
 	headerContentType    = "Content-Type"
 )
 
-// chatRequest holds the fields that the engine uses of a request to either completion path.
+// chatRequest contains the fields of a request to either completion path that the engine uses.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -51,7 +51,8 @@
 	return strings.Join(text, "\n")
 }
 
-// completionTokens returns the length of the answer in tokens; drawing it from the digest makes it the same for each run of a request.
+// completionTokens returns the length of the answer in tokens. The length is derived from the request's digest, so that each run of
+// a request gives the same answer.
 func (q chatRequest) completionTokens(digest BodyDigest) int {
 	limit := q.MaxTokens
 	if limit <= 0 {
--- a/pomelofake/decode.go
+++ b/pomelofake/decode.go
@@ -18,7 +18,7 @@
 	crashes          bool
 	run              *Run
 	readers          int
-	// detachedAt is when a reader last disconnected.
+	// detachedAt is when a caller that was receiving the answer last disconnected.
 	detachedAt time.Time
 	endedAt    time.Time
 	done       bool
--- a/pomelofake/engine.go
+++ b/pomelofake/engine.go
@@ -24,7 +24,7 @@
 	PrefixBlocks int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// ResumeGrace is how long a stream without a reader keeps running so that it can be resumed, 2 s by default.
+	// ResumeGrace is how long a stream keeps running without a connected caller, so that it can be resumed, 2 s by default.
 	ResumeGrace time.Duration
 	// StreamRetention is how long an ended stream can be resumed, 30 s by default.
 	StreamRetention time.Duration
--- a/pomelofake/hostlist.go
+++ b/pomelofake/hostlist.go
@@ -30,8 +30,8 @@
 
 	mu     sync.Mutex
 	faults HostListFaults
-	// versions are the visible list and those not yet visible, in the order in which they become visible. Visible removes outdated
-	// ones from the front.
+	// versions are the visible version of the list and the newer ones that are not yet visible, in the order in which they become
+	// visible. The method Visible removes outdated versions from the front.
 	versions []hostVersion
 }
 
--- a/pomelofake/mesh.go
+++ b/pomelofake/mesh.go
@@ -23,7 +23,7 @@
 	return &Network{meshes: make(map[pomelorelay.NodeID]*Mesh)}
 }
 
-// SetPartition drops every message between routers for which the function returns true; nil ends all partitions.
+// SetPartition drops every message for whose sender and receiver the function returns true; nil ends all partitions.
 func (n *Network) SetPartition(partitioned func(from, to pomelorelay.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,8 +89,8 @@
 	m.generation = generation
 }
 
-// Send delivers a message unless a partition or loss drops it. It fails with CodeMeshUnknownPeer for a router that has not joined, and
-// with CodeMeshQueueFull if its inbox is full.
+// Send delivers a message unless a partition or loss drops it. It fails with CodeMeshUnknownPeer if the receiver has not joined, and
+// with CodeMeshQueueFull if the receiver's inbox is full.
 func (m *Mesh) Send(to pomelorelay.NodeID, message pomelorelay.Message) error {
 	m.network.mu.Lock()
 	peer, ok := m.network.meshes[to]
--- a/pomelofake/plain.go
+++ b/pomelofake/plain.go
@@ -24,7 +24,7 @@
 	Padding int
 	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// OmitRequestID omits X-Request-Id from answers, as services do that do not support it.
+	// OmitRequestID omits X-Request-Id from answers, as services without support for this header do.
 	OmitRequestID bool
 }
 
@@ -35,7 +35,7 @@
 
 // PlainFaults are the faults injected into a plain service; the zero value injects none.
 type PlainFaults struct {
-	// Every applies the other faults to every n-th request only; zero and one mean all.
+	// Every is n if the other faults apply to every n-th request only; zero and one apply them to all requests.
 	Every int
 	// Refuse answers with 503 and the header Ran: No, without running the request.
 	Refuse bool
@@ -108,7 +108,7 @@
 	return router
 }
 
-// SetFaults replaces the injected faults and restarts the count for Every.
+// SetFaults replaces the injected faults and restarts the request count that PlainFaults.Every uses.
 func (p *PlainService) SetFaults(faults PlainFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pomelofake/rawanswer.go
+++ b/pomelofake/rawanswer.go
@@ -67,8 +67,8 @@
 	return f.Short > 0 || f.Repeat || f.Cut || f.IdleClose > 0
 }
 
-// writeRawAnswer writes the answer, with the faults that violate HTTP, to the hijacked connection, since net/http would not let a
-// handler write them.
+// writeRawAnswer writes the answer directly to the hijacked connection, since net/http would not let a handler inject the faults
+// that violate HTTP.
 func (p *PlainService) writeRawAnswer(w http.ResponseWriter, answer PlainAnswer, faults PlainFaults) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -91,7 +91,8 @@
 	}
 }
 
-// repeatedAnswerLinger is how long a connection stays open after a repeated answer, so that the client can reuse it.
+// repeatedAnswerLinger is how long a connection stays open after a repeated answer, so that the client can send another request on
+// the connection and take the second copy for the answer to that request.
 const repeatedAnswerLinger = 20 * time.Millisecond
 
 func (p *PlainService) encodeRawAnswer(answer PlainAnswer) []byte {
--- a/pomelofake/relay.go
+++ b/pomelofake/relay.go
@@ -160,7 +160,7 @@
 	r.forward(conn)
 }
 
-// add registers a connection; it reports false if the relay was closed or the source cut while the target was dialled.
+// add registers a connection; it reports false if the relay was closed or the source was cut off while the target was dialled.
 func (r *Relay) add(conn *relayConnection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pomelofake/relay_test.go
+++ b/pomelofake/relay_test.go
@@ -100,7 +100,7 @@
 	})
 }
 
-// After a partition that dropped bytes, a connection must not continue with a gap in its byte stream, which TCP rules out.
+// A connection that lost bytes must be closed when the loss ends, since TCP never delivers a byte stream with a gap.
 func TestRelayDropsBytesAndCutsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay, dial := newTestRelay(t)
@@ -127,7 +127,7 @@
 	})
 }
 
-// Two routers connect through the same relay and only one of them is cut off.
+// A rule applies to its own source only: two routers connect through the same relay, and only one of them is cut off.
 func TestRelayAppliesRulesPerSource(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pomelofake/relayforward.go
+++ b/pomelofake/relayforward.go
@@ -97,7 +97,8 @@
 	r.bytesForwarded += int64(n)
 }
 
-// waitUnblocked waits while the rule blocks and returns the current effect; it reports false if the relay is closed or the source cut.
+// waitUnblocked waits while the source's rule blocks this direction, then returns the effect in force; it reports false if the relay is
+// closed or the source is cut off.
 func (r *Relay) waitUnblocked(conn *relayConnection, effect func(RelayRule) RelayEffect) (RelayEffect, bool) {
 	for {
 		r.mu.Lock()
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -50,7 +50,7 @@
 await bench 60
 cat "$run/log/bench.log" >&2
 bin/pomelobench report "$run/record.jsonl" --out "$run/report.html" --title "Demo" >&2 || true
-# tail has to print the last line of pomelobench before it is killed.
+# Gives the tail process time to print the last line of pomelobench before the next command kills the process.
 sleep 1.5
 kill "$(cat "$run/pids/progress")" 2>/dev/null || true
 exit "$code"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -38,8 +38,8 @@
 	code=$(cat "$run/codes/$1")
 }
 
-# running returns 0 while a process runs whose name ends in the given text. It skips files that vanished after the pattern was
-# expanded, since other processes may still run.
+# running returns 0 while a process runs whose name ends in the given text. If the first file vanished after the pattern was
+# expanded, running checks the remaining ones, since their processes may still run.
 running() {
 	for file in "$run"/pids/*$1; do
 		if [ -e "$file" ]; then
@@ -49,7 +49,7 @@
 	return 1
 }
 
-# end terminates the processes whose names end in the given text, and kills them after 10 s.
+# end terminates the processes whose names end in the given text, and kills those that still run after 10 s.
 end() {
 	for file in "$run"/pids/*$1; do
 		[ -e "$file" ] || continue
@@ -68,8 +68,8 @@
 	done
 }
 
-# finish stops all processes, the routers first: while they stop, they write the outcomes of requests with idempotency keys to the
-# store, which must still run.
+# finish stops all processes, the routers first: a stopping router writes the outcomes of requests with idempotency keys to the
+# store, so the store must still run.
 finish() {
 	status=$?
 	trap - EXIT INT TERM
--- a/scripts/proofs/alone.sh
+++ b/scripts/proofs/alone.sh
@@ -1,5 +1,6 @@
 # Fails at present, so scripts/proofs.sh does not run it: one router is cut off from the store, the host list and every other
-# router before an upstream leaves, while callers still reach it. It cannot learn of the leaving and keeps sending requests there.
+# router before an upstream leaves, while callers still reach the router. The router cannot learn that the upstream leaves, and keeps
+# sending requests to it.
 duration=18s
 timeout=12s
 links=1
--- a/scripts/proofs/deadly.sh
+++ b/scripts/proofs/deadly.sh
@@ -2,7 +2,7 @@
 # At most two engines crash, although routers may resend the request too.
 duration=20s
 timeout=10s
-# Nine attempts one second apart: a request that is refused for longer than MaxWait would count as starved.
+# Nine attempts one second apart end within MaxWait; a request that is refused for longer would count as starved.
 attempts=9
 stand_in_flags="--crash-marker deadly-clasp"
 
--- a/scripts/proofs/final.sh
+++ b/scripts/proofs/final.sh
@@ -3,7 +3,7 @@
 # complete response and Retry-After.
 duration=18s
 timeout=4s
-# Engines and bookings are stalled for 8 s, then the store is down for 3 s.
+# MaxWait covers the 8 s in which engines and bookings are stalled and the 3 s in which the store is down.
 more_plan="MaxWait: 20s"
 attempts=3
 
--- a/scripts/proofs/leaving.sh
+++ b/scripts/proofs/leaving.sh
@@ -3,7 +3,7 @@
 # starts at an upstream later than 3 s after it is shown as leaving.
 duration=22s
 timeout=12s
-# The frozen router does not answer for 6 s.
+# MaxWait covers the 6 s in which the frozen router does not answer.
 more_plan="MaxWait: 20s"
 links=1
 
--- a/scripts/proofs/notrun.sh
+++ b/scripts/proofs/notrun.sh
@@ -2,7 +2,7 @@
 # run, and callers resend. If all attempts at a request were refused as not run, the stand-ins' records must show no run of it.
 duration=22s
 timeout=6s
-# No booking can run during the 6 s in which the store is down.
+# MaxWait covers the 6 s in which the store is down, since no booking can run then.
 more_plan="MaxWait: 20s"
 
 load() {
--- a/scripts/proofs/partition.sh
+++ b/scripts/proofs/partition.sh
@@ -3,7 +3,7 @@
 # domains are disconnected, is checked from 4 s after the last partition has healed.
 duration=30s
 timeout=10s
-# A domain cut off from the store accepts no bookings for 5 s.
+# MaxWait covers the 5 s in which a domain is cut off from the store and accepts no bookings.
 more_plan="MaxWait: 23s"
 gaps=1
 links=1
