--- a/cmd/pomelobench/pomeloload/answer.go
+++ b/cmd/pomelobench/pomeloload/answer.go
@@ -110,7 +110,7 @@
 	o.matchesRequest = !o.complete || answer.Proof == q.digest
 }
 
-// chatAnswer contains the fields of an engine's answer or stream event that the load generator uses.
+// chatAnswer is the part of an engine's answer or stream event that the load generator decodes.
 type chatAnswer struct {
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
--- a/cmd/pomelobench/pomeloload/load_test.go
+++ b/cmd/pomelobench/pomeloload/load_test.go
@@ -135,7 +135,7 @@
 	return p
 }
 
-// A router refuses a booking as not run although the service ran it, so the caller resends the booking and it runs twice.
+// A router refuses a booking as not run although the service ran the booking. The caller resends the booking, which runs twice.
 func TestFalseNotRunIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newTestNetwork(t)
--- a/cmd/pomelobench/pomeloload/run.go
+++ b/cmd/pomelobench/pomeloload/run.go
@@ -98,8 +98,8 @@
 	return r.recorder.evaluate(r.plan, issueEnd), nil
 }
 
-// settleTime is the wait before the stand-ins' lists of executed requests are read for the last time. Meanwhile
-// requests whose callers disconnected can end, such as streams that an engine keeps running so that they can be resumed.
+// settleTime is the wait before the stand-ins' lists of executed requests are read for the last time. Meanwhile requests
+// whose callers disconnected can end, such as streams that an engine keeps running so that they can be resumed.
 const settleTime = 3 * time.Second
 
 func (r *runner) readFinalRuns(ctx context.Context) error {
--- a/cmd/pomelobench/pomeloload/watch.go
+++ b/cmd/pomelobench/pomeloload/watch.go
@@ -17,7 +17,7 @@
 	runPollInterval    = time.Second
 )
 
-// routerVars contains the fields of a router's /debug/vars that the load generator uses.
+// routerVars is the part of a router's /debug/vars that the load generator decodes.
 type routerVars struct {
 	Pomelo struct {
 		Generation   pomelorelay.Generation
--- a/cmd/pomelobench/pomelomeasure/propagation.go
+++ b/cmd/pomelobench/pomelomeasure/propagation.go
@@ -25,9 +25,10 @@
 	ChangeTimeout time.Duration
 }
 
-// PropagationResult contains publish times, until the store accepts a configuration, and propagation times, from then until the
-// configuration is in force on all routers (for FirstRouterP50Milliseconds, on the first router). FirstPublishMilliseconds and
-// FirstInForceMilliseconds are the times of the initial configuration; all other times are those of the changes after it.
+// PropagationResult contains publish times, which end when the store accepts a configuration, and propagation times, which run from
+// then until the configuration is in force on all routers (for FirstRouterP50Milliseconds, on the first router).
+// FirstPublishMilliseconds and FirstInForceMilliseconds are the times of the initial configuration; all other times are those of the
+// changes after it.
 type PropagationResult struct {
 	Accounts                   int
 	Routers                    int
--- a/pomelofake/chat.go
+++ b/pomelofake/chat.go
@@ -27,7 +27,7 @@
 	headerContentType    = "Content-Type"
 )
 
-// chatRequest contains the fields of a request to either completion path that the engine uses.
+// chatRequest is the part of a request to either completion path that the engine decodes.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -52,7 +52,7 @@
 }
 
 // completionTokens returns the length of the answer in tokens. The length is derived from the request's digest, so that each run of
-// a request gives the same answer.
+// a request gives an answer of the same length.
 func (q chatRequest) completionTokens(digest BodyDigest) int {
 	limit := q.MaxTokens
 	if limit <= 0 {
--- a/pomelofake/store.go
+++ b/pomelofake/store.go
@@ -34,7 +34,7 @@
 	// Slow delays every call before it takes effect. SlowAnswer delays the answer to a write after the write took effect.
 	Slow       time.Duration
 	SlowAnswer time.Duration
-	// LoseAnswers is the number of next writes that take effect but get no answer: the store closes the connection instead.
+	// LoseAnswers is how many of the next writes take effect but get no answer: the store closes the connection instead.
 	LoseAnswers int
 	// Throttle answers every call with 429, without effect.
 	Throttle bool
