--- a/pomelofake/host.go
+++ b/pomelofake/host.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// closeLateServer closes the new server if Close was called between listening and serving; it would leak otherwise.
+// closeLateServer closes the new server if Close was called between listening and serving; the server would leak otherwise.
 func (h *Host) closeLateServer() {
 	select {
 	case <-h.closing:
--- a/pomelofake/plain_test.go
+++ b/pomelofake/plain_test.go
@@ -94,7 +94,8 @@
 	})
 }
 
-// A service may repeat an answer on a kept-alive connection, or close the connection just as it is reused.
+// The stand-in must imitate a service that repeats an answer on a kept-alive connection, refuses a request without running it, or
+// closes an idle connection.
 func TestPlainServiceRepeatsRefusesAndClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plain := pomelofake.NewPlainService(pomelofake.PlainConfig{})
