--- a/pomelolink/config.go
+++ b/pomelolink/config.go
@@ -28,7 +28,7 @@
 	MaxHeaderBytes pomelorelay.Bytes
 	// DialTimeout limits the duration of a connection attempt.
 	DialTimeout time.Duration
-	// IdleConns limits the idle connections kept per upstream.
+	// IdleConns limits the number of idle connections kept per upstream.
 	IdleConns int
 	// IdleTimeout is how long an unused connection is kept, unless the upstream's Keep-Alive field gives a shorter time.
 	IdleTimeout time.Duration
--- a/pomelolink/conn.go
+++ b/pomelolink/conn.go
@@ -69,8 +69,8 @@
 }
 
 // stillIdle reports whether the peer has neither sent data on the idle connection nor closed it. A request sent while the peer closes the
-// connection has an unknown outcome, and a duplicate answer would be taken for the next request's. The check makes both cases rare; if one
-// occurs after it, the attempt ends with OutcomeUnknown or the request id check finds the wrong answer.
+// connection has an unknown outcome, and a duplicate answer would be taken for the answer to the next request. The check makes both cases
+// rare; if one occurs after the check, the attempt ends with OutcomeUnknown or the request id shows that the answer is wrong.
 func (c *upstreamConn) stillIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -20,7 +20,7 @@
 	// maxInlineBody is the largest request body, in bytes, that is written completely before the answer is read; larger ones are written
 	// concurrently.
 	maxInlineBody = 16 << 10
-	// maxResponses limits the responses read for one request: 1xx responses and the final one.
+	// maxResponses limits the number of responses read for one request: 1xx responses and the final one.
 	maxResponses = 5
 	// maxDrainBytes is the largest body of a refusal, in bytes, that is read to the end so that the connection can be reused.
 	maxDrainBytes = 4 << 10
@@ -201,9 +201,9 @@
 	}
 }
 
-// checkHeader verifies that the answer belongs to this request and that a truncated body can be detected. A late or duplicate
-// answer on a reused connection would reach the wrong caller; its id differs, and a connection is only reused if its
-// upstream echoes ids.
+// checkHeader verifies that the answer belongs to this request and that a truncated body can be detected. Without the check, a late or
+// duplicate answer on a reused connection would reach the wrong caller. Its id reveals such an answer, since only connections to upstreams
+// that echo ids are reused.
 func (x *Exchange) checkHeader(req *http.Request) *Failure {
 	id := x.Response.Header.Get(x.client.cfg.Protocol.IDHeader)
 	x.IDEchoed = id == x.requestID
--- a/pomelolink/link_test.go
+++ b/pomelolink/link_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// An upstream closes idle connections after the timeout in its Keep-Alive field. Whether a request sent during the close ran is
-// unknown, and a non-idempotent request then fails for its caller.
+// An upstream closes idle connections after the timeout in its Keep-Alive field. If a request is sent while the connection is being closed,
+// it is unknown whether the request ran, and a non-idempotent request then fails for its caller.
 func TestConnectionsNearIdleTimeoutAreNotReused(t *testing.T) {
 	l, addr := newClient(t), serve(t, "Keep-Alive: timeout=0\r\n")
 	exchange(t, l, addr)
--- a/pomelonode/admission.go
+++ b/pomelonode/admission.go
@@ -260,7 +260,7 @@
 
 // skip reports whether a request that has failed at the granted slot's upstream should wait for another upstream, and counts the skip. It
 // returns true at most maxSkipsPerRequest times per request. Without the limit a request could wait until its deadline: the other upstreams
-// may be in failure domains from which this router requests no slots while its own has idle ones.
+// may be in failure domains from which this router requests no slots while its own domain has idle slots.
 func (c *control) skip(w *waiter, g *pomelorelay.Grant) bool {
 	if w.skips >= maxSkipsPerRequest || !hasFailedAt(w, g.Upstream) || !c.hasAlternative(w, g.Pool) {
 		return false
@@ -269,8 +269,8 @@
 	return true
 }
 
-// hasAlternative reports whether the pool has an upstream that is not leaving and at which the request has not failed. Without this
-// check, a request that failed at every upstream would wait until its deadline.
+// hasAlternative reports whether the pool has an upstream that is not leaving and at which the request has not failed. Without this check,
+// a request that has failed at every upstream would wait longer, up to its deadline, without finding a better one.
 func (c *control) hasAlternative(w *waiter, pool pomelorelay.PoolID) bool {
 	for id, u := range c.upstreams {
 		if u.Pool() == pool && !c.leaving[id] && !hasFailedAt(w, id) {
--- a/pomelonode/assembly.go
+++ b/pomelonode/assembly.go
@@ -61,8 +61,8 @@
 	c.members = c.memberView.Snapshot()
 	c.queues = pomelofair.New(pomelofair.Config{
 		Charge: pomelofair.ChargeOptions{AdmissionFraction: s.AdmissionCharge},
-		// A timer in Admit ends each wait at its service's limit. MaxWait is set so that the queues' default of 60 s does not end a longer
-		// wait before that.
+		// A timer in Admit ends each wait at the limit of the request's service. MaxWait exceeds all these limits, since the queues'
+		// default of 60 s would end longer waits too early.
 		Limit: pomelofair.LimitOptions{MaxWait: maxQueueWait},
 	})
 	c.owner = pomeloslot.NewOwner(pomeloslot.OwnerConfig{
@@ -144,7 +144,7 @@
 }
 
 // mayStillSettle reports whether a router may still report the outcomes of requests whose idempotency keys it claimed. A router that is
-// stopping gracefully may until it exits.
+// stopping gracefully may do so until it exits.
 func (c *control) mayStillSettle(node pomelorelay.NodeID) bool {
 	return !c.dead[node]
 }
--- a/pomelonode/configuration.go
+++ b/pomelonode/configuration.go
@@ -11,7 +11,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloslot"
 )
 
-// trafficView is what the request path reads: an immutable copy of the configuration, its upstreams and those that are leaving.
+// trafficView is an immutable view for the goroutines that handle requests: the active configuration, its upstreams and the upstreams that
+// are leaving.
 type trafficView struct {
 	snapshot *pomeloconfig.Snapshot
 	pools    map[pomelorelay.PoolID][]*pomeloconfig.Upstream
@@ -115,7 +116,8 @@
 	}
 }
 
-// configurePool applies a service's queue limits to a pool, and its margins for using slots of other failure domains and regions.
+// configurePool applies the settings of a pool's service: the queue options, and the margins for using slots of other failure domains and
+// regions.
 func (c *control) configurePool(pool pomelorelay.PoolID) {
 	service, ok := c.snapshot.PoolService(pool)
 	if !ok {
@@ -125,7 +127,7 @@
 	c.slotRequester.SetSpill(pool, pomeloslot.SpillOptions{DomainMargin: service.SpillDomain, RegionMargin: service.SpillRegion})
 }
 
-// publishTraffic publishes a new trafficView for the request path.
+// publishTraffic publishes a new trafficView for the goroutines that handle requests.
 func (c *control) publishTraffic() {
 	view := &trafficView{
 		snapshot: c.snapshot,
--- a/pomelonode/control.go
+++ b/pomelonode/control.go
@@ -20,7 +20,7 @@
 	statusInterval = 250 * time.Millisecond
 	// maxMessageBatch limits how many messages, after the first, are processed before the components' output is sent.
 	maxMessageBatch = 128
-	// maxLocalRounds limits how often one flush delivers messages that the router sends to itself, since each can produce another.
+	// maxLocalRounds limits how often one flush delivers messages that the router sends to itself, since handling one can produce another.
 	maxLocalRounds = 16
 )
 
@@ -75,8 +75,8 @@
 	expired []pomelorelay.RequestID
 	skipped []pomelorelay.RequestID
 	changes []pomelomember.Change
-	// lastRoundAt is when the control loop last ended a round. staleSince is when a pause of the loop was detected; a read of the host list
-	// that started after that resets staleSince to zero.
+	// lastRoundAt is when the control loop last ended a round. staleSince is when the last pause of the loop was detected; it is reset to
+	// zero by a host list whose read started after the pause.
 	lastRoundAt        time.Time
 	staleSince         time.Time
 	lastStatusAt       time.Time
@@ -160,8 +160,8 @@
 	}
 }
 
-// publishSlots publishes the state of the upstreams whose slots this router owns: to other routers in its membership digests, and directly
-// to its own slot requester.
+// publishSlots publishes the slot states of the upstreams whose slots this router owns: to other routers in its membership heartbeats, and
+// directly to its own slot requester.
 func (c *control) publishSlots(now time.Time) {
 	c.slots = c.owner.Digests(now, c.slots[:0])
 	c.memberView.SetSlots(c.slots)
@@ -203,7 +203,7 @@
 	c.logRebuiltShards()
 }
 
-// flush sends the components' output. Handling a message that the router sends to itself can produce more output, so flush repeats this up
+// flush sends the components' output. Handling a message that the router sends to itself can produce more output, so flush sends output up
 // to maxLocalRounds times.
 func (c *control) flush(now time.Time) {
 	for range maxLocalRounds {
--- a/pomelonode/doc.go
+++ b/pomelonode/doc.go
@@ -1,4 +1,4 @@
 // Package pomelonode assembles a router from its components: a control
-// goroutine, which owns all components that make decisions, the request path,
-// and the listeners for callers and operators.
+// goroutine, the only one that runs the components that make decisions; the
+// handlers of callers' requests; and the listeners for callers and operators.
 package pomelonode
--- a/pomelonode/evacuation.go
+++ b/pomelonode/evacuation.go
@@ -7,8 +7,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// applyEvacuations starts and ends evacuations according to the active configuration. Like leaving upstreams, those of an evacuated
-// failure domain get no new work, and running requests continue.
+// applyEvacuations starts and ends evacuations according to the active configuration. The upstreams of an evacuated failure domain get no
+// new work, as if they were leaving; their running requests continue.
 func (c *control) applyEvacuations(now time.Time) {
 	domains := c.snapshot.Evacuated()
 	for _, d := range domains {
--- a/pomelonode/evacuation_test.go
+++ b/pomelonode/evacuation_test.go
@@ -9,8 +9,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Guards against sending new work from any router to an evacuated failure domain, and against leaving that domain unused after the
-// evacuation has ended.
+// Guards against routers that send new work to an evacuated failure domain, and against a domain that gets no work after its evacuation has
+// ended.
 func TestEvacuatedDomainGetsNoNewWork(t *testing.T) {
 	f := newFleet(t, 4)
 	f.awaitReady()
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -50,8 +50,8 @@
 	c.n.log(pomelorelay.EventUpstreamLeaving, field("Upstream", string(id)))
 }
 
-// leavingNoticeValidity is how long a peer's notice that an upstream is leaving takes precedence over a host list that does not show that,
-// since the host list may be outdated.
+// leavingNoticeValidity is how long an upstream counts as leaving after a peer's LeavingNotice even if the host list does not show it as
+// leaving, since that list may be outdated.
 const leavingNoticeValidity = 30 * time.Second
 
 // restoreStaying lets upstreams that the host list no longer shows as leaving get new work again.
@@ -96,8 +96,8 @@
 }
 
 // awaitHostRead waits until the next read of the host list is due; the interval grows with the fleet. It returns early when a message
-// arrives from a router that is not on the list, since a new router gets no membership digests and cannot serve until the others know its
-// address. It returns false if ctx is done.
+// arrives from a router that is not on the list, since a new router gets no membership heartbeats and cannot serve until the others know
+// its address. It returns false if ctx is done.
 func (n *Node) awaitHostRead(ctx context.Context) bool {
 	list := n.cfg.Settings.HostList
 	timer := time.NewTimer(list.ReadInterval(n.status.Load().memberCount) - list.Interval)
@@ -145,7 +145,7 @@
 }
 
 // isStaying reports whether neither the control goroutine nor the last host list marks an upstream as leaving. The list is checked directly
-// because requests can bypass a stalled control goroutine, which has not processed the list.
+// because requests can bypass a stalled control goroutine, which may not have processed the list yet.
 func (n *Node) isStaying(id pomelorelay.UpstreamID) bool {
 	if n.listedLeaving(id) {
 		return false
@@ -168,9 +168,9 @@
 	maxStale = 2 * time.Second
 )
 
-// detectPause detects that the control goroutine was paused, for example together with its process. A grant used right after a pause
-// could send a request to an upstream that started leaving during the pause, so grants are returned until the host list has been read
-// again or maxStale has passed.
+// detectPause detects that the control goroutine was paused, for example together with its process. Using a grant right after a pause could
+// send a request to an upstream that started leaving during the pause, so grants are returned to their owners until the host list has been
+// read again or maxStale has passed.
 func (c *control) detectPause(now time.Time) {
 	if !c.lastRoundAt.IsZero() && now.Sub(c.lastRoundAt) > pauseThreshold {
 		c.staleSince = now
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -117,7 +117,7 @@
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
 	c.outgoing = c.owner.AddUpstream(now, slot, c.jobs.members, c.outgoing)
 	if u.FailureDomain != c.n.self.Domain {
-		// The upstream's failure domain may only be partitioned from this one, and a slot owner there may still grant slots. This router
+		// The upstream's failure domain may be partitioned rather than down, and a router there may still grant the same slots. This router
 		// therefore grants none until the upstream itself has reported its load.
 		c.owner.MarkCrashed(now, id)
 	}
@@ -187,9 +187,9 @@
 	}
 }
 
-// claimKeeper returns the router that stores a shard's claims on idempotency keys. If all reachable routers are stopping, each stores its
-// own; otherwise no router would accept the outcomes of the last requests, and stopping a whole fleet would reach its time limit. Several
-// keepers of a shard fence each other at the store.
+// claimKeeper returns the router that stores a shard's claims on idempotency keys. If all reachable routers are stopping, each stores the
+// claims of its own requests; otherwise no router would accept the outcomes of the last requests, and stopping a whole fleet would reach
+// its time limit. Routers that keep the same shard fence each other at the store.
 func (c *control) claimKeeper(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 	if len(c.jobs.members) == 0 {
 		return c.n.self.Node, true
--- a/pomelonode/leaving_test.go
+++ b/pomelonode/leaving_test.go
@@ -34,8 +34,8 @@
 }
 
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	// The platform removes a server. One router cannot read the host list, and the LeavingNotice messages to that router are lost. If it
-	// continued to send to the server, callers would get errors from a server that is being shut down.
+	// The platform removes a server. One router cannot read the host list, and the LeavingNotice messages to that router are lost. If that
+	// router continued to send to the server, callers would get errors from a server that is being shut down.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	uninformed := f.routers[2]
@@ -48,8 +48,9 @@
 }
 
 func TestLeavingUpstreamWithPartitionedOwnerGetsNoNewWork(t *testing.T) {
-	// The router that owns the slots of a server is partitioned when the server starts leaving, so that the slots granted last are not
-	// revoked. If these grants were used after maxLeaveDelay, requests would be sent to a server that no longer exists.
+	// The router that owns the slots of a server is behind a network partition when the server starts leaving, so that the slots that it
+	// granted last are not revoked. If these grants were used after maxLeaveDelay, requests would be sent to a server that no longer
+	// exists.
 	f := newFleet(t, 6)
 	f.awaitReady()
 	upstream := pomelorelay.UpstreamID("status-" + string(domains[0]))
--- a/pomelonode/listen.go
+++ b/pomelonode/listen.go
@@ -19,7 +19,7 @@
 )
 
 // headerLimitFactor is the ratio of net/http's header limit to the configured one. Above its own limit net/http refuses a request in plain
-// text; between the two limits the handler refuses it with a result code.
+// text; between the two limits the handler refuses the request with a result code.
 const headerLimitFactor = 4
 
 // Listen starts serving the caller and the operator port; it fails with CodeCannotListen if it cannot listen on an address.
@@ -95,8 +95,8 @@
 // Drained returns a channel that is closed when draining starts.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Stop stops the router gracefully: it drains, waits for all requests in progress and until the outcomes of those with claimed idempotency
-// keys are stored, and closes. It fails with CodeStopLate if requests are still in progress when ctx is done.
+// Stop stops the router gracefully: it drains, waits until all requests in progress have ended and the outcomes of those with claimed
+// idempotency keys are stored, and closes. It fails with CodeStopLate if requests are still in progress when ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
 	n.Drain()
 	err := n.awaitIdle(ctx)
--- a/pomelonode/listen_test.go
+++ b/pomelonode/listen_test.go
@@ -9,7 +9,7 @@
 
 func TestFailedListenDoesNotLogStart(t *testing.T) {
 	// Another process, often the previous process of the same router, uses the caller port. If EventStarted were logged nevertheless,
-	// operators who count starts by it would count a router that does not listen.
+	// operators who count starts by this event would count a router that does not listen.
 	f := newFleet(t, 1)
 	f.awaitReady()
 	first := f.routers[0]
--- a/pomelonode/loads.go
+++ b/pomelonode/loads.go
@@ -15,7 +15,7 @@
 const (
 	// maxLoadBytes limits the size in bytes of an upstream's load report.
 	maxLoadBytes = 64 << 10
-	// loadTimeout limits one read of an upstream's load.
+	// loadTimeout limits the duration of one read of an upstream's load.
 	loadTimeout = time.Second
 	// maxLoadFailures is the number of consecutive failed reads after which an upstream counts as crashed.
 	maxLoadFailures = 3
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -49,7 +49,7 @@
 	c.quarantine.MemberJoined(now, node, &c.suspectOut)
 }
 
-// reclaimFrom reclaims the slots granted to a router that died or restarted, and removes the router's other state.
+// reclaimFrom reclaims the slots granted to a router that died or restarted, and removes the other state kept about that router.
 func (c *control) reclaimFrom(now time.Time, node pomelorelay.NodeID) {
 	delete(c.generations, node)
 	c.outgoing = c.owner.RemoveRouter(now, node, c.outgoing)
@@ -76,8 +76,8 @@
 	c.placeJobs(now)
 }
 
-// domainReachable sends the requests that are suspected of crashing upstreams to the routers of a failure domain that became reachable,
-// since these routers may have missed them.
+// domainReachable notifies the routers of a failure domain that became reachable of the requests that are suspected of crashing upstreams,
+// since they may have missed the earlier notices.
 func (c *control) domainReachable(now time.Time, domain pomelorelay.DomainID) {
 	c.n.log(pomelorelay.EventDomainReachable, field("Domain", string(domain)))
 	for _, node := range c.members.Members(domain) {
--- a/pomelonode/node_test.go
+++ b/pomelonode/node_test.go
@@ -75,8 +75,8 @@
 }
 
 func TestIdempotentRequestsBypassStalledControlGoroutine(t *testing.T) {
-	// A router's control goroutine is blocked, here in a send. If requests could not bypass it, all callers of the router would wait until
-	// it resumes, although the upstreams are idle.
+	// A router's control goroutine is blocked, here while it sends a message. If requests could not bypass it, all callers of the router
+	// would wait until that goroutine resumes, although the upstreams are idle.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	await(t, "requests are served", func() bool {
@@ -139,7 +139,7 @@
 }
 
 func TestConcurrentResendsRunOnce(t *testing.T) {
-	// A caller resends a booking whose answer is late, concurrently through every router. If it ran twice, the customer would be
+	// A caller resends a booking whose answer is late, concurrently through every router. If the booking ran twice, the customer would be
 	// charged twice.
 	f := newFleet(t, 4)
 	f.awaitReady()
@@ -149,7 +149,8 @@
 		if n := f.bookingRuns(key); n != 1 {
 			t.Errorf("the booking %s ran %d times", key, n)
 		}
-		// The outcome is sent to the router that stores the claim; until it arrives, a retry is correctly refused as still running.
+		// The outcome is sent to the router that stores the claim; until the outcome arrives there, a retry is correctly refused because
+		// the booking counts as still running.
 		await(t, "a retry of a completed booking gets the stored answer", func() bool {
 			got := f.routers[0].call(http.MethodPost, "/booking/jobs", key, `{"piece":"ring"}`)
 			return got.status == http.StatusOK && got.header.Get("Idempotency-Replayed") == "true"
--- a/pomelonode/partition_test.go
+++ b/pomelonode/partition_test.go
@@ -8,7 +8,8 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// crossesDomains reports whether two routers are in different failure domains, to partition the domains from each other.
+// crossesDomains reports whether two routers are in different failure domains; as a partition rule it separates the domains from each
+// other.
 func crossesDomains(from, to pomelorelay.Peer) bool { return from.Domain != to.Domain }
 
 // allHaveGeneration reports whether the generation is active on every router.
@@ -22,9 +23,9 @@
 }
 
 func TestPartitionedDomainsServeAndRecover(t *testing.T) {
-	// The failure domains are partitioned, one also from the store, while an operator changes the configuration and a router dies.
-	// Each domain must serve with its own upstreams, a booking sent on both sides must run once, and after the partition heals the
-	// change must become active on every router.
+	// The failure domains are partitioned from each other, and one of them also from the store, while an operator changes the configuration
+	// and a router dies. Each domain must serve with its own upstreams, a booking sent on both sides must run once, and after the partition
+	// heals the change must become active on every router.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	f.network.SetPartition(crossesDomains)
@@ -81,8 +82,8 @@
 }
 
 func TestUpstreamsOfDomainWithoutRoutersAreServedByRegion(t *testing.T) {
-	// Both routers of a failure domain fail, but its upstreams do not. If no other router took over their slots, the upstreams would be
-	// unused while requests wait for upstreams of other domains.
+	// Both routers of a failure domain fail, but its upstreams do not. If no other router took over the upstreams' slots, these upstreams
+	// would be unused while requests wait for upstreams of other domains.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	f.routers[1].node.Close()
--- a/pomelonode/pause_test.go
+++ b/pomelonode/pause_test.go
@@ -11,8 +11,9 @@
 )
 
 func TestPausedRouterSendsNothingToLeavingUpstream(t *testing.T) {
-	// A router's control goroutine is blocked for seconds, here in a send, while a status server leaves. Requests that bypass the control
-	// goroutine, and those granted right after it resumes, could be sent to a server that is being shut down.
+	// A router's control goroutine is blocked for seconds, here while it sends a message, and a status server starts leaving. Requests that
+	// bypass the control goroutine, and those that are granted a slot right after it resumes, could be sent to a server that is being shut
+	// down.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	r := f.routers[0]
--- a/pomelonode/random_test.go
+++ b/pomelonode/random_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// booking is a booking and the answers that its caller got.
+// booking is one booking request and the answers that its caller got.
 type booking struct {
 	key, body string
 	answers   []answer
--- a/pomelonode/stall_test.go
+++ b/pomelonode/stall_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestStalledStoreDoesNotBlockIdempotentRequests(t *testing.T) {
-	// The store delays its answer to every call. Idempotent requests must not wait for the store anywhere on their path.
+	// The store delays its answer to every call. Idempotent requests must not wait for the store at any point.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	before := medianLatency(t, f.routers[0])
@@ -48,8 +48,8 @@
 }
 
 func TestStalledLogDoesNotBlockRequests(t *testing.T) {
-	// The process that reads the router's log hangs. If requests or the control goroutine wrote events synchronously, they would
-	// block too.
+	// The process that reads the router's log hangs. If the goroutines that handle requests or the control goroutine wrote events
+	// synchronously, they would block too.
 	f, _, _ := newTLSFleet(t, 2)
 	writer := &blockedWriter{release: make(chan struct{})}
 	logger := pomelolog.New(pomelolog.Config{Node: "router-0", Level: pomelorelay.LevelDebug, Writer: writer})
@@ -71,7 +71,7 @@
 func TestPausedSlotOwnerDoesNotBlockRequests(t *testing.T) {
 	// The router that owns the slots of an upstream is paused: its links stay open, but it does not answer. Calls through the other router
 	// of the failure domain must be served by upstreams of another domain, or by this upstream once the paused router is declared dead and
-	// another router owns its slots.
+	// another router owns the upstream's slots.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	active, paused := f.routers[0], f.routers[2]
--- a/pomelonode/suspect_test.go
+++ b/pomelonode/suspect_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
-	// A request crashes every engine that runs it, and its caller resends it through every router. Without quarantine it crashes one
-	// engine after the other, and other callers lose their streams.
+	// A request crashes every engine that runs it, and its caller resends it through every router. Without quarantine the request would
+	// crash one engine after the other, and other callers would lose their streams.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	crashRequest := strings.Replace(chat, "a clasp estimate", crashMarker, 1)
--- a/pomelonode/suspects.go
+++ b/pomelonode/suspects.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// verdictError converts a decision into an error. It also fails if the upstream has started leaving: the decision may have taken seconds,
-// and the upstream would get new work long after the host list showed it as leaving.
+// verdictError converts a decision into an error. A request that may run is refused nevertheless if its upstream has started leaving: the
+// decision may have taken seconds, and the upstream would get new work long after the host list showed it as leaving.
 func (a suspects) verdictError(v pomeloquarantine.Verdict) error {
 	switch v.Decision {
 	case pomeloquarantine.DecisionRun:
@@ -130,8 +130,8 @@
 	c.quarantine.Lift(now, e.fingerprint, &c.suspectOut)
 }
 
-// flushSuspects sends the messages and delivers the verdicts of the quarantine components, and publishes their snapshot for the
-// request path.
+// flushSuspects sends the messages and delivers the verdicts of the quarantine components, and publishes their snapshot for the goroutines
+// that handle requests.
 func (c *control) flushSuspects() {
 	c.outgoing = append(c.outgoing, c.suspectOut.Messages...)
 	for _, v := range c.suspectOut.Verdicts {
--- a/pomelonode/tls_test.go
+++ b/pomelonode/tls_test.go
@@ -103,8 +103,8 @@
 	for _, r := range f.routers {
 		await(t, "a router sees all four", func() bool { return r.seesMembers(4) })
 	}
-	// A router reads its key files again at its next handshake. Router 1, in the new router's failure domain, has had one with the new
-	// router.
+	// A router reads its key files again at its next handshake. Router 1, in the new router's failure domain, has had a handshake with the
+	// new router.
 	await(t, "the change is logged", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysChanged) > 0 })
 }
 
--- a/pomeloroute/answer.go
+++ b/pomeloroute/answer.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// errorEvent returns the event that ends an incomplete stream, so that the caller can distinguish it from a complete one.
+// errorEvent returns the event that ends an incomplete stream, so that the caller can distinguish the stream from a complete one.
 func errorEvent(e *pomelorelay.Error) []byte {
 	event := append([]byte("event: error\ndata: "), pomeloproblem.New(e).Encode()...)
 	return append(event, "\n\n"...)
--- a/pomeloroute/answer_test.go
+++ b/pomeloroute/answer_test.go
@@ -244,8 +244,8 @@
 	}
 }
 
-// A caller cancels a repeatable request. The request must be cancelled at the upstream too, or its slot there stays in use for an answer
-// that is not read.
+// A caller cancels a repeatable request. The request must be cancelled at the upstream too; otherwise it would keep its slot there for an
+// answer that is not read.
 func TestCallerCancelReachesUpstream(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
@@ -270,8 +270,8 @@
 	}
 }
 
-// An upstream crashes while it runs a repeatable request. The request must be marked as suspected of the crash before it is retried. If
-// only the connection broke and the upstream still accepts new ones, it must not be marked.
+// An upstream crashes while it runs a repeatable request. The request must be marked as suspected of the crash before it is retried. If the
+// connection broke but the upstream still accepts new connections, the request must not be marked.
 func TestOnlyCrashMarksSuspect(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	var dying *scriptedUpstream
@@ -296,7 +296,7 @@
 	}
 }
 
-// An answer without Content-Length or chunked encoding looks complete when the upstream dies while sending it.
+// An answer without Content-Length or chunked encoding looks complete when the upstream dies while sending it, so it must be refused.
 func TestAnswerWithoutFramingIsRefused(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	b.addUpstream(newScriptedUpstream(t, func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
--- a/pomeloroute/bodylimit.go
+++ b/pomeloroute/bodylimit.go
@@ -8,8 +8,8 @@
 
 var errBodyMemoryFull = errors.New("request bodies in progress exceed the router's limit")
 
-// countedBody counts the bytes read from a body towards the router's limit on all bodies in progress. Without that limit, many large
-// bodies, each within the limit of a single body, exhaust the memory of the process, and all its requests are lost.
+// countedBody counts the bytes read from a body towards the router's limit on the total size of all buffered bodies. Without that limit,
+// many large bodies, each within the limit of a single body, would exhaust the memory of the process, and all its requests would be lost.
 type countedBody struct {
 	c *call
 	r io.Reader
--- a/pomeloroute/config.go
+++ b/pomeloroute/config.go
@@ -39,15 +39,16 @@
 	MaxStoredOutcome pomelorelay.Bytes
 	// DialTimeout limits the duration of a connection attempt, 1 s by default.
 	DialTimeout time.Duration
-	// IdleConns limits the idle connections kept per upstream, 64 by default.
+	// IdleConns limits the number of idle connections kept per upstream, 64 by default.
 	IdleConns int
 	// IdleTimeout is how long an unused connection is kept, 30 s by default.
 	IdleTimeout time.Duration
-	// Timeout is used for services that set none, 10 min by default. A request must end within its maximum wait plus its timeout.
+	// Timeout applies to the requests of services that set no timeout, 10 min by default. A request must end within its maximum wait plus
+	// its timeout.
 	Timeout time.Duration
 	// MaxWait limits the wait for a slot for services that set no limit, 1 min by default.
 	MaxWait time.Duration
-	// MaxAttempts limits the attempts of one request that reach an upstream, 3 by default.
+	// MaxAttempts limits the number of attempts of one request that reach an upstream, 3 by default.
 	MaxAttempts int
 	// RetryAfter is the Retry-After value of refusals whose error has none, 1 s by default.
 	RetryAfter time.Duration
@@ -80,13 +81,13 @@
 	Fingerprint pomelorelay.Fingerprint
 	// PrefixHash is a hash of the first 512 bytes of the body, for cache affinity.
 	PrefixHash uint64
-	// CostHint is the cost of the request that the caller expects; zero if the caller gave no hint.
+	// CostHint is the request's cost as the caller expects it; zero if the caller gave no hint.
 	CostHint pomelorelay.Cost
 	Bytes    pomelorelay.Bytes
 	// Deadline is when the request must end, WaitUntil when its wait for a slot must end.
 	Deadline  time.Time
 	WaitUntil time.Time
-	// FailedUpstreams lists upstreams at which earlier attempts of the request failed; Admission avoids them while there are others.
+	// FailedUpstreams lists upstreams at which earlier attempts of the request failed; Admission avoids them while the pool has others.
 	FailedUpstreams []pomelorelay.UpstreamID
 }
 
@@ -145,7 +146,7 @@
 
 // SuspectRun identifies one attempt for crash detection.
 type SuspectRun struct {
-	// KnownSuspect is set if an earlier attempt of this request ran on an upstream that crashed; the check must then not rely on the
+	// KnownSuspect is set if an earlier attempt of this request ran on an upstream that crashed; AwaitPermission must then not rely on the
 	// router's snapshot of suspected requests, which may be older than the crash.
 	KnownSuspect  bool
 	Request       pomelorelay.RequestID
--- a/pomeloroute/digest.go
+++ b/pomeloroute/digest.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fingerprint hashes a request's account, service and body, so that it is the same for all callers of the account and on all routers.
+// fingerprint hashes a request's account, service and body; the result is the same for all callers of the account and on all routers.
 func fingerprint(account pomelorelay.AccountID, service pomelorelay.ServiceID, body []byte) pomelorelay.Fingerprint {
 	d := xxhash.New()
 	writeLengthPrefixed(d, []byte(account))
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -17,7 +17,7 @@
 const (
 	// initialRetries is the initial retry budget of a service, so that a service with little traffic can retry.
 	initialRetries = 3
-	// maxSavedRetries limits the retries that a service can accumulate while few requests fail.
+	// maxSavedRetries limits the number of retries that a service can accumulate while few requests fail.
 	maxSavedRetries = 100
 )
 
@@ -112,8 +112,8 @@
 	return pomelorelay.RequestID(h.lastID.Add(1))
 }
 
-// wireID returns the id that the upstream echoes in its answer. It is unique across routers and restarts, so that no answer is
-// taken for another request's.
+// wireID returns the id that the upstream echoes in its answer. It is unique across routers and restarts, so that the answer to one request
+// is never taken for the answer to another.
 func (h *Handler) wireID(id pomelorelay.RequestID) string {
 	return fmt.Sprintf("%s-%x-%x", h.cfg.Node, uint64(h.cfg.Incarnation), uint64(id))
 }
--- a/pomeloroute/headers.go
+++ b/pomeloroute/headers.go
@@ -7,7 +7,7 @@
 	"github.com/pomelorelay/pomelorelay/pomelolink"
 )
 
-// upstreamHeader returns the header of a request to an upstream: the caller's header without hop-by-hop fields, its token and
+// upstreamHeader returns the header of a request to an upstream: the caller's header without the hop-by-hop fields, the caller's token and
 // the fields that the router interprets itself.
 func upstreamHeader(from http.Header) http.Header {
 	head := from.Clone()
--- a/pomeloroute/helpers_test.go
+++ b/pomeloroute/helpers_test.go
@@ -219,7 +219,7 @@
 	for i := 0; i+1 < len(fields); i += 2 {
 		req.Header.Set(fields[i], fields[i+1])
 	}
-	// Without idle connections the test's client never retries a request.
+	// net/http retries requests only on reused connections, so the test's client, which keeps none, never retries.
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(req)
--- a/pomeloroute/meter.go
+++ b/pomeloroute/meter.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// readUsage reads the token usage from an event's data or an answer's body, and reports whether it contains one.
+// readUsage reads the token usage from an event's data or an answer's body, and reports whether the data contained any.
 func (m *meter) readUsage(data []byte) bool {
 	var holder usageMessage
 	if json.Unmarshal(data, &holder) != nil || holder.Usage == nil {
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// An upstream closes an idle connection while it is being reused. net/http's Transport then resends a request with an
-// Idempotency-Key by itself, and the booking runs twice.
+// An upstream closes an idle connection while it is being reused. net/http's Transport would then resend a request with an Idempotency-Key
+// by itself, and the booking would run twice.
 func TestIdleConnectionClosedJustAsItIsReused(t *testing.T) {
 	script := func(w *scriptedUpstream, n int64, conn net.Conn, r *bufio.Reader) {
 		id, ok := w.read(r)
@@ -175,8 +175,8 @@
 	}
 }
 
-// The first attempt of a request may have run, and the second finds no upstream. The second failure alone would be reported as "not run",
-// which may be false for the request.
+// The first attempt of a request may have run, and the second finds no upstream. If the router reported only the second failure, it would
+// tell the caller "not run", although the first attempt may have run.
 func TestLaterRefusalDoesNotHideAnEarlierRun(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
@@ -251,8 +251,8 @@
 	}
 }
 
-// An upstream closes idle connections. A request sent on a closed one fails although the upstream works, and without retries its
-// caller gets an error.
+// An upstream closes idle connections. A request sent on such a connection would fail although the upstream works, and its caller would get
+// an error, since the test allows one attempt only.
 func TestClosedIdleConnectionIsDetectedBeforeReuse(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{MaxAttempts: 1})
 	closed := make(chan struct{})
--- a/pomeloroute/run.go
+++ b/pomeloroute/run.go
@@ -34,7 +34,7 @@
 	return c.attempts()
 }
 
-// maxUnsentAttempts limits the attempts of one request that were not sent because the upstream could not be reached.
+// maxUnsentAttempts limits the number of attempts of one request that were not sent because the upstream could not be reached.
 const maxUnsentAttempts = 10
 
 // attempts sends the request until it is answered or must not be retried.
@@ -57,9 +57,9 @@
 }
 
 // spendRetry reports whether a retry is allowed and takes it from the retry budget unless it is free. Retries of unsent attempts are free:
-// they load no upstream, and one restart causes several within milliseconds. Retries after a crash are free too, since the crashing request
-// makes all others of the upstream retry and would use up their budget; quarantine limits them, and slot owners grant no slots of a crashed
-// upstream.
+// such attempts load no upstream, and one restart causes several within milliseconds. Retries after a crash are free too: one crash fails
+// all requests of the upstream, whose retries would use up the budget; quarantine limits repeated crashes, and slot owners grant no slots
+// of a crashed upstream.
 func (c *call) spendRetry(f *pomelolink.Failure) bool {
 	free := f.Outcome == pomelolink.OutcomeNotSent || f.Err.Code == pomelorelay.CodeUpstreamCrashed
 	return free || c.h.budget(c.service.Name).Spend()
@@ -103,11 +103,12 @@
 		return admissionFailure(ctx, err)
 	}
 	if !ticket.Usable() {
-		// A request suspected of crashing upstreams may have waited for seconds. If its upstream has started leaving since then, the
+		// A request suspected of crashing upstreams may have waited for seconds. If its upstream has started leaving in that time, the
 		// request would be cut off when the host stops.
 		return pomelolink.NewFailure(pomelolink.OutcomeNotSent, pomelorelay.CodeUpstreamUnreached, nil)
 	}
-	// Until the outcome is known, the request counts as one that may have run, so that this also holds after a panic.
+	// The request is marked as possibly run before it is sent, so that the mark remains if send panics; it is corrected once the outcome is
+	// known.
 	before := c.mayHaveRun
 	c.mayHaveRun = true
 	result.Outcome = pomelolink.OutcomeUnknown
--- a/pomeloroute/slotclock.go
+++ b/pomeloroute/slotclock.go
@@ -30,7 +30,7 @@
 	return c
 }
 
-// stop ends the reports. None is made after it returns, since the slot may then belong to another request.
+// stop ends the reports. No report is made after stop has returned, since the slot may then belong to another request.
 func (c *slotClock) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pomeloroute/stream.go
+++ b/pomeloroute/stream.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxResumes limits consecutive resumes that deliver no new event.
+	// maxResumes limits the number of consecutive resumes that deliver no new event.
 	maxResumes = 3
 	resumePath = "/v1/streams/"
 	// framingEndTimeout limits the wait for the end of the HTTP body after the [DONE] event.
@@ -27,7 +27,7 @@
 	errStreamIncomplete = errors.New("stream ended without [DONE] or without the end of its framing")
 )
 
-// stream forwards server-sent events, each once and only complete ones.
+// stream forwards the server-sent events of an answer: only complete events, and each only once.
 type stream struct {
 	c          *call
 	x          *pomelolink.Exchange
@@ -97,7 +97,7 @@
 	return s.x.BodyComplete
 }
 
-// alreadyForwarded reports whether the event was forwarded before; an engine may repeat some after a resume.
+// alreadyForwarded reports whether the event was forwarded before; an engine may repeat some events after a resume.
 func (s *stream) alreadyForwarded(e pomelolink.Event) bool {
 	id, ok := e.ID()
 	if !ok {
--- a/pomeloroute/stream_test.go
+++ b/pomeloroute/stream_test.go
@@ -96,7 +96,8 @@
 		a := b.call("POST", "/drafter/v1/completions", streamBody)
 		right := a.err == nil && a.status == http.StatusOK && a.body == completeStream()
 		if cut < head {
-			// Without a complete header the answer is not known to be a stream, and there is no other engine to retry at.
+			// Without a complete header the answer is not known to be a stream that can be resumed, and there is no other engine to retry
+			// at, so RanUnknown is the correct answer.
 			right = a.err == nil && a.problem(t).Ran == pomelorelay.RanUnknown
 		}
 		if !right {
--- a/pomelostore/breaker_test.go
+++ b/pomelostore/breaker_test.go
@@ -27,8 +27,8 @@
 	l.recorded = append(l.recorded, id)
 }
 
-// Guards against calls that wait for their timeout while the store is down and all reach it at once when it recovers, which keeps
-// responses slow long after the outage.
+// Guards against calls that wait for their timeout while the store is down and then all reach the store at once when it recovers, which
+// keeps responses slow long after the outage.
 func TestBreakerOpensProbesAndCloses(t *testing.T) {
 	var calls atomic.Int64
 	var down atomic.Bool
--- a/pomelostore/lost_test.go
+++ b/pomelostore/lost_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// The store closes a reused connection after it has read a write and before it answers. Guards against net/http treating the connection
-// as closed while idle and resending the write, which then conflicts with the first copy of itself.
+// The store closes a reused connection after it has read a write and before it answers. Guards against net/http treating the connection as
+// closed while idle and resending the write, which would then conflict with its own first copy.
 func TestWriteOnReusedConnectionIsSentOnce(t *testing.T) {
 	ctx := context.Background()
 	var writes atomic.Int64
--- a/pomelostore/outcome.go
+++ b/pomelostore/outcome.go
@@ -16,7 +16,8 @@
 	// WritePending means that the record is still at the old revision. The write may still arrive; resending it with the same
 	// value and old revision is safe, since at most one of the two can take effect.
 	WritePending
-	// WriteSuperseded means that the record holds another writer's value; the write took effect before that or never will.
+	// WriteSuperseded means that the record holds another writer's value; the write took effect before that value was written, or never
+	// will.
 	WriteSuperseded
 )
 
--- a/pomelostore/store.go
+++ b/pomelostore/store.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// AllowedWatchWait returns wait, or zero while the breaker is open. A watch that waits for a change as the breaker's single probe would
-// keep the breaker open for half a minute after the store has recovered, and claims would be refused in that time.
+// AllowedWatchWait returns wait, or zero while the breaker is open. If the breaker's single probe were a watch that waits for a change, the
+// breaker would stay open for half a minute after the store has recovered, and claims would be refused in that time.
 func (c *Client) AllowedWatchWait(wait time.Duration) time.Duration {
 	if c.breaker.isOpen() {
 		return 0
--- a/pomelostore/store_test.go
+++ b/pomelostore/store_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// Guards against an HTTP status whose result code is wrong about whether a write may have taken effect, so that a change that is in force
-// is reported as refused.
+// Guards against mapping an HTTP status to a result code that is wrong about whether the write may have taken effect: a change that is in
+// force would be reported as refused.
 func TestWriteStatusesMapToResultCodes(t *testing.T) {
 	for _, c := range []struct {
 		status int
