--- a/pomelolink/exchange.go
+++ b/pomelolink/exchange.go
@@ -202,8 +202,8 @@
 }
 
 // checkHeader verifies that the answer belongs to this request and that a truncated body can be detected. Without the check, a late or
-// duplicate answer on a reused connection would reach the wrong caller. Its id reveals such an answer, since only connections to upstreams
-// that echo ids are reused.
+// duplicate answer on a reused connection would reach the wrong caller. The check detects such an answer by its id, since only connections
+// to upstreams that echo ids are reused.
 func (x *Exchange) checkHeader(req *http.Request) *Failure {
 	id := x.Response.Header.Get(x.client.cfg.Protocol.IDHeader)
 	x.IDEchoed = id == x.requestID
--- a/pomelonode/bypass.go
+++ b/pomelonode/bypass.go
@@ -13,8 +13,8 @@
 const stallThreshold = 250 * time.Millisecond
 
 // bypassSlots admits one request at a time to each upstream of the router's failure domain while the control goroutine is stalled. Without
-// it, all callers would wait until the stall ends, even with idle upstreams. The owners of the upstreams' slots do not count these requests
-// (at most one per router and upstream), but the loads that the upstreams report include them.
+// this bypass, all callers would wait until the stall ends, even if upstreams are idle. The owners of the upstreams' slots do not count
+// these requests (at most one per router and upstream), but the loads that the upstreams report include them.
 type bypassSlots struct {
 	mu   sync.Mutex
 	busy map[pomelorelay.UpstreamID]bool
--- a/pomelonode/hosts.go
+++ b/pomelonode/hosts.go
@@ -163,8 +163,8 @@
 const (
 	// pauseThreshold is the time between two rounds of the control loop above which its list of leaving upstreams counts as stale.
 	pauseThreshold = time.Second
-	// maxStale limits how long the list of leaving upstreams counts as stale after a pause of the control loop, so that a router that
-	// cannot read the host list continues to work.
+	// maxStale limits how long the list of leaving upstreams counts as stale after a pause of the control loop. Without this limit, a
+	// router that cannot read the host list would return all grants after a pause.
 	maxStale = 2 * time.Second
 )
 
--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -44,8 +44,8 @@
 	c.placeConfigWatch()
 }
 
-// reachableMembers returns the live routers of reachable failure domains. A fleet-wide job assigned to a router behind a network partition
-// would not be done for the routers on this side.
+// reachableMembers returns the live routers of reachable failure domains. If a fleet-wide job were assigned to a router behind a network
+// partition, the job would not be done for the routers on this side.
 func (c *control) reachableMembers() []pomelorelay.NodeID {
 	var nodes []pomelorelay.NodeID
 	for _, d := range c.members.Domains() {
@@ -71,8 +71,8 @@
 }
 
 // slotOwner returns the router that owns an upstream's slots: one of the upstream's failure domain or, if that domain has no live or
-// reachable router, one of its region. Without the fallback, an upstream would be unused after its domain lost its routers, although
-// routers of other domains reach it.
+// reachable router, one of the upstream's region. Without the fallback, an upstream would be unused after its domain lost all routers,
+// although routers of other domains can reach the upstream.
 func (c *control) slotOwner(id pomelorelay.UpstreamID, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	key := "slot/" + string(id)
 	if node, ok := c.members.Owner(key, domain); ok && c.isReachable(domain) {
--- a/pomelonode/members.go
+++ b/pomelonode/members.go
@@ -77,7 +77,7 @@
 }
 
 // domainReachable notifies the routers of a failure domain that became reachable of the requests that are suspected of crashing upstreams,
-// since they may have missed the earlier notices.
+// since these routers may have missed the earlier notices.
 func (c *control) domainReachable(now time.Time, domain pomelorelay.DomainID) {
 	c.n.log(pomelorelay.EventDomainReachable, field("Domain", string(domain)))
 	for _, node := range c.members.Members(domain) {
--- a/pomelonode/random_test.go
+++ b/pomelonode/random_test.go
@@ -154,9 +154,9 @@
 }
 
 func TestBookingGuaranteesUnderRandomFaults(t *testing.T) {
-	// Faults overlap: for example, the store loses an answer while a router dies, or domains are partitioned while a service answers
-	// late, and callers resend their bookings through other routers. No booking may run twice, no answer may belong to another request,
-	// no "not run" may be false, and the fleet must serve again afterwards.
+	// Faults overlap: for example, the store loses an answer while a router dies, or domains are partitioned while a service answers late.
+	// Callers resend their bookings through other routers. No booking may run twice, no caller may get the answer to another request or a
+	// false "not run", and the fleet must serve again afterwards.
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			f := newFleet(t, randomRouters)
--- a/pomelonode/stop_test.go
+++ b/pomelonode/stop_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestAllRoutersCanStopAtOnce(t *testing.T) {
-	// All routers stop at the same time, right after they answered bookings whose outcomes are not yet stored. Without a router that
-	// accepts the outcomes, every stop would reach its time limit and the claims on the bookings' idempotency keys would stay open.
+	// All routers stop at the same time, right after they answered bookings whose outcomes are not yet stored. If no router accepted the
+	// outcomes, every stop would reach its time limit and the claims on the bookings' idempotency keys would stay open.
 	f := newFleet(t, 4)
 	f.awaitReady()
 	f.concurrently(40, func(i int) {
--- a/pomelonode/tls_test.go
+++ b/pomelonode/tls_test.go
@@ -109,8 +109,8 @@
 }
 
 func TestRouterOfUntrustedAuthorityIsRefused(t *testing.T) {
-	// A host of another fleet, or of an attacker, is on the host list with a certificate of an untrusted authority. If accepted, it could
-	// report usage for any account and take grants; if refused without an event, operators could not find the cause.
+	// A host of another fleet, or of an attacker, is on the host list with a certificate of an untrusted authority. If accepted, that host
+	// could report usage for any account and take grants; if refused without an event, operators could not find the cause.
 	f, _, _ := newTLSFleet(t, 3)
 	untrusted := newAuthority(t)
 	dir := t.TempDir()
@@ -131,8 +131,8 @@
 }
 
 func TestUnusableKeysPreventStart(t *testing.T) {
-	// With missing or wrong keys in the settings, a router must not start: it must neither communicate without TLS nor run without
-	// links to others.
+	// A router whose settings have missing or wrong keys must not start: it would communicate without TLS or run without links to other
+	// routers.
 	f, _, dirs := newTLSFleet(t, 1)
 	other := t.TempDir()
 	otherAuthority := newAuthority(t)
--- a/pomeloroute/answer.go
+++ b/pomeloroute/answer.go
@@ -13,9 +13,9 @@
 	"github.com/pomelorelay/pomelorelay/pomeloproblem"
 )
 
-// forwardPlain forwards an answer that is not an event stream. A small or already received answer is buffered until it is complete, so
-// that truncation is detected before the caller gets a status. Any other is forwarded as it arrives, and truncation closes the caller's
-// connection.
+// forwardPlain forwards an answer that is not an event stream. A small or already received answer is buffered until it is complete, so that
+// truncation is detected before the caller gets a status. Any other answer is forwarded as it arrives; if it is truncated, the caller's
+// connection is closed.
 func (c *call) forwardPlain(x *pomelolink.Exchange, m *meter) *pomelolink.Failure {
 	buffer := c.h.buffers.Body()
 	defer c.h.buffers.PutBody(buffer)
--- a/pomeloroute/claimed.go
+++ b/pomeloroute/claimed.go
@@ -50,7 +50,7 @@
 	_, _ = c.w.Write(c.claim.Outcome.Body)
 }
 
-// settleClaim reports how the request that holds the claim ended; it is deferred, so that it also runs after a panic.
+// settleClaim reports how the request that holds the claim ended; run defers settleClaim, so that the claim is settled even after a panic.
 func (c *call) settleClaim() {
 	switch {
 	case c.outcome != nil:
--- a/pomeloroute/handler.go
+++ b/pomeloroute/handler.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// recoverPanic logs a panic in the handling of a request and answers with CodeInternal. Without it, the caller's connection would be
-// closed without an answer, and the panic would not be logged as an event.
+// recoverPanic logs a panic in the handling of a request and answers with CodeInternal. Otherwise the caller's connection would be closed
+// without an answer, and the panic would not be logged as an event.
 func (c *call) recoverPanic() {
 	cause := recover()
 	if cause == nil {
--- a/pomeloroute/once_test.go
+++ b/pomeloroute/once_test.go
@@ -15,8 +15,8 @@
 	"github.com/pomelorelay/pomelorelay/pomeloroute"
 )
 
-// The connection to an upstream breaks at any byte of a booking. If the router resends it, or answers "not run" for a booking that
-// arrived, so that the caller resends it, the customer is charged twice.
+// The connection to an upstream breaks at any byte of a booking. If the router resent the booking, or answered "not run" although the
+// booking had arrived and the caller then resent it, the customer would be charged twice.
 func TestRequestCutAtEveryByteIsSentOnce(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	var cut atomic.Int64
@@ -148,7 +148,7 @@
 	}
 }
 
-// The connection breaks during a repeatable request; the caller must get the complete answer from another upstream.
+// The connection to the upstream breaks during a repeatable request; the caller must get the complete answer from another upstream.
 func TestRepeatableRequestIsRetriedAtAnotherUpstream(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	broken := newScriptedUpstream(t, func(w *scriptedUpstream, _ int64, conn net.Conn, r *bufio.Reader) { w.read(r) })
@@ -205,7 +205,7 @@
 }
 
 // The upstream answers "not run" to a booking, or refuses the connection. The booking must be retried at another upstream; if there is
-// none, the answer must state "not run" and the key must be released.
+// none, the caller must be told "not run" and the claim on the idempotency key must be released.
 func TestRequestThatDidNotRunIsRetriedAndReleased(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	b.serveUpstream(func(w http.ResponseWriter, r *http.Request) {
--- a/pomeloroute/problem.go
+++ b/pomeloroute/problem.go
@@ -30,7 +30,8 @@
 	return pomelorelay.NewError(pomelorelay.CodeInternal, err.Error(), nil)
 }
 
-// WriteProblem writes an error as an RFC 9457 problem. A retryable status gets a Retry-After of 1 s unless the error has its own.
+// WriteProblem writes an error as an RFC 9457 problem. A retryable status gets a Retry-After of 1 s unless the error has a RetryAfter of
+// its own.
 func WriteProblem(w http.ResponseWriter, err error) { writeProblem(w, err, defaultRetryAfter) }
 
 func (h *Handler) writeProblem(w http.ResponseWriter, err error) {
--- a/pomeloroute/stream_test.go
+++ b/pomeloroute/stream_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// Concurrent callers share an upstream whose answers are truncated at random. No caller may get another's stream, or a truncated
+// Concurrent callers share an upstream whose answers are truncated at random. No caller may get another caller's stream, or a truncated
 // stream that looks complete.
 func TestConcurrentStreamsAreNotMixed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -216,7 +216,8 @@
 	})
 }
 
-// A caller disconnects during its stream; the engine must be cancelled, or it keeps generating tokens that are not read.
+// A caller disconnects during its stream; the request must be cancelled at the engine, which would otherwise continue to generate tokens
+// that are not read.
 func TestCallerCancelReachesEngine(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	cancelled := make(chan struct{})
--- a/pomeloroute/token.go
+++ b/pomeloroute/token.go
@@ -10,7 +10,7 @@
 const bearerPrefix = "bearer "
 
 // authenticate returns the account of a request's bearer token. A request with two tokens is refused: a proxy in front of the router may
-// have checked one and the router the other, and an account that the sender has no access to would be charged.
+// have checked one token and the router the other, and an account that the sender has no access to would be charged.
 func authenticate(s Snapshot, head http.Header) (pomelorelay.AccountID, error) {
 	if len(head["Authorization"]) > 1 {
 		return "", pomelorelay.NewError(pomelorelay.CodeUnauthorised, "more than one Authorization field", nil)
