--- a/pomelonode/jobs.go
+++ b/pomelonode/jobs.go
@@ -44,8 +44,8 @@
 	c.placeConfigWatch()
 }
 
-// reachableMembers returns the live routers of reachable failure domains. A fleet-wide job assigned to a router behind a network partition
-// would not be done for the routers on this side.
+// reachableMembers returns the live routers of reachable failure domains. If a fleet-wide job were assigned to a router behind a network
+// partition, the job would not be done for the routers on this side.
 func (c *control) reachableMembers() []pomelorelay.NodeID {
 	var nodes []pomelorelay.NodeID
 	for _, d := range c.members.Domains() {
@@ -71,8 +71,8 @@
 }
 
 // slotOwner returns the router that owns an upstream's slots: one of the upstream's failure domain or, if that domain has no live or
-// reachable router, one of its region. Without the fallback, an upstream would be unused after its domain lost its routers, although
-// routers of other domains reach it.
+// reachable router, one of the upstream's region. Without the fallback, an upstream would be unused after its domain lost all routers,
+// although routers of other domains can reach the upstream.
 func (c *control) slotOwner(id pomelorelay.UpstreamID, domain pomelorelay.DomainID) (pomelorelay.NodeID, bool) {
 	key := "slot/" + string(id)
 	if node, ok := c.members.Owner(key, domain); ok && c.isReachable(domain) {
@@ -117,7 +117,7 @@
 	slot := pomeloslot.Upstream{ID: id, Pool: u.Pool(), Min: u.MinSlots, Max: u.MaxSlots}
 	c.outgoing = c.owner.AddUpstream(now, slot, c.jobs.members, c.outgoing)
 	if u.FailureDomain != c.n.self.Domain {
-		// The upstream's failure domain may only be partitioned from this one, and a slot owner there may still grant slots. This router
+		// The upstream's failure domain may be partitioned rather than down, and a router there may still grant the same slots. This router
 		// therefore grants none until the upstream itself has reported its load.
 		c.owner.MarkCrashed(now, id)
 	}
@@ -187,9 +187,9 @@
 	}
 }
 
-// claimKeeper returns the router that stores a shard's claims on idempotency keys. If all reachable routers are stopping, each stores its
-// own; otherwise no router would accept the outcomes of the last requests, and stopping a whole fleet would reach its time limit. Several
-// keepers of a shard fence each other at the store.
+// claimKeeper returns the router that stores a shard's claims on idempotency keys. If all reachable routers are stopping, each stores the
+// claims of its own requests; otherwise no router would accept the outcomes of the last requests, and stopping a whole fleet would reach
+// its time limit. Routers that keep the same shard fence each other at the store.
 func (c *control) claimKeeper(shard pomelorelay.ShardID) (pomelorelay.NodeID, bool) {
 	if len(c.jobs.members) == 0 {
 		return c.n.self.Node, true
--- a/pomelonode/tls_test.go
+++ b/pomelonode/tls_test.go
@@ -103,14 +103,14 @@
 	for _, r := range f.routers {
 		await(t, "a router sees all four", func() bool { return r.seesMembers(4) })
 	}
-	// A router reads its key files again at its next handshake. Router 1, in the new router's failure domain, has had one with the new
-	// router.
+	// A router reads its key files again at its next handshake. Router 1, in the new router's failure domain, has had a handshake with the
+	// new router.
 	await(t, "the change is logged", func() bool { return f.routers[1].log.count(pomelorelay.EventMeshKeysChanged) > 0 })
 }
 
 func TestRouterOfUntrustedAuthorityIsRefused(t *testing.T) {
-	// A host of another fleet, or of an attacker, is on the host list with a certificate of an untrusted authority. If accepted, it could
-	// report usage for any account and take grants; if refused without an event, operators could not find the cause.
+	// A host of another fleet, or of an attacker, is on the host list with a certificate of an untrusted authority. If accepted, that host
+	// could report usage for any account and take grants; if refused without an event, operators could not find the cause.
 	f, _, _ := newTLSFleet(t, 3)
 	untrusted := newAuthority(t)
 	dir := t.TempDir()
@@ -131,8 +131,8 @@
 }
 
 func TestUnusableKeysPreventStart(t *testing.T) {
-	// With missing or wrong keys in the settings, a router must not start: it must neither communicate without TLS nor run without
-	// links to others.
+	// A router whose settings have missing or wrong keys must not start: it would communicate without TLS or run without links to other
+	// routers.
 	f, _, dirs := newTLSFleet(t, 1)
 	other := t.TempDir()
 	otherAuthority := newAuthority(t)
--- a/pomeloroute/stream_test.go
+++ b/pomeloroute/stream_test.go
@@ -96,7 +96,8 @@
 		a := b.call("POST", "/drafter/v1/completions", streamBody)
 		right := a.err == nil && a.status == http.StatusOK && a.body == completeStream()
 		if cut < head {
-			// Without a complete header the answer is not known to be a stream, and there is no other engine to retry at.
+			// Without a complete header the answer is not known to be a stream that can be resumed, and there is no other engine to retry
+			// at, so RanUnknown is the correct answer.
 			right = a.err == nil && a.problem(t).Ran == pomelorelay.RanUnknown
 		}
 		if !right {
@@ -189,7 +190,7 @@
 	}
 }
 
-// Concurrent callers share an upstream whose answers are truncated at random. No caller may get another's stream, or a truncated
+// Concurrent callers share an upstream whose answers are truncated at random. No caller may get another caller's stream, or a truncated
 // stream that looks complete.
 func TestConcurrentStreamsAreNotMixed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -215,7 +216,8 @@
 	})
 }
 
-// A caller disconnects during its stream; the engine must be cancelled, or it keeps generating tokens that are not read.
+// A caller disconnects during its stream; the request must be cancelled at the engine, which would otherwise continue to generate tokens
+// that are not read.
 func TestCallerCancelReachesEngine(t *testing.T) {
 	b := newHarness(t, pomeloroute.Options{})
 	cancelled := make(chan struct{})
