--- a/cmd/pomelobench/pomeloload/random_test.go
+++ b/cmd/pomelobench/pomeloload/random_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// Random faults must appear in the result when no router handles them. Each of these seeds draws harmful ones; a short run may
-// draw only harmless ones, such as refusals.
+// Without a router that handles them, random faults must appear as violations in the result. Each of these seeds selects at least one
+// harmful fault; in a short run, a seed may select only harmless ones, such as refusals.
 func TestRandomFaultsWithoutRouterAreDetected(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
--- a/pomeloclaim/commit.go
+++ b/pomeloclaim/commit.go
@@ -121,7 +121,7 @@
 	return s.commit.put[key] != nil || s.commit.removed[key]
 }
 
-// releaseSegments frees the claims of segments that were read for lookups and keeps the indexes.
+// releaseSegments frees the claims that lookups read from segments into memory; the indexes of the segments are kept.
 func (s *shard) releaseSegments() {
 	for _, index := range s.indexes {
 		index.claims = nil
--- a/pomeloclaim/seal.go
+++ b/pomeloclaim/seal.go
@@ -44,9 +44,9 @@
 // maxSegmentRefBytes is the maximum encoded size of a segment reference in the head record.
 const maxSegmentRefBytes = 32
 
-// sealDue reports whether the claims in the head record exceed SealBytes. The list of segments is not counted: it
-// shrinks only as segments expire, and once it reached SealBytes by itself, every commit would move a few claims into a
-// segment of their own until the list filled the head record and the shard refused every claim.
+// sealDue reports whether the claims in the head record exceed SealBytes. The list of segments does not count towards this limit, since it
+// shrinks only as segments expire: once it reached SealBytes alone, every commit would move a few claims into a new segment, until the list
+// filled the head record and the shard refused every claim.
 func (k *Keeper) sealDue(s *shard) bool {
 	return s.headSize-maxSegmentRefBytes*len(s.segments) > int(k.cfg.SealBytes)
 }
--- a/pomeloentry/aggregate_test.go
+++ b/pomeloentry/aggregate_test.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// Guards against a relay that does not forward upstream starts, or that returns them to their source.
+// Guards against a relay that does not forward reports that an upstream may have restarted (UpstreamStart), or that sends them back to the
+// router they came from.
 func TestAggregateForwardsStarts(t *testing.T) {
 	s := pomeloentry.NewAggregate()
 	s.Add(time.Now(), "r1", 1, &pomelorelay.LoadReport{Seq: 1, Starts: []pomelorelay.UpstreamStart{{Upstream: "u", Unreachable: true}}})
--- a/pomeloentry/export_test.go
+++ b/pomeloentry/export_test.go
@@ -67,7 +67,7 @@
 	d.c.receiveReport(now, from, incarnation, m)
 }
 
-// Served returns the cost that an account was served in the share window.
+// Served returns the cost charged to an account within ShareWindow, the time over which accounts' shares are computed.
 func (d PlacementControl) Served(id pomelorelay.AccountID) pomelorelay.Cost {
 	_, served, _ := d.c.shares.Usage(id)
 	return served
--- a/pomeloentry/storereader.go
+++ b/pomeloentry/storereader.go
@@ -28,8 +28,10 @@
 	takeoverStepFraction = 0.03
 	// takeoverPollInterval is how often a router checks whether it must read the store.
 	takeoverPollInterval = 200 * time.Millisecond
-	// startupDelayWork is the base startup delay of a router with the CPU speed of one core; the delay is inversely proportional to
-	// the CPU speed. The fastest routers thus read the store first, and the others get the changes from them without a store call.
+	// startupDelayWork is the startup delay of a router whose CPUSpeed is 1 (one core), before it is multiplied by a factor from 1 to 2
+	// derived from the router's name. Until the delay has passed, a router that has the complete state does not read the store. The
+	// delay is inversely proportional to CPUSpeed. The fastest routers thus read the store first, and the others get the changes from them
+	// without a store call.
 	startupDelayWork = 250 * time.Millisecond
 	// maxStartupDelay bounds the startup delay.
 	maxStartupDelay = 3 * time.Second
--- a/pomelofair/account.go
+++ b/pomelofair/account.go
@@ -31,7 +31,8 @@
 	lift pomelorelay.Tag
 	// pending is the part of the running requests' admission charges that is not yet covered by accrued cost.
 	pending pomelorelay.Tag
-	// floor plus ownServed is the minimum assumed for the account's service while awaitingTotals is set.
+	// While awaitingTotals is set, the account's service is assumed to be at least floor plus ownServed, so that outdated totals give it no
+	// credit, or at most CatchUp if it has running requests, for service that it left unused while idle or received at other routers.
 	floor pomelorelay.Tag
 	// awaitingTotals is set from the start of a backlogged period until fleet totals are received.
 	awaitingTotals bool
--- a/pomelofake/runs.go
+++ b/pomelofake/runs.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// start counts a run. Runs count from their start, since their effects cannot be undone from then on.
+// start counts a run. A run is counted when it starts, not when it ends, since its effects cannot be undone once it has started.
 func (l *runLog) start(key, requestID string, digest BodyDigest) *Run {
 	r := &Run{Key: key, RequestID: requestID, Proof: digest, Start: time.Now()}
 	l.mu.Lock()
--- a/pomeloforward/config.go
+++ b/pomeloforward/config.go
@@ -38,7 +38,7 @@
 	ID      string
 	Route   pomelorelay.RouteID
 	Account pomelorelay.AccountID
-	// Cost counts towards the account's share; zero for plain services.
+	// Cost counts towards the account's share; zero for plain services (those without model engines).
 	Cost    pomelorelay.Cost
 	Request pomeloplace.Request
 	// Retry marks a request that was placed before. Charged marks one that may have run and whose cost was charged to its account.
--- a/pomelonode/pause_test.go
+++ b/pomelonode/pause_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestPausedRouterSendsNothingToLeavingUpstream(t *testing.T) {
-	// A router's control goroutine is blocked for seconds, here while it sends a message, and a status server starts leaving. Requests that
-	// bypass the control goroutine, and those that are granted a slot right after it resumes, could be sent to a server that is being shut
-	// down.
+	// A router's control goroutine is blocked for seconds, here while it sends a message, and meanwhile an upstream of the status service
+	// starts leaving: it is about to be shut down. Requests that bypass the control goroutine, and those that are granted a slot right
+	// after it resumes, could be sent to this upstream while it shuts down.
 	f := newFleet(t, 2)
 	f.awaitReady()
 	r := f.routers[0]
--- a/pomeloquarantine/arbiter.go
+++ b/pomeloquarantine/arbiter.go
@@ -6,9 +6,10 @@
 	"github.com/pomelorelay/pomelorelay"
 )
 
-// Arbiter grants the locks under which a suspect may run: at most one suspect per upstream, and at most one upstream per
-// fingerprint. A router asks the arbiter of the fingerprint first and then that of the upstream. Every arbiter checks both
-// locks, so that it need not know in which role it was asked.
+// Arbiter grants the locks under which a suspect (a request that ran on an upstream when it crashed) may run: at most one suspect per
+// upstream, and at most one upstream per fingerprint (of the request's account, service and body). A router asks the arbiter of the
+// fingerprint first and then that of the upstream. Every arbiter checks both locks, so that it need not know whether it was asked for the
+// fingerprint or for the upstream.
 type Arbiter struct {
 	cfg           Config
 	byFingerprint map[pomelorelay.Fingerprint]*lock
--- a/pomelospeed/first_token_model.go
+++ b/pomelospeed/first_token_model.go
@@ -25,7 +25,8 @@
 	priorPrefillTime = 200 * time.Millisecond
 	// observationHalfLife is the half-life of the weight of observed answers, short because step times change with the running batch.
 	observationHalfLife = 4 * time.Second
-	// minAnswers is the number of answers down to which observations decay, so that a fleet under low load keeps its estimate.
+	// minAnswers is the number of observed answers below which observations do not decay, so that a fleet under low load keeps its
+	// estimate.
 	minAnswers = 50
 	// maxReportAnswers bounds the number of answers that one report of another router counts for. A router's first report covers all answers
 	// since its start and would outweigh recent ones.
--- a/pomelospeed/pause.go
+++ b/pomelospeed/pause.go
@@ -7,8 +7,8 @@
 	pausePriorStreams = 4
 	// minStreams is the number of observed streams below which observations do not decay.
 	minStreams = 100
-	// pauseBaseline is the fraction of paused streams up to which long prefills have no weight, since faults cause about as many pauses;
-	// pauseSaturation is the fraction from which they have full weight.
+	// pauseBaseline is the fraction of paused streams up to which the cost of long prefills has weight 0, since faults alone make about
+	// that fraction of streams pause; pauseSaturation is the fraction from which it has weight 1.
 	pauseBaseline   = 0.02
 	pauseSaturation = 0.08
 )
--- a/pomelospeed/ratio.go
+++ b/pomelospeed/ratio.go
@@ -21,9 +21,10 @@
 
 // DecayingRatioConfig holds the prior and the decay settings of an estimate.
 type DecayingRatioConfig struct {
-	// Prior is the value before any observation. PriorWeight is the denominator with which the prior counts beside the observed sums.
+	// Prior is the estimate before any observation. PriorWeight is the weight of the prior: it is added to the observed denominator, and
+	// Prior times PriorWeight to the observed numerator.
 	Prior, PriorWeight float64
-	// HalfLife is the half-life of the observed sums, which decay down to a denominator of MinDenominator.
+	// HalfLife is the half-life of the observed sums. They stop decaying when their denominator has fallen to MinDenominator.
 	HalfLife       time.Duration
 	MinDenominator float64
 	// MaxReportWeight bounds the denominator with which one report of another router counts. A router's first report covers all observations
--- a/pomelostore/outcome.go
+++ b/pomelostore/outcome.go
@@ -21,8 +21,9 @@
 	WriteSuperseded
 )
 
-// ResolveWrite reads the record back after a write that failed with CodeStoreUnknown; isOwn reports whether a value carries the writer's
-// nonce. It fails as Store.Get does, and the outcome is then still unknown.
+// ResolveWrite reads the record back after a write that failed with CodeStoreUnknown, and returns the outcome of the write. isOwn reports
+// whether a value carries the writer's nonce. ResolveWrite fails with the errors of Store.Get; the outcome of the write is then still
+// unknown.
 func ResolveWrite(ctx context.Context, store pomelorelay.Store, key pomelorelay.StoreKey, old pomelorelay.Revision, isOwn func(value []byte) bool) (WriteOutcome, pomelorelay.Record, error) {
 	record, err := store.Get(ctx, key)
 	if err != nil {
